--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -14,7 +14,9 @@
   /** Added to a worker's lease before it counts as over, ms: steps of timers on both sides. */
   public static final long EXPIRY_MARGIN_MS = 250;
 
-  /** The grant's length as a share of a worker's lease: a successor must answer before that ends. */
+  /**
+   * The grant's length as a share of a worker's lease: a successor must answer before that ends.
+   */
   public static final double GRANT_SHARE_OF_LEASE = 0.4;
 
   /** How many renewals fit into one grant: three may fail before the lease is lost. */
@@ -83,7 +85,9 @@
   /** Bytes of a transaction beside each value: the key, its conditions, punctuation. */
   public static final int TXN_BYTES_PER_CHANGE = 200;
 
-  /** Fewest changes that a transaction must be able to hold: a job moves from live to final in two. */
+  /**
+   * Fewest changes that a transaction must be able to hold: a job moves from live to final in two.
+   */
   public static final int LEAST_TXN_OPS = 2;
 
   /** Smallest value that we shrink to after a refusal, bytes: below that no job fits any more. */
@@ -96,8 +100,8 @@
   public static final long END_READ_PAUSE_MS = 1_000;
 
   /**
-   * How long a sibling that does not speak of chained jobs keeps us from taking them, ms: it is old,
-   * would run them too early if it led, and after this long without a word it is gone or new.
+   * How long a sibling that does not speak of chained jobs keeps us from taking them, ms: it is
+   * old, would run them too early if it led, and after this long without a word it is gone or new.
    */
   public static final long OLD_SIBLING_MS = 10_000;
 
@@ -132,8 +136,8 @@
   public static final long PROBE_TIMEOUT_MS = 1_200;
 
   /**
-   * Pause before a worker that did not answer a question is asked again, ms: it reports by itself once
-   * it can, but that may take it longer than we wait before we give its machine back.
+   * Pause before a worker that did not answer a question is asked again, ms: it reports by itself
+   * once it can, but that may take it longer than we wait before we give its machine back.
    */
   public static final long PROBE_PAUSE_MS = 300;
 
@@ -141,8 +145,8 @@
   public static final int ORDERS_PER_ANSWER = 400;
 
   /**
-   * Starts that found no connection go out with the next report's answer if that comes within so many
-   * report intervals; then their tasks are tried elsewhere.
+   * Starts that found no connection go out with the next report's answer if that comes within so
+   * many report intervals; then their tasks are tried elsewhere.
    */
   public static final double CARRY_REPORTS = 1.5;
 
@@ -161,7 +165,9 @@
   /** How long a worker waits for the answer to a report, ms: the protocol's time. */
   public static final long WORKER_WAITS_MS = 4_000;
 
-  /** A report that comes so many intervals after the one before it may mean that answers are lost. */
+  /**
+   * A report that comes so many intervals after the one before it may mean that answers are lost.
+   */
   public static final double DOUBT_REPORTS = 1.25;
 
   /** Added to that, ms: the network's delays and ours. */
@@ -174,8 +180,8 @@
   public static final int CLEARS_GATHERED = 4;
 
   /**
-   * Or when so large a part of a lease has passed since its token rose for the last time: workers take a higher
-   * token for a reason to report at once no more often than that.
+   * Or when so large a part of a lease has passed since its token rose for the last time: workers
+   * take a higher token for a reason to report at once no more often than that.
    */
   public static final double CLEARS_LEASE_SHARE = 0.5;
 
@@ -204,9 +210,10 @@
   public static final double SILENT_LEASE_SHARE = 0.4;
 
   /**
-   * If more than this share of the machines is silent at once, none is returned for silence: then the
-   * fault is probably ours. While most are heard, it is not, and work that is cut off with a fifth of
-   * the fleet would wait for its workers' lease, counted from a takeover in the worst case.
+   * If more than this share of the machines is silent at once, none is returned for silence: then
+   * the fault is probably ours. While most are heard, it is not, and work that is cut off with a
+   * fifth of the fleet would wait for its workers' lease, counted from a takeover in the worst
+   * case.
    */
   public static final double SILENT_SHARE = 0.4;
 
@@ -244,8 +251,8 @@
   public static final double UNHEARD_REPORTS = 3;
 
   /**
-   * Part of the heap that may live: of the serial collector's heap a third is for new objects, so that at
-   * 0.667 the rest is full.
+   * Part of the heap that may live: of the serial collector's heap a third is for new objects, so
+   * that at 0.667 the rest is full.
    */
   public static final double HEAP_TIGHT_SHARE = 0.58;
 
@@ -262,8 +269,8 @@
   public static final int HEAP_RETRY_S = 10;
 
   /**
-   * How long a sibling's promise not to help anyone take over lasts, ms: three greetings, so that two may
-   * be lost; what a crash of the leader costs follows from it.
+   * How long a sibling's promise not to help anyone take over lasts, ms: three greetings, so that
+   * two may be lost; what a crash of the leader costs follows from it.
    */
   public static final long PROMISE_MS = 2_500;
 
@@ -292,8 +299,8 @@
   public static final double GREETING_GAPS_MISSED = 2;
 
   /**
-   * Shortest time between the beginning of an epoch, or of our process, and a takeover, ms: bounds how
-   * often leaders change, and is longer than any promise that we have forgotten.
+   * Shortest time between the beginning of an epoch, or of our process, and a takeover, ms: bounds
+   * how often leaders change, and is longer than any promise that we have forgotten.
    */
   public static final long TAKEOVER_GAP_MS = 8_000;
 
@@ -307,26 +314,31 @@
   public static final long AGREE_PAUSE_MS = 900;
 
   /**
-   * Taken off the time for which leases may be kept alive without knowing what users are told, ms: a
-   * worker's timers, an answer under way, a user told a moment before the record was read.
+   * Taken off the time for which leases may be kept alive without knowing what users are told, ms:
+   * a worker's timers, an answer under way, a user told a moment before the record was read.
    */
   public static final long KEEP_MARGIN_MS = 1_200;
 
   /**
-   * Least such time, ms: a copy of the state is as old as one watch is held, and one call. With less than
-   * that between a lease and {@code cancel_s} a healthy leader, which knows everything until about a second
-   * ago, could not answer reports; a task that is cut off then outlives its withdrawal, as it does without any
-   * controller. Seven seconds once lengthened the answering of settings that had room for five.
+   * Least such time, ms: a copy of the state is as old as one watch is held, and one call. With
+   * less than that between a lease and {@code cancel_s} a healthy leader, which knows everything
+   * until about a second ago, could not answer reports; a task that is cut off then outlives its
+   * withdrawal, as it does without any controller. Seven seconds once lengthened the answering of
+   * settings that had room for five.
    */
   public static final long KEEP_LEAST_MS = 2_500;
 
   /**
-   * How long a sibling's promise lasts not to answer reports in the leader's place, ms: three greetings,
-   * and less than a worker takes that waits for a leader's answer before it comes to the sibling.
+   * How long a sibling's promise lasts not to answer reports in the leader's place, ms: three
+   * greetings, and less than a worker takes that waits for a leader's answer before it comes to the
+   * sibling.
    */
   public static final long KEEP_STILL_MS = 2_500;
 
-  /** What a controller that never answered a report in a leader's place says of when it last did, ms. */
+  /**
+   * What a controller that never answered a report in a leader's place says of when it last did,
+   * ms.
+   */
   public static final long KEPT_NEVER = -1;
 
   /** Most withdrawn jobs named in one greeting: keeps it below the bound on bodies. */
@@ -359,7 +371,10 @@
   /** After so many leases of silence what ran in a zone is taken for lost in what the log says. */
   public static final double ZONE_LOST_LEASES = 1.1;
 
-  /** How long a zone that has returned must be calm to be trusted, ms; twice as long each further time. */
+  /**
+   * How long a zone that has returned must be calm to be trusted, ms; twice as long each further
+   * time.
+   */
   public static final long ZONE_TRUST_MS = 3_000;
 
   /** Longest such time, ms. */
@@ -368,7 +383,10 @@
   /** How long it is remembered that a zone was away, ms. */
   public static final long ZONE_MEMORY_MS = 300_000;
 
-  /** How long the machines of a zone that is away are kept after their leases, ms: they may come back. */
+  /**
+   * How long the machines of a zone that is away are kept after their leases, ms: they may come
+   * back.
+   */
   public static final long ZONE_KEPT_MS = 300_000;
 
   /** What is away is replaced from so long on, ms: shorter cuts are not worth a machine's boot. */
@@ -401,7 +419,9 @@
   /** Deaf again within this time, the leader trusts direct answers twice as late, ms. */
   public static final long DEAF_AGAIN_MS = 15_000;
 
-  /** Direct questions a deaf leader asks at each look, to find out whether the way is open again. */
+  /**
+   * Direct questions a deaf leader asks at each look, to find out whether the way is open again.
+   */
   public static final int DEAF_QUESTIONS = 2;
 
   /** Longest wait for the leader's answer to a report that is passed on, ms: workers wait 4 s. */
@@ -416,7 +436,9 @@
   /** Reports under way to the leader at once: beyond that workers try the next controller. */
   public static final int RELAYS_AT_ONCE = 400;
 
-  /** After so many reports in a row that the leader did not answer, none is passed on for a while. */
+  /**
+   * After so many reports in a row that the leader did not answer, none is passed on for a while.
+   */
   public static final int RELAY_FAILURES = 8;
 
   /** How long, ms. */
@@ -449,7 +471,9 @@
   /** How long a controller that yielded leaves the claim to others, ms. */
   public static final long YIELD_PAUSE_MS = 8_000;
 
-  /** A process whose predecessor ended so soon after its claim leaves the next one to others, ms. */
+  /**
+   * A process whose predecessor ended so soon after its claim leaves the next one to others, ms.
+   */
   public static final long FLAPPING_MS = 15_000;
 
   /** For how long, ms: siblings that are there claim within 60 ms and a call. */
@@ -488,7 +512,10 @@
   /** Added to that patience, s. */
   public static final double BOOT_PATIENCE_S = 20;
 
-  /** Least such patience, s: now and then none of the new machines comes up for two minutes, then all. */
+  /**
+   * Least such patience, s: now and then none of the new machines comes up for two minutes, then
+   * all.
+   */
   public static final double BOOT_PATIENCE_LEAST_S = 150;
 
   /** Taken for the boot time of a type that is not known, s. */
@@ -500,7 +527,10 @@
   /** Nearly all of them: the rest may be slow by themselves, as a share. */
   public static final double BOOTS_NEARLY_ALL = 0.875;
 
-  /** A machine is late after so many times its nominal boot time: the cloud says 1.5 at the most as a rule. */
+  /**
+   * A machine is late after so many times its nominal boot time: the cloud says 1.5 at the most as
+   * a rule.
+   */
   public static final double BOOT_LATE = 1.6;
 
   /** And after so many times what nearly all of its type took lately. */
@@ -515,7 +545,10 @@
   /** The same if the cloud has no other for us: then it costs the room of one that would come. */
   public static final int BOOT_OVERTAKEN_SCARCE = 1;
 
-  /** Late machines are not replaced if they are more than this share of what boots: then all are late. */
+  /**
+   * Late machines are not replaced if they are more than this share of what boots: then all are
+   * late.
+   */
   public static final double BOOT_LATE_SHARE = 0.5;
 
   /** How long a machine that a predecessor asked for has to report to us at least, in leases. */
@@ -543,23 +576,27 @@
   public static final long TASK_PAUSE_MOST_MS = 60_000;
 
   /**
-   * A job that has waited for so long with nothing at work is given its first task before all others, ms. Users
-   * count on four minutes; room for a task as large as a machine takes up to two of them to come free.
+   * A job that has waited for so long with nothing at work is given its first task before all
+   * others, ms. Users count on four minutes; room for a task as large as a machine takes up to two
+   * of them to come free.
    */
   public static final long BEGIN_AFTER_MS = 90_000;
 
   /** Part of the fleet's CPUs on which first tasks of such jobs run out of turn; one always may. */
   public static final double TURNS_SHARE = 0.05;
 
-  /** Such a task is stopped for nobody for so long at least, s: a start counts that lasts for 30. */
+  /**
+   * Such a task is stopped for nobody for so long at least, s: a start counts that lasts for 30.
+   */
   public static final double KEPT_LEAST_S = 60;
 
   /** And for so many times what it is expected to take. */
   public static final double KEPT_TIMES = 2;
 
   /**
-   * From this age on a job's work counts for less when small goes before large, ms. Sooner, backlogs of half a
-   * minute would be worked off from their old end, and one build in a hundred more is late.
+   * From this age on a job's work counts for less when small goes before large, ms. Sooner,
+   * backlogs of half a minute would be worked off from their old end, and one build in a hundred
+   * more is late.
    */
   public static final long WORK_AGES_AFTER_MS = 60_000;
 
@@ -569,7 +606,9 @@
   /** Part of the machines that may be kept free for tasks that nothing else makes room for. */
   public static final double HOLDS_SHARE = 0.05;
 
-  /** How long a task waits for room that comes free by itself before others are stopped for it, s. */
+  /**
+   * How long a task waits for room that comes free by itself before others are stopped for it, s.
+   */
   public static final double PATIENCE_S = 5;
 
   /** The same of classes for which a time to the start is set, s: about what stopping takes. */
@@ -606,7 +645,9 @@
   /** Own records that nobody needs any more and that are kept to be written over, keys. */
   public static final int SPARE_RECORDS = 48;
 
-  /** A record of which at most this part of a full one lives, 1 in so many, may be drawn together. */
+  /**
+   * A record of which at most this part of a full one lives, 1 in so many, may be drawn together.
+   */
   public static final int SPARSE_RECORD_PARTS = 4;
 
   /** Round records, or starts in them, beyond so many times what lives are drawn together. */
@@ -619,8 +660,8 @@
   public static final int STARTS_SLACK = 4_000;
 
   /**
-   * Longest wait of a user's request inside the service, ms: it takes up to three calls to the state
-   * service, of 10 ms each as a rule and now and then of a few hundred.
+   * Longest wait of a user's request inside the service, ms: it takes up to three calls to the
+   * state service, of 10 ms each as a rule and now and then of a few hundred.
    */
   public static final long ANSWER_MS = 1_000;
 
@@ -664,8 +705,9 @@
   public static final double OUTBOUND_SHARE = 0.2;
 
   /**
-   * Part of our connections that attempts for spare calls may hold: attempts at machines that are cut
-   * off or hang end only when the system gives up, and hundreds of them once left none for starts.
+   * Part of our connections that attempts for spare calls may hold: attempts at machines that are
+   * cut off or hang end only when the system gives up, and hundreds of them once left none for
+   * starts.
    */
   public static final double SPARE_SHARE = 0.35;
 
@@ -679,12 +721,14 @@
   public static final double SOCKETS_FULL_SHARE = 0.9;
 
   /**
-   * Part of the process's sockets beyond which a worker's connection is closed after each answer: what
-   * is left is for users, siblings and health checks, and for the workers that come next.
+   * Part of the process's sockets beyond which a worker's connection is closed after each answer:
+   * what is left is for users, siblings and health checks, and for the workers that come next.
    */
   public static final double SOCKETS_CROWDED_SHARE = 0.83;
 
-  /** A connection to us unused for so long is stale, ms: workers report and users poll more often. */
+  /**
+   * A connection to us unused for so long is stale, ms: workers report and users poll more often.
+   */
   public static final long STALE_CONNECTION_MS = 10_000;
 
   /** A connection to us without a request for so long is closed even if there is room, ms. */
@@ -734,10 +778,14 @@
 
   private Constants() {}
 
-  /** Within which a job's first task begins, ms: the operators' bound, which the lab holds days to. */
+  /**
+   * Within which a job's first task begins, ms: the operators' bound, which the lab holds days to.
+   */
   public static final long BEGUN_WITHIN_MS = 240_000;
 
-  /** Within which some question about a job is answered once nothing fails any more, ms, in the lab. */
+  /**
+   * Within which some question about a job is answered once nothing fails any more, ms, in the lab.
+   */
   public static final long ANSWERED_WITHIN_MS = 10_000;
 
   /** The largest jobs of a class, as a share of them, in the lab. */
--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -140,7 +140,13 @@
     this.handover = new Handover(state, mesh);
     this.keeper =
         new Keeper(
-            host, settings, mesh, withdrawals, replica, lease::isLeading, lease::epoch,
+            host,
+            settings,
+            mesh,
+            withdrawals,
+            replica,
+            lease::isLeading,
+            lease::epoch,
             lease::highestEpoch);
     this.zones = new Zones(settings);
     this.wake = new Wake(host);
@@ -256,8 +262,16 @@
       // Prices move all the time; what is kept for starts need not follow them.
       plain.add(
           new Flavor(
-              f.name(), f.cpus(), f.cards(), f.memGb(), f.cacheGb(), f.fetchGbPerS(), 0, 0,
-              f.bootS(), f.zones()));
+              f.name(),
+              f.cpus(),
+              f.cards(),
+              f.memGb(),
+              f.cacheGb(),
+              f.fetchGbPerS(),
+              0,
+              0,
+              f.bootS(),
+              f.zones()));
     }
     Fields value = Flavor.writeAll(plain);
     byte[] encoded = Codec.JSON.encode(value);
@@ -271,7 +285,8 @@
     }
     state.txn(
         StateClient.Lane.UPKEEP,
-        new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.FLAVORS, value), r -> {});
+        new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.FLAVORS, value),
+        r -> {});
   }
 
   // ---------------------------------------------------------------- leading
@@ -338,8 +353,10 @@
     beatsHeard.values().removeIf(at -> now - at > Constants.SIBLING_SILENT_MS);
     if (replica.isReady()
         && now - Math.min(state.servedAtMs(), replica.readAtMs()) > Constants.SERVED_CHECK_MS) {
-      // An open watch stays silent in an outage, and while nothing changes: siblings rely on this to tell an
-      // outage from a refusal that only they get, and how current our copy is decides how long leases may
+      // An open watch stays silent in an outage, and while nothing changes: siblings rely on this
+      // to tell an
+      // outage from a refusal that only they get, and how current our copy is decides how long
+      // leases may
       // be kept alive.
       state.changes(
           changes -> {
@@ -397,7 +414,10 @@
     }
   }
 
-  /** Yields if no worker reaches us and a sibling says, where the mesh does not, that they come to it. */
+  /**
+   * Yields if no worker reaches us and a sibling says, where the mesh does not, that they come to
+   * it.
+   */
   private void heedPetition() {
     if (lease.isLeading() && hearing.isDeaf() && petition.wasRead(lease.epoch())) {
       lease.stepDown(
@@ -469,16 +489,12 @@
       reply.accept(kept);
       return;
     }
-    Relay.Decision decision =
-        other ? relay.take(beat, leader, reply) : Relay.Decision.TO_NEXT;
+    Relay.Decision decision = other ? relay.take(beat, leader, reply) : Relay.Decision.TO_NEXT;
     if (decision != Relay.Decision.PASSED_ON) {
-      boolean silent =
-          !other || mesh.silentMs(leader.member()) > Constants.KEEP_STILL_MS;
+      boolean silent = !other || mesh.silentMs(leader.member()) > Constants.KEEP_STILL_MS;
       String keeping = silent ? mesh.anyKeeping() : null;
       String to =
-          keeping != null
-              ? keeping
-              : decision == Relay.Decision.TO_LEADER ? leader.member() : null;
+          keeping != null ? keeping : decision == Relay.Decision.TO_LEADER ? leader.member() : null;
       reply.accept(Answer.of(421, Codec.CBOR, new Redirect(to).write()));
     }
   }
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -41,8 +41,9 @@
   private final BiConsumer<Beat, Consumer<Answer>> beats;
 
   /**
-   * Creates the interface; {@code beats} answers reports, {@code oldSibling} tells whether a sibling
-   * serves that does not know of chained jobs, {@code tight} whether there is no memory for new ones.
+   * Creates the interface; {@code beats} answers reports, {@code oldSibling} tells whether a
+   * sibling serves that does not know of chained jobs, {@code tight} whether there is no memory for
+   * new ones.
    */
   public Api(
       Host host,
@@ -80,7 +81,8 @@
     } else if (path.startsWith(JOBS + "/") && path.endsWith(WITHDRAW)) {
       if (allowed(method, "POST", reply)) {
         String id =
-            path.substring(JOBS.length() + 1, Math.max(JOBS.length() + 1, path.length() - WITHDRAW.length()));
+            path.substring(
+                JOBS.length() + 1, Math.max(JOBS.length() + 1, path.length() - WITHDRAW.length()));
         withdraw(id, bounded(reply));
       }
     } else if (path.startsWith(JOBS + "/")) {
@@ -182,7 +184,8 @@
     String id = job.spec().id();
     if (oldSibling.getAsBoolean()) {
       // It would run the job without waiting, if it came to lead.
-      refuse(id, later("a controller that does not know " + JobSpec.NEEDS + " still serves"), reply);
+      refuse(
+          id, later("a controller that does not know " + JobSpec.NEEDS + " still serves"), reply);
       return;
     }
     store.checkNeeds(
@@ -198,11 +201,12 @@
         });
   }
 
-  /** An accepted job gets 200 again whatever else the repeated body holds; only others a refusal. */
+  /**
+   * An accepted job gets 200 again whatever else the repeated body holds; only others a refusal.
+   */
   private void refuse(String id, Answer refusal, Consumer<Answer> reply) {
     store.lookup(
-        id,
-        found -> reply.accept(found instanceof Lookup.Unknown ? refusal : known(id, found)));
+        id, found -> reply.accept(found instanceof Lookup.Unknown ? refusal : known(id, found)));
   }
 
   private void accept(JobStore.Prepared job, Consumer<Answer> reply) {
@@ -280,8 +284,7 @@
       int started = table.startedTasks(job);
       JobState state = started > 0 ? JobState.RUNNING : JobState.PENDING;
       List<String> unmet = store.waits().graph().unmet(id);
-      return answer(
-          new JobStatus(id, state, job.finished().cardinality(), started, unmet));
+      return answer(new JobStatus(id, state, job.finished().cardinality(), started, unmet));
     }
     if (found instanceof Lookup.Final end) {
       return answer(new JobStatus(id, end.state(), end.done(), 0, List.of()));
--- a/src/main/java/fennelthread/cli/Archive.java
+++ b/src/main/java/fennelthread/cli/Archive.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The build's last step: trains the class-data archive in a process of its own. The archive only makes
- * starts cheap, so nothing that goes wrong here may cost the build: a training that failed because ten
- * builds shared one machine once took the whole build with it, and the service could not be started. It
- * appears whole or not at all: it is written beside its place, a start with it is tried, and only then is it
- * moved there.
+ * The build's last step: trains the class-data archive in a process of its own. The archive only
+ * makes starts cheap, so nothing that goes wrong here may cost the build: a training that failed
+ * because ten builds shared one machine once took the whole build with it, and the service could
+ * not be started. It appears whole or not at all: it is written beside its place, a start with it
+ * is tried, and only then is it moved there.
  */
 public final class Archive {
   /** Longest time for one attempt at training, ms: it takes 2 s where nothing else runs. */
@@ -41,7 +41,10 @@
     this.archive = archive;
   }
 
-  /** Makes the archive ARGS[1] of the jar ARGS[0]; never fails, and says in one line if it made none. */
+  /**
+   * Makes the archive ARGS[1] of the jar ARGS[0]; never fails, and says in one line if it made
+   * none.
+   */
   public static void main(String[] args) {
     String failure;
     try {
@@ -67,7 +70,8 @@
       if (failure != null) {
         return failure;
       }
-      Files.move(part, archive, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.move(
+          part, archive, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
       return null;
     } catch (IOException e) {
       return e.toString();
@@ -87,7 +91,8 @@
     if (!Files.isRegularFile(part) || Files.size(part) == 0) {
       return "training left none";
     }
-    // A full disk leaves half a file. With these options a start fails if anything is wrong with it.
+    // A full disk leaves half a file. With these options a start fails if anything is wrong with
+    // it.
     List<String> trial = java("-XX:SharedArchiveFile=" + part, "--version");
     trial.addAll(1, List.of("-Xshare:on", "-XX:+VerifySharedSpaces"));
     return runner.run(trial, TRIAL_MS) ? null : "a start with the new one failed";
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -17,7 +17,14 @@
     mixinStandardHelpOptions = true,
     versionProvider = Version.class,
     description = "Runs a controller of the cluster scheduler until it is killed.",
-    subcommands = {Serve.ServeCommand.class, Check.class, Submit.class, Status.class, Withdraw.class, Train.class})
+    subcommands = {
+      Serve.ServeCommand.class,
+      Check.class,
+      Submit.class,
+      Status.class,
+      Withdraw.class,
+      Train.class
+    })
 final class Serve implements Callable<Integer> {
   /** Not an exit code: the program goes on. */
   static final int KEEP_RUNNING = -1;
--- a/src/main/java/fennelthread/cli/SettingsFiles.java
+++ b/src/main/java/fennelthread/cli/SettingsFiles.java
@@ -8,10 +8,7 @@
 
 /** The two settings files, as options that several commands share. */
 final class SettingsFiles {
-  @Option(
-      names = "--config",
-      paramLabel = "FILE.toml",
-      description = "The platform's settings.")
+  @Option(names = "--config", paramLabel = "FILE.toml", description = "The platform's settings.")
   Path config;
 
   @Option(
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -76,10 +76,29 @@
           Controller controller = Serve.start(host, settings, options);
           JobSpec spec =
               new JobSpec(
-                  "job-000001", "c", "team", false, Priority.STANDARD, 1, 1, 0, 1, "i", 1, null,
-                  null, false, false, true, 1, 0, 0, JobSpec.NO_DEADLINE);
+                  "job-000001",
+                  "c",
+                  "team",
+                  false,
+                  Priority.STANDARD,
+                  1,
+                  1,
+                  0,
+                  1,
+                  "i",
+                  1,
+                  null,
+                  null,
+                  false,
+                  false,
+                  true,
+                  1,
+                  0,
+                  0,
+                  JobSpec.NO_DEADLINE);
           Beat beat =
-              new Beat("n-1", "127.0.0.1:1", "t", "here", false, 1, 1, 0, Beat.NO_NOTICE, List.of());
+              new Beat(
+                  "n-1", "127.0.0.1:1", "t", "here", false, 1, 1, 0, Beat.NO_NOTICE, List.of());
           List<Call> calls =
               List.of(
                   Call.get("/up"),
--- a/src/main/java/fennelthread/fleet/Arrivals.java
+++ b/src/main/java/fennelthread/fleet/Arrivals.java
@@ -6,13 +6,15 @@
 import java.util.Map;
 
 /**
- * Which reports have come in before, whatever this controller does with them. A worker has one report under way at
- * a time: once a later one has come, nobody waits for the answer to an earlier one, and one that comes a second
- * time is a copy, seconds or leases old. Such a report is not answered, passed on, counted as heard, or learnt from.
+ * Which reports have come in before, whatever this controller does with them. A worker has one
+ * report under way at a time: once a later one has come, nobody waits for the answer to an earlier
+ * one, and one that comes a second time is a copy, seconds or leases old. Such a report is not
+ * answered, passed on, counted as heard, or learnt from.
  *
- * <p>A machine that was started anew under its old name counts from the first session and report again. Its worker
- * has forgotten the tokens that it obeyed, so that a report under a lower token may be either; only an answer to a
- * question that was put to it since tells ({@link Fleet}). One under a higher token is none of the old ones.
+ * <p>A machine that was started anew under its old name counts from the first session and report
+ * again. Its worker has forgotten the tokens that it obeyed, so that a report under a lower token
+ * may be either; only an answer to a question that was put to it since tells ({@link Fleet}). One
+ * under a higher token is none of the old ones.
  */
 public final class Arrivals {
   private record Last(long session, long seq, long token) {}
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -201,6 +201,14 @@
 
   @Override
   public String toString() {
-    return start.task() + "#" + start.attempt() + "@" + start.machine() + "/" + start.session() + " " + phase;
+    return start.task()
+        + "#"
+        + start.attempt()
+        + "@"
+        + start.machine()
+        + "/"
+        + start.session()
+        + " "
+        + phase;
   }
 }
--- a/src/main/java/fennelthread/fleet/Boots.java
+++ b/src/main/java/fennelthread/fleet/Boots.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 
 /**
- * How long machines of each type take to come up, learnt from those that did. Some take several times as long as
- * the others and some never come; on some days all are late, and on some they are there within a second or two.
- * A machine is told from its like by what came of those that were asked for with it or after it: on a day on which
- * all are late, to give them back would only begin the wait anew. Pure: time is told.
+ * How long machines of each type take to come up, learnt from those that did. Some take several
+ * times as long as the others and some never come; on some days all are late, and on some they are
+ * there within a second or two. A machine is told from its like by what came of those that were
+ * asked for with it or after it: on a day on which all are late, to give them back would only begin
+ * the wait anew. Pure: time is told.
  */
 final class Boots {
   private record Boot(long askedMs, double tookS) {}
@@ -26,7 +27,8 @@
   }
 
   /**
-   * True if a machine that is not up yet takes longer than nearly all do: another may be asked for in its place.
+   * True if a machine that is not up yet takes longer than nearly all do: another may be asked for
+   * in its place.
    *
    * @param nominalS what the cloud says that its type takes, s
    */
@@ -36,16 +38,17 @@
   }
 
   /**
-   * True if it is to be given back: when several that were asked for with it or later are up, one if there are no
-   * others to be had, or when it has had the longest time that is given to any.
+   * True if it is to be given back: when several that were asked for with it or later are up, one
+   * if there are no others to be had, or when it has had the longest time that is given to any.
    *
    * @param scarce whether the cloud has no more of its kind, so that it stands in another's place
    */
   boolean isDud(String type, double nominalS, long askedMs, long nowMs, boolean scarce) {
     double ageS = (nowMs - askedMs) / 1000.0;
-    if (ageS > Math.max(
-        Constants.BOOT_PATIENCE_LEAST_S,
-        nominalS * Constants.BOOT_PATIENCE + Constants.BOOT_PATIENCE_S)) {
+    if (ageS
+        > Math.max(
+            Constants.BOOT_PATIENCE_LEAST_S,
+            nominalS * Constants.BOOT_PATIENCE + Constants.BOOT_PATIENCE_S)) {
       return true;
     }
     return isLate(type, nominalS, askedMs, nowMs)
@@ -54,10 +57,15 @@
             >= (scarce ? Constants.BOOT_OVERTAKEN_SCARCE : Constants.BOOT_OVERTAKEN);
   }
 
-  /** What nearly all of those took that came up lately, s: an eighth of them may have taken longer. */
+  /**
+   * What nearly all of those took that came up lately, s: an eighth of them may have taken longer.
+   */
   private double usuallyS(String type) {
     double[] took =
-        byType.getOrDefault(type, new ArrayDeque<>(0)).stream().mapToDouble(Boot::tookS).sorted().toArray();
+        byType.getOrDefault(type, new ArrayDeque<>(0)).stream()
+            .mapToDouble(Boot::tookS)
+            .sorted()
+            .toArray();
     return took.length == 0 ? 0 : took[(int) ((took.length - 1) * Constants.BOOTS_NEARLY_ALL)];
   }
 
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -217,7 +217,10 @@
         && zones.mayPlace(m);
   }
 
-  /** True if lease after lease ended there although it reports: what is started now would end like the rest. */
+  /**
+   * True if lease after lease ended there although it reports: what is started now would end like
+   * the rest.
+   */
   private boolean isLosingSessions(Machine m) {
     long lease = settings.workers().leaseMs();
     long now = host.nowMs();
@@ -232,13 +235,15 @@
   }
 
   /**
-   * Answers a report that has not come in before; null if nobody may be answered now, or if another leads.
+   * Answers a report that has not come in before; null if nobody may be answered now, or if another
+   * leads.
    *
    * @param by whom it came: a sibling's name, or ours
    */
   public Answer beat(Beat beat, String by) {
     if (!gate.isOpen()) {
-      // Users may have been told of withdrawals that we know nothing of: those tasks must not live on.
+      // Users may have been told of withdrawals that we know nothing of: those tasks must not live
+      // on.
       // A leader in a zone that was cut off for 75 s once kept them for all of it.
       return null;
     }
@@ -257,7 +262,8 @@
     m.describe(beat.type(), beat.zone(), beat.spot());
     lastBeatAt = now;
     boolean newest = m.isNewer(beat);
-    // A report may be overtaken by the answer to a question that was put to its machine a moment later.
+    // A report may be overtaken by the answer to a question that was put to its machine a moment
+    // later.
     boolean overtaken =
         beat.session() == m.session() && now - m.heardAtMs() < Constants.WORKER_WAITS_MS;
     if (m.isOfAnotherLife(beat) && !overtaken) {
@@ -268,7 +274,8 @@
     }
     take(m, beat);
     if (isDeaf(m, now)) {
-      // All that could be said was said for more than a lease, and nothing of it was heard. An answer could not
+      // All that could be said was said for more than a lease, and nothing of it was heard. An
+      // answer could not
       // renew the worker's lease, and must not renew what we count of it.
       return Answer.error(503, "answers do not arrive");
     }
@@ -286,8 +293,8 @@
   }
 
   /**
-   * A report that comes late, by another way, or in a later session tells that answers may not have arrived. The
-   * token is raised, and only a report that shows it tells that they do.
+   * A report that comes late, by another way, or in a later session tells that answers may not have
+   * arrived. The token is raised, and only a report that shows it tells that they do.
    */
   private void doubtHearing(Machine m, Beat beat, String by, long now) {
     boolean elsewhere = m.cameBy(by);
@@ -309,9 +316,10 @@
   }
 
   /**
-   * A report under a lower token than the machine has shown: an old copy, or the first of a machine that was started
-   * anew and has forgotten everything. The machine itself tells which, under a token that is raised before: a start
-   * that is still on its way, or comes a second time, must not be carried out by the next life.
+   * A report under a lower token than the machine has shown: an old copy, or the first of a machine
+   * that was started anew and has forgotten everything. The machine itself tells which, under a
+   * token that is raised before: a start that is still on its way, or comes a second time, must not
+   * be carried out by the next life.
    */
   private Answer askWhich(Machine m, Beat beat) {
     long now = host.nowMs();
@@ -324,8 +332,8 @@
   }
 
   /**
-   * What a worker is told of its tasks. Clears go out under a higher token than the starts of what they clear, and
-   * so are gathered: each rise has the worker report once more.
+   * What a worker is told of its tasks. Clears go out under a higher token than the starts of what
+   * they clear, and so are gathered: each rise has the worker report once more.
    */
   private List<Order> ordersFor(Machine m) {
     List<Order> orders = listener.ordersFor(m);
@@ -372,7 +380,9 @@
     }
   }
 
-  /** The starts that go out with the answer to a report: looked at as if they were sent directly. */
+  /**
+   * The starts that go out with the answer to a report: looked at as if they were sent directly.
+   */
   private List<Order> carried(Machine m, boolean newest) {
     List<Order> orders = new ArrayList<>();
     boolean left = false;
@@ -413,11 +423,16 @@
       m.answered(host.nowMs());
     }
     boolean confirmedBefore = m.isConfirmed(epoch);
-    List<Attempt> ended =
-        m.apply(beat, epoch, host.nowMs(), task -> listener.describe(m, task));
+    List<Attempt> ended = m.apply(beat, epoch, host.nowMs(), task -> listener.describe(m, task));
     m.takeAdopted().forEach(listener::adopted);
     for (Attempt a : ended) {
-      log.debug("{} is over ({}), by report {}/{} token {}", a, a.motive(), beat.session(), beat.seq(), beat.token());
+      log.debug(
+          "{} is over ({}), by report {}/{} token {}",
+          a,
+          a.motive(),
+          beat.session(),
+          beat.seq(),
+          beat.token());
       listener.ended(m, a);
     }
     if (!ended.isEmpty() || laterSession || !confirmedBefore) {
@@ -540,7 +555,9 @@
     }
   }
 
-  /** Sends the stops and clears that are due right away instead of with the next report's answer. */
+  /**
+   * Sends the stops and clears that are due right away instead of with the next report's answer.
+   */
   public void sendOrders(Machine m) {
     if (m.address() == null || m.session() == 0) {
       return;
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -118,15 +118,19 @@
     return (epoch << Constants.TOKEN_BITS) + tokenCounter;
   }
 
-  /** From now on only a report under a higher token counts: whatever was said before may not have arrived. */
+  /**
+   * From now on only a report under a higher token counts: whatever was said before may not have
+   * arrived.
+   */
   void raiseToken() {
     tokenCounter++;
     neededCounter = tokenCounter;
   }
 
   /**
-   * Raises the token for clears. What was started under a lower one can't be started again by a command that
-   * comes a second time, which the worker would not know for one after the clear. Nothing has to be waited for.
+   * Raises the token for clears. What was started under a lower one can't be started again by a
+   * command that comes a second time, which the worker would not know for one after the clear.
+   * Nothing has to be waited for.
    */
   void raiseForClears(long nowMs) {
     tokenCounter++;
@@ -138,15 +142,18 @@
     return clearedAtMs;
   }
 
-  /** True if the worker has shown the token that it must have seen for anything to be concluded or sent. */
+  /**
+   * True if the worker has shown the token that it must have seen for anything to be concluded or
+   * sent.
+   */
   boolean isConfirmed(long epoch) {
     return ackedToken >= (epoch << Constants.TOKEN_BITS) + neededCounter;
   }
 
   /**
-   * Applies a report that is newer than all before; returns the attempts that it ends. Until the machine has
-   * shown a token of our own epoch what it reports may be as old as any late copy: what is on it counts, what is
-   * done is done, and nothing else follows.
+   * Applies a report that is newer than all before; returns the attempts that it ends. Until the
+   * machine has shown a token of our own epoch what it reports may be as old as any late copy: what
+   * is on it counts, what is done is done, and nothing else follows.
    */
   List<Attempt> apply(
       Beat beat, long epoch, long now, Function<Beat.Task, RoundRecord.Start> describe) {
@@ -199,7 +206,8 @@
       if (a.isMarked(reports)) {
         continue;
       }
-      // A start that is in flight, or comes a second time, is refused only under a higher token than its own.
+      // A start that is in flight, or comes a second time, is refused only under a higher token
+      // than its own.
       boolean mayCome =
           a.phase() == Attempt.Phase.RECORDED
               || a.phase() == Attempt.Phase.CARRIED
@@ -269,14 +277,18 @@
   }
 
   /**
-   * True if a report is later than all we know. Sessions and reports are counted anew if the machine was started
-   * anew, tokens are forgotten then: one that seems later but shows a lower token is of an earlier life.
+   * True if a report is later than all we know. Sessions and reports are counted anew if the
+   * machine was started anew, tokens are forgotten then: one that seems later but shows a lower
+   * token is of an earlier life.
    */
   boolean isNewer(Beat beat) {
     return isAfter(beat, session, seq) && beat.token() >= ackedToken;
   }
 
-  /** True if a report can't be of the life that we know: it is an old copy, or the first of the next life. */
+  /**
+   * True if a report can't be of the life that we know: it is an old copy, or the first of the next
+   * life.
+   */
   boolean isOfAnotherLife(Beat beat) {
     return beat.token() < ackedToken;
   }
@@ -286,8 +298,9 @@
   }
 
   /**
-   * The machine was started anew: it has answered a question with an earlier session or report than was known when
-   * the question was put to it. What it reports now is all there is on it; its sessions begin again.
+   * The machine was started anew: it has answered a question with an earlier session or report than
+   * was known when the question was put to it. What it reports now is all there is on it; its
+   * sessions begin again.
    */
   void reborn() {
     session = 0;
@@ -492,8 +505,8 @@
   }
 
   /**
-   * When we were last in contact, or -1: its report showed that what we said before had arrived. That reports
-   * come in shows only that the way from it is open.
+   * When we were last in contact, or -1: its report showed that what we said before had arrived.
+   * That reports come in shows only that the way from it is open.
    */
   public long contactAtMs() {
     return contactAtMs;
--- a/src/main/java/fennelthread/fleet/Rentals.java
+++ b/src/main/java/fennelthread/fleet/Rentals.java
@@ -117,8 +117,7 @@
             flavors = map;
             onFlavors.accept(list);
           }
-          host.after(
-              list == null ? 2_000 : Constants.FLAVORS_EVERY_MS, this::readFlavors);
+          host.after(list == null ? 2_000 : Constants.FLAVORS_EVERY_MS, this::readFlavors);
         });
   }
 
@@ -151,13 +150,18 @@
     if (e.state().equals(HostEntry.FAILED)) {
       m.setListedFailed();
     } else if (m.phase() == Machine.Phase.UNHEARD && !booting.containsKey(e.name())) {
-      // Rented by a predecessor, or by a request of ours that was executed late. What is listed as up has
-      // all the time to report to us: after a takeover most of an old fleet is listed before it is heard,
-      // and a new leader once returned 62 machines with their tasks, a second after its claim. What is
-      // listed as starting goes on from its age, or each change of leader would put its end off anew.
+      // Rented by a predecessor, or by a request of ours that was executed late. What is listed as
+      // up has
+      // all the time to report to us: after a takeover most of an old fleet is listed before it is
+      // heard,
+      // and a new leader once returned 62 machines with their tasks, a second after its claim. What
+      // is
+      // listed as starting goes on from its age, or each change of leader would put its end off
+      // anew.
       long now = host.nowMs();
       long askedMs = e.state().equals(HostEntry.STARTING) ? now - (long) (e.ageS() * 1000) : now;
-      booting.put(e.name(), new Booting(new Kind(e.type(), e.zone(), e.spot()), askedMs, now, false));
+      booting.put(
+          e.name(), new Booting(new Kind(e.type(), e.zone(), e.spot()), askedMs, now, false));
     }
   }
 
@@ -196,7 +200,8 @@
   /**
    * A machine that neither reports nor answers is most likely dead, and the cloud's answer to a
    * return proves its tasks gone long before its lease does. Not if many are silent at once: then
-   * the fault is probably ours, or their zone's, where a controller may be keeping their tasks alive.
+   * the fault is probably ours, or their zone's, where a controller may be keeping their tasks
+   * alive.
    */
   private void returnSilent(long now) {
     if (cloud.isQuiet() || wake.isListening()) {
@@ -237,9 +242,9 @@
       if (m.phase() == Machine.Phase.GONE || m.phase() == Machine.Phase.RETURNING) {
         continue;
       }
-      boolean silent = now - m.contactAtMs() > settings.workers().leaseMs() + Constants.LOST_PATIENCE_MS;
-      boolean lost =
-          m.phase() == Machine.Phase.LOST && silent && zones.mayReturnLost(m, now);
+      boolean silent =
+          now - m.contactAtMs() > settings.workers().leaseMs() + Constants.LOST_PATIENCE_MS;
+      boolean lost = m.phase() == Machine.Phase.LOST && silent && zones.mayReturnLost(m, now);
       boolean failed = m.isListedFailed();
       boolean noticeOver =
           m.noticeUntilMs() >= 0
@@ -275,7 +280,8 @@
         (name, b) -> {
           Machine m = fleet.learn(name, null);
           boolean waits = m.phase() == Machine.Phase.UNHEARD && now - b.knownMs > heardMs;
-          if (waits && boots.isDud(b.kind.type, bootS(b.kind), b.askedMs, now, isRefused(b.kind, now))) {
+          if (waits
+              && boots.isDud(b.kind.type, bootS(b.kind), b.askedMs, now, isRefused(b.kind, now))) {
             early.add(name);
             giveBack(m, "never came up");
           }
@@ -292,8 +298,8 @@
   }
 
   /**
-   * The machines that may be counted on though they are not up: not those that are late, unless most are, since
-   * then it is the cloud that is slow and others would be as late.
+   * The machines that may be counted on though they are not up: not those that are late, unless
+   * most are, since then it is the cloud that is slow and others would be as late.
    */
   private Set<String> coming(long now) {
     Set<String> coming = new HashSet<>();
@@ -349,7 +355,8 @@
             returning.remove(name);
             booting.remove(name);
             fleet.returned(m);
-            // What we gave up others may take, and we are those others: after a refusal we once waited for 40 s
+            // What we gave up others may take, and we are those others: after a refusal we once
+            // waited for 40 s
             // while ten machines of a fleet of forty were to be had again.
             refusedUntil.remove(new Kind(m.type(), m.zone(), m.spot()));
           }
@@ -408,7 +415,8 @@
     for (boolean spot : new boolean[] {false, true}) {
       List<Flavor> order = new ArrayList<>(flavors.values());
       order.sort(
-          Comparator.<Flavor>comparingInt(f -> wanted.isEmpty() || wanted.contains(f.name()) ? 0 : 1)
+          Comparator.<Flavor>comparingInt(
+                  f -> wanted.isEmpty() || wanted.contains(f.name()) ? 0 : 1)
               .thenComparingDouble(f -> f.price() / Math.max(1, f.cpus())));
       for (Flavor f : order) {
         for (String zone : f.zones().isEmpty() ? f.zones() : zones.rentIn(f.zones(), byZone)) {
@@ -451,7 +459,8 @@
           }
           long now = host.nowMs();
           if (result instanceof Cloud.Rented.Machines rented) {
-            log.info("rented {} {} (spot {}) of {}", rented.names().size(), kind.type, kind.spot, many);
+            log.info(
+                "rented {} {} (spot {}) of {}", rented.names().size(), kind.type, kind.spot, many);
             for (String name : rented.names()) {
               Machine m = fleet.learn(name, null);
               fleet.describe(m, kind.type, kind.zone, kind.spot);
--- a/src/main/java/fennelthread/fleet/Tally.java
+++ b/src/main/java/fennelthread/fleet/Tally.java
@@ -48,7 +48,8 @@
     if (count.events != count.machines.size()) {
       line.append(count.events).append(" on ");
     }
-    line.append(count.machines.size()).append(count.machines.size() == 1 ? " machine (" : " machines (");
+    line.append(count.machines.size())
+        .append(count.machines.size() == 1 ? " machine (" : " machines (");
     int named = 0;
     for (String machine : count.machines) {
       if (named == Constants.TALLY_NAMES) {
--- a/src/main/java/fennelthread/fleet/ZoneWatch.java
+++ b/src/main/java/fennelthread/fleet/ZoneWatch.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What is thought of the zones that machines are in: whether a machine's silence is its own or its zone's.
- * Placement, renting and returning ask; whoever knows answers.
+ * What is thought of the zones that machines are in: whether a machine's silence is its own or its
+ * zone's. Placement, renting and returning ask; whoever knows answers.
  */
 public interface ZoneWatch {
   /** Nothing is thought of any zone: every machine stands for itself. */
@@ -55,7 +55,9 @@
   /** True if the machine's zone is away as a whole: its silence says nothing of the machine. */
   boolean isAway(Machine m);
 
-  /** When the machine's zone was last away, ms; its own silence counts from then at the earliest. */
+  /**
+   * When the machine's zone was last away, ms; its own silence counts from then at the earliest.
+   */
   long awayAtMs(Machine m);
 
   /** False if a machine whose lease is over should be kept, since its zone may bring it back. */
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -12,20 +12,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What controllers do for one another when leadership passes on. A leader that the state service refuses
- * alone can't end its own grant, and nobody could claim until that runs out; a sibling ends it instead.
- * The leader has dropped its local lease before it asks, so that the request may take as long as it likes.
+ * What controllers do for one another when leadership passes on. A leader that the state service
+ * refuses alone can't end its own grant, and nobody could claim until that runs out; a sibling ends
+ * it instead. The leader has dropped its local lease before it asks, so that the request may take
+ * as long as it likes.
  */
 public final class Handover {
   private static final Logger log = LoggerFactory.getLogger(Handover.class);
   private static final String END = "/handover/end";
 
-  private final StateClient state;
   private final Mesh mesh;
 
   /** Creates it, and answers siblings that ask. */
   public Handover(StateClient state, Mesh mesh) {
-    this.state = state;
     this.mesh = mesh;
     Service service =
         (request, reply) -> {
--- a/src/main/java/fennelthread/health/HeapGuard.java
+++ b/src/main/java/fennelthread/health/HeapGuard.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether the heap is near its end. A process that ends for memory comes back and reads the same state
- * again, so that it ends again: five controllers once did so 39 times in a minute and a half. What it can
- * do without goes before that, and one line says what fills it.
+ * Whether the heap is near its end. A process that ends for memory comes back and reads the same
+ * state again, so that it ends again: five controllers once did so 39 times in a minute and a half.
+ * What it can do without goes before that, and one line says what fills it.
  */
 public final class HeapGuard {
   private static final Logger log = LoggerFactory.getLogger(HeapGuard.class);
@@ -52,7 +52,8 @@
   public void look() {
     Host.Heap heap = host.heap();
     long now = host.nowMs();
-    // What is used between two collections tells nothing; the least of some seconds is near what lives.
+    // What is used between two collections tells nothing; the least of some seconds is near what
+    // lives.
     leastUsed = Math.min(leastUsed, heap.usedBytes());
     if (now - leastSince < Constants.HEAP_WINDOW_MS) {
       return;
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -119,8 +119,11 @@
     int base = chunk * Constants.TASKS_PER_CHUNK;
     List<?> ranges = value.list("r");
     for (int i = 0; i + 1 < ranges.size(); i += 2) {
-      if (ranges.get(i) instanceof Long from && ranges.get(i + 1) instanceof Long to
-          && 0 <= from && from <= to && to < Constants.TASKS_PER_CHUNK) {
+      if (ranges.get(i) instanceof Long from
+          && ranges.get(i + 1) instanceof Long to
+          && 0 <= from
+          && from <= to
+          && to < Constants.TASKS_PER_CHUNK) {
         finished.set(base + from.intValue(), base + to.intValue() + 1);
       }
     }
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -50,8 +50,8 @@
   }
 
   /**
-   * A checked submission with the records that will be written for it; {@code end} is not null if it
-   * is over as soon as it is accepted.
+   * A checked submission with the records that will be written for it; {@code end} is not null if
+   * it is over as soon as it is accepted.
    */
   public record Prepared(JobSpec spec, Map<String, Fields> records, Lookup.Final end) {
     int bytes() {
@@ -64,8 +64,7 @@
   }
 
   /** A submission in the queue; {@code alone} once it was refused together with others. */
-  private record Pending(
-      Prepared job, int bytes, boolean alone, List<Consumer<Accepted>> callers) {
+  private record Pending(Prepared job, int bytes, boolean alone, List<Consumer<Accepted>> callers) {
     String id() {
       return job.spec.id();
     }
@@ -78,10 +77,7 @@
   private final Limits limits;
   private final Waits waits;
   private final Cache<String, Lookup.Final> finals =
-      Caffeine.newBuilder()
-          .maximumSize(Constants.FINAL_CACHE)
-          .executor(Runnable::run)
-          .build();
+      Caffeine.newBuilder().maximumSize(Constants.FINAL_CACHE).executor(Runnable::run).build();
   private final Map<String, Pending> queue = new LinkedHashMap<>();
   private final Map<String, Pending> underWay = new HashMap<>();
   private int accepting;
@@ -91,8 +87,8 @@
   private final Consumer<String> onWithdrawn;
 
   /**
-   * Creates a store over the given replica; {@code onWithdrawn} is told of each job before any user is told
-   * that it is withdrawn.
+   * Creates a store over the given replica; {@code onWithdrawn} is told of each job before any user
+   * is told that it is withdrawn.
    */
   public JobStore(
       Host host,
@@ -140,8 +136,8 @@
   }
 
   /**
-   * The same job, accepted and withdrawn in one: it names a withdrawn one. Accepted as pending first,
-   * it would be called so long after its user was told of the withdrawal.
+   * The same job, accepted and withdrawn in one: it names a withdrawn one. Accepted as pending
+   * first, it would be called so long after its user was told of the withdrawal.
    */
   public Prepared withdrawn(Prepared job) {
     Lookup.Final end = new Lookup.Final(JobState.WITHDRAWN, 0, host.wallMs());
@@ -325,8 +321,8 @@
   }
 
   /**
-   * Asks for a job's current state. A job that is to be withdrawn with one that it needs is withdrawn
-   * before the answer, so that this does not depend on a leader being there.
+   * Asks for a job's current state. A job that is to be withdrawn with one that it needs is
+   * withdrawn before the answer, so that this does not depend on a leader being there.
    */
   public void lookup(String id, Consumer<Lookup> done) {
     confirm(
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -40,8 +40,13 @@
   private final Map<String, TreeMap<Integer, List<String>>> needs = new HashMap<>();
   private final Map<String, Incomplete> incomplete = new HashMap<>();
   private final Map<String, RoundRecord> rounds = new LinkedHashMap<>();
-  /** Starts by job and by the key of their record: taking a record out must not search a job of thousands. */
+
+  /**
+   * Starts by job and by the key of their record: taking a record out must not search a job of
+   * thousands.
+   */
   private final Map<String, Map<String, List<RoundRecord.Start>>> startsByJob = new HashMap<>();
+
   private final List<Listener> listeners = new ArrayList<>();
 
   /** Adds a listener. */
@@ -78,7 +83,10 @@
     return jobs.size() + " jobs, " + rounds.size() + " round records with " + starts + " starts";
   }
 
-  /** The recorded start of an attempt at a task, or null; the same attempt in two records is one start. */
+  /**
+   * The recorded start of an attempt at a task, or null; the same attempt in two records is one
+   * start.
+   */
   public RoundRecord.Start startOf(TaskRef task, long attempt, String machine) {
     for (List<RoundRecord.Start> starts : startsByJob.getOrDefault(task.job(), Map.of()).values()) {
       for (RoundRecord.Start s : starts) {
@@ -95,7 +103,8 @@
     if (known != null) {
       for (RoundRecord.Start s : known.starts()) {
         startsByJob.computeIfPresent(
-            s.task().job(), (job, byKey) -> byKey.remove(key) != null && byKey.isEmpty() ? null : byKey);
+            s.task().job(),
+            (job, byKey) -> byKey.remove(key) != null && byKey.isEmpty() ? null : byKey);
       }
     }
     if (record != null) {
--- a/src/main/java/fennelthread/jobs/Lookup.java
+++ b/src/main/java/fennelthread/jobs/Lookup.java
@@ -25,9 +25,7 @@
     /** Reads a record. */
     public static Final read(Fields value) throws WireException {
       return new Final(
-          JobState.of(value.text("estado")),
-          (int) value.count("done", 0),
-          value.count("at_ms", 0));
+          JobState.of(value.text("estado")), (int) value.count("done", 0), value.count("at_ms", 0));
     }
   }
 
--- a/src/main/java/fennelthread/jobs/NeedGraph.java
+++ b/src/main/java/fennelthread/jobs/NeedGraph.java
@@ -19,8 +19,8 @@
 
 /**
  * Which live jobs wait for which others, and what follows from that. It holds no assumption: a need
- * is met by the final record that says done and by nothing else; that a job is no longer live proves
- * nothing, for it may have been withdrawn. All of it follows from the records, so that every
+ * is met by the final record that says done and by nothing else; that a job is no longer live
+ * proves nothing, for it may have been withdrawn. All of it follows from the records, so that every
  * controller has the same graph and no step is lost when one ends.
  *
  * <p>Nothing here recurses, since chains may be long.
@@ -81,8 +81,8 @@
   }
 
   /**
-   * A job is live. {@code live} tells whether a job is known to be live, {@code known} gives a final
-   * record that was read or written already, or null.
+   * A job is live. {@code live} tells whether a job is known to be live, {@code known} gives a
+   * final record that was read or written already, or null.
    */
   public void add(Job job, Predicate<String> live, Function<String, Lookup.Final> known) {
     String id = job.spec().id();
@@ -255,7 +255,8 @@
       if (spec.deadlineS() > 0) {
         long accepted = node.job.acceptedWallMs();
         due = sooner(due, accepted + (long) (spec.deadlineS() * 1000) - takes);
-        lastDue = sooner(lastDue, accepted + (long) (lastDeadlineS.applyAsDouble(spec) * 1000) - takes);
+        lastDue =
+            sooner(lastDue, accepted + (long) (lastDeadlineS.applyAsDouble(spec) * 1000) - takes);
       }
       if (theirs != null) {
         priority = moreUrgent(priority, theirs.priority);
--- a/src/main/java/fennelthread/jobs/RoundRecord.java
+++ b/src/main/java/fennelthread/jobs/RoundRecord.java
@@ -45,7 +45,8 @@
 
   /**
    * Spreads a round's starts over records that each fit into a value, in one transaction. Each is
-   * whole by itself, as it was when a round had one: a successor of any version reads them the same.
+   * whole by itself, as it was when a round had one: a successor of any version reads them the
+   * same.
    */
   public static final class Packer {
     private final int mostBytes;
@@ -70,7 +71,8 @@
       int leftBefore = left;
       int recordsBefore = records.size();
       Set<String> jobsBefore = Set.copyOf(jobs);
-      List<Start> last = recordsBefore == 0 ? List.of() : List.copyOf(records.get(recordsBefore - 1));
+      List<Start> last =
+          recordsBefore == 0 ? List.of() : List.copyOf(records.get(recordsBefore - 1));
       for (Start s : starts) {
         if (makeRoom(s)) {
           add(s);
--- a/src/main/java/fennelthread/jobs/Waits.java
+++ b/src/main/java/fennelthread/jobs/Waits.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the graph of needs up to date on every controller, leading or not, so that a new leader need
- * not read first what the old one knew: jobs come and go by the replica, and the final records that
- * nobody here has written are read, few at a time, until they are known.
+ * Keeps the graph of needs up to date on every controller, leading or not, so that a new leader
+ * need not read first what the old one knew: jobs come and go by the replica, and the final records
+ * that nobody here has written are read, few at a time, until they are known.
  */
 public final class Waits implements JobTable.Listener, NeedGraph.Listener {
   private static final Logger log = LoggerFactory.getLogger(Waits.class);
@@ -99,7 +99,8 @@
               readUnknown();
               return;
             }
-            // Unreachable, or live in truth and not yet known to be here: asked again later. Never at
+            // Unreachable, or live in truth and not yet known to be here: asked again later. Never
+            // at
             // once, since a refusal for want of room may come before this call returns.
             host.after(
                 (long)
--- a/src/main/java/fennelthread/keep/Bounds.java
+++ b/src/main/java/fennelthread/keep/Bounds.java
@@ -4,22 +4,26 @@
 import fennelthread.settings.Settings;
 
 /**
- * For how long leases may be kept alive by a controller that can't know what users are told elsewhere. A
- * worker's tasks live on for a lease after the last report that was answered; all of a withdrawn job's must
- * be gone within {@code cancel_s} of the moment its user was told. So a controller that last knew of all
- * withdrawals at some moment answers no report later than {@code cancel_s} less a lease after it.
+ * For how long leases may be kept alive by a controller that can't know what users are told
+ * elsewhere. A worker's tasks live on for a lease after the last report that was answered; all of a
+ * withdrawn job's must be gone within {@code cancel_s} of the moment its user was told. So a
+ * controller that last knew of all withdrawals at some moment answers no report later than {@code
+ * cancel_s} less a lease after it.
  */
 public final class Bounds {
   private Bounds() {}
 
-  /** How long after it last knew everything a controller may answer reports, ms of its own clock. */
+  /**
+   * How long after it last knew everything a controller may answer reports, ms of its own clock.
+   */
   public static long keepMs(Settings.Workers workers) {
     return Math.max(Constants.KEEP_LEAST_MS, roomMs(workers));
   }
 
   /**
-   * By how much a withdrawn job's task may outlive its withdrawal at the worst, ms; 0 if {@code cancel_s} leaves
-   * enough room beside {@code lease_s}. A service that answered no report at all would serve nobody.
+   * By how much a withdrawn job's task may outlive its withdrawal at the worst, ms; 0 if {@code
+   * cancel_s} leaves enough room beside {@code lease_s}. A service that answered no report at all
+   * would serve nobody.
    */
   public static long shortfallMs(Settings.Workers workers) {
     return Math.max(0, Constants.KEEP_LEAST_MS - roomMs(workers));
--- a/src/main/java/fennelthread/keep/Currency.java
+++ b/src/main/java/fennelthread/keep/Currency.java
@@ -6,12 +6,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Up to when this controller knows of every withdrawal that anyone was told of. The state service says so;
- * in an outage of it nobody can be told of a new one, which the siblings together say as well: each tells
- * what it may have told its users, and what it can't have known it can't have told.
+ * Up to when this controller knows of every withdrawal that anyone was told of. The state service
+ * says so; in an outage of it nobody can be told of a new one, which the siblings together say as
+ * well: each tells what it may have told its users, and what it can't have known it can't have
+ * told.
  *
- * <p>A new process says nothing of what its predecessor told before it ended. Its word counts only once the
- * state service was read after it was first heard.
+ * <p>A new process says nothing of what its predecessor told before it ended. Its word counts only
+ * once the state service was read after it was first heard.
  */
 public final class Currency {
   private static final class Sibling {
@@ -48,7 +49,10 @@
     return siblings.get(member).taken;
   }
 
-  /** A sibling has answered our greeting of {@code sentAtMs}, which asked for what follows the known. */
+  /**
+   * A sibling has answered our greeting of {@code sentAtMs}, which asked for what follows the
+   * known.
+   */
   void answered(String member, Greeting reply, long sentAtMs, long nowMs) {
     Sibling s = siblings.get(member);
     Greeting.Keep said = reply.keep();
--- a/src/main/java/fennelthread/keep/Keeper.java
+++ b/src/main/java/fennelthread/keep/Keeper.java
@@ -15,11 +15,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A follower's part for workers whose leader is silent: in a zone that is cut off, or between a leader's end
- * and the next claim while the state service is down. It answers their reports under the token that they
- * obey already, so that their leases do not run out, and stops what it knows to be over; it starts nothing.
- * For how long, and what a leader may conclude meanwhile, is in {@link Bounds}, {@link Currency} and {@link
- * Ledger}; docs/keeping.md has the reasons.
+ * A follower's part for workers whose leader is silent: in a zone that is cut off, or between a
+ * leader's end and the next claim while the state service is down. It answers their reports under
+ * the token that they obey already, so that their leases do not run out, and stops what it knows to
+ * be over; it starts nothing. For how long, and what a leader may conclude meanwhile, is in {@link
+ * Bounds}, {@link Currency} and {@link Ledger}; docs/keeping.md has the reasons.
  */
 public final class Keeper implements Mesh.Guest {
   private static final Logger log = LoggerFactory.getLogger(Keeper.class);
@@ -83,7 +83,9 @@
     mesh.join(this);
   }
 
-  /** What lets answers to reports out, ours and those of whoever else in this process gives some. */
+  /**
+   * What lets answers to reports out, ours and those of whoever else in this process gives some.
+   */
   public ReportGate gate() {
     return gate;
   }
@@ -102,8 +104,9 @@
   }
 
   /**
-   * Since when no controller of an older epoch answers reports any more, ms; {@code Long.MAX_VALUE} if one
-   * may do so for ever, having led the epoch {@code unbounded} with a version that knows no bound.
+   * Since when no controller of an older epoch answers reports any more, ms; {@code Long.MAX_VALUE}
+   * if one may do so for ever, having led the epoch {@code unbounded} with a version that knows no
+   * bound.
    */
   public long othersSilentSinceMs(long ofEpoch, long electedAtMs, long unbounded) {
     return mesh.acknowledgedSince(ofEpoch, electedAtMs + keptAtMostMs, unbounded);
@@ -185,13 +188,17 @@
   // ---------------------------------------------------------------- following
 
   /**
-   * Answers a report in the place of a silent leader, if that is allowed now; null otherwise. The token is
-   * the worker's own: an equal one is obeyed from anyone, and nothing but stops comes with it.
+   * Answers a report in the place of a silent leader, if that is allowed now; null otherwise. The
+   * token is the worker's own: an equal one is obeyed from anyone, and nothing but stops comes with
+   * it.
    */
   public Answer keep(Beat beat) {
     long now = host.nowMs();
     boolean obeys = epoch > 0 && beat.token() >> Constants.TOKEN_BITS == epoch;
-    if (!obeys || leading.getAsBoolean() || highestEpoch.getAsLong() > epoch || now <= stillUntilMs) {
+    if (!obeys
+        || leading.getAsBoolean()
+        || highestEpoch.getAsLong() > epoch
+        || now <= stillUntilMs) {
       return null;
     }
     if (now >= exchangedAtMs + keepMs || !gate.isOpen()) {
@@ -210,7 +217,10 @@
     if (next != phase) {
       log.info(
           "epoch {}: {} -> {}, {} reports answered in a silent leader's place so far",
-          epoch, phase, next, kept);
+          epoch,
+          phase,
+          next,
+          kept);
     }
     phase = next;
   }
--- a/src/main/java/fennelthread/keep/Ledger.java
+++ b/src/main/java/fennelthread/keep/Ledger.java
@@ -6,18 +6,22 @@
 import java.util.Map;
 
 /**
- * What a leader knows of its siblings' keeping: the last moment at which one of them may have answered a
- * report in its place. A sibling that answers a greeting promises to keep nothing for a while, which the
- * leader counts from before the greeting left; beyond that it may, until its own last word from us is too
- * old. Its word that it kept nothing counts only in such an answer, since a greeting may arrive late.
+ * What a leader knows of its siblings' keeping: the last moment at which one of them may have
+ * answered a report in its place. A sibling that answers a greeting promises to keep nothing for a
+ * while, which the leader counts from before the greeting left; beyond that it may, until its own
+ * last word from us is too old. Its word that it kept nothing counts only in such an answer, since
+ * a greeting may arrive late.
  */
 final class Ledger {
   private static final class Sibling {
     String incarnation;
+
     /** Before our last greeting that it answered with a promise left, ms. */
     long stillSinceMs = Long.MIN_VALUE / 2;
+
     /** When we last answered it as the leader of this epoch, ms. */
     long answeredAtMs = Long.MIN_VALUE / 2;
+
     /** When it last kept a lease alive, as far as it has said or may have, ms. */
     long keptAtMs = Long.MIN_VALUE / 2;
   }
@@ -58,8 +62,7 @@
     born(s, reply.incarnation(), nowMs);
     long ago = reply.keep().keptMsAgo();
     if (ago != Constants.KEPT_NEVER) {
-      s.keptAtMs =
-          Math.max(s.keptAtMs, nowMs - (long) (ago * (1 - 2 * Constants.CLOCK_DRIFT)));
+      s.keptAtMs = Math.max(s.keptAtMs, nowMs - (long) (ago * (1 - 2 * Constants.CLOCK_DRIFT)));
     }
     if (reply.keep().still() == epoch) {
       s.stillSinceMs = Math.max(s.stillSinceMs, sentAtMs);
--- a/src/main/java/fennelthread/keep/ReportGate.java
+++ b/src/main/java/fennelthread/keep/ReportGate.java
@@ -12,14 +12,15 @@
 import java.util.Set;
 
 /**
- * The one place that lets out an answer that renews a worker's lease, whoever gives it: a leader, one whose copy
- * of the state has not reached its claim yet, one that has resigned, a follower that keeps leases; directly or
- * through a sibling. Whoever answers knows of every withdrawal that users were told of until a moment so late
- * that the lease, were it the last, ends in time for all later ones; and the answer stops all that the report
- * shows of those that are known. docs/keeping.md has the inequality and the list of places.
+ * The one place that lets out an answer that renews a worker's lease, whoever gives it: a leader,
+ * one whose copy of the state has not reached its claim yet, one that has resigned, a follower that
+ * keeps leases; directly or through a sibling. Whoever answers knows of every withdrawal that users
+ * were told of until a moment so late that the lease, were it the last, ends in time for all later
+ * ones; and the answer stops all that the report shows of those that are known. docs/keeping.md has
+ * the inequality and the list of places.
  *
- * <p>A leader that was refused by the state service right after its claim, and then with everybody, once
- * answered reports for the whole of an outage without a single stop.
+ * <p>A leader that was refused by the state service right after its claim, and then with everybody,
+ * once answered reports for the whole of an outage without a single stop.
  */
 public final class ReportGate implements Fleet.Gate {
   private final Host host;
@@ -41,8 +42,9 @@
   }
 
   /**
-   * The answer to a report: stops of all that it shows and that is known to be over come first, then what its
-   * sender is to be told otherwise. Clears beyond what an answer holds are left to the next one.
+   * The answer to a report: stops of all that it shows and that is known to be over come first,
+   * then what its sender is to be told otherwise. Clears beyond what an answer holds are left to
+   * the next one.
    *
    * @param token what the worker is to obey
    */
--- a/src/main/java/fennelthread/keep/Withdrawals.java
+++ b/src/main/java/fennelthread/keep/Withdrawals.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * The jobs that are known to be over since lately, and of those that users may have been told are withdrawn
- * a numbered log for siblings. Bounded by time: whoever was told longer ago than any task may live on has
- * nothing left to be stopped.
+ * The jobs that are known to be over since lately, and of those that users may have been told are
+ * withdrawn a numbered log for siblings. Bounded by time: whoever was told longer ago than any task
+ * may live on has nothing left to be stopped.
  */
 public final class Withdrawals {
   private record Told(long number, String id, long atMs) {}
@@ -51,12 +51,15 @@
     return over.containsKey(id);
   }
 
-  /** What follows a number of the log: {@code to} is the last one's, {@code all} if there is no more. */
+  /**
+   * What follows a number of the log: {@code to} is the last one's, {@code all} if there is no
+   * more.
+   */
   record Page(List<String> ids, long to, boolean all) {}
 
   /**
-   * The log after a number, oldest first. Empty and not {@code all} if that number is not ours, or if what
-   * follows it is no longer remembered.
+   * The log after a number, oldest first. Empty and not {@code all} if that number is not ours, or
+   * if what follows it is no longer remembered.
    */
   Page after(long number) {
     long before = log.isEmpty() ? last : log.peek().number - 1;
--- a/src/main/java/fennelthread/lab/CloudStandIn.java
+++ b/src/main/java/fennelthread/lab/CloudStandIn.java
@@ -175,7 +175,9 @@
       for (int i = 0; i < many; i++) {
         known.add(
             rent(
-                    body.text("modelo"), body.text("zona"), body.optFlag("prestadas"),
+                    body.text("modelo"),
+                    body.text("zona"),
+                    body.optFlag("prestadas"),
                     bootMs.getAsLong())
                 .name());
       }
--- a/src/main/java/fennelthread/lab/Cluster.java
+++ b/src/main/java/fennelthread/lab/Cluster.java
@@ -29,15 +29,18 @@
   static final String CLOUD = "10.2.0.2:8443";
 
   /**
-   * Makes controllers of the version in production, which is not part of this one: the tests set it, since
-   * they take it from the repository's history.
+   * Makes controllers of the version in production, which is not part of this one: the tests set
+   * it, since they take it from the repository's history.
    */
   static OldVersion oldVersion =
       (host, settings, limits) -> {
         throw new IllegalStateException("nobody knows the version in production here");
       };
 
-  /** Makes a controller of an older version; {@code limits} are those of the state service that it knows. */
+  /**
+   * Makes a controller of an older version; {@code limits} are those of the state service that it
+   * knows.
+   */
   @FunctionalInterface
   interface OldVersion {
     Node controller(Host host, Settings settings, Settings.State limits);
@@ -106,7 +109,9 @@
     return new Cluster(seed, production ? d.inProduction() : d);
   }
 
-  /** A cluster of so many small machines at the start, with ordinary limits at the state service. */
+  /**
+   * A cluster of so many small machines at the start, with ordinary limits at the state service.
+   */
   static Cluster large(long seed, int machines) {
     return new Cluster(seed, Deployment.large(machines));
   }
@@ -301,14 +306,17 @@
 
   // ---------------------------------------------------------------- users
 
-  JobSpec job(boolean service, int tasks, double cpus, boolean spot, boolean onePlace, boolean apart) {
+  JobSpec job(
+      boolean service, int tasks, double cpus, boolean spot, boolean onePlace, boolean apart) {
     boolean red = world.random.nextBoolean();
     return new JobSpec(
         String.format("job-%06d", ++nextJob),
         service ? "servicio" : "lote",
         red ? "roja" : "azul",
         service,
-        service ? Priority.CRITICAL : world.random.nextBoolean() ? Priority.URGENT : Priority.STANDARD,
+        service
+            ? Priority.CRITICAL
+            : world.random.nextBoolean() ? Priority.URGENT : Priority.STANDARD,
         tasks,
         cpus,
         0,
@@ -330,8 +338,26 @@
   JobSpec plain(boolean service, int tasks) {
     JobSpec any = job(service, tasks, 1, !service, false, false);
     return new JobSpec(
-        any.id(), any.jobClass(), any.team(), service, any.priority(), tasks, 1, 0, 2, any.image(),
-        1, null, null, false, false, !service, any.estimateS(), 0, 0, any.deadlineS());
+        any.id(),
+        any.jobClass(),
+        any.team(),
+        service,
+        any.priority(),
+        tasks,
+        1,
+        0,
+        2,
+        any.image(),
+        1,
+        null,
+        null,
+        false,
+        false,
+        !service,
+        any.estimateS(),
+        0,
+        0,
+        any.deadlineS());
   }
 
   /** True if all replicas of these services are on machines. */
@@ -342,7 +368,9 @@
   /** A controller loses the state service and the other controllers, not its workers or users. */
   void leaveAlone(String member, long forMs) {
     world.cut(member, "state", forMs);
-    addresses.keySet().stream().filter(m -> !m.equals(member)).forEach(m -> world.cut(member, m, forMs));
+    addresses.keySet().stream()
+        .filter(m -> !m.equals(member))
+        .forEach(m -> world.cut(member, m, forMs));
   }
 
   /** No controller reaches another for so long. */
@@ -399,7 +427,9 @@
   private void poll(String id) {
     // Of one that is over users ask again now and then, for ever.
     world.after(
-        rules.isOver(id) ? 5_000 + world.random.nextInt(20_000) : 2_000 + world.random.nextInt(3_000),
+        rules.isOver(id)
+            ? 5_000 + world.random.nextInt(20_000)
+            : 2_000 + world.random.nextInt(3_000),
         () -> {
           rules.asks(id);
           question(id);
@@ -427,8 +457,8 @@
   }
 
   /**
-   * Users' pipelines: a first job, which may need an earlier one of anybody, two that need it, and a
-   * last one that needs both, submitted at once or only when they are over. Each is submitted as
+   * Users' pipelines: a first job, which may need an earlier one of anybody, two that need it, and
+   * a last one that needs both, submitted at once or only when they are over. Each is submitted as
    * soon as those that it needs are accepted; now and then some job of it is cancelled.
    */
   void pipelines(long untilMs) {
--- a/src/main/java/fennelthread/lab/Deployment.java
+++ b/src/main/java/fennelthread/lab/Deployment.java
@@ -7,10 +7,12 @@
  * What a simulated cluster consists of.
  *
  * @param controllers how many; they are spread over the zones in turn
- * @param zones names of the zones; the machines that are up at the start are spread over them in turn
+ * @param zones names of the zones; the machines that are up at the start are spread over them in
+ *     turn
  * @param firstSmall machines of the small type that are up at the start
  * @param firstBig the same of the large type, all in the first zone
- * @param small machines of the small type that can be had in each zone, half as many cheap ones beside
+ * @param small machines of the small type that can be had in each zone, half as many cheap ones
+ *     beside
  * @param big the same of the large type
  * @param teamCap most CPUs of a team
  * @param limits what the state service takes now
@@ -47,51 +49,139 @@
   /** So many small machines at the start, with ordinary limits at the state service. */
   static Deployment large(int machines) {
     return new Deployment(
-        3, TWO, machines - 1, machines / 20, machines, Math.max(2, machines / 20), machines * 8,
-        ORDINARY, ORDINARY, 1_500, 10_000, 30_000, false);
+        3,
+        TWO,
+        machines - 1,
+        machines / 20,
+        machines,
+        Math.max(2, machines / 20),
+        machines * 8,
+        ORDINARY,
+        ORDINARY,
+        1_500,
+        10_000,
+        30_000,
+        false);
   }
 
   Deployment withTeamCap(double cpus) {
     return new Deployment(
-        controllers, zones, firstSmall, firstBig, small, big, cpus, limits, next, reportMs, leaseMs, cancelMs,
+        controllers,
+        zones,
+        firstSmall,
+        firstBig,
+        small,
+        big,
+        cpus,
+        limits,
+        next,
+        reportMs,
+        leaseMs,
+        cancelMs,
         production);
   }
 
   Deployment withNext(Settings.State announced) {
     return new Deployment(
-        controllers, zones, firstSmall, firstBig, small, big, teamCap, limits, announced, reportMs,
-        leaseMs, cancelMs, production);
+        controllers,
+        zones,
+        firstSmall,
+        firstBig,
+        small,
+        big,
+        teamCap,
+        limits,
+        announced,
+        reportMs,
+        leaseMs,
+        cancelMs,
+        production);
   }
 
   /** Another state service, now and to come. */
   Deployment withLimits(Settings.State both) {
     return new Deployment(
-        controllers, zones, firstSmall, firstBig, small, big, teamCap, both, both, reportMs,
-        leaseMs, cancelMs, production);
+        controllers,
+        zones,
+        firstSmall,
+        firstBig,
+        small,
+        big,
+        teamCap,
+        both,
+        both,
+        reportMs,
+        leaseMs,
+        cancelMs,
+        production);
   }
 
   Deployment withControllers(int number) {
     return new Deployment(
-        number, zones, firstSmall, firstBig, small, big, teamCap, limits, next, reportMs, leaseMs, cancelMs,
+        number,
+        zones,
+        firstSmall,
+        firstBig,
+        small,
+        big,
+        teamCap,
+        limits,
+        next,
+        reportMs,
+        leaseMs,
+        cancelMs,
         production);
   }
 
   Deployment withZones(List<String> names) {
     return new Deployment(
-        controllers, names, firstSmall, firstBig, small, big, teamCap, limits, next, reportMs, leaseMs, cancelMs,
+        controllers,
+        names,
+        firstSmall,
+        firstBig,
+        small,
+        big,
+        teamCap,
+        limits,
+        next,
+        reportMs,
+        leaseMs,
+        cancelMs,
         production);
   }
 
   /** Workers that report and are given up at other times, ms. */
   Deployment withLease(long report, long lease, long cancel) {
     return new Deployment(
-        controllers, zones, firstSmall, firstBig, small, big, teamCap, limits, next, report, lease, cancel,
+        controllers,
+        zones,
+        firstSmall,
+        firstBig,
+        small,
+        big,
+        teamCap,
+        limits,
+        next,
+        report,
+        lease,
+        cancel,
         production);
   }
 
   Deployment inProduction() {
     return new Deployment(
-        controllers, zones, firstSmall, firstBig, small, big, teamCap, limits, next, reportMs, leaseMs, cancelMs,
+        controllers,
+        zones,
+        firstSmall,
+        firstBig,
+        small,
+        big,
+        teamCap,
+        limits,
+        next,
+        reportMs,
+        leaseMs,
+        cancelMs,
         true);
   }
 }
--- a/src/main/java/fennelthread/lab/Rules.java
+++ b/src/main/java/fennelthread/lab/Rules.java
@@ -156,7 +156,10 @@
     return present.getOrDefault(id, 0);
   }
 
-  /** Replicas that should be up and are, looked at twice a second; from 20 s after a service's acceptance. */
+  /**
+   * Replicas that should be up and are, looked at twice a second; from 20 s after a service's
+   * acceptance.
+   */
   private void sample() {
     if (world.now() < sampledAt + 500) {
       return;
@@ -165,7 +168,9 @@
     checkAnswered();
     for (Map.Entry<String, Long> e : acceptedAt.entrySet()) {
       JobSpec spec = submitted.get(e.getKey());
-      if (spec.service() && !cancelAsked.contains(spec.id()) && world.now() > e.getValue() + 20_000) {
+      if (spec.service()
+          && !cancelAsked.contains(spec.id())
+          && world.now() > e.getValue() + 20_000) {
         long[] up = replicas.computeIfAbsent(spec.id(), k -> new long[2]);
         up[0] += spec.tasks();
         up[1] += Math.min(spec.tasks(), running(spec.id()));
@@ -174,10 +179,11 @@
   }
 
   /**
-   * The rule of the operators' page on whole days: at least half is served of each class of jobs, of each team,
-   * and of the largest jobs of a class, replicas by time and arrays by jobs that are complete, those apart that
-   * were accepted in the last minutes; and each job has begun four minutes after it was accepted. Largest are
-   * those that ask for as much as the tenth part of a class's jobs that ask for most, one at least.
+   * The rule of the operators' page on whole days: at least half is served of each class of jobs,
+   * of each team, and of the largest jobs of a class, replicas by time and arrays by jobs that are
+   * complete, those apart that were accepted in the last minutes; and each job has begun four
+   * minutes after it was accepted. Largest are those that ask for as much as the tenth part of a
+   * class's jobs that ask for most, one at least.
    *
    * @param settleMs how long before now an array must have been accepted to count, ms
    */
@@ -186,18 +192,24 @@
     Map<String, List<JobSpec>> byClass = new TreeMap<>();
     for (String id : acceptedAt.keySet()) {
       if (!isUnwanted(id)) {
-        byClass.computeIfAbsent(submitted.get(id).jobClass(), k -> new ArrayList<>()).add(submitted.get(id));
+        byClass
+            .computeIfAbsent(submitted.get(id).jobClass(), k -> new ArrayList<>())
+            .add(submitted.get(id));
       }
     }
     byClass.forEach(
         (jobClass, specs) -> {
           specs.sort(Comparator.comparingDouble(Rules::asked).reversed());
-          double large = asked(specs.get((int) Math.ceil(specs.size() * Constants.LARGEST_SHARE) - 1));
+          double large =
+              asked(specs.get((int) Math.ceil(specs.size() * Constants.LARGEST_SHARE) - 1));
           for (JobSpec spec : specs) {
             count(shares.computeIfAbsent("class " + jobClass, k -> new Served()), spec, settleMs);
             count(shares.computeIfAbsent("team " + spec.team(), k -> new Served()), spec, settleMs);
             if (asked(spec) >= large) {
-              count(shares.computeIfAbsent("largest of " + jobClass, k -> new Served()), spec, settleMs);
+              count(
+                  shares.computeIfAbsent("largest of " + jobClass, k -> new Served()),
+                  spec,
+                  settleMs);
             }
             checkBegun(spec);
           }
@@ -249,14 +261,16 @@
   }
 
   /**
-   * The operators' rule: once all troubles are over a job about which no question is answered for 75 s is
-   * forgotten, however others fare. Ours is stricter, since nothing takes that long.
+   * The operators' rule: once all troubles are over a job about which no question is answered for
+   * 75 s is forgotten, however others fare. Ours is stricter, since nothing takes that long.
    */
   private void checkAnswered() {
     unanswered.forEach(
         (id, since) -> {
           long from = Math.max(since, calmSince);
-          if (world.now() - from > Constants.ANSWERED_WITHIN_MS && accepted.contains(id) && !isUnwanted(id)) {
+          if (world.now() - from > Constants.ANSWERED_WITHIN_MS
+              && accepted.contains(id)
+              && !isUnwanted(id)) {
             broken("forgotten", id + " without an answer since " + from);
           }
         });
--- a/src/main/java/fennelthread/lab/Search.java
+++ b/src/main/java/fennelthread/lab/Search.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /**
- * A bounded search through the states of a small model, breadth first: whatever may happen next does, in
- * every order, so that the first bad state found has the shortest way to it.
+ * A bounded search through the states of a small model, breadth first: whatever may happen next
+ * does, in every order, so that the first bad state found has the shortest way to it.
  *
  * @param <S> a state, never changed once it was handed over
  */
@@ -20,7 +20,10 @@
   /** One thing that may happen, and what is then. */
   public record Step<S>(String what, S next) {}
 
-  /** What came of it: the shortest way to a bad state, null if none was found, and how many were seen. */
+  /**
+   * What came of it: the shortest way to a bad state, null if none was found, and how many were
+   * seen.
+   */
   public record Result(List<String> trace, int states) {}
 
   private record Origin(String from, String by) {}
@@ -30,8 +33,7 @@
   private final Predicate<S> bad;
 
   /** Creates a search; states with equal keys are the same. */
-  public Search(
-      Function<S, String> key, Function<S, List<Step<S>>> steps, Predicate<S> bad) {
+  public Search(Function<S, String> key, Function<S, List<Step<S>>> steps, Predicate<S> bad) {
     this.key = key;
     this.steps = steps;
     this.bad = bad;
--- a/src/main/java/fennelthread/lab/StateStandIn.java
+++ b/src/main/java/fennelthread/lab/StateStandIn.java
@@ -54,6 +54,7 @@
 
   /** Transactions that were too large. */
   int refusedAsTooLarge;
+
   private final TreeMap<String, Item> items = new TreeMap<>();
   private final Map<Long, Grant> grants = new HashMap<>();
   private final List<Change> log = new ArrayList<>();
@@ -200,9 +201,10 @@
       reply.accept(Answer.error(503, "trouble"));
       return;
     }
-    requestsLeft = Math.min(
-            limits.rps(), requestsLeft + (world.now() - filledAt) * limits.rps() / 1000);
-    writesLeft = Math.min(
+    requestsLeft =
+        Math.min(limits.rps(), requestsLeft + (world.now() - filledAt) * limits.rps() / 1000);
+    writesLeft =
+        Math.min(
             limits.writeRps(), writesLeft + (world.now() - filledAt) * limits.writeRps() / 1000);
     filledAt = world.now();
     if (requestsLeft < 1) {
@@ -399,7 +401,6 @@
     watch.over[0] = true;
     watches.remove(watch);
     watch.reply.accept(
-        Answer.of(
-            200, Codec.CBOR, Fields.create().with("asiento", revision).with("log", changes)));
+        Answer.of(200, Codec.CBOR, Fields.create().with("asiento", revision).with("log", changes)));
   }
 }
--- a/src/main/java/fennelthread/lab/WorkerStandIn.java
+++ b/src/main/java/fennelthread/lab/WorkerStandIn.java
@@ -142,7 +142,10 @@
     checkLease();
   }
 
-  /** The machine is started anew, under its name and address: its worker has forgotten sessions and tokens. */
+  /**
+   * The machine is started anew, under its name and address: its worker has forgotten sessions and
+   * tokens.
+   */
   void reboot(long downMs) {
     if (!up) {
       return;
@@ -178,7 +181,9 @@
     world.after(forMs, () -> sick = false);
   }
 
-  /** The machine hangs: nothing is executed, no timer runs, until it goes on or its lease is over. */
+  /**
+   * The machine hangs: nothing is executed, no timer runs, until it goes on or its lease is over.
+   */
   void hang(long forMs) {
     if (up) {
       process.pause(forMs);
@@ -370,7 +375,10 @@
     }
   }
 
-  /** A running task that can save does so first if it is given the time; one that saves, only if it is again. */
+  /**
+   * A running task that can save does so first if it is given the time; one that saves, only if it
+   * is again.
+   */
   private void stop(Task t, double graceS) {
     boolean saves = t.spec.checkpointS() > 0 && t.phase != Beat.Phase.FETCHING;
     if (!saves || graceS < t.spec.saveS()) {
--- a/src/main/java/fennelthread/lab/World.java
+++ b/src/main/java/fennelthread/lab/World.java
@@ -36,11 +36,13 @@
 
   /** Chance for troubles that few tests have: drawing here changes nothing for the others. */
   final SplittableRandom faults;
+
   double loss = 0.002;
   double late = 0.001;
 
   /** Share of the requests of controllers to workers for which no socket is to be had. */
   double shortOfSockets;
+
   private long now;
   private long seq;
 
@@ -159,7 +161,8 @@
   }
 
   /**
-   * Requests, or answers to them, that are held up and delivered when their senders have long given up.
+   * Requests, or answers to them, that are held up and delivered when their senders have long given
+   * up.
    *
    * @param path what the paths of such requests begin with
    * @param answers true if the requests arrive at once and their answers are held up
@@ -179,8 +182,8 @@
   }
 
   /**
-   * Carries a packet of a request, or holds it up. What is held up belongs to a connection with the process that is
-   * there now: a later one at the same address never gets it.
+   * Carries a packet of a request, or holds it up. What is held up belongs to a connection with the
+   * process that is there now: a later one at the same address never gets it.
    */
   private void carryOrHold(
       String path, boolean answer, String from, String to, String address, Runnable deliver) {
@@ -215,7 +218,9 @@
   private final Map<String, String> zoneOf = new HashMap<>();
   private final Set<ZoneCut> zoneCuts = new HashSet<>();
 
-  /** Says in which zone something is; what is in none is reached from everywhere but cut-off zones. */
+  /**
+   * Says in which zone something is; what is in none is reached from everywhere but cut-off zones.
+   */
   void place(String name, String zone) {
     zoneOf.put(name, zone);
   }
@@ -292,8 +297,7 @@
     String link = cutBetween(from, to);
     if (link != null) {
       if (random.nextDouble() < 0.7) {
-        held.computeIfAbsent(link, k -> new ArrayList<>())
-            .add(() -> after(1, deliver));
+        held.computeIfAbsent(link, k -> new ArrayList<>()).add(() -> after(1, deliver));
       }
       return;
     }
--- a/src/main/java/fennelthread/lead/Completions.java
+++ b/src/main/java/fennelthread/lead/Completions.java
@@ -25,10 +25,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends of tasks, and the records that make them count. Jobs that are done are written at once, parts
- * of others together and now and then: each part is a write, and there are hundreds of ends a minute
- * against a few dozen writes a second for everything. A part that is not written is not cleared
- * either, so nothing is lost.
+ * Ends of tasks, and the records that make them count. Jobs that are done are written at once,
+ * parts of others together and now and then: each part is a write, and there are hundreds of ends a
+ * minute against a few dozen writes a second for everything. A part that is not written is not
+ * cleared either, so nothing is lost.
  */
 final class Completions {
   private static final Logger log = LoggerFactory.getLogger(Completions.class);
@@ -170,8 +170,7 @@
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
     for (Run run : dirty) {
       if (run.unfinished() == 0 && txn.ops() + Constants.CHANGES_PER_END <= limits.txnOps()) {
-        Lookup.Final end =
-            new Lookup.Final(JobState.DONE, run.job().spec().tasks(), host.wallMs());
+        Lookup.Final end = new Lookup.Final(JobState.DONE, run.job().spec().tasks(), host.wallMs());
         JobStore.addFinal(txn, run.job(), end);
         ends.put(run.job().spec().id(), end);
       }
@@ -237,7 +236,8 @@
       }
       any = true;
       String key = Keys.finished(id, chunk);
-      // A batch without an answer may be carried out after a newer one: it must not take back what that one holds,
+      // A batch without an answer may be carried out after a newer one: it must not take back what
+      // that one holds,
       // since the workers were told to forget those tasks.
       txn.when(key, replica.revisionOf(key))
           .write(key, Job.writeChunk(chunk, run.finishedTasks(), limits.valueBytes(), covered));
--- a/src/main/java/fennelthread/lead/Demand.java
+++ b/src/main/java/fennelthread/lead/Demand.java
@@ -63,8 +63,7 @@
   }
 
   /** The same as placement is told of it. */
-  List<Snapshot.Need> needs(
-      Map<Run, List<Integer>> waiting, Set<String> guaranteed, Turns turns) {
+  List<Snapshot.Need> needs(Map<Run, List<Integer>> waiting, Set<String> guaranteed, Turns turns) {
     List<Snapshot.Need> needs = new ArrayList<>(waiting.size());
     waiting.forEach(
         (run, tasks) -> {
@@ -76,8 +75,7 @@
           needs.add(need(run, tasks.subList(0, 1), guaranteed, turn));
           // Where its tasks may be follows from where the first one is, which the next round knows.
           if (tasks.size() > 1 && !hasZoneRule(run.job().spec())) {
-            needs.add(
-                need(run, tasks.subList(1, tasks.size()), guaranteed, Turns.Turn.USUAL));
+            needs.add(need(run, tasks.subList(1, tasks.size()), guaranteed, Turns.Turn.USUAL));
           }
         });
     return needs;
@@ -139,13 +137,12 @@
   }
 
   /**
-   * What the waiting tasks still take, CPU seconds, halved again and again while the job waits: any job's comes
-   * below any new one's in the end, so that none waits for ever behind smaller ones.
+   * What the waiting tasks still take, CPU seconds, halved again and again while the job waits: any
+   * job's comes below any new one's in the end, so that none waits for ever behind smaller ones.
    */
   private double work(Run run, int tasks, double takesS) {
     double work = tasks * Math.max(0.1, run.job().spec().cpus()) * Math.max(1, takesS);
-    long agedMs =
-        Math.max(0, host.wallMs() - run.releasedWallMs() - Constants.WORK_AGES_AFTER_MS);
+    long agedMs = Math.max(0, host.wallMs() - run.releasedWallMs() - Constants.WORK_AGES_AFTER_MS);
     return work * Math.pow(0.5, agedMs / Constants.WORK_HALVED_MS);
   }
 
@@ -153,9 +150,7 @@
   private double patienceS(JobSpec spec) {
     return spec.service()
         ? 0
-        : settings.waitsMatter(spec.jobClass())
-            ? Constants.PATIENCE_SHORT_S
-            : Constants.PATIENCE_S;
+        : settings.waitsMatter(spec.jobClass()) ? Constants.PATIENCE_SHORT_S : Constants.PATIENCE_S;
   }
 
   /** The priority with which a job may stop others: a lent one only once its time runs short. */
--- a/src/main/java/fennelthread/lead/Instructions.java
+++ b/src/main/java/fennelthread/lead/Instructions.java
@@ -20,7 +20,9 @@
   private final RunTimes runTimes;
   private final Predicate<String> over;
 
-  /** Creates them; {@code over} says which jobs are known to be over although no record says so yet. */
+  /**
+   * Creates them; {@code over} says which jobs are known to be over although no record says so yet.
+   */
   Instructions(Host host, Fleet fleet, Runs runs, RunTimes runTimes, Predicate<String> over) {
     this.over = over;
     this.host = host;
--- a/src/main/java/fennelthread/lead/Lease.java
+++ b/src/main/java/fennelthread/lead/Lease.java
@@ -69,8 +69,8 @@
    *
    * @param incarnation tells it from its predecessors
    * @param backed whether nobody can have taken over before the grant's end
-   * @param stillUnbounded told the last epoch whose leader was of a version that answers reports for as long
-   *     as it hears of no later one, gives 0 if that one is known not to any more
+   * @param stillUnbounded told the last epoch whose leader was of a version that answers reports
+   *     for as long as it hears of no later one, gives 0 if that one is known not to any more
    */
   public Lease(
       Host host,
@@ -97,8 +97,7 @@
                 10_000,
                 Math.max(
                     2_000, (long) (settings.workers().leaseMs() * Constants.GRANT_SHARE_OF_LEASE)));
-    this.leaseMs =
-        (long) (ttlMs * (1 - 2 * Constants.CLOCK_DRIFT)) - Constants.LEASE_MARGIN_MS;
+    this.leaseMs = (long) (ttlMs * (1 - 2 * Constants.CLOCK_DRIFT)) - Constants.LEASE_MARGIN_MS;
     replica.listen((key, value, revision) -> observe(key, value, revision));
   }
 
@@ -128,8 +127,8 @@
   }
 
   /**
-   * The last epoch before ours whose leader may answer reports without bound, 0 if there is none; only
-   * meaningful while leading.
+   * The last epoch before ours whose leader may answer reports without bound, 0 if there is none;
+   * only meaningful while leading.
    */
   public long unboundedEpoch() {
     return unboundedEpoch;
@@ -273,7 +272,8 @@
       }
       endingOld = true;
       if (Math.abs(host.wallMs() - lead.count("at_ms", 0)) < Constants.FLAPPING_MS) {
-        // Our predecessor ended soon after its claim, and so may we: whoever runs well goes first. A process
+        // Our predecessor ended soon after its claim, and so may we: whoever runs well goes first.
+        // A process
         // that ends at once each time would otherwise lead for ever, a moment at a time.
         notBefore = Math.max(notBefore, host.nowMs() + Constants.FLAPPING_PAUSE_MS);
       }
@@ -310,16 +310,14 @@
   }
 
   /**
-   * Claims from a leader whose grant still runs: a majority has agreed to it while the leader's word about
-   * going alone had {@code soloRevision}.
+   * Claims from a leader whose grant still runs: a majority has agreed to it while the leader's
+   * word about going alone had {@code soloRevision}.
    */
   public void takeOver(long fromEpoch, long soloRevision) {
     if (mayBeTaken(fromEpoch) && highestEpoch == fromEpoch) {
       claim(
           "the leader is silent",
-          new Txn()
-              .when(Keys.LEAD, replica.revisionOf(Keys.LEAD))
-              .when(Keys.SOLO, soloRevision));
+          new Txn().when(Keys.LEAD, replica.revisionOf(Keys.LEAD)).when(Keys.SOLO, soloRevision));
     }
   }
 
@@ -370,7 +368,10 @@
         });
   }
 
-  /** The same for the epoch that is about to be claimed; the claim is conditional on what this reads. */
+  /**
+   * The same for the epoch that is about to be claimed; the claim is conditional on what this
+   * reads.
+   */
   private long unboundedBefore() {
     try {
       Fields known = replica.get(Keys.EPOCH);
@@ -386,8 +387,7 @@
 
   private void giveUp(String why) {
     moveTo(Phase.FOLLOWING, why);
-    host.after(
-        (long) (Constants.RETRY_MS * (0.5 + host.random().nextDouble())), this::consider);
+    host.after((long) (Constants.RETRY_MS * (0.5 + host.random().nextDouble())), this::consider);
   }
 
   private void won(long next, long revision, long id, long t0, Txn txn) {
--- a/src/main/java/fennelthread/lead/Load.java
+++ b/src/main/java/fennelthread/lead/Load.java
@@ -27,8 +27,7 @@
   private final Map<String, double[]> used = new HashMap<>(4);
 
   /** Brings it up to date; {@code runs} gives what is known of a live job, or null. */
-  void update(
-      Machine m, Flavor type, Fleet fleet, Function<String, Run> runs, RunTimes runTimes) {
+  void update(Machine m, Flavor type, Fleet fleet, Function<String, Run> runs, RunTimes runTimes) {
     if (version == m.version() && flavor == type) {
       return;
     }
--- a/src/main/java/fennelthread/lead/SpareKeys.java
+++ b/src/main/java/fennelthread/lead/SpareKeys.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * Keys of this term's own round records that nobody needs any more. The next round writes over one of
- * them instead of making a new key: that is one change where a new key and its removal are two, and the
- * records can't pile up while the state service is too busy for removals.
+ * Keys of this term's own round records that nobody needs any more. The next round writes over one
+ * of them instead of making a new key: that is one change where a new key and its removal are two,
+ * and the records can't pile up while the state service is too busy for removals.
  */
 final class SpareKeys {
   private final Set<String> keys = new LinkedHashSet<>();
--- a/src/main/java/fennelthread/lead/Sweeper.java
+++ b/src/main/java/fennelthread/lead/Sweeper.java
@@ -21,7 +21,8 @@
 
 /**
  * Keeps what is stored as small as what lives, however long the day: removes records without live
- * attempts and what is left of jobs that are final, and draws records together of which little lives.
+ * attempts and what is left of jobs that are final, and draws records together of which little
+ * lives.
  */
 final class Sweeper {
   private static final Logger log = LoggerFactory.getLogger(Sweeper.class);
@@ -82,7 +83,8 @@
       }
     }
     while (spare.size() > Constants.SPARE_RECORDS && txn.ops() < most) {
-      // A removal that got no answer may be applied late: not to what a round has written there since.
+      // A removal that got no answer may be applied late: not to what a round has written there
+      // since.
       String key = spare.take();
       txn.when(key, replica.revisionOf(key)).remove(key);
     }
@@ -104,7 +106,9 @@
             if (compacting) {
               log.debug(
                   "{} round records with {} starts, of which {} live, drawn together",
-                  table.rounds().size(), census.starts, census.live);
+                  table.rounds().size(),
+                  census.starts,
+                  census.live);
             }
             if (txn.ops() >= most) {
               // More is left: rounds are written faster than one sweep a pause removes them.
@@ -167,9 +171,9 @@
 
   /**
    * Carries what lives of sparse records into new ones and removes the old ones in the same
-   * transaction, so that a successor reads either. Each old record must be what we have read, and the
-   * new key free: a transaction without an answer may be applied late, when the same starts were drawn
-   * together again and have ended since.
+   * transaction, so that a successor reads either. Each old record must be what we have read, and
+   * the new key free: a transaction without an answer may be applied late, when the same starts
+   * were drawn together again and have ended since.
    */
   private boolean compact(Census census, Txn txn, int most) {
     RoundRecord.Packer packer = new RoundRecord.Packer(limits.valueBytes(), 1);
--- a/src/main/java/fennelthread/lead/Term.java
+++ b/src/main/java/fennelthread/lead/Term.java
@@ -70,8 +70,9 @@
   private Phase phase = Phase.CATCHING_UP;
 
   /**
-   * Begins a term; {@code addresses} are workers that siblings or predecessors knew, {@code over} says which
-   * jobs are known to be over although no record says so yet, {@code gate} lets answers to reports out.
+   * Begins a term; {@code addresses} are workers that siblings or predecessors knew, {@code over}
+   * says which jobs are known to be over although no record says so yet, {@code gate} lets answers
+   * to reports out.
    */
   public Term(
       Host host,
@@ -99,7 +100,9 @@
     this.lease = lease;
     this.epoch = lease.epoch();
     this.over = over;
-    this.fleet = new Fleet(host, settings, epoch, this, othersSilentSince, flavors, paths, zones, wake, gate);
+    this.fleet =
+        new Fleet(
+            host, settings, epoch, this, othersSilentSince, flavors, paths, zones, wake, gate);
     this.rentals =
         new Rentals(
             host,
@@ -119,12 +122,21 @@
     SpareKeys spare = new SpareKeys();
     this.rounds =
         new Rounds(
-            host, settings, options, state, replica, lease, fleet, runs, demand, runTimes,
+            host,
+            settings,
+            options,
+            state,
+            replica,
+            lease,
+            fleet,
+            runs,
+            demand,
+            runTimes,
             rentals::demand,
-            flavors, spare);
+            flavors,
+            spare);
     this.completions =
-        new Completions(
-            host, state, replica, store, lease, fleet, runs, runTimes, rounds::changed);
+        new Completions(host, state, replica, store, lease, fleet, runs, runTimes, rounds::changed);
     this.sweeper = new Sweeper(host, state, replica, table, lease, fleet, rounds, spare);
     addresses.forEach((name, address) -> fleet.probe(fleet.learn(name, address)));
     awaitReplica();
@@ -168,9 +180,9 @@
   }
 
   /**
-   * Decides nothing any more, and goes on answering reports. A leader that yields once answered none from
-   * then on; with an outage of the state service right after it, nobody could claim, and all tasks ended
-   * with their workers' leases.
+   * Decides nothing any more, and goes on answering reports. A leader that yields once answered
+   * none from then on; with an outage of the state service right after it, nobody could claim, and
+   * all tasks ended with their workers' leases.
    */
   public void resign() {
     moveTo(Phase.RESIGNED);
--- a/src/main/java/fennelthread/membership/Membership.java
+++ b/src/main/java/fennelthread/membership/Membership.java
@@ -22,9 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How controllers notice that the leader is gone, and who comes next, before its grant runs out. Siblings
- * of which a majority agrees that it is silent take over with one transaction; what keeps that safe is in
- * {@link Promises}.
+ * How controllers notice that the leader is gone, and who comes next, before its grant runs out.
+ * Siblings of which a majority agrees that it is silent take over with one transaction; what keeps
+ * that safe is in {@link Promises}.
  */
 public final class Membership {
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
@@ -174,20 +174,29 @@
     View.Phase before = view.phase();
     boolean suspect = view.look(now);
     if (before != view.phase()) {
-      log.info("leader of epoch {}: {} -> {}, silent for {} ms", view.epoch(), before, view.phase(), view.silentMs(now));
+      log.info(
+          "leader of epoch {}: {} -> {}, silent for {} ms",
+          view.epoch(),
+          before,
+          view.phase(),
+          view.silentMs(now));
     }
     if (!suspect || !isTakeable()) {
       suspectedAtMs = -1;
       return;
     }
     suspectedAtMs = suspectedAtMs < 0 ? now : suspectedAtMs;
-    // Without the state service nobody can claim: whoever is cut off with a sibling asked it every second.
+    // Without the state service nobody can claim: whoever is cut off with a sibling asked it every
+    // second.
     if (!asking && state.answersSoon(0) && now - suspectedAtMs >= rank() * Constants.HEIR_STEP_MS) {
       ask();
     }
   }
 
-  /** The leader of our view's epoch, if its record says that it minds promises and it has not gone alone. */
+  /**
+   * The leader of our view's epoch, if its record says that it minds promises and it has not gone
+   * alone.
+   */
   private boolean isTakeable() {
     return lease.mayBeTaken(view.epoch()) && soloEpoch() != view.epoch();
   }
@@ -201,7 +210,9 @@
     }
   }
 
-  /** How many others come before us: the heir is the next after the leader in the order of names. */
+  /**
+   * How many others come before us: the heir is the next after the leader in the order of names.
+   */
   private int rank() {
     int leader = members.indexOf(lease.leaderMember());
     int own = members.indexOf(settings.member());
@@ -251,7 +262,11 @@
     takeovers++;
     log.info(
         "epoch {}: {} of {} agree that its leader {} is silent, {} ms here; taking over",
-        epoch, agreed, members.size(), lease.leaderMember(), view.silentMs(host.nowMs()));
+        epoch,
+        agreed,
+        members.size(),
+        lease.leaderMember(),
+        view.silentMs(host.nowMs()));
     lease.takeOver(epoch, revision);
   }
 
--- a/src/main/java/fennelthread/membership/Promises.java
+++ b/src/main/java/fennelthread/membership/Promises.java
@@ -6,14 +6,15 @@
 import java.util.Map;
 
 /**
- * What lets a leader start work beside its grant, so that its siblings may end its term before the grant
- * does. Each sibling that answers a greeting promises not to help anyone take over for a while; the leader
- * counts that while from before the greeting left, the sibling from when it came in. With enough promises
- * in force no majority can take over. Without, the leader must have written into the state service that
- * it goes alone ({@link Solo}), on whose absence every takeover is conditional.
+ * What lets a leader start work beside its grant, so that its siblings may end its term before the
+ * grant does. Each sibling that answers a greeting promises not to help anyone take over for a
+ * while; the leader counts that while from before the greeting left, the sibling from when it came
+ * in. With enough promises in force no majority can take over. Without, the leader must have
+ * written into the state service that it goes alone ({@link Solo}), on whose absence every takeover
+ * is conditional.
  *
- * <p>The paper's rule for a lease (t0 before the request) is applied to each promise; its A5 is needed of
- * the siblings' clocks as well.
+ * <p>The paper's rule for a lease (t0 before the request) is applied to each promise; its A5 is
+ * needed of the siblings' clocks as well.
  */
 public final class Promises {
   private final Map<String, Long> askedAtMs = new HashMap<>();
@@ -40,7 +41,9 @@
     askedAtMs.clear();
   }
 
-  /** A sibling has answered the greeting that left at {@code sentAtMs} with a promise for an epoch. */
+  /**
+   * A sibling has answered the greeting that left at {@code sentAtMs} with a promise for an epoch.
+   */
   public void promised(String member, long forEpoch, long sentAtMs) {
     if (forEpoch == epoch) {
       askedAtMs.merge(member, sentAtMs, Math::max);
--- a/src/main/java/fennelthread/membership/Solo.java
+++ b/src/main/java/fennelthread/membership/Solo.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's word in the state service that it does without its siblings' promises. Every takeover is
- * conditional on what the key held when the siblings agreed to it: once the word is written none that was
- * agreed on before can be applied, and none is agreed on while it stands.
+ * The leader's word in the state service that it does without its siblings' promises. Every
+ * takeover is conditional on what the key held when the siblings agreed to it: once the word is
+ * written none that was agreed on before can be applied, and none is agreed on while it stands.
  */
 final class Solo {
   private static final Logger log = LoggerFactory.getLogger(Solo.class);
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Writes the word, withdraws it, or, if it is withdrawn already, writes that anew: siblings that may have
-   * agreed to a takeover are then free to promise again. Each is conditional on the one before, since one
-   * without an answer may be applied after the next.
+   * Writes the word, withdraws it, or, if it is withdrawn already, writes that anew: siblings that
+   * may have agreed to a takeover are then free to promise again. Each is conditional on the one
+   * before, since one without an answer may be applied after the next.
    *
    * @param revision the key's revision, as far as our copy of the state goes
    * @param fenced gives a transaction of this term
--- a/src/main/java/fennelthread/membership/View.java
+++ b/src/main/java/fennelthread/membership/View.java
@@ -3,8 +3,8 @@
 import fennelthread.Constants;
 
 /**
- * One follower's view of the leader of one epoch: what it has promised, and whether it may help to take
- * over. Pure: time is told.
+ * One follower's view of the leader of one epoch: what it has promised, and whether it may help to
+ * take over. Pure: time is told.
  */
 public final class View {
 
@@ -15,8 +15,9 @@
     /** None has come in for longer than they ever take: worth asking the others. */
     SUSPECTED,
     /**
-     * We have agreed to a takeover, or may have before this process began: nothing is promised until the
-     * leader has written {@link Solo} anew, which makes void whatever was agreed on before.
+     * We have agreed to a takeover, or may have before this process began: nothing is promised
+     * until the leader has written {@link Solo} anew, which makes void whatever was agreed on
+     * before.
      */
     BOUND
   }
@@ -35,8 +36,8 @@
   private long refuted;
 
   /**
-   * The process has begun, in the middle of an epoch: what it agreed to or promised before its end it has
-   * forgotten.
+   * The process has begun, in the middle of an epoch: what it agreed to or promised before its end
+   * it has forgotten.
    */
   public void born(long inEpoch, long atRevision, long nowMs) {
     begin(inEpoch, nowMs);
@@ -113,9 +114,9 @@
   }
 
   /**
-   * Agrees to a takeover from the leader of an epoch, if it is silent here too. That binds us: nothing is
-   * promised any more until the leader's word is newer than {@code soloRevision}, on which the takeover is
-   * conditional.
+   * Agrees to a takeover from the leader of an epoch, if it is silent here too. That binds us:
+   * nothing is promised any more until the leader's word is newer than {@code soloRevision}, on
+   * which the takeover is conditional.
    */
   public boolean agree(long ofEpoch, long soloRevision, long nowMs) {
     if (ofEpoch != epoch || !isSilent(nowMs)) {
--- a/src/main/java/fennelthread/mesh/Greeting.java
+++ b/src/main/java/fennelthread/mesh/Greeting.java
@@ -9,12 +9,12 @@
 
 /**
  * What a greeting says of its sender; {@code workers} and {@code gone} are what has changed of the
- * workers' addresses since the last greeting that the receiver has answered. {@code chains} is
- * true if the sender makes jobs wait for others, {@code relays} if it passes on reports and commands:
- * versions that do not, leave the fields out. {@code deaf} is true of a leader that does not hear its
- * workers itself. {@code promised}, in an answer, is the epoch to whose leader the greeting brought a
- * promise not to help anyone take over, {@code promises} of a version that gives such. {@code keep} is
- * null from a version that never keeps leases alive in a silent leader's place.
+ * workers' addresses since the last greeting that the receiver has answered. {@code chains} is true
+ * if the sender makes jobs wait for others, {@code relays} if it passes on reports and commands:
+ * versions that do not, leave the fields out. {@code deaf} is true of a leader that does not hear
+ * its workers itself. {@code promised}, in an answer, is the epoch to whose leader the greeting
+ * brought a promise not to help anyone take over, {@code promises} of a version that gives such.
+ * {@code keep} is null from a version that never keeps leases alive in a silent leader's place.
  */
 public record Greeting(
     String member,
@@ -34,11 +34,12 @@
 
   /**
    * What controllers tell one another about keeping leases alive without the leader. In a greeting:
-   * {@code hears} says that the receiver was heard lately, {@code after} how far its log of withdrawals is
-   * known. In an answer: {@code still} is the epoch to whose leader the greeting brought a promise not to
-   * keep any lease for a while, {@code withdrawn} goes on from {@code after}, up to {@code to}; {@code all}
-   * says that this is all there is. {@code keeping} and {@code keptMsAgo}, which is {@link Constants#KEPT_NEVER} of one that never did, are
-   * of the sender, at any time.
+   * {@code hears} says that the receiver was heard lately, {@code after} how far its log of
+   * withdrawals is known. In an answer: {@code still} is the epoch to whose leader the greeting
+   * brought a promise not to keep any lease for a while, {@code withdrawn} goes on from {@code
+   * after}, up to {@code to}; {@code all} says that this is all there is. {@code keeping} and
+   * {@code keptMsAgo}, which is {@link Constants#KEPT_NEVER} of one that never did, are of the
+   * sender, at any time.
    */
   public record Keep(
       boolean hears,
@@ -86,28 +87,76 @@
       long beatsHeard,
       boolean deaf) {
     this(
-        member, incarnation, epoch, leading, servedAgoMs, beatsHeard, true, true, deaf, true, 0,
-        null, Map.of(), List.of());
+        member,
+        incarnation,
+        epoch,
+        leading,
+        servedAgoMs,
+        beatsHeard,
+        true,
+        true,
+        deaf,
+        true,
+        0,
+        null,
+        Map.of(),
+        List.of());
   }
 
   /** The same with a promise not to help anyone take over from the leader of an epoch. */
   public Greeting promising(long forEpoch) {
     return new Greeting(
-        member, incarnation, epoch, leading, servedAgoMs, beatsHeard, chains, relays, deaf,
-        promises, forEpoch, keep, workers, gone);
+        member,
+        incarnation,
+        epoch,
+        leading,
+        servedAgoMs,
+        beatsHeard,
+        chains,
+        relays,
+        deaf,
+        promises,
+        forEpoch,
+        keep,
+        workers,
+        gone);
   }
 
   /** The same with what is to be said of keeping leases. */
   public Greeting keeping(Keep note) {
     return new Greeting(
-        member, incarnation, epoch, leading, servedAgoMs, beatsHeard, chains, relays, deaf,
-        promises, promised, note, workers, gone);
+        member,
+        incarnation,
+        epoch,
+        leading,
+        servedAgoMs,
+        beatsHeard,
+        chains,
+        relays,
+        deaf,
+        promises,
+        promised,
+        note,
+        workers,
+        gone);
   }
 
   Greeting with(Map<String, String> newWorkers, List<String> newGone) {
     return new Greeting(
-        member, incarnation, epoch, leading, servedAgoMs, beatsHeard, chains, relays, deaf,
-        promises, promised, keep, newWorkers, newGone);
+        member,
+        incarnation,
+        epoch,
+        leading,
+        servedAgoMs,
+        beatsHeard,
+        chains,
+        relays,
+        deaf,
+        promises,
+        promised,
+        keep,
+        newWorkers,
+        newGone);
   }
 
   Fields write() {
--- a/src/main/java/fennelthread/mesh/Mesh.java
+++ b/src/main/java/fennelthread/mesh/Mesh.java
@@ -36,7 +36,9 @@
     /** Adds to the answer to a greeting that has just been taken note of. */
     Greeting answer(Greeting asked, Greeting answer);
 
-    /** A sibling has answered the greeting that left at {@code sentAtMs}, read before it was sent. */
+    /**
+     * A sibling has answered the greeting that left at {@code sentAtMs}, read before it was sent.
+     */
     void acknowledged(String member, Greeting reply, long sentAtMs);
   }
 
@@ -192,8 +194,7 @@
   }
 
   /** The same for whoever need not know whether an unanswered one was sent at all. */
-  public void call(
-      String member, String path, Fields body, long timeoutMs, Consumer<Answer> done) {
+  public void call(String member, String path, Fields body, long timeoutMs, Consumer<Answer> done) {
     call(member, path, body, timeoutMs, done, tried -> done.accept(null));
   }
 
@@ -216,15 +217,17 @@
   public String anyRelay() {
     Peer best = null;
     for (Peer p : peers.values()) {
-      if (relays(p)
-          && (best == null || p.last.beatsHeard() > best.last.beatsHeard())) {
+      if (relays(p) && (best == null || p.last.beatsHeard() > best.last.beatsHeard())) {
         best = p;
       }
     }
     return best == null ? null : best.sibling.member();
   }
 
-  /** A sibling heard lately that keeps leases alive in the place of a silent leader; null if none does. */
+  /**
+   * A sibling heard lately that keeps leases alive in the place of a silent leader; null if none
+   * does.
+   */
   public String anyKeeping() {
     for (Peer p : peers.values()) {
       if (isHeard(p) && p.last.keep() != null && p.last.keep().keeping()) {
@@ -304,11 +307,12 @@
   }
 
   /**
-   * Since when every sibling has acknowledged {@code epoch}, or can't answer reports for an older one any
-   * more: those that bound themselves, from {@code boundMs} on. {@code Long.MAX_VALUE} while one counts as
-   * still answering.
+   * Since when every sibling has acknowledged {@code epoch}, or can't answer reports for an older
+   * one any more: those that bound themselves, from {@code boundMs} on. {@code Long.MAX_VALUE}
+   * while one counts as still answering.
    *
-   * @param unbounded the last epoch whose leader may be of a version that does not bound itself, or 0
+   * @param unbounded the last epoch whose leader may be of a version that does not bound itself, or
+   *     0
    */
   public long acknowledgedSince(long epoch, long boundMs, long unbounded) {
     long since = Long.MIN_VALUE;
@@ -324,7 +328,10 @@
     return since;
   }
 
-  /** True if no sibling can be the leader of that epoch or an older one of a version that knows no bound. */
+  /**
+   * True if no sibling can be the leader of that epoch or an older one of a version that knows no
+   * bound.
+   */
   public boolean allBound(long unbounded) {
     return peers.values().stream().allMatch(p -> bounds(p, unbounded));
   }
@@ -334,8 +341,8 @@
   }
 
   /**
-   * True if the state service has answered some sibling after {@code time}. A sibling's word that it
-   * is served is not enough: in an outage that has just begun, it may not have noticed yet.
+   * True if the state service has answered some sibling after {@code time}. A sibling's word that
+   * it is served is not enough: in an outage that has just begun, it may not have noticed yet.
    */
   public boolean siblingServedAfter(long time) {
     return peers.values().stream()
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -196,8 +196,7 @@
   }
 
   /** Sends a request, as {@link Host#call} says. */
-  void call(
-      String address, Call call, long timeoutMs, Consumer<Answer> done, Host.Unsent unsent) {
+  void call(String address, Call call, long timeoutMs, Consumer<Answer> done, Host.Unsent unsent) {
     Pending p = new Pending(address, call, done, unsent);
     p.timer = host.after(timeoutMs, () -> p.finish(null, false));
     Peer peer = peers.computeIfAbsent(address, Peer::new);
@@ -228,8 +227,7 @@
   private void open(Peer peer, boolean spare) {
     boolean vital = essential.contains(peer.address);
     int most = vital ? Constants.CONNECTING_PER_ADDRESS : Constants.CONNECTING_PER_WORKER;
-    if (peer.connecting >= most
-        || (!vital && peer.opening >= Constants.OPENING_PER_WORKER)) {
+    if (peer.connecting >= most || (!vital && peer.opening >= Constants.OPENING_PER_WORKER)) {
       return;
     }
     if (outbound >= mostOutbound && !vital) {
--- a/src/main/java/fennelthread/net/HttpServer.java
+++ b/src/main/java/fennelthread/net/HttpServer.java
@@ -1,7 +1,6 @@
 package fennelthread.net;
 
 import fennelthread.Constants;
-import fennelthread.wire.Codec;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
@@ -24,7 +23,9 @@
   private final Undertow server;
   private final Inbound<ServerConnection> inbound;
 
-  /** Creates a server that listens once it is started; {@code inbound} keeps its connections few. */
+  /**
+   * Creates a server that listens once it is started; {@code inbound} keeps its connections few.
+   */
   HttpServer(
       XnioWorker worker,
       ByteBufferPool buffers,
--- a/src/main/java/fennelthread/net/Inbound.java
+++ b/src/main/java/fennelthread/net/Inbound.java
@@ -8,8 +8,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The connections that others have opened to us, the longest unused first. A process at its limit of
- * sockets refuses whoever comes next, users and health checks among them, while it still holds
+ * The connections that others have opened to us, the longest unused first. A process at its limit
+ * of sockets refuses whoever comes next, users and health checks among them, while it still holds
  * connections that nobody will ever use again: machines that were cut off or died leave theirs, and
  * come back on new ones. Near the limit those go.
  *
@@ -54,8 +54,9 @@
   }
 
   /**
-   * True if connections that are used rarely had better be closed after an answer. A fleet with more
-   * workers than there are sockets is served that way: each worker needs one for a moment only.
+   * True if connections that are used rarely had better be closed after an answer. A fleet with
+   * more workers than there are sockets is served that way: each worker needs one for a moment
+   * only.
    */
   boolean isCrowded() {
     return usedAtMs.size() + outbound.getAsInt() > crowded;
--- a/src/main/java/fennelthread/net/Wake.java
+++ b/src/main/java/fennelthread/net/Wake.java
@@ -5,10 +5,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices that this process stood still while its clocks ran on: a frozen machine, a long collection, a processor
- * share that is used up. On waking all timers are due at once and what came in meanwhile waits to be read, so that
- * everybody else seems to have been silent. Nobody is judged by their silence until we have listened for as long as
- * we slept.
+ * Notices that this process stood still while its clocks ran on: a frozen machine, a long
+ * collection, a processor share that is used up. On waking all timers are due at once and what came
+ * in meanwhile waits to be read, so that everybody else seems to have been silent. Nobody is judged
+ * by their silence until we have listened for as long as we slept.
  *
  * <p>Timers run in any order after a sleep, so that whoever asks looks at the clock first.
  */
@@ -41,7 +41,10 @@
     host.after(Constants.WAKE_LOOK_MS, this::start);
   }
 
-  /** True if others' silence says nothing at this moment, since we may have slept through what they said. */
+  /**
+   * True if others' silence says nothing at this moment, since we may have slept through what they
+   * said.
+   */
   public boolean isListening() {
     long now = host.nowMs();
     long gapMs = now - lookedAtMs;
--- a/src/main/java/fennelthread/net/XnioHost.java
+++ b/src/main/java/fennelthread/net/XnioHost.java
@@ -1,6 +1,5 @@
 package fennelthread.net;
 
-import io.undertow.Undertow;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.ServerConnection;
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -27,11 +27,12 @@
  */
 public final class Planner {
   /**
-   * The order of placement: what is owed to whom. Users count jobs that are done in time: when there is not
-   * room for all, a job that can't be in time any more must not make the next one late too, and many small
-   * jobs come before one large one. That alone would put the largest off for ever. So work counts for less the
-   * longer it has waited, and what has waited long with nothing at work comes first with its first task,
-   * whatever its priority: one task of each such job is the price.
+   * The order of placement: what is owed to whom. Users count jobs that are done in time: when
+   * there is not room for all, a job that can't be in time any more must not make the next one late
+   * too, and many small jobs come before one large one. That alone would put the largest off for
+   * ever. So work counts for less the longer it has waited, and what has waited long with nothing
+   * at work comes first with its first task, whatever its priority: one task of each such job is
+   * the price.
    */
   public static final Comparator<Snapshot.Need> ORDER =
       Comparator.<Snapshot.Need>comparingLong(
@@ -69,8 +70,8 @@
 
     /**
      * True if a task fits now, and still does when what is reserved is taken: of room that is made
-     * piece by piece, the first piece must not go to a smaller task of less urgent work, which would
-     * be stopped for the same task again, over and over.
+     * piece by piece, the first piece must not go to a smaller task of less urgent work, which
+     * would be stopped for the same task again, over and over.
      */
     boolean fits(JobSpec spec) {
       return spec.cpus() <= cpus + Math.min(0, comingCpus) + Constants.EPSILON
@@ -175,7 +176,9 @@
   /** A shape, and how long it waits for room by itself, s. */
   private record Patience(Shape shape, double mostS) {}
 
-  /** A shape, and whose work may be stopped for it; {@code image} is null if any machine will do. */
+  /**
+   * A shape, and whose work may be stopped for it; {@code image} is null if any machine will do.
+   */
   private record Claim(Shape shape, Priority priority, String guaranteedTeam, String image) {}
 
   /** The search for places for one job's tasks. */
@@ -254,9 +257,9 @@
     }
 
     /**
-     * Has room made for a task that found none: where it is being made already, where it comes by itself in the
-     * time that the job waits, where others' work may be stopped, or else, for the first task of a job that has
-     * waited long, wherever it comes first. True if room is coming.
+     * Has room made for a task that found none: where it is being made already, where it comes by
+     * itself in the time that the job waits, where others' work may be stopped, or else, for the
+     * first task of a job that has waited long, wherever it comes first. True if room is coming.
      */
     boolean awaitRoom() {
       return takeComing(false)
@@ -271,8 +274,9 @@
     }
 
     /**
-     * Reserves the room that comes free first by itself. A task of four CPUs once had sixteen of a quarter
-     * stopped that would have ended within seconds: a third of a guest's starts was lost that way.
+     * Reserves the room that comes free first by itself. A task of four CPUs once had sixteen of a
+     * quarter stopped that would have ended within seconds: a third of a guest's starts was lost
+     * that way.
      */
     private boolean awaitEnds(double mostS) {
       Patience patience = new Patience(shape, mostS);
@@ -521,8 +525,7 @@
     if (host.spot() && !spec.spotAllowed()) {
       return false;
     }
-    if ((spec.onePlace() || spec.apart())
-        && zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
+    if ((spec.onePlace() || spec.apart()) && zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
       // It may be in any zone: neither rule can be kept for sure until the machine is heard.
       return false;
     }
@@ -546,7 +549,9 @@
         : alone * (1 + room.fetching().size());
   }
 
-  /** Lower is better: seconds until the task would run, then how empty the machine would be left. */
+  /**
+   * Lower is better: seconds until the task would run, then how empty the machine would be left.
+   */
   private static double score(Snapshot.Need need, Room room) {
     JobSpec spec = need.spec();
     double fetch = fetchSeconds(spec, room);
@@ -563,7 +568,10 @@
     return fetch * (need.waitMatters() ? 10 : 1) + left + spot;
   }
 
-  /** When a task would fit if nothing else were started there, seconds; infinite if not within {@code mostS}. */
+  /**
+   * When a task would fit if nothing else were started there, seconds; infinite if not within
+   * {@code mostS}.
+   */
   private double freeInS(JobSpec spec, Room room, double mostS) {
     double cpus = room.cpus + room.comingCpus;
     double cards = room.cards + room.comingCards;
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -9,8 +9,8 @@
 
 /**
  * Everything that placement may look at, frozen for one round. {@code guaranteed} names the jobs
- * that lie within their team's guarantee; all other work is borrowed. {@code kept} holds the attempts
- * that are all a job has after long waiting: they are stopped for nobody.
+ * that lie within their team's guarantee; all other work is borrowed. {@code kept} holds the
+ * attempts that are all a job has after long waiting: they are stopped for nobody.
  */
 public record Snapshot(
     List<Host> hosts,
@@ -43,11 +43,12 @@
 
   /**
    * A job with tasks to place; {@code priority} is its own or that of a job that needs it, {@code
-   * stopsAs} the one with which it may stop other work, which is no more urgent. {@code zones} counts its
-   * tasks that may be present, by zone; only jobs with a rule about zones need it. A {@code late} job can't
-   * meet any time set for it any more. {@code work} is the CPU seconds that its waiting tasks still take, less
-   * the longer it has waited. {@code patienceS} is how long it rather waits for room than has others stopped,
-   * s. If its {@code turn} is not the usual one this is its first task after long waiting.
+   * stopsAs} the one with which it may stop other work, which is no more urgent. {@code zones}
+   * counts its tasks that may be present, by zone; only jobs with a rule about zones need it. A
+   * {@code late} job can't meet any time set for it any more. {@code work} is the CPU seconds that
+   * its waiting tasks still take, less the longer it has waited. {@code patienceS} is how long it
+   * rather waits for room than has others stopped, s. If its {@code turn} is not the usual one this
+   * is its first task after long waiting.
    */
   public record Need(
       JobSpec spec,
@@ -64,8 +65,9 @@
       long order) {}
 
   /**
-   * A task that may be stopped; {@code sinceMs} is when it began to run, or -1, {@code priority} its
-   * job's own or that of a job that needs it, {@code takesS} how long it is expected to run, s, 0 if for ever.
+   * A task that may be stopped; {@code sinceMs} is when it began to run, or -1, {@code priority}
+   * its job's own or that of a job that needs it, {@code takesS} how long it is expected to run, s,
+   * 0 if for ever.
    */
   public record Running(
       JobSpec spec,
--- a/src/main/java/fennelthread/plan/Turns.java
+++ b/src/main/java/fennelthread/plan/Turns.java
@@ -5,10 +5,11 @@
 import java.util.Set;
 
 /**
- * Whose turn it is although the order of placement would put them off: jobs that have waited long and have
- * nothing at work. Small, urgent or guaranteed work that keeps coming would otherwise keep the largest job of a
- * class from ever beginning. What they get is one task each, oldest first, on a small part of the fleet; that
- * task is then stopped for nobody, or it would begin often and never be done.
+ * Whose turn it is although the order of placement would put them off: jobs that have waited long
+ * and have nothing at work. Small, urgent or guaranteed work that keeps coming would otherwise keep
+ * the largest job of a class from ever beginning. What they get is one task each, oldest first, on
+ * a small part of the fleet; that task is then stopped for nobody, or it would begin often and
+ * never be done.
  *
  * <p>Pure: the same jobs in the same order give the same turns.
  */
@@ -35,7 +36,13 @@
    * @param takesS how long its tasks are expected to run, s; 0 of services
    */
   public record Candidate(
-      String id, long waitedMs, double cpus, boolean begun, Long attempt, double ranS, double takesS) {}
+      String id,
+      long waitedMs,
+      double cpus,
+      boolean begun,
+      Long attempt,
+      double ranS,
+      double takesS) {}
 
   private final Set<String> first = new HashSet<>();
   private final Set<String> early = new HashSet<>();
@@ -56,7 +63,8 @@
     boolean room = cpus == 0 || cpus + job.cpus <= mostCpus;
     if (job.attempt == null) {
       (room ? first : early).add(job.id);
-    } else if (room && job.ranS <= Math.max(Constants.KEPT_LEAST_S, Constants.KEPT_TIMES * job.takesS)) {
+    } else if (room
+        && job.ranS <= Math.max(Constants.KEPT_LEAST_S, Constants.KEPT_TIMES * job.takesS)) {
       kept.add(job.attempt);
     } else {
       // It has run for so long that others need not stand back for it any more.
--- a/src/main/java/fennelthread/relay/Courier.java
+++ b/src/main/java/fennelthread/relay/Courier.java
@@ -20,16 +20,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * How a leader reaches workers: directly, or through a sibling while it does not hear them itself. A
- * command through a sibling is a command that takes longer: without an answer it counts as one that may
- * still be executed, and it is the worker that refuses what comes under an old token.
+ * How a leader reaches workers: directly, or through a sibling while it does not hear them itself.
+ * A command through a sibling is a command that takes longer: without an answer it counts as one
+ * that may still be executed, and it is the worker that refuses what comes under an old token.
  */
 public final class Courier implements Fleet.Paths {
 
   /** Answers reports that siblings pass on. */
   @FunctionalInterface
   public interface Reports {
-    /** Answers one under the given epoch as if it had come directly; null if we are not entitled to. */
+    /**
+     * Answers one under the given epoch as if it had come directly; null if we are not entitled to.
+     */
     Answer answer(Beat beat, long epoch, String from);
   }
 
@@ -94,8 +96,8 @@
   }
 
   /**
-   * A question that is put to a worker directly, and through a sibling too if its answer stays away: a
-   * machine that only we can't reach is not to be taken for dead.
+   * A question that is put to a worker directly, and through a sibling too if its answer stays
+   * away: a machine that only we can't reach is not to be taken for dead.
    */
   private final class Question {
     private final Machine machine;
--- a/src/main/java/fennelthread/relay/Hearing.java
+++ b/src/main/java/fennelthread/relay/Hearing.java
@@ -3,10 +3,10 @@
 import fennelthread.Constants;
 
 /**
- * Whether a leader still hears its workers by itself. Hundreds of workers report at random moments, so
- * that a second without a word from any of them is no chance: either we are cut off from them, or they
- * are all gone, and which of the two, others have to say. Silence tells nothing while our own timers run
- * late, since then we were not listening.
+ * Whether a leader still hears its workers by itself. Hundreds of workers report at random moments,
+ * so that a second without a word from any of them is no chance: either we are cut off from them,
+ * or they are all gone, and which of the two, others have to say. Silence tells nothing while our
+ * own timers run late, since then we were not listening.
  */
 public final class Hearing {
 
--- a/src/main/java/fennelthread/relay/Petition.java
+++ b/src/main/java/fennelthread/relay/Petition.java
@@ -14,8 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a follower says through the state service when the mesh is silent: workers of the leader come to
- * me. A leader that hears none of them itself then knows that it is cut off, and that they are not gone.
+ * What a follower says through the state service when the mesh is silent: workers of the leader
+ * come to me. A leader that hears none of them itself then knows that it is cut off, and that they
+ * are not gone.
  */
 public final class Petition {
   private static final Logger log = LoggerFactory.getLogger(Petition.class);
@@ -31,8 +32,7 @@
   private boolean writing;
 
   /** Creates it for a member; {@code onRead} is called when a sibling's word was read. */
-  public Petition(
-      Host host, StateClient state, Replica replica, String member, Runnable onRead) {
+  public Petition(Host host, StateClient state, Replica replica, String member, Runnable onRead) {
     this.host = host;
     this.state = state;
     this.member = member;
@@ -50,7 +50,9 @@
     comers.clear();
   }
 
-  /** Says so if it is time to: {@code known} workers are known, the leader of {@code epoch} silent. */
+  /**
+   * Says so if it is time to: {@code known} workers are known, the leader of {@code epoch} silent.
+   */
   public void consider(long epoch, int known) {
     long now = host.nowMs();
     comers.values().removeIf(at -> now - at > Constants.PETITION_FRESH_MS);
@@ -61,7 +63,8 @@
     }
     writing = true;
     writtenAtMs = now;
-    log.info("epoch {}: {} workers of a leader that can't be reached come here", epoch, comers.size());
+    log.info(
+        "epoch {}: {} workers of a leader that can't be reached come here", epoch, comers.size());
     state.txn(
         StateClient.Lane.ANSWER,
         // Not conditional on anything: it is a hint, and says itself which epoch it is about.
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A follower's part for workers that can't reach the leader: it passes their reports on and the leader's
- * answers back. It never answers a report itself, and gives up long before the worker does; what the
- * worker then gets is the order to try the next controller.
+ * A follower's part for workers that can't reach the leader: it passes their reports on and the
+ * leader's answers back. It never answers a report itself, and gives up long before the worker
+ * does; what the worker then gets is the order to try the next controller.
  */
 public final class Relay {
   private static final Logger log = LoggerFactory.getLogger(Relay.class);
@@ -67,7 +67,10 @@
     this.mesh = mesh;
   }
 
-  /** Takes a report that this controller must not answer; {@code reply} is called if it is passed on. */
+  /**
+   * Takes a report that this controller must not answer; {@code reply} is called if it is passed
+   * on.
+   */
   public Decision take(Beat beat, Leader leader, Consumer<Answer> reply) {
     long now = host.nowMs();
     if (leader.epoch() != epoch) {
@@ -106,7 +109,8 @@
       w.sentOnAtMs = now;
       return false;
     }
-    // Whoever obeys the leader for long has reported to it, and would not come here otherwise. In the
+    // Whoever obeys the leader for long has reported to it, and would not come here otherwise. In
+    // the
     // first moments of a term workers know its token from questions, before they have come over.
     boolean obeyed =
         beat.token() >> Constants.TOKEN_BITS == epoch
--- a/src/main/java/fennelthread/relay/RelayWire.java
+++ b/src/main/java/fennelthread/relay/RelayWire.java
@@ -6,7 +6,9 @@
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
 
-/** What passes between controllers for workers that only one of them reaches: JSON over the mesh. */
+/**
+ * What passes between controllers for workers that only one of them reaches: JSON over the mesh.
+ */
 final class RelayWire {
   /** A worker's report on its way to the leader. */
   static final String REPORT = "/relay/report";
@@ -28,8 +30,8 @@
   }
 
   /**
-   * Commands for the worker at {@code address}; {@code body} is what the worker is to get, {@code spare}
-   * as of {@link fennelthread.net.Call}.
+   * Commands for the worker at {@code address}; {@code body} is what the worker is to get, {@code
+   * spare} as of {@link fennelthread.net.Call}.
    */
   record Commands(long epoch, String address, long timeoutMs, boolean spare, Fields body) {
     Fields write() {
@@ -43,14 +45,17 @@
 
     static Commands read(Fields f) throws WireException {
       return new Commands(
-          f.count("epoch"), f.text("address"), f.count("timeout_ms"), f.optFlag("spare"),
+          f.count("epoch"),
+          f.text("address"),
+          f.count("timeout_ms"),
+          f.optFlag("spare"),
           f.inner("body"));
     }
   }
 
   /**
-   * What became of it: the other side's answer, or none, or that nothing of it was ever sent. Only the
-   * last of these proves that it can't be executed any more.
+   * What became of it: the other side's answer, or none, or that nothing of it was ever sent. Only
+   * the last of these proves that it can't be executed any more.
    */
   record Outcome(int status, Fields body, boolean unsent) {
     static Outcome of(Answer answer) {
--- a/src/main/java/fennelthread/settings/Options.java
+++ b/src/main/java/fennelthread/settings/Options.java
@@ -46,7 +46,9 @@
     } catch (SexpParserException | IOException | RuntimeException e) {
       throw new SettingsException(name + ": not an S-expression: " + e.getMessage());
     }
-    if (root == null || root.isAtomic() || root.getLength() == 0
+    if (root == null
+        || root.isAtomic()
+        || root.getLength() == 0
         || !"fennelthread".equals(root.get(0).toString())) {
       throw new SettingsException(name + ":1:1: must be (fennelthread (NAME VALUE) ...)");
     }
@@ -74,9 +76,11 @@
       switch (key) {
         case "grant-ms" -> grantMs = (long) number(name, text, where, key, value, 1_000, 60_000);
         case "round-gap-ms" -> gapMs = (long) number(name, text, where, key, value, 10, 10_000);
-        case "max-machines" -> maxMachines = (int) number(name, text, where, key, value, 0, 100_000);
+        case "max-machines" ->
+            maxMachines = (int) number(name, text, where, key, value, 0, 100_000);
         case "spare-factor" -> spare = number(name, text, where, key, value, 1, 10);
-        case "idle-return-s" -> idleMs = (long) (1000 * number(name, text, where, key, value, 30, 86_400));
+        case "idle-return-s" ->
+            idleMs = (long) (1000 * number(name, text, where, key, value, 30, 86_400));
         default -> throw at(name, text, where, key + " is not a known setting");
       }
     }
--- a/src/main/java/fennelthread/settings/Settings.java
+++ b/src/main/java/fennelthread/settings/Settings.java
@@ -34,7 +34,9 @@
     Cloud cloud,
     int maxConnections) {
 
-  /** Another controller; {@code site} is the zone that it is in, empty if the settings do not say. */
+  /**
+   * Another controller; {@code site} is the zone that it is in, empty if the settings do not say.
+   */
   public record Sibling(String member, String site, String addr) {}
 
   /** A team's guarantee and caps; a cap of 0 means that there is none. */
@@ -125,7 +127,8 @@
       parser.nextToken();
       root = tree(parser);
     } catch (IOException e) {
-      String why = e.getMessage() == null ? e.toString() : e.getMessage().lines().findFirst().orElse("");
+      String why =
+          e.getMessage() == null ? e.toString() : e.getMessage().lines().findFirst().orElse("");
       throw new SettingsException(file + ": can't be read: " + why);
     }
     return new Reader(file.toString(), root).settings();
--- a/src/main/java/fennelthread/state/Budget.java
+++ b/src/main/java/fennelthread/state/Budget.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Whose request goes to the state service next, within the part of its limits that is ours. The more
- * urgent lane goes first; one that has waited too long goes before all, since under a flood of
+ * Whose request goes to the state service next, within the part of its limits that is ours. The
+ * more urgent lane goes first; one that has waited too long goes before all, since under a flood of
  * submissions nothing else would ever be written.
  */
 final class Budget {
@@ -35,7 +35,9 @@
       left = Math.min(most, left + ms * perMs);
     }
 
-    /** How long until {@code amount} can be taken with {@code spared} of the burst left over, ms. */
+    /**
+     * How long until {@code amount} can be taken with {@code spared} of the burst left over, ms.
+     */
     double waitFor(double amount, double spared) {
       // More than the whole burst can hold is let through once the burst is full.
       return Math.max(0, (Math.min(most, amount + most * spared) - left) / perMs);
--- a/src/main/java/fennelthread/state/Limits.java
+++ b/src/main/java/fennelthread/state/Limits.java
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How large values and transactions may be: the one place that every writer asks. It begins with the
- * lower of the limits that the settings hold for now and for later, since the later ones come without
- * notice. If the service turns out to take even less, the limits shrink, so that what was refused is
- * built anew in smaller pieces and is not sent unchanged for ever.
+ * How large values and transactions may be: the one place that every writer asks. It begins with
+ * the lower of the limits that the settings hold for now and for later, since the later ones come
+ * without notice. If the service turns out to take even less, the limits shrink, so that what was
+ * refused is built anew in smaller pieces and is not sent unchanged for ever.
  */
 public final class Limits {
   private static final Logger log = LoggerFactory.getLogger(Limits.class);
@@ -75,6 +75,10 @@
     log.error(
         "transaction of {} changes, {} conditions, values up to {} bytes refused with 400: "
             + "from now on {} changes and values of {} bytes",
-        txn.ops(), txn.conditions(), largest, txnOps, valueBytes());
+        txn.ops(),
+        txn.conditions(),
+        largest,
+        txnOps,
+        valueBytes());
   }
 }
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -79,8 +79,9 @@
   }
 
   /**
-   * The state service has said that there were so many changes, when it was asked at {@code askedAtMs}: if
-   * the copy has them all it is as good as read then. A watch that waits for a change says nothing meanwhile.
+   * The state service has said that there were so many changes, when it was asked at {@code
+   * askedAtMs}: if the copy has them all it is as good as read then. A watch that waits for a
+   * change says nothing meanwhile.
    */
   public void confirmed(long changes, long askedAtMs) {
     if (changes <= revision) {
@@ -88,7 +89,9 @@
     }
   }
 
-  /** When what the copy holds was asked for, ms: everything that was applied before then is in it. */
+  /**
+   * When what the copy holds was asked for, ms: everything that was applied before then is in it.
+   */
   public long readAtMs() {
     return readAtMs;
   }
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -20,8 +20,8 @@
   private static final Logger log = LoggerFactory.getLogger(StateClient.class);
 
   /**
-   * A key's value and revision; {@code value} is null if the key does not exist, and the revision that of
-   * the latest change of any key then.
+   * A key's value and revision; {@code value} is null if the key does not exist, and the revision
+   * that of the latest change of any key then.
    */
   public record Entry(String key, Fields value, long revision, long grant) {}
 
@@ -101,8 +101,7 @@
                   if (answer == null) {
                     done.accept(null);
                   } else if (answer.status() == 404) {
-                    done.accept(
-                        parse(answer, f -> new Entry(key, null, f.count("asiento", 0), 0)));
+                    done.accept(parse(answer, f -> new Entry(key, null, f.count("asiento", 0), 0)));
                   } else {
                     done.accept(
                         parse(
@@ -123,7 +122,11 @@
   /** Reads one page of keys; null means that nothing is known. */
   public void list(String prefix, String since, Consumer<Page> done) {
     String path =
-        "/keys?under=" + prefix + (since == null ? "" : "&since=" + since) + "&most=" + Constants.PAGE;
+        "/keys?under="
+            + prefix
+            + (since == null ? "" : "&since=" + since)
+            + "&most="
+            + Constants.PAGE;
     budget.submit(
         Lane.ANSWER,
         0,
@@ -176,8 +179,11 @@
       }
       case 409 -> {
         TxnResult conflict =
-            parse(answer, f -> new TxnResult.Conflict(f.optTexts("failed") == null
-                ? List.of() : f.optTexts("failed")));
+            parse(
+                answer,
+                f ->
+                    new TxnResult.Conflict(
+                        f.optTexts("failed") == null ? List.of() : f.optTexts("failed")));
         return conflict == null ? new TxnResult.Refused("conflict") : conflict;
       }
       case 400 -> {
--- a/src/main/java/fennelthread/wire/HostEntry.java
+++ b/src/main/java/fennelthread/wire/HostEntry.java
@@ -5,7 +5,13 @@
 
 /** One machine of the cloud's list, as old as the list is. */
 public record HostEntry(
-    String name, String address, String type, String zone, boolean spot, String state, double ageS) {
+    String name,
+    String address,
+    String type,
+    String zone,
+    boolean spot,
+    String state,
+    double ageS) {
 
   /** The state of a machine that is not up yet. */
   public static final String STARTING = "starting";
--- a/src/main/java/fennelthread/wire/JobSpec.java
+++ b/src/main/java/fennelthread/wire/JobSpec.java
@@ -67,15 +67,52 @@
       double saveS,
       double deadlineS) {
     this(
-        id, jobClass, team, service, priority, tasks, cpus, cards, memGb, image, imageGb, types,
-        zone, onePlace, apart, spotAllowed, estimateS, checkpointS, saveS, deadlineS, List.of());
+        id,
+        jobClass,
+        team,
+        service,
+        priority,
+        tasks,
+        cpus,
+        cards,
+        memGb,
+        image,
+        imageGb,
+        types,
+        zone,
+        onePlace,
+        apart,
+        spotAllowed,
+        estimateS,
+        checkpointS,
+        saveS,
+        deadlineS,
+        List.of());
   }
 
   /** The same job with other needs. */
   public JobSpec withNeeds(List<String> others) {
     return new JobSpec(
-        id, jobClass, team, service, priority, tasks, cpus, cards, memGb, image, imageGb, types,
-        zone, onePlace, apart, spotAllowed, estimateS, checkpointS, saveS, deadlineS,
+        id,
+        jobClass,
+        team,
+        service,
+        priority,
+        tasks,
+        cpus,
+        cards,
+        memGb,
+        image,
+        imageGb,
+        types,
+        zone,
+        onePlace,
+        apart,
+        spotAllowed,
+        estimateS,
+        checkpointS,
+        saveS,
+        deadlineS,
         List.copyOf(others));
   }
 
@@ -150,27 +187,28 @@
 
   /** The submission in the protocol's form; a job without needs has the form it always had. */
   public Fields write() {
-    Fields body = Fields.create()
-        .with("name_id", id)
-        .with("clase", jobClass)
-        .with("dueno", team)
-        .with("tipo", service ? "standing" : "sweep")
-        .with("prioridad", priority.wire())
-        .with("tareas", (long) tasks)
-        .with("cpus", cpus)
-        .with("cards", cards)
-        .with("mem_gb", memGb)
-        .with("imagen", image)
-        .with("pull_gb", imageGb)
-        .with("modelos", types)
-        .with("zona", zone)
-        .with("same_place", onePlace)
-        .with("apart", apart)
-        .with("prestadas", spotAllowed)
-        .with("estimado_s", estimateS)
-        .with("resguardo_s", checkpointS)
-        .with("guardado_s", saveS)
-        .with("plazo_s", deadlineS == NO_DEADLINE ? null : (Object) deadlineS);
+    Fields body =
+        Fields.create()
+            .with("name_id", id)
+            .with("clase", jobClass)
+            .with("dueno", team)
+            .with("tipo", service ? "standing" : "sweep")
+            .with("prioridad", priority.wire())
+            .with("tareas", (long) tasks)
+            .with("cpus", cpus)
+            .with("cards", cards)
+            .with("mem_gb", memGb)
+            .with("imagen", image)
+            .with("pull_gb", imageGb)
+            .with("modelos", types)
+            .with("zona", zone)
+            .with("same_place", onePlace)
+            .with("apart", apart)
+            .with("prestadas", spotAllowed)
+            .with("estimado_s", estimateS)
+            .with("resguardo_s", checkpointS)
+            .with("guardado_s", saveS)
+            .with("plazo_s", deadlineS == NO_DEADLINE ? null : (Object) deadlineS);
     return needs.isEmpty() ? body : body.with(NEEDS, new ArrayList<Object>(needs));
   }
 
--- a/src/main/java/fennelthread/wire/Order.java
+++ b/src/main/java/fennelthread/wire/Order.java
@@ -28,7 +28,9 @@
             .with("intento", stop.attempt)
             .with("gracia_s", stop.graceS);
       } else if (order instanceof Clear clear) {
-        f.with("orden", "clear").with("tarea", clear.task.toString()).with("intento", clear.attempt);
+        f.with("orden", "clear")
+            .with("tarea", clear.task.toString())
+            .with("intento", clear.attempt);
       }
       list.add(f.map());
     }
--- a/src/main/java/fennelthread/zones/Zone.java
+++ b/src/main/java/fennelthread/zones/Zone.java
@@ -4,8 +4,9 @@
 import java.util.ArrayDeque;
 
 /**
- * One zone as the leader sees it. Pure: evidence and time are told. A zone that is cut off and one that is
- * dead look alike from outside; what is done in each phase must be right for both (docs/zones.md).
+ * One zone as the leader sees it. Pure: evidence and time are told. A zone that is cut off and one
+ * that is dead look alike from outside; what is done in each phase must be right for both
+ * (docs/zones.md).
  */
 final class Zone {
 
@@ -17,7 +18,10 @@
     PARTLY,
     /** Most or all are silent at once: it is away, and may be back at any moment. */
     SILENT,
-    /** Away for longer than its machines' leases can have run: what was there is gone or will be ended. */
+    /**
+     * Away for longer than its machines' leases can have run: what was there is gone or will be
+     * ended.
+     */
     LOST,
     /** Most are heard again: trusted after a while. */
     RETURNING
@@ -41,8 +45,7 @@
   boolean look(Evidence e, long leaseMs, long nowMs) {
     Phase before = phase;
     boolean judged = e.known >= Constants.ZONE_LEAST_MACHINES && e.othersHeard;
-    boolean silent =
-        judged && (e.share() >= Constants.ZONE_SILENT_SHARE || e.silentForMs > 0);
+    boolean silent = judged && (e.share() >= Constants.ZONE_SILENT_SHARE || e.silentForMs > 0);
     switch (phase) {
       case WHOLE, PARTLY, RETURNING -> {
         if (silent) {
--- a/src/main/java/fennelthread/zones/Zones.java
+++ b/src/main/java/fennelthread/zones/Zones.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The zones, each with its state machine, and what follows from their phases for placement, renting and
- * returning. With one zone there is nothing to tell apart, and nothing is thought of it.
+ * The zones, each with its state machine, and what follows from their phases for placement, renting
+ * and returning. With one zone there is nothing to tell apart, and nothing is thought of it.
  */
 public final class Zones implements ZoneWatch {
   private static final Logger log = LoggerFactory.getLogger(Zones.class);
@@ -65,7 +65,9 @@
     for (Machine m : machines) {
       boolean inherited = m.phase() == Machine.Phase.UNHEARD && !m.isEmpty();
       if (m.zone() == null
-          || (m.phase() != Machine.Phase.REPORTING && m.phase() != Machine.Phase.LOST && !inherited)) {
+          || (m.phase() != Machine.Phase.REPORTING
+              && m.phase() != Machine.Phase.LOST
+              && !inherited)) {
         continue;
       }
       Count c = counts.computeIfAbsent(m.zone(), k -> new Count());
@@ -95,7 +97,13 @@
           new Zone.Evidence(c.known, c.silent, silentFor(c, nowMs), othersHeard), leaseMs, nowMs)) {
         log.info(
             "zone {}: {} -> {}, {} of {} machines silent, {} of {} elsewhere",
-            e.getKey(), before, zone.phase(), c.silent, c.known, othersSilent, othersKnown);
+            e.getKey(),
+            before,
+            zone.phase(),
+            c.silent,
+            c.known,
+            othersSilent,
+            othersKnown);
       }
     }
   }
@@ -112,9 +120,9 @@
   }
 
   /**
-   * For how long nothing at all was heard of a zone, ms, if that is too long for chance: hundreds of workers
-   * report at random moments, so that one second without any of them says as much as their single silences
-   * do five seconds later. 0 if it is not.
+   * For how long nothing at all was heard of a zone, ms, if that is too long for chance: hundreds
+   * of workers report at random moments, so that one second without any of them says as much as
+   * their single silences do five seconds later. 0 if it is not.
    */
   private long silentFor(Count c, long nowMs) {
     long from = Math.max(Math.max(c.heardAtMs, awakeSinceMs), termSinceMs + 2 * reportMs);
@@ -150,9 +158,7 @@
   @Override
   public boolean mayReturnLost(Machine m, long nowMs) {
     Zone z = of(m);
-    return z == null
-        || !z.isAway()
-        || nowMs - z.silentSinceMs() > Constants.ZONE_KEPT_MS;
+    return z == null || !z.isAway() || nowMs - z.silentSinceMs() > Constants.ZONE_KEPT_MS;
   }
 
   @Override
@@ -161,7 +167,8 @@
     if (z == null || !z.isAway()) {
       return 1;
     }
-    // One that is back in ten seconds must not have cost a second fleet, one that stays away must not be
+    // One that is back in ten seconds must not have cost a second fleet, one that stays away must
+    // not be
     // missed for a minute.
     double awayMs = nowMs - z.silentSinceMs() - Constants.ZONE_REPLACE_FROM_MS;
     return Math.max(0, 1 - Math.max(0, awayMs) / Constants.ZONE_REPLACE_OVER_MS);
--- a/src/test/java/fennelthread/LayersTest.java
+++ b/src/test/java/fennelthread/LayersTest.java
@@ -23,44 +23,82 @@
       DescribedPredicate.describe("a number", c -> NUMBERS.contains(c.getName()));
 
   @ArchTest
-  static final ArchRule noCycles = slices().matching("fennelthread.(*)..").should().beFreeOfCycles();
+  static final ArchRule noCycles =
+      slices().matching("fennelthread.(*)..").should().beFreeOfCycles();
 
   @ArchTest
   static final ArchRule wireKnowsNothingAbove =
-      classes().that().resideInAPackage("..wire..").should().onlyDependOnClassesThat()
+      classes()
+          .that()
+          .resideInAPackage("..wire..")
+          .should()
+          .onlyDependOnClassesThat()
           .resideInAnyPackage("fennelthread.wire..", "java..", "com.fasterxml.jackson..");
 
   @ArchTest
   static final ArchRule planKnowsOnlyWire =
-      noClasses().that().resideInAPackage("..plan..").should().dependOnClassesThat()
+      noClasses()
+          .that()
+          .resideInAPackage("..plan..")
+          .should()
+          .dependOnClassesThat()
           .resideInAnyPackage(
-              "..api..", "..cli..", "..fleet..", "..jobs..", "..lead..", "..mesh..", "..net..",
-              "..settings..", "..state..");
+              "..api..",
+              "..cli..",
+              "..fleet..",
+              "..jobs..",
+              "..lead..",
+              "..mesh..",
+              "..net..",
+              "..settings..",
+              "..state..");
 
   /** Subsystems are wired in by the controller; nothing below it knows it, or the command line. */
   @ArchTest
   static final ArchRule nothingKnowsTheController =
-      noClasses().that().resideOutsideOfPackages("fennelthread", "..cli..", "..lab..")
-          .should().dependOnClassesThat().resideInAPackage("..cli..")
-          .orShould().dependOnClassesThat().belongToAnyOf(Controller.class);
+      noClasses()
+          .that()
+          .resideOutsideOfPackages("fennelthread", "..cli..", "..lab..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAPackage("..cli..")
+          .orShould()
+          .dependOnClassesThat()
+          .belongToAnyOf(Controller.class);
 
   /** What the service is tried in is no part of it: nothing of it is loaded where it runs. */
   @ArchTest
   static final ArchRule nothingKnowsTheLab =
-      noClasses().that().resideOutsideOfPackage("..lab..")
-          .should().dependOnClassesThat().resideInAPackage("..lab..");
+      noClasses()
+          .that()
+          .resideOutsideOfPackage("..lab..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAPackage("..lab..");
 
   /** Bodies for users, workers and the cloud are put together in {@code wire} alone. */
   @ArchTest
   static final ArchRule wireNamesOnlyInWire =
-      noClasses().that().resideInAnyPackage("fennelthread", "..api..", "..fleet..")
-          .should().callMethod(Fields.class, "with", String.class, Object.class);
+      noClasses()
+          .that()
+          .resideInAnyPackage("fennelthread", "..api..", "..fleet..")
+          .should()
+          .callMethod(Fields.class, "with", String.class, Object.class);
 
   @ArchTest
   static final ArchRule constantsInOnePlace =
-      fields().that().haveRawType(NUMERIC).and().areFinal()
-          .and().areDeclaredInClassesThat().doNotHaveFullyQualifiedName(Constants.class.getName())
-          .and().areDeclaredInClassesThat().resideOutsideOfPackages("..wire..", "..cli..")
-          .and().doNotHaveName("serialVersionUID")
+      fields()
+          .that()
+          .haveRawType(NUMERIC)
+          .and()
+          .areFinal()
+          .and()
+          .areDeclaredInClassesThat()
+          .doNotHaveFullyQualifiedName(Constants.class.getName())
+          .and()
+          .areDeclaredInClassesThat()
+          .resideOutsideOfPackages("..wire..", "..cli..")
+          .and()
+          .doNotHaveName("serialVersionUID")
           .should(notBeStatic());
 }
--- a/src/test/java/fennelthread/fleet/BootsTest.java
+++ b/src/test/java/fennelthread/fleet/BootsTest.java
@@ -32,7 +32,9 @@
     assertTrue(boots.isDud("torre", 40, 0, 221_000, true));
   }
 
-  /** One of a batch that stays away is given back long before the longest time that any is given. */
+  /**
+   * One of a batch that stays away is given back long before the longest time that any is given.
+   */
   @Test
   void oneThatOthersHaveOvertakenIsADud() {
     came(0, 8);
@@ -46,7 +48,9 @@
     assertFalse(isDud(6, 36, true));
   }
 
-  /** On a day on which all take four times as long none is a dud, and none is late before they are. */
+  /**
+   * On a day on which all take four times as long none is a dud, and none is late before they are.
+   */
   @Test
   void whatAllTakeIsNotLate() {
     for (int i = 0; i < 8; i++) {
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -19,8 +19,26 @@
   private static final int PER_RECORD = 40;
   private static final JobSpec HUGE =
       new JobSpec(
-          "job-000001", "padron", "roja", false, Priority.STANDARD, TASKS, 0.25, 0, 0.5, "img", 1, null, null,
-          false, false, true, 4, 0, 0, JobSpec.NO_DEADLINE);
+          "job-000001",
+          "padron",
+          "roja",
+          false,
+          Priority.STANDARD,
+          TASKS,
+          0.25,
+          0,
+          0.5,
+          "img",
+          1,
+          null,
+          null,
+          false,
+          false,
+          true,
+          4,
+          0,
+          0,
+          JobSpec.NO_DEADLINE);
 
   private final JobTable table = new JobTable();
 
@@ -37,8 +55,9 @@
   }
 
   /**
-   * With 25,000 tasks of one job on record each record that went searched all of them, on every controller: two
-   * thirds of the leader's work, and a share of a sixth of a core was used up by one guest's array.
+   * With 25,000 tasks of one job on record each record that went searched all of them, on every
+   * controller: two thirds of the leader's work, and a share of a sixth of a core was used up by
+   * one guest's array.
    */
   @Test
   void recordsOfOneHugeJobComeAndGoInTimeThatFollowsTheRecord() {
@@ -46,7 +65,8 @@
         Duration.ofSeconds(10),
         () -> {
           for (int i = 0; i < TASKS / PER_RECORD; i++) {
-            table.changed(Keys.round(1, i), record(i * PER_RECORD, (i + 1) * PER_RECORD).write(), 1 + i);
+            table.changed(
+                Keys.round(1, i), record(i * PER_RECORD, (i + 1) * PER_RECORD).write(), 1 + i);
           }
           assertEquals(TASKS, started());
           for (int i = TASKS / PER_RECORD - 1; i >= 0; i--) {
@@ -56,7 +76,9 @@
     assertEquals(0, started());
   }
 
-  /** Records are drawn together in one transaction: the same start is on record twice for a moment. */
+  /**
+   * Records are drawn together in one transaction: the same start is on record twice for a moment.
+   */
   @Test
   void aStartInTwoRecordsIsThereUntilBothAreGone() {
     table.changed(Keys.round(1, 1), record(0, 3).write(), 1);
--- a/src/test/java/fennelthread/jobs/NeedGraphTest.java
+++ b/src/test/java/fennelthread/jobs/NeedGraphTest.java
@@ -44,8 +44,27 @@
   private Job job(int number, Priority priority, double deadlineS, List<String> needs) {
     return new Job(
         new JobSpec(
-            "job-" + number, "lote", "roja", false, priority, 1, 1, 0, 1, "img", 1, null, null,
-            false, false, true, 10, 0, 0, deadlineS, needs),
+            "job-" + number,
+            "lote",
+            "roja",
+            false,
+            priority,
+            1,
+            1,
+            0,
+            1,
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            10,
+            0,
+            0,
+            deadlineS,
+            needs),
         number,
         1_000L * number);
   }
@@ -154,8 +173,7 @@
     for (String need : job.spec().needs()) {
       Lookup.Final end = known.get(need);
       met &= end != null && end.state() == JobState.DONE;
-      assertEquals(
-          !live.containsKey(need) && end == null, graph.unknown().contains(need), need);
+      assertEquals(!live.containsKey(need) && end == null, graph.unknown().contains(need), need);
     }
     assertEquals(met, graph.isReleased(job), id);
     if (doomed(id, all, false)) {
@@ -189,7 +207,9 @@
     return most;
   }
 
-  /** A chain of a thousand: each step tells of no more than the chain is long, and none recurses. */
+  /**
+   * A chain of a thousand: each step tells of no more than the chain is long, and none recurses.
+   */
   @Test
   void longChain() {
     accept(job(0, Priority.BEST_EFFORT, -1, List.of()));
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -45,8 +45,27 @@
 
   private static JobSpec spec(String id, String team, List<String> needs) {
     return new JobSpec(
-        id, "lote", team, false, Priority.URGENT, 3, 1.5, 0, 2, "img", 1, List.of("mesa"), null,
-        false, true, true, 9, 0, 0, 60, needs);
+        id,
+        "lote",
+        team,
+        false,
+        Priority.URGENT,
+        3,
+        1.5,
+        0,
+        2,
+        "img",
+        1,
+        List.of("mesa"),
+        null,
+        false,
+        true,
+        true,
+        9,
+        0,
+        0,
+        60,
+        needs);
   }
 
   private static String json(Fields value) {
@@ -97,8 +116,7 @@
     RoundRecord record =
         new RoundRecord(
             List.of(
-                new RoundRecord.Start(
-                    new TaskRef("job-1", 0), 9, "n-1", 2, "roja", 1.5, 0.0, 2.0),
+                new RoundRecord.Start(new TaskRef("job-1", 0), 9, "n-1", 2, "roja", 1.5, 0.0, 2.0),
                 new RoundRecord.Start(
                     new TaskRef("job-1", 1), 10, "n-2", 1, "roja", 1.5, 0.0, 2.0)));
     assertEquals(
--- a/src/test/java/fennelthread/keep/BoundsTest.java
+++ b/src/test/java/fennelthread/keep/BoundsTest.java
@@ -11,11 +11,21 @@
 /** The inequality of docs/keeping.md, for the settings as they are given. */
 class BoundsTest {
 
-  /** The last lease that an answer renews ends in time, by whichever clocks, as far as there is room for one. */
+  /**
+   * The last lease that an answer renews ends in time, by whichever clocks, as far as there is room
+   * for one.
+   */
   @ParameterizedTest
   @CsvSource({
-    "10000,35000,0", "14000,44000,0", "22000,47000,0", "22000,52000,0", "22000,26000,0", "22000,25800,0",
-    "22000,25000,724", "22000,22000,3724", "22000,10000,15724"
+    "10000,35000,0",
+    "14000,44000,0",
+    "22000,47000,0",
+    "22000,52000,0",
+    "22000,26000,0",
+    "22000,25800,0",
+    "22000,25000,724",
+    "22000,22000,3724",
+    "22000,10000,15724"
   })
   void whatIsAnsweredLastEndsInTime(long leaseMs, long cancelMs, long shortMs) {
     Settings.Workers workers = new Settings.Workers(4_000, leaseMs, cancelMs);
@@ -24,6 +34,8 @@
     double end = Bounds.keepMs(workers) + leaseMs * fast;
     assertTrue(Bounds.keepMs(workers) >= Constants.KEEP_LEAST_MS);
     assertEquals(shortMs, Bounds.shortfallMs(workers), 60);
-    assertTrue(end + Constants.KEEP_MARGIN_MS <= cancelMs * slow + Bounds.shortfallMs(workers) + 1, "ends at " + end);
+    assertTrue(
+        end + Constants.KEEP_MARGIN_MS <= cancelMs * slow + Bounds.shortfallMs(workers) + 1,
+        "ends at " + end);
   }
 }
--- a/src/test/java/fennelthread/keep/GapModelTest.java
+++ b/src/test/java/fennelthread/keep/GapModelTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules by which an answer to a report is let out, searched through: L answers reports, F tells a user that
- * the job is withdrawn, each may be unable to read the state at any time, and what they say to one another
- * arrives at any later time or never. F may end and be back at once, knowing nothing of what it told. Never may
- * the task be there longer after the user was told than it is allowed to.
+ * The rules by which an answer to a report is let out, searched through: L answers reports, F tells
+ * a user that the job is withdrawn, each may be unable to read the state at any time, and what they
+ * say to one another arrives at any later time or never. F may end and be back at once, knowing
+ * nothing of what it told. Never may the task be there longer after the user was told than it is
+ * allowed to.
  */
 class GapModelTest {
   private static final int LEASE = 2;
@@ -37,15 +38,23 @@
     WORD_T0,
     /** F's word counts only if it named all that it told. */
     ALL_NAMED,
-    /** A new process of F says nothing of what the one before it told: the state has to be read after it. */
+    /**
+     * A new process of F says nothing of what the one before it told: the state has to be read
+     * after it.
+     */
     BORN
   }
 
   private static final class State implements Cloneable {
     int now;
     int leaseFrom;
-    /** L: until when it knows everything by reading, by F's word, and whether it knows of the withdrawal. */
+
+    /**
+     * L: until when it knows everything by reading, by F's word, and whether it knows of the
+     * withdrawal.
+     */
     int readL;
+
     int wordL;
     int bornL;
     int asked = NONE;
@@ -56,8 +65,10 @@
     boolean replyNames;
     boolean replyAll;
     int replyIncarnation;
+
     /** F. */
     int told = NONE;
+
     boolean inLog;
     int incarnation;
 
@@ -73,8 +84,22 @@
       StringBuilder b = new StringBuilder(24);
       for (int v :
           new int[] {
-            now, leaseFrom, readL, wordL, bornL, asked, knows ? 1 : 0, incarnationHeard, greeting, reply,
-            replyNames ? 1 : 0, replyAll ? 1 : 0, replyIncarnation, told, inLog ? 1 : 0, incarnation
+            now,
+            leaseFrom,
+            readL,
+            wordL,
+            bornL,
+            asked,
+            knows ? 1 : 0,
+            incarnationHeard,
+            greeting,
+            reply,
+            replyNames ? 1 : 0,
+            replyAll ? 1 : 0,
+            replyIncarnation,
+            told,
+            inLog ? 1 : 0,
+            incarnation
           }) {
         b.append((char) ('J' + v));
       }
@@ -127,7 +152,8 @@
     if (s.asked == NONE && s.readL < s.now) {
       State t = s.copy();
       t.asked = s.now;
-      // What was told at the very moment may or may not be in it: it counts as known from the next on.
+      // What was told at the very moment may or may not be in it: it counts as known from the next
+      // on.
       t.knows = s.knows;
       steps.add(new Search.Step<>("L asks the state", t));
     }
@@ -176,7 +202,8 @@
   }
 
   private static Search.Result search(Without w, int depth) {
-    return new Search<State>(State::key, s -> steps(s, w), GapModelTest::isBad).run(new State(), depth);
+    return new Search<State>(State::key, s -> steps(s, w), GapModelTest::isBad)
+        .run(new State(), depth);
   }
 
   @Test
@@ -192,7 +219,8 @@
   void eachRuleIsNeeded(Without w) {
     Search.Result result = search(w, DEPTH + 1);
     assertTrue(
-        result.trace() != null, "without " + w + " nothing happens in " + result.states() + " states");
+        result.trace() != null,
+        "without " + w + " nothing happens in " + result.states() + " states");
     System.out.printf(
         "without %s, %d steps: %s%n", w, result.trace().size(), String.join("; ", result.trace()));
   }
--- a/src/test/java/fennelthread/keep/KeepModelTest.java
+++ b/src/test/java/fennelthread/keep/KeepModelTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of keeping leases, searched through: a leader L, a sibling S, one worker's task, and messages
- * that arrive at any later time or never. Another leader N may claim, and a user may be told, by a controller
- * that neither L nor S hears, that the job is withdrawn. Never may L or N take the task for gone while it
- * runs, and never may it run longer after the user was told than it is allowed to.
+ * The rules of keeping leases, searched through: a leader L, a sibling S, one worker's task, and
+ * messages that arrive at any later time or never. Another leader N may claim, and a user may be
+ * told, by a controller that neither L nor S hears, that the job is withdrawn. Never may L or N
+ * take the task for gone while it runs, and never may it run longer after the user was told than it
+ * is allowed to.
  */
 class KeepModelTest {
   private static final int LEASE = 2;
@@ -55,10 +56,13 @@
 
   private static final class State implements Cloneable {
     int now;
+
     /** The worker: its lease counts from here, NONE once its task has ended. */
     int leaseFrom;
+
     /** L: what it knows is of {@code knowsL}, what it counts from is {@code readL}. */
     int readL;
+
     int knowsL;
     int askedL = NONE;
     int answeredByL;
@@ -68,8 +72,10 @@
     int greeting = NONE;
     int ack = NONE;
     int ackKept = NONE;
+
     /** S. */
     int readS;
+
     int knowsS;
     int exchanged = NONE;
     int stillUntil = NONE;
@@ -79,8 +85,10 @@
     int hailAnswered = NONE;
     int restarts;
     boolean bornKnown = true;
+
     /** The rest of the world. */
     int told = NONE;
+
     int claimed = NONE;
 
     State copy() {
@@ -95,9 +103,30 @@
       StringBuilder b = new StringBuilder(32);
       for (int v :
           new int[] {
-            now, leaseFrom, readL, knowsL, askedL, knowsS, answeredByL, still, answeredS, keptKnown,
-            greeting, ack, ackKept, readS, exchanged, stillUntil, kept, hail, hailKept,
-            hailAnswered, restarts, told, claimed, bornKnown ? 1 : 0
+            now,
+            leaseFrom,
+            readL,
+            knowsL,
+            askedL,
+            knowsS,
+            answeredByL,
+            still,
+            answeredS,
+            keptKnown,
+            greeting,
+            ack,
+            ackKept,
+            readS,
+            exchanged,
+            stillUntil,
+            kept,
+            hail,
+            hailKept,
+            hailAnswered,
+            restarts,
+            told,
+            claimed,
+            bornKnown ? 1 : 0
           }) {
         b.append((char) ('J' + v));
       }
@@ -113,9 +142,7 @@
     if (w == Without.LEDGER || s.answeredS == NONE) {
       return NONE;
     }
-    return s.still != NONE && s.now <= s.still + STILL
-        ? NONE
-        : Math.min(s.now, s.answeredS + KEEP);
+    return s.still != NONE && s.now <= s.still + STILL ? NONE : Math.min(s.now, s.answeredS + KEEP);
   }
 
   private static boolean isBad(State s, Without w) {
@@ -175,8 +202,8 @@
   }
 
   /**
-   * Reports that are answered. An answer that comes late does no more than one that comes at once: the lease
-   * counts from when the report was sent, and the later that was the worse for the rules.
+   * Reports that are answered. An answer that comes late does no more than one that comes at once:
+   * the lease counts from when the report was sent, and the later that was the worse for the rules.
    */
   private static void worker(State s, Without w, List<Search.Step<State>> steps) {
     boolean leaderKnowsN = s.claimed != NONE && s.knowsL > s.claimed;
@@ -286,7 +313,8 @@
   }
 
   private static Search.Result search(Without w, int depth) {
-    return new Search<State>(State::key, s -> steps(s, w), s -> isBad(s, w)).run(new State(), depth);
+    return new Search<State>(State::key, s -> steps(s, w), s -> isBad(s, w))
+        .run(new State(), depth);
   }
 
   @Test
@@ -302,9 +330,9 @@
   void eachRuleIsNeeded(Without w) {
     Search.Result result = search(w, DEPTH + 1);
     assertTrue(
-        result.trace() != null, "without " + w + " nothing happens in " + result.states() + " states");
+        result.trace() != null,
+        "without " + w + " nothing happens in " + result.states() + " states");
     System.out.printf(
-        "without %s, %d steps: %s%n",
-        w, result.trace().size(), String.join("; ", result.trace()));
+        "without %s, %d steps: %s%n", w, result.trace().size(), String.join("; ", result.trace()));
   }
 }
--- a/src/test/java/fennelthread/lab/BootingTest.java
+++ b/src/test/java/fennelthread/lab/BootingTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines that are asked for and come up late, never, or at once. A small machine's nominal boot takes 6 s. */
+/**
+ * Machines that are asked for and come up late, never, or at once. A small machine's nominal boot
+ * takes 6 s.
+ */
 class BootingTest {
   private static final long NOMINAL_MS = 6_000;
 
@@ -24,8 +27,19 @@
         new Cluster(
             seed,
             new Deployment(
-                3, List.of("norte"), FIRST, 0, FIRST + more, 0, 1_000, d.limits(), d.next(), d.reportMs(),
-                d.leaseMs(), d.cancelMs(), false));
+                3,
+                List.of("norte"),
+                FIRST,
+                0,
+                FIRST + more,
+                0,
+                1_000,
+                d.limits(),
+                d.next(),
+                d.reportMs(),
+                d.leaseMs(),
+                d.cancelMs(),
+                false));
     c.world.loss = 0;
     c.world.late = 0;
     return c;
@@ -35,8 +49,26 @@
   private static JobSpec wholes(Cluster c, int tasks, double takesS) {
     JobSpec any = c.plain(false, tasks);
     return new JobSpec(
-        any.id(), any.jobClass(), any.team(), false, any.priority(), tasks, 4, 0, 2, any.image(), 1, null, null,
-        false, false, false, takesS, 0, 0, JobSpec.NO_DEADLINE);
+        any.id(),
+        any.jobClass(),
+        any.team(),
+        false,
+        any.priority(),
+        tasks,
+        4,
+        0,
+        2,
+        any.image(),
+        1,
+        null,
+        null,
+        false,
+        false,
+        false,
+        takesS,
+        0,
+        0,
+        JobSpec.NO_DEADLINE);
   }
 
   private static long waitUntil(Cluster c, java.util.function.BooleanSupplier holds, long mostMs) {
@@ -48,8 +80,8 @@
   }
 
   /**
-   * One of a batch never comes up while the cloud has no other: it stood in the way of a machine that would come
-   * for five times a boot and twenty seconds.
+   * One of a batch never comes up while the cloud has no other: it stood in the way of a machine
+   * that would come for five times a boot and twenty seconds.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -68,8 +100,8 @@
   }
 
   /**
-   * For two minutes none of the new machines comes up, then all of them at once: none is given back, since the
-   * next would be as late, and no more are asked for than the work needs.
+   * For two minutes none of the new machines comes up, then all of them at once: none is given
+   * back, since the next would be as late, and no more are asked for than the work needs.
    */
   @ParameterizedTest
   @ValueSource(longs = {4, 5, 6})
@@ -105,8 +137,8 @@
   }
 
   /**
-   * One that never comes up goes back within its bound though leaders change and the cloud is out: its age is
-   * known from the list, and no new leader begins to wait anew.
+   * One that never comes up goes back within its bound though leaders change and the cloud is out:
+   * its age is known from the list, and no new leader begins to wait anew.
    */
   @ParameterizedTest
   @ValueSource(longs = {9, 10, 11})
@@ -134,7 +166,10 @@
     assertEquals(List.of(), left, "still charged");
   }
 
-  /** It is given back as one that never came up, the cloud refuses, and a moment later it reports: it serves. */
+  /**
+   * It is given back as one that never came up, the cloud refuses, and a moment later it reports:
+   * it serves.
+   */
   @ParameterizedTest
   @ValueSource(longs = {12, 13})
   void oneThatReportsWhileItIsGivenBackServesIfTheCloudRefused(long seed) {
--- a/src/test/java/fennelthread/lab/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/lab/CarriedStartsTest.java
@@ -83,7 +83,16 @@
 
   private List<Order> report(long token, Beat.Task... tasks) throws WireException {
     Beat beat =
-        new Beat("n-1", "10.1.0.1:9000", "mesa", "norte", false, 1, ++seq, token, Beat.NO_NOTICE,
+        new Beat(
+            "n-1",
+            "10.1.0.1:9000",
+            "mesa",
+            "norte",
+            false,
+            1,
+            ++seq,
+            token,
+            Beat.NO_NOTICE,
             List.of(tasks));
     return Order.read(fleet.beat(beat, "nodo").fields());
   }
@@ -92,15 +101,35 @@
     report(1L << 20);
     JobSpec spec =
         new JobSpec(
-            "job-1", "lote", "roja", false, Priority.STANDARD, 1, 1, 0, 1, "img", 1, null, null,
-            false, false, true, 1, 0, 0, JobSpec.NO_DEADLINE);
+            "job-1",
+            "lote",
+            "roja",
+            false,
+            Priority.STANDARD,
+            1,
+            1,
+            0,
+            1,
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            1,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
     Attempt a = fleet.create(fleet.get("n-1"), spec, 0);
     fleet.sendStarts(fleet.get("n-1"), new ArrayList<>(List.of(a)));
     assertEquals(Attempt.Phase.CARRIED, a.phase());
     return a;
   }
 
-  /** The answer held it, the next report does not show it: only a report under a higher token tells. */
+  /**
+   * The answer held it, the next report does not show it: only a report under a higher token tells.
+   */
   @Test
   void aLostAnswerIsDoubted() throws WireException {
     Attempt a = start();
@@ -119,7 +148,9 @@
   void aShownStartIsThere() throws WireException {
     Attempt a = start();
     report(1L << 20);
-    report(1L << 20, new Beat.Task(a.start().task(), a.start().attempt(), Beat.Phase.RUNNING, null, false));
+    report(
+        1L << 20,
+        new Beat.Task(a.start().task(), a.start().attempt(), Beat.Phase.RUNNING, null, false));
     assertEquals(Attempt.Phase.RUNNING, a.phase());
   }
 
--- a/src/test/java/fennelthread/lab/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/lab/ChainedJobsTest.java
@@ -29,7 +29,9 @@
 
   private static final Settings.State NEXT = new Settings.State(400, 80, 2 * 1024, 4);
 
-  /** Whatever fails, and though the limits fall without notice, no rule is broken and all is done. */
+  /**
+   * Whatever fails, and though the limits fall without notice, no rule is broken and all is done.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void storm(long seed) {
@@ -156,8 +158,8 @@
   }
 
   /**
-   * A withdrawal whose cascade nobody has begun: no leader is there, and the first controller that is
-   * asked about the last job of the chain finishes it before it answers.
+   * A withdrawal whose cascade nobody has begun: no leader is there, and the first controller that
+   * is asked about the last job of the chain finishes it before it answers.
    */
   @Test
   void cascadeDoesNotWaitForALeader() throws WireException {
@@ -346,7 +348,9 @@
     assertEquals(1, later.retryAfterS());
   }
 
-  /** A list of needs that one value can't hold is kept whole, and what no transaction can is not. */
+  /**
+   * A list of needs that one value can't hold is kept whole, and what no transaction can is not.
+   */
   @Test
   void manyNeeds() throws WireException {
     Cluster c = Cluster.limited(91, NEXT, false);
@@ -429,13 +433,34 @@
     return known(c, 1, 1_000_000, List.of());
   }
 
-  /** The rules must know the job as it is submitted, without the place rules that chance gave it. */
+  /**
+   * The rules must know the job as it is submitted, without the place rules that chance gave it.
+   */
   private static JobSpec known(Cluster c, int tasks, double estimateS, List<String> needs) {
     JobSpec any = c.job(false, tasks, 1, true, false, false);
     JobSpec spec =
         new JobSpec(
-            any.id(), "lote", "roja", false, any.priority(), tasks, 1, 0, 2, "img", 1, null, null,
-            false, false, true, estimateS, 0, 0, JobSpec.NO_DEADLINE, needs);
+            any.id(),
+            "lote",
+            "roja",
+            false,
+            any.priority(),
+            tasks,
+            1,
+            0,
+            2,
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            estimateS,
+            0,
+            0,
+            JobSpec.NO_DEADLINE,
+            needs);
     c.rules.submits(spec);
     return spec;
   }
