--- a/src/test/java/fennelthread/lab/CopiesTest.java
+++ b/src/test/java/fennelthread/lab/CopiesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Copies of messages that come again late, once and many times and in any order: what they say was true once.
- * Leases are of 10 s.
+ * Copies of messages that come again late, once and many times and in any order: what they say was
+ * true once. Leases are of 10 s.
  */
 class CopiesTest {
   private static final int MACHINES = 60;
@@ -55,7 +55,10 @@
     assertTrue(c.world.copied > 1_000, c.world.copied + " copies");
   }
 
-  /** More seeds than every build needs: {@code mvn test -Dtest=CopiesTest -Dsim.from=100 -Dsim.to=300}. */
+  /**
+   * More seeds than every build needs: {@code mvn test -Dtest=CopiesTest -Dsim.from=100
+   * -Dsim.to=300}.
+   */
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
   void soak() {
@@ -76,7 +79,10 @@
     assertEquals(List.of(), broken);
   }
 
-  /** A quiet day with copies is a quiet day: nothing is lost, nobody is taken over from, nothing is given back. */
+  /**
+   * A quiet day with copies is a quiet day: nothing is lost, nobody is taken over from, nothing is
+   * given back.
+   */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
   void copiesAloneDoNoHarm(long seed) {
@@ -100,7 +106,10 @@
     assertEquals(Set.of(), Set.copyOf(c.cloud.returned));
   }
 
-  /** A machine dies; copies of its reports go on coming in. They hide nothing: its replicas go elsewhere as ever. */
+  /**
+   * A machine dies; copies of its reports go on coming in. They hide nothing: its replicas go
+   * elsewhere as ever.
+   */
   @ParameterizedTest
   @CsvSource({"21,false", "22,false", "23,true", "24,true", "25,true"})
   void copiesHideNoDeath(long seed, boolean leaderToo) {
@@ -120,8 +129,8 @@
   }
 
   /**
-   * The cloud takes nothing back, so that only the end of its lease proves what was on a dead machine gone: copies
-   * of its reports, which come for leases after it, renew nothing of that.
+   * The cloud takes nothing back, so that only the end of its lease proves what was on a dead
+   * machine gone: copies of its reports, which come for leases after it, renew nothing of that.
    */
   @ParameterizedTest
   @ValueSource(longs = {26, 27, 28})
@@ -137,7 +146,10 @@
     assertTrue(took < 14_000, "whole after " + took + " ms");
   }
 
-  /** Takeovers while copies from before, greetings and promises and reports alike, come in at the next leader. */
+  /**
+   * Takeovers while copies from before, greetings and promises and reports alike, come in at the
+   * next leader.
+   */
   @ParameterizedTest
   @CsvSource({"31,20", "32,50", "33,300", "34,4000"})
   void takeoversWithCopiesFromBefore(long seed, long downMs) {
--- a/src/test/java/fennelthread/lab/CostTest.java
+++ b/src/test/java/fennelthread/lab/CostTest.java
@@ -56,8 +56,26 @@
     JobSpec any = c.plain(false, 1);
     JobSpec huge =
         new JobSpec(
-            any.id(), "padron", any.team(), false, any.priority(), 25_000, 0.25, 0, 0.4, any.image(), 1, null,
-            null, false, false, true, 4, 0, 0, JobSpec.NO_DEADLINE);
+            any.id(),
+            "padron",
+            any.team(),
+            false,
+            any.priority(),
+            25_000,
+            0.25,
+            0,
+            0.4,
+            any.image(),
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            4,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
     c.submit(huge);
     long writesBefore = c.state.changes;
     while (!c.rules.allCompleted(huge.id()) && c.world.now() < 600_000) {
@@ -87,7 +105,8 @@
       }
     }
     c.world.runUntil(65_000);
-    return String.format("%d machines, %d starts in 50 s%n%s", machines, c.rules.starts, costs(c, 50));
+    return String.format(
+        "%d machines, %d starts in 50 s%n%s", machines, c.rules.starts, costs(c, 50));
   }
 
   /** What each kind of event has cost the leader over so many seconds. */
--- a/src/test/java/fennelthread/lab/FewSocketsTest.java
+++ b/src/test/java/fennelthread/lab/FewSocketsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A leader with more workers than it can have connections: its starts ride on the answers to reports,
- * which nobody confirms but the next report.
+ * A leader with more workers than it can have connections: its starts ride on the answers to
+ * reports, which nobody confirms but the next report.
  */
 class FewSocketsTest {
 
--- a/src/test/java/fennelthread/lab/GapTest.java
+++ b/src/test/java/fennelthread/lab/GapTest.java
@@ -16,9 +16,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The gap: the state service refuses the leader alone, other controllers confirm cancellations to users, then
- * it is down for all while workers report to the old leader. What the rules say of it, {@code ran_cancelled} and
- * {@code ran_twice} above all, is checked after each step; here it is seen to that the gap came about.
+ * The gap: the state service refuses the leader alone, other controllers confirm cancellations to
+ * users, then it is down for all while workers report to the old leader. What the rules say of it,
+ * {@code ran_cancelled} and {@code ran_twice} above all, is checked after each step; here it is
+ * seen to that the gap came about.
  */
 class GapTest {
   private static final int MACHINES = 60;
@@ -47,7 +48,9 @@
     CONFIRMER_GONE,
     /** All are restarted in the outage. */
     ALL_RESTART,
-    /** The third controller has a user told by a question only; the one that carried it out ends. */
+    /**
+     * The third controller has a user told by a question only; the one that carried it out ends.
+     */
     TOLD_BY_QUESTION,
     /** The leader has just claimed, and its copy of the state has not come to its claim. */
     JUST_CLAIMED,
@@ -107,17 +110,20 @@
     for (int i = 0; i < jobs.size(); i++) {
       String id = jobs.get(i).id();
       c.world.at(
-          from + leadMs * i / (jobs.size() + 1), () -> c.withdrawThrough(confirms, id, 1 + (int) leadMs / 1_000));
+          from + leadMs * i / (jobs.size() + 1),
+          () -> c.withdrawThrough(confirms, id, 1 + (int) leadMs / 1_000));
       if (with == With.TOLD_BY_QUESTION) {
         c.world.at(from + leadMs * i / (jobs.size() + 1) + 100, () -> c.askThrough(third, id));
       }
     }
     switch (with) {
       case CONFIRMER_BACK_AT_ONCE -> c.world.at(outageAt - 1, () -> c.crash(confirms, 50));
-      case CONFIRMER_GONE, TOLD_BY_QUESTION -> c.world.at(outageAt - 1, () -> c.crash(confirms, 10 * outageMs));
+      case CONFIRMER_GONE, TOLD_BY_QUESTION ->
+          c.world.at(outageAt - 1, () -> c.crash(confirms, 10 * outageMs));
       case ALL_RESTART ->
           c.world.at(
-              outageAt + outageMs / 3, () -> List.copyOf(c.controllers.keySet()).forEach(m -> c.crash(m, 300)));
+              outageAt + outageMs / 3,
+              () -> List.copyOf(c.controllers.keySet()).forEach(m -> c.crash(m, 300)));
       default -> {}
     }
     c.world.runUntil(outageAt);
@@ -126,7 +132,10 @@
     return (int) there;
   }
 
-  /** A claim after which the state service refuses the new leader at once, so that it never reads it. */
+  /**
+   * A claim after which the state service refuses the new leader at once, so that it never reads
+   * it.
+   */
   private static String claimOf(Cluster c, String before) {
     String[] claimed = new String[1];
     c.state.onWrite.add(
@@ -136,7 +145,8 @@
             c.state.refuse(claimed[0], 60_000);
           }
         });
-    // Frozen and back, not ended: a new process of a sibling would have everybody wait for the state service.
+    // Frozen and back, not ended: a new process of a sibling would have everybody wait for the
+    // state service.
     long frozenAt = Long.MIN_VALUE / 2;
     while (claimed[0] == null || !claimed[0].equals(c.leader())) {
       if (claimed[0] == null && c.world.now() - frozenAt > 8_000) {
@@ -151,7 +161,8 @@
 
   private static void play(long seed, long leadMs, double outages, With with) {
     Cluster c = Scenes.settled(seed, deployment(), 0.0005);
-    List<JobSpec> services = with == With.SAVING ? savers(c) : Scenes.services(c, SERVICES, 50, 20_000);
+    List<JobSpec> services =
+        with == With.SAVING ? savers(c) : Scenes.services(c, SERVICES, 50, 20_000);
     List<JobSpec> cancelled = services.subList(0, CANCELLED);
     long outageMs = (long) (outages * CANCEL_MS);
     int there = gap(c, cancelled, leadMs, outageMs, with);
@@ -170,7 +181,8 @@
       }
     }
     if (with != With.TWICE && with != With.SAVING) {
-      assertTrue(c.allRun(services.subList(CANCELLED, SERVICES)), what + ": what was not cancelled runs");
+      assertTrue(
+          c.allRun(services.subList(CANCELLED, SERVICES)), what + ": what was not cancelled runs");
     }
   }
 
@@ -180,8 +192,26 @@
       JobSpec any = c.plain(false, 4);
       JobSpec job =
           new JobSpec(
-              any.id(), any.jobClass(), any.team(), false, any.priority(), 4, 1, 0, 2, any.image(), 1, null, null,
-              false, false, true, 400, 5, 60, JobSpec.NO_DEADLINE);
+              any.id(),
+              any.jobClass(),
+              any.team(),
+              false,
+              any.priority(),
+              4,
+              1,
+              0,
+              2,
+              any.image(),
+              1,
+              null,
+              null,
+              false,
+              false,
+              true,
+              400,
+              5,
+              60,
+              JobSpec.NO_DEADLINE);
       jobs.add(job);
       c.world.after(i * 50L, () -> c.submit(job));
     }
@@ -194,7 +224,8 @@
   @EnumSource
   void withWhateverElse(With with) {
     for (long seed = 1; seed <= 2; seed++) {
-      // A leader that is refused alone for longer than 2.5 s steps down: one that has just claimed must not have.
+      // A leader that is refused alone for longer than 2.5 s steps down: one that has just claimed
+      // must not have.
       play(seed, with == With.JUST_CLAIMED ? 1_000 : 1_500, 2, with);
     }
   }
@@ -214,14 +245,20 @@
     List<String> broken =
         LongStream.rangeClosed(Long.getLong("sim.from"), Long.getLong("sim.to"))
             .boxed()
-            .flatMap(seed -> java.util.Arrays.stream(With.values()).map(with -> new Object[] {seed, with}))
+            .flatMap(
+                seed ->
+                    java.util.Arrays.stream(With.values()).map(with -> new Object[] {seed, with}))
             .parallel()
             .map(
                 o -> {
                   long seed = (Long) o[0];
                   With with = (With) o[1];
                   try {
-                    play(seed, leads[(int) (seed % leads.length)], outages[(int) (seed / 2 % outages.length)], with);
+                    play(
+                        seed,
+                        leads[(int) (seed % leads.length)],
+                        outages[(int) (seed / 2 % outages.length)],
+                        with);
                     return "";
                   } catch (AssertionError | RuntimeException e) {
                     return with + " seed " + seed + ": " + e;
@@ -232,7 +269,10 @@
     assertEquals(List.of(), broken);
   }
 
-  /** Thousands cancelled within 10 s, an array of tasks each, by a state service that takes them all. */
+  /**
+   * Thousands cancelled within 10 s, an array of tasks each, by a state service that takes them
+   * all.
+   */
   @Test
   void thousandsAtOnce() {
     long seed = 1;
@@ -258,18 +298,29 @@
     c.world.runUntil(c.world.now() + CANCEL_MS + 5_000);
   }
 
-  /** {@code cancel_s} close to {@code lease_s}: answers stop sooner, and the rule holds all the same. */
+  /**
+   * {@code cancel_s} close to {@code lease_s}: answers stop sooner, and the rule holds all the
+   * same.
+   */
   @ParameterizedTest
   @CsvSource({"1,26000", "2,26000", "3,30000", "4,36000"})
   void littleRoomBesideTheLease(long seed, long cancelMs) {
-    Cluster c = Scenes.settled(seed, Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, cancelMs), 0.0005);
+    Cluster c =
+        Scenes.settled(
+            seed, Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, cancelMs), 0.0005);
     List<JobSpec> services = Scenes.services(c, SERVICES, 50, 20_000);
     int before = c.rules.starts;
     c.world.runUntil(c.world.now() + 60_000);
     assertEquals(before, c.rules.starts, "started again on a quiet day");
     for (With with : new With[] {With.CUT_FROM_BOTH, With.CUT_FROM_ONE}) {
-      int there = gap(c, services.subList(with == With.CUT_FROM_BOTH ? 0 : 8, with == With.CUT_FROM_BOTH ? 8 : 16),
-          1_500, 2 * cancelMs, with);
+      int there =
+          gap(
+              c,
+              services.subList(
+                  with == With.CUT_FROM_BOTH ? 0 : 8, with == With.CUT_FROM_BOTH ? 8 : 16),
+              1_500,
+              2 * cancelMs,
+              with);
       assertTrue(there >= 3, there + " confirmed while their tasks ran");
       c.world.runUntil(c.world.now() + 60_000);
     }
--- a/src/test/java/fennelthread/lab/HeapTest.java
+++ b/src/test/java/fennelthread/lab/HeapTest.java
@@ -16,7 +16,9 @@
   private Answer submit(JobSpec job) {
     Answer[] answer = new Answer[1];
     c.rules.submits(job);
-    c.controllers.get("nodo-0").api()
+    c.controllers
+        .get("nodo-0")
+        .api()
         .handle(
             new Request("POST", "/v1/jobs", Codec.CBOR.encode(job.write())), a -> answer[0] = a);
     c.world.runUntil(c.world.now() + 500);
@@ -24,8 +26,8 @@
   }
 
   /**
-   * New jobs are refused at once, with when to come back; what was accepted goes on, and is known; and
-   * once there is room again all is as before.
+   * New jobs are refused at once, with when to come back; what was accepted goes on, and is known;
+   * and once there is room again all is as before.
    */
   @Test
   void newWorkIsRefusedAndTheRestGoesOn() {
--- a/src/test/java/fennelthread/lab/KeepTest.java
+++ b/src/test/java/fennelthread/lab/KeepTest.java
@@ -12,16 +12,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Leases kept alive without the leader. Times are those of the large deployments: reports every 4 s, leases
- * of 22 s, a withdrawn job's tasks gone after 50 s; nodo-0 and nodo-2 are in norte, nodo-1 in sur.
+ * Leases kept alive without the leader. Times are those of the large deployments: reports every 4
+ * s, leases of 22 s, a withdrawn job's tasks gone after 50 s; nodo-0 and nodo-2 are in norte,
+ * nodo-1 in sur.
  */
 class KeepTest {
   private static final int MACHINES = 60;
 
   /**
-   * A zone with the leader is cut off for twice the time in which a withdrawn job's tasks must be gone, and
-   * users withdraw jobs meanwhile. The leader that was cut off once went on answering its zone's workers for
-   * as long as it heard of no other: fifteen tasks outlived their withdrawals on one day of the bench.
+   * A zone with the leader is cut off for twice the time in which a withdrawn job's tasks must be
+   * gone, and users withdraw jobs meanwhile. The leader that was cut off once went on answering its
+   * zone's workers for as long as it heard of no other: fifteen tasks outlived their withdrawals on
+   * one day of the bench.
    */
   @ParameterizedTest
   @CsvSource({"1,norte", "2,norte", "3,sur", "4,sur", "5,norte", "6,sur"})
@@ -45,8 +47,8 @@
   }
 
   /**
-   * A zone is cut off for two leases, with a follower in it or with the leader: what runs there goes on, and
-   * nothing of it is started again.
+   * A zone is cut off for two leases, with a follower in it or with the leader: what runs there
+   * goes on, and nothing of it is started again.
    */
   @ParameterizedTest
   @CsvSource({"1,norte", "2,norte", "3,sur", "4,sur", "5,norte", "6,sur"})
@@ -68,7 +70,8 @@
     Cluster c = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     int before = c.rules.starts;
-    // Two controllers are in norte: whichever of the three ends, one that knew its leader is left there.
+    // Two controllers are in norte: whichever of the three ends, one that knew its leader is left
+    // there.
     c.world.cutZone("norte", 38_000);
     c.world.runUntil(c.world.now() + 2_000);
     c.crash(c.leader(), 300);
@@ -89,7 +92,10 @@
     assertNotEquals(before, c.rules.starts);
   }
 
-  /** The leader ends for good and the state service is down: nobody can claim, and the tasks live on. */
+  /**
+   * The leader ends for good and the state service is down: nobody can claim, and the tasks live
+   * on.
+   */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
   void theLeaderEndsInAnOutage(long seed) {
@@ -118,7 +124,10 @@
     assertFewAgain(before, c);
   }
 
-  /** A worker whose answers were lost in the last moment may have no time left to try the next controller. */
+  /**
+   * A worker whose answers were lost in the last moment may have no time left to try the next
+   * controller.
+   */
   private static void assertFewAgain(int before, Cluster c) {
     assertTrue(c.rules.starts - before <= 3, c.rules.starts - before + " started again");
   }
--- a/src/test/java/fennelthread/lab/ManyMachinesTest.java
+++ b/src/test/java/fennelthread/lab/ManyMachinesTest.java
@@ -29,8 +29,8 @@
   /**
    * A fifth of the fleet is cut off for twice the workers' lease, packets held, and the leader
    * crashes 3 s later: commands and reports of before the cut arrive long after the takeover. The
-   * new leader has never heard those machines. It once waited for their leases from its own takeover
-   * on; now it gives them back as soon as it may.
+   * new leader has never heard those machines. It once waited for their leases from its own
+   * takeover on; now it gives them back as soon as it may.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -47,7 +47,8 @@
     c.world.cut(FIFTH, "nodo", 22_000);
     c.world.runUntil(43_000);
     c.crash(c.leader(), 5_000);
-    // Their workers go on until 50 s at the least, since they were last answered at 38.5 s or later.
+    // Their workers go on until 50 s at the least, since they were last answered at 38.5 s or
+    // later.
     c.world.runUntil(49_000);
     assertNotNull(c.leader());
     long whole = until(c, 80_000, () -> c.allRun(services));
@@ -104,14 +105,17 @@
     assertTrue(c.allRun(services));
   }
 
-  /** All controllers crash 7 s into an outage of the state service: what runs then, and from when. */
+  /**
+   * All controllers crash 7 s into an outage of the state service: what runs then, and from when.
+   */
   @ParameterizedTest
   @ValueSource(longs = {7, 8})
   void allControllersCrashInAnOutage(long seed) {
     Cluster c = fleet(seed);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
-    // From here on nothing can start before a controller has claimed again: a round may be as quick as the claim.
+    // From here on nothing can start before a controller has claimed again: a round may be as quick
+    // as the claim.
     int before = c.rules.starts;
     c.state.outage(10_000);
     c.world.runUntil(47_000);
@@ -123,7 +127,8 @@
     System.out.printf(
         "seed %d: claimed %d ms after the outage, first start %d ms%n",
         seed, claimed - 50_000, started - 50_000);
-    // The dead leader's grant has its full time again when the outage ends; its own new process ends
+    // The dead leader's grant has its full time again when the outage ends; its own new process
+    // ends
     // it at once.
     assertTrue(claimed < 51_500, "claimed at " + claimed);
     assertTrue(started < 55_000, "first start at " + started);
@@ -134,8 +139,8 @@
 
   /**
    * All controllers are restarted in turn: no task notices, since a follower knows the workers'
-   * addresses beforehand and a new process ends its predecessor's grant. Each worker is asked once or
-   * twice by a new leader, not more.
+   * addresses beforehand and a new process ends its predecessor's grant. Each worker is asked once
+   * or twice by a new leader, not more.
    */
   @Test
   void aRollingRestartCostsNoTask() {
--- a/src/test/java/fennelthread/lab/MeetingsTest.java
+++ b/src/test/java/fennelthread/lab/MeetingsTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where two troubles meet. The rules are checked after each step; each test sees to it that its meeting came about.
- * The gap has {@link GapTest}, late copies {@link CopiesTest}, machines that hear nothing {@link UntoldTest},
- * processes that are back within a second {@link RestartTest}. Leases are of 10 s, withdrawn jobs' tasks gone
- * after 30 s.
+ * Where two troubles meet. The rules are checked after each step; each test sees to it that its
+ * meeting came about. The gap has {@link GapTest}, late copies {@link CopiesTest}, machines that
+ * hear nothing {@link UntoldTest}, processes that are back within a second {@link RestartTest}.
+ * Leases are of 10 s, withdrawn jobs' tasks gone after 30 s.
  */
 class MeetingsTest {
   private static final int MACHINES = 60;
@@ -31,8 +31,26 @@
   private static JobSpec lasting(Cluster c, int tasks, double estimateS) {
     JobSpec any = c.plain(false, tasks);
     return new JobSpec(
-        any.id(), any.jobClass(), any.team(), false, any.priority(), tasks, 1, 0, 2, any.image(), 1, null, null, false,
-        false, true, estimateS, 0, 0, JobSpec.NO_DEADLINE);
+        any.id(),
+        any.jobClass(),
+        any.team(),
+        false,
+        any.priority(),
+        tasks,
+        1,
+        0,
+        2,
+        any.image(),
+        1,
+        null,
+        null,
+        false,
+        false,
+        true,
+        estimateS,
+        0,
+        0,
+        JobSpec.NO_DEADLINE);
   }
 
   /** Jobs of some tasks, one every so often, of which every third is cancelled a little later. */
@@ -55,7 +73,8 @@
     c.rules.troublesAreOver();
     c.world.runUntil(c.world.now() + 60_000);
     assertTrue(c.allRun(services), "services are whole");
-    assertEquals(List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
+    assertEquals(
+        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
     c.rules.checkServed(30_000);
   }
 
@@ -63,12 +82,13 @@
     return c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
   }
 
-  // ---------------------------------------------------------------- a command is held up, and the machine goes on
+  // ---------------------------------------------------------------- a command is held up, and the
+  // machine goes on
 
   /**
-   * Starts, stops and their answers are held up for seconds to a minute, machines hang and go on, leaders change
-   * and jobs are cancelled meanwhile. What was started elsewhere, or is over, is not started by a held command:
-   * the token was raised before anything was concluded.
+   * Starts, stops and their answers are held up for seconds to a minute, machines hang and go on,
+   * leaders change and jobs are cancelled meanwhile. What was started elsewhere, or is over, is not
+   * started by a held command: the token was raised before anything was concluded.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
@@ -101,11 +121,13 @@
     }
   }
 
-  // ---------------------------------------------------------------- a transaction is carried out late
+  // ---------------------------------------------------------------- a transaction is carried out
+  // late
 
   /**
-   * A share of all transactions gets no answer and is carried out 2 to 12 s later, after newer ones of the same
-   * controller: submissions, withdrawals, rounds, finished batches, removals, claims. Leaders end meanwhile.
+   * A share of all transactions gets no answer and is carried out 2 to 12 s later, after newer ones
+   * of the same controller: submissions, withdrawals, rounds, finished batches, removals, claims.
+   * Leaders end meanwhile.
    */
   @ParameterizedTest
   @CsvSource({"1,0.1", "2,0.3", "3,0.3", "4,0.5", "5,0.2", "6,0.3"})
@@ -135,7 +157,9 @@
     assertTrue(c.state.appliedLate > 50, c.state.appliedLate + " late");
   }
 
-  /** Pipelines of users, whose jobs wait for one another, with late transactions and cancellations. */
+  /**
+   * Pipelines of users, whose jobs wait for one another, with late transactions and cancellations.
+   */
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
   void lateTransactionsOfChainedJobs(long seed) {
@@ -147,12 +171,14 @@
     assertTrue(c.state.appliedLate > 50, c.state.appliedLate + " late");
   }
 
-  // ---------------------------------------------------------------- small jobs end far apart across a leader's end
+  // ---------------------------------------------------------------- small jobs end far apart
+  // across a leader's end
 
   /**
-   * Jobs of two or three tasks of which one ends at once and another long after, a change of leader between them,
-   * and again; the leader ends in the middle of its writing of finished tasks, too. What is done is neither lost
-   * nor counted twice: no job is called done early, none stays open, no completed task is started again.
+   * Jobs of two or three tasks of which one ends at once and another long after, a change of leader
+   * between them, and again; the leader ends in the middle of its writing of finished tasks, too.
+   * What is done is neither lost nor counted twice: no job is called done early, none stays open,
+   * no completed task is started again.
    */
   @ParameterizedTest
   @CsvSource({"1,50,0", "2,300,0", "3,4000,0", "4,50,0.3", "5,4000,0.3"})
@@ -170,7 +196,9 @@
     int[] inTheWriting = new int[1];
     c.state.onWrite.add(
         key -> {
-          if (key.startsWith("live/done/") && inTheWriting[0] < 4 && c.state.caller().equals(c.leader())) {
+          if (key.startsWith("live/done/")
+              && inTheWriting[0] < 4
+              && c.state.caller().equals(c.leader())) {
             inTheWriting[0]++;
             c.crash(c.state.caller(), downMs);
           }
@@ -196,8 +224,9 @@
   }
 
   /**
-   * A batch of finished tasks that gets no answer is carried out after newer ones of the same leader, and all
-   * controllers end then: the next leader knows of every task whose end a worker was told to clear.
+   * A batch of finished tasks that gets no answer is carried out after newer ones of the same
+   * leader, and all controllers end then: the next leader knows of every task whose end a worker
+   * was told to clear.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
@@ -207,7 +236,9 @@
     int[] ends = new int[1];
     c.state.delay =
         (caller, body) -> {
-          if (ends[0] > 0 || carriedOutAt[0] != Long.MAX_VALUE || !body.contains("live/finished/")) {
+          if (ends[0] > 0
+              || carriedOutAt[0] != Long.MAX_VALUE
+              || !body.contains("live/finished/")) {
             return 0;
           }
           carriedOutAt[0] = c.world.now() + 8_000;
@@ -228,17 +259,20 @@
       }
     }
     assertEquals(1, ends[0], "no batch came late");
-    assertTrue(jobs.stream().noneMatch(job -> c.rules.allCompleted(job.id())), "too late to matter");
+    assertTrue(
+        jobs.stream().noneMatch(job -> c.rules.allCompleted(job.id())), "too late to matter");
     // That no record of finished tasks loses one is checked with each write (Cluster).
     settle(c, List.of(), jobs);
     assertEquals(0, c.rules.startsAfterDone, "completed tasks started again");
   }
 
-  // ---------------------------------------------------------------- machines can't be reached when the leader ends
+  // ---------------------------------------------------------------- machines can't be reached when
+  // the leader ends
 
   /**
-   * A leader ends while a third of the machines, with long tasks, is cut off, or hears nothing of the next one: their
-   * tasks count as present until proven gone, over two more changes of leader, and none runs twice.
+   * A leader ends while a third of the machines, with long tasks, is cut off, or hears nothing of
+   * the next one: their tasks count as present until proven gone, over two more changes of leader,
+   * and none runs twice.
    */
   @ParameterizedTest
   @CsvSource({"1,false", "2,true", "3,false", "4,true"})
@@ -277,17 +311,25 @@
     settle(c, services, jobs);
   }
 
-  // ---------------------------------------------------------------- a leader is alone with its workers
+  // ---------------------------------------------------------------- a leader is alone with its
+  // workers
 
   /**
-   * A leader loses the state service and the others, not its workers and users, and jobs are cancelled through the
-   * next one, while their tasks are on machines that report to the old one. For the whole of it users ask everybody,
-   * and nobody hears an old answer; an outage of the state service comes before, inside or never.
+   * A leader loses the state service and the others, not its workers and users, and jobs are
+   * cancelled through the next one, while their tasks are on machines that report to the old one.
+   * For the whole of it users ask everybody, and nobody hears an old answer; an outage of the state
+   * service comes before, inside or never.
    */
   @ParameterizedTest
   @CsvSource({
-    "1,5000,none", "2,20000,none", "3,60000,none", "4,180000,none", "5,60000,before", "6,60000,inside",
-    "7,60000,in turn", "8,20000,in turn"
+    "1,5000,none",
+    "2,20000,none",
+    "3,60000,none",
+    "4,180000,none",
+    "5,60000,before",
+    "6,60000,inside",
+    "7,60000,in turn",
+    "8,20000,in turn"
   })
   void aLeaderAloneWithItsWorkers(long seed, long forMs, String outage) {
     Cluster c = settled(seed);
@@ -319,26 +361,33 @@
     }
     c.world.runUntil(c.world.now() + forMs);
     assertTrue(there[0] >= 10, there[0] + " cancelled while their tasks ran");
-    assertNotEquals(old, forMs > 10_000 && !outage.equals("in turn") ? c.leaderOtherThan(old) : "", "who leads");
+    assertNotEquals(
+        old,
+        forMs > 10_000 && !outage.equals("in turn") ? c.leaderOtherThan(old) : "",
+        "who leads");
     settle(c, services.subList(12, 20), List.of());
-    assertTrue(cancelled.stream().allMatch(job -> c.rules.cancelledAt(job.id()) >= 0), "not all were told");
+    assertTrue(
+        cancelled.stream().allMatch(job -> c.rules.cancelledAt(job.id()) >= 0),
+        "not all were told");
     for (JobSpec job : cancelled) {
       assertEquals(0, c.rules.running(job.id()), job.id());
     }
   }
 
-  // ---------------------------------------------------------------- a machine is back within a moment
+  // ---------------------------------------------------------------- a machine is back within a
+  // moment
 
   /**
-   * Machines are started anew under their names and addresses, within a moment or a few seconds, while copies of what
-   * they reported before still come and starts for them are held up, over changes of leader. Sessions begin at 1
-   * again, so that their order proves nothing across it.
+   * Machines are started anew under their names and addresses, within a moment or a few seconds,
+   * while copies of what they reported before still come and starts for them are held up, over
+   * changes of leader. Sessions begin at 1 again, so that their order proves nothing across it.
    */
   @ParameterizedTest
   @CsvSource({"1,50", "2,300", "3,2000", "4,50", "5,8000", "6,300"})
   void machinesAreBackWithinAMoment(long seed, long downMs) {
     Cluster c = settled(seed);
-    // Half of the machines lose a lease first: what is copied of them is of a higher session than what comes after.
+    // Half of the machines lose a lease first: what is copied of them is of a higher session than
+    // what comes after.
     int half = 0;
     for (WorkerStandIn w : List.copyOf(c.cloud.machines().values())) {
       if (half++ % 2 == 0) {
@@ -357,7 +406,8 @@
           () -> {
             List<WorkerStandIn> with =
                 c.cloud.machines().values().stream()
-                    .filter(w -> c.rules.present().stream().anyMatch(p -> p.endsWith("@" + w.name())))
+                    .filter(
+                        w -> c.rules.present().stream().anyMatch(p -> p.endsWith("@" + w.name())))
                     .toList();
             if (!with.isEmpty()) {
               reboots[0]++;
@@ -388,11 +438,16 @@
             seed -> smallJobsEndFarApart(seed, seed % 2 == 0 ? 50 : 4_000, seed % 3 == 0 ? 0.3 : 0),
             seed -> theLeaderEndsWhileMachinesCanNotBeReached(seed, seed % 2 == 0),
             seed -> aLeaderAloneWithItsWorkers(seed, 60_000, seed % 2 == 0 ? "none" : "inside"),
-            seed -> machinesAreBackWithinAMoment(seed, seed % 3 == 0 ? 50 : seed % 3 == 1 ? 300 : 3_000));
+            seed ->
+                machinesAreBackWithinAMoment(
+                    seed, seed % 3 == 0 ? 50 : seed % 3 == 1 ? 300 : 3_000));
     List<String> broken =
         LongStream.rangeClosed(Long.getLong("sim.from"), Long.getLong("sim.to"))
             .boxed()
-            .flatMap(seed -> java.util.stream.IntStream.range(0, meetings.size()).mapToObj(i -> new long[] {seed, i}))
+            .flatMap(
+                seed ->
+                    java.util.stream.IntStream.range(0, meetings.size())
+                        .mapToObj(i -> new long[] {seed, i}))
             .parallel()
             .map(
                 at -> {
--- a/src/test/java/fennelthread/lab/PairsTest.java
+++ b/src/test/java/fennelthread/lab/PairsTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Two of the troubles that operators expect, overlapping. What is looked at beside the rules: whether
- * every class of jobs is still served, by at least half ({@code unserved}).
+ * Two of the troubles that operators expect, overlapping. What is looked at beside the rules:
+ * whether every class of jobs is still served, by at least half ({@code unserved}).
  */
 class PairsTest {
   private static final int MACHINES = 200;
@@ -66,12 +66,7 @@
           c.world.copy(new World.Copies("/agent/beat", 0.3, 1_000, 30_000), 20_000);
           c.world.copy(new World.Copies("/relay/report", 0.3, 1_000, 30_000), 20_000);
         });
-    TROUBLES.put(
-        "leader alone",
-        c ->
-            withLeader(
-                c,
-                m -> c.leaveAlone(m, 15_000)));
+    TROUBLES.put("leader alone", c -> withLeader(c, m -> c.leaveAlone(m, 15_000)));
     TROUBLES.put("writes late", c -> c.state.lateWrites(0.3, 15_000));
     TROUBLES.put(
         "commands held",
@@ -153,18 +148,22 @@
     double worst = 1;
     int window = (int) (WINDOW_MS / 500);
     for (int i = 0; i + window <= up.size(); i++) {
-      worst = Math.min(worst, up.subList(i, i + window).stream().mapToDouble(d -> d).average().orElse(1));
+      worst =
+          Math.min(
+              worst, up.subList(i, i + window).stream().mapToDouble(d -> d).average().orElse(1));
     }
     return new Day(
         up.stream().mapToDouble(d -> d).average().orElse(1),
         worst,
-        batches.stream().filter(job -> c.rules.allCompleted(job.id())).count() / (double) batches.size(),
-        batches.stream().filter(job -> c.rules.isAccepted(job.id())).count() / (double) batches.size());
+        batches.stream().filter(job -> c.rules.allCompleted(job.id())).count()
+            / (double) batches.size(),
+        batches.stream().filter(job -> c.rules.isAccepted(job.id())).count()
+            / (double) batches.size());
   }
 
   /**
-   * Every pair at 0, 3 and 10 s: {@code -Dsim.pairs=true}. Prints, for each pair, the least share of a
-   * class that was served at its worst, and what it was.
+   * Every pair at 0, 3 and 10 s: {@code -Dsim.pairs=true}. Prints, for each pair, the least share
+   * of a class that was served at its worst, and what it was.
    */
   @Test
   @EnabledIfSystemProperty(named = "sim.pairs", matches = "true")
@@ -184,8 +183,15 @@
                 cells[i] =
                     String.format(
                         "%.2f | %s, %s +%d s: replicas %.3f, worst %d s %.3f, done %.3f, accepted %.3f",
-                        day.least(), first, second, gaps[i % gaps.length] / 1_000, day.replicas,
-                        WINDOW_MS / 1_000, day.worst, day.done, day.accepted);
+                        day.least(),
+                        first,
+                        second,
+                        gaps[i % gaps.length] / 1_000,
+                        day.replicas,
+                        WINDOW_MS / 1_000,
+                        day.worst,
+                        day.done,
+                        day.accepted);
               } catch (AssertionError e) {
                 cells[i] = "0.00 | " + first + ", " + second + ": BROKEN " + e.getMessage();
               }
--- a/src/test/java/fennelthread/lab/Production.java
+++ b/src/test/java/fennelthread/lab/Production.java
@@ -138,7 +138,9 @@
     t.append("\ntxn_ops = ").append(limits.txnOps()).append('\n');
     t.append("[cluster.cloud]\nrps = ").append(s.cloud().rps());
     t.append("\nlist_lag_s = ").append(s.cloud().listLagMs() / 1000.0).append('\n');
-    t.append("[cluster.machine_limits]\nmax_connections = ").append(s.maxConnections()).append('\n');
+    t.append("[cluster.machine_limits]\nmax_connections = ")
+        .append(s.maxConnections())
+        .append('\n');
     return t.toString();
   }
 
@@ -167,7 +169,8 @@
       if (!m.find()) {
         throw new IllegalStateException("deploy/service.toml names no production");
       }
-      Path sources = Files.createDirectories(Path.of("target", "production", m.group(1), "sources"));
+      Path sources =
+          Files.createDirectories(Path.of("target", "production", m.group(1), "sources"));
       Path classes = Files.createDirectories(sources.resolveSibling("classes"));
       List<String> files = new ArrayList<>();
       try (ZipInputStream zip = new ZipInputStream(new ByteArrayInputStream(archive(m.group(1))))) {
@@ -210,13 +213,24 @@
     StringWriter errors = new StringWriter();
     List<String> options =
         List.of(
-            "-proc:none", "-nowarn", "-d", classes.toString(), "-cp",
-            System.getProperty("java.class.path"), "-encoding", StandardCharsets.UTF_8.name());
+            "-proc:none",
+            "-nowarn",
+            "-d",
+            classes.toString(),
+            "-cp",
+            System.getProperty("java.class.path"),
+            "-encoding",
+            StandardCharsets.UTF_8.name());
     try (var manager = compiler.getStandardFileManager(null, null, StandardCharsets.UTF_8)) {
       boolean good =
           compiler
               .getTask(
-                  errors, manager, null, options, null, manager.getJavaFileObjectsFromStrings(files))
+                  errors,
+                  manager,
+                  null,
+                  options,
+                  null,
+                  manager.getJavaFileObjectsFromStrings(files))
               .call();
       if (!good) {
         throw new IllegalStateException("production does not compile: " + errors);
--- a/src/test/java/fennelthread/lab/RecordsAtScaleTest.java
+++ b/src/test/java/fennelthread/lab/RecordsAtScaleTest.java
@@ -55,8 +55,9 @@
   }
 
   /**
-   * Many of the transactions that touch records arrive seconds after they were given up, work comes in
-   * waves, and the leader crashes twice: no record of anything that is on a machine is ever lost.
+   * Many of the transactions that touch records arrive seconds after they were given up, work comes
+   * in waves, and the leader crashes twice: no record of anything that is on a machine is ever
+   * lost.
    */
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4, 5})
@@ -66,7 +67,8 @@
     c.state.delay =
         (caller, body) -> {
           assertConditional(c, body);
-          return body.contains(ROUNDS) && c.world.random.nextInt(body.contains("remove") ? 2 : 5) == 0
+          return body.contains(ROUNDS)
+                  && c.world.random.nextInt(body.contains("remove") ? 2 : 5) == 0
               ? 1_200 + c.world.random.nextInt(15_000)
               : 0;
         };
@@ -116,7 +118,9 @@
     }
   }
 
-  /** Whatever changes a record of the latest epoch says which one it means: it may come too late. */
+  /**
+   * Whatever changes a record of the latest epoch says which one it means: it may come too late.
+   */
   private static void assertConditional(Cluster c, String sent) {
     if (c.state.count(Keys.EPOCH) == 0) {
       return;
@@ -130,7 +134,8 @@
       for (Fields f : body.maps("then")) {
         String key = f.has("write") ? f.text("write") : f.text("remove");
         boolean ours = key.startsWith(Keys.rounds(c.state.epoch()));
-        assertTrue(!ours || meant.contains(key) || c.state.count(key) == 0, "unconditional: " + key);
+        assertTrue(
+            !ours || meant.contains(key) || c.state.count(key) == 0, "unconditional: " + key);
       }
     } catch (WireException e) {
       throw new AssertionError(e);
--- a/src/test/java/fennelthread/lab/RelayTest.java
+++ b/src/test/java/fennelthread/lab/RelayTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A leader that its workers can't reach, alone and with other troubles. Workers report every 1.5 s and
- * their leases are 10 s, grants 4 s; a cut lasts longer than a lease, so that without a way around it
- * everything that runs is lost.
+ * A leader that its workers can't reach, alone and with other troubles. Workers report every 1.5 s
+ * and their leases are 10 s, grants 4 s; a cut lasts longer than a lease, so that without a way
+ * around it everything that runs is lost.
  */
 class RelayTest {
   static {
@@ -50,7 +50,9 @@
     assertTrue(c.allRun(services));
   }
 
-  /** The same in an outage of the state service, when nobody can claim: relaying is all there is. */
+  /**
+   * The same in an outage of the state service, when nobody can claim: relaying is all there is.
+   */
   @ParameterizedTest
   @ValueSource(longs = {4, 5, 6})
   void cutOffInAnOutage(long seed) {
@@ -69,7 +71,9 @@
     assertTrue(c.allRun(services));
   }
 
-  /** No path between controllers either: the siblings say through the state service what they hear. */
+  /**
+   * No path between controllers either: the siblings say through the state service what they hear.
+   */
   @ParameterizedTest
   @ValueSource(longs = {7, 8, 9})
   void cutOffWhileTheMeshIsRefused(long seed) {
@@ -93,8 +97,8 @@
   }
 
   /**
-   * One sibling is dead, the other relays. Half of the workers try the dead one first, and some of those
-   * have no time left then: twice 4 s and twice 1 s is a whole lease here.
+   * One sibling is dead, the other relays. Half of the workers try the dead one first, and some of
+   * those have no time left then: twice 4 s and twice 1 s is a whole lease here.
    */
   @ParameterizedTest
   @ValueSource(longs = {10, 11})
@@ -117,8 +121,8 @@
   }
 
   /**
-   * The leader is frozen while relayed reports wait in its buffers, and wakes when another leads: what
-   * it answers comes too late for relay and worker, and its commands are refused.
+   * The leader is frozen while relayed reports wait in its buffers, and wakes when another leads:
+   * what it answers comes too late for relay and worker, and its commands are refused.
    */
   @ParameterizedTest
   @ValueSource(longs = {16, 17})
@@ -136,7 +140,9 @@
     assertTrue(c.allRun(services));
   }
 
-  /** An old leader is not relayed to, and an old sibling relays nothing: it yields as it always did. */
+  /**
+   * An old leader is not relayed to, and an old sibling relays nothing: it yields as it always did.
+   */
   @ParameterizedTest
   @ValueSource(longs = {18, 19, 20})
   void oldAndNewSideBySide(long seed) {
@@ -158,8 +164,8 @@
   }
 
   /**
-   * The relay has passed commands on, and is cut off before it can say so: without its answer they count
-   * as ones that may be executed, until the workers' own reports come by the other sibling.
+   * The relay has passed commands on, and is cut off before it can say so: without its answer they
+   * count as ones that may be executed, until the workers' own reports come by the other sibling.
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
@@ -186,8 +192,8 @@
   }
 
   /**
-   * A leader that yielded keeps tasks alive while nobody leads, and not a moment longer than it knows:
-   * the next one counts leases from when its siblings have acknowledged its epoch.
+   * A leader that yielded keeps tasks alive while nobody leads, and not a moment longer than it
+   * knows: the next one counts leases from when its siblings have acknowledged its epoch.
    */
   @Test
   void aResignedLeaderStopsOnceAnotherLeads() throws WireException {
@@ -201,10 +207,21 @@
       String next = c.leaderOtherThan(old);
       another = next == null ? another : Math.min(another, c.world.now());
       Beat beat =
-          new Beat("n-900000", "10.9.0.1:9000", "mesa", "norte", false, 1, c.world.now(), 0,
-              Beat.NO_NOTICE, List.of());
+          new Beat(
+              "n-900000",
+              "10.9.0.1:9000",
+              "mesa",
+              "norte",
+              false,
+              1,
+              c.world.now(),
+              0,
+              Beat.NO_NOTICE,
+              List.of());
       Answer[] answer = new Answer[1];
-      c.controllers.get(old).api()
+      c.controllers
+          .get(old)
+          .api()
           .handle(
               new Request("POST", "/agent/beat", Codec.CBOR.encode(beat.write())),
               a -> answer[0] = a);
@@ -218,7 +235,9 @@
     assertTrue(another < 20_000, "another led at " + another);
   }
 
-  /** A few machines can't reach the leader, which hears all others: only their reports are relayed. */
+  /**
+   * A few machines can't reach the leader, which hears all others: only their reports are relayed.
+   */
   @Test
   void aFewMachinesCutFromTheLeaderAlone() {
     cutOffAt(21, 1_000_000, 0, c -> c.world.cut(c.leader(), "n-00001", 30_000));
--- a/src/test/java/fennelthread/lab/RestartTest.java
+++ b/src/test/java/fennelthread/lab/RestartTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Processes that end and are back within a fraction of a second, in the middle of what they do, while their
- * last messages are still under way. The rules are checked after each step; what is looked at here is that
- * nothing of what runs is lost.
+ * Processes that end and are back within a fraction of a second, in the middle of what they do,
+ * while their last messages are still under way. The rules are checked after each step; what is
+ * looked at here is that nothing of what runs is lost.
  */
 class RestartTest {
   private static final int MACHINES = 60;
@@ -27,14 +27,19 @@
   }
 
   /**
-   * The writer of a key crashes the moment the state service has applied it, before it hears so: a claim, a
-   * takeover (its leader is frozen), a word that the leader goes alone (the mesh is refused), a round's
-   * record, a job's end.
+   * The writer of a key crashes the moment the state service has applied it, before it hears so: a
+   * claim, a takeover (its leader is frozen), a word that the leader goes alone (the mesh is
+   * refused), a round's record, a job's end.
    */
   @ParameterizedTest
   @CsvSource({
-    "live/lead,crash", "live/lead,freeze", "live/epoch,freeze", "live/solo,refuse",
-    "live/round,none", "final/,none", "live/job,none"
+    "live/lead,crash",
+    "live/lead,freeze",
+    "live/epoch,freeze",
+    "live/solo,refuse",
+    "live/round,none",
+    "final/,none",
+    "live/job,none"
   })
   void crashInTheMiddle(String prefix, String trouble) {
     for (long seed = 1; seed <= 3; seed++) {
@@ -78,8 +83,8 @@
   }
 
   /**
-   * One process ends 20 times, each time soon after it is back, with a fault of its own: the others lead, and
-   * it does not hold leadership a moment at a time.
+   * One process ends 20 times, each time soon after it is back, with a fault of its own: the others
+   * lead, and it does not hold leadership a moment at a time.
    */
   @ParameterizedTest
   @ValueSource(longs = {50, 300})
@@ -98,7 +103,8 @@
         ledByFaulty += faulty.equals(c.leader()) ? 1 : 0;
       }
     }
-    System.out.printf("back after %d ms: led %d of 240 looks, %d by the faulty one%n", downMs, led, ledByFaulty);
+    System.out.printf(
+        "back after %d ms: led %d of 240 looks, %d by the faulty one%n", downMs, led, ledByFaulty);
     assertNotEquals(faulty, c.leader());
     assertTrue(led > 180, led + " of 240");
     assertTrue(ledByFaulty < 30, ledByFaulty + " of 240");
@@ -123,7 +129,10 @@
     assertTrue(c.allRun(services));
   }
 
-  /** All three every 1.5 s for 20 s, back after 50 ms or 300 ms: tasks live, and all is well 5 s later. */
+  /**
+   * All three every 1.5 s for 20 s, back after 50 ms or 300 ms: tasks live, and all is well 5 s
+   * later.
+   */
   @ParameterizedTest
   @CsvSource({"50,60", "300,60", "50,480"})
   void allOfThemAgainAndAgain(long downMs, int machines) {
@@ -196,7 +205,10 @@
     assertTrue(c.allRun(services));
   }
 
-  /** A crash of the leader, by how soon it is back: who leads next, after how long, by how many changes. */
+  /**
+   * A crash of the leader, by how soon it is back: who leads next, after how long, by how many
+   * changes.
+   */
   @Test
   @EnabledIfSystemProperty(named = "sim.restarts", matches = "true")
   void table() {
@@ -224,11 +236,12 @@
   }
 
   /**
-   * Here a dead process's address stays silent half of the time: a worker that waits 4 s for each of several
-   * in a row may have no time left of its lease.
+   * Here a dead process's address stays silent half of the time: a worker that waits 4 s for each
+   * of several in a row may have no time left of its lease.
    */
   private static void assertFewAgain(int starts, Cluster c, String what) {
-    assertTrue(c.rules.starts - starts <= 3, what + ": " + (c.rules.starts - starts) + " started again");
+    assertTrue(
+        c.rules.starts - starts <= 3, what + ": " + (c.rules.starts - starts) + " started again");
   }
 
   private static void until(Cluster c, long latest, BooleanSupplier holds) {
--- a/src/test/java/fennelthread/lab/Scenes.java
+++ b/src/test/java/fennelthread/lab/Scenes.java
@@ -7,11 +7,16 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** How most tests of clusters begin: controllers that serve, and services that run on the machines. */
+/**
+ * How most tests of clusters begin: controllers that serve, and services that run on the machines.
+ */
 final class Scenes {
   private Scenes() {}
 
-  /** A cluster that has run for 20 s, on a network that loses so large a share of packets and delivers none late. */
+  /**
+   * A cluster that has run for 20 s, on a network that loses so large a share of packets and
+   * delivers none late.
+   */
   static Cluster settled(long seed, Deployment deployment, double loss) {
     Cluster c = new Cluster(seed, deployment);
     c.world.loss = loss;
@@ -20,7 +25,10 @@
     return c;
   }
 
-  /** Services of four replicas, submitted one every so often, all of which run after {@code settleMs}. */
+  /**
+   * Services of four replicas, submitted one every so often, all of which run after {@code
+   * settleMs}.
+   */
   static List<JobSpec> services(Cluster c, int count, long everyMs, long settleMs) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < count; i++) {
--- a/src/test/java/fennelthread/lab/SimulationTest.java
+++ b/src/test/java/fennelthread/lab/SimulationTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The whole service of three controllers in simulated time, with the rules checked at each step. */
+/**
+ * The whole service of three controllers in simulated time, with the rules checked at each step.
+ */
 class SimulationTest {
 
   /** Without troubles everything submitted is done, and services run. */
@@ -42,7 +44,8 @@
 
   /** The end of a storm: the network is fine again, and all that may end does. */
   static void settle(Cluster c) {
-    // The last trouble may begin at 300 s and last for 20 s; what is late may come for a minute more.
+    // The last trouble may begin at 300 s and last for 20 s; what is late may come for a minute
+    // more.
     c.world.at(325_000, c.rules::troublesAreOver);
     c.world.runUntil(300_000);
     c.world.loss = 0;
@@ -85,9 +88,26 @@
     JobSpec small = c.job(false, 1, 0, true, false, false);
     JobSpec huge =
         new JobSpec(
-            small.id(), small.jobClass(), small.team(), false, small.priority(),
-            JobSpec.MAX_TASKS, 0.001, 0, 0.001, small.image(), 0.1, null, null, false, false, true,
-            0.2, 0, 0, JobSpec.NO_DEADLINE);
+            small.id(),
+            small.jobClass(),
+            small.team(),
+            false,
+            small.priority(),
+            JobSpec.MAX_TASKS,
+            0.001,
+            0,
+            0.001,
+            small.image(),
+            0.1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            0.2,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
     c.submit(huge);
     c.world.runUntil(1_500_000);
     assertTrue(c.rules.allCompleted(huge.id()));
@@ -172,7 +192,8 @@
     c.submit(first);
     c.world.runUntil(40_000);
     WorkerStandIn host = hostOf(c, first);
-    // Longer than a start's answer is waited for, within the lease, and the cloud takes nothing back.
+    // Longer than a start's answer is waited for, within the lease, and the cloud takes nothing
+    // back.
     c.cloud.outage(20_000);
     c.world.cut(host.name(), "nodo", 6_000);
     JobSpec second = replica(c);
@@ -185,8 +206,26 @@
   private static JobSpec replica(Cluster c) {
     JobSpec any = c.job(true, 1, 1, false, false, false);
     return new JobSpec(
-        any.id(), any.jobClass(), "roja", true, any.priority(), 1, 1, 0, 1, "img-shared", 1, null,
-        null, false, false, false, 0, 0, 0, JobSpec.NO_DEADLINE);
+        any.id(),
+        any.jobClass(),
+        "roja",
+        true,
+        any.priority(),
+        1,
+        1,
+        0,
+        1,
+        "img-shared",
+        1,
+        null,
+        null,
+        false,
+        false,
+        false,
+        0,
+        0,
+        0,
+        JobSpec.NO_DEADLINE);
   }
 
   /** A round record that arrives after a takeover must not be written: all writes are fenced. */
@@ -223,8 +262,8 @@
 
   /**
    * A new leader knows an old fleet from the cloud's list before it hears the workers. It must not
-   * take machines that were rented long ago for ones that never came up: it once returned dozens with
-   * all their tasks.
+   * take machines that were rented long ago for ones that never came up: it once returned dozens
+   * with all their tasks.
    */
   @ParameterizedTest
   @ValueSource(longs = {36, 37})
--- a/src/test/java/fennelthread/lab/TakeoverTest.java
+++ b/src/test/java/fennelthread/lab/TakeoverTest.java
@@ -17,7 +17,9 @@
   private static final int MACHINES = 200;
   private static final int SEEDS = 9;
 
-  /** Time until another leads, and until the next start, ms, for one kind of fault over many seeds. */
+  /**
+   * Time until another leads, and until the next start, ms, for one kind of fault over many seeds.
+   */
   private long[][] play(BiConsumer<Cluster, String> fault) {
     long[][] times = new long[2][SEEDS];
     for (int i = 0; i < SEEDS; i++) {
@@ -63,8 +65,9 @@
   }
 
   /**
-   * The paper's first trace with a takeover in the place of the lease's end: the leader stands still after
-   * its round's record was written, another takes over, and it wakes while its own grant would still run.
+   * The paper's first trace with a takeover in the place of the lease's end: the leader stands
+   * still after its round's record was written, another takes over, and it wakes while its own
+   * grant would still run.
    */
   @Test
   void aLeaderTakenOverFromWakesWithinItsGrant() {
@@ -108,7 +111,9 @@
     assertTrue(starts >= 25, "starts in " + starts + " of 30 seconds");
   }
 
-  /** One sibling is gone for good: the other one's promises are enough, and nobody can take over. */
+  /**
+   * One sibling is gone for good: the other one's promises are enough, and nobody can take over.
+   */
   @Test
   void oneSiblingIsGone() {
     Cluster c = settled(4);
--- a/src/test/java/fennelthread/lab/UntoldTest.java
+++ b/src/test/java/fennelthread/lab/UntoldTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Machines whose reports arrive, but which answers and commands don't reach: their workers end their tasks with
- * each lease and come back with the next session, again and again. Leases are of 10 s.
+ * Machines whose reports arrive, but which answers and commands don't reach: their workers end
+ * their tasks with each lease and come back with the next session, again and again. Leases are of
+ * 10 s.
  */
 class UntoldTest {
   private static final int MACHINES = 60;
@@ -26,15 +27,22 @@
 
   private static List<WorkerStandIn> carrying(Cluster c) {
     Set<String> names =
-        c.rules.present().stream().map(p -> p.substring(p.indexOf('@') + 1)).collect(Collectors.toSet());
+        c.rules.present().stream()
+            .map(p -> p.substring(p.indexOf('@') + 1))
+            .collect(Collectors.toSet());
     return c.cloud.machines().values().stream().filter(w -> names.contains(w.name())).toList();
   }
 
-  private static boolean nothingOn(Cluster c, List<WorkerStandIn> machines, List<JobSpec> services) {
-    return machines.stream().noneMatch(w -> services.stream().anyMatch(s -> c.rules.isOn(s.id(), w)));
+  private static boolean nothingOn(
+      Cluster c, List<WorkerStandIn> machines, List<JobSpec> services) {
+    return machines.stream()
+        .noneMatch(w -> services.stream().anyMatch(s -> c.rules.isOn(s.id(), w)));
   }
 
-  /** Their replicas are started elsewhere in the time that a silent machine's are, and they are given back. */
+  /**
+   * Their replicas are started elsewhere in the time that a silent machine's are, and they are
+   * given back.
+   */
   @ParameterizedTest
   @CsvSource({"1,1", "2,1", "3,6", "4,6", "5,6"})
   void replicasOfMachinesThatHearNothingGoElsewhere(long seed, int count) {
@@ -88,8 +96,9 @@
   }
 
   /**
-   * Two thirds of the fleet hear nothing and the cloud takes nothing back: no proof but their own next session, or
-   * that a lease is over which nobody can have renewed. What was on them runs on the others all the same.
+   * Two thirds of the fleet hear nothing and the cloud takes nothing back: no proof but their own
+   * next session, or that a lease is over which nobody can have renewed. What was on them runs on
+   * the others all the same.
    */
   @ParameterizedTest
   @CsvSource({"31,false", "32,false", "33,true", "34,true"})
@@ -129,7 +138,10 @@
     assertTrue(c.rules.isOver(job.id()));
   }
 
-  /** Heard, not told, told again, every few seconds: no rule is broken, and most of the work is done. */
+  /**
+   * Heard, not told, told again, every few seconds: no rule is broken, and most of the work is
+   * done.
+   */
   @ParameterizedTest
   @CsvSource({"51,2500", "52,4000", "53,6000", "54,11000"})
   void flapping(long seed, long everyMs) {
@@ -154,7 +166,10 @@
     c.rules.checkServed(0);
   }
 
-  /** A whole zone of two hears nothing: the other one takes over what it can, and both serve afterwards. */
+  /**
+   * A whole zone of two hears nothing: the other one takes over what it can, and both serve
+   * afterwards.
+   */
   @ParameterizedTest
   @ValueSource(longs = {61, 62})
   void aWholeZone(long seed) {
--- a/src/test/java/fennelthread/lab/UserAnswersTest.java
+++ b/src/test/java/fennelthread/lab/UserAnswersTest.java
@@ -12,8 +12,8 @@
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.WireException;
-import java.util.List;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -46,8 +46,26 @@
     // The rules must know the job as it is submitted, without the place rules that chance gave it.
     JobSpec spec =
         new JobSpec(
-            any.id(), "lote", "roja", false, any.priority(), 2, 1, 0, 2, "img", 1, null, null,
-            false, false, true, 5, 0, 0, JobSpec.NO_DEADLINE);
+            any.id(),
+            "lote",
+            "roja",
+            false,
+            any.priority(),
+            2,
+            1,
+            0,
+            2,
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            5,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
     c.rules.submits(spec);
     return spec.write();
   }
@@ -86,7 +104,8 @@
   void whatCanNeverRunIsRefused() {
     assertEquals(422, submit("nodo-0", good().with("dueno", "nadie")).status());
     assertEquals(422, submit("nodo-0", good().with("cpus", 17.0)).status());
-    assertEquals(422, submit("nodo-0", good().with("tipo", "standing").with("tareas", 61L)).status());
+    assertEquals(
+        422, submit("nodo-0", good().with("tipo", "standing").with("tareas", 61L)).status());
     assertEquals(422, submit("nodo-0", good().with("zona", "oeste")).status());
   }
 
@@ -115,9 +134,9 @@
   }
 
   /**
-   * A state service that does not answer is waited for as long as its calls take at the worst, once;
-   * whoever asks after that is told at once when to come back, and not held until a client's patience
-   * ends.
+   * A state service that does not answer is waited for as long as its calls take at the worst,
+   * once; whoever asks after that is told at once when to come back, and not held until a client's
+   * patience ends.
    */
   @Test
   void nobodyWaitsForAStateServiceThatDoesNotAnswer() {
@@ -194,8 +213,7 @@
         "withdrawn",
         ask("nodo-2", "POST", "/v1/jobs/" + id + "/withdraw", null).fields().text("estado"));
     for (String member : c.controllers.keySet()) {
-      assertEquals(
-          "withdrawn", ask(member, "GET", "/v1/jobs/" + id, null).fields().text("estado"));
+      assertEquals("withdrawn", ask(member, "GET", "/v1/jobs/" + id, null).fields().text("estado"));
       assertEquals("withdrawn", submit(member, body).fields().text("estado"));
     }
   }
@@ -206,7 +224,8 @@
     for (String member : c.controllers.keySet()) {
       // One that has never obeyed the leader: those that have and come here are passed on.
       Beat beat =
-          new Beat("n-9", "10.1.0.9:9000", "mesa", "norte", false, 1, 1, 0, Beat.NO_NOTICE, List.of());
+          new Beat(
+              "n-9", "10.1.0.9:9000", "mesa", "norte", false, 1, 1, 0, Beat.NO_NOTICE, List.of());
       Answer a = ask(member, "POST", "/agent/beat", Codec.CBOR.encode(beat.write()));
       if (member.equals(leader)) {
         assertEquals(200, a.status());
--- a/src/test/java/fennelthread/membership/TakeoverModelTest.java
+++ b/src/test/java/fennelthread/membership/TakeoverModelTest.java
@@ -13,19 +13,21 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of taking over, searched through: a leader, two siblings and the state service, with messages
- * and transactions that arrive at any later time or never, and a sibling that restarts. Whatever can happen
- * in some ticks does: the leader must never think that it may start once a takeover was applied. The leader
- * may restart too, while its last messages are under way, and lead again under the next epoch. The grant
- * is left out, as if it ran for ever. Without one of the rules the search prints the shortest way to two
- * that may start.
+ * The rules of taking over, searched through: a leader, two siblings and the state service, with
+ * messages and transactions that arrive at any later time or never, and a sibling that restarts.
+ * Whatever can happen in some ticks does: the leader must never think that it may start once a
+ * takeover was applied. The leader may restart too, while its last messages are under way, and lead
+ * again under the next epoch. The grant is left out, as if it ran for ever. Without one of the
+ * rules the search prints the shortest way to two that may start.
  */
 class TakeoverModelTest {
   private static final int TICKS = Integer.getInteger("model.ticks", 2);
   private static final int PROMISE = Integer.getInteger("model.promise", 1);
   private static final int MOST_WORDS = 2;
 
-  /** Longest sequences of steps that are looked at; the longest that breaks a rule left out has 8. */
+  /**
+   * Longest sequences of steps that are looked at; the longest that breaks a rule left out has 8.
+   */
   private static final int DEPTH = Integer.getInteger("model.depth", 11);
 
   /** What is left out. */
@@ -80,8 +82,10 @@
     int[] agreedOf = {0, 0};
     int[] takeoverOf = {0, 0};
     int[] wordOf = new int[MOST_WORDS];
+
     /** Words under way: on or off, and the revision that each is conditional on. */
     int[] sentOn = new int[MOST_WORDS];
+
     int[] sentCondition = {NONE, NONE};
 
     State copy() {
@@ -128,7 +132,19 @@
           b.append((char) ('0' + v));
         }
       }
-      for (int v : new int[] {now, alone, word, revision, leaderRevision, words, restarts, epoch, leaderRestarts, leaderEpoch}) {
+      for (int v :
+          new int[] {
+            now,
+            alone,
+            word,
+            revision,
+            leaderRevision,
+            words,
+            restarts,
+            epoch,
+            leaderRestarts,
+            leaderEpoch
+          }) {
         b.append((char) ('0' + v));
       }
       return b.toString();
@@ -321,7 +337,8 @@
 
   /** The shortest way to two that may start, if there is one. */
   private static Search.Result search(Without w) {
-    return new Search<State>(State::key, s -> steps(s, w), s -> s.epoch > s.leaderEpoch && s.mayStart())
+    return new Search<State>(
+            State::key, s -> steps(s, w), s -> s.epoch > s.leaderEpoch && s.mayStart())
         .run(new State(), DEPTH);
   }
 
@@ -338,10 +355,10 @@
   void eachRuleIsNeeded(Without w) {
     Search.Result result = search(w);
     assertTrue(
-        result.trace() != null, "without " + w + " nothing happens in " + result.states() + " states");
+        result.trace() != null,
+        "without " + w + " nothing happens in " + result.states() + " states");
     System.out.printf(
-        "without %s, %d steps: %s%n",
-        w, result.trace().size(), String.join("; ", result.trace()));
+        "without %s, %d steps: %s%n", w, result.trace().size(), String.join("; ", result.trace()));
   }
 
   @Test
@@ -349,6 +366,8 @@
     for (int n = 2; n <= 9; n++) {
       assertTrue(Promises.majority(n) + (n - Promises.majority(n)) > n - 1, n + " controllers");
     }
-    assertEquals(List.of(2, 2, 3, 3, 4), Arrays.asList(2, 3, 4, 5, 6).stream().map(Promises::majority).toList());
+    assertEquals(
+        List.of(2, 2, 3, 3, 4),
+        Arrays.asList(2, 3, 4, 5, 6).stream().map(Promises::majority).toList());
   }
 }
--- a/src/test/java/fennelthread/membership/ViewTest.java
+++ b/src/test/java/fennelthread/membership/ViewTest.java
@@ -39,9 +39,12 @@
   void marginsHold() {
     long promise =
         (long) (Constants.PROMISE_MS * (1 + 2 * Constants.CLOCK_DRIFT)) + Constants.LEASE_MARGIN_MS;
-    assertTrue(Constants.TAKEOVER_GAP_MS > promise, "a new process forgets promises still in force");
-    assertTrue(Constants.PROMISE_SPARE_MS > Constants.HAIL_MS, "alone before the next greeting is due");
-    assertTrue(Constants.PROMISE_MS > 2 * Constants.HAIL_MS * (1 + Constants.JITTER), "one lost greeting");
+    assertTrue(
+        Constants.TAKEOVER_GAP_MS > promise, "a new process forgets promises still in force");
+    assertTrue(
+        Constants.PROMISE_SPARE_MS > Constants.HAIL_MS, "alone before the next greeting is due");
+    assertTrue(
+        Constants.PROMISE_MS > 2 * Constants.HAIL_MS * (1 + Constants.JITTER), "one lost greeting");
   }
 
   @Test
--- a/src/test/java/fennelthread/mesh/GreetingTest.java
+++ b/src/test/java/fennelthread/mesh/GreetingTest.java
@@ -34,17 +34,33 @@
   void writtenAsBefore() throws WireException {
     Greeting greeting =
         new Greeting(
-            "nodo-0", "a1", 7, true, 12, 3, true, true, false, true, 0, KEEP, Map.of("n-1", "10.1.0.1:9000"), List.of("n-2"));
+            "nodo-0",
+            "a1",
+            7,
+            true,
+            12,
+            3,
+            true,
+            true,
+            false,
+            true,
+            0,
+            KEEP,
+            Map.of("n-1", "10.1.0.1:9000"),
+            List.of("n-2"));
     assertEquals(NOW, new String(Codec.JSON.encode(greeting.write()), StandardCharsets.UTF_8));
     assertEquals(greeting, read(NOW));
   }
 
-  /** The version in production says nothing of chained jobs; what a newer one says more is ignored. */
+  /**
+   * The version in production says nothing of chained jobs; what a newer one says more is ignored.
+   */
   @Test
   void olderAndNewerAreRead() throws WireException {
     assertFalse(read(NOW.replace("\"chains\":true,", "")).chains());
     assertTrue(read(NOW.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],")).chains());
     assertNull(read(NOW.replace("keep", "kept")).keep());
-    assertEquals(Constants.KEPT_NEVER, read(NOW.replace(",\"kept_ms_ago\":900", "")).keep().keptMsAgo());
+    assertEquals(
+        Constants.KEPT_NEVER, read(NOW.replace(",\"kept_ms_ago\":900", "")).keep().keptMsAgo());
   }
 }
--- a/src/test/java/fennelthread/net/InboundTest.java
+++ b/src/test/java/fennelthread/net/InboundTest.java
@@ -13,8 +13,8 @@
   private final Set<String> open = new LinkedHashSet<>();
 
   /**
-   * A fifth of the machines is cut off, and each comes back on a new connection while its old one is
-   * still open here: the old ones go, nobody else's does.
+   * A fifth of the machines is cut off, and each comes back on a new connection while its old one
+   * is still open here: the old ones go, nobody else's does.
    */
   @Test
   void staleConnectionsMakeRoomForTheirMachines() {
@@ -46,7 +46,10 @@
     assertEquals(300, open.size());
   }
 
-  /** Workers' connections are closed after an answer once so many are open that others need the rest. */
+  /**
+   * Workers' connections are closed after an answer once so many are open that others need the
+   * rest.
+   */
   @Test
   void aCrowdedProcessKeepsNoConnectionsOfWorkers() {
     Inbound<String> inbound = inbound(1_000, 100);
--- a/src/test/java/fennelthread/net/XnioHostTest.java
+++ b/src/test/java/fennelthread/net/XnioHostTest.java
@@ -35,7 +35,8 @@
         "127.0.0.1:" + freePort(),
         (request, reply) -> reply.accept(Answer.error(404, "unknown path")));
     List<SocketChannel> filling = new ArrayList<>();
-    // One that never accepts: once its queue is full, attempts hang as at a machine that is cut off.
+    // One that never accepts: once its queue is full, attempts hang as at a machine that is cut
+    // off.
     try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getByName("0.0.0.0"))) {
       for (int i = 0; i < 4; i++) {
         SocketChannel c = SocketChannel.open();
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -20,7 +20,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What is owed to whom: the order of placement and the turns, over any jobs and any sequence of arrivals. */
+/**
+ * What is owed to whom: the order of placement and the turns, over any jobs and any sequence of
+ * arrivals.
+ */
 class OrderProperties {
   private static final int TRIES = 300;
   private static final long STEP_MS = 5_000;
@@ -28,20 +31,56 @@
   /** Tasks of one CPU and two steps that come with each step: 60 at once, of 64 CPUs. */
   private static final int FLOOD = 30;
 
-  /** Longest play: at the worst 40 jobs of 12 steps, one after the other on the part that is kept. */
+  /**
+   * Longest play: at the worst 40 jobs of 12 steps, one after the other on the part that is kept.
+   */
   private static final int LONGEST_STEPS = 700;
 
   private static JobSpec spec(long order, Priority priority, double cpus) {
     return new JobSpec(
-        "job-" + order, "lote", "roja", false, priority, 1, cpus, 0, 0, "img", 1, null, null, false, false, true,
-        10, 0, 0, JobSpec.NO_DEADLINE);
+        "job-" + order,
+        "lote",
+        "roja",
+        false,
+        priority,
+        1,
+        cpus,
+        0,
+        0,
+        "img",
+        1,
+        null,
+        null,
+        false,
+        false,
+        true,
+        10,
+        0,
+        0,
+        JobSpec.NO_DEADLINE);
   }
 
   private static Snapshot.Need need(
-      long order, Priority priority, double cpus, boolean late, boolean guaranteed, double work, Turns.Turn turn) {
+      long order,
+      Priority priority,
+      double cpus,
+      boolean late,
+      boolean guaranteed,
+      double work,
+      Turns.Turn turn) {
     return new Snapshot.Need(
-        spec(order, priority, cpus), priority, priority, List.of(0), Map.of(), guaranteed, false, late, work, 0,
-        turn, order);
+        spec(order, priority, cpus),
+        priority,
+        priority,
+        List.of(0),
+        Map.of(),
+        guaranteed,
+        false,
+        late,
+        work,
+        0,
+        turn,
+        order);
   }
 
   @Provide
@@ -54,14 +93,21 @@
                 Arbitraries.of(0.1, 1.0, 1.0, 400.0),
                 Arbitraries.of(Turns.Turn.class))
             .as((p, late, guaranteed, work, turn) -> need(0, p, 1, late, guaranteed, work, turn));
-    return one.list().ofSize(3)
+    return one.list()
+        .ofSize(3)
         .map(
             list -> {
               List<Snapshot.Need> numbered = new ArrayList<>();
               for (Snapshot.Need n : list) {
                 numbered.add(
                     need(
-                        numbered.size(), n.priority(), 1, n.late(), n.withinGuarantee(), n.work(), n.turn()));
+                        numbered.size(),
+                        n.priority(),
+                        1,
+                        n.late(),
+                        n.withinGuarantee(),
+                        n.work(),
+                        n.turn()));
               }
               return numbered;
             });
@@ -83,7 +129,10 @@
     }
   }
 
-  /** One arrival: how urgent, how large, how long its one task runs, whether its team has a guarantee. */
+  /**
+   * One arrival: how urgent, how large, how long its one task runs, whether its team has a
+   * guarantee.
+   */
   private record Arrival(Priority priority, double cpus, int runsSteps, boolean guaranteed) {}
 
   /** A job that waits or runs in the model below. */
@@ -113,8 +162,8 @@
   }
 
   /**
-   * Whatever arrives beside urgent small work of a guarantee, which comes without end and fills the fleet, each
-   * job's task is done in the end: nobody waits for ever.
+   * Whatever arrives beside urgent small work of a guarantee, which comes without end and fills the
+   * fleet, each job's task is done in the end: nobody waits for ever.
    */
   @Property(tries = TRIES, seed = "20261202")
   void nobodyWaitsForEver(@ForAll("arrivals") List<List<Arrival>> steps) {
@@ -161,8 +210,13 @@
       boolean runs = j.startedAt >= 0;
       turns.look(
           new Turns.Candidate(
-              "job-" + j.order, now - j.at, j.what.cpus, false, runs ? j.order : null,
-              runs ? (now - j.startedAt) / 1000.0 : 0, j.what.runsSteps * STEP_MS / 1000.0));
+              "job-" + j.order,
+              now - j.at,
+              j.what.cpus,
+              false,
+              runs ? j.order : null,
+              runs ? (now - j.startedAt) / 1000.0 : 0,
+              j.what.runsSteps * STEP_MS / 1000.0));
     }
     for (Job j : jobs) {
       byId.put("job-" + j.order, j);
@@ -170,7 +224,12 @@
         double work = j.what.cpus * Math.pow(0.5, (now - j.at) / Constants.WORK_HALVED_MS);
         needs.add(
             need(
-                j.order, j.what.priority, j.what.cpus, false, j.what.guaranteed, work,
+                j.order,
+                j.what.priority,
+                j.what.cpus,
+                false,
+                j.what.guaranteed,
+                work,
                 turns.of("job-" + j.order)));
       }
     }
@@ -184,13 +243,35 @@
           free -= j.what.cpus;
           running.add(
               new Snapshot.Running(
-                  spec(j.order, j.what.priority, j.what.cpus), j.what.priority, 0, j.order, name, false,
-                  j.what.cpus, 0, 0, j.startedAt, j.what.runsSteps * STEP_MS / 1000.0));
+                  spec(j.order, j.what.priority, j.what.cpus),
+                  j.what.priority,
+                  0,
+                  j.order,
+                  name,
+                  false,
+                  j.what.cpus,
+                  0,
+                  0,
+                  j.startedAt,
+                  j.what.runsSteps * STEP_MS / 1000.0));
         }
       }
       hosts.add(
           new Snapshot.Host(
-              name, "mesa", "z", false, 16, free, 0, 64, 1, 20, Set.of("img"), Set.of(), Map.of(), running));
+              name,
+              "mesa",
+              "z",
+              false,
+              16,
+              free,
+              0,
+              64,
+              1,
+              20,
+              Set.of("img"),
+              Set.of(),
+              Map.of(),
+              running));
     }
     Map<String, Snapshot.Use> teams = Map.of("roja", new Snapshot.Use(0, 0, 0, 0));
     Plan plan = Planner.plan(new Snapshot(hosts, needs, Set.of(), turns.kept(), teams, now, 1_000));
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -122,7 +122,10 @@
       Room best = null;
       if (missing == 0 && starts.size() < snapshot.mostStarts()) {
         best = bestRoom(need, zones);
-        if (best != null && spec.service() && fetchSeconds(spec, best) > 1 && makeRoom(need, zones, true)) {
+        if (best != null
+            && spec.service()
+            && fetchSeconds(spec, best) > 1
+            && makeRoom(need, zones, true)) {
           // Less urgent work leaves a machine that has the image: sooner than fetching it here.
           best = null;
           teams.put(spec.team(), use.plus(spec.cpus(), spec.cards()));
@@ -160,8 +163,7 @@
     if (host.spot() && !spec.spotAllowed()) {
       return false;
     }
-    if ((spec.onePlace() || spec.apart())
-        && zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
+    if ((spec.onePlace() || spec.apart()) && zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
       // It may be in any zone: neither rule can be kept for sure until the machine is heard.
       return false;
     }
@@ -201,7 +203,9 @@
         : alone * (1 + room.fetching.size());
   }
 
-  /** Lower is better: seconds until the task would run, then how empty the machine would be left. */
+  /**
+   * Lower is better: seconds until the task would run, then how empty the machine would be left.
+   */
   private static double score(Snapshot.Need need, Room room) {
     JobSpec spec = need.spec();
     double fetch = fetchSeconds(spec, room);
@@ -218,7 +222,10 @@
     return fetch * (need.waitMatters() ? 10 : 1) + left + spot;
   }
 
-  /** Room that is being made, or comes by itself in time, or is made by stopping others, or is kept free. */
+  /**
+   * Room that is being made, or comes by itself in time, or is made by stopping others, or is kept
+   * free.
+   */
   private void awaitRoom(Snapshot.Need need, Map<String, Integer> zones) {
     boolean found =
         takeComing(need, zones, false)
@@ -311,7 +318,8 @@
       if (victims == null) {
         continue;
       }
-      double lost = victims.stream().mapToDouble(v -> v.runS(snapshot.nowMs()) * Math.max(1, v.cpus())).sum();
+      double lost =
+          victims.stream().mapToDouble(v -> v.runS(snapshot.nowMs()) * Math.max(1, v.cpus())).sum();
       double cost = lost + 100 * score(need, room);
       if (cost < bestCost) {
         best = room;
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -19,21 +19,61 @@
 
   private static JobSpec job(String id, String team, Priority priority, int tasks, double cpus) {
     return new JobSpec(
-        id, "lote", team, false, priority, tasks, cpus, 0, 1, "img", 1, null, null, false, false,
-        true, 10, 0, 0, JobSpec.NO_DEADLINE);
+        id,
+        "lote",
+        team,
+        false,
+        priority,
+        tasks,
+        cpus,
+        0,
+        1,
+        "img",
+        1,
+        null,
+        null,
+        false,
+        false,
+        true,
+        10,
+        0,
+        0,
+        JobSpec.NO_DEADLINE);
   }
 
   private static Snapshot.Host host(
       String name, double total, double free, String image, Snapshot.Running... running) {
     return new Snapshot.Host(
-        name, "mesa", "z", false, total, free, 0, 64, 1, 20,
-        image == null ? Set.of() : Set.of(image), Set.of(), Map.of(), List.of(running));
+        name,
+        "mesa",
+        "z",
+        false,
+        total,
+        free,
+        0,
+        64,
+        1,
+        20,
+        image == null ? Set.of() : Set.of(image),
+        Set.of(),
+        Map.of(),
+        List.of(running));
   }
 
   /** A task of 4 CPUs that runs on machine a since {@code runS} seconds. */
   private static Snapshot.Running running(String id, String team, Priority priority, long runS) {
     return new Snapshot.Running(
-        job(id, team, priority, 1, 4), priority, 0, 1, "a", false, 4, 0, 1, NOW_MS - runS * 1000, 60);
+        job(id, team, priority, 1, 4),
+        priority,
+        0,
+        1,
+        "a",
+        false,
+        4,
+        0,
+        1,
+        NOW_MS - runS * 1000,
+        60);
   }
 
   private static Snapshot snapshot(
@@ -46,12 +86,23 @@
     for (int i = 0; i < count; i++) {
       tasks.add(i);
     }
-    return new Snapshot.Need(spec, spec.priority(), spec.priority(), tasks, Map.of(), guaranteed, false, false, 1, 0, Turns.Turn.USUAL, 1);
+    return new Snapshot.Need(
+        spec,
+        spec.priority(),
+        spec.priority(),
+        tasks,
+        Map.of(),
+        guaranteed,
+        false,
+        false,
+        1,
+        0,
+        Turns.Turn.USUAL,
+        1);
   }
 
   private static Map<String, Snapshot.Use> teams(double cap) {
-    return Map.of(
-        "roja", new Snapshot.Use(0, 0, cap, 0), "azul", new Snapshot.Use(0, 0, cap, 0));
+    return Map.of("roja", new Snapshot.Use(0, 0, cap, 0), "azul", new Snapshot.Use(0, 0, cap, 0));
   }
 
   @Test
@@ -96,8 +147,17 @@
   void roomBeingMadeIsNotGivenAway() {
     Snapshot.Running leaving =
         new Snapshot.Running(
-            job("job-8", "azul", Priority.BEST_EFFORT, 1, 2), Priority.BEST_EFFORT, 0, 1, "a",
-            true, 2, 0, 1, NOW_MS, 60);
+            job("job-8", "azul", Priority.BEST_EFFORT, 1, 2),
+            Priority.BEST_EFFORT,
+            0,
+            1,
+            "a",
+            true,
+            2,
+            0,
+            1,
+            NOW_MS,
+            60);
     List<Snapshot.Need> needs =
         List.of(
             need(job("job-1", "roja", Priority.STANDARD, 1, 4), false, 1),
@@ -105,7 +165,13 @@
     Plan plan =
         Planner.plan(
             new Snapshot(
-                List.of(host("a", 4, 2, null, leaving)), needs, Set.of(), Set.of(), teams(0), NOW_MS, 10));
+                List.of(host("a", 4, 2, null, leaving)),
+                needs,
+                Set.of(),
+                Set.of(),
+                teams(0),
+                NOW_MS,
+                10));
     assertTrue(plan.starts().isEmpty(), plan.starts().toString());
     assertTrue(plan.stops().isEmpty());
   }
@@ -117,14 +183,34 @@
     Snapshot.Running other = running("job-9", "azul", Priority.STANDARD, 1);
     Snapshot.Need lent =
         new Snapshot.Need(
-            need, Priority.URGENT, Priority.URGENT, List.of(0), Map.of(), false, false, false, 1,
-            0, Turns.Turn.USUAL, 1);
+            need,
+            Priority.URGENT,
+            Priority.URGENT,
+            List.of(0),
+            Map.of(),
+            false,
+            false,
+            false,
+            1,
+            0,
+            Turns.Turn.USUAL,
+            1);
     List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, other));
     assertEquals(List.of(other), Planner.plan(snapshot(hosts, lent, Set.of())).stops());
     Snapshot.Need patient =
         new Snapshot.Need(
-            need, Priority.URGENT, Priority.BEST_EFFORT, List.of(0), Map.of(), false, false, false,
-            1, 0, Turns.Turn.USUAL, 1);
+            need,
+            Priority.URGENT,
+            Priority.BEST_EFFORT,
+            List.of(0),
+            Map.of(),
+            false,
+            false,
+            false,
+            1,
+            0,
+            Turns.Turn.USUAL,
+            1);
     assertTrue(Planner.plan(snapshot(hosts, patient, Set.of())).stops().isEmpty());
     Snapshot.Running needed =
         new Snapshot.Running(need, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
@@ -147,11 +233,44 @@
     List<Snapshot.Need> needs =
         List.of(
             new Snapshot.Need(
-                late, late.priority(), late.priority(), List.of(0), Map.of(), false, false, true, 10, 0, Turns.Turn.USUAL, 1),
+                late,
+                late.priority(),
+                late.priority(),
+                List.of(0),
+                Map.of(),
+                false,
+                false,
+                true,
+                10,
+                0,
+                Turns.Turn.USUAL,
+                1),
             new Snapshot.Need(
-                large, large.priority(), large.priority(), List.of(0), Map.of(), false, false, false, 900, 0, Turns.Turn.USUAL, 2),
+                large,
+                large.priority(),
+                large.priority(),
+                List.of(0),
+                Map.of(),
+                false,
+                false,
+                false,
+                900,
+                0,
+                Turns.Turn.USUAL,
+                2),
             new Snapshot.Need(
-                small, small.priority(), small.priority(), List.of(0), Map.of(), false, false, false, 90, 0, Turns.Turn.USUAL, 3));
+                small,
+                small.priority(),
+                small.priority(),
+                List.of(0),
+                Map.of(),
+                false,
+                false,
+                false,
+                90,
+                0,
+                Turns.Turn.USUAL,
+                3));
     Plan plan =
         Planner.plan(
             new Snapshot(
@@ -162,19 +281,39 @@
 
   private static Snapshot.Running small(int attempt, String machine, double ranS, double takesS) {
     return new Snapshot.Running(
-        job("job-9", "azul", Priority.BEST_EFFORT, 64, 0.5), Priority.BEST_EFFORT, attempt, attempt, machine,
-        false, 0.5, 0, 0.1, NOW_MS - (long) (ranS * 1000), takesS);
+        job("job-9", "azul", Priority.BEST_EFFORT, 64, 0.5),
+        Priority.BEST_EFFORT,
+        attempt,
+        attempt,
+        machine,
+        false,
+        0.5,
+        0,
+        0.1,
+        NOW_MS - (long) (ranS * 1000),
+        takesS);
   }
 
   private static Snapshot.Need patient(JobSpec spec, double patienceS, Turns.Turn turn) {
     return new Snapshot.Need(
-        spec, spec.priority(), spec.priority(), List.of(0), Map.of(), false, false, false, 100, patienceS,
-        turn, 1);
+        spec,
+        spec.priority(),
+        spec.priority(),
+        List.of(0),
+        Map.of(),
+        false,
+        false,
+        false,
+        100,
+        patienceS,
+        turn,
+        1);
   }
 
   /**
-   * A third of a guest's starts was lost to tasks of four CPUs that had sixteen small ones stopped, each of which
-   * would have ended within seconds. Who has the time waits for them, and nobody else gets their room.
+   * A third of a guest's starts was lost to tasks of four CPUs that had sixteen small ones stopped,
+   * each of which would have ended within seconds. Who has the time waits for them, and nobody else
+   * gets their room.
    */
   @Test
   void roomThatComesFreeByItselfIsWaitedFor() {
@@ -198,13 +337,21 @@
             new Snapshot(
                 List.of(host("a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.Running[0]))),
                 List.of(patient(four, 5, Turns.Turn.USUAL), patient(guest, 5, Turns.Turn.USUAL)),
-                Set.of(), Set.of(), teams(0), NOW_MS, 10));
+                Set.of(),
+                Set.of(),
+                teams(0),
+                NOW_MS,
+                10));
     assertTrue(next.starts().isEmpty() && next.stops().isEmpty(), next.toString());
     assertEquals(
-        8, Planner.plan(snapshot(hosts, patient(four, 0, Turns.Turn.USUAL), Set.of())).stops().size());
+        8,
+        Planner.plan(snapshot(hosts, patient(four, 0, Turns.Turn.USUAL), Set.of())).stops().size());
   }
 
-  /** A task as large as a machine never finds one free while small ones keep coming: one is kept for it. */
+  /**
+   * A task as large as a machine never finds one free while small ones keep coming: one is kept for
+   * it.
+   */
   @Test
   void aMachineIsKeptFreeForTheLargest() {
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
@@ -216,10 +363,16 @@
       Plan plan =
           Planner.plan(
               new Snapshot(
-                  hosts, List.of(patient(small, 0, Turns.Turn.USUAL), patient(whole, 0, turn)), Set.of(),
-                  Set.of(), teams(0), NOW_MS, 10));
+                  hosts,
+                  List.of(patient(small, 0, Turns.Turn.USUAL), patient(whole, 0, turn)),
+                  Set.of(),
+                  Set.of(),
+                  teams(0),
+                  NOW_MS,
+                  10));
       assertEquals(
-          turn == Turns.Turn.FIRST ? List.of() : List.of(new Plan.Start(small, 0, "a")), plan.starts());
+          turn == Turns.Turn.FIRST ? List.of() : List.of(new Plan.Start(small, 0, "a")),
+          plan.starts());
       assertTrue(plan.stops().isEmpty());
     }
   }
@@ -244,8 +397,26 @@
   void replicasTakeTheMachineThatHasTheImage() {
     JobSpec service =
         new JobSpec(
-            "job-1", "servicio", "roja", true, Priority.CRITICAL, 1, 4, 0, 1, "img", 3, null, null,
-            false, false, false, 0, 0, 0, JobSpec.NO_DEADLINE);
+            "job-1",
+            "servicio",
+            "roja",
+            true,
+            Priority.CRITICAL,
+            1,
+            4,
+            0,
+            1,
+            "img",
+            3,
+            null,
+            null,
+            false,
+            false,
+            false,
+            0,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
     Snapshot.Running low = running("job-8", "azul", Priority.STANDARD, 5);
     Plan plan =
         Planner.plan(
@@ -263,16 +434,13 @@
     Snapshot.Running urgent = running("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
     List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, borrowed));
-    assertEquals(
-        1, Planner.plan(snapshot(hosts, need(spec, true, 1), Set.of())).stops().size());
-    assertEquals(
-        0, Planner.plan(snapshot(hosts, need(spec, false, 1), Set.of())).stops().size());
+    assertEquals(1, Planner.plan(snapshot(hosts, need(spec, true, 1), Set.of())).stops().size());
+    assertEquals(0, Planner.plan(snapshot(hosts, need(spec, false, 1), Set.of())).stops().size());
     // Borrowed work of higher priority would be placed first and take the room back.
     assertEquals(
         0,
         Planner.plan(
-                snapshot(
-                    List.of(host("a", 4, 0, null, urgent)), need(spec, true, 1), Set.of()))
+                snapshot(List.of(host("a", 4, 0, null, urgent)), need(spec, true, 1), Set.of()))
             .stops()
             .size());
   }
@@ -319,15 +487,34 @@
         }
         running.add(
             new Snapshot.Running(
-                spec, lent(r, spec), 0, k, "m" + i, r.nextInt(5) == 0, spec.cpus(), 0, spec.memGb(),
+                spec,
+                lent(r, spec),
+                0,
+                k,
+                "m" + i,
+                r.nextInt(5) == 0,
+                spec.cpus(),
+                0,
+                spec.memGb(),
                 r.nextInt(6) == 0 ? -1 : NOW_MS - r.nextInt(20) * 500L,
                 r.nextInt(3) == 0 ? 0 : 1 + r.nextInt(20)));
       }
       hosts.add(
           new Snapshot.Host(
-              "m" + i, r.nextBoolean() ? "mesa" : "torre", "z" + r.nextInt(3), r.nextBoolean(), 16,
-              r.nextInt(4) == 0 ? r.nextInt(17) : r.nextInt(3), r.nextInt(3), r.nextInt(40), 1, 20,
-              Set.of("img" + r.nextInt(3)), Set.of(), Map.of("lote", r.nextInt(3)), running));
+              "m" + i,
+              r.nextBoolean() ? "mesa" : "torre",
+              "z" + r.nextInt(3),
+              r.nextBoolean(),
+              16,
+              r.nextInt(4) == 0 ? r.nextInt(17) : r.nextInt(3),
+              r.nextInt(3),
+              r.nextInt(40),
+              1,
+              20,
+              Set.of("img" + r.nextInt(3)),
+              Set.of(),
+              Map.of("lote", r.nextInt(3)),
+              running));
     }
     List<Snapshot.Need> needs = new ArrayList<>();
     for (int i = 0; i < 1 + r.nextInt(6); i++) {
@@ -335,11 +522,26 @@
       boolean apart = r.nextInt(3) == 0;
       JobSpec spec =
           new JobSpec(
-              "job-" + i, "lote", r.nextBoolean() ? "roja" : "azul", r.nextBoolean(),
-              Priority.values()[r.nextInt(4)], tasks, r.nextInt(5), r.nextInt(4) / 3, r.nextInt(8),
-              "img" + r.nextInt(3), 2, r.nextBoolean() ? null : List.of("torre"),
-              r.nextInt(4) == 0 ? "z1" : null, !apart && r.nextInt(3) == 0, apart, r.nextBoolean(),
-              5, 0, 0, JobSpec.NO_DEADLINE);
+              "job-" + i,
+              "lote",
+              r.nextBoolean() ? "roja" : "azul",
+              r.nextBoolean(),
+              Priority.values()[r.nextInt(4)],
+              tasks,
+              r.nextInt(5),
+              r.nextInt(4) / 3,
+              r.nextInt(8),
+              "img" + r.nextInt(3),
+              2,
+              r.nextBoolean() ? null : List.of("torre"),
+              r.nextInt(4) == 0 ? "z1" : null,
+              !apart && r.nextInt(3) == 0,
+              apart,
+              r.nextBoolean(),
+              5,
+              0,
+              0,
+              JobSpec.NO_DEADLINE);
       Map<String, Integer> zones = r.nextInt(3) == 0 ? Map.of("z" + r.nextInt(3), 1) : Map.of();
       List<Integer> list = new ArrayList<>();
       for (int t = zones.isEmpty() ? 0 : 1; t < tasks; t++) {
@@ -348,8 +550,18 @@
       Priority lent = lent(r, spec);
       needs.add(
           new Snapshot.Need(
-              spec, lent, r.nextBoolean() ? lent : spec.priority(), list, zones, r.nextBoolean(), r.nextBoolean(), r.nextInt(4) == 0,
-              r.nextInt(9), r.nextInt(3) * 2.5, Turns.Turn.values()[r.nextInt(3)], i));
+              spec,
+              lent,
+              r.nextBoolean() ? lent : spec.priority(),
+              list,
+              zones,
+              r.nextBoolean(),
+              r.nextBoolean(),
+              r.nextInt(4) == 0,
+              r.nextInt(9),
+              r.nextInt(3) * 2.5,
+              Turns.Turn.values()[r.nextInt(3)],
+              i));
     }
     Map<String, Snapshot.Use> teams =
         Map.of(
@@ -375,7 +587,10 @@
     for (Plan.Start start : plan.starts()) {
       JobSpec spec = start.spec();
       Snapshot.Host host =
-          s.hosts().stream().filter(h -> h.name().equals(start.machine())).findFirst().orElseThrow();
+          s.hosts().stream()
+              .filter(h -> h.name().equals(start.machine()))
+              .findFirst()
+              .orElseThrow();
       double[] used = byHost.computeIfAbsent(host.name(), k -> new double[3]);
       used[0] += spec.cpus();
       used[1] += spec.cards();
--- a/src/test/java/fennelthread/relay/CourierTest.java
+++ b/src/test/java/fennelthread/relay/CourierTest.java
@@ -6,15 +6,15 @@
 
 import fennelthread.Constants;
 import fennelthread.fleet.Fleet;
-import fennelthread.fleet.ZoneWatch;
 import fennelthread.fleet.Machine;
+import fennelthread.fleet.ZoneWatch;
 import fennelthread.mesh.Greeting;
 import fennelthread.mesh.Mesh;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
-import fennelthread.net.Wake;
 import fennelthread.net.Request;
+import fennelthread.net.Wake;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
@@ -68,20 +68,42 @@
       };
   private final Settings settings =
       new Settings(
-          "nodo-0", "norte", "10.0.0.1:8080", "10.0.0.1:8081",
-          List.of(new Settings.Sibling("nodo-1", "here", "10.0.0.2:8081")), "10.2.0.2:8443",
-          "10.2.0.1:2379", List.of("norte"), Map.of(), List.of(),
-          new Settings.Workers(1_500, 10_000, 30_000), new Settings.State(500, 200, 8_192, 8),
-          new Settings.Cloud(5, 2_000), 500);
+          "nodo-0",
+          "norte",
+          "10.0.0.1:8080",
+          "10.0.0.1:8081",
+          List.of(new Settings.Sibling("nodo-1", "here", "10.0.0.2:8081")),
+          "10.2.0.2:8443",
+          "10.2.0.1:2379",
+          List.of("norte"),
+          Map.of(),
+          List.of(),
+          new Settings.Workers(1_500, 10_000, 30_000),
+          new Settings.State(500, 200, 8_192, 8),
+          new Settings.Cloud(5, 2_000),
+          500);
   private final Mesh mesh =
       new Mesh(
-          host, settings,
+          host,
+          settings,
           () -> new Greeting("nodo-0", "a", 7, true, 0, 0, false),
-          Map::of, g -> {});
+          Map::of,
+          g -> {});
   private final Hearing hearing = new Hearing(1_500);
   private final Courier courier = new Courier(host, settings, mesh, hearing, () -> 7);
   private final Machine machine =
-      new Fleet(host, settings, 7, null, () -> 0, Map::of, courier, ZoneWatch.NONE, new Wake(host), null).learn("n-1", "10.1.0.1:9000");
+      new Fleet(
+              host,
+              settings,
+              7,
+              null,
+              () -> 0,
+              Map::of,
+              courier,
+              ZoneWatch.NONE,
+              new Wake(host),
+              null)
+          .learn("n-1", "10.1.0.1:9000");
   private final List<Object> outcomes = new ArrayList<>();
 
   @BeforeEach
@@ -102,7 +124,10 @@
   private Sent send(boolean spare) {
     Call call = Call.post("/commands", Codec.CBOR, Order.write(7L << 20, 1, List.of()));
     courier.send(
-        machine, machine.address(), spare ? call.asSpare() : call, 2_500,
+        machine,
+        machine.address(),
+        spare ? call.asSpare() : call,
+        2_500,
         answer -> outcomes.add(answer == null ? "none" : answer.status()),
         tried -> outcomes.add("unsent"));
     return sent.get(sent.size() - 1);
@@ -132,7 +157,8 @@
       RelayWire.Commands commands =
           new RelayWire.Commands(epoch, "10.1.0.1:9000", 2_500, false, Fields.create());
       Answer[] answer = new Answer[1];
-      courier.service((beat, e, from) -> null)
+      courier
+          .service((beat, e, from) -> null)
           .handle(
               new Request("POST", RelayWire.COMMANDS, Codec.JSON.encode(commands.write())),
               a -> answer[0] = a);
--- a/src/test/java/fennelthread/relay/HearingTest.java
+++ b/src/test/java/fennelthread/relay/HearingTest.java
@@ -8,7 +8,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When a leader takes itself for deaf: soon where many are due, never by chance, late if it was late. */
+/**
+ * When a leader takes itself for deaf: soon where many are due, never by chance, late if it was
+ * late.
+ */
 class HearingTest {
   private static final long REPORT_MS = 4_000;
 
@@ -73,7 +76,9 @@
     assertTrue(hearing.look(21_000, 1_000));
   }
 
-  /** A way that opens one way only closes the ears again: direct answers are then believed later. */
+  /**
+   * A way that opens one way only closes the ears again: direct answers are then believed later.
+   */
   @Test
   void earsThatCloseAgainAreBelievedLater() {
     Hearing hearing = new Hearing(REPORT_MS);
--- a/src/test/java/fennelthread/wire/CodecTest.java
+++ b/src/test/java/fennelthread/wire/CodecTest.java
@@ -45,8 +45,9 @@
   @Test
   void absentMeansNull() throws WireException {
     JobSpec spec =
-        JobSpec.read(overCbor(JOB.replace("'modelos':['g4'],'zona':null,", "").replace(
-            "'plazo_s':900.0,", "")));
+        JobSpec.read(
+            overCbor(
+                JOB.replace("'modelos':['g4'],'zona':null,", "").replace("'plazo_s':900.0,", "")));
     assertNull(spec.types());
     assertEquals(JobSpec.NO_DEADLINE, spec.deadlineS());
   }
@@ -71,8 +72,7 @@
         "'imagen':'img-03'|'imagen':''|imagen",
       })
   void theFieldAtFaultIsNamed(String part, String wrong, String field) throws WireException {
-    Fields body =
-        overCbor(JOB.replace(part.replace("''", "'"), wrong == null ? "" : wrong));
+    Fields body = overCbor(JOB.replace(part.replace("''", "'"), wrong == null ? "" : wrong));
     WireException e = assertThrows(WireException.class, () -> JobSpec.read(body));
     assertEquals(field, e.field());
   }
