--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -1,43 +1,43 @@
 package fennelthread;
 
 import fennelthread.api.Api;
-import fennelthread.fleet.Arrivals;
+import fennelthread.election.Membership;
 import fennelthread.fleet.Cloud;
+import fennelthread.fleet.ReportOrder;
 import fennelthread.handover.Handover;
 import fennelthread.health.HeapGuard;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
 import fennelthread.jobs.JobTable;
-import fennelthread.keep.Bounds;
-import fennelthread.keep.Keeper;
-import fennelthread.keep.Withdrawals;
-import fennelthread.lead.Lease;
-import fennelthread.lead.Term;
-import fennelthread.membership.Membership;
-import fennelthread.mesh.Greeting;
-import fennelthread.mesh.Mesh;
+import fennelthread.leader.Lease;
+import fennelthread.leader.Term;
+import fennelthread.leaserenewal.CancellationLog;
+import fennelthread.leaserenewal.FollowerLeaseRenewer;
+import fennelthread.leaserenewal.RenewalBounds;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
 import fennelthread.net.Service;
-import fennelthread.net.Wake;
-import fennelthread.relay.Courier;
-import fennelthread.relay.Hearing;
+import fennelthread.net.StallDetector;
+import fennelthread.peers.PeerHeartbeat;
+import fennelthread.peers.PeerHeartbeats;
+import fennelthread.relay.CommandSender;
 import fennelthread.relay.Leader;
-import fennelthread.relay.Petition;
+import fennelthread.relay.LeaderReachability;
 import fennelthread.relay.Relay;
+import fennelthread.relay.UnreachableLeaderNotice;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.Flavor;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.Redirect;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerReport;
 import fennelthread.zones.Zones;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -58,27 +58,27 @@
   private final StateClient state;
   private final Replica replica;
   private final JobTable table = new JobTable();
-  private final Withdrawals withdrawals;
+  private final CancellationLog withdrawals;
   private final JobStore store;
   private final Cloud cloud;
   private final Lease lease;
-  private final Mesh mesh;
+  private final PeerHeartbeats mesh;
   private final Api api;
-  private final Hearing hearing;
+  private final LeaderReachability hearing;
   private final Relay relay;
-  private final Courier courier;
-  private final Petition petition;
+  private final CommandSender courier;
+  private final UnreachableLeaderNotice petition;
   private final String incarnation;
   private final Map<String, Long> beatsHeard = new LinkedHashMap<>();
   private final Map<String, String> addresses = new LinkedHashMap<>();
-  private Map<String, Flavor> flavors = new LinkedHashMap<>();
+  private Map<String, MachineType> flavors = new LinkedHashMap<>();
   private final Handover handover;
   private final HeapGuard heap;
   private final Membership membership;
-  private final Keeper keeper;
+  private final FollowerLeaseRenewer keeper;
   private final Zones zones;
-  private final Wake wake;
-  private final Arrivals arrivals = new Arrivals();
+  private final StallDetector wake;
+  private final ReportOrder arrivals = new ReportOrder();
   private Term term;
   private Term resigned;
   private long ledSince;
@@ -96,7 +96,8 @@
     replica.listen(table);
     replica.listen((key, value, revision) -> changed(key, value));
     this.withdrawals =
-        new Withdrawals(host, 2 * (settings.workers().cancelMs() + settings.workers().leaseMs()));
+        new CancellationLog(
+            host, 2 * (settings.workers().cancelMs() + settings.workers().leaseMs()));
     table.listen(
         new JobTable.Listener() {
           @Override
@@ -130,16 +131,17 @@
                 Controller.this.deposed();
               }
             });
-    this.mesh = new Mesh(host, settings, this::greeting, this::workers, this::heard);
-    this.hearing = new Hearing(settings.workers().reportMs());
+    this.mesh = new PeerHeartbeats(host, settings, this::greeting, this::workers, this::heard);
+    this.hearing = new LeaderReachability(settings.workers().reportMs());
     this.relay = new Relay(host, settings, mesh);
-    this.courier = new Courier(host, settings, mesh, hearing, lease::highestEpoch);
-    this.petition = new Petition(host, state, replica, settings.member(), this::heedPetition);
+    this.courier = new CommandSender(host, settings, mesh, hearing, lease::highestEpoch);
+    this.petition =
+        new UnreachableLeaderNotice(host, state, replica, settings.member(), this::heedPetition);
     this.heap = new HeapGuard(host, this::census, store::shed);
     this.membership = new Membership(host, settings, mesh, state, replica, lease);
     this.handover = new Handover(state, mesh);
     this.keeper =
-        new Keeper(
+        new FollowerLeaseRenewer(
             host,
             settings,
             mesh,
@@ -149,7 +151,7 @@
             lease::epoch,
             lease::highestEpoch);
     this.zones = new Zones(settings);
-    this.wake = new Wake(host);
+    this.wake = new StallDetector(host);
     mesh.serve("/relay/", courier.service(this::relayed));
     this.api =
         new Api(
@@ -167,13 +169,13 @@
   /** Sets it going. */
   public void start() {
     log.info("{} starts, incarnation {}", settings.member(), incarnation);
-    if (Bounds.shortfallMs(settings.workers()) > 0) {
+    if (RenewalBounds.shortfallMs(settings.workers()) > 0) {
       log.warn(
           "cancel_s of {} ms leaves too little room beside lease_s of {} ms: a cut-off task may outlive its"
               + " withdrawal by {} ms",
           settings.workers().cancelMs(),
           settings.workers().leaseMs(),
-          Bounds.shortfallMs(settings.workers()));
+          RenewalBounds.shortfallMs(settings.workers()));
     }
     replica.start();
     replica.onAdvance(this::loaded);
@@ -225,15 +227,15 @@
   private void changed(String key, Fields value) {
     if (key.equals(Keys.FLAVORS) && value != null && flavors.isEmpty()) {
       try {
-        setFlavors(Flavor.readAll(value));
+        setFlavors(MachineType.readAll(value));
       } catch (WireException e) {
         log.error("unreadable {}: {}", key, e.getMessage());
       }
     }
   }
 
-  private void setFlavors(List<Flavor> list) {
-    Map<String, Flavor> map = new LinkedHashMap<>();
+  private void setFlavors(List<MachineType> list) {
+    Map<String, MachineType> map = new LinkedHashMap<>();
     list.forEach(f -> map.put(f.name(), f));
     flavors = map;
   }
@@ -255,13 +257,13 @@
         });
   }
 
-  private void keepFlavors(List<Flavor> list) {
+  private void keepFlavors(List<MachineType> list) {
     setFlavors(list);
-    List<Flavor> plain = new ArrayList<>();
-    for (Flavor f : list) {
+    List<MachineType> plain = new ArrayList<>();
+    for (MachineType f : list) {
       // Prices move all the time; what is kept for starts need not follow them.
       plain.add(
-          new Flavor(
+          new MachineType(
               f.name(),
               f.cpus(),
               f.cards(),
@@ -273,7 +275,7 @@
               f.bootS(),
               f.zones()));
     }
-    Fields value = Flavor.writeAll(plain);
+    Fields value = MachineType.writeAll(plain);
     byte[] encoded = Codec.JSON.encode(value);
     Fields kept = replica.get(Keys.FLAVORS);
     if (encoded.length > state.limits().valueBytes()) {
@@ -445,7 +447,7 @@
   }
 
   /** Answers a report if we lead, or led and nobody else has since; null otherwise. */
-  private Answer answerAsLeader(Beat beat, String by) {
+  private Answer answerAsLeader(WorkerReport beat, String by) {
     if (term != null && lease.isLeading() && lease.epoch() >= lease.highestEpoch()) {
       return term.beat(beat, by);
     }
@@ -457,12 +459,12 @@
   }
 
   /** Answers a report that a sibling passes on, which takes the epoch to be this. */
-  private Answer relayed(Beat beat, long epoch, String from) {
+  private Answer relayed(WorkerReport beat, long epoch, String from) {
     lease.heardOf(epoch);
     return epoch == lease.epoch() && !arrivals.isCopy(beat) ? answerAsLeader(beat, from) : null;
   }
 
-  private void beat(Beat beat, Consumer<Answer> reply) {
+  private void beat(WorkerReport beat, Consumer<Answer> reply) {
     if (arrivals.isCopy(beat)) {
       // Nobody waits for its answer; whatever it says was true long ago.
       reply.accept(Answer.of(421, Codec.CBOR, new Redirect(null).write()));
@@ -507,8 +509,8 @@
 
   // ---------------------------------------------------------------- siblings
 
-  private Greeting greeting() {
-    return new Greeting(
+  private PeerHeartbeat greeting() {
+    return new PeerHeartbeat(
         settings.member(),
         incarnation,
         lease.highestEpoch(),
@@ -523,7 +525,7 @@
     return term == null ? Map.of() : term.addresses();
   }
 
-  private void heard(Greeting greeting) {
+  private void heard(PeerHeartbeat greeting) {
     lease.heardOf(greeting.epoch());
     if (greeting.leading() && greeting.epoch() >= leaderHeard.epoch()) {
       leaderHeard = new Leader(greeting.member(), greeting.epoch());
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -10,14 +10,14 @@
 import fennelthread.net.Request;
 import fennelthread.net.Service;
 import fennelthread.settings.Settings;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.Flavor;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.JobState;
 import fennelthread.wire.JobStatus;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerReport;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
@@ -34,11 +34,11 @@
   private final Settings settings;
   private final JobStore store;
   private final JobTable table;
-  private final Supplier<Map<String, Flavor>> flavors;
+  private final Supplier<Map<String, MachineType>> flavors;
   private final BooleanSupplier up;
   private final BooleanSupplier oldSibling;
   private final BooleanSupplier tight;
-  private final BiConsumer<Beat, Consumer<Answer>> beats;
+  private final BiConsumer<WorkerReport, Consumer<Answer>> beats;
 
   /**
    * Creates the interface; {@code beats} answers reports, {@code oldSibling} tells whether a
@@ -50,11 +50,11 @@
       Settings settings,
       JobStore store,
       JobTable table,
-      Supplier<Map<String, Flavor>> flavors,
+      Supplier<Map<String, MachineType>> flavors,
       BooleanSupplier up,
       BooleanSupplier oldSibling,
       BooleanSupplier tight,
-      BiConsumer<Beat, Consumer<Answer>> beats) {
+      BiConsumer<WorkerReport, Consumer<Answer>> beats) {
     this.host = host;
     this.settings = settings;
     this.store = store;
@@ -138,9 +138,9 @@
   }
 
   private void beat(Request request, Consumer<Answer> reply) {
-    Beat beat;
+    WorkerReport beat;
     try {
-      beat = Beat.read(Codec.CBOR.decode(request.body()));
+      beat = WorkerReport.read(Codec.CBOR.decode(request.body()));
     } catch (WireException e) {
       reply.accept(Answer.error(400, e.getMessage()));
       return;
@@ -238,11 +238,11 @@
         || (team.cardsMax() > 0 && spec.cards() * together > team.cardsMax())) {
       return Answer.error(422, "dueno: the job needs more than the team's limit");
     }
-    Map<String, Flavor> types = flavors.get();
+    Map<String, MachineType> types = flavors.get();
     if (types.isEmpty()) {
       return later("machine types are not known yet");
     }
-    for (Flavor f : types.values()) {
+    for (MachineType f : types.values()) {
       if ((spec.types() == null || spec.types().contains(f.name()))
           && (spec.zone() == null || f.zones().isEmpty() || f.zones().contains(spec.zone()))
           && spec.cpus() <= f.cpus()
--- a/src/main/java/fennelthread/cli/Check.java
+++ b/src/main/java/fennelthread/cli/Check.java
@@ -1,6 +1,6 @@
 package fennelthread.cli;
 
-import fennelthread.keep.Bounds;
+import fennelthread.leaserenewal.RenewalBounds;
 import fennelthread.settings.Settings;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -26,7 +26,7 @@
         settings.siblings().size() + 1,
         settings.teams().size(),
         settings.objectives().size());
-    long shortMs = Bounds.shortfallMs(settings.workers());
+    long shortMs = RenewalBounds.shortfallMs(settings.workers());
     if (shortMs > 0) {
       System.out.printf(
           "%s: cancel_s of %.1f s leaves too little room beside lease_s of %.1f s: a cut-off task may outlive its"
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -6,11 +6,11 @@
 import fennelthread.net.XnioHost;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.Priority;
+import fennelthread.wire.WorkerReport;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.nio.file.Files;
@@ -96,9 +96,18 @@
                   0,
                   0,
                   JobSpec.NO_DEADLINE);
-          Beat beat =
-              new Beat(
-                  "n-1", "127.0.0.1:1", "t", "here", false, 1, 1, 0, Beat.NO_NOTICE, List.of());
+          WorkerReport beat =
+              new WorkerReport(
+                  "n-1",
+                  "127.0.0.1:1",
+                  "t",
+                  "here",
+                  false,
+                  1,
+                  1,
+                  0,
+                  WorkerReport.NO_NOTICE,
+                  List.of());
           List<Call> calls =
               List.of(
                   Call.get("/up"),
@@ -130,7 +139,8 @@
     try (JarFile file = new JarFile(jar.toFile())) {
       for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
         String name = entry.getName();
-        boolean served = name.startsWith("fennelthread/") && !name.startsWith("fennelthread/lab/");
+        boolean served =
+            name.startsWith("fennelthread/") && !name.startsWith("fennelthread/simulation/");
         if (served && name.endsWith(".class")) {
           Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
         }
--- a/src/main/java/fennelthread/membership/View.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -1,4 +1,4 @@
-package fennelthread.membership;
+package fennelthread.election;
 
 import fennelthread.Constants;
 
@@ -6,7 +6,7 @@
  * One follower's view of the leader of one epoch: what it has promised, and whether it may help to
  * take over. Pure: time is told.
  */
-public final class View {
+public final class LeaderView {
 
   /** How the leader looks from here. */
   public enum Phase {
@@ -16,8 +16,8 @@
     SUSPECTED,
     /**
      * We have agreed to a takeover, or may have before this process began: nothing is promised
-     * until the leader has written {@link Solo} anew, which makes void whatever was agreed on
-     * before.
+     * until the leader has written {@link UnilateralLeadership} anew, which makes void whatever was
+     * agreed on before.
      */
     BOUND
   }
--- a/src/main/java/fennelthread/membership/Promises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -1,4 +1,4 @@
-package fennelthread.membership;
+package fennelthread.election;
 
 import fennelthread.Constants;
 import java.util.Arrays;
@@ -10,13 +10,13 @@
  * grant does. Each sibling that answers a greeting promises not to help anyone take over for a
  * while; the leader counts that while from before the greeting left, the sibling from when it came
  * in. With enough promises in force no majority can take over. Without, the leader must have
- * written into the state service that it goes alone ({@link Solo}), on whose absence every takeover
- * is conditional.
+ * written into the state service that it goes alone ({@link UnilateralLeadership}), on whose
+ * absence every takeover is conditional.
  *
  * <p>The paper's rule for a lease (t0 before the request) is applied to each promise; its A5 is
  * needed of the siblings' clocks as well.
  */
-public final class Promises {
+public final class LeadershipPromises {
   private final Map<String, Long> askedAtMs = new HashMap<>();
   private final int needed;
   private long epoch = -1;
@@ -26,7 +26,7 @@
    *
    * @param controllers how many there are, this one included
    */
-  public Promises(int controllers) {
+  public LeadershipPromises(int controllers) {
     this.needed = controllers - majority(controllers);
   }
 
--- a/src/main/java/fennelthread/membership/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -1,12 +1,12 @@
-package fennelthread.membership;
+package fennelthread.election;
 
 import fennelthread.Constants;
-import fennelthread.lead.Lease;
-import fennelthread.mesh.Greeting;
-import fennelthread.mesh.Mesh;
+import fennelthread.leader.Lease;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
 import fennelthread.net.Request;
+import fennelthread.peers.PeerHeartbeat;
+import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
@@ -24,7 +24,7 @@
 /**
  * How controllers notice that the leader is gone, and who comes next, before its grant runs out.
  * Siblings of which a majority agrees that it is silent take over with one transaction; what keeps
- * that safe is in {@link Promises}.
+ * that safe is in {@link LeadershipPromises}.
  */
 public final class Membership {
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
@@ -32,13 +32,13 @@
 
   private final Host host;
   private final Settings settings;
-  private final Mesh mesh;
+  private final PeerHeartbeats mesh;
   private final StateClient state;
   private final Replica replica;
   private final Lease lease;
-  private final Promises promises;
-  private final Solo solo;
-  private final View view = new View();
+  private final LeadershipPromises promises;
+  private final UnilateralLeadership solo;
+  private final LeaderView view = new LeaderView();
   private final List<String> members = new ArrayList<>();
   private boolean ready;
   private boolean asking;
@@ -49,28 +49,33 @@
 
   /** Creates it, and answers siblings that ask. */
   public Membership(
-      Host host, Settings settings, Mesh mesh, StateClient state, Replica replica, Lease lease) {
+      Host host,
+      Settings settings,
+      PeerHeartbeats mesh,
+      StateClient state,
+      Replica replica,
+      Lease lease) {
     this.host = host;
     this.settings = settings;
     this.mesh = mesh;
     this.state = state;
     this.replica = replica;
     this.lease = lease;
-    this.promises = new Promises(settings.siblings().size() + 1);
-    this.solo = new Solo(host, state);
+    this.promises = new LeadershipPromises(settings.siblings().size() + 1);
+    this.solo = new UnilateralLeadership(host, state);
     members.add(settings.member());
     settings.siblings().forEach(s -> members.add(s.member()));
     Collections.sort(members);
     mesh.serve("/member/", this::asked);
     mesh.join(
-        new Mesh.Guest() {
+        new PeerHeartbeats.Guest() {
           @Override
-          public Greeting answer(Greeting asked, Greeting answer) {
+          public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
             return answer.promising(greeted(asked));
           }
 
           @Override
-          public void acknowledged(String member, Greeting reply, long sentAtMs) {
+          public void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
             Membership.this.acknowledged(member, reply, sentAtMs);
           }
         });
@@ -125,7 +130,7 @@
     return solo.isOn() || host.nowMs() < promises.untilMs();
   }
 
-  private void acknowledged(String member, Greeting reply, long sentAtMs) {
+  private void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
     if (!lease.isLeading()) {
       return;
     }
@@ -164,14 +169,14 @@
 
   // ---------------------------------------------------------------- following
 
-  private long greeted(Greeting greeting) {
+  private long greeted(PeerHeartbeat greeting) {
     return ready && greeting.leading() && !lease.isLeading()
         ? view.greeted(greeting.epoch(), replica.revisionOf(Keys.SOLO), host.nowMs())
         : 0;
   }
 
   private void watch(long now) {
-    View.Phase before = view.phase();
+    LeaderView.Phase before = view.phase();
     boolean suspect = view.look(now);
     if (before != view.phase()) {
       log.info(
@@ -235,7 +240,7 @@
           Constants.AGREE_TIMEOUT_MS,
           answer -> {
             agreed[0] += agrees(answer) ? 1 : 0;
-            if (--open[0] == 0 || agreed[0] == Promises.majority(members.size())) {
+            if (--open[0] == 0 || agreed[0] == LeadershipPromises.majority(members.size())) {
               decide(epoch, revision, agreed[0]);
             }
           });
@@ -252,7 +257,7 @@
   }
 
   private void decide(long epoch, long revision, int agreed) {
-    if (agreed < Promises.majority(members.size())
+    if (agreed < LeadershipPromises.majority(members.size())
         || lease.isLeading()
         || !isTakeable()
         || replica.revisionOf(Keys.SOLO) != revision
--- a/src/main/java/fennelthread/membership/Solo.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -1,4 +1,4 @@
-package fennelthread.membership;
+package fennelthread.election;
 
 import fennelthread.Constants;
 import fennelthread.net.Host;
@@ -17,8 +17,8 @@
  * takeover is conditional on what the key held when the siblings agreed to it: once the word is
  * written none that was agreed on before can be applied, and none is agreed on while it stands.
  */
-final class Solo {
-  private static final Logger log = LoggerFactory.getLogger(Solo.class);
+final class UnilateralLeadership {
+  private static final Logger log = LoggerFactory.getLogger(UnilateralLeadership.class);
 
   /** Where the word stands. Only ON is a reason to start anything. */
   enum Phase {
@@ -38,7 +38,7 @@
   private long term;
   private long triedAtMs = Long.MIN_VALUE / 2;
 
-  Solo(Host host, StateClient state) {
+  UnilateralLeadership(Host host, StateClient state) {
     this.host = host;
     this.state = state;
   }
--- a/src/main/java/fennelthread/fleet/Tally.java
+++ b/src/main/java/fennelthread/fleet/AggregatedLog.java
@@ -12,7 +12,7 @@
  * What happens to many machines at once, as one line a second. A line for each once came to 150 a
  * second, and writing them took processor time that the leader needed.
  */
-final class Tally {
+final class AggregatedLog {
   private static final class Count {
     final Set<String> machines = new LinkedHashSet<>();
     int events;
@@ -23,7 +23,7 @@
   private final Map<String, Count> counts = new LinkedHashMap<>();
 
   /** Creates a tally; {@code log} gets its lines. */
-  Tally(Host host, Consumer<String> log) {
+  AggregatedLog(Host host, Consumer<String> log) {
     this.host = host;
     this.log = log;
   }
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -1,8 +1,8 @@
 package fennelthread.fleet;
 
-import fennelthread.jobs.RoundRecord;
-import fennelthread.wire.Beat;
+import fennelthread.jobs.StartRecord;
 import fennelthread.wire.TaskRef;
+import fennelthread.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -43,10 +43,10 @@
 
   private final Machine machine;
   private final Key key;
-  private RoundRecord.Start start;
+  private StartRecord.Start start;
   private final long createdAtMs;
   private Phase phase;
-  private Beat.Motive motive;
+  private WorkerReport.Motive motive;
   private long token;
   private long runningSinceMs = -1;
   private boolean stopSent;
@@ -54,7 +54,7 @@
   private boolean inAnswer;
   private long reportMark;
 
-  Attempt(Machine machine, RoundRecord.Start start, Phase phase, long token, long nowMs) {
+  Attempt(Machine machine, StartRecord.Start start, Phase phase, long token, long nowMs) {
     this.machine = machine;
     this.key = new Key(start.task(), start.attempt());
     this.start = start;
@@ -99,7 +99,7 @@
     return inAnswer && phase == Phase.SENT;
   }
 
-  void reported(Beat.Task task, long nowMs) {
+  void reported(WorkerReport.Task task, long nowMs) {
     switch (task.phase()) {
       case FETCHING -> moveTo(Phase.FETCHING);
       case RUNNING -> {
@@ -122,7 +122,7 @@
    * Takes over what a round record says of an attempt that a report showed first: the job may be
    * withdrawn and unknown by now, yet its tasks still count against their team's cap.
    */
-  void describedBy(RoundRecord.Start recorded) {
+  void describedBy(StartRecord.Start recorded) {
     start = recorded;
     machine.touch();
   }
@@ -142,7 +142,7 @@
   }
 
   /** What was recorded of it. */
-  public RoundRecord.Start start() {
+  public StartRecord.Start start() {
     return start;
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** Why it ended, or null. */
-  public Beat.Motive motive() {
+  public WorkerReport.Motive motive() {
     return motive;
   }
 
--- a/src/main/java/fennelthread/fleet/Boots.java
+++ b/src/main/java/fennelthread/fleet/BootTimes.java
@@ -12,7 +12,7 @@
  * asked for with it or after it: on a day on which all are late, to give them back would only begin
  * the wait anew. Pure: time is told.
  */
-final class Boots {
+final class BootTimes {
   private record Boot(long askedMs, double tookS) {}
 
   private final Map<String, ArrayDeque<Boot>> byType = new HashMap<>();
--- a/src/main/java/fennelthread/fleet/Cloud.java
+++ b/src/main/java/fennelthread/fleet/Cloud.java
@@ -7,8 +7,8 @@
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.Flavor;
 import fennelthread.wire.HostEntry;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.Rental;
 import fennelthread.wire.WireException;
 import java.util.ArrayList;
@@ -49,12 +49,12 @@
   }
 
   /** Reads types and prices. */
-  public void flavors(Consumer<List<Flavor>> done) {
+  public void flavors(Consumer<List<MachineType>> done) {
     call(
         Call.get("/flavors"),
         answer -> {
           try {
-            done.accept(ok(answer) ? Flavor.readAll(answer.fields()) : null);
+            done.accept(ok(answer) ? MachineType.readAll(answer.fields()) : null);
           } catch (WireException e) {
             log.info("malformed types: {}", e.getMessage());
             done.accept(null);
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -1,18 +1,18 @@
 package fennelthread.fleet;
 
 import fennelthread.Constants;
-import fennelthread.jobs.RoundRecord;
+import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
-import fennelthread.net.Wake;
+import fennelthread.net.StallDetector;
 import fennelthread.settings.Settings;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
-import fennelthread.wire.Flavor;
-import fennelthread.wire.Order;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.TaskRef;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerCommand;
+import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -49,10 +49,10 @@
     void changed();
 
     /** What a reported task that we did not start is; its amounts are needed for caps. */
-    RoundRecord.Start describe(Machine machine, Beat.Task task);
+    StartRecord.Start describe(Machine machine, WorkerReport.Task task);
 
     /** Clears and stops that the machine's attempts call for now. */
-    List<Order> ordersFor(Machine machine);
+    List<WorkerCommand> ordersFor(Machine machine);
 
     /** True if this very moment starts may be sent, and this one is still wanted. */
     boolean mayStart(Attempt attempt);
@@ -77,7 +77,7 @@
     boolean isOpen();
 
     /** The answer to a report: what its sender is told, under which token. */
-    Answer answer(Beat beat, long token, List<Order> orders);
+    Answer answer(WorkerReport beat, long token, List<WorkerCommand> orders);
   }
 
   private final Host host;
@@ -85,12 +85,12 @@
   private final long epoch;
   private final Listener listener;
   private final LongSupplier othersSilentSince;
-  private final Supplier<Map<String, Flavor>> flavors;
+  private final Supplier<Map<String, MachineType>> flavors;
   private final Paths paths;
-  private final ZoneWatch zones;
-  private final Wake wake;
+  private final ZoneHealth zones;
+  private final StallDetector wake;
   private final Gate gate;
-  private final Tally tally;
+  private final AggregatedLog tally;
   private final Set<Machine> carriers = new LinkedHashSet<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Set<Machine> toProbe = new LinkedHashSet<>();
@@ -115,10 +115,10 @@
       long epoch,
       Listener listener,
       LongSupplier othersSilentSince,
-      Supplier<Map<String, Flavor>> flavors,
+      Supplier<Map<String, MachineType>> flavors,
       Paths paths,
-      ZoneWatch zones,
-      Wake wake,
+      ZoneHealth zones,
+      StallDetector wake,
       Gate gate) {
     this.gate = gate;
     this.zones = zones;
@@ -130,7 +130,7 @@
     this.othersSilentSince = othersSilentSince;
     this.flavors = flavors;
     this.paths = paths;
-    this.tally = new Tally(host, log::info);
+    this.tally = new AggregatedLog(host, log::info);
   }
 
   /** Ends the term: late answers change nothing any more. */
@@ -168,7 +168,7 @@
   }
 
   /** Takes up a start from a predecessor's round record: it may be there. */
-  public void inherit(RoundRecord.Start start) {
+  public void inherit(StartRecord.Start start) {
     Machine m = learn(start.machine(), null);
     Attempt known = m.find(start.task(), start.attempt());
     if (known != null) {
@@ -187,7 +187,7 @@
     Attempt a =
         new Attempt(
             m,
-            RoundRecord.Start.of(spec, index, number, m.name(), m.session()),
+            StartRecord.Start.of(spec, index, number, m.name(), m.session()),
             Attempt.Phase.RECORDED,
             m.token(epoch),
             host.nowMs());
@@ -240,7 +240,7 @@
    *
    * @param by whom it came: a sibling's name, or ours
    */
-  public Answer beat(Beat beat, String by) {
+  public Answer beat(WorkerReport beat, String by) {
     if (!gate.isOpen()) {
       // Users may have been told of withdrawals that we know nothing of: those tasks must not live
       // on.
@@ -284,7 +284,7 @@
     if (newest) {
       doubtUnshown(m);
     }
-    List<Order> orders = m.ackedToken() >= 0 ? ordersFor(m) : List.of();
+    List<WorkerCommand> orders = m.ackedToken() >= 0 ? ordersFor(m) : List.of();
     if (carriers.contains(m)) {
       orders = new ArrayList<>(orders);
       orders.addAll(carried(m, newest));
@@ -296,7 +296,7 @@
    * A report that comes late, by another way, or in a later session tells that answers may not have
    * arrived. The token is raised, and only a report that shows it tells that they do.
    */
-  private void doubtHearing(Machine m, Beat beat, String by, long now) {
+  private void doubtHearing(Machine m, WorkerReport beat, String by, long now) {
     boolean elsewhere = m.cameBy(by);
     boolean late =
         now - m.heardAtMs()
@@ -321,7 +321,7 @@
    * token that is raised before: a start that is still on its way, or comes a second time, must not
    * be carried out by the next life.
    */
-  private Answer askWhich(Machine m, Beat beat) {
+  private Answer askWhich(Machine m, WorkerReport beat) {
     long now = host.nowMs();
     if (!m.isProbing() && now - m.askedWhichAtMs() > Constants.ASK_WHICH_MS) {
       m.askedWhich(now);
@@ -335,10 +335,10 @@
    * What a worker is told of its tasks. Clears go out under a higher token than the starts of what
    * they clear, and so are gathered: each rise has the worker report once more.
    */
-  private List<Order> ordersFor(Machine m) {
-    List<Order> orders = listener.ordersFor(m);
+  private List<WorkerCommand> ordersFor(Machine m) {
+    List<WorkerCommand> orders = listener.ordersFor(m);
     int under = 0;
-    for (Order order : orders) {
+    for (WorkerCommand order : orders) {
       under += isUnderToken(m, order) ? 1 : 0;
     }
     if (under == 0) {
@@ -350,13 +350,13 @@
       m.raiseForClears(now);
       return orders;
     }
-    List<Order> atOnce = new ArrayList<>(orders);
+    List<WorkerCommand> atOnce = new ArrayList<>(orders);
     atOnce.removeIf(order -> isUnderToken(m, order));
     return atOnce;
   }
 
-  private boolean isUnderToken(Machine m, Order order) {
-    if (!(order instanceof Order.Clear clear)) {
+  private boolean isUnderToken(Machine m, WorkerCommand order) {
+    if (!(order instanceof WorkerCommand.Clear clear)) {
       return false;
     }
     Attempt a = m.find(clear.task(), clear.attempt());
@@ -383,8 +383,8 @@
   /**
    * The starts that go out with the answer to a report: looked at as if they were sent directly.
    */
-  private List<Order> carried(Machine m, boolean newest) {
-    List<Order> orders = new ArrayList<>();
+  private List<WorkerCommand> carried(Machine m, boolean newest) {
+    List<WorkerCommand> orders = new ArrayList<>();
     boolean left = false;
     for (Attempt a : List.copyOf(m.attemptList())) {
       if (a.phase() != Attempt.Phase.CARRIED) {
@@ -394,7 +394,7 @@
         neverStarted(m, a);
       } else if (newest && orders.size() < Constants.STARTS_PER_ANSWER) {
         a.sentInAnswer(m.token(epoch));
-        orders.add(new Order.Run(a.start().task(), a.start().attempt()));
+        orders.add(new WorkerCommand.Run(a.start().task(), a.start().attempt()));
       } else {
         left = true;
       }
@@ -406,7 +406,7 @@
   }
 
   /** Applies a report if it is the newest. */
-  private void take(Machine m, Beat beat) {
+  private void take(Machine m, WorkerReport beat) {
     if (!m.isNewer(beat) || m.phase() == Machine.Phase.GONE) {
       return;
     }
@@ -450,10 +450,10 @@
    */
   public void sendStarts(Machine m, List<Attempt> attempts) {
     long token = m.token(epoch);
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> orders = new ArrayList<>();
     for (Attempt a : attempts) {
       a.sent(token);
-      orders.add(new Order.Run(a.start().task(), a.start().attempt()));
+      orders.add(new WorkerCommand.Run(a.start().task(), a.start().attempt()));
     }
     long session = attempts.get(0).start().session();
     long seq = m.seq();
@@ -461,13 +461,13 @@
     paths.send(
         m,
         m.address(),
-        Call.post("/commands", Codec.CBOR, Order.write(token, session, orders)),
+        Call.post("/commands", Codec.CBOR, WorkerCommand.write(token, session, orders)),
         Constants.COMMAND_TIMEOUT_MS,
         answer -> {
           if (closed) {
             return;
           }
-          Beat report = reportOf(answer);
+          WorkerReport report = reportOf(answer);
           if (report != null && answer.status() == 409) {
             // Nothing was executed, and this was the only time these attempts were sent.
             attempts.forEach(a -> neverStarted(m, a));
@@ -562,7 +562,7 @@
     if (m.address() == null || m.session() == 0) {
       return;
     }
-    List<Order> orders = ordersFor(m);
+    List<WorkerCommand> orders = ordersFor(m);
     if (orders.isEmpty()) {
       return;
     }
@@ -571,10 +571,11 @@
     paths.send(
         m,
         m.address(),
-        Call.post("/commands", Codec.CBOR, Order.write(m.token(epoch), m.session(), orders)),
+        Call.post(
+            "/commands", Codec.CBOR, WorkerCommand.write(m.token(epoch), m.session(), orders)),
         Constants.COMMAND_TIMEOUT_MS,
         answer -> {
-          Beat report = reportOf(answer);
+          WorkerReport report = reportOf(answer);
           if (!closed && report != null) {
             heardDirectly(m, report, session, seq);
           }
@@ -635,7 +636,7 @@
         Call.post(
                 "/commands",
                 Codec.CBOR,
-                Order.write(m.token(epoch), Math.max(1, inSession), List.of()))
+                WorkerCommand.write(m.token(epoch), Math.max(1, inSession), List.of()))
             .asSpare(),
         Constants.PROBE_TIMEOUT_MS,
         answer -> probed(m, question, answer, true),
@@ -656,7 +657,7 @@
       // Its worker reports by itself as soon as it can: asking on and on only costs connections.
       m.askAgainAt(host.nowMs() + Constants.PROBE_PAUSE_MS);
     }
-    Beat report = reportOf(answer);
+    WorkerReport report = reportOf(answer);
     if (!closed && report != null) {
       heardDirectly(m, report, question.session, question.seq);
     }
@@ -664,7 +665,7 @@
   }
 
   /** A worker has answered what we put to it when this session and report of its were known. */
-  private void heardDirectly(Machine m, Beat report, long session, long seq) {
+  private void heardDirectly(Machine m, WorkerReport report, long session, long seq) {
     if (!report.machine().equals(m.name())) {
       // The address belongs to another machine by now.
       return;
@@ -684,12 +685,12 @@
     take(m, report);
   }
 
-  private static Beat reportOf(Answer answer) {
+  private static WorkerReport reportOf(Answer answer) {
     if (answer == null || (answer.status() != 200 && answer.status() != 409)) {
       return null;
     }
     try {
-      return Beat.read(answer.fields());
+      return WorkerReport.read(answer.fields());
     } catch (WireException e) {
       log.info("malformed answer of a worker: {}", e.getMessage());
       return null;
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -1,10 +1,10 @@
 package fennelthread.fleet;
 
 import fennelthread.Constants;
-import fennelthread.jobs.RoundRecord;
-import fennelthread.wire.Beat;
-import fennelthread.wire.Flavor;
+import fennelthread.jobs.StartRecord;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.TaskRef;
+import fennelthread.wire.WorkerReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -156,7 +156,10 @@
    * is on it counts, what is done is done, and nothing else follows.
    */
   List<Attempt> apply(
-      Beat beat, long epoch, long now, Function<Beat.Task, RoundRecord.Start> describe) {
+      WorkerReport beat,
+      long epoch,
+      long now,
+      Function<WorkerReport.Task, StartRecord.Start> describe) {
     List<Attempt> ended = new ArrayList<>();
     boolean ours = beat.token() >> Constants.TOKEN_BITS == epoch;
     if (ours) {
@@ -178,9 +181,10 @@
       contactAtMs = now;
       unshownSinceMs = -1;
     }
-    noticeUntilMs = beat.noticeS() == Beat.NO_NOTICE ? -1 : now + (long) (beat.noticeS() * 1000);
+    noticeUntilMs =
+        beat.noticeS() == WorkerReport.NO_NOTICE ? -1 : now + (long) (beat.noticeS() * 1000);
     reports++;
-    for (Beat.Task t : beat.tasks()) {
+    for (WorkerReport.Task t : beat.tasks()) {
       Attempt a = find(t.ref(), t.attempt());
       if (a == null) {
         a = new Attempt(this, describe.apply(t), Attempt.Phase.UNSURE, 0, now);
@@ -192,8 +196,9 @@
         continue;
       }
       boolean wasEnded = a.phase() == Attempt.Phase.ENDED;
-      boolean done = t.phase() == Beat.Phase.ENDED && t.motive() == Beat.Motive.DONE;
-      if ((wasEnded && t.phase() != Beat.Phase.ENDED) || !(ours || done)) {
+      boolean done =
+          t.phase() == WorkerReport.Phase.ENDED && t.motive() == WorkerReport.Motive.DONE;
+      if ((wasEnded && t.phase() != WorkerReport.Phase.ENDED) || !(ours || done)) {
         continue;
       }
       a.reported(t, now);
@@ -281,7 +286,7 @@
    * machine was started anew, tokens are forgotten then: one that seems later but shows a lower
    * token is of an earlier life.
    */
-  boolean isNewer(Beat beat) {
+  boolean isNewer(WorkerReport beat) {
     return isAfter(beat, session, seq) && beat.token() >= ackedToken;
   }
 
@@ -289,11 +294,11 @@
    * True if a report can't be of the life that we know: it is an old copy, or the first of the next
    * life.
    */
-  boolean isOfAnotherLife(Beat beat) {
+  boolean isOfAnotherLife(WorkerReport beat) {
     return beat.token() < ackedToken;
   }
 
-  static boolean isAfter(Beat beat, long session, long seq) {
+  static boolean isAfter(WorkerReport beat, long session, long seq) {
     return beat.session() > session || (beat.session() == session && beat.seq() > seq);
   }
 
@@ -355,7 +360,7 @@
     return attempts.get(new Attempt.Key(task, attempt));
   }
 
-  void cached(String image, double gb, Flavor flavor) {
+  void cached(String image, double gb, MachineType flavor) {
     if (images.put(image, gb) != null) {
       return;
     }
--- a/src/main/java/fennelthread/fleet/Rentals.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -2,12 +2,12 @@
 
 import fennelthread.Constants;
 import fennelthread.net.Host;
-import fennelthread.net.Wake;
+import fennelthread.net.StallDetector;
 import fennelthread.plan.Plan;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
-import fennelthread.wire.Flavor;
 import fennelthread.wire.HostEntry;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.Rental;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -26,8 +26,8 @@
  * Rents and returns machines. The cloud's list is old: what was rented counts although it is not
  * listed yet, and a machine that the list lacks is not taken for gone.
  */
-public final class Rentals {
-  private static final Logger log = LoggerFactory.getLogger(Rentals.class);
+public final class MachineProvisioner {
+  private static final Logger log = LoggerFactory.getLogger(MachineProvisioner.class);
 
   private record Kind(String type, String zone, boolean spot) {}
 
@@ -45,19 +45,19 @@
   private final Options options;
   private final Cloud cloud;
   private final Fleet fleet;
-  private final ZoneWatch zones;
-  private final Wake wake;
-  private final Tally tally;
-  private final Boots boots = new Boots();
+  private final ZoneHealth zones;
+  private final StallDetector wake;
+  private final AggregatedLog tally;
+  private final BootTimes boots = new BootTimes();
   private final String prefix;
-  private final Consumer<List<Flavor>> onFlavors;
+  private final Consumer<List<MachineType>> onFlavors;
   private final Map<String, Booting> booting = new LinkedHashMap<>();
   private final Map<Kind, Long> refusedUntil = new HashMap<>();
   private final Map<Kind, Long> refusedPause = new HashMap<>();
   private final Set<String> early = new LinkedHashSet<>();
   private final Set<String> returning = new LinkedHashSet<>();
   private final List<double[]> demands = new ArrayList<>();
-  private Map<String, Flavor> flavors;
+  private Map<String, MachineType> flavors;
   private boolean closed;
   private boolean renting;
   private boolean listing;
@@ -67,17 +67,17 @@
   private long manySilentAt = Long.MIN_VALUE / 2;
 
   /** Creates the rentals of one term; {@code prefix} makes request names unique for ever. */
-  public Rentals(
+  public MachineProvisioner(
       Host host,
       Settings settings,
       Options options,
       Cloud cloud,
       Fleet fleet,
-      ZoneWatch zones,
-      Wake wake,
+      ZoneHealth zones,
+      StallDetector wake,
       String prefix,
-      Map<String, Flavor> flavors,
-      Consumer<List<Flavor>> onFlavors) {
+      Map<String, MachineType> flavors,
+      Consumer<List<MachineType>> onFlavors) {
     this.host = host;
     this.settings = settings;
     this.options = options;
@@ -85,7 +85,7 @@
     this.fleet = fleet;
     this.zones = zones;
     this.wake = wake;
-    this.tally = new Tally(host, log::info);
+    this.tally = new AggregatedLog(host, log::info);
     this.prefix = prefix;
     this.flavors = flavors;
     this.onFlavors = onFlavors;
@@ -112,7 +112,7 @@
             return;
           }
           if (list != null && !list.isEmpty()) {
-            Map<String, Flavor> map = new LinkedHashMap<>();
+            Map<String, MachineType> map = new LinkedHashMap<>();
             list.forEach(f -> map.put(f.name(), f));
             flavors = map;
             onFlavors.accept(list);
@@ -289,7 +289,7 @@
   }
 
   private double bootS(Kind kind) {
-    Flavor f = flavors.get(kind.type);
+    MachineType f = flavors.get(kind.type);
     return f == null ? Constants.BOOT_UNKNOWN_S : f.bootS();
   }
 
@@ -377,7 +377,7 @@
       if (m.phase() != Machine.Phase.GONE) {
         count++;
       }
-      Flavor f = flavors.get(m.type());
+      MachineType f = flavors.get(m.type());
       if (f != null && (counts || coming.contains(m.name()))) {
         double there = f.cpus() * zones.presence(m, now);
         have += there;
@@ -396,7 +396,7 @@
     for (Plan.Unplaced u : unplaced) {
       waiting += u.tasks() * Math.max(0.1, u.spec().cpus());
       spotHelps |= u.spec().spotAllowed();
-      for (Flavor f : flavors.values()) {
+      for (MachineType f : flavors.values()) {
         if (fits(f, u)) {
           wanted.add(f.name());
         }
@@ -404,7 +404,7 @@
     }
     double bootingCpus = 0;
     for (String name : coming) {
-      Flavor f = flavors.get(booting.get(name).kind.type);
+      MachineType f = flavors.get(booting.get(name).kind.type);
       bootingCpus += f == null ? 0 : f.cpus();
     }
     missing = Math.max(missing, waiting - bootingCpus);
@@ -413,12 +413,12 @@
     }
     List<Kind> kinds = new ArrayList<>();
     for (boolean spot : new boolean[] {false, true}) {
-      List<Flavor> order = new ArrayList<>(flavors.values());
+      List<MachineType> order = new ArrayList<>(flavors.values());
       order.sort(
-          Comparator.<Flavor>comparingInt(
+          Comparator.<MachineType>comparingInt(
                   f -> wanted.isEmpty() || wanted.contains(f.name()) ? 0 : 1)
               .thenComparingDouble(f -> f.price() / Math.max(1, f.cpus())));
-      for (Flavor f : order) {
+      for (MachineType f : order) {
         for (String zone : f.zones().isEmpty() ? f.zones() : zones.rentIn(f.zones(), byZone)) {
           kinds.add(new Kind(f.name(), zone, spot));
         }
@@ -428,7 +428,7 @@
       if (isRefused(kind, now)) {
         continue;
       }
-      Flavor f = flavors.get(kind.type);
+      MachineType f = flavors.get(kind.type);
       int many =
           (int)
               Math.min(
@@ -441,7 +441,7 @@
     }
   }
 
-  private static boolean fits(Flavor f, Plan.Unplaced u) {
+  private static boolean fits(MachineType f, Plan.Unplaced u) {
     return (u.spec().types() == null || u.spec().types().contains(f.name()))
         && u.spec().cpus() <= f.cpus()
         && u.spec().cards() <= f.cards()
--- a/src/main/java/fennelthread/fleet/Arrivals.java
+++ b/src/main/java/fennelthread/fleet/ReportOrder.java
@@ -1,7 +1,7 @@
 package fennelthread.fleet;
 
 import fennelthread.Constants;
-import fennelthread.wire.Beat;
+import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -16,13 +16,13 @@
  * may be either; only an answer to a question that was put to it since tells ({@link Fleet}). One
  * under a higher token is none of the old ones.
  */
-public final class Arrivals {
+public final class ReportOrder {
   private record Last(long session, long seq, long token) {}
 
   private final Map<String, Last> last = new LinkedHashMap<>(64, 0.75f, true);
 
   /** Takes note of a report; true if it, or a later one of the same machine, has come in before. */
-  public boolean isCopy(Beat beat) {
+  public boolean isCopy(WorkerReport beat) {
     Last known = last.get(beat.machine());
     if (known != null && beat.token() <= known.token && !isLater(beat, known)) {
       return true;
@@ -34,7 +34,7 @@
     return false;
   }
 
-  private static boolean isLater(Beat beat, Last known) {
+  private static boolean isLater(WorkerReport beat, Last known) {
     return beat.session() > known.session
         || (beat.session() == known.session && beat.seq() > known.seq);
   }
--- a/src/main/java/fennelthread/fleet/ZoneWatch.java
+++ b/src/main/java/fennelthread/fleet/ZoneHealth.java
@@ -8,10 +8,10 @@
  * What is thought of the zones that machines are in: whether a machine's silence is its own or its
  * zone's. Placement, renting and returning ask; whoever knows answers.
  */
-public interface ZoneWatch {
+public interface ZoneHealth {
   /** Nothing is thought of any zone: every machine stands for itself. */
-  ZoneWatch NONE =
-      new ZoneWatch() {
+  ZoneHealth NONE =
+      new ZoneHealth() {
         @Override
         public void look(Collection<Machine> machines, long nowMs) {}
 
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -1,9 +1,9 @@
 package fennelthread.handover;
 
 import fennelthread.Constants;
-import fennelthread.mesh.Mesh;
 import fennelthread.net.Answer;
 import fennelthread.net.Service;
+import fennelthread.peers.PeerHeartbeats;
 import fennelthread.state.StateClient;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
@@ -21,10 +21,10 @@
   private static final Logger log = LoggerFactory.getLogger(Handover.class);
   private static final String END = "/handover/end";
 
-  private final Mesh mesh;
+  private final PeerHeartbeats mesh;
 
   /** Creates it, and answers siblings that ask. */
-  public Handover(StateClient state, Mesh mesh) {
+  public Handover(StateClient state, PeerHeartbeats mesh) {
     this.mesh = mesh;
     Service service =
         (request, reply) -> {
--- a/src/main/java/fennelthread/jobs/NeedGraph.java
+++ b/src/main/java/fennelthread/jobs/DependencyGraph.java
@@ -25,7 +25,7 @@
  *
  * <p>Nothing here recurses, since chains may be long.
  */
-public final class NeedGraph {
+public final class DependencyGraph {
 
   /** Where a job with needs stands. */
   public enum Phase {
@@ -75,7 +75,7 @@
   private final Map<String, Loan> loans = new HashMap<>();
 
   /** Creates an empty graph; {@code lastDeadlineS} is the last time set for a job, s. */
-  public NeedGraph(ToDoubleFunction<JobSpec> lastDeadlineS, Listener listener) {
+  public DependencyGraph(ToDoubleFunction<JobSpec> lastDeadlineS, Listener listener) {
     this.lastDeadlineS = lastDeadlineS;
     this.listener = listener;
   }
--- a/src/main/java/fennelthread/jobs/Waits.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -16,8 +16,8 @@
  * need not read first what the old one knew: jobs come and go by the replica, and the final records
  * that nobody here has written are read, few at a time, until they are known.
  */
-public final class Waits implements JobTable.Listener, NeedGraph.Listener {
-  private static final Logger log = LoggerFactory.getLogger(Waits.class);
+public final class DependencyTracker implements JobTable.Listener, DependencyGraph.Listener {
+  private static final Logger log = LoggerFactory.getLogger(DependencyTracker.class);
 
   /** Where final records come from. */
   interface Ends {
@@ -31,31 +31,31 @@
   private final Host host;
   private final JobTable table;
   private final Ends ends;
-  private final NeedGraph graph;
+  private final DependencyGraph graph;
   private final Set<String> asked = new HashSet<>();
-  private final List<NeedGraph.Listener> listeners = new ArrayList<>();
+  private final List<DependencyGraph.Listener> listeners = new ArrayList<>();
   private int reading;
 
-  Waits(Host host, JobTable table, Settings settings, Ends ends) {
+  DependencyTracker(Host host, JobTable table, Settings settings, Ends ends) {
     this.host = host;
     this.table = table;
     this.ends = ends;
-    this.graph = new NeedGraph(settings::lastDeadlineS, this);
+    this.graph = new DependencyGraph(settings::lastDeadlineS, this);
     table.listen(this);
   }
 
   /** What is known, to be asked and not changed. */
-  public NeedGraph graph() {
+  public DependencyGraph graph() {
     return graph;
   }
 
   /** Adds a listener. */
-  public void listen(NeedGraph.Listener listener) {
+  public void listen(DependencyGraph.Listener listener) {
     listeners.add(listener);
   }
 
   /** Removes a listener. */
-  public void ignore(NeedGraph.Listener listener) {
+  public void ignore(DependencyGraph.Listener listener) {
     listeners.remove(listener);
   }
 
@@ -115,7 +115,7 @@
   }
 
   @Override
-  public void moved(Job job, NeedGraph.Phase to) {
+  public void moved(Job job, DependencyGraph.Phase to) {
     log.debug("{} is {}", job.spec().id(), to);
     List.copyOf(listeners).forEach(l -> l.moved(job, to));
   }
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -75,7 +75,7 @@
   private final Replica replica;
   private final JobTable table;
   private final Limits limits;
-  private final Waits waits;
+  private final DependencyTracker waits;
   private final Cache<String, Lookup.Final> finals =
       Caffeine.newBuilder().maximumSize(Constants.FINAL_CACHE).executor(Runnable::run).build();
   private final Map<String, Pending> queue = new LinkedHashMap<>();
@@ -104,11 +104,11 @@
     this.table = table;
     this.limits = state.limits();
     this.waits =
-        new Waits(
+        new DependencyTracker(
             host,
             table,
             settings,
-            new Waits.Ends() {
+            new DependencyTracker.Ends() {
               @Override
               public Lookup.Final known(String id) {
                 return finals.getIfPresent(id);
@@ -122,7 +122,7 @@
   }
 
   /** Which jobs wait for which. */
-  public Waits waits() {
+  public DependencyTracker waits() {
     return waits;
   }
 
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -39,13 +39,13 @@
   private final Map<String, Map<String, Fields>> earlyChunks = new HashMap<>();
   private final Map<String, TreeMap<Integer, List<String>>> needs = new HashMap<>();
   private final Map<String, Incomplete> incomplete = new HashMap<>();
-  private final Map<String, RoundRecord> rounds = new LinkedHashMap<>();
+  private final Map<String, StartRecord> rounds = new LinkedHashMap<>();
 
   /**
    * Starts by job and by the key of their record: taking a record out must not search a job of
    * thousands.
    */
-  private final Map<String, Map<String, List<RoundRecord.Start>>> startsByJob = new HashMap<>();
+  private final Map<String, Map<String, List<StartRecord.Start>>> startsByJob = new HashMap<>();
 
   private final List<Listener> listeners = new ArrayList<>();
 
@@ -70,14 +70,14 @@
   }
 
   /** The round records, by key. */
-  public Map<String, RoundRecord> rounds() {
+  public Map<String, StartRecord> rounds() {
     return rounds;
   }
 
   /** How much is held, for a line of the log. */
   public String census() {
     int starts = 0;
-    for (RoundRecord r : rounds.values()) {
+    for (StartRecord r : rounds.values()) {
       starts += r.starts().size();
     }
     return jobs.size() + " jobs, " + rounds.size() + " round records with " + starts + " starts";
@@ -87,9 +87,9 @@
    * The recorded start of an attempt at a task, or null; the same attempt in two records is one
    * start.
    */
-  public RoundRecord.Start startOf(TaskRef task, long attempt, String machine) {
-    for (List<RoundRecord.Start> starts : startsByJob.getOrDefault(task.job(), Map.of()).values()) {
-      for (RoundRecord.Start s : starts) {
+  public StartRecord.Start startOf(TaskRef task, long attempt, String machine) {
+    for (List<StartRecord.Start> starts : startsByJob.getOrDefault(task.job(), Map.of()).values()) {
+      for (StartRecord.Start s : starts) {
         if (s.attempt() == attempt && s.task().equals(task) && s.machine().equals(machine)) {
           return s;
         }
@@ -98,17 +98,17 @@
     return null;
   }
 
-  private void record(String key, RoundRecord record) {
-    RoundRecord known = record == null ? rounds.remove(key) : rounds.put(key, record);
+  private void record(String key, StartRecord record) {
+    StartRecord known = record == null ? rounds.remove(key) : rounds.put(key, record);
     if (known != null) {
-      for (RoundRecord.Start s : known.starts()) {
+      for (StartRecord.Start s : known.starts()) {
         startsByJob.computeIfPresent(
             s.task().job(),
             (job, byKey) -> byKey.remove(key) != null && byKey.isEmpty() ? null : byKey);
       }
     }
     if (record != null) {
-      for (RoundRecord.Start s : record.starts()) {
+      for (StartRecord.Start s : record.starts()) {
         startsByJob
             .computeIfAbsent(s.task().job(), job -> new LinkedHashMap<>())
             .computeIfAbsent(key, k -> new ArrayList<>())
@@ -120,9 +120,9 @@
   /** How many tasks of a job are recorded as started and not known to be finished; for display. */
   public int startedTasks(Job job) {
     BitSet started = new BitSet();
-    for (List<RoundRecord.Start> starts :
+    for (List<StartRecord.Start> starts :
         startsByJob.getOrDefault(job.spec().id(), Map.of()).values()) {
-      for (RoundRecord.Start s : starts) {
+      for (StartRecord.Start s : starts) {
         started.set(s.task().index());
       }
     }
@@ -140,7 +140,7 @@
       } else if (key.startsWith(Keys.NEEDS)) {
         changedNeeds(key, value);
       } else if (key.startsWith(Keys.ROUND)) {
-        record(key, value == null ? null : RoundRecord.read(value));
+        record(key, value == null ? null : StartRecord.read(value));
       }
     } catch (WireException e) {
       log.error("unreadable record {}: {}", key, e.getMessage());
--- a/src/main/java/fennelthread/jobs/RoundRecord.java
+++ b/src/main/java/fennelthread/jobs/StartRecord.java
@@ -16,7 +16,7 @@
  * What one round is about to start, written before any start is sent. It names the team and the
  * resources too: a successor must count a withdrawn job's tasks, whose record is gone by then.
  */
-public record RoundRecord(List<Start> starts) {
+public record StartRecord(List<Start> starts) {
 
   /** One start: the attempt, where, and what it takes there. */
   public record Start(
@@ -133,8 +133,8 @@
     }
 
     /** The records. */
-    public List<RoundRecord> records() {
-      return records.stream().map(RoundRecord::new).toList();
+    public List<StartRecord> records() {
+      return records.stream().map(StartRecord::new).toList();
     }
   }
 
@@ -163,7 +163,7 @@
   }
 
   /** Reads a record. */
-  public static RoundRecord read(Fields value) throws WireException {
+  public static StartRecord read(Fields value) throws WireException {
     List<Start> starts = new ArrayList<>();
     try {
       for (Object item : value.list("j")) {
@@ -189,6 +189,6 @@
     } catch (ClassCastException | IndexOutOfBoundsException e) {
       throw new WireException("j", "is not a list of starts");
     }
-    return new RoundRecord(starts);
+    return new StartRecord(starts);
   }
 }
--- a/src/main/java/fennelthread/lead/Run.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -1,9 +1,9 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
+import fennelthread.jobs.DependencyGraph;
 import fennelthread.jobs.Job;
-import fennelthread.jobs.NeedGraph;
 import fennelthread.wire.Priority;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
@@ -17,7 +17,7 @@
 import java.util.TreeSet;
 
 /** What the leader knows of a live job beyond its record: its attempts, ends and pauses. */
-final class Run {
+final class ActiveJob {
 
   /** Whether the job's tasks may be placed. */
   enum Phase {
@@ -39,12 +39,12 @@
   private Phase phase = Phase.WAITING;
   private long order;
   private long releasedWallMs;
-  private NeedGraph.Loan loan;
+  private DependencyGraph.Loan loan;
   private int failures;
   private int unfinished;
 
   /** Creates what is known of a job that waits until it is released. */
-  Run(Job job) {
+  ActiveJob(Job job) {
     this.job = job;
     finished.or(job.finished());
     durable.or(job.finished());
@@ -80,11 +80,11 @@
   }
 
   /** Takes note of what the job has from those that need it; null if none does. */
-  void lend(NeedGraph.Loan lent) {
+  void lend(DependencyGraph.Loan lent) {
     loan = lent;
   }
 
-  NeedGraph.Loan loan() {
+  DependencyGraph.Loan loan() {
     return loan;
   }
 
--- a/src/main/java/fennelthread/lead/Runs.java
+++ b/src/main/java/fennelthread/leader/ActiveJobs.java
@@ -1,40 +1,40 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.fleet.Attempt;
+import fennelthread.jobs.DependencyGraph;
 import fennelthread.jobs.Job;
-import fennelthread.jobs.NeedGraph;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** The live jobs of a term with how far each is, in the order in which they were released. */
-final class Runs {
-  private final NeedGraph needs;
-  private final Map<String, Run> runs = new LinkedHashMap<>();
+final class ActiveJobs {
+  private final DependencyGraph needs;
+  private final Map<String, ActiveJob> runs = new LinkedHashMap<>();
   private long releases;
 
-  Runs(NeedGraph needs) {
+  ActiveJobs(DependencyGraph needs) {
     this.needs = needs;
   }
 
-  Collection<Run> all() {
+  Collection<ActiveJob> all() {
     return runs.values();
   }
 
   /** What is known of a live job, or null. */
-  Run get(String id) {
+  ActiveJob get(String id) {
     return runs.get(id);
   }
 
   /** What is known of the live job that an attempt belongs to, or null. */
-  Run of(Attempt a) {
+  ActiveJob of(Attempt a) {
     return runs.get(a.start().task().job());
   }
 
   /** Takes up a live job; it counts from now on if it waits for no other. */
   void begin(Job job) {
     String id = job.spec().id();
-    Run run = new Run(job);
+    ActiveJob run = new ActiveJob(job);
     run.lend(needs.loan(id));
     runs.put(id, run);
     if (needs.isReleased(job)) {
@@ -43,7 +43,7 @@
   }
 
   /** From now on the job counts: as the last one of its team, however long ago it was submitted. */
-  void release(Run run) {
+  void release(ActiveJob run) {
     String id = run.job().spec().id();
     runs.remove(id);
     runs.put(id, run);
@@ -51,18 +51,18 @@
   }
 
   /** Takes note of what the jobs that need this one have lent it. */
-  void lend(Run run) {
+  void lend(ActiveJob run) {
     run.lend(needs.loan(run.job().spec().id()));
   }
 
   /** Drops a job that is final; gives what was known of it, or null. */
-  Run remove(String id) {
+  ActiveJob remove(String id) {
     return runs.remove(id);
   }
 
   /** Notes that an attempt may be somewhere, if its job lives. */
   void attach(Attempt a) {
-    Run run = of(a);
+    ActiveJob run = of(a);
     if (run != null && a.mayBePresent()) {
       run.attach(a);
     }
--- a/src/main/java/fennelthread/lead/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -1,4 +1,4 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
@@ -52,10 +52,10 @@
   private final Limits limits;
   private final Lease lease;
   private final Fleet fleet;
-  private final Runs runs;
+  private final ActiveJobs runs;
   private final RunTimes runTimes;
   private final Runnable changed;
-  private final Set<Run> dirty = new LinkedHashSet<>();
+  private final Set<ActiveJob> dirty = new LinkedHashSet<>();
   private Phase phase = Phase.IDLE;
   private long partsWrittenAt;
 
@@ -67,7 +67,7 @@
       JobStore store,
       Lease lease,
       Fleet fleet,
-      Runs runs,
+      ActiveJobs runs,
       RunTimes runTimes,
       Runnable changed) {
     this.host = host;
@@ -96,7 +96,7 @@
   }
 
   /** Forgets a job that is final. */
-  void forget(Run run) {
+  void forget(ActiveJob run) {
     dirty.remove(run);
   }
 
@@ -106,7 +106,7 @@
       return;
     }
     a.handled();
-    Run run = runs.of(a);
+    ActiveJob run = runs.of(a);
     if (run == null) {
       return;
     }
@@ -132,7 +132,7 @@
     }
   }
 
-  private void done(Machine m, Attempt a, Run run) {
+  private void done(Machine m, Attempt a, ActiveJob run) {
     JobSpec spec = run.job().spec();
     fleet.succeeded(m);
     fleet.cached(m, spec.image(), spec.imageGb());
@@ -166,9 +166,9 @@
 
   private void write() {
     Txn txn = lease.fenced();
-    Map<Run, BitSet> written = new LinkedHashMap<>();
+    Map<ActiveJob, BitSet> written = new LinkedHashMap<>();
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
-    for (Run run : dirty) {
+    for (ActiveJob run : dirty) {
       if (run.unfinished() == 0 && txn.ops() + Constants.CHANGES_PER_END <= limits.txnOps()) {
         Lookup.Final end = new Lookup.Final(JobState.DONE, run.job().spec().tasks(), host.wallMs());
         JobStore.addFinal(txn, run.job(), end);
@@ -177,7 +177,7 @@
     }
     if (ends.isEmpty() && host.nowMs() - partsWrittenAt >= Constants.FLUSH_PARTS_MS) {
       boolean all = true;
-      for (Run run : dirty) {
+      for (ActiveJob run : dirty) {
         all &= addParts(run, txn, written);
       }
       if (all) {
@@ -196,7 +196,7 @@
   }
 
   private void written(
-      Txn txn, Map<Run, BitSet> written, Map<String, Lookup.Final> ends, TxnResult result) {
+      Txn txn, Map<ActiveJob, BitSet> written, Map<String, Lookup.Final> ends, TxnResult result) {
     if (phase == Phase.CLOSED) {
       return;
     }
@@ -224,7 +224,7 @@
   }
 
   /** Adds a job's newly finished tasks as far as the transaction has room; true if all fitted. */
-  private boolean addParts(Run run, Txn txn, Map<Run, BitSet> written) {
+  private boolean addParts(ActiveJob run, Txn txn, Map<ActiveJob, BitSet> written) {
     String id = run.job().spec().id();
     BitSet covered = run.job().finished().get(0, run.job().spec().tasks());
     boolean all = true;
--- a/src/main/java/fennelthread/lead/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -1,13 +1,13 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.jobs.NeedGraph;
+import fennelthread.jobs.DependencyGraph;
 import fennelthread.net.Host;
+import fennelthread.plan.Aging;
 import fennelthread.plan.Snapshot;
-import fennelthread.plan.Turns;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.Priority;
@@ -24,10 +24,10 @@
   private final Host host;
   private final Settings settings;
   private final Fleet fleet;
-  private final Runs runs;
+  private final ActiveJobs runs;
   private final RunTimes runTimes;
 
-  Demand(Host host, Settings settings, Fleet fleet, Runs runs, RunTimes runTimes) {
+  Demand(Host host, Settings settings, Fleet fleet, ActiveJobs runs, RunTimes runTimes) {
     this.host = host;
     this.settings = settings;
     this.fleet = fleet;
@@ -38,7 +38,7 @@
   /** CPUs that all unfinished tasks of released jobs take together. */
   double cpus() {
     double total = 0;
-    for (Run run : runs.all()) {
+    for (ActiveJob run : runs.all()) {
       if (run.isReleased()) {
         total += run.unfinished() * run.job().spec().cpus();
       }
@@ -47,10 +47,10 @@
   }
 
   /** Tasks that may be started now, at most {@code most} of each job. */
-  Map<Run, List<Integer>> waiting(int most) {
+  Map<ActiveJob, List<Integer>> waiting(int most) {
     long now = host.nowMs();
-    Map<Run, List<Integer>> waiting = new LinkedHashMap<>();
-    for (Run run : runs.all()) {
+    Map<ActiveJob, List<Integer>> waiting = new LinkedHashMap<>();
+    for (ActiveJob run : runs.all()) {
       // The gate: nothing of a job that waits for others gets into a round.
       if (run.isReleased() && run.hasIdle()) {
         List<Integer> tasks = run.pending(now, most);
@@ -63,29 +63,30 @@
   }
 
   /** The same as placement is told of it. */
-  List<Snapshot.Need> needs(Map<Run, List<Integer>> waiting, Set<String> guaranteed, Turns turns) {
+  List<Snapshot.Need> needs(
+      Map<ActiveJob, List<Integer>> waiting, Set<String> guaranteed, Aging turns) {
     List<Snapshot.Need> needs = new ArrayList<>(waiting.size());
     waiting.forEach(
         (run, tasks) -> {
-          Turns.Turn turn = turns.of(run.job().spec().id());
-          if (turn == Turns.Turn.USUAL) {
+          Aging.Turn turn = turns.of(run.job().spec().id());
+          if (turn == Aging.Turn.USUAL) {
             needs.add(need(run, tasks, guaranteed, turn));
             return;
           }
           needs.add(need(run, tasks.subList(0, 1), guaranteed, turn));
           // Where its tasks may be follows from where the first one is, which the next round knows.
           if (tasks.size() > 1 && !hasZoneRule(run.job().spec())) {
-            needs.add(need(run, tasks.subList(1, tasks.size()), guaranteed, Turns.Turn.USUAL));
+            needs.add(need(run, tasks.subList(1, tasks.size()), guaranteed, Aging.Turn.USUAL));
           }
         });
     return needs;
   }
 
   /** Whose turn it is among the released jobs, in a fleet of so many CPUs. */
-  Turns turns(double fleetCpus) {
-    Turns turns = new Turns(fleetCpus);
+  Aging turns(double fleetCpus) {
+    Aging turns = new Aging(fleetCpus);
     long now = host.nowMs();
-    for (Run run : runs.all()) {
+    for (ActiveJob run : runs.all()) {
       long waitedMs = host.wallMs() - run.releasedWallMs();
       // Of a service that has more than one replica another goes on whatever is stopped.
       boolean looked =
@@ -97,7 +98,7 @@
         JobSpec spec = run.job().spec();
         Attempt furthest = run.furthest();
         turns.look(
-            new Turns.Candidate(
+            new Aging.Candidate(
                 spec.id(),
                 waitedMs,
                 spec.cpus(),
@@ -117,7 +118,7 @@
   }
 
   private Snapshot.Need need(
-      Run run, List<Integer> tasks, Set<String> guaranteed, Turns.Turn turn) {
+      ActiveJob run, List<Integer> tasks, Set<String> guaranteed, Aging.Turn turn) {
     JobSpec spec = run.job().spec();
     double takes = runTimes.of(spec);
     double slack = slackS(run, takes);
@@ -140,7 +141,7 @@
    * What the waiting tasks still take, CPU seconds, halved again and again while the job waits: any
    * job's comes below any new one's in the end, so that none waits for ever behind smaller ones.
    */
-  private double work(Run run, int tasks, double takesS) {
+  private double work(ActiveJob run, int tasks, double takesS) {
     double work = tasks * Math.max(0.1, run.job().spec().cpus()) * Math.max(1, takesS);
     long agedMs = Math.max(0, host.wallMs() - run.releasedWallMs() - Constants.WORK_AGES_AFTER_MS);
     return work * Math.pow(0.5, agedMs / Constants.WORK_HALVED_MS);
@@ -154,8 +155,8 @@
   }
 
   /** The priority with which a job may stop others: a lent one only once its time runs short. */
-  private Priority stopsAs(Run run, double takesS) {
-    NeedGraph.Loan loan = run.loan();
+  private Priority stopsAs(ActiveJob run, double takesS) {
+    DependencyGraph.Loan loan = run.loan();
     if (loan == null || loan.dueMs() == 0) {
       return run.priority();
     }
@@ -171,7 +172,7 @@
    * of the jobs that need it set, or less than 0 if it is too late for all of them. A job that has
    * been late for long counts as in time again: it must not wait for ever.
    */
-  private double slackS(Run run, double takesS) {
+  private double slackS(ActiveJob run, double takesS) {
     JobSpec spec = run.job().spec();
     if (spec.service()) {
       return Double.MAX_VALUE;
@@ -180,7 +181,7 @@
     double ageS = (host.wallMs() - accepted) / 1000.0;
     double waitedS = (run.releasedWallMs() - accepted) / 1000.0;
     List<Double> times = settings.doneByS(spec.jobClass(), spec.deadlineS(), waitedS);
-    NeedGraph.Loan loan = run.loan();
+    DependencyGraph.Loan loan = run.loan();
     if (loan != null && loan.dueMs() > 0) {
       times.add((loan.dueMs() - accepted) / 1000.0);
       times.add((loan.lastDueMs() - accepted) / 1000.0);
@@ -205,7 +206,7 @@
   Set<String> guaranteed() {
     Set<String> guaranteed = new HashSet<>();
     Map<String, double[]> demanded = new HashMap<>();
-    for (Run run : runs.all()) {
+    for (ActiveJob run : runs.all()) {
       JobSpec spec = run.job().spec();
       Settings.Team team = settings.teams().get(spec.team());
       if (!run.isReleased() || team == null || (team.cpus() <= 0 && team.cards() <= 0)) {
@@ -221,7 +222,7 @@
     return guaranteed;
   }
 
-  private Map<String, Integer> zonesOf(Run run) {
+  private Map<String, Integer> zonesOf(ActiveJob run) {
     Map<String, Integer> zones = new HashMap<>();
     for (List<Attempt> attempts : run.attempts().values()) {
       for (Attempt a : attempts) {
--- a/src/main/java/fennelthread/lead/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -1,4 +1,4 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.net.Host;
--- a/src/main/java/fennelthread/lead/Load.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -1,12 +1,12 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.jobs.RoundRecord;
+import fennelthread.jobs.StartRecord;
 import fennelthread.plan.Snapshot;
-import fennelthread.wire.Flavor;
 import fennelthread.wire.JobSpec;
+import fennelthread.wire.MachineType;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,14 +20,19 @@
  * machines a round touches few of them, and going through all attempts for each would be most of
  * its work.
  */
-final class Load {
+final class MachineLoad {
   private long version = -1;
-  private Flavor flavor;
+  private MachineType flavor;
   private Snapshot.Host host;
   private final Map<String, double[]> used = new HashMap<>(4);
 
   /** Brings it up to date; {@code runs} gives what is known of a live job, or null. */
-  void update(Machine m, Flavor type, Fleet fleet, Function<String, Run> runs, RunTimes runTimes) {
+  void update(
+      Machine m,
+      MachineType type,
+      Fleet fleet,
+      Function<String, ActiveJob> runs,
+      RunTimes runTimes) {
     if (version == m.version() && flavor == type) {
       return;
     }
@@ -43,14 +48,14 @@
       if (!a.mayBePresent()) {
         continue;
       }
-      RoundRecord.Start s = a.start();
+      StartRecord.Start s = a.start();
       double[] u = used.computeIfAbsent(s.team(), k -> new double[2]);
       u[0] += s.cpus();
       u[1] += s.cards();
       cpus -= s.cpus();
       cards -= s.cards();
       mem -= s.memGb();
-      Run run = runs.apply(s.task().job());
+      ActiveJob run = runs.apply(s.task().job());
       if (run == null) {
         continue;
       }
--- a/src/main/java/fennelthread/lead/Sweeper.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -1,10 +1,10 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.jobs.JobTable;
-import fennelthread.jobs.RoundRecord;
+import fennelthread.jobs.StartRecord;
 import fennelthread.net.Host;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
@@ -24,8 +24,8 @@
  * attempts and what is left of jobs that are final, and draws records together of which little
  * lives.
  */
-final class Sweeper {
-  private static final Logger log = LoggerFactory.getLogger(Sweeper.class);
+final class RecordCollector {
+  private static final Logger log = LoggerFactory.getLogger(RecordCollector.class);
 
   private final Host host;
   private final StateClient state;
@@ -34,19 +34,19 @@
   private final JobTable table;
   private final Lease lease;
   private final Fleet fleet;
-  private final Rounds rounds;
+  private final SchedulingLoop rounds;
   private final SpareKeys spare;
   private boolean sweeping;
   private long sweptAt;
 
-  Sweeper(
+  RecordCollector(
       Host host,
       StateClient state,
       Replica replica,
       JobTable table,
       Lease lease,
       Fleet fleet,
-      Rounds rounds,
+      SchedulingLoop rounds,
       SpareKeys spare) {
     this.host = host;
     this.state = state;
@@ -62,7 +62,7 @@
   /** What one look at all round records found. */
   private static final class Census {
     final List<String> obsolete = new ArrayList<>();
-    final Map<String, List<RoundRecord.Start>> sparse = new LinkedHashMap<>();
+    final Map<String, List<StartRecord.Start>> sparse = new LinkedHashMap<>();
     int starts;
     int live;
   }
@@ -125,14 +125,14 @@
     Census census = new Census();
     String ours = Keys.rounds(lease.epoch());
     int fewLive = recordCapacity() / Constants.SPARSE_RECORD_PARTS;
-    for (Map.Entry<String, RoundRecord> e : table.rounds().entrySet()) {
+    for (Map.Entry<String, StartRecord> e : table.rounds().entrySet()) {
       if (rounds.isWriting(e.getKey())) {
         // It may be in the replica before its attempts are.
         continue;
       }
-      List<RoundRecord.Start> starts = e.getValue().starts();
-      List<RoundRecord.Start> live = null;
-      for (RoundRecord.Start s : starts) {
+      List<StartRecord.Start> starts = e.getValue().starts();
+      List<StartRecord.Start> live = null;
+      for (StartRecord.Start s : starts) {
         Attempt a = fleet.find(s.machine(), s.task(), s.attempt());
         if (a != null && a.mayBePresent()) {
           live = live == null ? new ArrayList<>(2) : live;
@@ -176,9 +176,9 @@
    * were drawn together again and have ended since.
    */
   private boolean compact(Census census, Txn txn, int most) {
-    RoundRecord.Packer packer = new RoundRecord.Packer(limits.valueBytes(), 1);
+    StartRecord.Packer packer = new StartRecord.Packer(limits.valueBytes(), 1);
     List<String> gone = new ArrayList<>();
-    for (Map.Entry<String, List<RoundRecord.Start>> e : census.sparse.entrySet()) {
+    for (Map.Entry<String, List<StartRecord.Start>> e : census.sparse.entrySet()) {
       if (txn.ops() + gone.size() + 2 > most
           || txn.conditions() + gone.size() + 2 > limits.conditions()) {
         break;
--- a/src/main/java/fennelthread/lead/Rounds.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -1,15 +1,15 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.jobs.RoundRecord;
+import fennelthread.jobs.StartRecord;
 import fennelthread.net.Host;
+import fennelthread.plan.Aging;
 import fennelthread.plan.Plan;
 import fennelthread.plan.Planner;
 import fennelthread.plan.Snapshot;
-import fennelthread.plan.Turns;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
@@ -18,7 +18,7 @@
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
-import fennelthread.wire.Flavor;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.TaskRef;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -35,8 +35,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Rounds: a snapshot, a plan, its fenced record, the check of the local lease, and the starts. */
-final class Rounds {
-  private static final Logger log = LoggerFactory.getLogger(Rounds.class);
+final class SchedulingLoop {
+  private static final Logger log = LoggerFactory.getLogger(SchedulingLoop.class);
 
   /** Where the rounds stand. */
   private enum Phase {
@@ -60,14 +60,14 @@
   private final Limits limits;
   private final Lease lease;
   private final Fleet fleet;
-  private final Runs runs;
+  private final ActiveJobs runs;
   private final Demand demand;
   private final RunTimes runTimes;
   private final DoubleConsumer cpusWanted;
-  private final Supplier<Map<String, Flavor>> flavors;
+  private final Supplier<Map<String, MachineType>> flavors;
   private final SpareKeys spare;
   private final Set<String> writing = new HashSet<>();
-  private final Map<Machine, Load> loads = new IdentityHashMap<>();
+  private final Map<Machine, MachineLoad> loads = new IdentityHashMap<>();
   private Phase phase = Phase.OFF;
   private long lastAt;
   private long pausedUntil;
@@ -75,7 +75,7 @@
   private List<Plan.Unplaced> unplaced = List.of();
 
   /** Creates the rounds of a term; {@code cpusWanted} is told the demand seen by each. */
-  Rounds(
+  SchedulingLoop(
       Host host,
       Settings settings,
       Options options,
@@ -83,11 +83,11 @@
       Replica replica,
       Lease lease,
       Fleet fleet,
-      Runs runs,
+      ActiveJobs runs,
       Demand demand,
       RunTimes runTimes,
       DoubleConsumer cpusWanted,
-      Supplier<Map<String, Flavor>> flavors,
+      Supplier<Map<String, MachineType>> flavors,
       SpareKeys spare) {
     this.host = host;
     this.settings = settings;
@@ -214,11 +214,11 @@
   private void write(List<Plan.Start> starts) {
     Txn txn = lease.fenced();
     Map<Machine, List<Attempt>> byMachine = new LinkedHashMap<>();
-    RoundRecord.Packer records = new RoundRecord.Packer(limits.valueBytes(), limits.txnOps());
+    StartRecord.Packer records = new StartRecord.Packer(limits.valueBytes(), limits.txnOps());
     Set<String> jobs = new HashSet<>();
     for (Plan.Start s : starts) {
       String id = s.spec().id();
-      Run run = runs.get(id);
+      ActiveJob run = runs.get(id);
       Machine m = fleet.get(s.machine());
       if ((!jobs.contains(id) && txn.conditions() + limits.txnOps() >= limits.conditions())
           || !records.makeRoom(s.spec(), s.task(), m.name(), m.session())) {
@@ -234,7 +234,7 @@
       byMachine.computeIfAbsent(m, k -> new ArrayList<>()).add(a);
       records.add(a.start());
     }
-    for (RoundRecord record : records.records()) {
+    for (StartRecord record : records.records()) {
       String key = spare.take();
       if (key == null) {
         key = nextKey();
@@ -297,7 +297,7 @@
   private void drop(Machine m, List<Attempt> attempts) {
     for (Attempt a : attempts) {
       fleet.abandon(m, a);
-      Run run = runs.of(a);
+      ActiveJob run = runs.of(a);
       if (run != null) {
         run.detach(a);
       }
@@ -308,15 +308,15 @@
   private Snapshot snapshot() {
     int mostStarts = mostStarts();
     cpusWanted.accept(demand.cpus());
-    Map<Run, List<Integer>> waiting = demand.waiting(mostStarts * 4);
+    Map<ActiveJob, List<Integer>> waiting = demand.waiting(mostStarts * 4);
     if (waiting.isEmpty()) {
       return null;
     }
-    Map<String, Flavor> types = flavors.get();
+    Map<String, MachineType> types = flavors.get();
     Map<String, double[]> used = new HashMap<>();
     List<Snapshot.Host> hosts = new ArrayList<>();
     for (Machine m : fleet.machines()) {
-      Load load = loads.computeIfAbsent(m, k -> new Load());
+      MachineLoad load = loads.computeIfAbsent(m, k -> new MachineLoad());
       load.update(m, types.get(m.type()), fleet, runs::get, runTimes);
       load.addTo(used);
       if (load.host() != null && fleet.isReady(m)) {
@@ -333,7 +333,7 @@
     for (Snapshot.Host h : hosts) {
       cpus += h.cpusTotal();
     }
-    Turns turns = demand.turns(cpus);
+    Aging turns = demand.turns(cpus);
     return new Snapshot(
         hosts,
         demand.needs(waiting, guaranteed, turns),
--- a/src/main/java/fennelthread/lead/SpareKeys.java
+++ b/src/main/java/fennelthread/leader/SpareKeys.java
@@ -1,4 +1,4 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import java.util.Iterator;
 import java.util.LinkedHashSet;
--- a/src/main/java/fennelthread/lead/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -1,27 +1,27 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Cloud;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.fleet.Rentals;
-import fennelthread.fleet.ZoneWatch;
+import fennelthread.fleet.MachineProvisioner;
+import fennelthread.fleet.ZoneHealth;
+import fennelthread.jobs.DependencyGraph;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
 import fennelthread.jobs.JobTable;
-import fennelthread.jobs.NeedGraph;
-import fennelthread.jobs.RoundRecord;
+import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
-import fennelthread.net.Wake;
+import fennelthread.net.StallDetector;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.state.Replica;
 import fennelthread.state.StateClient;
-import fennelthread.wire.Beat;
-import fennelthread.wire.Flavor;
-import fennelthread.wire.Order;
+import fennelthread.wire.MachineType;
+import fennelthread.wire.WorkerCommand;
+import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -38,7 +38,7 @@
  * One leader's term: everything the leader knows beyond the state service, made anew at each claim
  * and thrown away when leading ends.
  */
-public final class Term implements Fleet.Listener, JobTable.Listener, NeedGraph.Listener {
+public final class Term implements Fleet.Listener, JobTable.Listener, DependencyGraph.Listener {
   private static final Logger log = LoggerFactory.getLogger(Term.class);
 
   /** How far the term is. */
@@ -60,12 +60,12 @@
   private final Lease lease;
   private final long epoch;
   private final Fleet fleet;
-  private final Rentals rentals;
-  private final Runs runs;
-  private final Instructions instructions;
-  private final Rounds rounds;
+  private final MachineProvisioner rentals;
+  private final ActiveJobs runs;
+  private final WorkerCommands instructions;
+  private final SchedulingLoop rounds;
   private final Completions completions;
-  private final Sweeper sweeper;
+  private final RecordCollector sweeper;
   private final Predicate<String> over;
   private Phase phase = Phase.CATCHING_UP;
 
@@ -84,12 +84,12 @@
       JobStore store,
       Lease lease,
       Cloud cloud,
-      Supplier<Map<String, Flavor>> flavors,
-      Consumer<List<Flavor>> onFlavors,
+      Supplier<Map<String, MachineType>> flavors,
+      Consumer<List<MachineType>> onFlavors,
       LongSupplier othersSilentSince,
       Fleet.Paths paths,
-      ZoneWatch zones,
-      Wake wake,
+      ZoneHealth zones,
+      StallDetector wake,
       Predicate<String> over,
       Fleet.Gate gate,
       Map<String, String> addresses) {
@@ -104,7 +104,7 @@
         new Fleet(
             host, settings, epoch, this, othersSilentSince, flavors, paths, zones, wake, gate);
     this.rentals =
-        new Rentals(
+        new MachineProvisioner(
             host,
             settings,
             options,
@@ -116,12 +116,12 @@
             flavors.get(),
             onFlavors);
     RunTimes runTimes = new RunTimes();
-    this.runs = new Runs(store.waits().graph());
+    this.runs = new ActiveJobs(store.waits().graph());
     Demand demand = new Demand(host, settings, fleet, runs, runTimes);
-    this.instructions = new Instructions(host, fleet, runs, runTimes, over);
+    this.instructions = new WorkerCommands(host, fleet, runs, runTimes, over);
     SpareKeys spare = new SpareKeys();
     this.rounds =
-        new Rounds(
+        new SchedulingLoop(
             host,
             settings,
             options,
@@ -137,7 +137,7 @@
             spare);
     this.completions =
         new Completions(host, state, replica, store, lease, fleet, runs, runTimes, rounds::changed);
-    this.sweeper = new Sweeper(host, state, replica, table, lease, fleet, rounds, spare);
+    this.sweeper = new RecordCollector(host, state, replica, table, lease, fleet, rounds, spare);
     addresses.forEach((name, address) -> fleet.probe(fleet.learn(name, address)));
     awaitReplica();
     rentals.start();
@@ -223,7 +223,7 @@
       replica.onAdvance(this::awaitReplica);
       return;
     }
-    for (RoundRecord record : table.rounds().values()) {
+    for (StartRecord record : table.rounds().values()) {
       record.starts().forEach(fleet::inherit);
     }
     table.all().forEach(runs::begin);
@@ -276,7 +276,7 @@
   }
 
   /** Answers a report that came by a sibling or directly; null if we are not entitled to. */
-  public Answer beat(Beat beat, String by) {
+  public Answer beat(WorkerReport beat, String by) {
     Answer answer = fleet.beat(beat, by);
     return phase == Phase.CLOSED ? null : answer;
   }
@@ -296,9 +296,9 @@
   }
 
   @Override
-  public void moved(Job job, NeedGraph.Phase to) {
-    Run run = runs.get(job.spec().id());
-    if (to == NeedGraph.Phase.DOOMED) {
+  public void moved(Job job, DependencyGraph.Phase to) {
+    ActiveJob run = runs.get(job.spec().id());
+    if (to == DependencyGraph.Phase.DOOMED) {
       store.cascade();
     } else if (run != null) {
       runs.release(run);
@@ -308,7 +308,7 @@
 
   @Override
   public void lent(String id) {
-    Run run = runs.get(id);
+    ActiveJob run = runs.get(id);
     if (run == null) {
       return;
     }
@@ -320,7 +320,7 @@
 
   @Override
   public void removed(Job job) {
-    Run run = runs.remove(job.spec().id());
+    ActiveJob run = runs.remove(job.spec().id());
     if (run != null) {
       completions.forget(run);
       for (Machine m : machinesOf(run)) {
@@ -334,7 +334,7 @@
   }
 
   /** The machines that a job's tasks may be on. */
-  private Set<Machine> machinesOf(Run run) {
+  private Set<Machine> machinesOf(ActiveJob run) {
     Set<Machine> machines = new LinkedHashSet<>();
     for (List<Attempt> attempts : run.attempts().values()) {
       for (Attempt a : attempts) {
@@ -360,17 +360,17 @@
   }
 
   @Override
-  public RoundRecord.Start describe(Machine m, Beat.Task task) {
+  public StartRecord.Start describe(Machine m, WorkerReport.Task task) {
     Job job = table.get(task.ref().job());
     if (job != null && task.ref().index() < job.spec().tasks()) {
-      return RoundRecord.Start.of(
+      return StartRecord.Start.of(
           job.spec(), task.ref().index(), task.attempt(), m.name(), m.session());
     }
     // A withdrawn job's task: its round record still says what it takes.
-    RoundRecord.Start recorded = table.startOf(task.ref(), task.attempt(), m.name());
+    StartRecord.Start recorded = table.startOf(task.ref(), task.attempt(), m.name());
     return recorded != null
         ? recorded
-        : new RoundRecord.Start(task.ref(), task.attempt(), m.name(), m.session(), "", 0, 0, 0);
+        : new StartRecord.Start(task.ref(), task.attempt(), m.name(), m.session(), "", 0, 0, 0);
   }
 
   @Override
@@ -394,7 +394,7 @@
   }
 
   @Override
-  public List<Order> ordersFor(Machine m) {
+  public List<WorkerCommand> ordersFor(Machine m) {
     return switch (phase) {
       case ACTIVE -> instructions.of(m);
       // What is known to be over is stopped all the same: by whatever lets the answers out.
--- a/src/main/java/fennelthread/lead/Instructions.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -1,29 +1,30 @@
-package fennelthread.lead;
+package fennelthread.leader;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.net.Host;
-import fennelthread.wire.Beat;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Order;
+import fennelthread.wire.WorkerCommand;
+import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
 
 /** What workers are told of tasks that are over, unwanted, or to be stopped. */
-final class Instructions {
+final class WorkerCommands {
   private final Host host;
   private final Fleet fleet;
-  private final Runs runs;
+  private final ActiveJobs runs;
   private final RunTimes runTimes;
   private final Predicate<String> over;
 
   /**
    * Creates them; {@code over} says which jobs are known to be over although no record says so yet.
    */
-  Instructions(Host host, Fleet fleet, Runs runs, RunTimes runTimes, Predicate<String> over) {
+  WorkerCommands(
+      Host host, Fleet fleet, ActiveJobs runs, RunTimes runTimes, Predicate<String> over) {
     this.over = over;
     this.host = host;
     this.fleet = fleet;
@@ -32,29 +33,29 @@
   }
 
   /** Clears and stops that the machine's attempts call for now. */
-  List<Order> of(Machine m) {
-    List<Order> orders = new ArrayList<>();
+  List<WorkerCommand> of(Machine m) {
+    List<WorkerCommand> orders = new ArrayList<>();
     for (Attempt a : m.attempts()) {
-      Run run = runs.of(a);
+      ActiveJob run = runs.of(a);
       int index = a.start().task().index();
       switch (a.phase()) {
         case ENDED -> {
           // Each start is sent exactly once, so no start of an ended attempt can be in flight.
           if (run == null
-              || a.motive() != Beat.Motive.DONE
+              || a.motive() != WorkerReport.Motive.DONE
               || run.job().spec().service()
               || run.isDurable(index)) {
-            orders.add(new Order.Clear(a.start().task(), a.start().attempt()));
+            orders.add(new WorkerCommand.Clear(a.start().task(), a.start().attempt()));
           }
         }
         case FETCHING, RUNNING, FLUSHING -> {
           boolean unwanted =
               run == null || run.isFinished(index) || over.test(run.job().spec().id());
           if (unwanted) {
-            orders.add(new Order.Stop(a.start().task(), a.start().attempt(), 0));
+            orders.add(new WorkerCommand.Stop(a.start().task(), a.start().attempt(), 0));
           } else if (a.isStopping() && a.phase() != Attempt.Phase.FLUSHING) {
             double grace = run.job().spec().checkpointS() > 0 ? run.job().spec().saveS() + 1 : 0;
-            orders.add(new Order.Stop(a.start().task(), a.start().attempt(), grace));
+            orders.add(new WorkerCommand.Stop(a.start().task(), a.start().attempt(), grace));
           }
         }
         default -> {
@@ -78,7 +79,7 @@
       double leftS = (m.noticeUntilMs() - now) / 1000.0;
       boolean stopped = false;
       for (Attempt a : m.attempts()) {
-        Run run = runs.of(a);
+        ActiveJob run = runs.of(a);
         if (run == null || a.isStopping() || !a.mayBePresent()) {
           continue;
         }
--- a/src/main/java/fennelthread/keep/Withdrawals.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -1,4 +1,4 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import fennelthread.Constants;
 import fennelthread.net.Host;
@@ -16,7 +16,7 @@
  * withdrawn a numbered log for siblings. Bounded by time: whoever was told longer ago than any task
  * may live on has nothing left to be stopped.
  */
-public final class Withdrawals {
+public final class CancellationLog {
   private record Told(long number, String id, long atMs) {}
 
   private final Host host;
@@ -27,7 +27,7 @@
   private long last;
 
   /** Creates an empty memory; what is older than {@code rememberMs} is forgotten. */
-  public Withdrawals(Host host, long rememberMs) {
+  public CancellationLog(Host host, long rememberMs) {
     this.host = host;
     this.rememberMs = rememberMs;
   }
--- a/src/main/java/fennelthread/keep/Currency.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
@@ -1,6 +1,6 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
-import fennelthread.mesh.Greeting;
+import fennelthread.peers.PeerHeartbeat;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -14,7 +14,7 @@
  * <p>A new process says nothing of what its predecessor told before it ended. Its word counts only
  * once the state service was read after it was first heard.
  */
-public final class Currency {
+public final class CancellationWatermark {
   private static final class Sibling {
     String incarnation;
     long bornAtMs = Long.MAX_VALUE;
@@ -23,11 +23,12 @@
   }
 
   private final LongSupplier readAtMs;
-  private final Withdrawals withdrawals;
+  private final CancellationLog withdrawals;
   private final Map<String, Sibling> siblings = new HashMap<>();
 
   /** Creates it; {@code readAtMs} is when what our copy of the state holds was asked for. */
-  Currency(LongSupplier readAtMs, Iterable<String> members, Withdrawals withdrawals) {
+  CancellationWatermark(
+      LongSupplier readAtMs, Iterable<String> members, CancellationLog withdrawals) {
     this.readAtMs = readAtMs;
     this.withdrawals = withdrawals;
     members.forEach(m -> siblings.put(m, new Sibling()));
@@ -53,9 +54,9 @@
    * A sibling has answered our greeting of {@code sentAtMs}, which asked for what follows the
    * known.
    */
-  void answered(String member, Greeting reply, long sentAtMs, long nowMs) {
+  void answered(String member, PeerHeartbeat reply, long sentAtMs, long nowMs) {
     Sibling s = siblings.get(member);
-    Greeting.Keep said = reply.keep();
+    PeerHeartbeat.Keep said = reply.keep();
     if (s == null || said == null) {
       return;
     }
--- a/src/main/java/fennelthread/keep/Keeper.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -1,13 +1,13 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import fennelthread.Constants;
-import fennelthread.mesh.Greeting;
-import fennelthread.mesh.Mesh;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
+import fennelthread.peers.PeerHeartbeat;
+import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
 import fennelthread.state.Replica;
-import fennelthread.wire.Beat;
+import fennelthread.wire.WorkerReport;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
@@ -19,10 +19,10 @@
  * leader's end and the next claim while the state service is down. It answers their reports under
  * the token that they obey already, so that their leases do not run out, and stops what it knows to
  * be over; it starts nothing. For how long, and what a leader may conclude meanwhile, is in {@link
- * Bounds}, {@link Currency} and {@link Ledger}; docs/keeping.md has the reasons.
+ * Bounds}, {@link CancellationWatermark} and {@link RenewalLog}; docs/keeping.md has the reasons.
  */
-public final class Keeper implements Mesh.Guest {
-  private static final Logger log = LoggerFactory.getLogger(Keeper.class);
+public final class FollowerLeaseRenewer implements PeerHeartbeats.Guest {
+  private static final Logger log = LoggerFactory.getLogger(FollowerLeaseRenewer.class);
 
   /** What this controller does for workers of a leader that is not itself. */
   public enum Phase {
@@ -33,14 +33,14 @@
   }
 
   private final Host host;
-  private final Mesh mesh;
+  private final PeerHeartbeats mesh;
   private final BooleanSupplier leading;
   private final LongSupplier ownEpoch;
   private final LongSupplier highestEpoch;
-  private final Withdrawals withdrawals;
-  private final Currency currency;
-  private final ReportGate gate;
-  private final Ledger ledger;
+  private final CancellationLog withdrawals;
+  private final CancellationWatermark currency;
+  private final HeartbeatResponseGate gate;
+  private final RenewalLog ledger;
   private final long keepMs;
   private final long keptAtMostMs;
   private Phase phase = Phase.STANDING_BY;
@@ -59,11 +59,11 @@
    * @param ownEpoch its epoch then
    * @param highestEpoch the highest epoch heard of from anyone
    */
-  public Keeper(
+  public FollowerLeaseRenewer(
       Host host,
       Settings settings,
-      Mesh mesh,
-      Withdrawals withdrawals,
+      PeerHeartbeats mesh,
+      CancellationLog withdrawals,
       Replica replica,
       BooleanSupplier leading,
       LongSupplier ownEpoch,
@@ -75,18 +75,18 @@
     this.highestEpoch = highestEpoch;
     this.withdrawals = withdrawals;
     List<String> members = settings.siblings().stream().map(Settings.Sibling::member).toList();
-    this.currency = new Currency(replica::readAtMs, members, withdrawals);
-    this.keepMs = Bounds.keepMs(settings.workers());
-    this.keptAtMostMs = Bounds.keptAtMostMs(settings.workers());
-    this.gate = new ReportGate(host, currency, withdrawals, keepMs);
-    this.ledger = new Ledger(members, keptAtMostMs);
+    this.currency = new CancellationWatermark(replica::readAtMs, members, withdrawals);
+    this.keepMs = RenewalBounds.keepMs(settings.workers());
+    this.keptAtMostMs = RenewalBounds.keptAtMostMs(settings.workers());
+    this.gate = new HeartbeatResponseGate(host, currency, withdrawals, keepMs);
+    this.ledger = new RenewalLog(members, keptAtMostMs);
     mesh.join(this);
   }
 
   /**
    * What lets answers to reports out, ours and those of whoever else in this process gives some.
    */
-  public ReportGate gate() {
+  public HeartbeatResponseGate gate() {
     return gate;
   }
 
@@ -115,20 +115,20 @@
   // ---------------------------------------------------------------- greetings
 
   @Override
-  public Greeting greet(String member, Greeting greeting) {
+  public PeerHeartbeat greet(String member, PeerHeartbeat greeting) {
     return greeting.keeping(
         note(
             mesh.silentMs(member) < Constants.SIBLING_SILENT_MS,
             currency.taken(member),
             0,
-            new Withdrawals.Page(List.of(), 0, false)));
+            new CancellationLog.Page(List.of(), 0, false)));
   }
 
   @Override
-  public Greeting answer(Greeting asked, Greeting answer) {
-    Greeting.Keep question = asked.keep();
+  public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
+    PeerHeartbeat.Keep question = asked.keep();
     if (question == null) {
-      return answer.keeping(note(true, 0, 0, new Withdrawals.Page(List.of(), 0, false)));
+      return answer.keeping(note(true, 0, 0, new CancellationLog.Page(List.of(), 0, false)));
     }
     if (leading.getAsBoolean()) {
       ledger.weAnswer(asked, host.nowMs());
@@ -137,7 +137,7 @@
   }
 
   /** Promises the leader that greets us to keep nothing for a while, unless it does not hear us. */
-  private long promise(Greeting asked) {
+  private long promise(PeerHeartbeat asked) {
     if (!asked.leading() || asked.epoch() < epoch) {
       return 0;
     }
@@ -154,8 +154,9 @@
     return epoch;
   }
 
-  private Greeting.Keep note(boolean hears, long after, long still, Withdrawals.Page page) {
-    return new Greeting.Keep(
+  private PeerHeartbeat.Keep note(
+      boolean hears, long after, long still, CancellationLog.Page page) {
+    return new PeerHeartbeat.Keep(
         hears,
         after,
         still,
@@ -167,7 +168,7 @@
   }
 
   @Override
-  public void acknowledged(String member, Greeting reply, long sentAtMs) {
+  public void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
     currency.answered(member, reply, sentAtMs, host.nowMs());
     if (leading.getAsBoolean()) {
       ledger.answered(member, reply, ownEpoch.getAsLong(), sentAtMs, host.nowMs());
@@ -192,7 +193,7 @@
    * token is the worker's own: an equal one is obeyed from anyone, and nothing but stops comes with
    * it.
    */
-  public Answer keep(Beat beat) {
+  public Answer keep(WorkerReport beat) {
     long now = host.nowMs();
     boolean obeys = epoch > 0 && beat.token() >> Constants.TOKEN_BITS == epoch;
     if (!obeys
--- a/src/main/java/fennelthread/keep/ReportGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -1,12 +1,12 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import fennelthread.Constants;
 import fennelthread.fleet.Fleet;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
-import fennelthread.wire.Order;
+import fennelthread.wire.WorkerCommand;
+import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -22,13 +22,14 @@
  * <p>A leader that was refused by the state service right after its claim, and then with everybody,
  * once answered reports for the whole of an outage without a single stop.
  */
-public final class ReportGate implements Fleet.Gate {
+public final class HeartbeatResponseGate implements Fleet.Gate {
   private final Host host;
-  private final Currency currency;
-  private final Withdrawals withdrawals;
+  private final CancellationWatermark currency;
+  private final CancellationLog withdrawals;
   private final long keepMs;
 
-  ReportGate(Host host, Currency currency, Withdrawals withdrawals, long keepMs) {
+  HeartbeatResponseGate(
+      Host host, CancellationWatermark currency, CancellationLog withdrawals, long keepMs) {
     this.host = host;
     this.currency = currency;
     this.withdrawals = withdrawals;
@@ -49,23 +50,23 @@
    * @param token what the worker is to obey
    */
   @Override
-  public Answer answer(Beat beat, long token, List<Order> orders) {
+  public Answer answer(WorkerReport beat, long token, List<WorkerCommand> orders) {
     if (!isOpen()) {
       throw new IllegalStateException("nobody may be answered now");
     }
-    Set<Order> all = new LinkedHashSet<>();
-    for (Beat.Task t : beat.tasks()) {
-      if (t.phase() != Beat.Phase.ENDED
+    Set<WorkerCommand> all = new LinkedHashSet<>();
+    for (WorkerReport.Task t : beat.tasks()) {
+      if (t.phase() != WorkerReport.Phase.ENDED
           && withdrawals.isOver(t.ref().job())
           && all.size() < Constants.ORDERS_PER_ANSWER) {
-        all.add(new Order.Stop(t.ref(), t.attempt(), 0));
+        all.add(new WorkerCommand.Stop(t.ref(), t.attempt(), 0));
       }
     }
-    for (Order order : orders) {
-      if (all.size() < Constants.ORDERS_PER_ANSWER || order instanceof Order.Run) {
+    for (WorkerCommand order : orders) {
+      if (all.size() < Constants.ORDERS_PER_ANSWER || order instanceof WorkerCommand.Run) {
         all.add(order);
       }
     }
-    return Answer.of(200, Codec.CBOR, Order.write(token, 0, List.copyOf(all)));
+    return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, List.copyOf(all)));
   }
 }
--- a/src/main/java/fennelthread/keep/Bounds.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
@@ -1,4 +1,4 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import fennelthread.Constants;
 import fennelthread.settings.Settings;
@@ -10,8 +10,8 @@
  * controller that last knew of all withdrawals at some moment answers no report later than {@code
  * cancel_s} less a lease after it.
  */
-public final class Bounds {
-  private Bounds() {}
+public final class RenewalBounds {
+  private RenewalBounds() {}
 
   /**
    * How long after it last knew everything a controller may answer reports, ms of its own clock.
--- a/src/main/java/fennelthread/keep/Ledger.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalLog.java
@@ -1,7 +1,7 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import fennelthread.Constants;
-import fennelthread.mesh.Greeting;
+import fennelthread.peers.PeerHeartbeat;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -12,7 +12,7 @@
  * last word from us is too old. Its word that it kept nothing counts only in such an answer, since
  * a greeting may arrive late.
  */
-final class Ledger {
+final class RenewalLog {
   private static final class Sibling {
     String incarnation;
 
@@ -34,7 +34,7 @@
    *
    * @param keptAtMostMs for how long after our last word to it a sibling may keep, ms
    */
-  Ledger(Iterable<String> members, long keptAtMostMs) {
+  RenewalLog(Iterable<String> members, long keptAtMostMs) {
     this.keptAtMostMs = keptAtMostMs;
     members.forEach(m -> siblings.put(m, new Sibling()));
   }
@@ -45,7 +45,7 @@
   }
 
   /** We answer a sibling's greeting as the leader. */
-  void weAnswer(Greeting asked, long nowMs) {
+  void weAnswer(PeerHeartbeat asked, long nowMs) {
     Sibling s = siblings.get(asked.member());
     if (s != null) {
       born(s, asked.incarnation(), nowMs);
@@ -54,7 +54,7 @@
   }
 
   /** A sibling has answered the greeting that left at {@code sentAtMs}. */
-  void answered(String member, Greeting reply, long epoch, long sentAtMs, long nowMs) {
+  void answered(String member, PeerHeartbeat reply, long epoch, long sentAtMs, long nowMs) {
     Sibling s = siblings.get(member);
     if (s == null || reply.keep() == null) {
       return;
--- a/src/main/java/fennelthread/net/HttpServer.java
+++ b/src/main/java/fennelthread/net/HttpServer.java
@@ -21,7 +21,7 @@
   private static final Logger log = LoggerFactory.getLogger(HttpServer.class);
 
   private final Undertow server;
-  private final Inbound<ServerConnection> inbound;
+  private final InboundConnections<ServerConnection> inbound;
 
   /**
    * Creates a server that listens once it is started; {@code inbound} keeps its connections few.
@@ -29,7 +29,7 @@
   HttpServer(
       XnioWorker worker,
       ByteBufferPool buffers,
-      Inbound<ServerConnection> inbound,
+      InboundConnections<ServerConnection> inbound,
       String apiAddr,
       Service api,
       String meshAddr,
--- a/src/main/java/fennelthread/net/Inbound.java
+++ b/src/main/java/fennelthread/net/InboundConnections.java
@@ -15,7 +15,7 @@
  *
  * @param <C> a connection
  */
-final class Inbound<C> {
+final class InboundConnections<C> {
   private final LongSupplier nowMs;
   private final int most;
   private final int crowded;
@@ -31,7 +31,7 @@
    * @param outbound how many of them our own connections take
    * @param close closes a connection
    */
-  Inbound(LongSupplier nowMs, int mostSockets, IntSupplier outbound, Consumer<C> close) {
+  InboundConnections(LongSupplier nowMs, int mostSockets, IntSupplier outbound, Consumer<C> close) {
     this.nowMs = nowMs;
     this.most = (int) (mostSockets * Constants.SOCKETS_FULL_SHARE);
     this.crowded = (int) (mostSockets * Constants.SOCKETS_CROWDED_SHARE);
--- a/src/main/java/fennelthread/net/Wake.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -12,8 +12,8 @@
  *
  * <p>Timers run in any order after a sleep, so that whoever asks looks at the clock first.
  */
-public final class Wake {
-  private static final Logger log = LoggerFactory.getLogger(Wake.class);
+public final class StallDetector {
+  private static final Logger log = LoggerFactory.getLogger(StallDetector.class);
 
   /** What may be concluded from silence. */
   private enum Phase {
@@ -30,7 +30,7 @@
   private long sleeps;
 
   /** Creates it; {@link #start} sets it going. */
-  public Wake(Host host) {
+  public StallDetector(Host host) {
     this.host = host;
     this.lookedAtMs = host.nowMs();
   }
--- a/src/main/java/fennelthread/net/XnioHost.java
+++ b/src/main/java/fennelthread/net/XnioHost.java
@@ -27,7 +27,7 @@
   private final XnioIoThread thread;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 4096, 64, 4);
   private final HttpClient client;
-  private final Inbound<ServerConnection> inbound;
+  private final InboundConnections<ServerConnection> inbound;
   private final RandomGenerator random = new SplittableRandom();
   private final long startNanos = System.nanoTime();
   private HttpServer server;
@@ -53,7 +53,8 @@
                     .getMap());
     thread = worker.getIoThread();
     client = new HttpClient(this, thread, buffers, mostOutbound, essential);
-    inbound = new Inbound<>(this::nowMs, mostSockets, client::sockets, IoUtils::safeClose);
+    inbound =
+        new InboundConnections<>(this::nowMs, mostSockets, client::sockets, IoUtils::safeClose);
   }
 
   /** Runs a task on the thread that owns all state. */
--- a/src/main/java/fennelthread/mesh/Greeting.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -1,4 +1,4 @@
-package fennelthread.mesh;
+package fennelthread.peers;
 
 import fennelthread.Constants;
 import fennelthread.wire.Fields;
@@ -16,7 +16,7 @@
  * brought a promise not to help anyone take over, {@code promises} of a version that gives such.
  * {@code keep} is null from a version that never keeps leases alive in a silent leader's place.
  */
-public record Greeting(
+public record PeerHeartbeat(
     String member,
     String incarnation,
     long epoch,
@@ -78,7 +78,7 @@
   }
 
   /** A greeting of this version that has promised nothing yet. */
-  public Greeting(
+  public PeerHeartbeat(
       String member,
       String incarnation,
       long epoch,
@@ -104,8 +104,8 @@
   }
 
   /** The same with a promise not to help anyone take over from the leader of an epoch. */
-  public Greeting promising(long forEpoch) {
-    return new Greeting(
+  public PeerHeartbeat promising(long forEpoch) {
+    return new PeerHeartbeat(
         member,
         incarnation,
         epoch,
@@ -123,8 +123,8 @@
   }
 
   /** The same with what is to be said of keeping leases. */
-  public Greeting keeping(Keep note) {
-    return new Greeting(
+  public PeerHeartbeat keeping(Keep note) {
+    return new PeerHeartbeat(
         member,
         incarnation,
         epoch,
@@ -141,8 +141,8 @@
         gone);
   }
 
-  Greeting with(Map<String, String> newWorkers, List<String> newGone) {
-    return new Greeting(
+  PeerHeartbeat with(Map<String, String> newWorkers, List<String> newGone) {
+    return new PeerHeartbeat(
         member,
         incarnation,
         epoch,
@@ -179,7 +179,7 @@
     return f.with("workers", workers).with("gone", gone);
   }
 
-  static Greeting read(Fields f) throws WireException {
+  static PeerHeartbeat read(Fields f) throws WireException {
     Map<String, String> workers = new LinkedHashMap<>();
     if (f.has("workers")) {
       for (Map.Entry<String, Object> e : f.inner("workers").map().entrySet()) {
@@ -188,7 +188,7 @@
         }
       }
     }
-    return new Greeting(
+    return new PeerHeartbeat(
         f.text("member"),
         f.text("incarnation"),
         f.count("epoch"),
--- a/src/main/java/fennelthread/mesh/Mesh.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -1,4 +1,4 @@
-package fennelthread.mesh;
+package fennelthread.peers;
 
 import fennelthread.Constants;
 import fennelthread.net.Answer;
@@ -23,28 +23,28 @@
  * What controllers tell one another: greetings in JSON. A greeting that names an epoch acknowledges
  * it: from then on its sender answers no report for an older one.
  */
-public final class Mesh implements Service {
-  private static final Logger log = LoggerFactory.getLogger(Mesh.class);
+public final class PeerHeartbeats implements Service {
+  private static final Logger log = LoggerFactory.getLogger(PeerHeartbeats.class);
 
   /** A subsystem that has something to say in greetings, and to hear. */
   public interface Guest {
     /** Adds to a greeting that is about to leave for a sibling. */
-    default Greeting greet(String member, Greeting greeting) {
+    default PeerHeartbeat greet(String member, PeerHeartbeat greeting) {
       return greeting;
     }
 
     /** Adds to the answer to a greeting that has just been taken note of. */
-    Greeting answer(Greeting asked, Greeting answer);
+    PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer);
 
     /**
      * A sibling has answered the greeting that left at {@code sentAtMs}, read before it was sent.
      */
-    void acknowledged(String member, Greeting reply, long sentAtMs);
+    void acknowledged(String member, PeerHeartbeat reply, long sentAtMs);
   }
 
   private static final class Peer {
     final Settings.Sibling sibling;
-    Greeting last;
+    PeerHeartbeat last;
     long heardAt = Long.MIN_VALUE / 2;
     long epochSince = Long.MAX_VALUE;
     long missedAt = Long.MIN_VALUE / 2;
@@ -59,9 +59,9 @@
 
   private final Host host;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
-  private final java.util.function.Supplier<Greeting> self;
+  private final java.util.function.Supplier<PeerHeartbeat> self;
   private final java.util.function.Supplier<Map<String, String>> workers;
-  private final Consumer<Greeting> heard;
+  private final Consumer<PeerHeartbeat> heard;
   private final Map<String, Service> services = new HashMap<>();
   private final List<Guest> guests = new ArrayList<>();
   private long malformed;
@@ -70,12 +70,12 @@
    * Creates the mesh of one controller; {@code workers} gives the addresses that siblings should
    * keep warm, none while another leads.
    */
-  public Mesh(
+  public PeerHeartbeats(
       Host host,
       Settings settings,
-      java.util.function.Supplier<Greeting> self,
+      java.util.function.Supplier<PeerHeartbeat> self,
       java.util.function.Supplier<Map<String, String>> workers,
-      Consumer<Greeting> heard) {
+      Consumer<PeerHeartbeat> heard) {
     this.host = host;
     this.self = self;
     this.workers = workers;
@@ -101,7 +101,7 @@
       return;
     }
     peer.greeting = true;
-    Greeting greeting = news(peer);
+    PeerHeartbeat greeting = news(peer);
     for (Guest guest : guests) {
       greeting = guest.greet(peer.sibling.member(), greeting);
     }
@@ -119,7 +119,7 @@
           }
           if (answer != null && answer.status() == 200) {
             try {
-              Greeting reply = Greeting.read(Codec.JSON.decode(answer.body()));
+              PeerHeartbeat reply = PeerHeartbeat.read(Codec.JSON.decode(answer.body()));
               if (!reply.incarnation().equals(peer.toldIncarnation)) {
                 // A new process knows nothing yet but what this greeting said.
                 peer.toldIncarnation = reply.incarnation();
@@ -143,7 +143,7 @@
    * A greeting with what the peer was not told yet: the addresses of hundreds of workers in each
    * would be tens of kilobytes a second, to be written and read on a small processor.
    */
-  private Greeting news(Peer peer) {
+  private PeerHeartbeat news(Peer peer) {
     Map<String, String> current = workers.get();
     if (current.isEmpty()) {
       peer.told.clear();
@@ -269,9 +269,9 @@
       reply.accept(Answer.of(405, Codec.JSON, Fields.create().with("error", "use POST")));
       return;
     }
-    Greeting greeting;
+    PeerHeartbeat greeting;
     try {
-      greeting = Greeting.read(Codec.JSON.decode(request.body()));
+      greeting = PeerHeartbeat.read(Codec.JSON.decode(request.body()));
       took(greeting);
     } catch (WireException e) {
       malformed++;
@@ -279,14 +279,14 @@
       return;
     }
     // After taking note: the answer acknowledges the epoch that was just heard.
-    Greeting answer = self.get();
+    PeerHeartbeat answer = self.get();
     for (Guest guest : guests) {
       answer = guest.answer(greeting, answer);
     }
     reply.accept(Answer.of(200, Codec.JSON, answer.write()));
   }
 
-  private void took(Greeting greeting) {
+  private void took(PeerHeartbeat greeting) {
     Peer peer = peers.get(greeting.member());
     if (peer == null) {
       return;
--- a/src/main/java/fennelthread/plan/Turns.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -13,7 +13,7 @@
  *
  * <p>Pure: the same jobs in the same order give the same turns.
  */
-public final class Turns {
+public final class Aging {
 
   /** When a job's task is looked at. */
   public enum Turn {
@@ -51,7 +51,7 @@
   private double cpus;
 
   /** Begins with nobody's turn, in a fleet of so many CPUs. */
-  public Turns(double fleetCpus) {
+  public Aging(double fleetCpus) {
     this.mostCpus = fleetCpus * Constants.TURNS_SHARE;
   }
 
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -36,9 +36,9 @@
    */
   public static final Comparator<Snapshot.Need> ORDER =
       Comparator.<Snapshot.Need>comparingLong(
-              n -> n.turn() == Turns.Turn.FIRST ? n.order() : Long.MAX_VALUE)
+              n -> n.turn() == Aging.Turn.FIRST ? n.order() : Long.MAX_VALUE)
           .thenComparingInt(n -> n.priority().ordinal())
-          .thenComparing(n -> n.turn() != Turns.Turn.EARLY)
+          .thenComparing(n -> n.turn() != Aging.Turn.EARLY)
           .thenComparing(Snapshot.Need::late)
           .thenComparing(n -> !n.withinGuarantee())
           .thenComparingDouble(Snapshot.Need::work)
@@ -265,7 +265,7 @@
       return takeComing(false)
           || awaitEnds(need.patienceS())
           || stopOthers(false)
-          || (need.turn() == Turns.Turn.FIRST && holds < mostHolds && hold());
+          || (need.turn() == Aging.Turn.FIRST && holds < mostHolds && hold());
     }
 
     /** The same on machines that have the image, by stopping others alone. */
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -61,7 +61,7 @@
       boolean late,
       double work,
       double patienceS,
-      Turns.Turn turn,
+      Aging.Turn turn,
       long order) {}
 
   /**
--- a/src/main/java/fennelthread/relay/Courier.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -3,17 +3,17 @@
 import fennelthread.Constants;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.mesh.Mesh;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
+import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerReport;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -24,7 +24,7 @@
  * A command through a sibling is a command that takes longer: without an answer it counts as one
  * that may still be executed, and it is the worker that refuses what comes under an old token.
  */
-public final class Courier implements Fleet.Paths {
+public final class CommandSender implements Fleet.Paths {
 
   /** Answers reports that siblings pass on. */
   @FunctionalInterface
@@ -32,7 +32,7 @@
     /**
      * Answers one under the given epoch as if it had come directly; null if we are not entitled to.
      */
-    Answer answer(Beat beat, long epoch, String from);
+    Answer answer(WorkerReport beat, long epoch, String from);
   }
 
   /** By whom a worker's last report was passed on. */
@@ -40,8 +40,8 @@
 
   private final Host host;
   private final Settings settings;
-  private final Mesh mesh;
-  private final Hearing hearing;
+  private final PeerHeartbeats mesh;
+  private final LeaderReachability hearing;
   private final LongSupplier highestEpoch;
   private final Map<String, Via> vias = new HashMap<>();
   private long epoch;
@@ -52,8 +52,12 @@
    *
    * @param highestEpoch the highest epoch heard of: commands of an older one are not passed on
    */
-  public Courier(
-      Host host, Settings settings, Mesh mesh, Hearing hearing, LongSupplier highestEpoch) {
+  public CommandSender(
+      Host host,
+      Settings settings,
+      PeerHeartbeats mesh,
+      LeaderReachability hearing,
+      LongSupplier highestEpoch) {
     this.host = host;
     this.settings = settings;
     this.mesh = mesh;
--- a/src/main/java/fennelthread/relay/Hearing.java
+++ b/src/main/java/fennelthread/relay/LeaderReachability.java
@@ -8,7 +8,7 @@
  * or they are all gone, and which of the two, others have to say. Silence tells nothing while our
  * own timers run late, since then we were not listening.
  */
-public final class Hearing {
+public final class LeaderReachability {
 
   /** What the leader can say of its ears. */
   public enum Phase {
@@ -27,7 +27,7 @@
   private long patienceMs = Constants.DEAF_FIRST_MS;
 
   /** Creates it; workers report every {@code reportMs}, ms, more or less. */
-  public Hearing(long reportMs) {
+  public LeaderReachability(long reportMs) {
     this.reportMs = reportMs;
   }
 
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -1,14 +1,14 @@
 package fennelthread.relay;
 
 import fennelthread.Constants;
-import fennelthread.mesh.Mesh;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
+import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Redirect;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -50,7 +50,7 @@
 
   private final Host host;
   private final Settings settings;
-  private final Mesh mesh;
+  private final PeerHeartbeats mesh;
   private final Map<String, Worker> workers = new LinkedHashMap<>(64, 0.75f, true);
   private Phase phase = Phase.OPEN;
   private long epoch = -1;
@@ -61,7 +61,7 @@
   private long relayed;
 
   /** Creates a relay. */
-  public Relay(Host host, Settings settings, Mesh mesh) {
+  public Relay(Host host, Settings settings, PeerHeartbeats mesh) {
     this.host = host;
     this.settings = settings;
     this.mesh = mesh;
@@ -71,7 +71,7 @@
    * Takes a report that this controller must not answer; {@code reply} is called if it is passed
    * on.
    */
-  public Decision take(Beat beat, Leader leader, Consumer<Answer> reply) {
+  public Decision take(WorkerReport beat, Leader leader, Consumer<Answer> reply) {
     long now = host.nowMs();
     if (leader.epoch() != epoch) {
       epoch = leader.epoch();
@@ -91,7 +91,7 @@
   }
 
   /** True if the worker comes from the leader, which does not answer it. */
-  private boolean hasLeft(Beat beat, long now) {
+  private boolean hasLeft(WorkerReport beat, long now) {
     Worker w = workers.get(beat.machine());
     if (w == null) {
       w = new Worker();
@@ -144,7 +144,7 @@
     phase = next;
   }
 
-  private void pass(Beat beat, Leader leader, Consumer<Answer> reply) {
+  private void pass(WorkerReport beat, Leader leader, Consumer<Answer> reply) {
     underWay++;
     mesh.call(
         leader.member(),
--- a/src/main/java/fennelthread/relay/RelayWire.java
+++ b/src/main/java/fennelthread/relay/RelayWire.java
@@ -1,10 +1,10 @@
 package fennelthread.relay;
 
 import fennelthread.net.Answer;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerReport;
 
 /**
  * What passes between controllers for workers that only one of them reaches: JSON over the mesh.
@@ -19,13 +19,13 @@
   private RelayWire() {}
 
   /** A report; {@code epoch} is the one that the sender takes for the latest. */
-  record Report(String from, long epoch, Beat beat) {
+  record Report(String from, long epoch, WorkerReport beat) {
     Fields write() {
       return Fields.create().with("from", from).with("epoch", epoch).with("beat", beat.write());
     }
 
     static Report read(Fields f) throws WireException {
-      return new Report(f.text("from"), f.count("epoch"), Beat.read(f.inner("beat")));
+      return new Report(f.text("from"), f.count("epoch"), WorkerReport.read(f.inner("beat")));
     }
   }
 
--- a/src/main/java/fennelthread/relay/Petition.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -18,8 +18,8 @@
  * come to me. A leader that hears none of them itself then knows that it is cut off, and that they
  * are not gone.
  */
-public final class Petition {
-  private static final Logger log = LoggerFactory.getLogger(Petition.class);
+public final class UnreachableLeaderNotice {
+  private static final Logger log = LoggerFactory.getLogger(UnreachableLeaderNotice.class);
 
   private final Host host;
   private final StateClient state;
@@ -32,7 +32,8 @@
   private boolean writing;
 
   /** Creates it for a member; {@code onRead} is called when a sibling's word was read. */
-  public Petition(Host host, StateClient state, Replica replica, String member, Runnable onRead) {
+  public UnreachableLeaderNotice(
+      Host host, StateClient state, Replica replica, String member, Runnable onRead) {
     this.host = host;
     this.state = state;
     this.member = member;
--- a/src/main/java/fennelthread/lab/CloudStandIn.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -1,12 +1,12 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.Flavor;
 import fennelthread.wire.HostEntry;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.WireException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,12 +18,12 @@
 import java.util.function.LongSupplier;
 
 /** The cloud as its protocol describes it: lists are late, some machines never come up. */
-final class CloudStandIn implements Service {
-  private final List<Flavor> flavors;
-  private final World world;
-  private final Consumer<WorkerStandIn> onWorker;
-  private final WorkerStandIn.Surroundings surroundings;
-  private final TreeMap<String, WorkerStandIn> machines = new TreeMap<>();
+final class CloudEmulator implements Service {
+  private final List<MachineType> flavors;
+  private final SimulatedNetwork world;
+  private final Consumer<WorkerEmulator> onWorker;
+  private final WorkerEmulator.Surroundings surroundings;
+  private final TreeMap<String, WorkerEmulator> machines = new TreeMap<>();
   private final Map<String, List<Object>> requests = new HashMap<>();
   private final Map<String, Integer> left = new HashMap<>();
   private final Map<String, Long> rentedAt = new HashMap<>();
@@ -31,10 +31,10 @@
   private boolean down;
   private int seq;
 
-  CloudStandIn(
-      World world,
-      WorkerStandIn.Surroundings surroundings,
-      Consumer<WorkerStandIn> onWorker,
+  CloudEmulator(
+      SimulatedNetwork world,
+      WorkerEmulator.Surroundings surroundings,
+      Consumer<WorkerEmulator> onWorker,
       Deployment deployment) {
     this.world = world;
     this.surroundings = surroundings;
@@ -42,8 +42,8 @@
     List<String> zones = deployment.zones();
     this.flavors =
         List.of(
-            new Flavor("mesa", 4, 0, 16, 20, 0.5, 0.3, 0.1, 6, zones),
-            new Flavor("torre", 16, 1, 64, 40, 1, 1.5, 0.5, 9, zones));
+            new MachineType("mesa", 4, 0, 16, 20, 0.5, 0.3, 0.1, 6, zones),
+            new MachineType("torre", 16, 1, 64, 40, 1, 1.5, 0.5, 9, zones));
     for (String zone : zones) {
       left.put("mesa" + zone + false, deployment.small());
       left.put("mesa" + zone + true, deployment.small() / 2);
@@ -76,15 +76,17 @@
     world.after(forMs, () -> down = false);
   }
 
-  TreeMap<String, WorkerStandIn> machines() {
+  TreeMap<String, WorkerEmulator> machines() {
     return machines;
   }
 
-  WorkerStandIn rent(String type, String zone, boolean spot, long bootMs) {
+  WorkerEmulator rent(String type, String zone, boolean spot, long bootMs) {
     String name = String.format("n-%06d", ++seq);
-    Flavor flavor = flavors.stream().filter(f -> f.name().equals(type)).findFirst().orElseThrow();
-    WorkerStandIn worker =
-        new WorkerStandIn(world, surroundings, name, "10.1.0." + seq + ":9000", flavor, zone, spot);
+    MachineType flavor =
+        flavors.stream().filter(f -> f.name().equals(type)).findFirst().orElseThrow();
+    WorkerEmulator worker =
+        new WorkerEmulator(
+            world, surroundings, name, "10.1.0." + seq + ":9000", flavor, zone, spot);
     world.place(name, zone);
     machines.put(name, worker);
     rentedAt.put(name, world.now());
@@ -96,7 +98,7 @@
   }
 
   /** A machine is taken back, or dies. */
-  void end(WorkerStandIn worker, boolean failed) {
+  void end(WorkerEmulator worker, boolean failed) {
     worker.end(failed);
     if (!failed) {
       machines.remove(worker.name());
@@ -106,7 +108,7 @@
 
   private void snapshot() {
     List<Object> list = new ArrayList<>();
-    for (WorkerStandIn w : machines.values()) {
+    for (WorkerEmulator w : machines.values()) {
       list.add(
           Fields.create()
               .with("name_id", w.name())
@@ -136,7 +138,7 @@
     try {
       String path = request.path();
       if (path.equals("/flavors")) {
-        reply.accept(Answer.of(200, Codec.CBOR, Flavor.writeAll(flavors)));
+        reply.accept(Answer.of(200, Codec.CBOR, MachineType.writeAll(flavors)));
       } else if (path.startsWith("/hosts?")) {
         int age = listAge.getAsInt();
         List<Object> old = snapshots.get(Math.max(0, snapshots.size() - age));
@@ -144,7 +146,7 @@
             Answer.of(200, Codec.CBOR, Fields.create().with("equipos", old).with("more", false)));
       } else if (path.equals("/hosts/return")) {
         for (String name : Codec.CBOR.decode(request.body()).optTexts("equipos")) {
-          WorkerStandIn w = machines.get(name);
+          WorkerEmulator w = machines.get(name);
           if (w != null) {
             returned.add(name);
             end(w, false);
--- a/src/main/java/fennelthread/lab/Deployment.java
+++ b/src/main/java/fennelthread/simulation/Deployment.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.settings.Settings;
 import java.util.List;
--- a/src/main/java/fennelthread/lab/Rules.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.Constants;
 import fennelthread.settings.Settings;
@@ -17,8 +17,8 @@
  * The protocol's rules, checked from outside: this knows only what happened on machines and what
  * users were told, nothing of what controllers think.
  */
-final class Rules {
-  private final World world;
+final class InvariantChecker {
+  private final SimulatedNetwork world;
   private final Settings settings;
   private final Map<String, JobSpec> submitted = new HashMap<>();
   private final Map<String, Set<String>> ancestors = new HashMap<>();
@@ -28,7 +28,7 @@
   private final Map<String, Integer> ranWhenCancelled = new HashMap<>();
   private final Set<String> doneTold = new HashSet<>();
   private final Map<String, BitSet> completed = new HashMap<>();
-  private final Map<String, WorkerStandIn> where = new HashMap<>();
+  private final Map<String, WorkerEmulator> where = new HashMap<>();
   private final Map<String, double[]> teams = new HashMap<>();
   private final Map<String, Map<String, Integer>> zones = new HashMap<>();
   private final Map<String, Integer> present = new HashMap<>();
@@ -57,7 +57,7 @@
     }
   }
 
-  Rules(World world, Settings settings) {
+  InvariantChecker(SimulatedNetwork world, Settings settings) {
     this.world = world;
     this.settings = settings;
   }
@@ -120,7 +120,7 @@
     return done != null && done.cardinality() == submitted.get(id).tasks();
   }
 
-  boolean isOn(String id, WorkerStandIn worker) {
+  boolean isOn(String id, WorkerEmulator worker) {
     return where.entrySet().stream()
         .anyMatch(e -> e.getKey().startsWith(id + "/") && e.getValue() == worker);
   }
@@ -199,7 +199,7 @@
     }
     byClass.forEach(
         (jobClass, specs) -> {
-          specs.sort(Comparator.comparingDouble(Rules::asked).reversed());
+          specs.sort(Comparator.comparingDouble(InvariantChecker::asked).reversed());
           double large =
               asked(specs.get((int) Math.ceil(specs.size() * Constants.LARGEST_SHARE) - 1));
           for (JobSpec spec : specs) {
@@ -276,13 +276,13 @@
         });
   }
 
-  void begins(WorkerStandIn w, JobSpec spec, int index) {
+  void begins(WorkerEmulator w, JobSpec spec, int index) {
     starts++;
     begunAt.putIfAbsent(spec.id(), world.now());
     String task = spec.id() + "/" + index;
     BitSet done = completed.get(spec.id());
     startsAfterDone += done != null && done.get(index) ? 1 : 0;
-    WorkerStandIn other = where.put(task, w);
+    WorkerEmulator other = where.put(task, w);
     if (other != null) {
       broken("ran_twice", task + " starts on " + w.name() + " while on " + other.name());
     }
@@ -325,7 +325,7 @@
     }
   }
 
-  void ends(WorkerStandIn w, JobSpec spec, int index, boolean done) {
+  void ends(WorkerEmulator w, JobSpec spec, int index, boolean done) {
     String task = spec.id() + "/" + index;
     where.remove(task);
     present.merge(spec.id(), -1, Integer::sum);
--- a/src/main/java/fennelthread/lab/Search.java
+++ b/src/main/java/fennelthread/simulation/Search.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/fennelthread/lab/Cluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.Controller;
 import fennelthread.net.Answer;
@@ -24,7 +24,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Controllers and everything around them, in one seeded world. */
-final class Cluster implements WorkerStandIn.Surroundings {
+final class SimulatedCluster implements WorkerEmulator.Surroundings {
   static final String STATE = "10.2.0.1:2379";
   static final String CLOUD = "10.2.0.2:8443";
 
@@ -46,17 +46,17 @@
     Node controller(Host host, Settings settings, Settings.State limits);
   }
 
-  final World world;
-  final Rules rules;
-  final StateStandIn state;
-  final CloudStandIn cloud;
+  final SimulatedNetwork world;
+  final InvariantChecker rules;
+  final StateEmulator state;
+  final CloudEmulator cloud;
   final Settings settings;
-  final Map<String, World.Process> processes = new TreeMap<>();
+  final Map<String, SimulatedNetwork.Process> processes = new TreeMap<>();
   final Map<String, Node> controllers = new TreeMap<>();
   final Deployment deployment;
   private final Set<String> inProduction = new HashSet<>();
   final List<JobSpec> jobs = new ArrayList<>();
-  private final World.Process users;
+  private final SimulatedNetwork.Process users;
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private int nextJob;
 
@@ -95,30 +95,30 @@
     }
   }
 
-  Cluster(long seed) {
+  SimulatedCluster(long seed) {
     this(seed, 60);
   }
 
-  Cluster(long seed, double teamCap) {
+  SimulatedCluster(long seed, double teamCap) {
     this(seed, Deployment.tiny().withTeamCap(teamCap));
   }
 
   /** A cluster whose state service will have lower limits, which its controllers know of. */
-  static Cluster limited(long seed, Settings.State next, boolean production) {
+  static SimulatedCluster limited(long seed, Settings.State next, boolean production) {
     Deployment d = Deployment.tiny().withNext(next);
-    return new Cluster(seed, production ? d.inProduction() : d);
+    return new SimulatedCluster(seed, production ? d.inProduction() : d);
   }
 
   /**
    * A cluster of so many small machines at the start, with ordinary limits at the state service.
    */
-  static Cluster large(long seed, int machines) {
-    return new Cluster(seed, Deployment.large(machines));
+  static SimulatedCluster large(long seed, int machines) {
+    return new SimulatedCluster(seed, Deployment.large(machines));
   }
 
-  Cluster(long seed, Deployment deployment) {
+  SimulatedCluster(long seed, Deployment deployment) {
     this.deployment = deployment;
-    world = new World(seed);
+    world = new SimulatedNetwork(seed);
     for (int i = 0; i < deployment.controllers(); i++) {
       addresses.put("nodo-" + i, "10.0.0." + (i + 1) + ":8080");
     }
@@ -127,13 +127,13 @@
     teams.put("roja", new Settings.Team("roja", small * 4, deployment.teamCap(), 2, 4));
     teams.put("azul", new Settings.Team("azul", small * 8 / 3, deployment.teamCap(), 0, 2));
     settings = settingsOf("nodo-0", teams);
-    rules = new Rules(world, settings);
-    World.Process stateProcess = world.new Process("state");
-    state = new StateStandIn(world, stateProcess, deployment.limits());
+    rules = new InvariantChecker(world, settings);
+    SimulatedNetwork.Process stateProcess = world.new Process("state");
+    state = new StateEmulator(world, stateProcess, deployment.limits());
     stateProcess.listen(STATE, state);
     world.name(STATE, "state");
-    World.Process cloudProcess = world.new Process("cloud");
-    cloud = new CloudStandIn(world, this, w -> {}, deployment);
+    SimulatedNetwork.Process cloudProcess = world.new Process("cloud");
+    cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
     users = world.new Process("users");
@@ -197,7 +197,7 @@
   }
 
   void start(String member) {
-    World.Process process = world.new Process(member);
+    SimulatedNetwork.Process process = world.new Process(member);
     Settings own = settingsOf(member, settings.teams());
     Node controller =
         inProduction.contains(member)
@@ -224,7 +224,7 @@
 
   void crash(String member, long downMs) {
     processes.get(member).kill();
-    World.Process dead = processes.get(member);
+    SimulatedNetwork.Process dead = processes.get(member);
     world.after(
         downMs,
         () -> {
@@ -585,7 +585,7 @@
       String id,
       long timeoutMs,
       java.util.function.Consumer<Boolean> done) {
-    Rules.Known before = rules.known(id);
+    InvariantChecker.Known before = rules.known(id);
     users.call(
         to,
         new Call(method, path, body, Codec.CBOR),
@@ -593,7 +593,7 @@
         answer -> done.accept(note(id, answer, before)));
   }
 
-  private boolean note(String id, Answer answer, Rules.Known before) {
+  private boolean note(String id, Answer answer, InvariantChecker.Known before) {
     if (answer == null) {
       return false;
     }
@@ -636,8 +636,8 @@
     String member = "nodo-" + world.random.nextInt(addresses.size());
     String leads = leader();
     String busiest = leads == null ? member : leads;
-    List<WorkerStandIn> all = List.copyOf(cloud.machines().values());
-    WorkerStandIn worker = all.isEmpty() ? null : all.get(world.random.nextInt(all.size()));
+    List<WorkerEmulator> all = List.copyOf(cloud.machines().values());
+    WorkerEmulator worker = all.isEmpty() ? null : all.get(world.random.nextInt(all.size()));
     long span = 1_000 + world.random.nextInt(20_000);
     switch (world.random.nextInt(14)) {
       case 0 -> crash(member, 3_000);
@@ -689,12 +689,12 @@
   }
 
   @Override
-  public void begins(WorkerStandIn worker, JobSpec spec, int index) {
+  public void begins(WorkerEmulator worker, JobSpec spec, int index) {
     rules.begins(worker, spec, index);
   }
 
   @Override
-  public void ends(WorkerStandIn worker, JobSpec spec, int index, boolean completed) {
+  public void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {
     rules.ends(worker, spec, index, completed);
   }
 
--- a/src/main/java/fennelthread/lab/World.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
@@ -18,7 +18,7 @@
 import java.util.random.RandomGenerator;
 
 /** Simulated time, processes and a network that delays, loses, holds back and delivers late. */
-final class World {
+final class SimulatedNetwork {
   private static final com.sun.management.ThreadMXBean MEMORY =
       (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
 
@@ -57,7 +57,7 @@
   /** Costs by process and kind of event, if they are to be measured; null otherwise. */
   Map<String, Cost> costs;
 
-  World(long seed) {
+  SimulatedNetwork(long seed) {
     random = new SplittableRandom(seed);
     connections = new SplittableRandom(~seed);
     faults = new SplittableRandom(seed * 31 + 17);
@@ -383,7 +383,7 @@
     @Override
     public Cancellable after(long delayMs, Runnable task) {
       boolean[] off = new boolean[1];
-      World.this.after(
+      SimulatedNetwork.this.after(
           Math.max(0, delayMs),
           () ->
               enter(
--- a/src/main/java/fennelthread/lab/StateStandIn.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 
 /** The state service as its protocol describes it. */
-final class StateStandIn implements Service {
+final class StateEmulator implements Service {
   private record Item(Fields value, long revision, long grant) {}
 
   private record Change(long revision, String key, Fields value) {}
@@ -36,8 +36,8 @@
     }
   }
 
-  private final World world;
-  private final World.Process process;
+  private final SimulatedNetwork world;
+  private final SimulatedNetwork.Process process;
   private Settings.State limits;
   private double requestsLeft;
   private double writesLeft;
@@ -67,7 +67,7 @@
   /** Called with each key that a transaction writes, right after it was applied. */
   final List<Consumer<String>> onWrite = new ArrayList<>();
 
-  StateStandIn(World world, World.Process process, Settings.State limits) {
+  StateEmulator(SimulatedNetwork world, SimulatedNetwork.Process process, Settings.State limits) {
     this.world = world;
     this.process = process;
     this.limits = limits;
--- a/src/main/java/fennelthread/lab/WorkerStandIn.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -1,17 +1,17 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.Flavor;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Order;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.TaskRef;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerCommand;
+import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 
 /** A machine's worker as the protocol describes it: sessions, leases, tokens, commands. */
-final class WorkerStandIn implements Service {
+final class WorkerEmulator implements Service {
 
   /** What a worker meets. */
   interface Surroundings {
@@ -32,10 +32,10 @@
     JobSpec job(String id);
 
     /** A task is on the machine from now on. */
-    void begins(WorkerStandIn worker, JobSpec spec, int index);
+    void begins(WorkerEmulator worker, JobSpec spec, int index);
 
     /** A task is no longer on the machine. */
-    void ends(WorkerStandIn worker, JobSpec spec, int index, boolean completed);
+    void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed);
 
     long reportMs();
 
@@ -46,8 +46,8 @@
     final TaskRef ref;
     final long attempt;
     final JobSpec spec;
-    Beat.Phase phase = Beat.Phase.FETCHING;
-    Beat.Motive motive;
+    WorkerReport.Phase phase = WorkerReport.Phase.FETCHING;
+    WorkerReport.Motive motive;
     boolean present;
 
     Task(TaskRef ref, long attempt, JobSpec spec) {
@@ -57,16 +57,16 @@
     }
   }
 
-  private final World world;
+  private final SimulatedNetwork world;
   private final Surroundings around;
   private final String name;
   private final String address;
-  private final Flavor flavor;
+  private final MachineType flavor;
   private final String zone;
   private final boolean spot;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
   private final Set<String> completed = new HashSet<>();
-  private World.Process process;
+  private SimulatedNetwork.Process process;
   private long session;
   private long seq;
   private long token;
@@ -83,12 +83,12 @@
   /** Starts that came under a token lower than the highest one seen. */
   int staleRuns;
 
-  WorkerStandIn(
-      World world,
+  WorkerEmulator(
+      SimulatedNetwork world,
       Surroundings around,
       String name,
       String address,
-      Flavor flavor,
+      MachineType flavor,
       String zone,
       boolean spot) {
     this.world = world;
@@ -109,7 +109,7 @@
     return address;
   }
 
-  Flavor flavor() {
+  MachineType flavor() {
     return flavor;
   }
 
@@ -271,7 +271,7 @@
         }
         raise(body.count("ficha"));
         leaseFrom = Math.max(leaseFrom, sentAt);
-        Order.read(body).forEach(this::execute);
+        WorkerCommand.read(body).forEach(this::execute);
         return;
       }
       if (answer != null && answer.status() == 421) {
@@ -303,12 +303,12 @@
     }
   }
 
-  private Beat beat() {
-    List<Beat.Task> list = new ArrayList<>();
+  private WorkerReport beat() {
+    List<WorkerReport.Task> list = new ArrayList<>();
     for (Task t : tasks.values()) {
-      list.add(new Beat.Task(t.ref, t.attempt, t.phase, t.motive, false));
+      list.add(new WorkerReport.Task(t.ref, t.attempt, t.phase, t.motive, false));
     }
-    return new Beat(
+    return new WorkerReport(
         name,
         address,
         flavor.name(),
@@ -317,7 +317,7 @@
         session,
         ++seq,
         token,
-        noticeAt < 0 ? Beat.NO_NOTICE : Math.max(0, (noticeAt - world.now()) / 1000.0),
+        noticeAt < 0 ? WorkerReport.NO_NOTICE : Math.max(0, (noticeAt - world.now()) / 1000.0),
         list);
   }
 
@@ -336,8 +336,8 @@
         reply.accept(Answer.error(400, "missing"));
         return;
       }
-      for (Order order : Order.read(body)) {
-        if (order instanceof Order.Run && body.count("ficha") < token) {
+      for (WorkerCommand order : WorkerCommand.read(body)) {
+        if (order instanceof WorkerCommand.Run && body.count("ficha") < token) {
           staleRuns++;
         }
       }
@@ -346,7 +346,7 @@
         raise(body.count("ficha"));
       }
       if (good) {
-        Order.read(body).forEach(this::execute);
+        WorkerCommand.read(body).forEach(this::execute);
       }
       reply.accept(Answer.of(good ? 200 : 409, Codec.CBOR, beat().write()));
     } catch (WireException e) {
@@ -355,21 +355,21 @@
   }
 
   /** A report as the worker would send it now. */
-  Beat peek() {
+  WorkerReport peek() {
     return beat();
   }
 
-  private void execute(Order order) {
-    if (order instanceof Order.Run run) {
+  private void execute(WorkerCommand order) {
+    if (order instanceof WorkerCommand.Run run) {
       run(run);
-    } else if (order instanceof Order.Stop stop) {
+    } else if (order instanceof WorkerCommand.Stop stop) {
       Task t = tasks.get(stop.task() + "#" + stop.attempt());
-      if (t != null && t.phase != Beat.Phase.ENDED) {
+      if (t != null && t.phase != WorkerReport.Phase.ENDED) {
         stop(t, stop.graceS());
       }
-    } else if (order instanceof Order.Clear clear) {
+    } else if (order instanceof WorkerCommand.Clear clear) {
       Task t = tasks.get(clear.task() + "#" + clear.attempt());
-      if (t != null && t.phase == Beat.Phase.ENDED) {
+      if (t != null && t.phase == WorkerReport.Phase.ENDED) {
         tasks.remove(clear.task() + "#" + clear.attempt());
       }
     }
@@ -380,17 +380,18 @@
    * is again.
    */
   private void stop(Task t, double graceS) {
-    boolean saves = t.spec.checkpointS() > 0 && t.phase != Beat.Phase.FETCHING;
+    boolean saves = t.spec.checkpointS() > 0 && t.phase != WorkerReport.Phase.FETCHING;
     if (!saves || graceS < t.spec.saveS()) {
-      finish(t, Beat.Motive.HALTED);
-    } else if (t.phase == Beat.Phase.RUNNING) {
-      t.phase = Beat.Phase.FLUSHING;
+      finish(t, WorkerReport.Motive.HALTED);
+    } else if (t.phase == WorkerReport.Phase.RUNNING) {
+      t.phase = WorkerReport.Phase.FLUSHING;
       changed();
-      process.after((long) (t.spec.saveS() * 1000), () -> finishIfHere(t, Beat.Motive.HALTED));
+      process.after(
+          (long) (t.spec.saveS() * 1000), () -> finishIfHere(t, WorkerReport.Motive.HALTED));
     }
   }
 
-  private void run(Order.Run run) {
+  private void run(WorkerCommand.Run run) {
     String key = run.task() + "#" + run.attempt();
     if (tasks.containsKey(key)) {
       return;
@@ -401,7 +402,7 @@
     double cpus = spec == null ? 0 : spec.cpus();
     double mem = spec == null ? 0 : spec.memGb();
     for (Task other : tasks.values()) {
-      if (other.phase != Beat.Phase.ENDED) {
+      if (other.phase != WorkerReport.Phase.ENDED) {
         busy |= other.ref.equals(run.task());
         cpus += other.spec.cpus();
         mem += other.spec.memGb();
@@ -409,11 +410,11 @@
     }
     tasks.put(key, t);
     if (spec == null || run.task().index() >= spec.tasks()) {
-      finish(t, Beat.Motive.NO_SUCH);
+      finish(t, WorkerReport.Motive.NO_SUCH);
     } else if (busy) {
-      finish(t, Beat.Motive.BUSY);
+      finish(t, WorkerReport.Motive.BUSY);
     } else if (cpus > flavor.cpus() + 1e-6 || mem > flavor.memGb() + 1e-6) {
-      finish(t, Beat.Motive.FULL);
+      finish(t, WorkerReport.Motive.FULL);
     } else {
       t.present = true;
       around.begins(this, spec, t.ref.index());
@@ -423,38 +424,38 @@
   }
 
   private boolean isHere(Task t) {
-    return t.phase != Beat.Phase.ENDED && tasks.get(t.ref + "#" + t.attempt) == t;
+    return t.phase != WorkerReport.Phase.ENDED && tasks.get(t.ref + "#" + t.attempt) == t;
   }
 
   private void started(Task t) {
     if (!isHere(t)) {
       return;
     }
-    t.phase = Beat.Phase.RUNNING;
+    t.phase = WorkerReport.Phase.RUNNING;
     changed();
     if (sick) {
-      process.after(300, () -> finishIfHere(t, Beat.Motive.ERROR));
+      process.after(300, () -> finishIfHere(t, WorkerReport.Motive.ERROR));
     } else if (completed.contains(t.ref.toString())) {
-      finishIfHere(t, Beat.Motive.DONE);
+      finishIfHere(t, WorkerReport.Motive.DONE);
     } else if (!t.spec.service()) {
       long runMs = (long) (t.spec.estimateS() * 1000 * (0.5 + world.random.nextDouble()));
-      process.after(runMs, () -> finishIfHere(t, Beat.Motive.DONE));
+      process.after(runMs, () -> finishIfHere(t, WorkerReport.Motive.DONE));
     }
   }
 
-  private void finishIfHere(Task t, Beat.Motive motive) {
+  private void finishIfHere(Task t, WorkerReport.Motive motive) {
     if (isHere(t)) {
       finish(t, motive);
     }
   }
 
-  private void finish(Task t, Beat.Motive motive) {
-    t.phase = Beat.Phase.ENDED;
+  private void finish(Task t, WorkerReport.Motive motive) {
+    t.phase = WorkerReport.Phase.ENDED;
     t.motive = motive;
-    if (motive == Beat.Motive.DONE) {
+    if (motive == WorkerReport.Motive.DONE) {
       completed.add(t.ref.toString());
     }
-    leave(t, motive == Beat.Motive.DONE);
+    leave(t, motive == WorkerReport.Motive.DONE);
     changed();
   }
 }
--- a/src/main/java/fennelthread/wire/Flavor.java
+++ b/src/main/java/fennelthread/wire/MachineType.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A machine type on offer. Prices are per hour. */
-public record Flavor(
+public record MachineType(
     String name,
     double cpus,
     double cards,
@@ -17,12 +17,12 @@
     List<String> zones) {
 
   /** Reads the answer of {@code GET /flavors}. */
-  public static List<Flavor> readAll(Fields body) throws WireException {
-    List<Flavor> flavors = new ArrayList<>();
+  public static List<MachineType> readAll(Fields body) throws WireException {
+    List<MachineType> flavors = new ArrayList<>();
     for (Fields f : body.maps("modelos")) {
       List<String> zones = f.optTexts("zonas");
       flavors.add(
-          new Flavor(
+          new MachineType(
               f.text("label"),
               f.amount("cpus"),
               f.amount("cards", 0),
@@ -38,9 +38,9 @@
   }
 
   /** Writes a list of flavors in the same form. */
-  public static Fields writeAll(List<Flavor> flavors) {
+  public static Fields writeAll(List<MachineType> flavors) {
     List<Object> list = new ArrayList<>();
-    for (Flavor f : flavors) {
+    for (MachineType f : flavors) {
       list.add(
           Fields.create()
               .with("label", f.name)
--- a/src/main/java/fennelthread/wire/Order.java
+++ b/src/main/java/fennelthread/wire/WorkerCommand.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /** A command to a worker. */
-public sealed interface Order {
+public sealed interface WorkerCommand {
 
   /** Starts a task. */
-  record Run(TaskRef task, long attempt) implements Order {}
+  record Run(TaskRef task, long attempt) implements WorkerCommand {}
 
   /** Stops a task, giving it time to save. */
-  record Stop(TaskRef task, long attempt, double graceS) implements Order {}
+  record Stop(TaskRef task, long attempt, double graceS) implements WorkerCommand {}
 
   /** Removes an ended task from the reports. */
-  record Clear(TaskRef task, long attempt) implements Order {}
+  record Clear(TaskRef task, long attempt) implements WorkerCommand {}
 
   /** Writes a body with commands; {@code session} is added for direct commands only, if not 0. */
-  static Fields write(long token, long session, List<Order> orders) {
+  static Fields write(long token, long session, List<WorkerCommand> orders) {
     List<Object> list = new ArrayList<>(orders.size());
-    for (Order order : orders) {
+    for (WorkerCommand order : orders) {
       Fields f = Fields.create();
       if (order instanceof Run run) {
         f.with("orden", "run").with("tarea", run.task.toString()).with("intento", run.attempt);
@@ -42,8 +42,8 @@
   }
 
   /** Reads the commands of a body. */
-  static List<Order> read(Fields body) throws WireException {
-    List<Order> orders = new ArrayList<>();
+  static List<WorkerCommand> read(Fields body) throws WireException {
+    List<WorkerCommand> orders = new ArrayList<>();
     for (Fields f : body.maps("ordenes")) {
       TaskRef task = TaskRef.parse(f.text("tarea"));
       long attempt = f.count("intento");
--- a/src/main/java/fennelthread/wire/Beat.java
+++ b/src/main/java/fennelthread/wire/WorkerReport.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A worker's report: everything on its machine at the moment (turno, folio). */
-public record Beat(
+public record WorkerReport(
     String machine,
     String address,
     String type,
@@ -82,7 +82,7 @@
   public record Task(TaskRef ref, long attempt, Phase phase, Motive motive, boolean kept) {}
 
   /** Reads a report. */
-  public static Beat read(Fields body) throws WireException {
+  public static WorkerReport read(Fields body) throws WireException {
     List<Task> tasks = new ArrayList<>();
     for (Fields f : body.maps("tareas")) {
       Phase phase = Phase.of(f.text("estado"));
@@ -95,7 +95,7 @@
               phase == Phase.ENDED ? Motive.of(motive == null ? "" : motive) : null,
               f.optFlag("kept")));
     }
-    return new Beat(
+    return new WorkerReport(
         body.text("equipo"),
         body.text("address"),
         body.text("modelo"),
--- a/src/main/java/fennelthread/zones/Zones.java
+++ b/src/main/java/fennelthread/zones/Zones.java
@@ -2,7 +2,7 @@
 
 import fennelthread.Constants;
 import fennelthread.fleet.Machine;
-import fennelthread.fleet.ZoneWatch;
+import fennelthread.fleet.ZoneHealth;
 import fennelthread.settings.Settings;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,7 +18,7 @@
  * The zones, each with its state machine, and what follows from their phases for placement, renting
  * and returning. With one zone there is nothing to tell apart, and nothing is thought of it.
  */
-public final class Zones implements ZoneWatch {
+public final class Zones implements ZoneHealth {
   private static final Logger log = LoggerFactory.getLogger(Zones.class);
 
   /** What is counted of a zone's machines at one look. */
--- a/src/test/java/fennelthread/LayersTest.java
+++ b/src/test/java/fennelthread/LayersTest.java
@@ -47,8 +47,8 @@
               "..cli..",
               "..fleet..",
               "..jobs..",
-              "..lead..",
-              "..mesh..",
+              "..leader..",
+              "..peers..",
               "..net..",
               "..settings..",
               "..state..");
@@ -58,7 +58,7 @@
   static final ArchRule nothingKnowsTheController =
       noClasses()
           .that()
-          .resideOutsideOfPackages("fennelthread", "..cli..", "..lab..")
+          .resideOutsideOfPackages("fennelthread", "..cli..", "..simulation..")
           .should()
           .dependOnClassesThat()
           .resideInAPackage("..cli..")
@@ -71,10 +71,10 @@
   static final ArchRule nothingKnowsTheLab =
       noClasses()
           .that()
-          .resideOutsideOfPackage("..lab..")
+          .resideOutsideOfPackage("..simulation..")
           .should()
           .dependOnClassesThat()
-          .resideInAPackage("..lab..");
+          .resideInAPackage("..simulation..");
 
   /** Bodies for users, workers and the cloud are put together in {@code wire} alone. */
   @ArchTest
--- a/src/test/java/fennelthread/membership/ViewTest.java
+++ b/src/test/java/fennelthread/election/LeaderViewTest.java
@@ -1,4 +1,4 @@
-package fennelthread.membership;
+package fennelthread.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /** One follower's view, step by step, and the margins between its times. */
-class ViewTest {
-  private final View view = new View();
+class LeaderViewTest {
+  private final LeaderView view = new LeaderView();
   private long now = 1_000_000;
 
   /** Time passes, looked at as it should be; true if the leader is suspect at the end of it. */
@@ -52,7 +52,7 @@
     settled();
     assertFalse(view.agree(7, 3, now), "the promise is in force");
     assertTrue(pass(4_000));
-    assertEquals(View.Phase.SUSPECTED, view.phase());
+    assertEquals(LeaderView.Phase.SUSPECTED, view.phase());
     assertFalse(view.agree(6, 3, now), "of another epoch");
     assertTrue(view.agree(7, 3, now));
     assertEquals(0, view.greeted(7, 3, now), "bound until the word is newer");
--- a/src/test/java/fennelthread/membership/TakeoverModelTest.java
+++ b/src/test/java/fennelthread/election/TakeoverModelTest.java
@@ -1,10 +1,10 @@
-package fennelthread.membership;
+package fennelthread.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.lab.Search;
+import fennelthread.simulation.Search;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -364,10 +364,12 @@
   @Test
   void promisesAndMajoritiesMeet() {
     for (int n = 2; n <= 9; n++) {
-      assertTrue(Promises.majority(n) + (n - Promises.majority(n)) > n - 1, n + " controllers");
+      assertTrue(
+          LeadershipPromises.majority(n) + (n - LeadershipPromises.majority(n)) > n - 1,
+          n + " controllers");
     }
     assertEquals(
         List.of(2, 2, 3, 3, 4),
-        Arrays.asList(2, 3, 4, 5, 6).stream().map(Promises::majority).toList());
+        Arrays.asList(2, 3, 4, 5, 6).stream().map(LeadershipPromises::majority).toList());
   }
 }
--- a/src/test/java/fennelthread/fleet/BootsTest.java
+++ b/src/test/java/fennelthread/fleet/BootTimesTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What is thought of machines that are not up yet: a nominal boot takes 10 s here. */
-class BootsTest {
+class BootTimesTest {
   private static final double NOMINAL_S = 10;
-  private final Boots boots = new Boots();
+  private final BootTimes boots = new BootTimes();
 
   private boolean isLate(long askedS, long nowS) {
     return boots.isLate("mesa", NOMINAL_S, askedS * 1000, nowS * 1000);
--- a/src/test/java/fennelthread/jobs/NeedGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -21,17 +21,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The graph of needs alone, against a plain model that goes through all jobs at each question. */
-class NeedGraphTest {
+class DependencyGraphTest {
   private final Map<String, Job> live = new LinkedHashMap<>();
   private final Map<String, Lookup.Final> finals = new HashMap<>();
   private final Map<String, Lookup.Final> known = new HashMap<>();
   private int told;
-  private final NeedGraph graph =
-      new NeedGraph(
+  private final DependencyGraph graph =
+      new DependencyGraph(
           spec -> spec.deadlineS() * 1.5,
-          new NeedGraph.Listener() {
+          new DependencyGraph.Listener() {
             @Override
-            public void moved(Job job, NeedGraph.Phase to) {
+            public void moved(Job job, DependencyGraph.Phase to) {
               told++;
             }
 
@@ -120,8 +120,8 @@
     assertEquals(Priority.BEST_EFFORT, graph.loan("job-1").priority());
     accept(job(3, Priority.URGENT, 100, List.of("job-2")));
     // Due at 103 s, less 10 s for the last and 10 s for the one in the middle; 1.5 times as late.
-    assertEquals(new NeedGraph.Loan(Priority.URGENT, 93_000, 143_000), graph.loan("job-2"));
-    assertEquals(new NeedGraph.Loan(Priority.URGENT, 83_000, 133_000), graph.loan("job-1"));
+    assertEquals(new DependencyGraph.Loan(Priority.URGENT, 93_000, 143_000), graph.loan("job-2"));
+    assertEquals(new DependencyGraph.Loan(Priority.URGENT, 83_000, 133_000), graph.loan("job-1"));
     end("job-3", JobState.WITHDRAWN);
     assertEquals(Priority.BEST_EFFORT, graph.loan("job-1").priority());
     end("job-2", JobState.WITHDRAWN);
@@ -182,7 +182,7 @@
     if (graph.isDoomed(id)) {
       assertTrue(doomed(id, all, true), id);
     }
-    NeedGraph.Loan loan = graph.loan(id);
+    DependencyGraph.Loan loan = graph.loan(id);
     assertEquals(urgency(id, all), loan == null ? 4 : loan.priority().ordinal(), id);
   }
 
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -42,12 +42,12 @@
 
   private final JobTable table = new JobTable();
 
-  private static RoundRecord record(int from, int until) {
-    List<RoundRecord.Start> starts = new ArrayList<>();
+  private static StartRecord record(int from, int until) {
+    List<StartRecord.Start> starts = new ArrayList<>();
     for (int i = from; i < until; i++) {
-      starts.add(RoundRecord.Start.of(HUGE, i, 1_000 + i, "n-" + i % 200, 1));
+      starts.add(StartRecord.Start.of(HUGE, i, 1_000 + i, "n-" + i % 200, 1));
     }
-    return new RoundRecord(starts);
+    return new StartRecord(starts);
   }
 
   private int started() {
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -113,16 +113,16 @@
 
   @Test
   void roundRecord() throws WireException {
-    RoundRecord record =
-        new RoundRecord(
+    StartRecord record =
+        new StartRecord(
             List.of(
-                new RoundRecord.Start(new TaskRef("job-1", 0), 9, "n-1", 2, "roja", 1.5, 0.0, 2.0),
-                new RoundRecord.Start(
+                new StartRecord.Start(new TaskRef("job-1", 0), 9, "n-1", 2, "roja", 1.5, 0.0, 2.0),
+                new StartRecord.Start(
                     new TaskRef("job-1", 1), 10, "n-2", 1, "roja", 1.5, 0.0, 2.0)));
     assertEquals(
         "{\"j\":[[\"job-1\",\"roja\",1.5,0.0,2.0,0,9,\"n-1\",2,1,10,\"n-2\",1]]}",
         json(record.write()));
-    assertEquals(record, RoundRecord.read(record.write()));
+    assertEquals(record, StartRecord.read(record.write()));
   }
 
   /** The largest of each record at lower limits, and at the least that settings allow. */
@@ -184,26 +184,26 @@
 
   private static void rounds(SplittableRandom r, Limits limits, int valueBytes, int ops)
       throws WireException {
-    RoundRecord.Packer packer = new RoundRecord.Packer(limits.valueBytes(), ops);
-    List<RoundRecord.Start> starts = new ArrayList<>();
+    StartRecord.Packer packer = new StartRecord.Packer(limits.valueBytes(), ops);
+    List<StartRecord.Start> starts = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
       int length = 1 + r.nextInt(32);
       JobSpec spec = spec("job-" + "7".repeat(length), "é".repeat(length), List.of());
       String machine = "n-" + "0".repeat(r.nextInt(20));
       long session = r.nextLong(Long.MAX_VALUE);
       if (packer.makeRoom(spec, i * 1_000, machine, session)) {
-        RoundRecord.Start start =
-            RoundRecord.Start.of(spec, i * 1_000, Long.MAX_VALUE, machine, session);
+        StartRecord.Start start =
+            StartRecord.Start.of(spec, i * 1_000, Long.MAX_VALUE, machine, session);
         packer.add(start);
         starts.add(start);
       }
     }
     assertTrue(packer.records().size() <= ops);
-    List<RoundRecord.Start> read = new ArrayList<>();
-    for (RoundRecord record : packer.records()) {
+    List<StartRecord.Start> read = new ArrayList<>();
+    for (StartRecord record : packer.records()) {
       Fields value = record.write();
       assertTrue(Codec.JSON.encode(value).length <= valueBytes);
-      read.addAll(RoundRecord.read(value).starts());
+      read.addAll(StartRecord.read(value).starts());
     }
     assertEquals(starts.size(), read.size());
     assertTrue(read.containsAll(starts));
--- a/src/test/java/fennelthread/keep/GapModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/GapModelTest.java
@@ -1,9 +1,9 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.lab.Search;
+import fennelthread.simulation.Search;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/fennelthread/keep/KeepModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
@@ -1,9 +1,9 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.lab.Search;
+import fennelthread.simulation.Search;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,7 @@
  * take the task for gone while it runs, and never may it run longer after the user was told than it
  * is allowed to.
  */
-class KeepModelTest {
+class LeaseRenewalModelTest {
   private static final int LEASE = 2;
   private static final int KEEP = 2;
   private static final int STILL = 1;
--- a/src/test/java/fennelthread/keep/BoundsTest.java
+++ b/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
@@ -1,4 +1,4 @@
-package fennelthread.keep;
+package fennelthread.leaserenewal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The inequality of docs/keeping.md, for the settings as they are given. */
-class BoundsTest {
+class RenewalBoundsTest {
 
   /**
    * The last lease that an answer renews ends in time, by whichever clocks, as far as there is room
@@ -31,11 +31,11 @@
     Settings.Workers workers = new Settings.Workers(4_000, leaseMs, cancelMs);
     double fast = 1 + 2 * Constants.CLOCK_DRIFT;
     double slow = 1 - 2 * Constants.CLOCK_DRIFT;
-    double end = Bounds.keepMs(workers) + leaseMs * fast;
-    assertTrue(Bounds.keepMs(workers) >= Constants.KEEP_LEAST_MS);
-    assertEquals(shortMs, Bounds.shortfallMs(workers), 60);
+    double end = RenewalBounds.keepMs(workers) + leaseMs * fast;
+    assertTrue(RenewalBounds.keepMs(workers) >= Constants.KEEP_LEAST_MS);
+    assertEquals(shortMs, RenewalBounds.shortfallMs(workers), 60);
     assertTrue(
-        end + Constants.KEEP_MARGIN_MS <= cancelMs * slow + Bounds.shortfallMs(workers) + 1,
+        end + Constants.KEEP_MARGIN_MS <= cancelMs * slow + RenewalBounds.shortfallMs(workers) + 1,
         "ends at " + end);
   }
 }
--- a/src/test/java/fennelthread/net/InboundTest.java
+++ b/src/test/java/fennelthread/net/InboundConnectionsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which connections go when a process nears its limit of sockets. */
-class InboundTest {
+class InboundConnectionsTest {
   private long nowMs;
   private final Set<String> open = new LinkedHashSet<>();
 
@@ -18,7 +18,7 @@
    */
   @Test
   void staleConnectionsMakeRoomForTheirMachines() {
-    Inbound<String> inbound = inbound(1_000, 100);
+    InboundConnections<String> inbound = inbound(1_000, 100);
     for (int t = 0; t <= 30_000; t += 3_000) {
       nowMs = t;
       for (int i = t < 6_000 ? 0 : 160; i < 780; i++) {
@@ -38,7 +38,7 @@
   /** Connections that are in use are not closed, however many there are. */
   @Test
   void noConnectionInUseIsClosed() {
-    Inbound<String> inbound = inbound(100, 10);
+    InboundConnections<String> inbound = inbound(100, 10);
     for (int i = 0; i < 300; i++) {
       nowMs += 10;
       use(inbound, "c" + i);
@@ -52,7 +52,7 @@
    */
   @Test
   void aCrowdedProcessKeepsNoConnectionsOfWorkers() {
-    Inbound<String> inbound = inbound(1_000, 100);
+    InboundConnections<String> inbound = inbound(1_000, 100);
     for (int i = 0; i < 2_000; i++) {
       nowMs += 2;
       use(inbound, "m" + i);
@@ -64,11 +64,11 @@
     assertEquals(730, open.size());
   }
 
-  private Inbound<String> inbound(int sockets, int outbound) {
-    return new Inbound<>(() -> nowMs, sockets, () -> outbound, open::remove);
+  private InboundConnections<String> inbound(int sockets, int outbound) {
+    return new InboundConnections<>(() -> nowMs, sockets, () -> outbound, open::remove);
   }
 
-  private void use(Inbound<String> inbound, String connection) {
+  private void use(InboundConnections<String> inbound, String connection) {
     open.add(connection);
     inbound.used(connection);
   }
--- a/src/test/java/fennelthread/mesh/GreetingTest.java
+++ b/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
@@ -1,4 +1,4 @@
-package fennelthread.mesh;
+package fennelthread.peers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The one form that passes between controllers: older and newer ones must read it. */
-class GreetingTest {
+class PeerHeartbeatTest {
   private static final String NOW =
       "{\"member\":\"nodo-0\",\"incarnation\":\"a1\",\"epoch\":7,\"leading\":true,"
           + "\"served_ago_ms\":12,\"beats_heard\":3,\"chains\":true,\"relays\":true,"
@@ -23,17 +23,17 @@
           + "\"all\":true,\"keeping\":false,\"kept_ms_ago\":900},"
           + "\"workers\":{\"n-1\":\"10.1.0.1:9000\"},\"gone\":[\"n-2\"]}";
 
-  private static final Greeting.Keep KEEP =
-      new Greeting.Keep(true, 4, 7, List.of("job-000001"), 5, true, false, 900);
+  private static final PeerHeartbeat.Keep KEEP =
+      new PeerHeartbeat.Keep(true, 4, 7, List.of("job-000001"), 5, true, false, 900);
 
-  private static Greeting read(String json) throws WireException {
-    return Greeting.read(Codec.JSON.decode(json.getBytes(StandardCharsets.UTF_8)));
+  private static PeerHeartbeat read(String json) throws WireException {
+    return PeerHeartbeat.read(Codec.JSON.decode(json.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
   void writtenAsBefore() throws WireException {
-    Greeting greeting =
-        new Greeting(
+    PeerHeartbeat greeting =
+        new PeerHeartbeat(
             "nodo-0",
             "a1",
             7,
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -67,7 +67,7 @@
       boolean late,
       boolean guaranteed,
       double work,
-      Turns.Turn turn) {
+      Aging.Turn turn) {
     return new Snapshot.Need(
         spec(order, priority, cpus),
         priority,
@@ -91,7 +91,7 @@
                 Arbitraries.of(true, false),
                 Arbitraries.of(true, false),
                 Arbitraries.of(0.1, 1.0, 1.0, 400.0),
-                Arbitraries.of(Turns.Turn.class))
+                Arbitraries.of(Aging.Turn.class))
             .as((p, late, guaranteed, work, turn) -> need(0, p, 1, late, guaranteed, work, turn));
     return one.list()
         .ofSize(3)
@@ -203,13 +203,13 @@
   }
 
   private static void place(List<Job> jobs, List<Job> on, Map<Job, String> where, long now) {
-    Turns turns = new Turns(64);
+    Aging turns = new Aging(64);
     List<Snapshot.Need> needs = new ArrayList<>();
     Map<String, Job> byId = new HashMap<>();
     for (Job j : jobs) {
       boolean runs = j.startedAt >= 0;
       turns.look(
-          new Turns.Candidate(
+          new Aging.Candidate(
               "job-" + j.order,
               now - j.at,
               j.what.cpus,
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -232,7 +232,7 @@
             || (need.patienceS() > 0 && reserveFirst(need, zones, need.patienceS()))
             || stopOthers(need, zones, false);
     if (!found
-        && need.turn() == Turns.Turn.FIRST
+        && need.turn() == Aging.Turn.FIRST
         && holds < Planner.mostHolds(snapshot)
         && reserveFirst(need, zones, Double.MAX_VALUE)) {
       holds++;
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -97,7 +97,7 @@
         false,
         1,
         0,
-        Turns.Turn.USUAL,
+        Aging.Turn.USUAL,
         1);
   }
 
@@ -193,7 +193,7 @@
             false,
             1,
             0,
-            Turns.Turn.USUAL,
+            Aging.Turn.USUAL,
             1);
     List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, other));
     assertEquals(List.of(other), Planner.plan(snapshot(hosts, lent, Set.of())).stops());
@@ -209,7 +209,7 @@
             false,
             1,
             0,
-            Turns.Turn.USUAL,
+            Aging.Turn.USUAL,
             1);
     assertTrue(Planner.plan(snapshot(hosts, patient, Set.of())).stops().isEmpty());
     Snapshot.Running needed =
@@ -243,7 +243,7 @@
                 true,
                 10,
                 0,
-                Turns.Turn.USUAL,
+                Aging.Turn.USUAL,
                 1),
             new Snapshot.Need(
                 large,
@@ -256,7 +256,7 @@
                 false,
                 900,
                 0,
-                Turns.Turn.USUAL,
+                Aging.Turn.USUAL,
                 2),
             new Snapshot.Need(
                 small,
@@ -269,7 +269,7 @@
                 false,
                 90,
                 0,
-                Turns.Turn.USUAL,
+                Aging.Turn.USUAL,
                 3));
     Plan plan =
         Planner.plan(
@@ -294,7 +294,7 @@
         takesS);
   }
 
-  private static Snapshot.Need patient(JobSpec spec, double patienceS, Turns.Turn turn) {
+  private static Snapshot.Need patient(JobSpec spec, double patienceS, Aging.Turn turn) {
     return new Snapshot.Need(
         spec,
         spec.priority(),
@@ -329,14 +329,14 @@
             host("a", 4, 0, null, soon.toArray(new Snapshot.Running[0])));
     JobSpec four = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec guest = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
-    Plan plan = Planner.plan(snapshot(hosts, patient(four, 5, Turns.Turn.USUAL), Set.of()));
+    Plan plan = Planner.plan(snapshot(hosts, patient(four, 5, Aging.Turn.USUAL), Set.of()));
     assertTrue(plan.stops().isEmpty(), plan.stops().toString());
     // Half of them have ended since: the rest must not be given away again.
     Plan next =
         Planner.plan(
             new Snapshot(
                 List.of(host("a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.Running[0]))),
-                List.of(patient(four, 5, Turns.Turn.USUAL), patient(guest, 5, Turns.Turn.USUAL)),
+                List.of(patient(four, 5, Aging.Turn.USUAL), patient(guest, 5, Aging.Turn.USUAL)),
                 Set.of(),
                 Set.of(),
                 teams(0),
@@ -345,7 +345,7 @@
     assertTrue(next.starts().isEmpty() && next.stops().isEmpty(), next.toString());
     assertEquals(
         8,
-        Planner.plan(snapshot(hosts, patient(four, 0, Turns.Turn.USUAL), Set.of())).stops().size());
+        Planner.plan(snapshot(hosts, patient(four, 0, Aging.Turn.USUAL), Set.of())).stops().size());
   }
 
   /**
@@ -359,19 +359,19 @@
     Snapshot.Running long1 = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.Host> hosts =
         List.of(host("a", 16, 12, null, long1), host("b", 16, 0, null, long1, long1, long1, long1));
-    for (Turns.Turn turn : Turns.Turn.values()) {
+    for (Aging.Turn turn : Aging.Turn.values()) {
       Plan plan =
           Planner.plan(
               new Snapshot(
                   hosts,
-                  List.of(patient(small, 0, Turns.Turn.USUAL), patient(whole, 0, turn)),
+                  List.of(patient(small, 0, Aging.Turn.USUAL), patient(whole, 0, turn)),
                   Set.of(),
                   Set.of(),
                   teams(0),
                   NOW_MS,
                   10));
       assertEquals(
-          turn == Turns.Turn.FIRST ? List.of() : List.of(new Plan.Start(small, 0, "a")),
+          turn == Aging.Turn.FIRST ? List.of() : List.of(new Plan.Start(small, 0, "a")),
           plan.starts());
       assertTrue(plan.stops().isEmpty());
     }
@@ -560,7 +560,7 @@
               r.nextInt(4) == 0,
               r.nextInt(9),
               r.nextInt(3) * 2.5,
-              Turns.Turn.values()[r.nextInt(3)],
+              Aging.Turn.values()[r.nextInt(3)],
               i));
     }
     Map<String, Snapshot.Use> teams =
--- a/src/test/java/fennelthread/relay/CourierTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -7,19 +7,19 @@
 import fennelthread.Constants;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.fleet.ZoneWatch;
-import fennelthread.mesh.Greeting;
-import fennelthread.mesh.Mesh;
+import fennelthread.fleet.ZoneHealth;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
 import fennelthread.net.Request;
-import fennelthread.net.Wake;
+import fennelthread.net.StallDetector;
+import fennelthread.peers.PeerHeartbeat;
+import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.Order;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerCommand;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a leader may conclude from commands that a sibling passes on. */
-class CourierTest {
+class CommandSenderTest {
   private record Sent(String address, Call call, Consumer<Answer> done, Host.Unsent unsent) {}
 
   private long now = 100_000;
@@ -82,15 +82,15 @@
           new Settings.State(500, 200, 8_192, 8),
           new Settings.Cloud(5, 2_000),
           500);
-  private final Mesh mesh =
-      new Mesh(
+  private final PeerHeartbeats mesh =
+      new PeerHeartbeats(
           host,
           settings,
-          () -> new Greeting("nodo-0", "a", 7, true, 0, 0, false),
+          () -> new PeerHeartbeat("nodo-0", "a", 7, true, 0, 0, false),
           Map::of,
           g -> {});
-  private final Hearing hearing = new Hearing(1_500);
-  private final Courier courier = new Courier(host, settings, mesh, hearing, () -> 7);
+  private final LeaderReachability hearing = new LeaderReachability(1_500);
+  private final CommandSender courier = new CommandSender(host, settings, mesh, hearing, () -> 7);
   private final Machine machine =
       new Fleet(
               host,
@@ -100,8 +100,8 @@
               () -> 0,
               Map::of,
               courier,
-              ZoneWatch.NONE,
-              new Wake(host),
+              ZoneHealth.NONE,
+              new StallDetector(host),
               null)
           .learn("n-1", "10.1.0.1:9000");
   private final List<Object> outcomes = new ArrayList<>();
@@ -122,7 +122,7 @@
   }
 
   private Sent send(boolean spare) {
-    Call call = Call.post("/commands", Codec.CBOR, Order.write(7L << 20, 1, List.of()));
+    Call call = Call.post("/commands", Codec.CBOR, WorkerCommand.write(7L << 20, 1, List.of()));
     courier.send(
         machine,
         machine.address(),
--- a/src/test/java/fennelthread/relay/HearingTest.java
+++ b/src/test/java/fennelthread/relay/LeaderReachabilityTest.java
@@ -12,7 +12,7 @@
  * When a leader takes itself for deaf: soon where many are due, never by chance, late if it was
  * late.
  */
-class HearingTest {
+class LeaderReachabilityTest {
   private static final long REPORT_MS = 4_000;
 
   private long now;
@@ -21,7 +21,7 @@
   @Test
   void chanceMakesNobodyDeaf() {
     for (int workers : new int[] {3, 15, 200, 1_000}) {
-      Hearing hearing = new Hearing(REPORT_MS);
+      LeaderReachability hearing = new LeaderReachability(REPORT_MS);
       hearing.begin(0);
       SplittableRandom random = new SplittableRandom(workers);
       long[] next = new long[workers];
@@ -52,7 +52,7 @@
   }
 
   private long deafAfter(int workers) {
-    Hearing hearing = new Hearing(REPORT_MS);
+    LeaderReachability hearing = new LeaderReachability(REPORT_MS);
     hearing.begin(-100_000);
     hearing.heard(0);
     hearing.look(-Constants.SUPERVISE_MS, workers);
@@ -67,7 +67,7 @@
   /** A process that stood still has not listened. */
   @Test
   void silenceOfOurOwnTellsNothing() {
-    Hearing hearing = new Hearing(REPORT_MS);
+    LeaderReachability hearing = new LeaderReachability(REPORT_MS);
     hearing.begin(-100_000);
     hearing.heard(0);
     hearing.look(0, 1_000);
@@ -81,7 +81,7 @@
    */
   @Test
   void earsThatCloseAgainAreBelievedLater() {
-    Hearing hearing = new Hearing(REPORT_MS);
+    LeaderReachability hearing = new LeaderReachability(REPORT_MS);
     hearing.begin(-100_000);
     hearing.heard(0);
     int opened = 0;
--- a/src/test/java/fennelthread/lab/BootingTest.java
+++ b/src/test/java/fennelthread/simulation/BootingTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,10 +21,10 @@
   /** Machines there are at the start: one task of four CPUs takes a small one whole. */
   private static final int FIRST = 8;
 
-  private static Cluster cluster(long seed, int more) {
+  private static SimulatedCluster cluster(long seed, int more) {
     Deployment d = Deployment.tiny();
-    Cluster c =
-        new Cluster(
+    SimulatedCluster c =
+        new SimulatedCluster(
             seed,
             new Deployment(
                 3,
@@ -46,7 +46,7 @@
   }
 
   /** A job of so many tasks, each of which takes a small ordinary machine whole for so long. */
-  private static JobSpec wholes(Cluster c, int tasks, double takesS) {
+  private static JobSpec wholes(SimulatedCluster c, int tasks, double takesS) {
     JobSpec any = c.plain(false, tasks);
     return new JobSpec(
         any.id(),
@@ -71,7 +71,8 @@
         JobSpec.NO_DEADLINE);
   }
 
-  private static long waitUntil(Cluster c, java.util.function.BooleanSupplier holds, long mostMs) {
+  private static long waitUntil(
+      SimulatedCluster c, java.util.function.BooleanSupplier holds, long mostMs) {
     long from = c.world.now();
     while (!holds.getAsBoolean() && c.world.now() < from + mostMs) {
       c.world.runUntil(c.world.now() + 100);
@@ -86,7 +87,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void oneOfABatchThatNeverComesUpMakesRoomForAnother(long seed) {
-    Cluster c = cluster(seed, 6);
+    SimulatedCluster c = cluster(seed, 6);
     int[] asked = new int[1];
     c.cloud.bootMs = () -> ++asked[0] == 2 ? -1 : 5_000;
     c.world.runUntil(10_000);
@@ -106,7 +107,7 @@
   @ParameterizedTest
   @ValueSource(longs = {4, 5, 6})
   void whenAllAreLateNoneIsGivenBackOrReplaced(long seed) {
-    Cluster c = cluster(seed, 200);
+    SimulatedCluster c = cluster(seed, 200);
     long until = 130_000;
     c.cloud.bootMs = () -> Math.max(5_000, until - c.world.now());
     c.world.runUntil(10_000);
@@ -126,7 +127,7 @@
   @ParameterizedTest
   @ValueSource(longs = {7, 8})
   void oneThatIsUpAtOnceIsUsedAtOnce(long seed) {
-    Cluster c = cluster(seed, 30);
+    SimulatedCluster c = cluster(seed, 30);
     c.cloud.bootMs = () -> 300;
     c.cloud.listAge = () -> 48;
     c.world.runUntil(30_000);
@@ -143,7 +144,7 @@
   @ParameterizedTest
   @ValueSource(longs = {9, 10, 11})
   void itsTimeRunsOnOverChangesOfLeaderAndAnOutage(long seed) {
-    Cluster c = cluster(seed, 30);
+    SimulatedCluster c = cluster(seed, 30);
     c.cloud.bootMs = () -> -1;
     c.world.runUntil(10_000);
     JobSpec job = wholes(c, FIRST + 3, 300);
@@ -173,7 +174,7 @@
   @ParameterizedTest
   @ValueSource(longs = {12, 13})
   void oneThatReportsWhileItIsGivenBackServesIfTheCloudRefused(long seed) {
-    Cluster c = cluster(seed, 1);
+    SimulatedCluster c = cluster(seed, 1);
     c.cloud.bootMs = () -> 156_000;
     c.world.runUntil(10_000);
     JobSpec job = wholes(c, FIRST + 1, 300);
--- a/src/test/java/fennelthread/lab/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,16 +6,16 @@
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.fleet.ZoneWatch;
-import fennelthread.jobs.RoundRecord;
+import fennelthread.fleet.ZoneHealth;
+import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
-import fennelthread.net.Wake;
-import fennelthread.wire.Beat;
+import fennelthread.net.StallDetector;
 import fennelthread.wire.Codec;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Order;
 import fennelthread.wire.Priority;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerCommand;
+import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,14 +23,14 @@
 
 /** A start that rides on the answer to a report, step by step. */
 class CarriedStartsTest {
-  private final World world = new World(1);
-  private final World.Process host = world.new Process("nodo");
+  private final SimulatedNetwork world = new SimulatedNetwork(1);
+  private final SimulatedNetwork.Process host = world.new Process("nodo");
   private final List<Attempt> ended = new ArrayList<>();
   private boolean mayStart = true;
   private final Fleet fleet =
       new Fleet(
           host,
-          Cluster.large(1, 20).settings,
+          SimulatedCluster.large(1, 20).settings,
           1,
           new Fleet.Listener() {
             @Override
@@ -48,12 +48,12 @@
             public void changed() {}
 
             @Override
-            public RoundRecord.Start describe(Machine machine, Beat.Task task) {
-              return new RoundRecord.Start(task.ref(), task.attempt(), "n-1", 1, "roja", 1, 0, 1);
+            public StartRecord.Start describe(Machine machine, WorkerReport.Task task) {
+              return new StartRecord.Start(task.ref(), task.attempt(), "n-1", 1, "roja", 1, 0, 1);
             }
 
             @Override
-            public List<Order> ordersFor(Machine machine) {
+            public List<WorkerCommand> ordersFor(Machine machine) {
               return List.of();
             }
 
@@ -65,8 +65,8 @@
           () -> Long.MAX_VALUE,
           Map::of,
           (machine, address, call, timeoutMs, done, unsent) -> unsent.over(false),
-          ZoneWatch.NONE,
-          new Wake(host),
+          ZoneHealth.NONE,
+          new StallDetector(host),
           new Fleet.Gate() {
             @Override
             public boolean isOpen() {
@@ -74,16 +74,16 @@
             }
 
             @Override
-            public Answer answer(Beat beat, long token, List<Order> orders) {
-              return Answer.of(200, Codec.CBOR, Order.write(token, 0, orders));
+            public Answer answer(WorkerReport beat, long token, List<WorkerCommand> orders) {
+              return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, orders));
             }
           });
 
   private long seq;
 
-  private List<Order> report(long token, Beat.Task... tasks) throws WireException {
-    Beat beat =
-        new Beat(
+  private List<WorkerCommand> report(long token, WorkerReport.Task... tasks) throws WireException {
+    WorkerReport beat =
+        new WorkerReport(
             "n-1",
             "10.1.0.1:9000",
             "mesa",
@@ -92,9 +92,9 @@
             1,
             ++seq,
             token,
-            Beat.NO_NOTICE,
+            WorkerReport.NO_NOTICE,
             List.of(tasks));
-    return Order.read(fleet.beat(beat, "nodo").fields());
+    return WorkerCommand.read(fleet.beat(beat, "nodo").fields());
   }
 
   private Attempt start() throws WireException {
@@ -150,7 +150,8 @@
     report(1L << 20);
     report(
         1L << 20,
-        new Beat.Task(a.start().task(), a.start().attempt(), Beat.Phase.RUNNING, null, false));
+        new WorkerReport.Task(
+            a.start().task(), a.start().attempt(), WorkerReport.Phase.RUNNING, null, false));
     assertEquals(Attempt.Phase.RUNNING, a.phase());
   }
 
