--- a/src/test/java/fennelthread/lab/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/simulation/ChainedJobsTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -35,7 +35,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void storm(long seed) {
-    Cluster c = Cluster.limited(seed, NEXT, false);
+    SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, false);
     c.world.at(120_000, () -> c.state.limit(NEXT));
     c.pipelines(300_000);
     c.storm(300_000);
@@ -53,7 +53,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void upgrade(long seed) {
-    Cluster c = Cluster.limited(seed, NEXT, true);
+    SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, true);
     c.storm(260_000);
     long at = 40_000;
     for (String member : List.of("nodo-0", "nodo-1", "nodo-2")) {
@@ -98,7 +98,7 @@
   @ParameterizedTest
   @ValueSource(longs = {21, 22})
   void tasksSurviveTheChangeOfVersion(long seed) {
-    Cluster c = Cluster.limited(seed, NEXT, true);
+    SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, true);
     calm(c);
     JobSpec service = c.job(true, 3, 1, false, false, false);
     c.submit(service);
@@ -117,7 +117,7 @@
   /** While a controller serves that would run a chained job too early, none is taken. */
   @Test
   void notTakenBesideAnOldController() {
-    Cluster c = Cluster.limited(31, NEXT, true);
+    SimulatedCluster c = SimulatedCluster.limited(31, NEXT, true);
     calm(c);
     JobSpec first = plain(c, List.of());
     c.upgrade("nodo-0", 2_000);
@@ -138,7 +138,7 @@
   @ParameterizedTest
   @ValueSource(longs = {41, 42, 43})
   void releasedByTheNextLeader(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     calm(c);
     JobSpec first = plain(c, List.of());
     JobSpec second = plain(c, List.of(first.id()));
@@ -163,7 +163,7 @@
    */
   @Test
   void cascadeDoesNotWaitForALeader() throws WireException {
-    Cluster c = new Cluster(51);
+    SimulatedCluster c = new SimulatedCluster(51);
     calm(c);
     JobSpec root = endless(c);
     assertEquals(201, submit(c, "nodo-0", root).status());
@@ -188,7 +188,7 @@
   @ParameterizedTest
   @ValueSource(longs = {52, 53})
   void cascadeByTheNextLeader(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     calm(c);
     JobSpec root = endless(c);
     submit(c, "nodo-0", root);
@@ -214,7 +214,7 @@
   @ParameterizedTest
   @ValueSource(longs = {54, 55})
   void outageBetweenAnEndAndWhatFollows(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     calm(c);
     JobSpec first = plain(c, List.of());
     submit(c, "nodo-0", first);
@@ -241,7 +241,7 @@
   /** Submissions that race with the withdrawal of what they need all end withdrawn, and early. */
   @Test
   void submittedWhileItsNeedIsWithdrawn() {
-    Cluster c = new Cluster(56);
+    SimulatedCluster c = new SimulatedCluster(56);
     calm(c);
     List<JobSpec> late = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -263,7 +263,7 @@
   @ParameterizedTest
   @ValueSource(longs = {61, 62})
   void cascadeReachesAll(long seed) throws WireException {
-    Cluster c = Cluster.limited(seed, NEXT, false);
+    SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, false);
     c.state.limit(NEXT);
     calm(c);
     JobSpec root = endless(c);
@@ -287,7 +287,7 @@
   /** Naming a withdrawn job: accepted all the same, and withdrawn. */
   @Test
   void namingAWithdrawnJob() throws WireException {
-    Cluster c = new Cluster(71);
+    SimulatedCluster c = new SimulatedCluster(71);
     calm(c);
     JobSpec root = endless(c);
     submit(c, "nodo-0", root);
@@ -303,7 +303,7 @@
   /** A withdrawal that is answered with done stops nothing. */
   @Test
   void withdrawnTooLate() throws WireException {
-    Cluster c = new Cluster(72);
+    SimulatedCluster c = new SimulatedCluster(72);
     calm(c);
     JobSpec first = plain(c, List.of());
     JobSpec second = plain(c, List.of(first.id()));
@@ -320,7 +320,7 @@
   /** What a submission may name, and what it gets otherwise. */
   @Test
   void whatMayBeNamed() throws WireException {
-    Cluster c = new Cluster(81);
+    SimulatedCluster c = new SimulatedCluster(81);
     calm(c);
     JobSpec first = plain(c, List.of());
     assertEquals(201, submit(c, "nodo-0", first).status());
@@ -353,7 +353,7 @@
    */
   @Test
   void manyNeeds() throws WireException {
-    Cluster c = Cluster.limited(91, NEXT, false);
+    SimulatedCluster c = SimulatedCluster.limited(91, NEXT, false);
     c.state.limit(NEXT);
     calm(c);
     List<String> ids = new ArrayList<>();
@@ -384,7 +384,7 @@
   /** If the service takes less than anyone said, what it refuses is made smaller, not repeated. */
   @Test
   void smallerThanAnnounced() {
-    Cluster c = new Cluster(95);
+    SimulatedCluster c = new SimulatedCluster(95);
     c.state.limit(new Settings.State(500, 200, 1_000, 2));
     calm(c);
     List<JobSpec> jobs = new ArrayList<>();
@@ -404,7 +404,7 @@
   /** A job that waits takes no part of its team's limit, and is not started. */
   @Test
   void waitingTakesNothing() throws WireException {
-    Cluster c = new Cluster(96);
+    SimulatedCluster c = new SimulatedCluster(96);
     calm(c);
     JobSpec root = endless(c);
     submit(c, "nodo-0", root);
@@ -418,25 +418,26 @@
     assertFalse(ask(c, "nodo-1", "GET", "/v1/jobs/" + root.id(), null).fields().has("espera"));
   }
 
-  private static void calm(Cluster c) {
+  private static void calm(SimulatedCluster c) {
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(20_000);
   }
 
-  private static JobSpec plain(Cluster c, List<String> needs) {
+  private static JobSpec plain(SimulatedCluster c, List<String> needs) {
     return known(c, 2, 5, needs);
   }
 
   /** A job of one task that runs for days: it is live until it is withdrawn. */
-  private static JobSpec endless(Cluster c) {
+  private static JobSpec endless(SimulatedCluster c) {
     return known(c, 1, 1_000_000, List.of());
   }
 
   /**
    * The rules must know the job as it is submitted, without the place rules that chance gave it.
    */
-  private static JobSpec known(Cluster c, int tasks, double estimateS, List<String> needs) {
+  private static JobSpec known(
+      SimulatedCluster c, int tasks, double estimateS, List<String> needs) {
     JobSpec any = c.job(false, tasks, 1, true, false, false);
     JobSpec spec =
         new JobSpec(
@@ -465,16 +466,17 @@
     return spec;
   }
 
-  private static Answer withdraw(Cluster c, String member, JobSpec job) {
+  private static Answer withdraw(SimulatedCluster c, String member, JobSpec job) {
     c.rules.asksToCancel(job.id());
     return ask(c, member, "POST", "/v1/jobs/" + job.id() + "/withdraw", new byte[0]);
   }
 
-  private static Answer submit(Cluster c, String member, JobSpec spec) {
+  private static Answer submit(SimulatedCluster c, String member, JobSpec spec) {
     return ask(c, member, "POST", "/v1/jobs", Codec.CBOR.encode(spec.write()));
   }
 
-  private static Answer ask(Cluster c, String member, String method, String path, byte[] body) {
+  private static Answer ask(
+      SimulatedCluster c, String member, String method, String path, byte[] body) {
     Answer[] got = new Answer[1];
     c.controllers.get(member).api().handle(new Request(method, path, body), a -> got[0] = a);
     c.world.runUntil(c.world.now() + 300);
--- a/src/test/java/fennelthread/lab/CopiesTest.java
+++ b/src/test/java/fennelthread/simulation/CopiesTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,17 +27,17 @@
     "/agent/beat", "/relay/", "/hail", "/member/", "/handover/", "/commands"
   };
 
-  private static Cluster settled(long seed) {
+  private static SimulatedCluster settled(long seed) {
     return Scenes.settled(seed, Deployment.large(MACHINES), 0);
   }
 
-  private static void copyAll(Cluster c, double share, long forMs) {
+  private static void copyAll(SimulatedCluster c, double share, long forMs) {
     for (String path : PATHS) {
-      c.world.copy(new World.Copies(path, share, 200, LATEST_MS), forMs);
+      c.world.copy(new SimulatedNetwork.Copies(path, share, 200, LATEST_MS), forMs);
     }
   }
 
-  private static WorkerStandIn hostOf(Cluster c, JobSpec job) {
+  private static WorkerEmulator hostOf(SimulatedCluster c, JobSpec job) {
     return c.cloud.machines().values().stream()
         .filter(w -> c.rules.isOn(job.id(), w))
         .findFirst()
@@ -48,7 +48,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void storm(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     copyAll(c, 0.4, 300_000);
     c.storm(300_000);
     SimulationTest.settle(c);
@@ -86,7 +86,7 @@
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
   void copiesAloneDoNoHarm(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
     int before = c.rules.starts;
     int takeovers = c.state.takeovers;
@@ -113,11 +113,11 @@
   @ParameterizedTest
   @CsvSource({"21,false", "22,false", "23,true", "24,true", "25,true"})
   void copiesHideNoDeath(long seed, boolean leaderToo) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    c.world.copy(new World.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
+    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
     c.world.runUntil(c.world.now() + 15_000);
-    WorkerStandIn dead = hostOf(c, services.get(0));
+    WorkerEmulator dead = hostOf(c, services.get(0));
     c.cloud.end(dead, true);
     if (leaderToo) {
       c.crash(c.leader(), 3_000);
@@ -135,12 +135,12 @@
   @ParameterizedTest
   @ValueSource(longs = {26, 27, 28})
   void copiesRenewNoLease(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
     c.cloud.outage(80_000);
-    c.world.copy(new World.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
+    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
     c.world.runUntil(c.world.now() + 15_000);
-    WorkerStandIn dead = hostOf(c, services.get(0));
+    WorkerEmulator dead = hostOf(c, services.get(0));
     c.cloud.end(dead, true);
     long took = Scenes.until(c, 60_000, () -> c.allRun(services));
     assertTrue(took < 14_000, "whole after " + took + " ms");
@@ -153,7 +153,7 @@
   @ParameterizedTest
   @CsvSource({"31,20", "32,50", "33,300", "34,4000"})
   void takeoversWithCopiesFromBefore(long seed, long downMs) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
     int before = c.rules.starts;
     copyAll(c, 0.5, 80_000);
--- a/src/test/java/fennelthread/lab/CostTest.java
+++ b/src/test/java/fennelthread/simulation/CostTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.wire.JobSpec;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
   @Test
   void roundWithFiveThousandWaiting() {
     for (int machines : new int[] {400, 800, 1_600, 3_200}) {
-      Cluster c = Cluster.large(2, machines);
+      SimulatedCluster c = SimulatedCluster.large(2, machines);
       c.world.loss = 0;
       c.world.late = 0;
       c.world.runUntil(15_000);
@@ -38,7 +38,7 @@
       c.world.runUntil(40_000);
       c.world.costs = new HashMap<>();
       c.world.runUntil(50_000);
-      World.Cost timers = c.world.costs.get(c.leader() + " timer");
+      SimulatedNetwork.Cost timers = c.world.costs.get(c.leader() + " timer");
       System.out.printf(
           "%d machines, 5,000 tasks wait: timers %.2f ms a second, slowest event %.1f ms%n",
           machines, timers.nanos / 1e6 / 10, timers.slowestNanos / 1e6);
@@ -48,7 +48,7 @@
   /** One array of 25,000 tasks of 4 s and a quarter of a CPU, in an otherwise idle fleet. */
   @Test
   void hugeArrayOfShortTasks() {
-    Cluster c = Cluster.large(3, 200);
+    SimulatedCluster c = SimulatedCluster.large(3, 200);
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
@@ -88,7 +88,7 @@
   }
 
   private static String measure(int machines) {
-    Cluster c = Cluster.large(1, machines);
+    SimulatedCluster c = SimulatedCluster.large(1, machines);
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
@@ -110,14 +110,15 @@
   }
 
   /** What each kind of event has cost the leader over so many seconds. */
-  private static String costs(Cluster c, double seconds) {
-    Map<String, World.Cost> sums = new TreeMap<>();
+  private static String costs(SimulatedCluster c, double seconds) {
+    Map<String, SimulatedNetwork.Cost> sums = new TreeMap<>();
     c.world.costs.forEach(
         (key, cost) -> {
           if (key.startsWith(c.leader() + " ")) {
             String path = key.substring(key.indexOf(' ') + 1);
             String kind = path.startsWith("/v1") ? "user" : path;
-            World.Cost sum = sums.computeIfAbsent(kind, k -> new World.Cost());
+            SimulatedNetwork.Cost sum =
+                sums.computeIfAbsent(kind, k -> new SimulatedNetwork.Cost());
             sum.events += cost.events;
             sum.nanos += cost.nanos;
             sum.bytes += cost.bytes;
--- a/src/test/java/fennelthread/lab/FewSocketsTest.java
+++ b/src/test/java/fennelthread/simulation/FewSocketsTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,7 +19,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 5, 7, 9})
   void startsRideOnReports(long seed) {
-    Cluster c = Cluster.large(seed, 200);
+    SimulatedCluster c = SimulatedCluster.large(seed, 200);
     // A lost report would cost its machine's starts another one, by chance.
     c.world.loss = 0;
     c.world.late = 0;
@@ -46,7 +46,7 @@
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4, 5})
   void lostAnswersWithStartsAreDoubted(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     c.world.shortOfSockets = 0.5;
     c.world.loss = 0.05;
     c.world.late = 0.02;
--- a/src/test/java/fennelthread/lab/GapTest.java
+++ b/src/test/java/fennelthread/simulation/GapTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -66,7 +66,7 @@
     return Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, CANCEL_MS);
   }
 
-  private static List<String> others(Cluster c, String leader) {
+  private static List<String> others(SimulatedCluster c, String leader) {
     return c.controllers.keySet().stream().filter(m -> !m.equals(leader)).toList();
   }
 
@@ -75,7 +75,8 @@
    *
    * @return how many were confirmed before the outage, with tasks on machines at that moment
    */
-  private static int gap(Cluster c, List<JobSpec> jobs, long leadMs, long outageMs, With with) {
+  private static int gap(
+      SimulatedCluster c, List<JobSpec> jobs, long leadMs, long outageMs, With with) {
     String leader = c.leader();
     assertNotNull(leader);
     if (with == With.JUST_CLAIMED) {
@@ -90,7 +91,7 @@
       case CUT_FROM_BOTH -> others(c, old).forEach(m -> c.world.cut(old, m, all));
       case CUT_FROM_A_THIRD -> {
         int i = 0;
-        for (WorkerStandIn w : List.copyOf(c.cloud.machines().values())) {
+        for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
           if (i++ % 3 == 0) {
             c.world.cut(old, w.name(), all);
           }
@@ -136,7 +137,7 @@
    * A claim after which the state service refuses the new leader at once, so that it never reads
    * it.
    */
-  private static String claimOf(Cluster c, String before) {
+  private static String claimOf(SimulatedCluster c, String before) {
     String[] claimed = new String[1];
     c.state.onWrite.add(
         key -> {
@@ -160,7 +161,7 @@
   }
 
   private static void play(long seed, long leadMs, double outages, With with) {
-    Cluster c = Scenes.settled(seed, deployment(), 0.0005);
+    SimulatedCluster c = Scenes.settled(seed, deployment(), 0.0005);
     List<JobSpec> services =
         with == With.SAVING ? savers(c) : Scenes.services(c, SERVICES, 50, 20_000);
     List<JobSpec> cancelled = services.subList(0, CANCELLED);
@@ -186,7 +187,7 @@
     }
   }
 
-  private static List<JobSpec> savers(Cluster c) {
+  private static List<JobSpec> savers(SimulatedCluster c) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < SERVICES; i++) {
       JobSpec any = c.plain(false, 4);
@@ -277,7 +278,7 @@
   void thousandsAtOnce() {
     long seed = 1;
     Settings.State roomy = new Settings.State(9_000, 9_000, 8 * 1024, 16);
-    Cluster c = Scenes.settled(seed, deployment().withLimits(roomy), 0.0005);
+    SimulatedCluster c = Scenes.settled(seed, deployment().withLimits(roomy), 0.0005);
     List<JobSpec> services = Scenes.services(c, 20, 50, 20_000);
     List<JobSpec> waiting = new ArrayList<>();
     for (int i = 0; i < 4_980; i++) {
@@ -305,7 +306,7 @@
   @ParameterizedTest
   @CsvSource({"1,26000", "2,26000", "3,30000", "4,36000"})
   void littleRoomBesideTheLease(long seed, long cancelMs) {
-    Cluster c =
+    SimulatedCluster c =
         Scenes.settled(
             seed, Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, cancelMs), 0.0005);
     List<JobSpec> services = Scenes.services(c, SERVICES, 50, 20_000);
--- a/src/test/java/fennelthread/lab/HeapTest.java
+++ b/src/test/java/fennelthread/simulation/HeapTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 
 /** Controllers near the end of their heaps. */
 class HeapTest {
-  private final Cluster c = Cluster.large(1, 40);
+  private final SimulatedCluster c = SimulatedCluster.large(1, 40);
 
   private Answer submit(JobSpec job) {
     Answer[] answer = new Answer[1];
--- a/src/test/java/fennelthread/lab/LargeFleetTest.java
+++ b/src/test/java/fennelthread/simulation/LargeFleetTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -20,7 +20,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void massFailuresAndTakeovers(long seed) {
-    Cluster c = Cluster.large(seed, MACHINES);
+    SimulatedCluster c = SimulatedCluster.large(seed, MACHINES);
     c.world.runUntil(15_000);
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
@@ -35,7 +35,7 @@
     c.world.runUntil(32_000);
     int live = c.rules.running();
     assertTrue(live >= 1_500, live + " tasks run");
-    List<WorkerStandIn> all = new ArrayList<>(c.cloud.machines().values());
+    List<WorkerEmulator> all = new ArrayList<>(c.cloud.machines().values());
     for (int i = 0; i < 30; i++) {
       c.cloud.end(all.get(i * 7), true);
     }
@@ -63,7 +63,7 @@
   /** Nobody needs an option for a fleet of hundreds: machines that are lost are rented anew. */
   @Test
   void lostMachinesOfALargeFleetAreReplaced() {
-    Cluster c = Cluster.large(3, 300);
+    SimulatedCluster c = SimulatedCluster.large(3, 300);
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
@@ -73,7 +73,7 @@
     c.world.runUntil(60_000);
     double wanted = Options.DEFAULTS.spare() * 40 * 9 * 2;
     assertTrue(cpusUp(c) >= wanted, cpusUp(c) + " CPUs of " + wanted);
-    List<WorkerStandIn> all = new ArrayList<>(c.cloud.machines().values());
+    List<WorkerEmulator> all = new ArrayList<>(c.cloud.machines().values());
     for (int i = 0; i < 100; i++) {
       c.cloud.end(all.get(i * 3), true);
     }
@@ -83,7 +83,7 @@
     assertTrue(cpusUp(c) >= wanted, cpusUp(c) + " CPUs of " + wanted);
   }
 
-  private static double cpusUp(Cluster c) {
+  private static double cpusUp(SimulatedCluster c) {
     return c.cloud.machines().values().stream()
         .filter(w -> w.isUp() && !w.isFailed())
         .mapToDouble(w -> w.flavor().cpus())
--- a/src/test/java/fennelthread/lab/KeepTest.java
+++ b/src/test/java/fennelthread/simulation/LeaseRenewalTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -16,7 +16,7 @@
  * s, leases of 22 s, a withdrawn job's tasks gone after 50 s; nodo-0 and nodo-2 are in norte,
  * nodo-1 in sur.
  */
-class KeepTest {
+class LeaseRenewalTest {
   private static final int MACHINES = 60;
 
   /**
@@ -28,7 +28,7 @@
   @ParameterizedTest
   @CsvSource({"1,norte", "2,norte", "3,sur", "4,sur", "5,norte", "6,sur"})
   void withdrawnJobsEndInAZoneThatIsCutOff(long seed, String zone) {
-    Cluster c = settled(seed, List.of("norte", "sur"));
+    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     c.world.cutZone(zone, 100_000);
     for (int i = 0; i < 15; i++) {
@@ -53,7 +53,7 @@
   @ParameterizedTest
   @CsvSource({"1,norte", "2,norte", "3,sur", "4,sur", "5,norte", "6,sur"})
   void whatRunsInAZoneThatIsCutOffGoesOn(long seed, String zone) {
-    Cluster c = settled(seed, List.of("norte", "sur"));
+    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     int before = c.rules.starts;
     c.world.cutZone(zone, 40_000);
@@ -67,7 +67,7 @@
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14})
   void theLeaderEndsInTheCut(long seed) {
-    Cluster c = settled(seed, List.of("norte", "sur"));
+    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     int before = c.rules.starts;
     // Two controllers are in norte: whichever of the three ends, one that knew its leader is left
@@ -83,7 +83,7 @@
   /** Without a controller in the zone its workers' leases end, and the tasks start elsewhere. */
   @Test
   void nobodyKeepsAZoneWithoutAController() {
-    Cluster c = settled(21, List.of("norte", "sur", "este", "oeste"));
+    SimulatedCluster c = settled(21, List.of("norte", "sur", "este", "oeste"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     int before = c.rules.starts;
     c.world.cutZone("oeste", 60_000);
@@ -99,7 +99,7 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
   void theLeaderEndsInAnOutage(long seed) {
-    Cluster c = settled(seed, List.of("norte", "sur"));
+    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     int before = c.rules.starts;
     c.state.outage(36_000);
@@ -115,7 +115,7 @@
   /** In an outage without end the controllers together know that nobody can be told anything. */
   @Test
   void aLongOutageCostsNothing() {
-    Cluster c = settled(41, List.of("norte", "sur"));
+    SimulatedCluster c = settled(41, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     int before = c.rules.starts;
     c.state.outage(600_000);
@@ -128,11 +128,11 @@
    * A worker whose answers were lost in the last moment may have no time left to try the next
    * controller.
    */
-  private static void assertFewAgain(int before, Cluster c) {
+  private static void assertFewAgain(int before, SimulatedCluster c) {
     assertTrue(c.rules.starts - before <= 3, c.rules.starts - before + " started again");
   }
 
-  private static Cluster settled(long seed, List<String> zones) {
+  private static SimulatedCluster settled(long seed, List<String> zones) {
     return Scenes.settled(
         seed, Deployment.large(MACHINES).withZones(zones).withLease(4_000, 22_000, 50_000), 0.0005);
   }
--- a/src/test/java/fennelthread/lab/ManyMachinesTest.java
+++ b/src/test/java/fennelthread/simulation/ManyMachinesTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -35,7 +35,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aFifthIsCutOffAndTheLeaderCrashes(long seed) {
-    Cluster c = fleet(seed);
+    SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c, 60);
     for (int i = 0; i < 60; i++) {
       JobSpec job = c.plain(false, 20);
@@ -64,7 +64,7 @@
   /** Machines that hang for less than it takes to be sure keep their tasks and are kept. */
   @Test
   void aShortHangCostsNothing() {
-    Cluster c = fleet(4);
+    SimulatedCluster c = fleet(4);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
     int before = c.rules.starts;
@@ -79,7 +79,7 @@
   /** Machines that hang beyond their lease are given back early, and their tasks run elsewhere. */
   @Test
   void aLongHangOfAFifthIsCutShort() {
-    Cluster c = fleet(5);
+    SimulatedCluster c = fleet(5);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
     Set<String> up = up(c);
@@ -94,7 +94,7 @@
   /** When most of the fleet is silent at once the fault is not the machines': none is returned. */
   @Test
   void aFleetThatIsSilentTogetherIsNotReturned() {
-    Cluster c = fleet(6);
+    SimulatedCluster c = fleet(6);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
     Set<String> up = up(c);
@@ -111,7 +111,7 @@
   @ParameterizedTest
   @ValueSource(longs = {7, 8})
   void allControllersCrashInAnOutage(long seed) {
-    Cluster c = fleet(seed);
+    SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
     // From here on nothing can start before a controller has claimed again: a round may be as quick
@@ -144,7 +144,7 @@
    */
   @Test
   void aRollingRestartCostsNoTask() {
-    Cluster c = fleet(10);
+    SimulatedCluster c = fleet(10);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
     int before = c.rules.starts;
@@ -169,7 +169,7 @@
     assertTrue(c.allRun(services));
   }
 
-  private static long commandsTo(Cluster c, Set<String> machines) {
+  private static long commandsTo(SimulatedCluster c, Set<String> machines) {
     return machines.stream()
         .map(m -> c.world.costs.get(m + " /commands"))
         .filter(Objects::nonNull)
@@ -183,7 +183,7 @@
    */
   @Test
   void aFloodOfSubmissionsDoesNotStopStarts() {
-    Cluster c = fleet(9);
+    SimulatedCluster c = fleet(9);
     for (int i = 0; i < 3_000; i++) {
       JobSpec job = c.plain(false, 20);
       c.world.after(i * 10, () -> c.submit(job));
@@ -195,15 +195,15 @@
     assertTrue(c.rules.starts > 1_500, c.rules.starts + " starts");
   }
 
-  private static Cluster fleet(long seed) {
-    Cluster c = Cluster.large(seed, MACHINES);
+  private static SimulatedCluster fleet(long seed) {
+    SimulatedCluster c = SimulatedCluster.large(seed, MACHINES);
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
     return c;
   }
 
-  private static List<JobSpec> services(Cluster c, int count) {
+  private static List<JobSpec> services(SimulatedCluster c, int count) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       JobSpec job = c.plain(true, 5);
@@ -213,27 +213,29 @@
     return services;
   }
 
-  private static void hang(Cluster c, String prefix, long forMs) {
-    for (WorkerStandIn w : c.cloud.machines().values()) {
+  private static void hang(SimulatedCluster c, String prefix, long forMs) {
+    for (WorkerEmulator w : c.cloud.machines().values()) {
       if (w.name().startsWith(prefix)) {
         w.hang(forMs);
       }
     }
   }
 
-  private static Set<String> up(Cluster c) {
+  private static Set<String> up(SimulatedCluster c) {
     Set<String> up = new HashSet<>();
-    c.cloud.machines().values().stream().filter(WorkerStandIn::isUp).forEach(w -> up.add(w.name()));
+    c.cloud.machines().values().stream()
+        .filter(WorkerEmulator::isUp)
+        .forEach(w -> up.add(w.name()));
     return up;
   }
 
   /** How many of these machines were given back: others never came up. */
-  private static long returned(Cluster c, Set<String> of) {
+  private static long returned(SimulatedCluster c, Set<String> of) {
     return c.cloud.returned.stream().filter(of::contains).count();
   }
 
   /** Goes on until something holds; gives that time, or the latest one. */
-  private static long until(Cluster c, long latest, BooleanSupplier holds) {
+  private static long until(SimulatedCluster c, long latest, BooleanSupplier holds) {
     while (c.world.now() < latest && !holds.getAsBoolean()) {
       c.world.runUntil(c.world.now() + 100);
     }
--- a/src/test/java/fennelthread/lab/MeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/MeetingsTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -24,11 +24,11 @@
 class MeetingsTest {
   private static final int MACHINES = 60;
 
-  private static Cluster settled(long seed) {
+  private static SimulatedCluster settled(long seed) {
     return Scenes.settled(seed, Deployment.large(MACHINES), 0);
   }
 
-  private static JobSpec lasting(Cluster c, int tasks, double estimateS) {
+  private static JobSpec lasting(SimulatedCluster c, int tasks, double estimateS) {
     JobSpec any = c.plain(false, tasks);
     return new JobSpec(
         any.id(),
@@ -54,7 +54,7 @@
   }
 
   /** Jobs of some tasks, one every so often, of which every third is cancelled a little later. */
-  private static List<JobSpec> busy(Cluster c, int count, long everyMs) {
+  private static List<JobSpec> busy(SimulatedCluster c, int count, long everyMs) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       JobSpec job = lasting(c, 1 + i % 4, 2 + i % 11);
@@ -68,7 +68,7 @@
   }
 
   /** Nothing fails any more: every job is over, every question answered, every service whole. */
-  private static void settle(Cluster c, List<JobSpec> services, List<JobSpec> jobs) {
+  private static void settle(SimulatedCluster c, List<JobSpec> services, List<JobSpec> jobs) {
     c.world.runUntil(c.world.now() + 60_000);
     c.rules.troublesAreOver();
     c.world.runUntil(c.world.now() + 60_000);
@@ -78,7 +78,7 @@
     c.rules.checkServed(30_000);
   }
 
-  private static int staleRuns(Cluster c) {
+  private static int staleRuns(SimulatedCluster c) {
     return c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
   }
 
@@ -93,16 +93,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void commandsAreHeldAndTheMachineGoesOn(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    c.world.hold(new World.Held("/commands", false, 0.25, 2_000, 60_000), 60_000);
-    c.world.hold(new World.Held("/commands", true, 0.15, 2_000, 60_000), 60_000);
+    c.world.hold(new SimulatedNetwork.Held("/commands", false, 0.25, 2_000, 60_000), 60_000);
+    c.world.hold(new SimulatedNetwork.Held("/commands", true, 0.15, 2_000, 60_000), 60_000);
     List<JobSpec> jobs = busy(c, 80, 700);
     for (int i = 0; i < 12; i++) {
       c.world.after(
           2_000 + i * 4_500L,
           () -> {
-            List<WorkerStandIn> all = List.copyOf(c.cloud.machines().values());
+            List<WorkerEmulator> all = List.copyOf(c.cloud.machines().values());
             all.get(c.world.faults.nextInt(all.size())).hang(3_000 + c.world.faults.nextInt(6_000));
           });
     }
@@ -115,7 +115,7 @@
     assertTrue(staleRuns(c) > 0, "no start came under an old token");
   }
 
-  private static void ifLed(Cluster c, java.util.function.Consumer<String> trouble) {
+  private static void ifLed(SimulatedCluster c, java.util.function.Consumer<String> trouble) {
     if (c.leader() != null) {
       trouble.accept(c.leader());
     }
@@ -132,7 +132,7 @@
   @ParameterizedTest
   @CsvSource({"1,0.1", "2,0.3", "3,0.3", "4,0.5", "5,0.2", "6,0.3"})
   void transactionsAreCarriedOutLate(long seed, double share) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
     c.state.lateWrites(share, 70_000);
     List<JobSpec> jobs = busy(c, 80, 800);
@@ -148,10 +148,10 @@
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14})
   void lateTransactionsInAStorm(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     c.state.lateWrites(0.2, 300_000);
-    c.world.hold(new World.Held("/commands", false, 0.1, 2_000, 60_000), 300_000);
-    c.world.copy(new World.Copies("/agent/beat", 0.2, 2_000, 30_000), 300_000);
+    c.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 2_000, 60_000), 300_000);
+    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.2, 2_000, 30_000), 300_000);
     c.storm(300_000);
     SimulationTest.settle(c);
     assertTrue(c.state.appliedLate > 50, c.state.appliedLate + " late");
@@ -163,7 +163,7 @@
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
   void lateTransactionsOfChainedJobs(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     c.state.lateWrites(0.25, 200_000);
     c.pipelines(200_000);
     c.storm(200_000);
@@ -183,7 +183,7 @@
   @ParameterizedTest
   @CsvSource({"1,50,0", "2,300,0", "3,4000,0", "4,50,0.3", "5,4000,0.3"})
   void smallJobsEndFarApart(long seed, long downMs, double lateShare) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 6, 100, 15_000);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -231,7 +231,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aLateBatchOfFinishedTasksTakesNothingBack(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     long[] carriedOutAt = {Long.MAX_VALUE};
     int[] ends = new int[1];
     c.state.delay =
@@ -277,7 +277,7 @@
   @ParameterizedTest
   @CsvSource({"1,false", "2,true", "3,false", "4,true"})
   void theLeaderEndsWhileMachinesCanNotBeReached(long seed, boolean oneWay) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 8, 100, 15_000);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -288,7 +288,7 @@
     c.world.runUntil(c.world.now() + 6_000);
     int untold = 0;
     int with = 0;
-    for (WorkerStandIn w : List.copyOf(c.cloud.machines().values())) {
+    for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
       if (untold++ % 3 != 0) {
         continue;
       }
@@ -332,7 +332,7 @@
     "8,20000,in turn"
   })
   void aLeaderAloneWithItsWorkers(long seed, long forMs, String outage) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 20, 100, 15_000);
     String old = c.leader();
     if (outage.equals("before")) {
@@ -385,26 +385,26 @@
   @ParameterizedTest
   @CsvSource({"1,50", "2,300", "3,2000", "4,50", "5,8000", "6,300"})
   void machinesAreBackWithinAMoment(long seed, long downMs) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     // Half of the machines lose a lease first: what is copied of them is of a higher session than
     // what comes after.
     int half = 0;
-    for (WorkerStandIn w : List.copyOf(c.cloud.machines().values())) {
+    for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
       if (half++ % 2 == 0) {
         c.world.cut(w.name(), "nodo", 12_000);
       }
     }
     c.world.runUntil(c.world.now() + 16_000);
     List<JobSpec> services = Scenes.services(c, 12, 100, 15_000);
-    c.world.copy(new World.Copies("/agent/beat", 0.4, 200, 30_000), 70_000);
-    c.world.hold(new World.Held("/commands", false, 0.1, 500, 30_000), 70_000);
+    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.4, 200, 30_000), 70_000);
+    c.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 500, 30_000), 70_000);
     List<JobSpec> jobs = busy(c, 60, 1_000);
     int[] reboots = new int[1];
     for (int i = 0; i < 30; i++) {
       c.world.after(
           1_000 + i * 2_000L,
           () -> {
-            List<WorkerStandIn> with =
+            List<WorkerEmulator> with =
                 c.cloud.machines().values().stream()
                     .filter(
                         w -> c.rules.present().stream().anyMatch(p -> p.endsWith("@" + w.name())))
--- a/src/test/java/fennelthread/lab/PairsTest.java
+++ b/src/test/java/fennelthread/simulation/PairsTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -25,7 +25,7 @@
   private static final long WINDOW_MS = 15_000;
 
   /** A trouble of some seconds; the leader is the one that leads when it begins. */
-  private static final Map<String, Consumer<Cluster>> TROUBLES = new LinkedHashMap<>();
+  private static final Map<String, Consumer<SimulatedCluster>> TROUBLES = new LinkedHashMap<>();
 
   static {
     TROUBLES.put("outage", c -> c.state.outage(12_000));
@@ -63,16 +63,16 @@
     TROUBLES.put(
         "reports copied",
         c -> {
-          c.world.copy(new World.Copies("/agent/beat", 0.3, 1_000, 30_000), 20_000);
-          c.world.copy(new World.Copies("/relay/report", 0.3, 1_000, 30_000), 20_000);
+          c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.3, 1_000, 30_000), 20_000);
+          c.world.copy(new SimulatedNetwork.Copies("/relay/report", 0.3, 1_000, 30_000), 20_000);
         });
     TROUBLES.put("leader alone", c -> withLeader(c, m -> c.leaveAlone(m, 15_000)));
     TROUBLES.put("writes late", c -> c.state.lateWrites(0.3, 15_000));
     TROUBLES.put(
         "commands held",
         c -> {
-          c.world.hold(new World.Held("/commands", false, 0.2, 2_000, 40_000), 15_000);
-          c.world.hold(new World.Held("/commands", true, 0.2, 2_000, 40_000), 15_000);
+          c.world.hold(new SimulatedNetwork.Held("/commands", false, 0.2, 2_000, 40_000), 15_000);
+          c.world.hold(new SimulatedNetwork.Held("/commands", true, 0.2, 2_000, 40_000), 15_000);
         });
     TROUBLES.put("cloud down", c -> c.cloud.outage(15_000));
     TROUBLES.put(
@@ -85,24 +85,24 @@
         });
   }
 
-  private static void withLeader(Cluster c, Consumer<String> trouble) {
+  private static void withLeader(SimulatedCluster c, Consumer<String> trouble) {
     if (c.leader() != null) {
       trouble.accept(c.leader());
     }
   }
 
-  private static List<String> members(Cluster c) {
+  private static List<String> members(SimulatedCluster c) {
     return List.copyOf(c.controllers.keySet());
   }
 
-  private static void fifth(Cluster c, Consumer<WorkerStandIn> trouble) {
-    List<WorkerStandIn> all = List.copyOf(c.cloud.machines().values());
+  private static void fifth(SimulatedCluster c, Consumer<WorkerEmulator> trouble) {
+    List<WorkerEmulator> all = List.copyOf(c.cloud.machines().values());
     for (int i = 0; i < all.size(); i += 5) {
       trouble.accept(all.get(i));
     }
   }
 
-  private static JobSpec batch(Cluster c) {
+  private static JobSpec batch(SimulatedCluster c) {
     return c.plain(false, 10);
   }
 
@@ -114,7 +114,7 @@
   }
 
   private static Day play(String first, String second, long gapMs, long seed) {
-    Cluster c = Cluster.large(seed, MACHINES);
+    SimulatedCluster c = SimulatedCluster.large(seed, MACHINES);
     c.world.loss = 0.0005;
     c.world.late = 0;
     List<JobSpec> services = new ArrayList<>();
--- a/src/test/java/fennelthread/lab/Production.java
+++ b/src/test/java/fennelthread/simulation/Production.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import fennelthread.net.Host;
 import fennelthread.net.Service;
@@ -41,13 +41,13 @@
 
   /** Clusters whose deployment says so begin with the version in production from now on. */
   static void serve() {
-    Cluster.oldVersion = Production::controller;
+    SimulatedCluster.oldVersion = Production::controller;
   }
 
   private Production() {}
 
   /** A controller of the old version; {@code limits} are those that it knows of. */
-  static Cluster.Node controller(Host host, Settings settings, Settings.State limits) {
+  static SimulatedCluster.Node controller(Host host, Settings settings, Settings.State limits) {
     try {
       Path file = Files.createTempFile("production", ".toml");
       try {
@@ -72,8 +72,8 @@
     }
   }
 
-  private static Cluster.Node node(Class<?> type, Object controller) {
-    return new Cluster.Node() {
+  private static SimulatedCluster.Node node(Class<?> type, Object controller) {
+    return new SimulatedCluster.Node() {
       @Override
       public Service api() {
         return (Service) call("api");
--- a/src/test/java/fennelthread/lab/RecordsAtScaleTest.java
+++ b/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
@@ -1,8 +1,8 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.jobs.RoundRecord;
+import fennelthread.jobs.StartRecord;
 import fennelthread.state.Keys;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
@@ -30,7 +30,7 @@
    */
   @Test
   void recordsFollowWhatLives() {
-    Cluster c = fleet(1);
+    SimulatedCluster c = fleet(1);
     c.world.loss = 0;
     c.world.late = 0;
     int most = 0;
@@ -62,7 +62,7 @@
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4, 5})
   void lateTransactionsLoseNoRecord(long seed) {
-    Cluster c = fleet(seed);
+    SimulatedCluster c = fleet(seed);
     load(c, 90_000, 120, 2);
     c.state.delay =
         (caller, body) -> {
@@ -83,7 +83,7 @@
 
   private int rounds;
 
-  private void load(Cluster c, long untilMs, long everyMs, int oneServiceIn) {
+  private void load(SimulatedCluster c, long untilMs, long everyMs, int oneServiceIn) {
     c.state.onWrite.add(key -> rounds += key.startsWith(ROUNDS) ? 1 : 0);
     for (long t = 1_000; t < untilMs; t += everyMs) {
       if (t % 50_000 > 35_000) {
@@ -102,15 +102,15 @@
     }
   }
 
-  private static Cluster fleet(long seed) {
-    return Cluster.large(seed, 120);
+  private static SimulatedCluster fleet(long seed) {
+    return SimulatedCluster.large(seed, 120);
   }
 
-  private static int starts(Cluster c) {
+  private static int starts(SimulatedCluster c) {
     try {
       int starts = 0;
       for (Fields value : c.state.values(ROUNDS)) {
-        starts += RoundRecord.read(value).starts().size();
+        starts += StartRecord.read(value).starts().size();
       }
       return starts;
     } catch (WireException e) {
@@ -121,7 +121,7 @@
   /**
    * Whatever changes a record of the latest epoch says which one it means: it may come too late.
    */
-  private static void assertConditional(Cluster c, String sent) {
+  private static void assertConditional(SimulatedCluster c, String sent) {
     if (c.state.count(Keys.EPOCH) == 0) {
       return;
     }
@@ -142,11 +142,11 @@
     }
   }
 
-  private static void assertAllRecorded(Cluster c) {
+  private static void assertAllRecorded(SimulatedCluster c) {
     try {
       Set<String> recorded = new HashSet<>();
       for (Fields value : c.state.values(ROUNDS)) {
-        for (RoundRecord.Start s : RoundRecord.read(value).starts()) {
+        for (StartRecord.Start s : StartRecord.read(value).starts()) {
           recorded.add(s.task() + "@" + s.machine());
         }
       }
--- a/src/test/java/fennelthread/lab/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,10 +6,10 @@
 
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -34,7 +34,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderCutFromItsWorkersGoesOn(long seed) {
-    Cluster c = fleet(seed);
+    SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c);
     String leader = c.leader();
     int before = c.rules.starts;
@@ -60,8 +60,9 @@
   }
 
   /** Cuts the leader off from its workers beside another trouble; so many tasks may be lost. */
-  private static void cutOffAt(long seed, long atMs, int mayBeLost, Consumer<Cluster> trouble) {
-    Cluster c = fleet(seed);
+  private static void cutOffAt(
+      long seed, long atMs, int mayBeLost, Consumer<SimulatedCluster> trouble) {
+    SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c);
     int before = c.rules.starts;
     trouble.accept(c);
@@ -77,7 +78,7 @@
   @ParameterizedTest
   @ValueSource(longs = {7, 8, 9})
   void cutOffWhileTheMeshIsRefused(long seed) {
-    Cluster c = fleet(seed);
+    SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c);
     String leader = c.leader();
     int before = c.rules.starts;
@@ -127,7 +128,7 @@
   @ParameterizedTest
   @ValueSource(longs = {16, 17})
   void aDeafLeaderIsFrozen(long seed) {
-    Cluster c = fleet(seed);
+    SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c);
     String leader = c.leader();
     c.world.cut(leader, "n-", CUT_MS);
@@ -146,7 +147,7 @@
   @ParameterizedTest
   @ValueSource(longs = {18, 19, 20})
   void oldAndNewSideBySide(long seed) {
-    Cluster c = new Cluster(seed, Deployment.tiny().inProduction());
+    SimulatedCluster c = new SimulatedCluster(seed, Deployment.tiny().inProduction());
     c.storm(60_000);
     c.world.runUntil(10_000);
     c.upgrade("nodo-" + seed % 3, 2_000);
@@ -170,7 +171,7 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
   void theRelaysAnswerIsLost(long seed) {
-    Cluster c = fleet(seed);
+    SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c);
     String leader = c.leader();
     String relay = "nodo-" + (leader.charAt(5) - '0' + 1) % 3;
@@ -197,7 +198,7 @@
    */
   @Test
   void aResignedLeaderStopsOnceAnotherLeads() throws WireException {
-    Cluster c = fleet(40);
+    SimulatedCluster c = fleet(40);
     String old = c.leader();
     c.state.refuse(old, 30_000);
     int answers = 0;
@@ -206,8 +207,8 @@
       c.world.runUntil(c.world.now() + 20);
       String next = c.leaderOtherThan(old);
       another = next == null ? another : Math.min(another, c.world.now());
-      Beat beat =
-          new Beat(
+      WorkerReport beat =
+          new WorkerReport(
               "n-900000",
               "10.9.0.1:9000",
               "mesa",
@@ -216,7 +217,7 @@
               1,
               c.world.now(),
               0,
-              Beat.NO_NOTICE,
+              WorkerReport.NO_NOTICE,
               List.of());
       Answer[] answer = new Answer[1];
       c.controllers
@@ -247,7 +248,7 @@
   @ParameterizedTest
   @ValueSource(longs = {22, 23, 24, 25, 26, 27})
   void stormsOfCuts(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     c.world.loss = 0.02;
     c.world.late = 0.01;
     c.storm(150_000);
@@ -264,8 +265,8 @@
     assertTrue(c.rules.starts > 100, c.rules.starts + " starts");
   }
 
-  private static Cluster fleet(long seed) {
-    Cluster c = Cluster.large(seed, MACHINES);
+  private static SimulatedCluster fleet(long seed) {
+    SimulatedCluster c = SimulatedCluster.large(seed, MACHINES);
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
@@ -273,7 +274,7 @@
   }
 
   /** A hundred replicas, running for a while when this returns, at 30 s. */
-  private static List<JobSpec> services(Cluster c) {
+  private static List<JobSpec> services(SimulatedCluster c) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
       JobSpec job = c.plain(true, 4);
@@ -285,7 +286,7 @@
     return services;
   }
 
-  private static String follower(Cluster c) {
+  private static String follower(SimulatedCluster c) {
     String leader = c.leader();
     return c.controllers.keySet().stream().filter(m -> !m.equals(leader)).findFirst().orElseThrow();
   }
--- a/src/test/java/fennelthread/lab/RestartTest.java
+++ b/src/test/java/fennelthread/simulation/RestartTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -44,7 +44,7 @@
   void crashInTheMiddle(String prefix, String trouble) {
     for (long seed = 1; seed <= 3; seed++) {
       for (long downMs : new long[] {50, 300, 1_000}) {
-        Cluster c = settled(seed);
+        SimulatedCluster c = settled(seed);
         List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
         int before = c.rules.starts;
         int[] crashes = new int[1];
@@ -89,7 +89,7 @@
   @ParameterizedTest
   @ValueSource(longs = {50, 300})
   void aProcessThatEndsAtOnceEachTime(long downMs) {
-    Cluster c = settled(5);
+    SimulatedCluster c = settled(5);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
     int before = c.rules.starts;
     String faulty = c.leader();
@@ -115,7 +115,7 @@
   /** Two of three in turns, 20 times: the third leads. */
   @Test
   void twoInTurns() {
-    Cluster c = settled(6);
+    SimulatedCluster c = settled(6);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
     int before = c.rules.starts;
     String third = c.leader();
@@ -136,7 +136,7 @@
   @ParameterizedTest
   @CsvSource({"50,60", "300,60", "50,480"})
   void allOfThemAgainAndAgain(long downMs, int machines) {
-    Cluster c = settled(7, machines);
+    SimulatedCluster c = settled(7, machines);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
     int before = c.rules.starts;
     for (int i = 0; i < 13; i++) {
@@ -156,7 +156,7 @@
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
   void backDuringAnOutage(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
     int before = c.rules.starts;
     c.state.outage(5_000);
@@ -182,7 +182,7 @@
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
   void theOldVersionLikewise(long seed) {
-    Cluster c = new Cluster(seed, Deployment.large(MACHINES).inProduction());
+    SimulatedCluster c = new SimulatedCluster(seed, Deployment.large(MACHINES).inProduction());
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
@@ -217,7 +217,7 @@
       int itself = 0;
       long changes = 0;
       for (long seed = 1; seed <= 15; seed++) {
-        Cluster c = settled(seed);
+        SimulatedCluster c = settled(seed);
         String leader = c.leader();
         long from = c.world.now();
         int[] writes = new int[1];
@@ -239,22 +239,22 @@
    * Here a dead process's address stays silent half of the time: a worker that waits 4 s for each
    * of several in a row may have no time left of its lease.
    */
-  private static void assertFewAgain(int starts, Cluster c, String what) {
+  private static void assertFewAgain(int starts, SimulatedCluster c, String what) {
     assertTrue(
         c.rules.starts - starts <= 3, what + ": " + (c.rules.starts - starts) + " started again");
   }
 
-  private static void until(Cluster c, long latest, BooleanSupplier holds) {
+  private static void until(SimulatedCluster c, long latest, BooleanSupplier holds) {
     while (c.world.now() < latest && !holds.getAsBoolean()) {
       c.world.runUntil(c.world.now() + 10);
     }
   }
 
-  private static Cluster settled(long seed) {
+  private static SimulatedCluster settled(long seed) {
     return settled(seed, MACHINES);
   }
 
-  private static Cluster settled(long seed, int machines) {
+  private static SimulatedCluster settled(long seed, int machines) {
     return Scenes.settled(seed, Deployment.large(machines).withLease(4_000, 22_000, 50_000), 0);
   }
 }
--- a/src/test/java/fennelthread/lab/Scenes.java
+++ b/src/test/java/fennelthread/simulation/Scenes.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,8 +17,8 @@
    * A cluster that has run for 20 s, on a network that loses so large a share of packets and
    * delivers none late.
    */
-  static Cluster settled(long seed, Deployment deployment, double loss) {
-    Cluster c = new Cluster(seed, deployment);
+  static SimulatedCluster settled(long seed, Deployment deployment, double loss) {
+    SimulatedCluster c = new SimulatedCluster(seed, deployment);
     c.world.loss = loss;
     c.world.late = 0;
     c.world.runUntil(20_000);
@@ -29,7 +29,7 @@
    * Services of four replicas, submitted one every so often, all of which run after {@code
    * settleMs}.
    */
-  static List<JobSpec> services(Cluster c, int count, long everyMs, long settleMs) {
+  static List<JobSpec> services(SimulatedCluster c, int count, long everyMs, long settleMs) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       JobSpec job = c.plain(true, 4);
@@ -42,7 +42,7 @@
   }
 
   /** Runs until something holds, or for so long at the most; gives the time that it took, ms. */
-  static long until(Cluster c, long mostMs, BooleanSupplier holds) {
+  static long until(SimulatedCluster c, long mostMs, BooleanSupplier holds) {
     long from = c.world.now();
     while (c.world.now() < from + mostMs && !holds.getAsBoolean()) {
       c.world.runUntil(c.world.now() + 50);
--- a/src/test/java/fennelthread/lab/SimulationTest.java
+++ b/src/test/java/fennelthread/simulation/SimulationTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -23,7 +23,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void quietDay(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     c.world.loss = 0;
     c.world.late = 0;
     for (int i = 0; i < 20; i++) {
@@ -37,13 +37,13 @@
   @ParameterizedTest
   @ValueSource(longs = {12, 21, 22, 27, 41, 43, 59, 94, 105, 108, 109, 116, 118, 121, 128, 150})
   void storm(long seed) {
-    Cluster c = new Cluster(seed);
+    SimulatedCluster c = new SimulatedCluster(seed);
     c.storm(300_000);
     settle(c);
   }
 
   /** The end of a storm: the network is fine again, and all that may end does. */
-  static void settle(Cluster c) {
+  static void settle(SimulatedCluster c) {
     // The last trouble may begin at 300 s and last for 20 s; what is late may come for a minute
     // more.
     c.world.at(325_000, c.rules::troublesAreOver);
@@ -83,7 +83,7 @@
   /** A job of a hundred thousand tasks is accepted, kept within the value limit, and finished. */
   @Test
   void hugeJob() {
-    Cluster c = new Cluster(5, 0);
+    SimulatedCluster c = new SimulatedCluster(5, 0);
     c.world.runUntil(20_000);
     JobSpec small = c.job(false, 1, 0, true, false, false);
     JobSpec huge =
@@ -121,7 +121,7 @@
    */
   @Test
   void firstLeaderComesBackAfterTakeover() {
-    Cluster c = calmCluster(7);
+    SimulatedCluster c = calmCluster(7);
     String first = c.leader();
     boolean[] stalled = new boolean[1];
     c.state.onWrite.add(
@@ -152,12 +152,12 @@
   @ParameterizedTest
   @ValueSource(longs = {41, 42, 43})
   void silentSiblingMayKeepTasksAlive(long seed) {
-    Cluster c = calmCluster(seed);
+    SimulatedCluster c = calmCluster(seed);
     JobSpec job = c.job(true, 1, 1, false, false, false);
     c.submit(job);
     c.world.runUntil(40_000);
     String first = c.leader();
-    WorkerStandIn host = hostOf(c, job);
+    WorkerEmulator host = hostOf(c, job);
     for (String member : c.controllers.keySet()) {
       if (!member.equals(first)) {
         c.world.cut(first, member, 60_000);
@@ -187,11 +187,11 @@
   @ParameterizedTest
   @ValueSource(longs = {51, 52, 53, 54})
   void startWithoutAnswerMayStillBeCarriedOut(long seed) {
-    Cluster c = calmCluster(seed);
+    SimulatedCluster c = calmCluster(seed);
     JobSpec first = replica(c);
     c.submit(first);
     c.world.runUntil(40_000);
-    WorkerStandIn host = hostOf(c, first);
+    WorkerEmulator host = hostOf(c, first);
     // Longer than a start's answer is waited for, within the lease, and the cloud takes nothing
     // back.
     c.cloud.outage(20_000);
@@ -203,7 +203,7 @@
   }
 
   /** A service of one replica whose image all such jobs share. */
-  private static JobSpec replica(Cluster c) {
+  private static JobSpec replica(SimulatedCluster c) {
     JobSpec any = c.job(true, 1, 1, false, false, false);
     return new JobSpec(
         any.id(),
@@ -231,7 +231,7 @@
   /** A round record that arrives after a takeover must not be written: all writes are fenced. */
   @Test
   void lateTransactionOfAnOldLeaderIsRefused() {
-    Cluster c = calmCluster(8);
+    SimulatedCluster c = calmCluster(8);
     String first = c.leader();
     c.withholdRounds(first, 20_000);
     JobSpec job = c.job(false, 6, 1, true, false, false);
@@ -247,7 +247,7 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
   void tasksSurviveTheirLeader(long seed) {
-    Cluster c = calmCluster(seed);
+    SimulatedCluster c = calmCluster(seed);
     JobSpec job = c.job(true, 3, 1, false, false, false);
     c.submit(job);
     c.world.runUntil(40_000);
@@ -268,7 +268,7 @@
   @ParameterizedTest
   @ValueSource(longs = {36, 37})
   void anOldFleetIsNotReturnedByANewLeader(long seed) {
-    Cluster c = calmCluster(seed);
+    SimulatedCluster c = calmCluster(seed);
     JobSpec job = c.job(true, 3, 1, false, false, false);
     c.submit(job);
     c.world.runUntil(300_000);
@@ -287,7 +287,7 @@
   /** Tasks live through an outage of the state service, though nothing starts meanwhile. */
   @Test
   void tasksSurviveAnOutageOfTheStateService() {
-    Cluster c = calmCluster(34);
+    SimulatedCluster c = calmCluster(34);
     JobSpec job = c.job(true, 3, 1, false, false, false);
     c.submit(job);
     c.world.runUntil(40_000);
@@ -309,11 +309,11 @@
   /** A dead machine's tasks start elsewhere well before its lease of 10 s would be over. */
   @Test
   void deadMachineIsReplaced() {
-    Cluster c = calmCluster(35);
+    SimulatedCluster c = calmCluster(35);
     JobSpec job = c.job(true, 2, 4, false, false, false);
     c.submit(job);
     c.world.runUntil(40_000);
-    for (WorkerStandIn w : List.copyOf(c.cloud.machines().values())) {
+    for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
       if (c.rules.isOn(job.id(), w)) {
         c.cloud.end(w, true);
         break;
@@ -325,7 +325,7 @@
   }
 
   /** The machine that some task of the job is on. */
-  private static WorkerStandIn hostOf(Cluster c, JobSpec job) {
+  private static WorkerEmulator hostOf(SimulatedCluster c, JobSpec job) {
     return c.cloud.machines().values().stream()
         .filter(w -> c.rules.isOn(job.id(), w))
         .findFirst()
@@ -333,15 +333,15 @@
   }
 
   /** A cluster whose network loses and delays nothing, up and led. */
-  private static Cluster calmCluster(long seed) {
-    Cluster c = new Cluster(seed);
+  private static SimulatedCluster calmCluster(long seed) {
+    SimulatedCluster c = new SimulatedCluster(seed);
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(20_000);
     return c;
   }
 
-  private static void everythingRan(Cluster c) {
+  private static void everythingRan(SimulatedCluster c) {
     assertTrue(c.rules.starts > 0, "nothing ran");
     assertNotNull(c.leader());
     int unfinished = 0;
--- a/src/test/java/fennelthread/lab/TakeoverTest.java
+++ b/src/test/java/fennelthread/simulation/TakeoverTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,10 +20,10 @@
   /**
    * Time until another leads, and until the next start, ms, for one kind of fault over many seeds.
    */
-  private long[][] play(BiConsumer<Cluster, String> fault) {
+  private long[][] play(BiConsumer<SimulatedCluster, String> fault) {
     long[][] times = new long[2][SEEDS];
     for (int i = 0; i < SEEDS; i++) {
-      Cluster c = settled(100 + i);
+      SimulatedCluster c = settled(100 + i);
       String leader = c.leader();
       long at = c.world.now();
       fault.accept(c, leader);
@@ -74,7 +74,7 @@
     int takenOver = 0;
     int stale = 0;
     for (long seed = 50; seed < 62; seed++) {
-      Cluster c = settled(seed);
+      SimulatedCluster c = settled(seed);
       String first = c.leader();
       boolean[] stalled = new boolean[1];
       c.state.onWrite.add(
@@ -97,7 +97,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderWithoutItsSiblingsGoesOn(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     String leader = c.leader();
     c.refuseMesh(40_000);
     int starts = 0;
@@ -116,7 +116,7 @@
    */
   @Test
   void oneSiblingIsGone() {
-    Cluster c = settled(4);
+    SimulatedCluster c = settled(4);
     String leader = c.leader();
     String gone = c.controllers.keySet().stream().filter(m -> !m.equals(leader)).findFirst().get();
     c.crash(gone, 1_000_000);
@@ -136,7 +136,7 @@
   @Test
   void noFalseVerdicts() {
     for (long seed = 1; seed <= 4; seed++) {
-      Cluster c = new Cluster(seed);
+      SimulatedCluster c = new SimulatedCluster(seed);
       c.world.runUntil(15_000);
       c.world.loss = 0.05;
       c.world.late = 0.01;
@@ -148,7 +148,7 @@
   /** Controllers that restart one after the other: whoever leads next, no task is lost. */
   @Test
   void fiveLeadersCrashAsTheyBecomeActive() {
-    Cluster c = settled(6);
+    SimulatedCluster c = settled(6);
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       JobSpec job = c.job(true, 4, 1, false, false, false);
@@ -170,8 +170,8 @@
     }
   }
 
-  private static Cluster settled(long seed) {
-    Cluster c = Cluster.large(seed, MACHINES);
+  private static SimulatedCluster settled(long seed) {
+    SimulatedCluster c = SimulatedCluster.large(seed, MACHINES);
     c.world.loss = 0.001;
     c.world.late = 0;
     c.world.runUntil(35_000);
--- a/src/test/java/fennelthread/lab/UntoldTest.java
+++ b/src/test/java/fennelthread/simulation/UntoldTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -21,11 +21,11 @@
 class UntoldTest {
   private static final int MACHINES = 60;
 
-  private static Cluster settled(long seed) {
+  private static SimulatedCluster settled(long seed) {
     return Scenes.settled(seed, Deployment.large(MACHINES), 0);
   }
 
-  private static List<WorkerStandIn> carrying(Cluster c) {
+  private static List<WorkerEmulator> carrying(SimulatedCluster c) {
     Set<String> names =
         c.rules.present().stream()
             .map(p -> p.substring(p.indexOf('@') + 1))
@@ -34,7 +34,7 @@
   }
 
   private static boolean nothingOn(
-      Cluster c, List<WorkerStandIn> machines, List<JobSpec> services) {
+      SimulatedCluster c, List<WorkerEmulator> machines, List<JobSpec> services) {
     return machines.stream()
         .noneMatch(w -> services.stream().anyMatch(s -> c.rules.isOn(s.id(), w)));
   }
@@ -46,15 +46,15 @@
   @ParameterizedTest
   @CsvSource({"1,1", "2,1", "3,6", "4,6", "5,6"})
   void replicasOfMachinesThatHearNothingGoElsewhere(long seed, int count) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    List<WorkerStandIn> untold = carrying(c).subList(0, count);
+    List<WorkerEmulator> untold = carrying(c).subList(0, count);
     untold.forEach(w -> c.world.cutOneWay("nodo", w.name(), 90_000));
     c.world.runUntil(c.world.now() + 100);
     long took = Scenes.until(c, 60_000, () -> nothingOn(c, untold, services) && c.allRun(services));
     assertTrue(took < 9_500, "whole after " + took + " ms");
     c.world.runUntil(c.world.now() + 40_000);
-    for (WorkerStandIn w : untold) {
+    for (WorkerEmulator w : untold) {
       assertTrue(c.cloud.returned.contains(w.name()), w.name() + " is charged and of no use");
     }
     assertTrue(c.allRun(services));
@@ -64,7 +64,7 @@
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
   void whoeverOnlyTheLeaderCanNotTellIsToldBySiblings(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
     int before = c.rules.starts;
     String leader = c.leader();
@@ -83,9 +83,9 @@
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
   void theNextLeaderNeverReachesThem(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    List<WorkerStandIn> untold = carrying(c).subList(0, 6);
+    List<WorkerEmulator> untold = carrying(c).subList(0, 6);
     untold.forEach(w -> c.world.cutOneWay("nodo", w.name(), 90_000));
     c.world.runUntil(c.world.now() + 500);
     c.crash(c.leader(), 4_000);
@@ -103,11 +103,11 @@
   @ParameterizedTest
   @CsvSource({"31,false", "32,false", "33,true", "34,true"})
   void mostOfAFleetHearsNothingAndTheCloudIsOut(long seed, boolean takeover) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
     c.cloud.outage(90_000);
-    List<WorkerStandIn> all = List.copyOf(c.cloud.machines().values());
-    List<WorkerStandIn> untold = new ArrayList<>();
+    List<WorkerEmulator> all = List.copyOf(c.cloud.machines().values());
+    List<WorkerEmulator> untold = new ArrayList<>();
     for (int i = 0; i < all.size(); i++) {
       if (i % 3 != 0) {
         untold.add(all.get(i));
@@ -128,7 +128,7 @@
   @ParameterizedTest
   @ValueSource(longs = {41, 42})
   void whoHearsAgainIsUsedAgain(long seed) {
-    Cluster c = Scenes.settled(seed, Deployment.tiny(), 0);
+    SimulatedCluster c = Scenes.settled(seed, Deployment.tiny(), 0);
     c.cloud.outage(200_000);
     c.world.cutOneWay("nodo", "n-", 25_000);
     c.world.runUntil(c.world.now() + 32_000);
@@ -145,9 +145,9 @@
   @ParameterizedTest
   @CsvSource({"51,2500", "52,4000", "53,6000", "54,11000"})
   void flapping(long seed, long everyMs) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    List<WorkerStandIn> some = carrying(c).subList(0, 8);
+    List<WorkerEmulator> some = carrying(c).subList(0, 8);
     for (long at = 0; at < 60_000; at += 2 * everyMs) {
       c.world.after(at, () -> some.forEach(w -> c.world.cutOneWay("nodo", w.name(), everyMs)));
     }
@@ -173,9 +173,9 @@
   @ParameterizedTest
   @ValueSource(longs = {61, 62})
   void aWholeZone(long seed) {
-    Cluster c = settled(seed);
+    SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    for (WorkerStandIn w : c.cloud.machines().values()) {
+    for (WorkerEmulator w : c.cloud.machines().values()) {
       if (w.zone().equals("sur")) {
         c.world.cutOneWay("nodo", w.name(), 45_000);
       }
--- a/src/test/java/fennelthread/lab/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -1,4 +1,4 @@
-package fennelthread.lab;
+package fennelthread.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,11 +7,11 @@
 import fennelthread.Constants;
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
-import fennelthread.wire.Beat;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerReport;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
@@ -19,11 +19,11 @@
 
 /** What users get for good and bad requests, on any controller. */
 class UserAnswersTest {
-  private Cluster c;
+  private SimulatedCluster c;
 
   @BeforeEach
   void start() {
-    c = new Cluster(3);
+    c = new SimulatedCluster(3);
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
@@ -223,9 +223,18 @@
     String leader = c.leader();
     for (String member : c.controllers.keySet()) {
       // One that has never obeyed the leader: those that have and come here are passed on.
-      Beat beat =
-          new Beat(
-              "n-9", "10.1.0.9:9000", "mesa", "norte", false, 1, 1, 0, Beat.NO_NOTICE, List.of());
+      WorkerReport beat =
+          new WorkerReport(
+              "n-9",
+              "10.1.0.9:9000",
+              "mesa",
+              "norte",
+              false,
+              1,
+              1,
+              0,
+              WorkerReport.NO_NOTICE,
+              List.of());
       Answer a = ask(member, "POST", "/agent/beat", Codec.CBOR.encode(beat.write()));
       if (member.equals(leader)) {
         assertEquals(200, a.status());
--- a/src/test/java/fennelthread/wire/CodecTest.java
+++ b/src/test/java/fennelthread/wire/CodecTest.java
@@ -109,8 +109,8 @@
 
   @Test
   void reportIsReadAndWritten() throws WireException {
-    Beat beat =
-        Beat.read(
+    WorkerReport beat =
+        WorkerReport.read(
             overCbor(
                 "{'equipo':'n-000007','address':'10.1.0.7:9000','modelo':'g4','zona':'b',"
                     + "'prestadas':true,'turno':2,'folio':91,'ficha':1048577,'aviso_s':17.5,"
@@ -121,22 +121,22 @@
     assertEquals(2, beat.session());
     assertEquals(17.5, beat.noticeS());
     assertEquals(new TaskRef("job-000777", 3), beat.tasks().get(0).ref());
-    assertEquals(Beat.Motive.HALTED, beat.tasks().get(1).motive());
-    assertEquals(Beat.Motive.OTHER, beat.tasks().get(2).motive());
-    Beat again = Beat.read(Codec.CBOR.decode(Codec.CBOR.encode(beat.write())));
+    assertEquals(WorkerReport.Motive.HALTED, beat.tasks().get(1).motive());
+    assertEquals(WorkerReport.Motive.OTHER, beat.tasks().get(2).motive());
+    WorkerReport again = WorkerReport.read(Codec.CBOR.decode(Codec.CBOR.encode(beat.write())));
     assertEquals(beat.tasks().subList(0, 2), again.tasks().subList(0, 2));
   }
 
   @Test
   void commandsAreWrittenAsPrinted() throws WireException {
     Fields body =
-        Order.write(
+        WorkerCommand.write(
             41,
             0,
             List.of(
-                new Order.Run(new TaskRef("job-000777", 4), 2),
-                new Order.Stop(new TaskRef("job-000778", 1), 1, 10),
-                new Order.Clear(new TaskRef("job-000779", 0), 1)));
+                new WorkerCommand.Run(new TaskRef("job-000777", 4), 2),
+                new WorkerCommand.Stop(new TaskRef("job-000778", 1), 1, 10),
+                new WorkerCommand.Clear(new TaskRef("job-000779", 0), 1)));
     assertEquals(
         "{\"ficha\":41,\"ordenes\":["
             + "{\"orden\":\"run\",\"tarea\":\"job-000777/4\",\"intento\":2},"
@@ -147,8 +147,8 @@
 
   @Test
   void flavorsAndListsAreRead() throws WireException {
-    Flavor flavor =
-        Flavor.readAll(
+    MachineType flavor =
+        MachineType.readAll(
                 overCbor(
                     "{'modelos':[{'label':'g4','cpus':48,'cards':4,'mem_gb':384,'local_gb':120,"
                         + "'pull_gb_per_s':0.7,'hourly':6.0,'low_price':2.5,'startup_s':40,"
