--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -391,11 +391,9 @@
     double spare = settings.priceMatters() ? 1.0 : options.spare();
     double missing = peak * spare - have;
     double waiting = 0;
-    boolean spotHelps = false;
     Set<String> wanted = new HashSet<>();
     for (Plan.Unplaced u : unplaced) {
       waiting += u.tasks() * Math.max(0.1, u.spec().cpus());
-      spotHelps |= u.spec().spotAllowed();
       for (MachineType f : flavors.values()) {
         if (fits(f, u)) {
           wanted.add(f.name());
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -12,6 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.function.Function;
 
@@ -33,7 +34,7 @@
       Fleet fleet,
       Function<String, ActiveJob> runs,
       RunTimes runTimes) {
-    if (version == m.version() && flavor == type) {
+    if (version == m.version() && Objects.equals(flavor, type)) {
       return;
     }
     flavor = type;
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -67,7 +67,7 @@
   private final Supplier<Map<String, MachineType>> flavors;
   private final SpareKeys spare;
   private final Set<String> writing = new HashSet<>();
-  private final Map<Machine, MachineLoad> loads = new IdentityHashMap<>();
+  private final IdentityHashMap<Machine, MachineLoad> loads = new IdentityHashMap<>();
   private Phase phase = Phase.OFF;
   private long lastAt;
   private long pausedUntil;
--- a/src/main/java/fennelthread/net/Answer.java
+++ b/src/main/java/fennelthread/net/Answer.java
@@ -5,6 +5,7 @@
 import fennelthread.wire.WireException;
 
 /** A response, sent or received. */
+@SuppressWarnings("ArrayRecordComponent") // handed on, never compared
 public record Answer(int status, byte[] body, Codec codec, int retryAfterS, Afterwards afterwards) {
 
   /** What becomes of the connection that a response was sent on. */
--- a/src/main/java/fennelthread/net/Call.java
+++ b/src/main/java/fennelthread/net/Call.java
@@ -6,6 +6,7 @@
  * A request to another component; {@code body} may be null. A {@code spare} one is worth no more
  * than a hint: it must not take the connections that others need.
  */
+@SuppressWarnings("ArrayRecordComponent") // handed on, never compared
 public record Call(String method, String path, byte[] body, Codec codec, boolean spare) {
 
   /** A request that somebody waits for. */
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -21,8 +21,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
@@ -36,8 +34,6 @@
  * longer worth one. Everything runs on the host's thread.
  */
 final class HttpClient {
-  private static final Logger log = LoggerFactory.getLogger(HttpClient.class);
-
   private final Host host;
   private final XnioIoThread thread;
   private final ByteBufferPool buffers;
--- a/src/main/java/fennelthread/state/Budget.java
+++ b/src/main/java/fennelthread/state/Budget.java
@@ -105,7 +105,7 @@
     for (StateClient.Lane lane = next(); lane != null; lane = next()) {
       Waiting first = lanes.get(lane).peek();
       // Each lane leaves something of the burst to those before it, but not for ever.
-      double spared = isOverdue(lane) ? 0 : lane.ordinal() * Constants.STATE_SPARED_PER_LANE;
+      double spared = isOverdue(lane) ? 0 : lane.rank() * Constants.STATE_SPARED_PER_LANE;
       double wait =
           Math.max(
               requests.waitFor(1, spared),
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -34,11 +34,22 @@
   /** Whose turn comes first when the budget is short; lease renewals wait for nothing. */
   public enum Lane {
     /** Someone waits for the answer: a user, or a copy that answers are confirmed against. */
-    ANSWER,
+    ANSWER(0),
     /** Round records: tasks wait for them. */
-    ROUND,
+    ROUND(1),
     /** Finished tasks and removals: they can wait for quieter moments. */
-    UPKEEP
+    UPKEEP(2);
+
+    private final int rank;
+
+    Lane(int rank) {
+      this.rank = rank;
+    }
+
+    /** How many lanes come before this one. */
+    int rank() {
+      return rank;
+    }
   }
 
   private final Host host;
--- a/src/main/java/fennelthread/wire/Codec.java
+++ b/src/main/java/fennelthread/wire/Codec.java
@@ -25,7 +25,10 @@
 
   private static final int MAX_DEPTH = 32;
 
+  // Configured once and never changed: Jackson's factories are safe to share.
+  @SuppressWarnings("ImmutableEnumChecker")
   private final JsonFactory factory;
+
   private final String contentType;
 
   Codec(JsonFactory factory, String contentType) {
@@ -103,10 +106,10 @@
         return parser.getDoubleValue();
       }
       case VALUE_TRUE -> {
-        return Boolean.TRUE;
+        return true;
       }
       case VALUE_FALSE -> {
-        return Boolean.FALSE;
+        return false;
       }
       case VALUE_NULL -> {
         return null;
