--- a/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
+++ b/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The inequality of docs/keeping.md, for the settings as they are given. */
+/** The inequality of docs/lease-renewal.md, for the settings as they are given. */
 class RenewalBoundsTest {
 
   /**
