--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -788,6 +788,12 @@
    */
   public static final long ANSWERED_WITHIN_MS = 10_000;
 
+  /**
+   * Within which a job that waits gets a free machine once nothing fails any more, ms: the
+   * operators' bound, which the simulation checks.
+   */
+  public static final long STARTED_WITHIN_MS = 90_000;
+
   /** The largest jobs of a class, as a share of them, in the lab. */
   public static final double LARGEST_SHARE = 0.1;
 }
--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -71,6 +71,23 @@
   /** The machines that controllers have returned. */
   final List<String> returned = new ArrayList<>();
 
+  private boolean bootsQuickly;
+
+  /** Machines rented meanwhile are up within 0.1 to 2 s; the list shows them late as ever. */
+  void quickBoots(long forMs) {
+    bootsQuickly = true;
+    world.after(forMs, () -> bootsQuickly = false);
+  }
+
+  private long nextBootMs() {
+    return bootsQuickly ? 100 + world.faults.nextInt(1_901) : bootMs.getAsLong();
+  }
+
+  /** The machine types on offer. */
+  List<MachineType> types() {
+    return flavors;
+  }
+
   void outage(long forMs) {
     down = true;
     world.after(forMs, () -> down = false);
@@ -176,11 +193,7 @@
       known = new ArrayList<>();
       for (int i = 0; i < many; i++) {
         known.add(
-            rent(
-                    body.text("modelo"),
-                    body.text("zona"),
-                    body.optFlag("prestadas"),
-                    bootMs.getAsLong())
+            rent(body.text("modelo"), body.text("zona"), body.optFlag("prestadas"), nextBootMs())
                 .name());
       }
       requests.put(name, known);
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -3,15 +3,18 @@
 import fennelthread.Constants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
+import fennelthread.wire.MachineType;
 import java.util.ArrayList;
 import java.util.BitSet;
+import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.PriorityQueue;
 import java.util.Set;
-import java.util.TreeMap;
+import java.util.function.Supplier;
 
 /**
  * The protocol's rules, checked from outside: this knows only what happened on machines and what
@@ -27,14 +30,17 @@
   private final Map<String, Long> cancelTold = new HashMap<>();
   private final Map<String, Integer> ranWhenCancelled = new HashMap<>();
   private final Set<String> doneTold = new HashSet<>();
-  private final Map<String, BitSet> completed = new HashMap<>();
-  private final Map<String, WorkerEmulator> where = new HashMap<>();
-  private final Map<String, double[]> teams = new HashMap<>();
-  private final Map<String, Map<String, Integer>> zones = new HashMap<>();
-  private final Map<String, Integer> present = new HashMap<>();
+  private final Set<String> invalid = new HashSet<>();
+  private final Map<String, Long> doneTasksTold = new HashMap<>();
+  private final PriorityQueue<GoneBy> goneBy =
+      new PriorityQueue<>(Comparator.comparingLong(GoneBy::at));
+  private final TaskPresence presence = new TaskPresence();
+  private final PlacementRules placement;
+  private final WaitingRule waiting;
+  private final ServedRule served = new ServedRule();
+  private List<MachineType> types;
   private final Map<String, Long> acceptedAt = new HashMap<>();
   private final Map<String, Long> begunAt = new HashMap<>();
-  private final Map<String, long[]> replicas = new HashMap<>();
   private final Map<String, Long> unanswered = new HashMap<>();
   private long calmSince = Long.MAX_VALUE / 2;
   private long sampledAt;
@@ -43,23 +49,26 @@
   /** Starts of tasks that had completed: no rule forbids them, but they are work done twice. */
   int startsAfterDone;
 
-  /** What a class of jobs, or of a team's, was to have, and what it had. */
-  private static final class Served {
-    long replicasWanted;
-    long replicasUp;
-    long jobsWanted;
-    long jobsDone;
-
-    double share() {
-      double replicas = replicasWanted == 0 ? 1 : replicasUp / (double) replicasWanted;
-      double jobs = jobsWanted == 0 ? 1 : jobsDone / (double) jobsWanted;
-      return Math.min(replicas, jobs);
-    }
-  }
+  /** True while counts of done tasks that users are told must not fall. */
+  boolean countsMustNotFall = true;
+
+  /** Starts of jobs that a user had been told are cancelled: allowed for so long, but unwanted. */
+  int startsAfterCancel;
+
+  /** When all tasks of a cancelled job must be gone. */
+  private record GoneBy(long at, String id) {}
 
   InvariantChecker(SimulatedNetwork world, Settings settings) {
     this.world = world;
     this.settings = settings;
+    placement = new PlacementRules(presence, settings);
+    waiting = new WaitingRule(presence, placement);
+  }
+
+  /** Says what the cloud offers and which machines there are; the rules on both hold from then. */
+  void watch(List<MachineType> offered, Supplier<Collection<WorkerEmulator>> machines) {
+    types = offered;
+    waiting.watch(machines);
   }
 
   private void broken(String rule, String what) {
@@ -73,6 +82,11 @@
     ancestors.put(spec.id(), before);
   }
 
+  /** A user submits something that can't run or lacks a field: it must never be accepted. */
+  void submitsInvalid(String id) {
+    invalid.add(id);
+  }
+
   /** The jobs that this one needs, directly or through others. */
   private Set<String> ancestors(String id) {
     return ancestors.getOrDefault(id, Set.of());
@@ -93,6 +107,19 @@
     cancelAsked.add(id);
   }
 
+  boolean isCancelAsked(String id) {
+    return cancelAsked.contains(id);
+  }
+
+  boolean isDoneTold(String id) {
+    return doneTold.contains(id);
+  }
+
+  /** A copy of the numbers of a job's completed tasks. */
+  BitSet completedTasks(String id) {
+    return presence.completed(id);
+  }
+
   JobSpec job(String id) {
     return submitted.get(id);
   }
@@ -116,44 +143,49 @@
   }
 
   boolean allCompleted(String id) {
-    BitSet done = completed.get(id);
-    return done != null && done.cardinality() == submitted.get(id).tasks();
+    return presence.allCompleted(submitted.get(id));
   }
 
   boolean isOn(String id, WorkerEmulator worker) {
-    return where.entrySet().stream()
+    return presence.machineOf().entrySet().stream()
         .anyMatch(e -> e.getKey().startsWith(id + "/") && e.getValue() == worker);
   }
 
   /** What teams use at the moment, and what of it are services, CPUs. */
   String usage() {
     StringBuilder text = new StringBuilder();
-    teams.forEach((team, used) -> text.append(team).append(' ').append(used[0]).append(' '));
+    settings
+        .teams()
+        .keySet()
+        .forEach(
+            team -> text.append(team).append(' ').append(presence.usedBy(team).cpus).append(' '));
     Map<String, Double> services = new HashMap<>();
-    where.forEach(
-        (task, w) -> {
-          JobSpec spec = submitted.get(task.substring(0, task.indexOf('/')));
-          if (spec.service()) {
-            services.merge(spec.team(), spec.cpus(), Double::sum);
-          }
-        });
+    presence
+        .machineOf()
+        .forEach(
+            (task, w) -> {
+              JobSpec spec = submitted.get(task.substring(0, task.indexOf('/')));
+              if (spec.service()) {
+                services.merge(spec.team(), spec.cpus(), Double::sum);
+              }
+            });
     return text + "services " + services;
   }
 
   /** The tasks that are on machines, each with its machine's name: {@code job/0@n-1}. */
   Set<String> present() {
     Set<String> present = new HashSet<>();
-    where.forEach((task, w) -> present.add(task + "@" + w.name()));
+    presence.machineOf().forEach((task, w) -> present.add(task + "@" + w.name()));
     return present;
   }
 
   /** How many tasks are on machines. */
   int running() {
-    return where.size();
+    return presence.machineOf().size();
   }
 
   int running(String id) {
-    return present.getOrDefault(id, 0);
+    return presence.running(id);
   }
 
   /**
@@ -171,9 +203,24 @@
       if (spec.service()
           && !cancelAsked.contains(spec.id())
           && world.now() > e.getValue() + 20_000) {
-        long[] up = replicas.computeIfAbsent(spec.id(), k -> new long[2]);
-        up[0] += spec.tasks();
-        up[1] += Math.min(spec.tasks(), running(spec.id()));
+        served.sample(spec, running(spec.id()));
+      }
+    }
+    if (world.now() > calmSince) {
+      checkWaiting();
+    }
+  }
+
+  private void checkWaiting() {
+    for (String id : acceptedAt.keySet()) {
+      JobSpec spec = submitted.get(id);
+      if (isUnwanted(id) || isOver(id) || !spec.needs().stream().allMatch(this::allCompleted)) {
+        waiting.excuse(id);
+        continue;
+      }
+      String breach = waiting.check(spec, world.now());
+      if (breach != null) {
+        broken("waiting", breach);
       }
     }
   }
@@ -188,42 +235,18 @@
    * @param settleMs how long before now an array must have been accepted to count, ms
    */
   void checkServed(long settleMs) {
-    Map<String, Served> shares = new TreeMap<>();
-    Map<String, List<JobSpec>> byClass = new TreeMap<>();
-    for (String id : acceptedAt.keySet()) {
-      if (!isUnwanted(id)) {
-        byClass
-            .computeIfAbsent(submitted.get(id).jobClass(), k -> new ArrayList<>())
-            .add(submitted.get(id));
-      }
-    }
-    byClass.forEach(
-        (jobClass, specs) -> {
-          specs.sort(Comparator.comparingDouble(InvariantChecker::asked).reversed());
-          double large =
-              asked(specs.get((int) Math.ceil(specs.size() * Constants.LARGEST_SHARE) - 1));
-          for (JobSpec spec : specs) {
-            count(shares.computeIfAbsent("class " + jobClass, k -> new Served()), spec, settleMs);
-            count(shares.computeIfAbsent("team " + spec.team(), k -> new Served()), spec, settleMs);
-            if (asked(spec) >= large) {
-              count(
-                  shares.computeIfAbsent("largest of " + jobClass, k -> new Served()),
-                  spec,
-                  settleMs);
-            }
-            checkBegun(spec);
-          }
-        });
-    shares.forEach(
-        (what, s) -> {
-          if (s.share() < 0.5) {
-            broken("unserved", what + " " + s.share());
+    List<ServedRule.Job> counted = new ArrayList<>();
+    acceptedAt.forEach(
+        (id, at) -> {
+          if (!isUnwanted(id)) {
+            counted.add(new ServedRule.Job(submitted.get(id), at, allCompleted(id)));
+            checkBegun(submitted.get(id));
           }
         });
-  }
-
-  private static double asked(JobSpec spec) {
-    return spec.tasks() * spec.cpus();
+    String unserved = served.check(counted, world.now() - settleMs);
+    if (unserved != null) {
+      broken("unserved", unserved);
+    }
   }
 
   /** True if its user gave it up, or one that it needs. */
@@ -231,17 +254,6 @@
     return cancelAsked.contains(id) || ancestors(id).stream().anyMatch(cancelAsked::contains);
   }
 
-  private void count(Served s, JobSpec spec, long settleMs) {
-    if (spec.service()) {
-      long[] up = replicas.getOrDefault(spec.id(), new long[2]);
-      s.replicasWanted += up[0];
-      s.replicasUp += up[1];
-    } else if (acceptedAt.get(spec.id()) < world.now() - settleMs) {
-      s.jobsWanted++;
-      s.jobsDone += allCompleted(spec.id()) ? 1 : 0;
-    }
-  }
-
   private void checkBegun(JobSpec spec) {
     long accepted = acceptedAt.get(spec.id());
     long begun = begunAt.getOrDefault(spec.id(), world.now());
@@ -280,38 +292,24 @@
     starts++;
     begunAt.putIfAbsent(spec.id(), world.now());
     String task = spec.id() + "/" + index;
-    BitSet done = completed.get(spec.id());
-    startsAfterDone += done != null && done.get(index) ? 1 : 0;
-    WorkerEmulator other = where.put(task, w);
+    startsAfterDone += presence.isCompleted(spec.id(), index) ? 1 : 0;
+    waiting.starts(spec.id());
+    WorkerEmulator other = presence.add(w, spec, index);
     if (other != null) {
       broken("ran_twice", task + " starts on " + w.name() + " while on " + other.name());
     }
-    present.merge(spec.id(), 1, Integer::sum);
-    Settings.Team team = settings.teams().get(spec.team());
-    double[] used = teams.computeIfAbsent(spec.team(), k -> new double[2]);
-    used[0] += spec.cpus();
-    used[1] += spec.cards();
-    if (team.cpusMax() > 0 && used[0] > team.cpusMax() + 1e-6) {
-      broken("quota", spec.team() + " uses " + used[0]);
+    if (placement.isOverLimit(spec)) {
+      TaskPresence.Amount used = presence.usedBy(spec.team());
+      broken("quota", spec.team() + " uses " + used.cpus + " CPUs, " + used.cards + " cards");
     }
-    if (team.cardsMax() > 0 && used[1] > team.cardsMax() + 1e-6) {
-      broken("quota", spec.team() + " uses cards " + used[1]);
+    if (!PlacementRules.isAllowed(spec, w)) {
+      broken("wrong_place", task + " on " + w.name() + ", not a machine that its job allows");
     }
-    if (spec.types() != null && !spec.types().contains(w.flavor().name())) {
-      broken("wrong_place", task + " on type " + w.flavor().name());
-    }
-    if (spec.zone() != null && !spec.zone().equals(w.zone())) {
-      broken("wrong_place", task + " in zone " + w.zone());
-    }
-    if (w.spot() && !spec.spotAllowed()) {
-      broken("wrong_place", task + " on a spot machine");
-    }
-    Map<String, Integer> at = zones.computeIfAbsent(spec.id(), k -> new HashMap<>());
-    at.merge(w.zone(), 1, Integer::sum);
-    if (spec.onePlace() && at.values().stream().filter(n -> n > 0).count() > 1) {
+    if (spec.onePlace() && presence.zonesOf(spec.id()).size() > 1) {
       broken("wrong_place", task + " not in its job's zone");
     }
-    if (spec.apart() && at.get(w.zone()) > (spec.tasks() + 1) / 2) {
+    if (spec.apart()
+        && presence.running(spec.id(), w.zone()) > PlacementRules.mostInOneZone(spec)) {
       broken("wrong_place", task + " crowds zone " + w.zone());
     }
     for (String need : spec.needs()) {
@@ -320,51 +318,70 @@
       }
     }
     Long told = cancelTold.get(spec.id());
+    startsAfterCancel += told == null ? 0 : 1;
     if (told != null && world.now() > told + settings.workers().cancelMs()) {
       broken("ran_cancelled", task + " starts");
     }
   }
 
   void ends(WorkerEmulator w, JobSpec spec, int index, boolean done) {
-    String task = spec.id() + "/" + index;
-    where.remove(task);
-    present.merge(spec.id(), -1, Integer::sum);
-    double[] used = teams.get(spec.team());
-    used[0] -= spec.cpus();
-    used[1] -= spec.cards();
-    zones.get(spec.id()).merge(w.zone(), -1, Integer::sum);
-    if (done) {
-      completed.computeIfAbsent(spec.id(), k -> new BitSet()).set(index);
-    }
+    presence.remove(w, spec, index, done);
   }
 
   /** Checked after every event. */
   void check() {
     sample();
-    for (Map.Entry<String, Long> e : cancelTold.entrySet()) {
-      if (world.now() > e.getValue() + settings.workers().cancelMs()
-          && world.now() < e.getValue() + settings.workers().cancelMs() + 2_000
-          && running(e.getKey()) > 0) {
-        broken("ran_cancelled", e.getKey() + " is still on a machine");
+    while (!goneBy.isEmpty() && goneBy.peek().at < world.now()) {
+      String id = goneBy.poll().id;
+      // Whatever starts from now on, begins() finds: together they bound all later times.
+      if (running(id) > 0) {
+        broken("ran_cancelled", id + " is still on a machine");
       }
     }
   }
 
   /** What a user knows of a job when asking: answers to earlier questions may be older. */
-  record Known(boolean accepted, boolean done, boolean cancelled, boolean orphan) {}
+  record Known(boolean accepted, boolean done, boolean cancelled, boolean orphan, long doneTasks) {
+
+    /** True if something was told for the first time since then. */
+    boolean isNewsAfter(Known then) {
+      return accepted != then.accepted || done != then.done || cancelled != then.cancelled;
+    }
+  }
 
   Known known(String id) {
     return new Known(
-        accepted.contains(id), doneTold.contains(id), cancelTold.containsKey(id), isOrphan(id));
+        accepted.contains(id),
+        doneTold.contains(id),
+        cancelTold.containsKey(id),
+        isOrphan(id),
+        doneTasksTold.getOrDefault(id, 0L));
   }
 
-  /** A user was answered with 200 or 201 for a submission, a question or a withdrawal. */
+  /** The same for an answer without a count of completed tasks. */
   void told(String id, String state, Known before) {
+    told(id, state, -1, before);
+  }
+
+  /**
+   * A user was answered with 200 or 201 for a submission, a question or a cancellation.
+   *
+   * @param doneTasks how many tasks were called done, less than 0 if the answer says nothing of it
+   * @param before what users knew when the request was sent
+   */
+  void told(String id, String state, long doneTasks, Known before) {
+    if (invalid.contains(id)) {
+      broken("accepted_invalid", id);
+    }
     if (!submitted.containsKey(id)) {
       broken("invented", id);
     }
+    if (types != null && !placement.canRun(submitted.get(id), types)) {
+      broken("accepted_invalid", id + " can never run");
+    }
     unanswered.remove(id);
     accepted.add(id);
+    checkCount(id, doneTasks, before);
     acceptedAt.putIfAbsent(id, world.now());
     if (before.orphan && (state.equals("pending") || state.equals("running"))) {
       broken("orphaned", id + " is called " + state);
@@ -381,6 +398,7 @@
       }
       if (cancelTold.putIfAbsent(id, world.now()) == null) {
         ranWhenCancelled.put(id, running(id));
+        goneBy.add(new GoneBy(world.now() + settings.workers().cancelMs(), id));
       }
     }
     if (state.equals("done")) {
@@ -391,6 +409,16 @@
     }
   }
 
+  private void checkCount(String id, long doneTasks, Known before) {
+    if (doneTasks < 0) {
+      return;
+    }
+    if (countsMustNotFall && doneTasks < before.doneTasks) {
+      broken("went_back", id + " from " + before.doneTasks + " tasks done to " + doneTasks);
+    }
+    doneTasksTold.merge(id, doneTasks, Math::max);
+  }
+
   /** A user was answered with another status. */
   void refused(String id, int status, Known before) {
     if (before.accepted && (status == 404 || status == 400 || status == 422)) {
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -22,6 +22,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
 
 /** Controllers and everything around them, in one seeded world. */
 final class SimulatedCluster implements WorkerEmulator.Surroundings {
@@ -60,6 +61,12 @@
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private int nextJob;
 
+  private final List<Consumer<String>> onNews = new ArrayList<>();
+  final ReportCopies reportCopies;
+  final JobCancellations cancellations;
+  final CloseLooks closeLooks;
+  final OddRequests oddRequests;
+
   /** A running controller, whatever its version. */
   interface Node {
     Service api();
@@ -156,6 +163,11 @@
     world.afterEach(rules::check);
     state.onWrite.add(this::checkFence);
     state.onWrite.add(this::checkFinished);
+    rules.watch(cloud.types(), () -> cloud.machines().values());
+    reportCopies = new ReportCopies(world, state, addresses.values());
+    cancellations = new JobCancellations(this);
+    closeLooks = new CloseLooks(this);
+    oddRequests = new OddRequests(this);
   }
 
   private static String meshOf(String member) {
@@ -561,18 +573,84 @@
     ask(addresses.get(member), "GET", "/v1/jobs/" + id, null, id, 2_000, good -> {});
   }
 
+  /** A user asks one controller about a job, once. */
+  void askAt(String member, String id) {
+    askAt(member, id, answer -> {});
+  }
+
+  /** The same; {@code then} gets the answer, or null if there was none. */
+  void askAt(String member, String id, Consumer<Answer> then) {
+    InvariantChecker.Known before = rules.known(id);
+    ask(addresses.get(member), Call.get("/v1/jobs/" + id), id, 2_000, before, then);
+  }
+
+  /** A user submits a body to one controller, once; {@code then} gets the answer, or null. */
+  void submitAt(String member, String id, Fields body, Consumer<Answer> then) {
+    Call call = Call.post("/v1/jobs", Codec.CBOR, body);
+    ask(addresses.get(member), call, id, 5_000, rules.known(id), then);
+  }
+
+  /** A user asks one controller to cancel a job that is known to be done, once. */
+  void cancelAt(String member, String id) {
+    Call call = new Call("POST", "/v1/jobs/" + id + "/withdraw", new byte[0], Codec.CBOR);
+    ask(addresses.get(member), call, id, 5_000, rules.known(id), answer -> {});
+  }
+
+  private void ask(
+      String to,
+      Call call,
+      String id,
+      long timeoutMs,
+      InvariantChecker.Known before,
+      Consumer<Answer> then) {
+    users.call(
+        to,
+        call,
+        timeoutMs,
+        answer -> {
+          note(id, answer, before);
+          then.accept(answer);
+        });
+  }
+
+  /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
+  void onNews(Consumer<String> listener) {
+    onNews.add(listener);
+  }
+
+  /** A job with an id of its own that is not counted as submitted; it draws from the faults. */
+  JobSpec nextOddJob() {
+    boolean red = world.faults.nextBoolean();
+    return new JobSpec(
+        String.format("job-%06d", ++nextJob),
+        "lote",
+        red ? "roja" : "azul",
+        false,
+        Priority.STANDARD,
+        1,
+        1,
+        0,
+        2,
+        "img-0",
+        1,
+        null,
+        null,
+        false,
+        false,
+        true,
+        5,
+        0,
+        0,
+        60);
+  }
+
   void askUnknown() {
     String id = "job-9" + world.random.nextInt(100_000);
     ask("GET", "/v1/jobs/" + id, null, id, 2_000, good -> {});
   }
 
   private void ask(
-      String method,
-      String path,
-      byte[] body,
-      String id,
-      long timeoutMs,
-      java.util.function.Consumer<Boolean> done) {
+      String method, String path, byte[] body, String id, long timeoutMs, Consumer<Boolean> done) {
     List<String> all = List.copyOf(addresses.values());
     ask(all.get(world.random.nextInt(all.size())), method, path, body, id, timeoutMs, done);
   }
@@ -584,7 +662,7 @@
       byte[] body,
       String id,
       long timeoutMs,
-      java.util.function.Consumer<Boolean> done) {
+      Consumer<Boolean> done) {
     InvariantChecker.Known before = rules.known(id);
     users.call(
         to,
@@ -603,7 +681,11 @@
     }
     try {
       Fields body = answer.fields();
-      rules.told(id, body.text("estado"), before);
+      InvariantChecker.Known then = rules.known(id);
+      rules.told(id, body.text("estado"), body.count("done", -1), before);
+      if (rules.known(id).isNewsAfter(then)) {
+        onNews.forEach(listener -> listener.accept(id));
+      }
     } catch (WireException e) {
       throw new AssertionError(e);
     }
@@ -612,6 +694,55 @@
 
   // ---------------------------------------------------------------- troubles
 
+  /**
+   * Copies of that share of the reports are kept; when a controller has claimed the leadership,
+   * each is handed to every controller {@code afterClaimMs} later.
+   */
+  void keepReportsForNextLeader(double share, long forMs, long afterClaimMs) {
+    reportCopies.keep(share, forMs, afterClaimMs);
+  }
+
+  /** The machine reaches no controller; direct commands reach it. */
+  void mute(WorkerEmulator worker, long forMs) {
+    world.muteRequests(worker.name(), "nodo", forMs);
+  }
+
+  /**
+   * That share of the direct commands is held 2 to 16 s, unanswered, and carried out once if token
+   * and session still match.
+   */
+  void holdCommands(double share, long forMs) {
+    world.requestFaults.holdCommands(share, forMs);
+  }
+
+  /** Cancels that many running jobs at once, see {@link JobCancellations#cancelNow}. */
+  List<String> cancelNow(int count, long hangMs) {
+    return cancellations.cancelNow(count, hangMs);
+  }
+
+  /** Cancels that share of the jobs as they end, see {@link JobCancellations#cancelAtEnd}. */
+  void cancelAtEnd(double share, long forMs) {
+    cancellations.cancelAtEnd(share, forMs);
+  }
+
+  /** Users look closely at whatever they are told, see {@link CloseLooks}. */
+  void closeLooks(long forMs) {
+    closeLooks.begin(forMs);
+  }
+
+  /** Users send odd requests, see {@link OddRequests}. */
+  void oddRequests(long forMs) {
+    oddRequests.begin(forMs);
+  }
+
+  /** A zone with its workers and controllers is cut off from all else. */
+  void cutZoneWithControllers(String zone, long forMs) {
+    if (addresses.keySet().stream().noneMatch(member -> siteOf(member).equals(zone))) {
+      throw new IllegalArgumentException("no controller is in zone " + zone);
+    }
+    world.cutZone(zone, forMs);
+  }
+
   /** Users and troubles at random until {@code untilMs}. */
   void storm(long untilMs) {
     world.after(
@@ -698,6 +829,11 @@
     rules.ends(worker, spec, index, completed);
   }
 
+  @Override
+  public void willComplete(WorkerEmulator worker, JobSpec spec, int index, long atMs) {
+    cancellations.expect(spec, index, atMs);
+  }
+
   @Override
   public long reportMs() {
     return settings.workers().reportMs();
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -37,6 +37,9 @@
   /** Chance for troubles that few tests have: drawing here changes nothing for the others. */
   final SplittableRandom faults;
 
+  /** Faults of single requests. */
+  final RequestFaults requestFaults = new RequestFaults(this);
+
   double loss = 0.002;
   double late = 0.001;
 
@@ -309,7 +312,33 @@
     if (chance > 1 - late) {
       delay = 3_000 + random.nextInt(60_000);
     }
-    after(delay, deliver);
+    after(delay + requestFaults.extraMs(from, to), deliver);
+  }
+
+  /**
+   * Requests from those to those get no connection; what the others ask them, and the answers to
+   * it, pass.
+   */
+  void muteRequests(String fromPrefix, String toPrefix, long forMs) {
+    requestFaults.mute(fromPrefix, toPrefix, forMs);
+  }
+
+  /** Messages to and from those take so much longer. */
+  void slowLinks(String prefix, long extraMs, long forMs) {
+    requestFaults.slowLinks(prefix, extraMs, forMs);
+  }
+
+  /**
+   * Delivers a request now, its answer going nowhere.
+   *
+   * @return false if no process listens there
+   */
+  boolean deliver(String from, String address, Call call) {
+    Process target = byAddress.get(address);
+    if (target != null) {
+      target.serve(from, address, call, answer -> {});
+    }
+    return target != null;
   }
 
   /** One process on a machine of its own; a restart is a new process under the same name. */
@@ -404,6 +433,12 @@
     @Override
     public void call(
         String address, Call call, long timeoutMs, Consumer<Answer> done, Unsent unsent) {
+      requestFaults.sent(name, nameOf(address), call);
+      if (requestFaults.takesConnection(name, nameOf(address))) {
+        long giveUpMs = faults.nextBoolean() ? 1 : timeoutMs;
+        after(giveUpMs, () -> unsent.over(true));
+        return;
+      }
       if (shortOfSockets > 0
           && nameOf(address).startsWith("n-")
           && connections.nextDouble() < shortOfSockets) {
@@ -426,22 +461,12 @@
             }
           });
       String to = nameOf(address);
-      copyPerhaps(
-          call.path(),
-          () -> {
-            Process target = byAddress.get(address);
-            if (target != null) {
-              target.enter(
-                  call.path(),
-                  () -> {
-                    target.caller = name;
-                    target
-                        .services
-                        .get(address)
-                        .handle(new Request(call.method(), call.path(), call.body()), answer -> {});
-                  });
-            }
-          });
+      copyPerhaps(call.path(), () -> deliver(name, address, call));
+      long holdMs = requestFaults.holdMs(call.path());
+      if (holdMs > 0) {
+        deliverLate(address, call, holdMs);
+        return;
+      }
       carryOrHold(
           call.path(),
           false,
@@ -457,36 +482,42 @@
               }
               return;
             }
-            target.enter(
-                call.path(),
-                () -> {
-                  Service service = target.services.get(address);
-                  target.caller = name;
-                  service.handle(
-                      new Request(call.method(), call.path(), call.body()),
-                      answer ->
-                          carryOrHold(
-                              call.path(),
-                              true,
-                              to,
-                              name,
-                              address,
-                              () ->
-                                  enter(
-                                      "answer",
-                                      () ->
-                                          finish(
-                                              over,
-                                              done,
-                                              answer == null
-                                                  ? null
-                                                  : new Answer(
-                                                      answer.status(),
-                                                      answer.body(),
-                                                      call.codec(),
-                                                      answer.retryAfterS(),
-                                                      answer.afterwards())))));
-                });
+            target.serve(
+                name,
+                address,
+                call,
+                answer ->
+                    carryOrHold(
+                        call.path(),
+                        true,
+                        to,
+                        name,
+                        address,
+                        () -> enter("answer", () -> finish(over, done, received(answer, call)))));
+          });
+    }
+
+    /** Delivers a request to the process that listens there now, unanswered, if it still does. */
+    private void deliverLate(String address, Call call, long holdMs) {
+      Process target = byAddress.get(address);
+      SimulatedNetwork.this.after(
+          holdMs,
+          () -> {
+            if (target != null && byAddress.get(address) == target) {
+              requestFaults.commandsDelivered++;
+              target.serve(name, address, call, answer -> {});
+            }
+          });
+    }
+
+    private void serve(String from, String address, Call call, Consumer<Answer> reply) {
+      enter(
+          call.path(),
+          () -> {
+            caller = from;
+            services
+                .get(address)
+                .handle(new Request(call.method(), call.path(), call.body()), reply);
           });
     }
 
@@ -515,6 +546,17 @@
     String caller = "";
   }
 
+  private static Answer received(Answer answer, Call call) {
+    return answer == null
+        ? null
+        : new Answer(
+            answer.status(),
+            answer.body(),
+            call.codec(),
+            answer.retryAfterS(),
+            answer.afterwards());
+  }
+
   private static void finish(boolean[] over, Consumer<Answer> done, Answer answer) {
     if (!over[0]) {
       over[0] = true;
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -15,6 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 
 /** The state service as its protocol describes it. */
@@ -67,8 +68,14 @@
   /** Called with each key that a transaction writes, right after it was applied. */
   final List<Consumer<String>> onWrite = new ArrayList<>();
 
+  private final TransactionAnswers answers;
+
+  /** Transactions that were carried out while their answers were lost. */
+  int answersLost;
+
   StateEmulator(SimulatedNetwork world, SimulatedNetwork.Process process, Settings.State limits) {
     this.world = world;
+    this.answers = new TransactionAnswers(world, () -> answersLost++);
     this.process = process;
     this.limits = limits;
     expire();
@@ -101,6 +108,26 @@
     world.after(forMs, () -> lateShare = 0);
   }
 
+  /** For so long that share of the transactions is carried out at once, and its answer is lost. */
+  void loseAnswers(double share, long forMs) {
+    answers.lose(share, forMs);
+  }
+
+  /**
+   * The next {@code times} transactions that match are applied at once, and their answers are lost.
+   *
+   * @param which tests the caller's name and the body, decoded as ISO-8859-1
+   */
+  void loseAnswerOf(BiPredicate<String, String> which, int times) {
+    answers.loseNext(which, times);
+  }
+
+  /** For so long every request is answered so much later. */
+  void slow(long extraMs, long forMs) {
+    answers.delay(extraMs, forMs);
+  }
+
+  /** Refuses one caller for so long. */
   void refuse(String member, long forMs) {
     refused.add(member);
     world.after(
@@ -165,7 +192,8 @@
   }
 
   @Override
-  public void handle(Request request, Consumer<Answer> reply) {
+  public void handle(Request request, Consumer<Answer> caller) {
+    Consumer<Answer> reply = answers.through(process.caller, request, caller);
     if (request.path().equals("/multi")) {
       long hold =
           delay.applyAsLong(
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -37,6 +37,9 @@
     /** A task is no longer on the machine. */
     void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed);
 
+    /** A running task will be complete at that time if nothing happens to it. */
+    default void willComplete(WorkerEmulator worker, JobSpec spec, int index, long atMs) {}
+
     long reportMs();
 
     long leaseMs();
@@ -181,6 +184,14 @@
     world.after(forMs, () -> sick = false);
   }
 
+  private double fetchFactor = 1;
+
+  /** Images that are asked for meanwhile take so many times as long. */
+  void slowFetches(double factor, long forMs) {
+    fetchFactor = factor;
+    world.after(forMs, () -> fetchFactor = 1);
+  }
+
   /**
    * The machine hangs: nothing is executed, no timer runs, until it goes on or its lease is over.
    */
@@ -419,7 +430,8 @@
       t.present = true;
       around.begins(this, spec, t.ref.index());
       changed();
-      process.after(200 + world.random.nextInt(1_500), () -> started(t));
+      long fetchMs = (long) ((200 + world.random.nextInt(1_500)) * fetchFactor);
+      process.after(fetchMs, () -> started(t));
     }
   }
 
@@ -439,6 +451,7 @@
       finishIfHere(t, WorkerReport.Motive.DONE);
     } else if (!t.spec.service()) {
       long runMs = (long) (t.spec.estimateS() * 1000 * (0.5 + world.random.nextDouble()));
+      around.willComplete(this, t.spec, t.ref.index(), world.now() + runMs);
       process.after(runMs, () -> finishIfHere(t, WorkerReport.Motive.DONE));
     }
   }
