--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -381,7 +381,7 @@
     }
     unanswered.remove(id);
     accepted.add(id);
-    checkCount(id, doneTasks, before);
+    checkCount(id, state, doneTasks, before);
     acceptedAt.putIfAbsent(id, world.now());
     if (before.orphan && (state.equals("pending") || state.equals("running"))) {
       broken("orphaned", id + " is called " + state);
@@ -409,12 +409,14 @@
     }
   }
 
-  private void checkCount(String id, long doneTasks, Known before) {
+  private void checkCount(String id, String state, long doneTasks, Known before) {
     if (doneTasks < 0) {
       return;
     }
     if (countsMustNotFall && doneTasks < before.doneTasks) {
-      broken("went_back", id + " from " + before.doneTasks + " tasks done to " + doneTasks);
+      broken(
+          "went_back",
+          id + " from " + before.doneTasks + " tasks done to " + doneTasks + ", " + state);
     }
     doneTasksTold.merge(id, doneTasks, Math::max);
   }
