--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -173,7 +173,7 @@
     Attempt known = m.find(start.task(), start.attempt());
     if (known != null) {
       known.describedBy(start);
-    } else if (m.session() <= start.session()) {
+    } else if (!m.isPast(start.session(), epoch)) {
       // Sent under a predecessor's token, whichever: only a report under ours tells.
       m.add(
           new Attempt(
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -355,6 +355,14 @@
     return count;
   }
 
+  /**
+   * True if one of its sessions is over: it has shown a later one under a token of our epoch. A
+   * later one in any other report proves nothing, which may be of a life before this one.
+   */
+  boolean isPast(long ofSession, long epoch) {
+    return session > ofSession && ackedToken >> Constants.TOKEN_BITS == epoch;
+  }
+
   /** The attempt that a report speaks of, or null. */
   Attempt find(TaskRef task, long attempt) {
     return attempts.get(new Attempt.Key(task, attempt));
