--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -563,7 +563,14 @@
   /** How many tasks of one job must fail on a machine that fails nothing else, to drain it. */
   public static final int BAD_MACHINE_TASKS = 4;
 
-  /** How long failures on a machine are remembered, ms. */
+  /**
+   * A machine that was drained and on which tasks still run is given tasks again when none has
+   * failed there for so long, ms: it may have been the jobs' fault, and its room must not stay
+   * unused. An empty one is returned at once.
+   */
+  public static final long DRAIN_MS = 60_000;
+
+  /** How long failures on a machine, and those of a job, are remembered, ms. */
   public static final long FAILURE_WINDOW_MS = 120_000;
 
   /** On how many machines a job must fail before it waits longer between tries. */
@@ -572,8 +579,20 @@
   /** First pause before a task that failed or was refused is tried again, ms. */
   public static final long TASK_PAUSE_MS = 300;
 
-  /** Longest such pause, ms. */
-  public static final long TASK_PAUSE_MOST_MS = 60_000;
+  /** Longest such pause, ms; with jitter below a minute, since no job may wait for 90 s. */
+  public static final long TASK_PAUSE_MOST_MS = 45_000;
+
+  /**
+   * Most tasks on one machine, ended ones that are not cleared included: a report takes up to 100
+   * bytes for each, and one beyond 64 KiB is refused, until all of them end with their lease.
+   */
+  public static final int TASKS_PER_REPORT = 600;
+
+  /**
+   * A job that stands back for others although a machine has room for it does so for so long at
+   * most, ms: users count on 90 s, of which the start takes a few.
+   */
+  public static final long PASSED_OVER_MS = 60_000;
 
   /**
    * A job that has waited for so long with nothing at work is given its first task before all
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -713,6 +713,7 @@
           expire(m);
         }
       }
+      endDraining(m, now);
       // A machine that has never reported is mostly still booting: asking it only ties up sockets,
       // hundreds of them once, so that starts found no connection. Its worker reports by itself.
       boolean worthAsking = m.phase() == Machine.Phase.REPORTING || m.awaitsProof();
@@ -722,6 +723,21 @@
     }
   }
 
+  /**
+   * Gives a drained machine tasks again once none has failed there for long. One that keeps running
+   * what it has would otherwise never be empty, so never be returned, and its room be lost.
+   */
+  private void endDraining(Machine m, long now) {
+    if (m.isDraining()
+        && m.phase() == Machine.Phase.REPORTING
+        && !m.isEmpty()
+        && now - m.lastFailureAtMs() > Constants.DRAIN_MS) {
+      log.info("{} has failed nothing for long, it gets tasks again", m.name());
+      m.undrain();
+      listener.changed();
+    }
+  }
+
   /** A worker's lease as our clock may have to count it, ms. */
   private long leaseAtMostMs() {
     return (long) (settings.workers().leaseMs() * (1 + 2 * Constants.CLOCK_DRIFT))
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -57,6 +57,7 @@
   private final Deque<Long> rises = new ArrayDeque<>();
   private long answeredAtMs;
   private long noticeUntilMs = -1;
+  private long lastFailureAtMs = Long.MIN_VALUE / 2;
   private boolean draining;
   private boolean listedFailed;
   private boolean probing;
@@ -384,10 +385,16 @@
     touch();
   }
 
+  /** When a task last failed there, ms. */
+  long lastFailureAtMs() {
+    return lastFailureAtMs;
+  }
+
   /** Notes a failed task; true if the machine, not the job, must be at fault. */
   boolean failed(String job, long now) {
     failures.removeIf(f -> f.atMs < now - Constants.FAILURE_WINDOW_MS);
     failures.add(new Failure(now, job));
+    lastFailureAtMs = now;
     long jobs = failures.stream().map(Failure::job).distinct().count();
     return jobs >= Constants.BAD_MACHINE_JOBS || failures.size() >= Constants.BAD_MACHINE_TASKS;
   }
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -29,8 +29,6 @@
 public final class MachineProvisioner {
   private static final Logger log = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  private record Kind(String type, String zone, boolean spot) {}
-
   /**
    * A machine that is not up yet.
    *
@@ -38,7 +36,7 @@
    * @param knownMs when this term first knew of it, ms
    * @param ours whether this term asked for it, so that its boot can be timed
    */
-  private record Booting(Kind kind, long askedMs, long knownMs, boolean ours) {}
+  private record Booting(MachineKind kind, long askedMs, long knownMs, boolean ours) {}
 
   private final Host host;
   private final Settings settings;
@@ -52,8 +50,8 @@
   private final String prefix;
   private final Consumer<List<MachineType>> onFlavors;
   private final Map<String, Booting> booting = new LinkedHashMap<>();
-  private final Map<Kind, Long> refusedUntil = new HashMap<>();
-  private final Map<Kind, Long> refusedPause = new HashMap<>();
+  private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
+  private final Map<MachineKind, Long> refusedPause = new HashMap<>();
   private final Set<String> early = new LinkedHashSet<>();
   private final Set<String> returning = new LinkedHashSet<>();
   private final List<double[]> demands = new ArrayList<>();
@@ -161,7 +159,8 @@
       long now = host.nowMs();
       long askedMs = e.state().equals(HostEntry.STARTING) ? now - (long) (e.ageS() * 1000) : now;
       booting.put(
-          e.name(), new Booting(new Kind(e.type(), e.zone(), e.spot()), askedMs, now, false));
+          e.name(),
+          new Booting(new MachineKind(e.type(), e.zone(), e.spot()), askedMs, now, false));
     }
   }
 
@@ -187,7 +186,7 @@
       boolean up = m.phase() == Machine.Phase.REPORTING || m.phase() == Machine.Phase.LOST;
       Booting b = up ? booting.remove(m.name()) : null;
       if (b != null && b.ours) {
-        boots.came(b.kind.type, b.askedMs, now);
+        boots.came(b.kind.type(), b.askedMs, now);
       }
     }
     returnSilent(now);
@@ -281,19 +280,20 @@
           Machine m = fleet.learn(name, null);
           boolean waits = m.phase() == Machine.Phase.UNHEARD && now - b.knownMs > heardMs;
           if (waits
-              && boots.isDud(b.kind.type, bootS(b.kind), b.askedMs, now, isRefused(b.kind, now))) {
+              && boots.isDud(
+                  b.kind.type(), bootS(b.kind), b.askedMs, now, isRefused(b.kind, now))) {
             early.add(name);
             giveBack(m, "never came up");
           }
         });
   }
 
-  private double bootS(Kind kind) {
-    MachineType f = flavors.get(kind.type);
+  private double bootS(MachineKind kind) {
+    MachineType f = flavors.get(kind.type());
     return f == null ? Constants.BOOT_UNKNOWN_S : f.bootS();
   }
 
-  private boolean isRefused(Kind kind, long now) {
+  private boolean isRefused(MachineKind kind, long now) {
     return refusedUntil.getOrDefault(kind, 0L) > now;
   }
 
@@ -310,7 +310,7 @@
       if (m != null && m.phase() != Machine.Phase.UNHEARD) {
         continue;
       }
-      if (boots.isLate(b.kind.type, bootS(b.kind), b.askedMs, now)) {
+      if (boots.isLate(b.kind.type(), bootS(b.kind), b.askedMs, now)) {
         late++;
       } else {
         coming.add(e.getKey());
@@ -358,7 +358,7 @@
             // What we gave up others may take, and we are those others: after a refusal we once
             // waited for 40 s
             // while ten machines of a fleet of forty were to be had again.
-            refusedUntil.remove(new Kind(m.type(), m.zone(), m.spot()));
+            refusedUntil.remove(new MachineKind(m.type(), m.zone(), m.spot()));
           }
         });
   }
@@ -384,6 +384,9 @@
         byZone.merge(String.valueOf(m.zone()), there, Double::sum);
       }
     }
+    if (count >= options.maxMachines() || rentForChoosy(unplaced, coming, byZone, count, now)) {
+      return;
+    }
     double peak = 0;
     for (double[] d : demands) {
       peak = Math.max(peak, d[1]);
@@ -402,14 +405,14 @@
     }
     double bootingCpus = 0;
     for (String name : coming) {
-      MachineType f = flavors.get(booting.get(name).kind.type);
+      MachineType f = flavors.get(booting.get(name).kind.type());
       bootingCpus += f == null ? 0 : f.cpus();
     }
     missing = Math.max(missing, waiting - bootingCpus);
-    if (missing <= 0 || count >= options.maxMachines()) {
+    if (missing <= 0) {
       return;
     }
-    List<Kind> kinds = new ArrayList<>();
+    List<MachineKind> kinds = new ArrayList<>();
     for (boolean spot : new boolean[] {false, true}) {
       List<MachineType> order = new ArrayList<>(flavors.values());
       order.sort(
@@ -418,15 +421,15 @@
               .thenComparingDouble(f -> f.price() / Math.max(1, f.cpus())));
       for (MachineType f : order) {
         for (String zone : f.zones().isEmpty() ? f.zones() : zones.rentIn(f.zones(), byZone)) {
-          kinds.add(new Kind(f.name(), zone, spot));
+          kinds.add(new MachineKind(f.name(), zone, spot));
         }
       }
     }
-    for (Kind kind : kinds) {
+    for (MachineKind kind : kinds) {
       if (isRefused(kind, now)) {
         continue;
       }
-      MachineType f = flavors.get(kind.type);
+      MachineType f = flavors.get(kind.type());
       int many =
           (int)
               Math.min(
@@ -439,17 +442,71 @@
     }
   }
 
-  private static boolean fits(MachineType f, Plan.Unplaced u) {
+  static boolean fits(MachineType f, Plan.Unplaced u) {
     return (u.spec().types() == null || u.spec().types().contains(f.name()))
         && u.spec().cpus() <= f.cpus()
         && u.spec().cards() <= f.cards()
         && u.spec().memGb() <= f.memGb();
   }
 
-  private void order(Kind kind, int many, String request, int tries) {
+  /**
+   * Rents for the first job that takes only some types or zones and for which what is coming is not
+   * enough: the sum of all that waits would rent what is cheapest, again and again, of which this
+   * job takes none. True if something was ordered.
+   */
+  private boolean rentForChoosy(
+      List<Plan.Unplaced> unplaced,
+      Set<String> coming,
+      Map<String, Double> byZone,
+      int count,
+      long now) {
+    BootingPool pool = new BootingPool();
+    for (String name : coming) {
+      MachineKind kind = booting.get(name).kind;
+      pool.add(kind, flavors.get(kind.type()));
+    }
+    for (Plan.Unplaced u : unplaced) {
+      double uncovered = pool.cover(u);
+      if (uncovered <= 0 || !u.isChoosy()) {
+        continue;
+      }
+      for (MachineKind kind : kindsFor(u, byZone)) {
+        if (!isRefused(kind, now)) {
+          double each = Math.max(0.5, flavors.get(kind.type()).cpus());
+          int most = Math.min(Constants.MAX_PER_RENTAL, options.maxMachines() - count);
+          int many = (int) Math.min(most, Math.ceil(uncovered / each));
+          order(kind, many, prefix + "-" + ++requestSeq, 0);
+          return true;
+        }
+      }
+    }
+    return false;
+  }
+
+  /**
+   * The kinds of machine that a job's next task may run on: ordinary ones and cheap types first.
+   */
+  private List<MachineKind> kindsFor(Plan.Unplaced u, Map<String, Double> byZone) {
+    List<MachineType> types = new ArrayList<>(flavors.values());
+    types.removeIf(f -> !fits(f, u));
+    types.sort(Comparator.comparingDouble(f -> f.price() / Math.max(1, f.cpus())));
+    List<MachineKind> kinds = new ArrayList<>();
+    for (boolean spot : u.spec().spotAllowed() ? new boolean[] {false, true} : new boolean[1]) {
+      for (MachineType f : types) {
+        for (String zone : zones.rentIn(f.zones(), byZone)) {
+          if (u.mayUseZone(zone)) {
+            kinds.add(new MachineKind(f.name(), zone, spot));
+          }
+        }
+      }
+    }
+    return kinds;
+  }
+
+  private void order(MachineKind kind, int many, String request, int tries) {
     renting = true;
     cloud.rent(
-        new Rental(request, kind.type, kind.zone, kind.spot, many),
+        new Rental(request, kind.type(), kind.zone(), kind.spot(), many),
         result -> {
           renting = false;
           if (closed) {
@@ -458,10 +515,14 @@
           long now = host.nowMs();
           if (result instanceof Cloud.Rented.Machines rented) {
             log.info(
-                "rented {} {} (spot {}) of {}", rented.names().size(), kind.type, kind.spot, many);
+                "rented {} {} (spot {}) of {}",
+                rented.names().size(),
+                kind.type(),
+                kind.spot(),
+                many);
             for (String name : rented.names()) {
               Machine m = fleet.learn(name, null);
-              fleet.describe(m, kind.type, kind.zone, kind.spot);
+              fleet.describe(m, kind.type(), kind.zone(), kind.spot());
               if (m.phase() == Machine.Phase.UNHEARD) {
                 booting.put(name, new Booting(kind, now, now, true));
               }
@@ -487,7 +548,7 @@
         });
   }
 
-  private void refuse(Kind kind, long now) {
+  private void refuse(MachineKind kind, long now) {
     long pause = refusedPause.getOrDefault(kind, Constants.REFUSED_FIRST_MS);
     refusedUntil.put(kind, now + pause);
     refusedPause.put(kind, Math.min(Constants.REFUSED_MOST_MS, pause * 2));
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -41,6 +41,7 @@
   private long releasedWallMs;
   private DependencyGraph.Loan loan;
   private int failures;
+  private long lastTroubleMs = Long.MIN_VALUE / 2;
   private int unfinished;
 
   /** Creates what is known of a job that waits until it is released. */
@@ -226,6 +227,7 @@
 
   /** A task was refused: the next try waits a little, longer each time. */
   void refused(int index, long now, double chance) {
+    forgetOldTroubles(now);
     int times = refusals.addTo(index, 1);
     pause(index, now + pauseMs(times, chance));
   }
@@ -235,6 +237,7 @@
    * must be at fault; then its tries become rare.
    */
   boolean failedOn(int index, String machine, long now, double chance) {
+    forgetOldTroubles(now);
     failedMachines.add(machine);
     failures++;
     boolean jobsFault = failedMachines.size() >= Constants.BAD_JOB_MACHINES && finished.isEmpty();
@@ -242,6 +245,19 @@
     return jobsFault;
   }
 
+  /**
+   * What went wrong long ago says nothing of now: a service that three faulty machines have failed
+   * in the course of a day is not at fault.
+   */
+  private void forgetOldTroubles(long now) {
+    if (now - lastTroubleMs > Constants.FAILURE_WINDOW_MS) {
+      failedMachines.clear();
+      refusals.clear();
+      failures = Math.min(failures, 1);
+    }
+    lastTroubleMs = now;
+  }
+
   private static long pauseMs(int times, double chance) {
     long pause = Constants.TASK_PAUSE_MS << Math.min(times, 10);
     return (long) (Math.min(Constants.TASK_PAUSE_MOST_MS, pause) * (1 + Constants.JITTER * chance));
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -1,5 +1,6 @@
 package fennelthread.leader;
 
+import fennelthread.Constants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
@@ -45,7 +46,9 @@
     Set<String> fetching = new HashSet<>();
     Map<String, Integer> classes = new HashMap<>();
     List<Snapshot.Running> running = new ArrayList<>();
+    int reported = 0;
     for (Attempt a : m.attempts()) {
+      reported++;
       if (!a.mayBePresent()) {
         continue;
       }
@@ -103,7 +106,8 @@
                 Set.copyOf(m.images()),
                 fetching,
                 classes,
-                running);
+                running,
+                Constants.TASKS_PER_REPORT - reported);
     // Last: noting an image above may have changed the machine once more.
     version = m.version();
   }
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -72,6 +72,7 @@
   private long lastAt;
   private long pausedUntil;
   private long seq;
+  private final PassedOverJobs passedOver = new PassedOverJobs();
   private List<Plan.Unplaced> unplaced = List.of();
 
   /** Creates the rounds of a term; {@code cpusWanted} is told the demand seen by each. */
@@ -179,11 +180,13 @@
     Snapshot snapshot = snapshot();
     if (snapshot == null) {
       unplaced = List.of();
+      passedOver.update(Set.of(), host.nowMs());
       moveTo(Phase.IDLE);
       return;
     }
     Plan plan = Planner.plan(snapshot);
     unplaced = plan.unplaced();
+    passedOver.update(plan.passedOver(), host.nowMs());
     if (log.isDebugEnabled() && !unplaced.isEmpty()) {
       log.debug(
           "{} jobs have tasks without a place, {} starts, use {}",
@@ -341,7 +344,8 @@
         turns.kept(),
         teams,
         host.nowMs(),
-        mostStarts);
+        mostStarts,
+        passedOver.overdue(host.nowMs()));
   }
 
   private int mostStarts() {
--- /dev/null
+++ b/src/main/java/fennelthread/plan/PlacementRules.java
@@ -0,0 +1,55 @@
+package fennelthread.plan;
+
+import fennelthread.wire.JobSpec;
+import java.util.List;
+import java.util.Map;
+
+/** Which machines a job's own rules allow its tasks: type, zone, kind, and where the others are. */
+final class PlacementRules {
+  private PlacementRules() {}
+
+  /** What a task asks of a machine; tasks with equal shapes fit the same machines. */
+  record Shape(
+      double cpus, double cards, double memGb, List<String> types, String zone, boolean spot) {
+    static Shape of(JobSpec spec) {
+      return new Shape(
+          spec.cpus(), spec.cards(), spec.memGb(), spec.types(), spec.zone(), spec.spotAllowed());
+    }
+  }
+
+  /** True if each task that is placed may forbid machines to the job's next one. */
+  static boolean dependOnOtherTasks(JobSpec spec) {
+    return spec.onePlace() || spec.apart();
+  }
+
+  /**
+   * True if the job's own rules let a task of it start there now; {@code zones} counts the job's
+   * tasks that may be present, by zone.
+   */
+  static boolean allow(JobSpec spec, Map<String, Integer> zones, Snapshot.Host host) {
+    return allowKind(spec, host)
+        && (!dependOnOtherTasks(spec) || allowZone(spec, zones, host.zone()));
+  }
+
+  private static boolean allowKind(JobSpec spec, Snapshot.Host host) {
+    return (spec.types() == null || spec.types().contains(host.type()))
+        && (spec.zone() == null || spec.zone().equals(host.zone()))
+        && (!host.spot() || spec.spotAllowed());
+  }
+
+  /** True if one more task in this zone breaks neither {@code same_place} nor {@code apart}. */
+  static boolean allowZone(JobSpec spec, Map<String, Integer> zones, String zone) {
+    if (zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
+      // It may be in any zone: neither rule can be kept for sure until the machine is heard.
+      return false;
+    }
+    if (spec.onePlace()) {
+      for (Map.Entry<String, Integer> e : zones.entrySet()) {
+        if (e.getValue() > 0 && !e.getKey().equals(zone)) {
+          return false;
+        }
+      }
+    }
+    return !spec.apart() || zones.getOrDefault(zone, 0) + 1 <= (spec.tasks() + 1) / 2;
+  }
+}
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -10,7 +10,9 @@
 /**
  * Everything that placement may look at, frozen for one round. {@code guaranteed} names the jobs
  * that lie within their team's guarantee; all other work is borrowed. {@code kept} holds the
- * attempts that are all a job has after long waiting: they are stopped for nobody.
+ * attempts that are all a job has after long waiting: they are stopped for nobody. {@code overdue}
+ * names the jobs that were passed over for long although a machine had room for them: what is
+ * reserved for others does not keep them back any more.
  */
 public record Snapshot(
     List<Host> hosts,
@@ -19,12 +21,28 @@
     Set<Long> kept,
     Map<String, Use> teams,
     long nowMs,
-    int mostStarts) {
+    int mostStarts,
+    Set<String> overdue) {
+
+  /** A snapshot in which no job was passed over. */
+  public Snapshot(
+      List<Host> hosts,
+      List<Need> needs,
+      Set<String> guaranteed,
+      Set<Long> kept,
+      Map<String, Use> teams,
+      long nowMs,
+      int mostStarts) {
+    this(hosts, needs, guaranteed, kept, teams, nowMs, mostStarts, Set.of());
+  }
 
   /** Where tasks are that a predecessor started on a machine nobody has described yet. */
   public static final String UNKNOWN_ZONE = "";
 
-  /** A machine that may take tasks; amounts are what is left. */
+  /**
+   * A machine that may take tasks; amounts are what is left. {@code slots} is how many more tasks
+   * its worker's reports have room for.
+   */
   public record Host(
       String name,
       String type,
@@ -39,7 +57,43 @@
       Set<String> images,
       Set<String> fetching,
       Map<String, Integer> classes,
-      List<Running> running) {}
+      List<Running> running,
+      int slots) {
+
+    /** A machine whose worker's reports have room for any number of tasks. */
+    public Host(
+        String name,
+        String type,
+        String zone,
+        boolean spot,
+        double cpusTotal,
+        double cpus,
+        double cards,
+        double memGb,
+        double fetchGbPerS,
+        double cacheGb,
+        Set<String> images,
+        Set<String> fetching,
+        Map<String, Integer> classes,
+        List<Running> running) {
+      this(
+          name,
+          type,
+          zone,
+          spot,
+          cpusTotal,
+          cpus,
+          cards,
+          memGb,
+          fetchGbPerS,
+          cacheGb,
+          images,
+          fetching,
+          classes,
+          running,
+          Integer.MAX_VALUE);
+    }
+  }
 
   /**
    * A job with tasks to place; {@code priority} is its own or that of a job that needs it, {@code
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -5,6 +5,7 @@
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -33,6 +34,7 @@
     double comingCpus;
     double comingCards;
     double comingMemGb;
+    int slots;
     final Set<String> fetching;
     final Map<String, Integer> classes;
 
@@ -41,18 +43,28 @@
       this.cpus = host.cpus();
       this.cards = host.cards();
       this.memGb = host.memGb();
+      this.slots = host.slots();
       this.fetching = new HashSet<>(host.fetching());
       this.classes = new HashMap<>(host.classes());
     }
 
+    boolean hasFree(JobSpec spec) {
+      return slots > 0
+          && spec.cpus() <= cpus + EPSILON
+          && spec.cards() <= cards + EPSILON
+          && spec.memGb() <= memGb + EPSILON;
+    }
+
     boolean fits(JobSpec spec) {
-      return spec.cpus() <= Math.min(cpus, cpus + comingCpus) + EPSILON
+      return slots > 0
+          && spec.cpus() <= Math.min(cpus, cpus + comingCpus) + EPSILON
           && spec.cards() <= Math.min(cards, cards + comingCards) + EPSILON
           && spec.memGb() <= Math.min(memGb, memGb + comingMemGb) + EPSILON;
     }
 
     boolean willFit(JobSpec spec) {
-      return spec.cpus() <= cpus + comingCpus + EPSILON
+      return slots > 0
+          && spec.cpus() <= cpus + comingCpus + EPSILON
           && spec.cards() <= cards + comingCards + EPSILON
           && spec.memGb() <= memGb + comingMemGb + EPSILON;
     }
@@ -61,6 +73,7 @@
       cpus -= spec.cpus();
       cards -= spec.cards();
       memGb -= spec.memGb();
+      slots--;
       classes.merge(spec.jobClass(), 1, Integer::sum);
       if (!host.images().contains(spec.image())) {
         fetching.add(spec.image());
@@ -75,11 +88,15 @@
   private final List<Snapshot.Running> stops = new ArrayList<>();
   private final List<Plan.Unplaced> unplaced = new ArrayList<>();
   private final Set<Snapshot.Running> stopped = new HashSet<>();
+  private final Map<String, Snapshot.Use> started;
+  private final Map<Snapshot.Need, Map<String, Integer>> zonesOf = new IdentityHashMap<>();
+  private final Map<Snapshot.Need, Integer> startsOf = new IdentityHashMap<>();
   private int holds;
 
   private PlainPlanner(Snapshot snapshot) {
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
+    this.started = new HashMap<>(snapshot.teams());
     for (Snapshot.Host host : snapshot.hosts()) {
       rooms.add(new Room(host));
     }
@@ -98,7 +115,7 @@
   public static Plan plan(Snapshot snapshot) {
     PlainPlanner planner = new PlainPlanner(snapshot);
     planner.run();
-    return new Plan(planner.starts, planner.stops, planner.unplaced);
+    return new Plan(planner.starts, planner.stops, planner.unplaced, planner.passedOver());
   }
 
   private void run() {
@@ -111,11 +128,15 @@
 
   private void place(Snapshot.Need need) {
     JobSpec spec = need.spec();
+    boolean overdue = snapshot.overdue().contains(spec.id());
     Map<String, Integer> zones = new HashMap<>(need.zones());
+    zonesOf.put(need, zones);
     int missing = 0;
     for (int task : need.tasks()) {
       Snapshot.Use use = teams.get(spec.team());
-      if (use == null || !use.allows(spec.cpus(), spec.cards())) {
+      Snapshot.Use real = started.get(spec.team());
+      boolean mayAsk = use != null && use.allows(spec.cpus(), spec.cards());
+      if (!mayAsk && !(overdue && real != null && real.allows(spec.cpus(), spec.cards()))) {
         break;
       }
       Room best = null;
@@ -123,6 +144,7 @@
         best = bestRoom(need, zones);
         if (best != null
             && spec.service()
+            && !overdue
             && fetchSeconds(spec, best) > 1
             && makeRoom(need, zones, true)) {
           // Less urgent work leaves a machine that has the image: sooner than fetching it here.
@@ -134,6 +156,10 @@
       if (best != null) {
         best.take(spec);
         starts.add(new Plan.Start(spec, task, best.host.name()));
+        started.put(spec.team(), real.plus(spec.cpus(), spec.cards()));
+        startsOf.merge(need, 1, Integer::sum);
+      } else if (!mayAsk) {
+        break;
       } else {
         missing++;
         if (starts.size() < snapshot.mostStarts()) {
@@ -142,15 +168,33 @@
       }
       // A task without a place yet is counted too: rooms asked for must not exceed the cap.
       teams.put(spec.team(), use.plus(spec.cpus(), spec.cards()));
-      if (best != null) {
+      if (best != null && (spec.onePlace() || spec.apart())) {
         zones.merge(best.host.zone(), 1, Integer::sum);
       }
     }
     if (missing > 0) {
-      unplaced.add(new Plan.Unplaced(spec, missing));
+      unplaced.add(
+          new Plan.Unplaced(spec, missing, spec.onePlace() || spec.apart() ? zones : Map.of()));
     }
   }
 
+  /** Jobs with tasks left although some machine has room and their team may start one. */
+  private Set<String> passedOver() {
+    Set<String> passedOver = new HashSet<>();
+    for (Snapshot.Need need : snapshot.needs()) {
+      JobSpec spec = need.spec();
+      Snapshot.Use real = started.get(spec.team());
+      if (startsOf.getOrDefault(need, 0) < need.tasks().size()
+          && real != null
+          && real.allows(spec.cpus(), spec.cards())
+          && rooms.stream()
+              .anyMatch(r -> r.hasFree(spec) && allowed(spec, zonesOf.get(need), r.host))) {
+        passedOver.add(spec.id());
+      }
+    }
+    return passedOver;
+  }
+
   /** True if the job's own rules let a task of it start there now. */
   static boolean allowed(JobSpec spec, Map<String, Integer> zones, Snapshot.Host host) {
     if (spec.types() != null && !spec.types().contains(host.type())) {
@@ -180,7 +224,9 @@
     Room best = null;
     double bestScore = 0;
     for (Room room : rooms) {
-      if (!room.fits(need.spec()) || !allowed(need.spec(), zones, room.host)) {
+      boolean overdue = snapshot.overdue().contains(need.spec().id());
+      boolean free = overdue ? room.hasFree(need.spec()) : room.fits(need.spec());
+      if (!free || !allowed(need.spec(), zones, room.host)) {
         continue;
       }
       double score = score(need, room);
@@ -232,7 +278,7 @@
             || stopOthers(need, zones, false);
     if (!found
         && need.turn() == Aging.Turn.FIRST
-        && holds < Planner.mostHolds(snapshot)
+        && holds < RoundState.mostHolds(snapshot)
         && reserveFirst(need, zones, Double.MAX_VALUE)) {
       holds++;
     }
@@ -269,7 +315,8 @@
     double mem = room.memGb + room.comingMemGb;
     double inS = 0;
     for (int i = 0; i <= ending.size(); i++) {
-      if (spec.cpus() <= cpus + EPSILON
+      if (room.slots > 0
+          && spec.cpus() <= cpus + EPSILON
           && spec.cards() <= cards + EPSILON
           && spec.memGb() <= mem + EPSILON) {
         return inS;
@@ -376,7 +423,8 @@
       mem += r.memGb();
     }
     boolean enough =
-        spec.cpus() <= cpus + EPSILON
+        room.slots > 0
+            && spec.cpus() <= cpus + EPSILON
             && spec.cards() <= cards + EPSILON
             && spec.memGb() <= mem + EPSILON;
     return enough && !victims.isEmpty() ? victims : null;
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -379,6 +379,86 @@
     }
   }
 
+  private static Snapshot.Need bound(String id, Priority priority, int tasks, String zone) {
+    JobSpec any = job(id, "roja", priority, tasks, 1);
+    JobSpec spec =
+        new JobSpec(
+            id,
+            any.jobClass(),
+            any.team(),
+            false,
+            priority,
+            tasks,
+            1,
+            0,
+            1,
+            "img",
+            1,
+            null,
+            zone,
+            false,
+            false,
+            true,
+            10,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    return need(spec, true, tasks);
+  }
+
+  /**
+   * An array that waits for a zone without room once kept the rest of its team's limit for ever,
+   * though its next job would have fitted elsewhere.
+   */
+  @Test
+  void whatFindsNoRoomKeepsItsTeamsLimitForAWhileOnly() {
+    List<Snapshot.Host> hosts = List.of(host("a", 8, 8, null));
+    List<Snapshot.Need> needs =
+        List.of(
+            bound("job-1", Priority.URGENT, 10, "elsewhere"),
+            bound("job-2", Priority.STANDARD, 3, null));
+    Plan first =
+        Planner.plan(new Snapshot(hosts, needs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
+    assertEquals(List.of(), first.starts());
+    assertEquals(Set.of("job-2"), first.passedOver());
+    Plan later =
+        Planner.plan(
+            new Snapshot(
+                hosts, needs, Set.of(), Set.of(), teams(10), NOW_MS, 10, first.passedOver()));
+    assertEquals(3, later.starts().size());
+    assertEquals(Set.of(), later.passedOver());
+    // What runs counts in any case.
+    Plan full =
+        Planner.plan(
+            new Snapshot(
+                hosts,
+                needs,
+                Set.of(),
+                Set.of(),
+                Map.of("roja", new Snapshot.Use(9, 0, 10, 0)),
+                NOW_MS,
+                10,
+                Set.of("job-2")));
+    assertEquals(1, full.starts().size());
+  }
+
+  /** A machine that is kept free for a large task is so for a while, not as long as it takes. */
+  @Test
+  void aMachineIsKeptFreeForAWhileOnly() {
+    JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
+    JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
+    Snapshot.Running endless = running("job-8", "azul", Priority.STANDARD, 1);
+    List<Snapshot.Host> hosts = List.of(host("a", 16, 12, null, endless));
+    List<Snapshot.Need> needs =
+        List.of(patient(small, 0, Aging.Turn.USUAL), patient(whole, 0, Aging.Turn.FIRST));
+    Snapshot kept = new Snapshot(hosts, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
+    assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
+    assertEquals(List.of(), Planner.plan(kept).starts());
+    Snapshot over =
+        new Snapshot(hosts, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10, Set.of("job-2"));
+    assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(over).starts());
+  }
+
   /** What is all that a job has after long waiting is stopped for nobody. */
   @Test
   void aFirstTaskOutOfTurnIsNotStopped() {
@@ -452,14 +532,23 @@
   void choosesWhatThePlainPlannerChooses() {
     int stops = 0;
     int starts = 0;
+    int passedOver = 0;
+    int overdueStarts = 0;
     for (int seed = 0; seed < 3_000; seed++) {
       Snapshot s = randomSnapshot(seed, 1 + seed % 30);
       Plan plan = Planner.plan(s);
       assertEquals(PlainPlanner.plan(s), plan, "seed " + seed);
       stops += plan.stops().size();
       starts += plan.starts().size();
+      passedOver += plan.passedOver().size();
+      for (Plan.Start start : plan.starts()) {
+        overdueStarts += s.overdue().contains(start.spec().id()) ? 1 : 0;
+      }
     }
     assertTrue(stops > 1_000 && starts > 5_000, stops + " stops, " + starts + " starts");
+    assertTrue(
+        passedOver > 200 && overdueStarts > 200,
+        passedOver + " passed over, " + overdueStarts + " starts of overdue jobs");
   }
 
   /** Random snapshots: no plan ever breaks a cap, a machine's size or a job's place rules. */
@@ -570,7 +659,29 @@
             "roja", new Snapshot.Use(3, 0, 5 + r.nextInt(40), 2),
             "azul", new Snapshot.Use(0, 0, 5 + r.nextInt(40), 2));
     Set<Long> kept = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
-    return new Snapshot(hosts, needs, guaranteed, kept, teams, NOW_MS, 1 + r.nextInt(30));
+    int mostStarts = 1 + r.nextInt(30);
+    hosts.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
+    Set<String> overdue = r.nextInt(3) == 0 ? Set.of("job-" + r.nextInt(6)) : Set.of();
+    return new Snapshot(hosts, needs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue);
+  }
+
+  private static Snapshot.Host withSlots(Snapshot.Host h, int slots) {
+    return new Snapshot.Host(
+        h.name(),
+        h.type(),
+        h.zone(),
+        h.spot(),
+        h.cpusTotal(),
+        h.cpus(),
+        h.cards(),
+        h.memGb(),
+        h.fetchGbPerS(),
+        h.cacheGb(),
+        h.images(),
+        h.fetching(),
+        h.classes(),
+        h.running(),
+        slots);
   }
 
   /** Now and then a job has the priority of one that needs it. */
@@ -593,12 +704,16 @@
               .filter(h -> h.name().equals(start.machine()))
               .findFirst()
               .orElseThrow();
-      double[] used = byHost.computeIfAbsent(host.name(), k -> new double[3]);
+      double[] used = byHost.computeIfAbsent(host.name(), k -> new double[4]);
+      used[3]++;
       used[0] += spec.cpus();
       used[1] += spec.cards();
       used[2] += spec.memGb();
       assertTrue(
-          used[0] <= host.cpus() && used[1] <= host.cards() && used[2] <= host.memGb(),
+          used[0] <= host.cpus()
+              && used[1] <= host.cards()
+              && used[2] <= host.memGb()
+              && used[3] <= host.slots(),
           "seed " + seed);
       double[] team = byTeam.computeIfAbsent(spec.team(), k -> new double[2]);
       team[0] += spec.cpus();
