--- /dev/null
+++ b/src/main/java/fennelthread/cli/Emulate.java
@@ -0,0 +1,101 @@
+package fennelthread.cli;
+
+import fennelthread.emulate.Emulation;
+import fennelthread.settings.SettingsException;
+import java.io.PrintStream;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+
+/**
+ * Runs real controllers among emulated machines and users on this one. It names the emulation's
+ * classes nowhere but where it runs them: no other command may load one.
+ */
+@Command(
+    name = "emulate",
+    mixinStandardHelpOptions = true,
+    versionProvider = Version.class,
+    description = {
+      "Runs real controllers on this machine among emulated workers, users, cloud and state"
+          + " service, checks the rules and writes a report.",
+      "Exit code 1 if a rule was broken, 2 if the run can't be started."
+    })
+final class Emulate implements Callable<Integer> {
+  @Parameters(paramLabel = "RUN.sexp", description = "What the run consists of.")
+  private Path configuration;
+
+  @Option(
+      names = "--duration",
+      paramLabel = "SECONDS",
+      defaultValue = "60",
+      description = "How long users submit (default: ${DEFAULT-VALUE}).")
+  private double durationS;
+
+  @Option(
+      names = "--seed",
+      paramLabel = "N",
+      defaultValue = "1",
+      description = "Decides all that is drawn at random (default: ${DEFAULT-VALUE}).")
+  private long seed;
+
+  @Option(
+      names = "--workers",
+      paramLabel = "N",
+      description = "Replaces the file's number of workers.")
+  private Integer workers;
+
+  @Option(
+      names = "--report",
+      paramLabel = "FILE.json",
+      defaultValue = "emulate-report.json",
+      description = "Where the report goes, the page beside it (default: ${DEFAULT-VALUE}).")
+  private Path report;
+
+  @Spec private CommandSpec spec;
+
+  @Override
+  public Integer call() throws Exception {
+    if (durationS < 1 || durationS > 86_400) {
+      throw new SettingsException("--duration must be from 1 to 86400");
+    }
+    if (workers != null && (workers < 1 || workers > 20_000)) {
+      throw new SettingsException("--workers must be from 1 to 20000");
+    }
+    Path directory = report.toAbsolutePath().getParent();
+    if (!directory.toFile().isDirectory()) {
+      throw new SettingsException("--report: no such directory: " + directory);
+    }
+    return run(System.out);
+  }
+
+  private int run(PrintStream out) throws Exception {
+    List<String> arguments = spec.commandLine().getParseResult().originalArgs();
+    Emulation emulation =
+        Emulation.prepare(
+            new Emulation.Request(
+                configuration,
+                workers,
+                durationS,
+                seed,
+                report,
+                "fennelthread " + String.join(" ", arguments)),
+            out);
+    Thread hook =
+        new Thread(
+            () -> {
+              try {
+                emulation.interrupt();
+              } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+              }
+            });
+    Runtime.getRuntime().addShutdownHook(hook);
+    return emulation.run() == 0 ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
+  }
+}
--- a/src/main/java/fennelthread/cli/Main.java
+++ b/src/main/java/fennelthread/cli/Main.java
@@ -27,6 +27,10 @@
       return serveAtOnce(Path.of(args[1]));
     }
     CommandLine line = new CommandLine(new Serve());
+    if (args.length == 0 || !args[0].equals(Train.NAME)) {
+      // Not where classes are collected for the archive: no controller ever needs it.
+      line.addSubcommand(new Emulate());
+    }
     line.setExecutionExceptionHandler(
         (e, commandLine, parsed) -> {
           if (e instanceof SettingsException) {
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -27,8 +27,17 @@
  * Run once by the build, under {@code -XX:ArchiveClassesAtExit}: loads what a controller needs, by
  * serving a few requests on the loopback, so that the class-data archive makes later starts cheap.
  */
-@Command(name = "train", hidden = true, description = "Loads classes for the class-data archive.")
+@Command(
+    name = Train.NAME,
+    hidden = true,
+    description = "Loads classes for the class-data archive.")
 final class Train implements Callable<Integer> {
+  static final String NAME = "train";
+
+  /** Classes that are never loaded where a controller runs. */
+  private static final List<String> NOT_SERVED =
+      List.of("fennelthread/simulation/", "fennelthread/emulate/", "fennelthread/cli/Emulate");
+
   private static final String SETTINGS =
       """
       member = "training-0"
@@ -140,7 +149,7 @@
       for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
         String name = entry.getName();
         boolean served =
-            name.startsWith("fennelthread/") && !name.startsWith("fennelthread/simulation/");
+            name.startsWith("fennelthread/") && NOT_SERVED.stream().noneMatch(name::startsWith);
         if (served && name.endsWith(".class")) {
           Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
         }
--- /dev/null
+++ b/src/main/java/fennelthread/emulate/JobGenerator.java
@@ -0,0 +1,77 @@
+package fennelthread.emulate;
+
+import fennelthread.emulate.EmulationConfig.JobClass;
+import fennelthread.wire.JobSpec;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.random.RandomGenerator;
+
+/** Draws the jobs that users submit: arrivals in open loop, by class, from one seed. */
+final class JobGenerator {
+  private final EmulationConfig config;
+  private final RandomGenerator random;
+  private final double shares;
+  private int lastJob;
+
+  JobGenerator(EmulationConfig config, RandomGenerator random) {
+    this.config = config;
+    this.random = random;
+    this.shares = config.jobClasses().stream().mapToDouble(JobClass::share).sum();
+  }
+
+  /** A job and when its user cancels it, s after its submission; less than 0 if never. */
+  record Arrival(JobSpec job, double cancelAfterS) {}
+
+  /** The jobs that arrive within a short time, s, around a moment of the run, s. */
+  List<Arrival> arrivals(double atS, double withinS) {
+    double starts = config.load().startsPerSecond(atS) * withinS;
+    List<Arrival> arrivals = new ArrayList<>();
+    for (JobClass jobClass : config.jobClasses()) {
+      double mean = starts * jobClass.share() / shares / jobClass.tasks().mean();
+      for (int n = poisson(mean); n > 0; n--) {
+        arrivals.add(draw(jobClass));
+      }
+    }
+    return arrivals;
+  }
+
+  /** A number of independent events of this mean, which is small. */
+  private int poisson(double mean) {
+    double least = Math.exp(-mean);
+    int count = 0;
+    for (double product = random.nextDouble(); product > least; product *= random.nextDouble()) {
+      count++;
+    }
+    return count;
+  }
+
+  private Arrival draw(JobClass c) {
+    double taskS = c.taskS().at(random.nextDouble());
+    int tasks = (int) Math.round(c.tasks().at(random.nextDouble()));
+    JobSpec job =
+        new JobSpec(
+            String.format("job-%06d", ++lastJob),
+            c.name(),
+            c.teams().get(random.nextInt(c.teams().size())),
+            c.service(),
+            c.priority(),
+            tasks,
+            c.cpus(),
+            0,
+            c.memGb(),
+            "img-" + c.name() + "-" + random.nextInt(c.images()),
+            c.imageGb(),
+            null,
+            null,
+            c.onePlace(),
+            c.apart(),
+            c.spot(),
+            c.service() ? 0 : taskS,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    boolean cancels = c.service() || random.nextDouble() < c.cancelShare();
+    double cancelAfterS = c.service() ? taskS : taskS * random.nextDouble();
+    return new Arrival(job, cancels ? cancelAfterS : -1);
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/emulate/WorkerTraffic.java
@@ -0,0 +1,50 @@
+package fennelthread.emulate;
+
+import java.util.Arrays;
+
+/** What the hollow workers of a process have sent and met so far. */
+record WorkerTraffic(
+    long workers,
+    long reports,
+    long reportBytes,
+    long failedReports,
+    long commandRequests,
+    long expiredLeases) {
+  static final WorkerTraffic NONE = new WorkerTraffic(0, 0, 0, 0, 0, 0);
+
+  WorkerTraffic(int workers, HollowWorker.Traffic t) {
+    this(workers, t.reports, t.reportBytes, t.failedReports, t.commandRequests, t.expiredLeases);
+  }
+
+  /** The sum of two processes' counters. */
+  WorkerTraffic plus(WorkerTraffic o) {
+    return new WorkerTraffic(
+        workers + o.workers,
+        reports + o.reports,
+        reportBytes + o.reportBytes,
+        failedReports + o.failedReports,
+        commandRequests + o.commandRequests,
+        expiredLeases + o.expiredLeases);
+  }
+
+  /** A line of text. */
+  String line() {
+    return workers
+        + " "
+        + reports
+        + " "
+        + reportBytes
+        + " "
+        + failedReports
+        + " "
+        + commandRequests
+        + " "
+        + expiredLeases;
+  }
+
+  /** Reads such a line. */
+  static WorkerTraffic read(String line) {
+    long[] n = Arrays.stream(line.split(" ")).mapToLong(Long::parseLong).toArray();
+    return new WorkerTraffic(n[0], n[1], n[2], n[3], n[4], n[5]);
+  }
+}
--- a/src/test/java/fennelthread/LayersTest.java
+++ b/src/test/java/fennelthread/LayersTest.java
@@ -76,6 +76,18 @@
           .dependOnClassesThat()
           .resideInAPackage("..simulation..");
 
+  /** The emulation, and the libraries that it alone uses, are loaded by its own command only. */
+  @ArchTest
+  static final ArchRule onlyItsCommandKnowsTheEmulation =
+      noClasses()
+          .that()
+          .resideOutsideOfPackage("..emulate..")
+          .and()
+          .doNotHaveFullyQualifiedName("fennelthread.cli.Emulate")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("..emulate..", "org.HdrHistogram..", "org.knowm..");
+
   /** Bodies for users, workers and the cloud are put together in {@code wire} alone. */
   @ArchTest
   static final ArchRule wireNamesOnlyInWire =
--- a/src/test/java/fennelthread/cli/MainTest.java
+++ b/src/test/java/fennelthread/cli/MainTest.java
@@ -37,6 +37,17 @@
         Submit.withNeeds(job, List.of("job-2", "job-3")).optTexts("espera"));
   }
 
+  @Test
+  void runsThatCanNotBeStartedAreRefusedInOneLine() throws Exception {
+    Path run = Files.writeString(folder.resolve("run.sexp"), "(emulation (workers 5))");
+    String missing = refusal("emulate", run.toString());
+    assertEquals(run + ":1:1: emulation needs (zones ...)\n", missing);
+    assertEquals(
+        "--duration must be from 1 to 86400\n",
+        refusal("emulate", run.toString(), "--duration", "0"));
+    assertEquals(1, refusal("emulate", folder.resolve("none.sexp").toString()).lines().count());
+  }
+
   private static String refusal(String... args) {
     PrintStream before = System.err;
     ByteArrayOutputStream text = new ByteArrayOutputStream();
