--- a/src/test/java/fennelthread/simulation/Scenes.java
+++ b/src/test/java/fennelthread/simulation/Scenes.java
@@ -25,6 +25,14 @@
     return c;
   }
 
+  /**
+   * Takes the rule on falling counts of done tasks out of a test in which it is broken: a node
+   * answers a question from a copy of the finished batches that may be behind. Issue 46.
+   */
+  static void countsMayFall(SimulatedCluster c) {
+    c.rules.countsMustNotFall = false;
+  }
+
   /**
    * Services of four replicas, submitted one every so often, all of which run after {@code
    * settleMs}.
