--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -329,7 +329,8 @@
     Map<String, Snapshot.Use> teams = new HashMap<>();
     for (Settings.Team t : settings.teams().values()) {
       double[] u = used.getOrDefault(t.name(), new double[2]);
-      teams.put(t.name(), new Snapshot.Use(u[0], u[1], t.cpusMax(), t.cardsMax()));
+      teams.put(
+          t.name(), new Snapshot.Use(u[0], u[1], t.cpusMax(), t.cardsMax(), t.cpus(), t.cards()));
     }
     Set<String> guaranteed = demand.guaranteed();
     double cpus = 0;
@@ -345,7 +346,8 @@
         teams,
         host.nowMs(),
         mostStarts,
-        passedOver.overdue(host.nowMs()));
+        passedOver.overdue(host.nowMs()),
+        turns.spared());
   }
 
   private int mostStarts() {
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -19,7 +19,8 @@
  * leader's end and the next claim while the state service is down. It answers their reports under
  * the token that they obey already, so that their leases do not run out, and stops what it knows to
  * be over; it starts nothing. For how long, and what a leader may conclude meanwhile, is in {@link
- * Bounds}, {@link CancellationWatermark} and {@link RenewalLog}; docs/lease-renewal.md has the reasons.
+ * Bounds}, {@link CancellationWatermark} and {@link RenewalLog}; docs/lease-renewal.md has the
+ * reasons.
  */
 public final class FollowerLeaseRenewer implements PeerHeartbeats.Guest {
   private static final Logger log = LoggerFactory.getLogger(FollowerLeaseRenewer.class);
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -16,8 +16,8 @@
  * one whose copy of the state has not reached its claim yet, one that has resigned, a follower that
  * keeps leases; directly or through a sibling. Whoever answers knows of every withdrawal that users
  * were told of until a moment so late that the lease, were it the last, ends in time for all later
- * ones; and the answer stops all that the report shows of those that are known. docs/lease-renewal.md has
- * the inequality and the list of places.
+ * ones; and the answer stops all that the report shows of those that are known.
+ * docs/lease-renewal.md has the inequality and the list of places.
  *
  * <p>A leader that was refused by the state service right after its claim, and then with everybody,
  * once answered reports for the whole of an outage without a single stop.
--- a/src/main/java/fennelthread/plan/Aging.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -47,6 +47,7 @@
   private final Set<String> first = new HashSet<>();
   private final Set<String> early = new HashSet<>();
   private final Set<Long> kept = new HashSet<>();
+  private final Set<Long> spared = new HashSet<>();
   private final double mostCpus;
   private double cpus;
 
@@ -63,9 +64,8 @@
     boolean room = cpus == 0 || cpus + job.cpus <= mostCpus;
     if (job.attempt == null) {
       (room ? first : early).add(job.id);
-    } else if (room
-        && job.ranS <= Math.max(Constants.KEPT_LEAST_S, Constants.KEPT_TIMES * job.takesS)) {
-      kept.add(job.attempt);
+    } else if (job.ranS <= Math.max(Constants.KEPT_LEAST_S, Constants.KEPT_TIMES * job.takesS)) {
+      (room ? kept : spared).add(job.attempt);
     } else {
       // It has run for so long that others need not stand back for it any more.
       return;
@@ -84,4 +84,12 @@
   public Set<Long> kept() {
     return kept;
   }
+
+  /**
+   * The attempts that are stopped for more urgent work alone: they began before other work of their
+   * priority, which would stop them, and they would begin before it again.
+   */
+  public Set<Long> spared() {
+    return spared;
+  }
 }
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -4,8 +4,10 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
+import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 
 /**
@@ -16,10 +18,15 @@
   private final Snapshot snapshot;
   private final Set<Snapshot.Running> stopped = Collections.newSetFromMap(new IdentityHashMap<>());
   private final List<Snapshot.Running> stops = new ArrayList<>();
+  private final Map<String, Snapshot.Use> teams;
   private final int[] runningByPriority = new int[Priority.values().length];
 
   Preemption(Snapshot snapshot) {
     this.snapshot = snapshot;
+    this.teams = new HashMap<>(snapshot.teams());
+    for (Snapshot.Host host : snapshot.hosts()) {
+      host.running().stream().filter(Snapshot.Running::stopping).forEach(this::discount);
+    }
     for (Snapshot.Host host : snapshot.hosts()) {
       for (Snapshot.Running r : host.running()) {
         if (!r.stopping()) {
@@ -29,6 +36,11 @@
     }
   }
 
+  /** What is being stopped is no longer what its team uses. */
+  private void discount(Snapshot.Running r) {
+    teams.computeIfPresent(r.spec().team(), (team, use) -> without(use, r));
+  }
+
   /** The tasks that this round stops, in the order in which it was decided. */
   List<Snapshot.Running> stops() {
     return stops;
@@ -44,6 +56,7 @@
       stopped.add(v);
       stops.add(v);
       room.release(v);
+      discount(v);
     }
   }
 
@@ -67,15 +80,21 @@
     double cpus = 0;
     double cards = 0;
     double memGb = 0;
+    Map<String, Snapshot.Use> left = new HashMap<>();
     List<Snapshot.Running> victims = new ArrayList<>();
     for (Snapshot.Running r : candidates) {
       if (room.fitsWith(need.spec(), cpus, cards, memGb)) {
         break;
       }
-      victims.add(r);
-      cpus += r.cpus();
-      cards += r.cards();
-      memGb += r.memGb();
+      String team = r.spec().team();
+      Snapshot.Use use = left.getOrDefault(team, teams.get(team));
+      if (isLessUrgent(need, r) || isBorrowed(use, r)) {
+        victims.add(r);
+        cpus += r.cpus();
+        cards += r.cards();
+        memGb += r.memGb();
+        left.put(team, without(use, r));
+      }
     }
     return room.fitsWith(need.spec(), cpus, cards, memGb) && !victims.isEmpty() ? victims : null;
   }
@@ -84,7 +103,7 @@
     List<Snapshot.Running> candidates = new ArrayList<>();
     for (Snapshot.Running r : room.host.running()) {
       if (!r.stopping()
-          && mayStop(need, r)
+          && (isLessUrgent(need, r) || mayGiveBack(need, r))
           && !stopped.contains(r)
           && !snapshot.kept().contains(r.attempt())) {
         candidates.add(r);
@@ -96,17 +115,33 @@
     return candidates;
   }
 
+  private static boolean isLessUrgent(Snapshot.Need need, Snapshot.Running r) {
+    return r.priority().compareTo(need.stopsAs()) > 0;
+  }
+
   /**
-   * Only work that comes later in the order of placement may be stopped. A guarantee once stopped
-   * borrowed work of higher priority, which took the room back in the next round, over and over.
+   * True if the task may be stopped for a guarantee as long as its team uses more than its own.
+   * Only work that comes later in the order of placement is: a guarantee once stopped borrowed work
+   * of higher priority, which took the room back in the next round, over and over.
    */
-  private boolean mayStop(Snapshot.Need need, Snapshot.Running r) {
-    int order = r.priority().compareTo(need.stopsAs());
-    if (order != 0) {
-      return order > 0;
-    }
-    return need.withinGuarantee()
+  private boolean mayGiveBack(Snapshot.Need need, Snapshot.Running r) {
+    return r.priority() == need.stopsAs()
+        && need.withinGuarantee()
+        && !snapshot.spared().contains(r.attempt())
         && !snapshot.guaranteed().contains(r.spec().id())
         && !r.spec().team().equals(need.spec().team());
   }
+
+  /**
+   * True if the task is part of what its team uses beyond its guarantee. That its job lies beyond
+   * it is not enough: a job that waits counts there too, and a team with a long queue had tasks
+   * stopped while it used next to nothing.
+   */
+  private static boolean isBorrowed(Snapshot.Use use, Snapshot.Running r) {
+    return use == null || use.isBeyondGuarantee(r.cpus(), r.cards());
+  }
+
+  private static Snapshot.Use without(Snapshot.Use use, Snapshot.Running r) {
+    return use == null ? null : use.plus(-r.cpus(), -r.cards());
+  }
 }
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -12,7 +12,8 @@
  * that lie within their team's guarantee; all other work is borrowed. {@code kept} holds the
  * attempts that are all a job has after long waiting: they are stopped for nobody. {@code overdue}
  * names the jobs that were passed over for long although a machine had room for them: what is
- * reserved for others does not keep them back any more.
+ * reserved for others does not keep them back any more. {@code spared} holds the attempts that are
+ * stopped for more urgent work alone.
  */
 public record Snapshot(
     List<Host> hosts,
@@ -22,9 +23,10 @@
     Map<String, Use> teams,
     long nowMs,
     int mostStarts,
-    Set<String> overdue) {
+    Set<String> overdue,
+    Set<Long> spared) {
 
-  /** A snapshot in which no job was passed over. */
+  /** A snapshot in which no job was passed over, and no attempt is spared. */
   public Snapshot(
       List<Host> hosts,
       List<Need> needs,
@@ -33,7 +35,7 @@
       Map<String, Use> teams,
       long nowMs,
       int mostStarts) {
-    this(hosts, needs, guaranteed, kept, teams, nowMs, mostStarts, Set.of());
+    this(hosts, needs, guaranteed, kept, teams, nowMs, mostStarts, Set.of(), Set.of());
   }
 
   /** Where tasks are that a predecessor started on a machine nobody has described yet. */
@@ -149,8 +151,22 @@
     }
   }
 
-  /** What a team's tasks use at the most, and its limits; a cap of 0 means that there is none. */
-  public record Use(double cpus, double cards, double cpusMax, double cardsMax) {
+  /**
+   * What a team's tasks use at the most, its limits, and its guarantee; a cap of 0 means that there
+   * is none.
+   */
+  public record Use(
+      double cpus,
+      double cards,
+      double cpusMax,
+      double cardsMax,
+      double cpusGuaranteed,
+      double cardsGuaranteed) {
+
+    /** A team without a guarantee. */
+    public Use(double cpus, double cards, double cpusMax, double cardsMax) {
+      this(cpus, cards, cpusMax, cardsMax, 0, 0);
+    }
 
     /** True if another task of this size stays within the cap. */
     public boolean allows(double moreCpus, double moreCards) {
@@ -158,8 +174,19 @@
           && (cardsMax <= 0 || cards + moreCards <= cardsMax + Constants.EPSILON);
     }
 
+    /** True if a task that takes so much is part of what the team uses beyond its guarantee. */
+    boolean isBeyondGuarantee(double itsCpus, double itsCards) {
+      return (itsCpus > 0 && isBeyond(cpus, cpusGuaranteed))
+          || (itsCards > 0 && isBeyond(cards, cardsGuaranteed));
+    }
+
+    private static boolean isBeyond(double used, double guaranteed) {
+      return guaranteed <= 0 || used > guaranteed + Constants.EPSILON;
+    }
+
     Use plus(double moreCpus, double moreCards) {
-      return new Use(cpus + moreCpus, cards + moreCards, cpusMax, cardsMax);
+      return new Use(
+          cpus + moreCpus, cards + moreCards, cpusMax, cardsMax, cpusGuaranteed, cardsGuaranteed);
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -10,8 +10,10 @@
 import fennelthread.wire.WireException;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
@@ -28,6 +30,7 @@
   private final Map<String, Integer> left = new HashMap<>();
   private final Map<String, Long> rentedAt = new HashMap<>();
   private final List<List<Object>> snapshots = new ArrayList<>();
+  private final Set<String> exhausted = new HashSet<>();
   private boolean down;
   private int seq;
 
@@ -73,6 +76,12 @@
 
   private boolean bootsQuickly;
 
+  /** Nothing more can be rented in a zone for so long. */
+  void noCapacity(String zone, long forMs) {
+    exhausted.add(zone);
+    world.after(forMs, () -> exhausted.remove(zone));
+  }
+
   /** Machines rented meanwhile are up within 0.1 to 2 s; the list shows them late as ever. */
   void quickBoots(long forMs) {
     bootsQuickly = true;
@@ -183,7 +192,8 @@
     List<Object> known = requests.get(name);
     if (known == null) {
       String kind = body.text("modelo") + body.text("zona") + body.optFlag("prestadas");
-      int many = (int) Math.min(body.count("how_many"), left.getOrDefault(kind, 0));
+      int available = exhausted.contains(body.text("zona")) ? 0 : left.getOrDefault(kind, 0);
+      int many = (int) Math.min(body.count("how_many"), available);
       if (many == 0) {
         reply.accept(Answer.error(503, "no capacity"));
         return;
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -142,6 +142,11 @@
     return cancelTold.getOrDefault(id, -1L);
   }
 
+  /** Which tasks are where, and which have completed. */
+  TaskPresence taskPresence() {
+    return presence;
+  }
+
   boolean allCompleted(String id) {
     return presence.allCompleted(submitted.get(id));
   }
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -62,6 +62,16 @@
   private int nextJob;
 
   private final List<Consumer<String>> onNews = new ArrayList<>();
+
+  /** Called with each task that a command stops which has arrived at its machine. */
+  final List<StopObserver> onStop = new ArrayList<>();
+
+  /** Sees the commands that stop tasks as workers execute them. */
+  @FunctionalInterface
+  interface StopObserver {
+    void stopOrdered(WorkerEmulator worker, JobSpec spec, int index);
+  }
+
   final ReportCopies reportCopies;
   final JobCancellations cancellations;
   final CloseLooks closeLooks;
@@ -824,6 +834,11 @@
     rules.begins(worker, spec, index);
   }
 
+  @Override
+  public void stopOrdered(WorkerEmulator worker, JobSpec spec, int index) {
+    onStop.forEach(o -> o.stopOrdered(worker, spec, index));
+  }
+
   @Override
   public void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {
     rules.ends(worker, spec, index, completed);
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -40,6 +40,9 @@
     /** A running task will be complete at that time if nothing happens to it. */
     default void willComplete(WorkerEmulator worker, JobSpec spec, int index, long atMs) {}
 
+    /** A command has arrived that stops a task which is waiting for its image or runs. */
+    default void stopOrdered(WorkerEmulator worker, JobSpec spec, int index) {}
+
     long reportMs();
 
     long leaseMs();
@@ -186,6 +189,11 @@
 
   private double fetchFactor = 1;
 
+  /** True if the cloud has announced that it takes the machine away. */
+  boolean hasNotice() {
+    return noticeAt >= 0;
+  }
+
   /** Images that are asked for meanwhile take so many times as long. */
   void slowFetches(double factor, long forMs) {
     fetchFactor = factor;
@@ -376,6 +384,9 @@
     } else if (order instanceof WorkerCommand.Stop stop) {
       Task t = tasks.get(stop.task() + "#" + stop.attempt());
       if (t != null && t.phase != WorkerReport.Phase.ENDED) {
+        if (t.phase != WorkerReport.Phase.FLUSHING) {
+          around.stopOrdered(this, t.spec, t.ref.index());
+        }
         stop(t, stop.graceS());
       }
     } else if (order instanceof WorkerCommand.Clear clear) {
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -394,53 +394,72 @@
 
   private List<Snapshot.Running> victims(Snapshot.Need need, Room room) {
     JobSpec spec = need.spec();
-    List<Snapshot.Running> candidates = new ArrayList<>();
-    for (Snapshot.Running r : room.host.running()) {
-      if (!r.stopping()
-          && !stopped.contains(r)
-          && mayStop(need, r)
-          && !snapshot.kept().contains(r.attempt())) {
-        candidates.add(r);
-      }
-    }
+    List<Snapshot.Running> candidates = new ArrayList<>(room.host.running());
+    candidates.removeIf(
+        r -> r.stopping() || stopped.contains(r) || snapshot.kept().contains(r.attempt()));
     candidates.sort(
-        Comparator.comparing(Snapshot.Running::priority)
-            .reversed()
+        Comparator.<Snapshot.Running>comparingInt(r -> -r.priority().ordinal())
             .thenComparingDouble(r -> r.runS(snapshot.nowMs())));
-    double cpus = room.cpus + room.comingCpus;
-    double cards = room.cards + room.comingCards;
-    double mem = room.memGb + room.comingMemGb;
     List<Snapshot.Running> victims = new ArrayList<>();
     for (Snapshot.Running r : candidates) {
-      if (spec.cpus() <= cpus + EPSILON
-          && spec.cards() <= cards + EPSILON
-          && spec.memGb() <= mem + EPSILON) {
-        break;
+      if (!isEnough(spec, room, victims) && mayStop(need, r, victims)) {
+        victims.add(r);
       }
-      victims.add(r);
+    }
+    return isEnough(spec, room, victims) && !victims.isEmpty() ? victims : null;
+  }
+
+  private static boolean isEnough(JobSpec spec, Room room, List<Snapshot.Running> victims) {
+    double cpus = room.cpus + room.comingCpus;
+    double cards = room.cards + room.comingCards;
+    double mem = room.memGb + room.comingMemGb;
+    for (Snapshot.Running r : victims) {
       cpus += r.cpus();
       cards += r.cards();
       mem += r.memGb();
     }
-    boolean enough =
-        room.slots > 0
-            && spec.cpus() <= cpus + EPSILON
-            && spec.cards() <= cards + EPSILON
-            && spec.memGb() <= mem + EPSILON;
-    return enough && !victims.isEmpty() ? victims : null;
+    return room.slots > 0
+        && spec.cpus() <= cpus + EPSILON
+        && spec.cards() <= cards + EPSILON
+        && spec.memGb() <= mem + EPSILON;
   }
 
   /**
-   * Only work that comes later in the order of placement may be stopped. A guarantee once stopped
-   * borrowed work of higher priority, which took the room back in the next round, over and over.
+   * Less urgent work may be stopped; and for a guarantee work as urgent of another team's job that
+   * is beyond its own guarantee, as long as that team uses more than it without all that is being
+   * stopped.
    */
-  private boolean mayStop(Snapshot.Need need, Snapshot.Running r) {
-    int order = r.priority().compareTo(need.stopsAs());
-    if (order != 0) {
-      return order > 0;
+  private boolean mayStop(
+      Snapshot.Need need, Snapshot.Running r, List<Snapshot.Running> stoppedBefore) {
+    if (r.priority() != need.stopsAs()) {
+      return r.priority().compareTo(need.stopsAs()) > 0;
     }
+    String team = r.spec().team();
     return need.withinGuarantee()
+        && !snapshot.spared().contains(r.attempt())
         && !snapshot.guaranteed().contains(r.spec().id())
-        && !r.spec().team().equals(need.spec().team());
+        && !team.equals(need.spec().team())
+        && (snapshot.teams().get(team) == null || isBeyond(team, r, stoppedBefore));
+  }
+
+  private boolean isBeyond(String team, Snapshot.Running r, List<Snapshot.Running> stoppedBefore) {
+    Snapshot.Use use = snapshot.teams().get(team);
+    double cpus = use.cpus();
+    double cards = use.cards();
+    for (Snapshot.Host host : snapshot.hosts()) {
+      for (Snapshot.Running other : host.running()) {
+        boolean ends =
+            other.stopping()
+                || stopped.contains(other)
+                || stoppedBefore.stream().anyMatch(v -> v == other);
+        if (ends && other.spec().team().equals(team)) {
+          cpus -= other.cpus();
+          cards -= other.cards();
+        }
+      }
+    }
+    return (r.cpus() > 0 && (use.cpusGuaranteed() <= 0 || cpus > use.cpusGuaranteed() + EPSILON))
+        || (r.cards() > 0
+            && (use.cardsGuaranteed() <= 0 || cards > use.cardsGuaranteed() + EPSILON));
   }
 }
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -379,6 +379,32 @@
     }
   }
 
+  /**
+   * A team with a long queue had tasks stopped for another's guarantee while it used next to
+   * nothing: its later jobs lie beyond its guarantee, but what it runs does not.
+   */
+  @Test
+  void onlyWhatATeamUsesBeyondItsGuaranteeIsGivenBack() {
+    Snapshot.Running a = running("job-7", "azul", Priority.STANDARD, 1);
+    Snapshot.Running b = running("job-8", "azul", Priority.STANDARD, 2);
+    Snapshot.Running c = running("job-9", "azul", Priority.STANDARD, 3);
+    JobSpec spec = job("job-1", "roja", Priority.STANDARD, 3, 4);
+    List<Snapshot.Host> hosts = List.of(host("a", 12, 0, null, a, b, c));
+    Map<Integer, List<Snapshot.Running>> expected =
+        Map.of(12, List.of(), 11, List.of(a), 8, List.of(a), 7, List.of(a, b), 0, List.of(a, b, c));
+    expected.forEach(
+        (guarantee, stops) -> {
+          Map<String, Snapshot.Use> teams =
+              Map.of(
+                  "roja", new Snapshot.Use(0, 0, 0, 0, 12, 0),
+                  "azul", new Snapshot.Use(12, 0, 0, 0, guarantee, 0));
+          Snapshot s =
+              new Snapshot(
+                  hosts, List.of(need(spec, true, 3)), Set.of(), Set.of(), teams, NOW_MS, 10);
+          assertEquals(stops, Planner.plan(s).stops(), "guarantee " + guarantee);
+        });
+  }
+
   private static Snapshot.Need bound(String id, Priority priority, int tasks, String zone) {
     JobSpec any = job(id, "roja", priority, tasks, 1);
     JobSpec spec =
@@ -424,7 +450,15 @@
     Plan later =
         Planner.plan(
             new Snapshot(
-                hosts, needs, Set.of(), Set.of(), teams(10), NOW_MS, 10, first.passedOver()));
+                hosts,
+                needs,
+                Set.of(),
+                Set.of(),
+                teams(10),
+                NOW_MS,
+                10,
+                first.passedOver(),
+                Set.of()));
     assertEquals(3, later.starts().size());
     assertEquals(Set.of(), later.passedOver());
     // What runs counts in any case.
@@ -438,7 +472,8 @@
                 Map.of("roja", new Snapshot.Use(9, 0, 10, 0)),
                 NOW_MS,
                 10,
-                Set.of("job-2")));
+                Set.of("job-2"),
+                Set.of()));
     assertEquals(1, full.starts().size());
   }
 
@@ -455,10 +490,37 @@
     assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
     assertEquals(List.of(), Planner.plan(kept).starts());
     Snapshot over =
-        new Snapshot(hosts, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10, Set.of("job-2"));
+        new Snapshot(
+            hosts, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10, Set.of("job-2"), Set.of());
     assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(over).starts());
   }
 
+  /**
+   * A task that began before others of its priority, since its job had waited long, was stopped for
+   * one of them that lies within a guarantee, and began before it again, eight times a second.
+   */
+  @Test
+  void whatComesFirstAmongEqualsIsNotStoppedForThem() {
+    Snapshot.Running first = running("job-8", "azul", Priority.STANDARD, 5);
+    List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, first));
+    for (Priority p : Priority.values()) {
+      Snapshot.Need owed = need(job("job-1", "roja", p, 1, 4), true, 1);
+      Snapshot s =
+          new Snapshot(
+              hosts,
+              List.of(owed),
+              Set.of(),
+              Set.of(),
+              teams(0),
+              NOW_MS,
+              10,
+              Set.of(),
+              Set.of(first.attempt()));
+      boolean isMoreUrgent = p.compareTo(Priority.STANDARD) < 0;
+      assertEquals(isMoreUrgent ? List.of(first) : List.of(), Planner.plan(s).stops());
+    }
+  }
+
   /** What is all that a job has after long waiting is stopped for nobody. */
   @Test
   void aFirstTaskOutOfTurnIsNotStopped() {
@@ -662,7 +724,22 @@
     int mostStarts = 1 + r.nextInt(30);
     hosts.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
     Set<String> overdue = r.nextInt(3) == 0 ? Set.of("job-" + r.nextInt(6)) : Set.of();
-    return new Snapshot(hosts, needs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue);
+    if (r.nextInt(3) == 0) {
+      teams = Map.of("roja", use(r, hosts, "roja"), "azul", use(r, hosts, "azul"));
+    }
+    Set<Long> spared = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
+    return new Snapshot(hosts, needs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue, spared);
+  }
+
+  /** What a team's running tasks use, with a limit above and a guarantee that may be below. */
+  private static Snapshot.Use use(SplittableRandom r, List<Snapshot.Host> hosts, String team) {
+    double used =
+        hosts.stream()
+            .flatMap(h -> h.running().stream())
+            .filter(running -> running.spec().team().equals(team))
+            .mapToDouble(Snapshot.Running::cpus)
+            .sum();
+    return new Snapshot.Use(used, 0, used + 2 + r.nextInt(40), 2, 1 + r.nextInt(30), 0);
   }
 
   private static Snapshot.Host withSlots(Snapshot.Host h, int slots) {
--- a/src/test/java/fennelthread/simulation/Scenes.java
+++ b/src/test/java/fennelthread/simulation/Scenes.java
@@ -1,11 +1,14 @@
 package fennelthread.simulation;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
+import java.util.function.LongConsumer;
+import java.util.stream.LongStream;
 
 /**
  * How most tests of clusters begin: controllers that serve, and services that run on the machines.
@@ -49,4 +52,22 @@
     }
     return c.world.now() - from;
   }
+
+  /** Plays a test with each seed from {@code sim.from} to {@code sim.to}; names those that fail. */
+  static void soak(LongConsumer test) {
+    List<String> broken =
+        LongStream.rangeClosed(Long.getLong("sim.from"), Long.getLong("sim.to"))
+            .mapToObj(
+                seed -> {
+                  try {
+                    test.accept(seed);
+                    return "";
+                  } catch (AssertionError | RuntimeException e) {
+                    return "seed " + seed + ": " + e;
+                  }
+                })
+            .filter(text -> !text.isEmpty())
+            .toList();
+    assertEquals(List.of(), broken);
+  }
 }
