--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -250,6 +250,12 @@
   /** A leader that has heard no worker for this many report intervals yields if siblings do. */
   public static final double UNHEARD_REPORTS = 3;
 
+  /** It waits this long at least before it yields for that reason, ms. */
+  public static final long UNHEARD_LEAST_MS = 3_000;
+
+  /** Pause before the machine types are read again from a cloud that did not say them, ms. */
+  public static final long MACHINE_TYPES_RETRY_MS = 1_000;
+
   /**
    * Part of the heap that may live: of the serial collector's heap a third is for new objects, so
    * that at 0.667 the rest is full.
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -7,7 +7,6 @@
 import fennelthread.fleet.Machine;
 import fennelthread.fleet.MachineProvisioner;
 import fennelthread.fleet.ZoneHealth;
-import fennelthread.jobs.DependencyGraph;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
 import fennelthread.jobs.JobTable;
@@ -23,10 +22,8 @@
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
@@ -38,7 +35,7 @@
  * One leader's term: everything the leader knows beyond the state service, made anew at each claim
  * and thrown away when leading ends.
  */
-public final class Term implements Fleet.Listener, JobTable.Listener, DependencyGraph.Listener {
+public final class Term implements Fleet.Listener {
   private static final Logger log = LoggerFactory.getLogger(Term.class);
 
   /** How far the term is. */
@@ -60,19 +57,20 @@
   private final Lease lease;
   private final long epoch;
   private final Fleet fleet;
-  private final MachineProvisioner rentals;
-  private final ActiveJobs runs;
-  private final WorkerCommands instructions;
-  private final SchedulingLoop rounds;
+  private final MachineProvisioner provisioner;
+  private final ActiveJobs activeJobs;
+  private final WorkerCommands commands;
+  private final SchedulingLoop scheduling;
   private final Completions completions;
-  private final RecordCollector sweeper;
-  private final Predicate<String> over;
+  private final RecordCollector collector;
+  private final JobUpdates jobUpdates;
+  private final Predicate<String> isJobOver;
   private Phase phase = Phase.CATCHING_UP;
 
   /**
-   * Begins a term; {@code addresses} are workers that siblings or predecessors knew, {@code over}
-   * says which jobs are known to be over although no record says so yet, {@code gate} lets answers
-   * to reports out.
+   * Begins a term; {@code addresses} are workers that siblings or predecessors knew, {@code
+   * isJobOver} says which jobs are known to be over although no record says so yet, {@code gate}
+   * lets answers to reports out.
    */
   public Term(
       Host host,
@@ -89,8 +87,8 @@
       LongSupplier othersSilentSince,
       Fleet.Paths paths,
       ZoneHealth zones,
-      StallDetector wake,
-      Predicate<String> over,
+      StallDetector stalls,
+      Predicate<String> isJobOver,
       Fleet.Gate gate,
       Map<String, String> addresses) {
     this.host = host;
@@ -99,11 +97,11 @@
     this.store = store;
     this.lease = lease;
     this.epoch = lease.epoch();
-    this.over = over;
+    this.isJobOver = isJobOver;
     this.fleet =
         new Fleet(
-            host, settings, epoch, this, othersSilentSince, flavors, paths, zones, wake, gate);
-    this.rentals =
+            host, settings, epoch, this, othersSilentSince, flavors, paths, zones, stalls, gate);
+    this.provisioner =
         new MachineProvisioner(
             host,
             settings,
@@ -111,16 +109,16 @@
             cloud,
             fleet,
             zones,
-            wake,
+            stalls,
             "r-" + epoch + "-" + settings.member(),
             flavors.get(),
             onFlavors);
     RunTimes runTimes = new RunTimes();
-    this.runs = new ActiveJobs(store.waits().graph());
-    Demand demand = new Demand(host, settings, fleet, runs, runTimes);
-    this.instructions = new WorkerCommands(host, fleet, runs, runTimes, over);
+    this.activeJobs = new ActiveJobs(store.waits().graph());
+    Demand demand = new Demand(host, settings, fleet, activeJobs, runTimes);
+    this.commands = new WorkerCommands(host, fleet, activeJobs, runTimes, isJobOver);
     SpareKeys spare = new SpareKeys();
-    this.rounds =
+    this.scheduling =
         new SchedulingLoop(
             host,
             settings,
@@ -129,18 +127,21 @@
             replica,
             lease,
             fleet,
-            runs,
+            activeJobs,
             demand,
             runTimes,
-            rentals::demand,
+            provisioner::demand,
             flavors,
             spare);
     this.completions =
-        new Completions(host, state, replica, store, lease, fleet, runs, runTimes, rounds::changed);
-    this.sweeper = new RecordCollector(host, state, replica, table, lease, fleet, rounds, spare);
+        new Completions(
+            host, state, replica, store, lease, fleet, activeJobs, runTimes, scheduling::changed);
+    this.collector =
+        new RecordCollector(host, state, replica, table, lease, fleet, scheduling, spare);
+    this.jobUpdates = new JobUpdates(table, store, fleet, activeJobs, completions, scheduling);
     addresses.forEach((name, address) -> fleet.probe(fleet.learn(name, address)));
     awaitReplica();
-    rentals.start();
+    provisioner.start();
     tick();
     rentTick();
   }
@@ -186,11 +187,10 @@
    */
   public void resign() {
     moveTo(Phase.RESIGNED);
-    rounds.close();
+    scheduling.close();
     completions.close();
-    rentals.close();
-    table.ignore(this);
-    store.waits().ignore(this);
+    provisioner.close();
+    jobUpdates.end();
   }
 
   /** Ends the term. */
@@ -226,14 +226,13 @@
     for (StartRecord record : table.rounds().values()) {
       record.starts().forEach(fleet::inherit);
     }
-    table.all().forEach(runs::begin);
+    table.all().forEach(activeJobs::begin);
     for (Machine m : fleet.machines()) {
       for (Attempt a : m.attempts()) {
-        runs.attach(a);
+        activeJobs.attach(a);
       }
     }
-    table.listen(this);
-    store.waits().listen(this);
+    jobUpdates.begin();
     moveTo(Phase.ACTIVE);
     for (Machine m : List.copyOf(fleet.machines())) {
       fleet.probe(m);
@@ -243,7 +242,7 @@
         }
       }
     }
-    rounds.begin();
+    scheduling.begin();
   }
 
   private void tick() {
@@ -252,11 +251,11 @@
     }
     fleet.tick();
     if (phase == Phase.ACTIVE) {
-      instructions.stopBeforeNotices();
+      commands.stopBeforeNotices();
       completions.tick();
       store.cascade();
-      rounds.tick();
-      sweeper.tick();
+      scheduling.tick();
+      collector.tick();
     }
     host.after(Constants.TERM_TICK_MS, this::tick);
   }
@@ -270,7 +269,7 @@
       return;
     }
     if (phase == Phase.ACTIVE && lease.mayStart()) {
-      rentals.tick(rounds.unplaced());
+      provisioner.tick(scheduling.unplaced());
     }
     host.after(Constants.RENT_EVERY_MS, this::rentTick);
   }
@@ -281,77 +280,11 @@
     return phase == Phase.CLOSED ? null : answer;
   }
 
-  // ---------------------------------------------------------------- jobs
-
-  @Override
-  public void added(Job job) {
-    runs.begin(job);
-    log.debug(
-        "{} of {} is new: {} tasks of image {}",
-        job.spec().id(),
-        job.spec().jobClass(),
-        job.spec().tasks(),
-        job.spec().image());
-    rounds.changed();
-  }
-
-  @Override
-  public void moved(Job job, DependencyGraph.Phase to) {
-    ActiveJob run = runs.get(job.spec().id());
-    if (to == DependencyGraph.Phase.DOOMED) {
-      store.cascade();
-    } else if (run != null) {
-      runs.release(run);
-      rounds.changed();
-    }
-  }
-
-  @Override
-  public void lent(String id) {
-    ActiveJob run = runs.get(id);
-    if (run == null) {
-      return;
-    }
-    runs.lend(run);
-    // What a machine carries is added up anew only if the machine has changed.
-    machinesOf(run).forEach(Machine::touch);
-    rounds.changed();
-  }
-
-  @Override
-  public void removed(Job job) {
-    ActiveJob run = runs.remove(job.spec().id());
-    if (run != null) {
-      completions.forget(run);
-      for (Machine m : machinesOf(run)) {
-        m.touch();
-        if (m.phase() == Machine.Phase.REPORTING) {
-          fleet.sendOrders(m);
-        }
-      }
-    }
-    rounds.changed();
-  }
-
-  /** The machines that a job's tasks may be on. */
-  private Set<Machine> machinesOf(ActiveJob run) {
-    Set<Machine> machines = new LinkedHashSet<>();
-    for (List<Attempt> attempts : run.attempts().values()) {
-      for (Attempt a : attempts) {
-        Machine m = fleet.get(a.start().machine());
-        if (m != null) {
-          machines.add(m);
-        }
-      }
-    }
-    return machines;
-  }
-
   // ---------------------------------------------------------------- fleet
 
   @Override
   public void changed() {
-    rounds.changed();
+    scheduling.changed();
   }
 
   @Override
@@ -375,7 +308,7 @@
 
   @Override
   public void adopted(Attempt a) {
-    runs.attach(a);
+    activeJobs.attach(a);
   }
 
   @Override
@@ -389,14 +322,14 @@
   public boolean mayStart(Attempt a) {
     return phase == Phase.ACTIVE
         && lease.mayStart()
-        && runs.of(a) != null
-        && !over.test(a.start().task().job());
+        && activeJobs.of(a) != null
+        && !isJobOver.test(a.start().task().job());
   }
 
   @Override
   public List<WorkerCommand> ordersFor(Machine m) {
     return switch (phase) {
-      case ACTIVE -> instructions.of(m);
+      case ACTIVE -> commands.of(m);
       // What is known to be over is stopped all the same: by whatever lets the answers out.
       case CATCHING_UP, RESIGNED, CLOSED -> List.of();
     };
