--- a/src/main/java/fennelthread/emulate/ChildProcesses.java
+++ b/src/main/java/fennelthread/emulate/ChildProcesses.java
@@ -56,8 +56,8 @@
     return Path.of(System.getProperty("java.home"), "bin", "java").toString();
   }
 
-  /** Starts a controller with its settings file. */
-  Process startController(String member, Path settings, int heapMb) throws IOException {
+  /** Starts a controller with the arguments that name its settings. */
+  Process startController(String member, List<String> arguments, int heapMb) throws IOException {
     List<String> command = new ArrayList<>(List.of(java()));
     command.addAll(CONTROLLER_OPTIONS);
     command.add("-Xmx" + heapMb + "m");
@@ -68,7 +68,7 @@
     } else {
       command.addAll(List.of("-cp", classPath(), "fennelthread.cli.Main"));
     }
-    command.addAll(List.of("--config", settings.toString()));
+    command.addAll(arguments);
     File log = directory.resolve(member + ".log").toFile();
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().putIfAbsent("LOG_LEVEL", "info");
--- a/src/main/java/fennelthread/emulate/ControllerFleet.java
+++ b/src/main/java/fennelthread/emulate/ControllerFleet.java
@@ -51,8 +51,26 @@
   synchronized void start() throws IOException {
     for (int i = 0; i < config.controllers(); i++) {
       Files.writeString(settingsFile(i), settings(i));
-      running.add(processes.startController(name(i), settingsFile(i), config.controllerHeapMb()));
     }
+    if (!config.controllerOptions().isEmpty()) {
+      Files.writeString(optionsFile(), config.controllerOptions());
+    }
+    for (int i = 0; i < config.controllers(); i++) {
+      running.add(startProcess(i));
+    }
+  }
+
+  private Process startProcess(int member) throws IOException {
+    List<String> arguments = new ArrayList<>();
+    if (!config.controllerOptions().isEmpty()) {
+      arguments.addAll(List.of("--settings", optionsFile().toString()));
+    }
+    arguments.addAll(List.of("--config", settingsFile(member).toString()));
+    return processes.startController(name(member), arguments, config.controllerHeapMb());
+  }
+
+  private Path optionsFile() {
+    return directory.resolve("options.sexp");
   }
 
   private Path settingsFile(int member) {
@@ -79,9 +97,7 @@
   synchronized void restart(int member) throws IOException {
     Process old = running.get(member);
     if (!old.isAlive()) {
-      Process next =
-          processes.startController(name(member), settingsFile(member), config.controllerHeapMb());
-      running.set(member, next);
+      running.set(member, startProcess(member));
     }
   }
 
--- a/src/main/java/fennelthread/emulate/EmulationConfig.java
+++ b/src/main/java/fennelthread/emulate/EmulationConfig.java
@@ -11,6 +11,7 @@
  * @param controllers how many controllers run
  * @param controllerHeapMb a controller's largest heap, MB
  * @param maxConnections sockets that a controller may hold
+ * @param controllerOptions the operators' own settings of the controllers, empty for none
  * @param zones names of the zones, over which controllers and workers are spread in turn
  * @param workers machines that are up at the start
  * @param workerProcesses processes that the hollow workers are spread over
@@ -31,6 +32,7 @@
     int controllers,
     int controllerHeapMb,
     int maxConnections,
+    String controllerOptions,
     List<String> zones,
     int workers,
     int workerProcesses,
--- a/src/main/java/fennelthread/emulate/EmulationConfigReader.java
+++ b/src/main/java/fennelthread/emulate/EmulationConfigReader.java
@@ -10,6 +10,7 @@
 import fennelthread.emulate.EmulationConfig.Range;
 import fennelthread.emulate.EmulationConfig.StateSettings;
 import fennelthread.emulate.EmulationConfig.TeamSettings;
+import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.settings.SettingsException;
 import fennelthread.wire.JobSpec;
@@ -64,6 +65,7 @@
             controllers,
             root.count("controller-heap-mb", 32, 8_192, 72),
             root.count("max-connections", 64, 20_000, 1_024),
+            controllerOptions(),
             zones,
             workers,
             root.count("worker-processes", 1, 64, 1),
@@ -83,6 +85,18 @@
     return config;
   }
 
+  /** What operators give controllers with {@code --settings}; its own reader checks it. */
+  private String controllerOptions() throws SettingsException {
+    SettingsNode node = root.one("controller-options");
+    if (node == null) {
+      return "";
+    }
+    String text = "(fennelthread" + node.inner() + ")";
+    Options.parse("controller-options", text);
+    node.refuseUnknown();
+    return text;
+  }
+
   private List<FleetPart> machineTypes(List<String> zones) throws SettingsException {
     List<FleetPart> parts = new ArrayList<>();
     for (SettingsNode node : nonEmpty("machine-type")) {
--- a/src/main/java/fennelthread/emulate/ProcessSampler.java
+++ b/src/main/java/fennelthread/emulate/ProcessSampler.java
@@ -12,14 +12,20 @@
    * What a process has used.
    *
    * @param cpuS processor time so far, s
+   * @param waitedS time so far in which its threads could have run and had no core, s
    * @param residentBytes memory at the moment
    * @param descriptors open files and sockets at the moment
    * @param readBytes bytes read so far, from sockets and files
    * @param writtenBytes bytes written so far, to sockets and files
    */
   record Usage(
-      double cpuS, long residentBytes, int descriptors, long readBytes, long writtenBytes) {
-    static final Usage NONE = new Usage(0, 0, 0, 0, 0);
+      double cpuS,
+      double waitedS,
+      long residentBytes,
+      int descriptors,
+      long readBytes,
+      long writtenBytes) {
+    static final Usage NONE = new Usage(0, 0, 0, 0, 0, 0);
   }
 
   private ProcessSampler() {}
@@ -42,6 +48,7 @@
       String[] descriptors = new File(base.toFile(), "fd").list();
       return new Usage(
           ticks / Constants.EMULATION_TICKS_PER_S,
+          waitedS(base),
           Long.parseLong(memory[1]) * Constants.EMULATION_PAGE_BYTES,
           descriptors == null ? 0 : descriptors.length,
           read,
@@ -51,6 +58,21 @@
     }
   }
 
+  private static double waitedS(Path base) throws IOException {
+    long nanos = 0;
+    String[] threads = new File(base.toFile(), "task").list();
+    for (String thread : threads == null ? new String[0] : threads) {
+      try {
+        String stat = Files.readString(base.resolve("task").resolve(thread).resolve("schedstat"));
+        nanos += Long.parseLong(stat.split(" ")[1]);
+      } catch (IOException e) {
+        // The thread has ended since, or the system doesn't count this.
+        continue;
+      }
+    }
+    return nanos * 1e-9;
+  }
+
   /** The load average of the last minute, or -1. */
   static double loadAverage() {
     try {
--- a/src/main/java/fennelthread/emulate/ReportPage.java
+++ b/src/main/java/fennelthread/emulate/ReportPage.java
@@ -122,12 +122,21 @@
 
   private void processes() {
     html.append("<h2>Processes</h2>\n");
-    header("process", "cores mean", "cores max", "MB max", "descriptors", "KB/s in", "KB/s out");
+    header(
+        "process",
+        "cores mean",
+        "cores max",
+        "waiting for a core",
+        "MB max",
+        "descriptors",
+        "KB/s in",
+        "KB/s out");
     for (RunReport.ProcessUse p : report.processes()) {
       row(
           p.name(),
           p.cpuMean(),
           p.cpuMax(),
+          p.coreWaitMean(),
           p.residentMaxMb(),
           p.descriptorsMax(),
           p.readKbPerS(),
--- a/src/main/java/fennelthread/emulate/RunRecorder.java
+++ b/src/main/java/fennelthread/emulate/RunRecorder.java
@@ -24,6 +24,8 @@
     Usage last = Usage.NONE;
     double cpuS;
     double cpuMax;
+    double waitedS;
+    double waitedNow;
     long residentMax;
     int descriptorsMax;
     long readBytes;
@@ -35,6 +37,7 @@
       Usage before = newPid == pid ? last : Usage.NONE;
       if (usage.equals(Usage.NONE)) {
         cpuNow = 0;
+        waitedNow = 0;
         return;
       }
       pid = newPid;
@@ -42,6 +45,9 @@
       cpuNow = (usage.cpuS() - before.cpuS()) / seconds;
       cpuS += usage.cpuS() - before.cpuS();
       cpuMax = Math.max(cpuMax, cpuNow);
+      // Threads that have ended take their share with them.
+      waitedNow = Math.max(0, usage.waitedS() - before.waitedS()) / seconds;
+      waitedS += waitedNow * seconds;
       residentMax = Math.max(residentMax, usage.residentBytes());
       descriptorsMax = Math.max(descriptorsMax, usage.descriptors());
       readBytes += usage.readBytes() - before.readBytes();
@@ -92,11 +98,13 @@
       List<String> controllers) {
     double load = ProcessSampler.loadAverage();
     List<Double> cpu = new ArrayList<>();
+    List<Double> waited = new ArrayList<>();
     List<Double> memory = new ArrayList<>();
     List<Integer> sockets = new ArrayList<>();
     for (String name : controllers) {
       Tracked tracked = processes.get(name);
       cpu.add(round(tracked.cpuNow, 3));
+      waited.add(round(tracked.waitedNow, 3));
       memory.add(round(tracked.last.residentBytes() / 1e6, 1));
       sockets.add(tracked.last.descriptors());
     }
@@ -114,6 +122,7 @@
             perSecond(totals.stateChanges - last.stateChanges, seconds),
             perSecond(totals.traffic.reports() - last.traffic.reports(), seconds),
             cpu,
+            waited,
             memory,
             sockets,
             load);
@@ -208,6 +217,7 @@
                     name,
                     round(t.cpuS / durationS, 3),
                     round(t.cpuMax, 3),
+                    round(t.waitedS / durationS, 3),
                     round(t.residentMax / 1e6, 1),
                     t.descriptorsMax,
                     round(t.readBytes / durationS / 1e3, 1),
--- a/src/main/java/fennelthread/emulate/RunReport.java
+++ b/src/main/java/fennelthread/emulate/RunReport.java
@@ -82,11 +82,17 @@
   record Users(
       long submitted, long accepted, long refused, long givenUp, Map<String, Long> answers) {}
 
-  /** What a process has used; a controller's figures go on over its restarts. */
+  /**
+   * What a process has used; a controller's figures go on over its restarts.
+   *
+   * @param coreWaitMean how many of its threads could have run and had no core, on the mean: above
+   *     a few hundredths the machine was too busy for the run's times to say much
+   */
   record ProcessUse(
       String name,
       double cpuMean,
       double cpuMax,
+      double coreWaitMean,
       double residentMaxMb,
       int descriptorsMax,
       double readKbPerS,
@@ -110,6 +116,7 @@
       long stateChanges,
       long reports,
       List<Double> controllersCpu,
+      List<Double> controllersCoreWait,
       List<Double> controllersMb,
       List<Integer> controllersSockets,
       double load) {}
--- a/src/main/java/fennelthread/emulate/SettingsNode.java
+++ b/src/main/java/fennelthread/emulate/SettingsNode.java
@@ -215,6 +215,18 @@
     return List.copyOf(node.atoms);
   }
 
+  /** All lists in this one as they would be written, for another reader to check. */
+  String inner() {
+    StringBuilder text = new StringBuilder();
+    for (SettingsNode child : children) {
+      asked.add(child.name);
+      text.append(" (").append(child.name);
+      child.atoms.forEach(a -> text.append(' ').append(a));
+      text.append(child.inner()).append(')');
+    }
+    return text.toString();
+  }
+
   /** The values of this list, which must be so many and no lists. */
   List<String> values(int length) throws SettingsException {
     if (atoms.size() != length || !children.isEmpty()) {
--- a/src/test/java/fennelthread/emulate/EmulationConfigReaderTest.java
+++ b/src/test/java/fennelthread/emulate/EmulationConfigReaderTest.java
@@ -57,6 +57,8 @@
         "(tasks-per-worker 3)|(tasks 3)|f:10:3: load needs either tasks-per-worker or starts-per-s",
         "(kind state-out)|(kind fire)|f:11:10: kind must be one of kill-controller, pause-controller,"
             + " kill-workers, cut-zone, state-out, state-refuse, state-slow, cloud-out",
+        "(workers 10)|(workers 10) (controller-options (round-gap-ms 1))|controller-options:1:15:"
+            + " round-gap-ms must be from 10.0 to 10000.0",
         "(emulation|(simulation|f:1:1: must be (emulation (NAME VALUE ...) ...)",
       })
   void refusesTheRestInOneLine(String from, String to, String message) {
