--- /dev/null
+++ b/src/test/java/fennelthread/simulation/WaitingTest.java
@@ -0,0 +1,140 @@
+package fennelthread.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fennelthread.Constants;
+import fennelthread.wire.JobSpec;
+import fennelthread.wire.Priority;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Once nothing fails any more no job waits for 90 s while a machine that fits has room and its team
+ * is under its limit. Each test brings about one reason for which a job stands back, and that has
+ * no bound of its own; the InvariantChecker holds the rule.
+ */
+class WaitingTest {
+  private static final int MACHINES = 6;
+  private static final double MACHINE_CPUS = 4;
+
+  /** A cluster whose machines are all that there are, with the rule on. */
+  private static SimulatedCluster calm(long seed, double teamCap) {
+    Deployment deployment = Deployment.large(MACHINES).withTeamCap(teamCap);
+    SimulatedCluster c = Scenes.settled(seed, deployment, 0);
+    c.deployment.zones().forEach(zone -> c.cloud.noCapacity(zone, Long.MAX_VALUE / 4));
+    c.rules.troublesAreOver();
+    return c;
+  }
+
+  /** Fills so many machines of a zone with services for good; gives their jobs. */
+  private static List<JobSpec> fill(SimulatedCluster c, String zone, double cpus) {
+    List<JobSpec> filling = new ArrayList<>();
+    for (WorkerEmulator w : c.cloud.machines().values()) {
+      if (w.zone().equals(zone)) {
+        filling.add(JobDraft.service(c, 1).team("azul").cpus(cpus).zone(zone).spec());
+      }
+    }
+    filling.forEach(c::submit);
+    c.world.runUntil(c.world.now() + 15_000);
+    assertTrue(c.allRun(filling), "filled " + zone);
+    return filling;
+  }
+
+  private static long beginsAfterMs(SimulatedCluster c, JobSpec job) {
+    return Scenes.until(c, 200_000, () -> c.rules.running(job.id()) > 0);
+  }
+
+  /**
+   * An array waits for a zone without room, and asks for all that its team may have. The team's
+   * other job fits elsewhere.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void whatWaitsElsewhereKeepsTheTeamsLimit(long seed) {
+    SimulatedCluster c = calm(seed, 20);
+    fill(c, "sur", MACHINE_CPUS);
+    JobSpec stuck = JobDraft.array(c, 40, 30).priority(Priority.URGENT).zone("sur").spec();
+    c.submit(stuck);
+    c.world.runUntil(c.world.now() + 3_000);
+    JobSpec other = JobDraft.array(c, 2, 5).spec();
+    c.submit(other);
+    long tookMs = beginsAfterMs(c, other);
+    assertTrue(tookMs > 30_000, "did not stand back, began after " + tookMs + " ms");
+    assertTrue(tookMs < Constants.STARTED_WITHIN_MS, "began after " + tookMs + " ms");
+    assertEquals(0, c.rules.running(stuck.id()));
+  }
+
+  /**
+   * The largest job has waited so long that a machine is kept free for it, on which a task still
+   * runs for minutes; small jobs would fit beside that one.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void aMachineIsKeptForTheLargest(long seed) {
+    SimulatedCluster c = calm(seed, 0);
+    for (String zone : c.deployment.zones()) {
+      fillWithLongTasks(c, zone);
+    }
+    JobSpec largest = JobDraft.array(c, 1, 10).cpus(MACHINE_CPUS).spec();
+    c.submit(largest);
+    // Until its turn has come, and a machine is kept.
+    c.world.runUntil(c.world.now() + Constants.BEGIN_AFTER_MS + 3_000);
+    JobSpec small = JobDraft.array(c, 12, 2).priority(Priority.BEST_EFFORT).spec();
+    c.submit(small);
+    Scenes.until(c, 200_000, () -> c.rules.allCompleted(small.id()));
+    assertTrue(c.rules.allCompleted(small.id()), "the small job is done");
+  }
+
+  /** Leaves one CPU of each machine free, the others taken by tasks that run for minutes. */
+  private static void fillWithLongTasks(SimulatedCluster c, String zone) {
+    List<JobSpec> filling = new ArrayList<>();
+    for (WorkerEmulator w : c.cloud.machines().values()) {
+      if (w.zone().equals(zone)) {
+        double cpus = w.flavor().cpus() - 1;
+        filling.add(JobDraft.array(c, 1, 600).type(w.flavor().name()).cpus(cpus).zone(zone).spec());
+      }
+    }
+    filling.forEach(c::submit);
+    c.world.runUntil(c.world.now() + 5_000);
+    assertTrue(filling.stream().allMatch(job -> c.rules.running(job.id()) > 0), "filled " + zone);
+  }
+
+  /**
+   * Two jobs with a mistake in them fail on a machine that is good and runs services: it is taken
+   * for faulty and gets no tasks, and will never be empty, so that it is never returned either.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void aMachineIsTakenForFaulty(long seed) {
+    SimulatedCluster c = calm(seed, 0);
+    for (String zone : c.deployment.zones()) {
+      fill(c, zone, 1);
+    }
+    c.cloud.machines().values().forEach(w -> w.sicken(6_000));
+    for (int i = 0; i < 12; i++) {
+      c.submit(JobDraft.array(c, 6, 3).team(i % 2 == 0 ? "roja" : "azul").spec());
+    }
+    c.world.runUntil(c.world.now() + 6_000);
+    JobSpec next = JobDraft.array(c, 3 * MACHINES, 3).spec();
+    c.submit(next);
+    Scenes.until(c, 250_000, () -> c.rules.allCompleted(next.id()));
+    assertTrue(c.rules.allCompleted(next.id()), "done");
+  }
+
+  /** More seeds: {@code mvn test -Dtest=WaitingTest#soak -Dsim.from=100 -Dsim.to=139}. */
+  @Test
+  @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
+  void soak() {
+    Scenes.soak(
+        seed -> {
+          whatWaitsElsewhereKeepsTheTeamsLimit(seed);
+          aMachineIsKeptForTheLargest(seed);
+          aMachineIsTakenForFaulty(seed);
+        });
+  }
+}
