--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -8,11 +8,9 @@
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
@@ -28,8 +26,18 @@
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.seq, b.seq));
   private final Map<String, Process> byAddress = new HashMap<>();
-  private final Set<String> cuts = new HashSet<>();
-  private final Map<String, List<Runnable>> held = new HashMap<>();
+  private final NetworkCuts cuts = new NetworkCuts(this);
+  private final List<Held> holds = new ArrayList<>();
+
+  /** What is copied at the moment. */
+  final List<Copies> copies = new ArrayList<>();
+
+  /** How many copies were delivered. */
+  int copied;
+
+  /** How many requests or answers were delivered late on purpose. */
+  int deliveredLate;
+
   private final List<Runnable> afterEach = new ArrayList<>();
   final SplittableRandom random;
   private final SplittableRandom connections;
@@ -93,42 +101,6 @@
     now = time;
   }
 
-  /** Cuts the network between two groups of names, both ways. */
-  void cut(String a, String b, long forMs) {
-    String link = a + "|" + b;
-    cuts.add(link);
-    after(
-        forMs,
-        () -> {
-          cuts.remove(link);
-          release(link);
-        });
-  }
-
-  /** What one side says does not reach the other, for so long; what that one says does. */
-  void cutOneWay(String from, String to, long forMs) {
-    String link = from + ">" + to;
-    oneWay.add(link);
-    after(
-        forMs,
-        () -> {
-          oneWay.remove(link);
-          release(link);
-        });
-  }
-
-  private final Set<String> oneWay = new HashSet<>();
-
-  private String oneWayBetween(String from, String to) {
-    for (String link : oneWay) {
-      int arrow = link.indexOf('>');
-      if (from.startsWith(link.substring(0, arrow)) && to.startsWith(link.substring(arrow + 1))) {
-        return link;
-      }
-    }
-    return null;
-  }
-
   /**
    * Requests that are delivered again later, their answers going nowhere.
    *
@@ -137,11 +109,15 @@
    */
   record Copies(String path, double share, long leastMs, long mostMs) {}
 
-  /** What is copied at the moment. */
-  final List<Copies> copies = new ArrayList<>();
-
-  /** How many copies were delivered. */
-  int copied;
+  /**
+   * Requests, or answers to them, that are held up and delivered when their senders have long given
+   * up.
+   *
+   * @param path what the paths of such requests begin with
+   * @param answers true if the requests arrive at once and their answers are held up
+   * @param share of those requests
+   */
+  record Held(String path, boolean answers, double share, long leastMs, long mostMs) {}
 
   /** For so long requests are copied. */
   void copy(Copies what, long forMs) {
@@ -149,6 +125,12 @@
     after(forMs, () -> copies.remove(what));
   }
 
+  /** For so long requests or answers are held up. */
+  void hold(Held what, long forMs) {
+    holds.add(what);
+    after(forMs, () -> holds.remove(what));
+  }
+
   private void copyPerhaps(String path, Runnable deliver) {
     for (Copies c : copies) {
       if (path.startsWith(c.path) && connections.nextDouble() < c.share) {
@@ -163,27 +145,6 @@
     }
   }
 
-  /**
-   * Requests, or answers to them, that are held up and delivered when their senders have long given
-   * up.
-   *
-   * @param path what the paths of such requests begin with
-   * @param answers true if the requests arrive at once and their answers are held up
-   * @param share of those requests
-   */
-  record Held(String path, boolean answers, double share, long leastMs, long mostMs) {}
-
-  private final List<Held> holds = new ArrayList<>();
-
-  /** How many requests or answers were delivered late on purpose. */
-  int deliveredLate;
-
-  /** For so long requests or answers are held up. */
-  void hold(Held what, long forMs) {
-    holds.add(what);
-    after(forMs, () -> holds.remove(what));
-  }
-
   /**
    * Carries a packet of a request, or holds it up. What is held up belongs to a connection with the
    * process that is there now: a later one at the same address never gets it.
@@ -216,91 +177,37 @@
     IN
   }
 
-  private record ZoneCut(String zone, Way way, double share) {}
+  /** Cuts the network between two groups of names, given by prefixes, both ways. */
+  void cut(String a, String b, long forMs) {
+    cuts.cut(a, b, forMs);
+  }
 
-  private final Map<String, String> zoneOf = new HashMap<>();
-  private final Set<ZoneCut> zoneCuts = new HashSet<>();
+  /** What one side says does not reach the other, for so long; what that one says does. */
+  void cutOneWay(String from, String to, long forMs) {
+    cuts.cutOneWay(from, to, forMs);
+  }
 
-  /**
-   * Says in which zone something is; what is in none is reached from everywhere but cut-off zones.
-   */
+  /** Says in which zone something is; what is in none is reached from all zones not cut off. */
   void place(String name, String zone) {
-    zoneOf.put(name, zone);
+    cuts.place(name, zone);
   }
 
   /** Cuts a zone off from all that is not in it; inside it everything goes on. */
   void cutZone(String zone, long forMs) {
-    cutZone(zone, forMs, Way.BOTH, 1);
+    cuts.cutZone(zone, forMs);
   }
 
   /** The same for one way, or for a share of what is in the zone: always the same ones. */
   void cutZone(String zone, long forMs, Way way, double share) {
-    ZoneCut cut = new ZoneCut(zone, way, share);
-    zoneCuts.add(cut);
-    after(
-        forMs,
-        () -> {
-          zoneCuts.remove(cut);
-          release("zone " + zone);
-        });
-  }
-
-  private void release(String link) {
-    List<Runnable> packets = held.remove(link);
-    if (packets != null) {
-      packets.forEach(Runnable::run);
-    }
-  }
-
-  private String zoneCutBetween(String from, String to) {
-    if (zoneCuts.isEmpty()) {
-      return null;
-    }
-    String fromZone = zoneOf.getOrDefault(from, "");
-    String toZone = zoneOf.getOrDefault(to, "");
-    if (fromZone.equals(toZone)) {
-      return null;
-    }
-    for (ZoneCut c : zoneCuts) {
-      boolean out = c.zone.equals(fromZone) && c.way != Way.IN && isPartOf(from, c);
-      boolean in = c.zone.equals(toZone) && c.way != Way.OUT && isPartOf(to, c);
-      if (out || in) {
-        return "zone " + c.zone;
-      }
-    }
-    return null;
-  }
-
-  private static boolean isPartOf(String name, ZoneCut cut) {
-    return Math.floorMod(name.hashCode() * 0x9E3779B9, 1000) < cut.share * 1000;
-  }
-
-  private String cutBetween(String from, String to) {
-    String zone = zoneCutBetween(from, to);
-    if (zone != null) {
-      return zone;
-    }
-    String way = oneWayBetween(from, to);
-    if (way != null) {
-      return way;
-    }
-    for (String link : cuts) {
-      int bar = link.indexOf('|');
-      String a = link.substring(0, bar);
-      String b = link.substring(bar + 1);
-      if ((from.startsWith(a) && to.startsWith(b)) || (from.startsWith(b) && to.startsWith(a))) {
-        return link;
-      }
-    }
-    return null;
+    cuts.cutZone(zone, forMs, way, share);
   }
 
   /** Carries one packet; those on a cut link are mostly held back and delivered after it. */
   void carry(String from, String to, Runnable deliver) {
-    String link = cutBetween(from, to);
-    if (link != null) {
+    String cut = cuts.between(from, to);
+    if (cut != null) {
       if (random.nextDouble() < 0.7) {
-        held.computeIfAbsent(link, k -> new ArrayList<>()).add(() -> after(1, deliver));
+        cuts.holdBack(cut, deliver);
       }
       return;
     }
--- /dev/null
+++ b/src/main/java/fennelthread/simulation/StateInvariants.java
@@ -0,0 +1,60 @@
+package fennelthread.simulation;
+
+import fennelthread.wire.Fields;
+import fennelthread.wire.WireException;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** What must hold of the stored keys, checked at each write. */
+final class StateInvariants {
+  private static final String START_RECORDS = "live/round/";
+  private static final String FINISHED_TASKS = "live/finished/";
+
+  private final SimulatedNetwork network;
+  private final StateEmulator state;
+  private final Map<String, BitSet> finishedTasks = new HashMap<>();
+
+  /** Checks every write of a state service from now on. */
+  StateInvariants(SimulatedNetwork network, StateEmulator state) {
+    this.network = network;
+    this.state = state;
+    state.onWrite.add(this::checkFence);
+    state.onWrite.add(this::checkFinished);
+  }
+
+  /** Only the state service knows: a start record of an older epoch than the one claimed last. */
+  private void checkFence(String key) {
+    try {
+      if (key.startsWith(START_RECORDS)
+          && Long.parseLong(key.substring(START_RECORDS.length(), key.lastIndexOf('-')))
+              < state.epoch()) {
+        throw new AssertionError("t=" + network.now() + " written after a takeover: " + key);
+      }
+    } catch (WireException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** Only the state service knows: a record of finished tasks that has lost some. */
+  private void checkFinished(String key) {
+    if (!key.startsWith(FINISHED_TASKS)) {
+      return;
+    }
+    BitSet now = new BitSet();
+    for (Fields value : state.values(key)) {
+      if (value.map().get("r") instanceof List<?> ranges) {
+        for (int i = 0; i + 1 < ranges.size(); i += 2) {
+          now.set(((Number) ranges.get(i)).intValue(), ((Number) ranges.get(i + 1)).intValue() + 1);
+        }
+      }
+    }
+    BitSet lost = finishedTasks.getOrDefault(key, new BitSet());
+    lost.andNot(now);
+    if (!lost.isEmpty()) {
+      throw new AssertionError("t=" + network.now() + " " + key + " has lost " + lost);
+    }
+    finishedTasks.put(key, now);
+  }
+}
