--- /dev/null
+++ b/src/main/java/fennelthread/capacity/Slope.java
@@ -0,0 +1,31 @@
+package fennelthread.capacity;
+
+import java.util.List;
+
+/**
+ * How one quantity of one role grows with one cause, as measured.
+ *
+ * @param role who bears it, for instance {@code leader}
+ * @param cause what it grows with, for instance {@code worker}
+ * @param quantity what grows, with its unit
+ * @param points the measurements
+ * @param note why it grows as it does, empty if there is nothing to say
+ */
+public record Slope(
+    String role, String cause, Quantity quantity, List<LinearFit.Point> points, String note) {
+
+  /** Copies the points. */
+  public Slope {
+    points = List.copyOf(points);
+  }
+
+  /** The line through the points. */
+  public LinearFit fit() {
+    return LinearFit.of(points);
+  }
+
+  /** The name under which the catalogue holds it. */
+  public String id() {
+    return role + "/" + cause + "/" + quantity.id();
+  }
+}
