--- /dev/null
+++ b/src/test/java/fennelthread/net/RequestCostTest.java
@@ -0,0 +1,107 @@
+package fennelthread.net;
+
+import fennelthread.capacity.LinearFit;
+import fennelthread.capacity.Quantity;
+import fennelthread.capacity.Slope;
+import fennelthread.capacity.SlopeCatalogue;
+import fennelthread.wire.Codec;
+import fennelthread.wire.Fields;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.lang.management.ThreadMXBean;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+
+/**
+ * What a request served over a real socket costs the controller's thread beside what the service
+ * does with it: sockets, HTTP, buffers. Measured on the loopback, requests of the size of a report.
+ */
+@EnabledIfSystemProperty(named = "slopes.file", matches = ".+")
+class RequestCostTest {
+  private static final Path FILE = Path.of(System.getProperty("slopes.file", "slopes.json"));
+  private static final String SOURCE = System.getProperty("slopes.source", "unknown");
+  private static final int WARM_UP = 20_000;
+  private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+
+  @Test
+  void processorTimeOfRequests() throws Exception {
+    XnioHost host = new XnioHost(100, 10, Set.of());
+    int port = freePort();
+    byte[] body = Codec.CBOR.encode(Fields.create().with("texto", "x".repeat(300)));
+    host.listen(
+        "127.0.0.1:" + port,
+        (request, reply) -> reply.accept(Answer.of(200, Codec.CBOR, Fields.create())),
+        "127.0.0.1:" + freePort(),
+        (request, reply) -> reply.accept(Answer.error(404, "unknown path")));
+    List<LinearFit.Point> points = new ArrayList<>();
+    try (Socket socket = new Socket("127.0.0.1", port)) {
+      socket.setTcpNoDelay(true);
+      exchange(socket, body, WARM_UP);
+      for (int requests : new int[] {1_000, 2_000, 4_000, 8_000, 16_000}) {
+        long before = nanosOf(host);
+        exchange(socket, body, requests);
+        double ms = (nanosOf(host) - before) / 1e6;
+        points.add(new LinearFit.Point(requests, ms));
+        System.out.printf(
+            "%d requests: %.1f us each on the controller's thread%n",
+            requests, ms * 1e3 / requests);
+      }
+    } finally {
+      host.stop();
+    }
+    SlopeCatalogue catalogue =
+        Files.exists(FILE) ? SlopeCatalogue.load(FILE) : new SlopeCatalogue();
+    for (String role : List.of("leader", "follower")) {
+      catalogue.put(new Slope(role, "request", Quantity.PROCESSOR, points, ""), SOURCE);
+    }
+    catalogue.save(FILE);
+  }
+
+  private static void exchange(Socket socket, byte[] body, int requests) throws IOException {
+    byte[] head =
+        ("POST /agent/beat HTTP/1.1\r\nHost: 127.0.0.1\r\nContent-Type: application/cbor\r\n"
+                + "Content-Length: "
+                + body.length
+                + "\r\n\r\n")
+            .getBytes(StandardCharsets.US_ASCII);
+    byte[] request = new byte[head.length + body.length];
+    System.arraycopy(head, 0, request, 0, head.length);
+    System.arraycopy(body, 0, request, head.length, body.length);
+    DataInputStream in = new DataInputStream(socket.getInputStream());
+    byte[] buffer = new byte[4_096];
+    int length = 0;
+    for (int i = 0; i < requests; i++) {
+      socket.getOutputStream().write(request);
+      if (length == 0) {
+        length = in.read(buffer);
+        System.out.println(
+            "request headers " + head.length + " bytes, response of " + length + " bytes");
+      } else {
+        in.readFully(buffer, 0, length);
+      }
+    }
+  }
+
+  private static long nanosOf(XnioHost host) throws Exception {
+    CompletableFuture<Long> nanos = new CompletableFuture<>();
+    host.run(() -> nanos.complete(THREADS.getCurrentThreadCpuTime()));
+    return nanos.get();
+  }
+
+  private static int freePort() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      return socket.getLocalPort();
+    }
+  }
+}
--- a/src/test/java/fennelthread/simulation/SlopesTest.java
+++ b/src/test/java/fennelthread/simulation/SlopesTest.java
@@ -4,6 +4,7 @@
 import fennelthread.capacity.Quantity;
 import fennelthread.capacity.Slope;
 import fennelthread.capacity.SlopeCatalogue;
+import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -386,4 +387,62 @@
         Quantity.STATE_REQUESTS,
         Quantity.STATE_CHANGES);
   }
+
+  /**
+   * What a job costs the state service beside its tasks: 200 starts a second in jobs of all sizes.
+   */
+  @Test
+  void jobs() {
+    double[] sizes = {200, 100, 50, 20, 10, 5, 2};
+    double[] jobsPerSecond = new double[sizes.length];
+    for (int i = 0; i < sizes.length; i++) {
+      jobsPerSecond[i] = 200 / sizes[i];
+    }
+    measure(
+            "job",
+            jobsPerSecond,
+            rate -> {
+              ScaledCell cell = settled(ScaledCell.Shape.of(500));
+              cell.repeat(rate, 40_000, () -> cell.submit(cell.array((int) (200 / rate), 5)));
+              cell.run(15_000);
+              return cell;
+            },
+            SAMPLE_MS)
+        .keep(RATES);
+  }
+
+  /** How many starts a second one leader comes to when more are asked for. */
+  @Test
+  void mostStarts() {
+    for (double rate : new double[] {800, 1_000, 1_200, 1_600}) {
+      ScaledCell cell = settled(ScaledCell.Shape.of(1_000));
+      cell.repeat(rate / 50, 25_000, () -> cell.submit(cell.array(50, 5)));
+      cell.run(10_000);
+      int starts = cell.starts;
+      cell.run(15_000);
+      System.out.printf(
+          "most starts: %.0f asked for, %.0f a second begun%n",
+          rate, (cell.starts - starts) / 15.0);
+    }
+  }
+
+  /** The same with the limits that a state service of a fleet site has today. */
+  @Test
+  void mostStartsWithLimits() {
+    for (double changes : new double[] {50, 100, 250, 500, 1_000}) {
+      for (int size : new int[] {10, 50}) {
+        Settings.State limits = new Settings.State(changes * 3.2, changes, 16 * 1024, 12);
+        ScaledCell cell = settled(ScaledCell.Shape.of(1_000).withLimits(limits));
+        cell.repeat(817.0 / size, 60_000, () -> cell.submit(cell.array(size, 5)));
+        cell.run(30_000);
+        int starts = cell.starts;
+        int ends = cell.ends;
+        cell.run(30_000);
+        System.out.printf(
+            "limits: %.0f changes a second, jobs of %d: 817 asked for, %.0f begun, %.0f done a second,"
+                + " answers %s%n",
+            changes, size, (cell.starts - starts) / 30.0, (cell.ends - ends) / 30.0, cell.answers);
+      }
+    }
+  }
 }
