--- a/src/main/java/fennelthread/capacity/Estimate.java
+++ b/src/main/java/fennelthread/capacity/Estimate.java
@@ -1,5 +1,6 @@
 package fennelthread.capacity;
 
+import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
 
@@ -22,9 +23,28 @@
 
   private static final String NOTHING = "base";
 
+  /** The cause that follows from another quantity: each message costs sockets and HTTP. */
+  private static final String REQUEST = "request";
+
   /** Adds up what is known of a role's quantity; empty if no slope of it was measured. */
   public static Optional<Estimate> of(
       SlopeCatalogue catalogue, String role, Quantity quantity, Plan.Situation situation) {
+    if (quantity == Quantity.PROCESSOR) {
+      return sum(catalogue, role, quantity, withRequests(catalogue, role, situation));
+    }
+    return sum(catalogue, role, quantity, situation);
+  }
+
+  private static Plan.Situation withRequests(
+      SlopeCatalogue catalogue, String role, Plan.Situation situation) {
+    Map<String, Double> counts = new LinkedHashMap<>(situation.counts());
+    sum(catalogue, role, Quantity.MESSAGES, situation)
+        .ifPresent(messages -> counts.put(REQUEST, messages.value()));
+    return new Plan.Situation(situation.name(), counts);
+  }
+
+  private static Optional<Estimate> sum(
+      SlopeCatalogue catalogue, String role, Quantity quantity, Plan.Situation situation) {
     Optional<LinearFit> base = catalogue.find(role, BASE, quantity).map(Slope::fit);
     double value = base.map(fit -> Math.max(0, fit.intercept())).orElse(0.0);
     double squares = 0;
--- /dev/null
+++ b/src/test/java/fennelthread/net/OpenConnections.java
@@ -0,0 +1,43 @@
+package fennelthread.net;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.InputStreamReader;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * A process of its own that holds connections open, so that only the server's side of them is in
+ * the process that measures: reads a number, opens so many in all, sends one request on each, and
+ * answers {@code open}.
+ */
+final class OpenConnections {
+  private static final String REQUEST =
+      "POST /agent/beat HTTP/1.1\r\nHost: 127.0.0.1\r\nContent-Type: application/cbor\r\n"
+          + "Content-Length: 1\r\n\r\n\u0000";
+
+  private OpenConnections() {}
+
+  public static void main(String[] args) throws IOException {
+    int port = Integer.parseInt(args[0]);
+    List<Socket> open = new ArrayList<>();
+    BufferedReader in =
+        new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
+    byte[] buffer = new byte[1_024];
+    for (String line = in.readLine(); line != null; line = in.readLine()) {
+      while (open.size() < Integer.parseInt(line)) {
+        Socket socket = new Socket("127.0.0.1", port);
+        socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+        InputStream answer = socket.getInputStream();
+        if (answer.read(buffer) <= 0) {
+          throw new IOException("closed");
+        }
+        open.add(socket);
+      }
+      System.out.println("open");
+    }
+  }
+}
--- a/src/test/java/fennelthread/net/RequestCostTest.java
+++ b/src/test/java/fennelthread/net/RequestCostTest.java
@@ -1,11 +1,15 @@
 package fennelthread.net;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
 import fennelthread.capacity.LinearFit;
 import fennelthread.capacity.Quantity;
 import fennelthread.capacity.Slope;
 import fennelthread.capacity.SlopeCatalogue;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
+import java.io.BufferedReader;
+import java.io.BufferedWriter;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -60,10 +64,64 @@
     } finally {
       host.stop();
     }
+    keep(List.of("leader", "follower"), "request", Quantity.PROCESSOR, points);
+  }
+
+  /** The server's side of open connections that were used once, as those of workers are. */
+  @Test
+  void heapOfConnections() throws Exception {
+    XnioHost host = new XnioHost(10_000, 10, Set.of());
+    int port = freePort();
+    host.listen(
+        "127.0.0.1:" + port,
+        (request, reply) -> reply.accept(Answer.of(200, Codec.CBOR, Fields.create())),
+        "127.0.0.1:" + freePort(),
+        (request, reply) -> reply.accept(Answer.error(404, "unknown path")));
+    Process clients =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                OpenConnections.class.getName(),
+                String.valueOf(port))
+            .redirectError(ProcessBuilder.Redirect.INHERIT)
+            .start();
+    List<LinearFit.Point> points = new ArrayList<>();
+    try (BufferedReader answers = clients.inputReader();
+        BufferedWriter orders = clients.outputWriter()) {
+      for (int open : new int[] {100, 250, 500, 1_000, 2_000, 4_000}) {
+        orders.write(open + "\n");
+        orders.flush();
+        assertEquals("open", answers.readLine());
+        long live = liveBytes();
+        points.add(new LinearFit.Point(open, live));
+        System.out.printf("%d connections: %d bytes live%n", open, live);
+      }
+    } finally {
+      clients.destroy();
+      host.stop();
+    }
+    keep(List.of("leader"), "connection", Quantity.HEAP, points);
+  }
+
+  private static long liveBytes() throws InterruptedException {
+    Runtime runtime = Runtime.getRuntime();
+    long least = Long.MAX_VALUE;
+    for (int i = 0; i < 5; i++) {
+      System.gc();
+      Thread.sleep(100);
+      least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+    }
+    return least;
+  }
+
+  private static void keep(
+      List<String> roles, String cause, Quantity quantity, List<LinearFit.Point> points)
+      throws IOException {
     SlopeCatalogue catalogue =
         Files.exists(FILE) ? SlopeCatalogue.load(FILE) : new SlopeCatalogue();
-    for (String role : List.of("leader", "follower")) {
-      catalogue.put(new Slope(role, "request", Quantity.PROCESSOR, points, ""), SOURCE);
+    for (String role : roles) {
+      catalogue.put(new Slope(role, cause, quantity, points, ""), SOURCE);
     }
     catalogue.save(FILE);
   }
--- a/src/test/java/fennelthread/simulation/Meter.java
+++ b/src/test/java/fennelthread/simulation/Meter.java
@@ -33,13 +33,12 @@
   }
 
   /**
-   * Bytes of the headers of a request and its response, names and addresses of the usual lengths:
-   * request line, Host, Content-Type, Content-Length; status line, Connection, Content-Type,
-   * Content-Length, Date.
+   * Bytes of the headers of a request, its path apart, and of a response, as RequestCostTest sends
+   * and gets them over a socket.
    */
-  private static final int REQUEST_HEADERS = 90;
+  private static final int REQUEST_HEADERS = 88;
 
-  private static final int RESPONSE_HEADERS = 140;
+  private static final int RESPONSE_HEADERS = 70;
 
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
--- a/src/test/java/fennelthread/simulation/SlopesTest.java
+++ b/src/test/java/fennelthread/simulation/SlopesTest.java
@@ -265,7 +265,7 @@
         .keep(Quantity.HEAP, Quantity.STORED, Quantity.PROCESSOR);
   }
 
-  /** Arrays that wait because all machines are full, while small jobs go on starting. */
+  /** Arrays that wait because all machines are full. */
   @Test
   void waitingTasks() {
     measure(
@@ -273,16 +273,38 @@
             new double[] {1_000, 2_000, 4_000, 8_000, 16_000},
             n -> {
               ScaledCell cell = settled(ScaledCell.Shape.of(250));
-              cell.repeat(4, 25_000, () -> cell.submit(cell.array(100, 10)));
-              cell.run(30_000);
-              cell.repeat(4, (long) n / 4 * 10, () -> cell.submit(cell.array(100, 100_000)));
-              cell.run(60_000 + (long) n * 3);
+              cell.repeat(4, 25_000, () -> cell.submit(cell.array(100, 1_000_000)));
+              cell.run(45_000);
+              if (cell.starts != 10_000) {
+                throw new AssertionError(cell.starts + " started, room for 10000");
+              }
+              cell.repeat(4, (long) n / 4 * 10, () -> cell.submit(cell.array(100, 1_000_000)));
+              cell.run(20_000 + (long) n / 4 * 10);
               return cell;
             },
             SAMPLE_MS)
         .keep(Quantity.HEAP, Quantity.STORED, Quantity.PROCESSOR);
   }
 
+  /** What the machines cost the rounds: 400 starts a second in fleets of all sizes, less idle. */
+  @Test
+  void workersInRounds() {
+    double[] sizes = {250, 500, 1_000, 2_000, 4_000};
+    Series idle = measure("worker", sizes, n -> settled(ScaledCell.Shape.of((int) n)), SAMPLE_MS);
+    Series starting =
+        measure(
+            "worker-in-rounds",
+            sizes,
+            n -> {
+              ScaledCell cell = settled(ScaledCell.Shape.of((int) n));
+              cell.repeat(8, 40_000, () -> cell.submit(cell.array(50, 5)));
+              cell.run(15_000);
+              return cell;
+            },
+            SAMPLE_MS);
+    starting.less(idle, "worker-in-rounds").keep(Quantity.PROCESSOR);
+  }
+
   @Test
   void questions() {
     measure(
@@ -347,7 +369,10 @@
         .keep(Quantity.HEAP, Quantity.STORED, Quantity.PROCESSOR);
   }
 
-  /** What the end of a leader costs its successor in the first ten seconds, beyond ten of any. */
+  /**
+   * What the end of a leader costs its successor in the first ten seconds, beyond ten of any. The
+   * value at no worker is that of the submissions that go on meanwhile.
+   */
   @Test
   void changeOfLeader() {
     Series series = new Series("leader-change");
