--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -801,6 +801,15 @@
   /** Longest text of an attempt number, bytes: 64 bits in decimal. */
   public static final int LONGEST_ATTEMPT = 20;
 
+  /** Standard errors by which a slope must differ from nothing to count as growth. */
+  public static final double SLOPE_ERRORS = 3;
+
+  /** Share of the variance from which on measured points count as a line. */
+  public static final double LINE_R_SQUARED = 0.98;
+
+  /** Values below this are taken for nothing in the tables of capacity, in their unit. */
+  public static final double SLOPE_VISIBLE = 1e-3;
+
   private Constants() {}
 
   /**
--- a/src/main/java/fennelthread/capacity/Estimate.java
+++ b/src/main/java/fennelthread/capacity/Estimate.java
@@ -59,7 +59,7 @@
       }
       known = true;
       LinearFit fit = slope.get().fit();
-      double part = Math.max(0, fit.slope()) * count.getValue();
+      double part = part(slope.get(), fit, count.getValue());
       value += part;
       squares += Math.pow(fit.slopeError() * count.getValue(), 2) + Math.pow(fit.residual(), 2);
       if (part > most) {
@@ -74,11 +74,24 @@
       Optional<Slope> slope = catalogue.find(role, count.getKey(), quantity);
       if (slope.isPresent()) {
         LinearFit fit = slope.get().fit();
-        boolean matters = fit.slope() * count.getValue() * 100 > value;
+        boolean matters = part(slope.get(), fit, count.getValue()) * 100 > value;
         beyond |= matters && count.getValue() > fit.largest();
       }
     }
     return Optional.of(
         new Estimate(value, Math.sqrt(squares), cause, value == 0 ? 0 : most / value, beyond));
   }
+
+  /** The same so many times over. */
+  public Estimate times(double copies) {
+    return new Estimate(value * copies, error * copies, largestCause, largestShare, extrapolated);
+  }
+
+  /** A time is what the line gives; of all else only what grows comes to the base. */
+  private static double part(Slope slope, LinearFit fit, double count) {
+    if (slope.quantity() == Quantity.GAP) {
+      return fit.at(count);
+    }
+    return slope.grows() ? Math.max(0, fit.slope()) * count : 0;
+  }
 }
--- a/src/main/java/fennelthread/capacity/LinearFit.java
+++ b/src/main/java/fennelthread/capacity/LinearFit.java
@@ -1,5 +1,6 @@
 package fennelthread.capacity;
 
+import fennelthread.Constants;
 import java.util.List;
 
 /**
@@ -76,6 +77,6 @@
 
   /** True if the line explains nearly all of what was measured. */
   public boolean isLinear() {
-    return rSquared >= 0.98;
+    return rSquared >= Constants.LINE_R_SQUARED;
   }
 }
--- a/src/main/java/fennelthread/capacity/Plan.java
+++ b/src/main/java/fennelthread/capacity/Plan.java
@@ -18,9 +18,18 @@
  */
 public record Plan(List<Role> roles) {
 
-  /** One role: its situations and its limits. */
+  /**
+   * One role: its situations and its limits.
+   *
+   * @param copies how many times the needs of the situations add up for it: a service of a region
+   *     bears those of all its cells
+   */
   public record Role(
-      String name, String title, List<Situation> situations, Map<Quantity, Limit> limits) {
+      String name,
+      String title,
+      double copies,
+      List<Situation> situations,
+      Map<Quantity, Limit> limits) {
 
     /** The limit of a quantity, if there is one. */
     public Optional<Limit> limit(Quantity quantity) {
@@ -48,6 +57,7 @@
           new Role(
               item.path("name").asText(),
               item.path("title").asText(),
+              item.path("copies").asDouble(1),
               situations(item.path("situations")),
               limits(item.path("limits"))));
     }
--- a/src/main/java/fennelthread/capacity/Slope.java
+++ b/src/main/java/fennelthread/capacity/Slope.java
@@ -1,5 +1,6 @@
 package fennelthread.capacity;
 
+import fennelthread.Constants;
 import java.util.List;
 
 /**
@@ -24,6 +25,13 @@
     return LinearFit.of(points);
   }
 
+  /** True if the value rises or falls by more than three standard errors of the slope. */
+  public boolean grows() {
+    LinearFit fit = fit();
+    boolean visible = points.stream().anyMatch(p -> Math.abs(p.value()) > Constants.SLOPE_VISIBLE);
+    return visible && Math.abs(fit.slope()) > Constants.SLOPE_ERRORS * fit.slopeError();
+  }
+
   /** The name under which the catalogue holds it. */
   public String id() {
     return role + "/" + cause + "/" + quantity.id();
--- a/src/main/java/fennelthread/capacity/SlopeCatalogue.java
+++ b/src/main/java/fennelthread/capacity/SlopeCatalogue.java
@@ -26,6 +26,11 @@
     sources.put(slope.id(), source);
   }
 
+  /** Forgets a slope, if it is there. */
+  public void remove(String role, String cause, Quantity quantity) {
+    slopes.remove(role + "/" + cause + "/" + quantity.id());
+  }
+
   /** A slope, if it was measured. */
   public Optional<Slope> find(String role, String cause, Quantity quantity) {
     return Optional.ofNullable(slopes.get(role + "/" + cause + "/" + quantity.id()));
--- a/src/test/java/fennelthread/simulation/SlopesTest.java
+++ b/src/test/java/fennelthread/simulation/SlopesTest.java
@@ -45,8 +45,17 @@
     cell.sample(30_000);
   }
 
+  /** What other classes have written meanwhile stays. */
   @AfterAll
   static void save() throws IOException {
+    if (Files.exists(FILE)) {
+      SlopeCatalogue others = SlopeCatalogue.load(FILE);
+      for (Slope slope : others.all()) {
+        if (catalogue.find(slope.role(), slope.cause(), slope.quantity()).isEmpty()) {
+          catalogue.put(slope, others.sourceOf(slope));
+        }
+      }
+    }
     catalogue.save(FILE);
   }
 
@@ -78,6 +87,26 @@
           .add(new LinearFit.Point(count, value));
     }
 
+    /** The same for what follows from kept series: nothing of earlier runs is looked at. */
+    void keepAnew(Quantity... quantities) {
+      points.keySet().forEach(role -> catalogue.remove(role, cause, Quantity.PROCESSOR));
+      keep(quantities);
+    }
+
+    private void keepLowest(String role, List<LinearFit.Point> now) {
+      List<LinearFit.Point> before =
+          catalogue.find(role, cause, Quantity.PROCESSOR).map(Slope::points).orElse(List.of());
+      for (int i = 0; i < now.size(); i++) {
+        LinearFit.Point point = now.get(i);
+        double value = point.value();
+        for (LinearFit.Point p : before) {
+          // Counts are kept with three digits after the point.
+          value = Math.abs(p.count() - point.count()) < 1e-3 ? Math.min(value, p.value()) : value;
+        }
+        now.set(i, new LinearFit.Point(point.count(), value));
+      }
+    }
+
     /** The same less what another series found at the same sizes. */
     Series less(Series other, String as) {
       Series rest = new Series(as);
@@ -97,12 +126,18 @@
       return rest;
     }
 
-    /** Puts the slopes of some quantities into the catalogue, and prints them. */
+    /**
+     * Puts the slopes of some quantities into the catalogue, and prints them. Of processor time the
+     * lowest of all runs is kept: other work on the machine only adds to it.
+     */
     void keep(Quantity... quantities) {
       points.forEach(
           (role, all) -> {
             for (Quantity q : quantities) {
               if (all.containsKey(q)) {
+                if (q == Quantity.PROCESSOR) {
+                  keepLowest(role, all.get(q));
+                }
                 Slope slope = new Slope(role, cause, q, all.get(q), "");
                 catalogue.put(slope, SOURCE);
                 LinearFit fit = slope.fit();
@@ -183,7 +218,7 @@
   @Test
   void reports() {
     Series series = new Series("report");
-    for (long ms : new long[] {8_000, 4_000, 2_000, 1_333, 1_000}) {
+    for (long ms : new long[] {8_000, 4_000, 2_000, 1_333, 1_000, 800}) {
       ScaledCell cell = settled(ScaledCell.Shape.of(1_000).withReport(ms));
       Map<String, Map<Quantity, Double>> sample = cell.sample(SAMPLE_MS);
       series.add(1_000 * sample.get("worker").get(Quantity.MESSAGES), sample);
@@ -195,9 +230,9 @@
   void runningTasks() {
     measure(
             "running-task",
-            new double[] {2_500, 5_000, 10_000, 15_000, 20_000},
+            new double[] {3_000, 7_500, 15_000, 22_500, 30_000},
             n -> {
-              ScaledCell cell = settled(ScaledCell.Shape.of(500));
+              ScaledCell cell = settled(ScaledCell.Shape.of(750));
               cell.repeat(4, (long) n / 4 * 10, () -> cell.submit(cell.array(100, 1_000_000)));
               cell.run(60_000 + (long) n * 3);
               if (cell.starts < n) {
@@ -230,7 +265,7 @@
     starts.keep(RATES);
     Series both = starts("start-and-end", 5);
     both.keep(RATES);
-    both.less(starts, "end").keep(RATES);
+    both.less(starts, "end").keepAnew(RATES);
   }
 
   @Test
@@ -293,7 +328,7 @@
     Series idle = measure("worker", sizes, n -> settled(ScaledCell.Shape.of((int) n)), SAMPLE_MS);
     Series starting =
         measure(
-            "worker-in-rounds",
+            "worker-at-work",
             sizes,
             n -> {
               ScaledCell cell = settled(ScaledCell.Shape.of((int) n));
@@ -302,7 +337,9 @@
               return cell;
             },
             SAMPLE_MS);
-    starting.less(idle, "worker-in-rounds").keep(Quantity.PROCESSOR);
+    starting.keep(Quantity.PROCESSOR);
+    idle.keep(Quantity.PROCESSOR);
+    starting.less(idle, "worker-in-rounds").keepAnew(Quantity.PROCESSOR);
   }
 
   @Test
