--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -944,6 +944,9 @@
   /** How often a user asks about a job, ms: the protocol's time. */
   public static final long EMULATION_POLL_MS = 5_000;
 
+  /** How often a user asks about a job that is over, ms: its answer may never change. */
+  public static final long EMULATION_LATER_POLL_MS = 60_000;
+
   /** How long a user waits for the answer to a question, ms: the protocol's time. */
   public static final long EMULATION_POLL_TIMEOUT_MS = 2_000;
 
--- a/src/main/java/fennelthread/emulate/EmulatedUsers.java
+++ b/src/main/java/fennelthread/emulate/EmulatedUsers.java
@@ -164,7 +164,7 @@
   }
 
   private void poll(Job job) {
-    long pause = Constants.EMULATION_POLL_MS * (job.isOver() ? 4 : 1);
+    long pause = job.isOver() ? Constants.EMULATION_LATER_POLL_MS : Constants.EMULATION_POLL_MS;
     loop.after(pause * 3 / 4 + random.nextLong(pause / 2), () -> question(job));
   }
 
--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -5,6 +5,7 @@
 import fennelthread.settings.SettingsException;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.net.BindException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Instant;
@@ -124,7 +125,7 @@
 
   // ---------------------------------------------------------------- start
 
-  private void start(ChildProcesses processes, Path logs) throws IOException {
+  private void start(ChildProcesses processes, Path logs) throws IOException, SettingsException {
     beganNanos = System.nanoTime();
     checker =
         new HistoryChecker(
@@ -157,7 +158,17 @@
             measurements,
             workers::publish);
     merger.startDraining();
-    listen();
+    try {
+      listen();
+    } catch (BindException e) {
+      throw new SettingsException(
+          "ports "
+              + Constants.EMULATION_STATE_PORT
+              + " and "
+              + Constants.EMULATION_CLOUD_PORT
+              + " of the loopback can't be used: "
+              + e.getMessage());
+    }
     controllers.start();
     usersLoop.start();
     usersLoop.execute(
