--- /dev/null
+++ b/src/test/java/fennelthread/simulation/TroubleStormTest.java
@@ -0,0 +1,99 @@
+package fennelthread.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Storms in which the troubles of the operators' second page come one after another, several at
+ * once, beside those of {@link RandomTroubles}; in the end everything that was accepted is served.
+ */
+class TroubleStormTest {
+  private static final long UNTIL_MS = 280_000;
+  private static final long LONGEST_MS = 20_000;
+
+  /** A trouble of so many milliseconds. */
+  @FunctionalInterface
+  private interface Trouble {
+    void begin(SimulatedCluster c, long forMs);
+  }
+
+  private static final Map<String, Trouble> TROUBLES = new LinkedHashMap<>();
+
+  static {
+    TROUBLES.put("answers lost", (c, ms) -> c.state.loseAnswers(0.3, ms));
+    TROUBLES.put("writes late", (c, ms) -> c.state.lateWrites(0.2, ms));
+    TROUBLES.put("state slow", (c, ms) -> c.state.slow(400, ms));
+    TROUBLES.put("copies kept", (c, ms) -> c.keepReportsForNextLeader(0.3, ms, delay(c)));
+    TROUBLES.put("machine mute", (c, ms) -> withMachine(c, w -> c.mute(w, ms)));
+    TROUBLES.put("commands held", (c, ms) -> c.holdCommands(0.3, ms));
+    TROUBLES.put("many cancelled", (c, ms) -> c.cancelNow(3, c.world.faults.nextInt(9_000)));
+    TROUBLES.put("cancelled at end", (c, ms) -> c.cancelAtEnd(0.5, ms));
+    TROUBLES.put("close looks", (c, ms) -> c.closeLooks(ms));
+    TROUBLES.put("odd requests", (c, ms) -> c.oddRequests(ms));
+    TROUBLES.put("quick boots", (c, ms) -> c.cloud.quickBoots(ms));
+    TROUBLES.put("zone cut", (c, ms) -> c.cutZoneWithControllers("sur", ms));
+    TROUBLES.put("links slow", (c, ms) -> c.world.slowLinks("nodo-0", 250, ms));
+    TROUBLES.put(
+        "images slow", (c, ms) -> c.cloud.machines().values().forEach(w -> w.slowFetches(4, ms)));
+  }
+
+  private static long delay(SimulatedCluster c) {
+    return c.world.faults.nextInt(3) * 1_500L;
+  }
+
+  private static void withMachine(SimulatedCluster c, Consumer<WorkerEmulator> trouble) {
+    List<WorkerEmulator> all = List.copyOf(c.cloud.machines().values());
+    if (!all.isEmpty()) {
+      trouble.accept(all.get(c.world.faults.nextInt(all.size())));
+    }
+  }
+
+  private static void next(SimulatedCluster c) {
+    c.world.after(
+        500 + c.world.faults.nextInt(5_000),
+        () -> {
+          if (c.world.now() < UNTIL_MS) {
+            List<Trouble> all = new ArrayList<>(TROUBLES.values());
+            long forMs = 1_000 + c.world.faults.nextLong(LONGEST_MS - 1_000);
+            all.get(c.world.faults.nextInt(all.size())).begin(c, forMs);
+            next(c);
+          }
+        });
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void storm(long seed) {
+    SimulatedCluster c = new SimulatedCluster(seed);
+    Scenes.countsMayFall(c);
+    next(c);
+    c.storm(300_000);
+    SimulationTest.settle(c);
+    assertTrue(c.closeLooks.asked > 0 && c.state.answersLost > 0);
+  }
+
+  /** More of it: {@code mvn test -Dtest=TroubleStormTest#soak -Dsim.from=100 -Dsim.to=140}. */
+  @Test
+  @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
+  void soak() {
+    List<String> broken = new ArrayList<>();
+    for (long seed = Long.getLong("sim.from"); seed <= Long.getLong("sim.to"); seed++) {
+      try {
+        storm(seed);
+      } catch (AssertionError | RuntimeException e) {
+        broken.add("seed " + seed + ": " + e);
+      }
+    }
+    assertEquals(List.of(), broken);
+  }
+}
