--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -560,6 +560,12 @@
   /** How long a machine that a predecessor asked for has to report to us at least, in leases. */
   public static final double BOOT_HEARD_LEASES = 1;
 
+  /**
+   * A machine that carries out commands but whose own reports don't arrive is returned after so
+   * many leases: by then every lease that its last answered report renewed is over and proven so.
+   */
+  public static final double MUTE_LEASES = 2;
+
   /** A machine silent this long beyond its lease is returned, ms. */
   public static final long LOST_PATIENCE_MS = 1_000;
 
--- /dev/null
+++ b/src/main/java/fennelthread/fleet/CommandQueue.java
@@ -0,0 +1,109 @@
+package fennelthread.fleet;
+
+import fennelthread.Constants;
+import fennelthread.net.Answer;
+import fennelthread.net.Call;
+import fennelthread.wire.Codec;
+import fennelthread.wire.WireException;
+import fennelthread.wire.WorkerCommand;
+import fennelthread.wire.WorkerReport;
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Stops and clears that machines are due, for answers to reports and for direct commands. */
+final class CommandQueue {
+  private static final Logger log = LoggerFactory.getLogger(CommandQueue.class);
+
+  /** Takes workers' answers to direct commands. */
+  @FunctionalInterface
+  interface AnswerListener {
+    /** A worker has answered what was sent when it was known as in {@code known}. */
+    void answered(Machine machine, WorkerReport report, KnownReport known);
+  }
+
+  private final FleetContext context;
+  private final AnswerListener onAnswer;
+
+  CommandQueue(FleetContext context, AnswerListener onAnswer) {
+    this.context = context;
+    this.onAnswer = onAnswer;
+  }
+
+  /**
+   * What a worker is told of its tasks now. Clears go out under a higher token than the starts of
+   * what they clear, and so are gathered: each rise has the worker report once more.
+   */
+  List<WorkerCommand> due(Machine m) {
+    List<WorkerCommand> commands = context.listener().ordersFor(m);
+    int waiting = 0;
+    for (WorkerCommand command : commands) {
+      waiting += needsHigherToken(m, command) ? 1 : 0;
+    }
+    if (waiting == 0) {
+      return commands;
+    }
+    long now = context.nowMs();
+    double pauseMs = context.leaseMs() * Constants.CLEARS_LEASE_SHARE;
+    if (waiting >= Constants.CLEARS_GATHERED || now - m.tokens().clearedAtMs() >= pauseMs) {
+      m.tokens().raiseForClears(now);
+      return commands;
+    }
+    List<WorkerCommand> atOnce = new ArrayList<>(commands);
+    atOnce.removeIf(command -> needsHigherToken(m, command));
+    return atOnce;
+  }
+
+  private boolean needsHigherToken(Machine m, WorkerCommand command) {
+    if (!(command instanceof WorkerCommand.Clear clear)) {
+      return false;
+    }
+    Attempt a = m.find(clear.task(), clear.attempt());
+    return a != null && a.token() >= m.token(context.epoch());
+  }
+
+  /** Sends what is due right away instead of with the next report's answer. */
+  void send(Machine m) {
+    if (m.address() == null || m.session() == 0) {
+      return;
+    }
+    List<WorkerCommand> commands = due(m);
+    if (commands.isEmpty()) {
+      return;
+    }
+    KnownReport known = KnownReport.of(m);
+    context
+        .paths()
+        .send(
+            m,
+            m.address(),
+            call(m.token(context.epoch()), m.session(), commands),
+            Constants.COMMAND_TIMEOUT_MS,
+            answer -> {
+              WorkerReport report = reportOf(answer);
+              if (!context.isClosed() && report != null) {
+                onAnswer.answered(m, report, known);
+              }
+            },
+            tried -> {});
+  }
+
+  /** The request that carries commands to a worker. */
+  static Call call(long token, long session, List<WorkerCommand> commands) {
+    return Call.post("/commands", Codec.CBOR, WorkerCommand.write(token, session, commands));
+  }
+
+  /** The report in a worker's answer to commands, or null if there was no proper answer. */
+  static WorkerReport reportOf(Answer answer) {
+    if (answer == null || (answer.status() != 200 && answer.status() != 409)) {
+      return null;
+    }
+    try {
+      return WorkerReport.read(answer.fields());
+    } catch (WireException e) {
+      log.info("malformed answer of a worker: {}", e.getMessage());
+      return null;
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -0,0 +1,99 @@
+package fennelthread.fleet;
+
+import fennelthread.Constants;
+import fennelthread.net.Host;
+import fennelthread.net.StallDetector;
+import fennelthread.settings.Settings;
+import fennelthread.wire.WorkerReport;
+
+/** What the parts of one term's fleet share. */
+final class FleetContext {
+  private final Host host;
+  private final Settings settings;
+  private final long epoch;
+  private final Fleet.Listener listener;
+  private final Fleet.Paths paths;
+  private final StallDetector stalls;
+  private final AggregatedLog aggregatedLog;
+  private boolean closed;
+
+  FleetContext(
+      Host host,
+      Settings settings,
+      long epoch,
+      Fleet.Listener listener,
+      Fleet.Paths paths,
+      StallDetector stalls,
+      AggregatedLog aggregatedLog) {
+    this.host = host;
+    this.settings = settings;
+    this.epoch = epoch;
+    this.listener = listener;
+    this.paths = paths;
+    this.stalls = stalls;
+    this.aggregatedLog = aggregatedLog;
+  }
+
+  long nowMs() {
+    return host.nowMs();
+  }
+
+  Settings settings() {
+    return settings;
+  }
+
+  long reportMs() {
+    return settings.workers().reportMs();
+  }
+
+  long leaseMs() {
+    return settings.workers().leaseMs();
+  }
+
+  /** A worker's lease as our clock may have to count it, ms. */
+  long leaseAtMostMs() {
+    return (long) (leaseMs() * (1 + 2 * Constants.CLOCK_DRIFT)) + Constants.EXPIRY_MARGIN_MS;
+  }
+
+  /** The epoch of the term. */
+  long epoch() {
+    return epoch;
+  }
+
+  /** True if a report shows a token of this term's epoch. */
+  boolean isOurs(WorkerReport report) {
+    return MachineTokens.epochOf(report) == epoch;
+  }
+
+  Fleet.Listener listener() {
+    return listener;
+  }
+
+  Fleet.Paths paths() {
+    return paths;
+  }
+
+  AggregatedLog aggregatedLog() {
+    return aggregatedLog;
+  }
+
+  /** True if the process has just stood still: what was sent to it waits to be read. */
+  boolean isCatchingUp() {
+    return stalls.isListening();
+  }
+
+  /** True if something that comes with every report should have come again since that time. */
+  boolean isOverdue(long lastAtMs) {
+    return !isCatchingUp() && nowMs() - lastAtMs > reportMs() * Constants.SILENT_REPORTS_ALARM;
+  }
+
+  /** Ends the term. */
+  void close() {
+    closed = true;
+  }
+
+  /** True once the term is over: late answers change nothing any more. */
+  boolean isClosed() {
+    return closed;
+  }
+}
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -14,7 +14,6 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -45,24 +44,20 @@
   private final Fleet fleet;
   private final ZoneHealth zones;
   private final StallDetector wake;
-  private final AggregatedLog tally;
+  private final MachineReturns returns;
   private final BootTimes boots = new BootTimes();
   private final String prefix;
   private final Consumer<List<MachineType>> onFlavors;
   private final Map<String, Booting> booting = new LinkedHashMap<>();
   private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
   private final Map<MachineKind, Long> refusedPause = new HashMap<>();
-  private final Set<String> early = new LinkedHashSet<>();
-  private final Set<String> returning = new LinkedHashSet<>();
   private final List<double[]> demands = new ArrayList<>();
   private Map<String, MachineType> flavors;
   private boolean closed;
   private boolean renting;
   private boolean listing;
-  private boolean givingBack;
   private boolean listedOnce;
   private long requestSeq;
-  private long manySilentAt = Long.MIN_VALUE / 2;
 
   /** Creates the rentals of one term; {@code prefix} makes request names unique for ever. */
   public MachineProvisioner(
@@ -83,7 +78,8 @@
     this.fleet = fleet;
     this.zones = zones;
     this.wake = wake;
-    this.tally = new AggregatedLog(host, log::info);
+    this.returns =
+        new MachineReturns(host, settings, options, cloud, fleet, zones, wake, this::returned);
     this.prefix = prefix;
     this.flavors = flavors;
     this.onFlavors = onFlavors;
@@ -98,6 +94,7 @@
   /** Ends the term. */
   public void close() {
     closed = true;
+    returns.close();
   }
 
   private void readFlavors() {
@@ -189,86 +186,14 @@
         boots.came(b.kind.type(), b.askedMs, now);
       }
     }
-    returnSilent(now);
-    returnBroken(now);
+    returns.selectMachines(now);
+    returnDuds(now);
+    returns.send();
     if (!cloud.isQuiet() && listedOnce && !flavors.isEmpty()) {
       rent(unplaced, now);
     }
   }
 
-  /**
-   * A machine that neither reports nor answers is most likely dead, and the cloud's answer to a
-   * return proves its tasks gone long before its lease does. Not if many are silent at once: then
-   * the fault is probably ours, or their zone's, where a controller may be keeping their tasks
-   * alive.
-   */
-  private void returnSilent(long now) {
-    if (cloud.isQuiet() || wake.isListening()) {
-      return;
-    }
-    List<Machine> silent = new ArrayList<>();
-    int known = 0;
-    for (Machine m : fleet.machines()) {
-      // A machine that the predecessor used and that has not answered us may have died or been cut
-      // off just before the takeover.
-      boolean inherited = m.phase() == Machine.Phase.UNHEARD && !m.isEmpty();
-      if ((m.phase() == Machine.Phase.REPORTING || inherited) && !zones.isAway(m)) {
-        known++;
-        if (now - m.quietSinceMs()
-            > settings.workers().reportMs() * Constants.SILENT_REPORTS_ALARM) {
-          silent.add(m);
-        }
-      }
-    }
-    if (silent.size() > Math.max(1, known * Constants.SILENT_SHARE)) {
-      manySilentAt = now;
-      return;
-    }
-    for (Machine m : silent) {
-      // Once most are heard again, the others have as long as ever to be heard too.
-      if (m.probeFailed()
-          && !m.isEmpty()
-          && now - Math.max(m.quietSinceMs(), Math.max(manySilentAt, zones.awayAtMs(m)))
-              > settings.workers().leaseMs() * Constants.SILENT_LEASE_SHARE) {
-        early.add(m.name());
-        giveBack(m, "silent");
-      }
-    }
-  }
-
-  private void returnBroken(long now) {
-    for (Machine m : fleet.machines()) {
-      if (m.phase() == Machine.Phase.GONE || m.phase() == Machine.Phase.RETURNING) {
-        continue;
-      }
-      boolean silent =
-          now - m.contactAtMs() > settings.workers().leaseMs() + Constants.LOST_PATIENCE_MS;
-      boolean lost = m.phase() == Machine.Phase.LOST && silent && zones.mayReturnLost(m, now);
-      boolean failed = m.isListedFailed();
-      boolean noticeOver =
-          m.noticeUntilMs() >= 0
-              && now > m.noticeUntilMs()
-              && now - m.heardAtMs() > settings.workers().reportMs() * 2;
-      boolean drained = m.isDraining() && m.isEmpty();
-      boolean idle =
-          m.phase() == Machine.Phase.REPORTING
-              && m.idleSinceMs() >= 0
-              && now - m.idleSinceMs() > options.idleReturnMs();
-      boolean untold = fleet.hearsNothing(m) && !zones.isAway(m);
-      if (lost || failed || noticeOver || drained || idle || untold) {
-        giveBack(
-            m,
-            lost
-                ? "lost"
-                : failed
-                    ? "failed"
-                    : noticeOver ? "taken" : drained ? "drained" : idle ? "idle" : "hears nothing");
-      }
-    }
-    returnDuds(now);
-    sendReturns();
-  }
-
   private void returnDuds(long now) {
     if (cloud.isQuiet() || wake.isListening()) {
       // Machines may have come up while we stood still, and their reports wait to be read.
@@ -282,8 +207,7 @@
           if (waits
               && boots.isDud(
                   b.kind.type(), bootS(b.kind), b.askedMs, now, isRefused(b.kind, now))) {
-            early.add(name);
-            giveBack(m, "never came up");
+            returns.giveBackRevocably(m, "never came up");
           }
         });
   }
@@ -319,48 +243,11 @@
     return late > (late + coming.size()) * Constants.BOOT_LATE_SHARE ? booting.keySet() : coming;
   }
 
-  private void giveBack(Machine m, String why) {
-    tally.add("returning, " + why, m.name(), 1);
-    fleet.returning(m);
-    returning.add(m.name());
-  }
-
-  private void sendReturns() {
-    if (givingBack || returning.isEmpty() || cloud.isQuiet()) {
-      return;
-    }
-    List<String> names = returning.stream().limit(Constants.MAX_PER_RETURN).toList();
-    givingBack = true;
-    cloud.giveBack(
-        names,
-        result -> {
-          givingBack = false;
-          if (closed) {
-            return;
-          }
-          if (result != Cloud.Returned.GONE) {
-            if (result == Cloud.Returned.REFUSED) {
-              for (String name : names) {
-                if (early.remove(name)) {
-                  returning.remove(name);
-                  fleet.keep(fleet.get(name));
-                }
-              }
-            }
-            return;
-          }
-          early.removeAll(names);
-          for (String name : names) {
-            Machine m = fleet.get(name);
-            returning.remove(name);
-            booting.remove(name);
-            fleet.returned(m);
-            // What we gave up others may take, and we are those others: after a refusal we once
-            // waited for 40 s
-            // while ten machines of a fleet of forty were to be had again.
-            refusedUntil.remove(new MachineKind(m.type(), m.zone(), m.spot()));
-          }
-        });
+  private void returned(Machine m) {
+    booting.remove(m.name());
+    // What we gave up others may take, and we are those others: after a refusal we once waited for
+    // 40 s while ten machines of a fleet of forty were to be had again.
+    refusedUntil.remove(new MachineKind(m.type(), m.zone(), m.spot()));
   }
 
   private void rent(List<Plan.Unplaced> unplaced, long now) {
@@ -373,7 +260,10 @@
     Set<String> coming = coming(now);
     for (Machine m : fleet.machines()) {
       boolean counts =
-          m.phase() == Machine.Phase.REPORTING && !m.isDraining() && m.noticeUntilMs() < 0;
+          m.phase() == Machine.Phase.REPORTING
+              && !m.isDraining()
+              && !fleet.isMute(m)
+              && m.noticeUntilMs() < 0;
       if (m.phase() != Machine.Phase.GONE) {
         count++;
       }
