--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -1,5 +1,6 @@
 package fennelthread.simulation;
 
+import fennelthread.Constants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Request;
@@ -89,6 +90,9 @@
   /** Starts that came under a token lower than the highest one seen. */
   int staleRuns;
 
+  /** Those of them that came under the token of an earlier leader than the highest one seen. */
+  int runsOfEarlierLeaders;
+
   WorkerEmulator(
       SimulatedNetwork world,
       Surroundings around,
@@ -358,6 +362,9 @@
       for (WorkerCommand order : WorkerCommand.read(body)) {
         if (order instanceof WorkerCommand.Run && body.count("ficha") < token) {
           staleRuns++;
+          boolean ofEarlier =
+              body.count("ficha") >> Constants.TOKEN_BITS < token >> Constants.TOKEN_BITS;
+          runsOfEarlierLeaders += ofEarlier ? 1 : 0;
         }
       }
       boolean good = body.count("ficha") >= token && body.count("turno") == session;
--- a/src/test/java/fennelthread/simulation/LeaderChanges.java
+++ b/src/test/java/fennelthread/simulation/LeaderChanges.java
@@ -3,14 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.net.Request;
+import fennelthread.net.Call;
 import fennelthread.wire.Codec;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.WireException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Map;
 import java.util.function.Consumer;
+import java.util.function.LongConsumer;
+import java.util.stream.LongStream;
 
 /** How leaders change in tests, what is said around it, and what has to hold afterwards. */
 final class LeaderChanges {
@@ -52,6 +55,13 @@
     }
   }
 
+  /** Cuts a machine from the controllers, if its name is one of every other. */
+  static void cutEveryOther(SimulatedCluster c, WorkerEmulator w, long forMs) {
+    if (w.name().hashCode() % 2 == 0) {
+      c.world.cut(w.name(), "nodo", forMs);
+    }
+  }
+
   static List<String> others(SimulatedCluster c, String member) {
     return c.controllers.keySet().stream().filter(m -> !m.equals(member)).toList();
   }
@@ -66,6 +76,41 @@
         });
   }
 
+  /** Ends whoever leads again and again, each time in the next way. */
+  static void endEach(SimulatedCluster c, Change[] ways, long everyMs, long untilMs) {
+    int[] next = new int[1];
+    Runnable[] again = new Runnable[1];
+    again[0] =
+        () -> {
+          if (c.world.now() < untilMs) {
+            end(c, ways[next[0]++ % ways.length]);
+            c.world.after(everyMs, again[0]);
+          }
+        };
+    c.world.after(1_000, again[0]);
+  }
+
+  /**
+   * Plays each meeting with each seed from {@code sim.from} to {@code sim.to}; gives what failed.
+   */
+  static List<String> broken(Map<String, LongConsumer> meetings) {
+    return LongStream.rangeClosed(Long.getLong("sim.from"), Long.getLong("sim.to"))
+        .boxed()
+        .flatMap(seed -> meetings.keySet().stream().map(name -> Map.entry(seed, name)))
+        .parallel()
+        .map(
+            at -> {
+              try {
+                meetings.get(at.getValue()).accept(at.getKey());
+                return "";
+              } catch (AssertionError | RuntimeException e) {
+                return at.getValue() + " seed " + at.getKey() + ": " + e;
+              }
+            })
+        .filter(text -> !text.isEmpty())
+        .toList();
+  }
+
   /** The epoch that was claimed last. */
   static long epoch(SimulatedCluster c) {
     try {
@@ -87,16 +132,11 @@
     return Codec.CBOR.encode(machine.peek().write());
   }
 
-  /** Hands reports to every controller that is alive. */
+  /** Hands reports to every controller that is there. */
   static void handToAll(SimulatedCluster c, Collection<byte[]> reports) {
-    for (String member : List.copyOf(c.controllers.keySet())) {
-      if (c.processes.get(member).alive) {
-        reports.forEach(
-            body ->
-                c.controllers
-                    .get(member)
-                    .api()
-                    .handle(new Request("POST", "/agent/beat", body), answer -> {}));
+    for (String address : c.controllers().values()) {
+      for (byte[] body : reports) {
+        c.world.deliver("n-late", address, new Call("POST", "/agent/beat", body, Codec.CBOR));
       }
     }
   }
