--- a/src/test/java/fennelthread/simulation/TroubleStormTest.java
+++ b/src/test/java/fennelthread/simulation/TroubleStormTest.java
@@ -79,6 +79,9 @@
     next(c);
     c.storm(300_000);
     SimulationTest.settle(c);
+    System.out.printf(
+        "seed %d: %d starts, %d after a user was told of the cancellation%n",
+        seed, c.rules.starts, c.rules.startsAfterCancel);
     assertTrue(c.closeLooks.asked > 0 && c.state.answersLost > 0);
   }
 
