--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -265,7 +265,9 @@
       Map<Quantity, Double> of =
           sample.computeIfAbsent(leads ? "leader" : "follower", k -> new TreeMap<>());
       double share = leads ? 1 : 1.0 / (CONTROLLERS - 1);
-      of.merge(Quantity.HEAP, share * graph.bytes(e.getValue()), Double::sum);
+      if (ObjectGraph.isOpen()) {
+        of.merge(Quantity.HEAP, share * graph.bytes(e.getValue()), Double::sum);
+      }
       of.merge(Quantity.MESSAGES, share * m.messages() / seconds, Double::sum);
       of.merge(Quantity.TRAFFIC, share * m.bytes() / seconds, Double::sum);
       of.merge(Quantity.PROCESSOR, share * m.processorMs() / seconds, Double::sum);
