--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -53,6 +53,7 @@
 
   final SimulatedNetwork world;
   final StateEmulator state;
+  final CloudEmulator cloud;
   final Map<String, Meter> meters = new LinkedHashMap<>();
   final Map<String, Controller> controllers = new LinkedHashMap<>();
   final Map<String, SimulatedNetwork.Process> processes = new HashMap<>();
@@ -83,7 +84,7 @@
     Deployment deployment =
         Deployment.large(shape.workers).withLease(shape.reportMs, LEASE_MS, CANCEL_MS);
     SimulatedNetwork.Process cloudProcess = world.new Process("cloud");
-    CloudEmulator cloud = new CloudEmulator(world, this, w -> {}, deployment);
+    cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
     users = world.new Process("users");
--- a/src/test/java/fennelthread/simulation/SlopesTest.java
+++ b/src/test/java/fennelthread/simulation/SlopesTest.java
@@ -1,10 +1,8 @@
 package fennelthread.simulation;
 
-import fennelthread.capacity.LinearFit;
 import fennelthread.capacity.Quantity;
 import fennelthread.capacity.Slope;
 import fennelthread.capacity.SlopeCatalogue;
-import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,7 +10,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.DoubleFunction;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -65,96 +62,8 @@
     return cell;
   }
 
-  /** Samples by size, as points of all quantities of all roles. */
-  private static final class Series {
-    private final String cause;
-    private final Map<String, Map<Quantity, List<LinearFit.Point>>> points = new TreeMap<>();
-
-    Series(String cause) {
-      this.cause = cause;
-    }
-
-    void add(double count, Map<String, Map<Quantity, Double>> sample) {
-      sample.forEach(
-          (role, quantities) ->
-              quantities.forEach((quantity, value) -> add(role, quantity, count, value)));
-    }
-
-    void add(String role, Quantity quantity, double count, double value) {
-      points
-          .computeIfAbsent(role, k -> new TreeMap<>())
-          .computeIfAbsent(quantity, k -> new ArrayList<>())
-          .add(new LinearFit.Point(count, value));
-    }
-
-    /** The same for what follows from kept series: nothing of earlier runs is looked at. */
-    void keepAnew(Quantity... quantities) {
-      points.keySet().forEach(role -> catalogue.remove(role, cause, Quantity.PROCESSOR));
-      keep(quantities);
-    }
-
-    private void keepLowest(String role, List<LinearFit.Point> now) {
-      List<LinearFit.Point> before =
-          catalogue.find(role, cause, Quantity.PROCESSOR).map(Slope::points).orElse(List.of());
-      for (int i = 0; i < now.size(); i++) {
-        LinearFit.Point point = now.get(i);
-        double value = point.value();
-        for (LinearFit.Point p : before) {
-          // Counts are kept with three digits after the point.
-          value = Math.abs(p.count() - point.count()) < 1e-3 ? Math.min(value, p.value()) : value;
-        }
-        now.set(i, new LinearFit.Point(point.count(), value));
-      }
-    }
-
-    /** The same less what another series found at the same sizes. */
-    Series less(Series other, String as) {
-      Series rest = new Series(as);
-      points.forEach(
-          (role, quantities) ->
-              quantities.forEach(
-                  (quantity, list) -> {
-                    List<LinearFit.Point> before = other.points.get(role).get(quantity);
-                    for (int i = 0; i < list.size(); i++) {
-                      rest.add(
-                          role,
-                          quantity,
-                          list.get(i).count(),
-                          list.get(i).value() - before.get(i).value());
-                    }
-                  }));
-      return rest;
-    }
-
-    /**
-     * Puts the slopes of some quantities into the catalogue, and prints them. Of processor time the
-     * lowest of all runs is kept: other work on the machine only adds to it.
-     */
-    void keep(Quantity... quantities) {
-      points.forEach(
-          (role, all) -> {
-            for (Quantity q : quantities) {
-              if (all.containsKey(q)) {
-                if (q == Quantity.PROCESSOR) {
-                  keepLowest(role, all.get(q));
-                }
-                Slope slope = new Slope(role, cause, q, all.get(q), "");
-                catalogue.put(slope, SOURCE);
-                LinearFit fit = slope.fit();
-                System.out.printf(
-                    "%-10s %-14s %-15s slope %12.4f +- %10.4f, at 0 %12.2f, residual %10.3f, R2 %.4f%n",
-                    role,
-                    cause,
-                    q.id(),
-                    fit.slope(),
-                    fit.slopeError(),
-                    fit.intercept(),
-                    fit.residual(),
-                    fit.rSquared());
-              }
-            }
-          });
-    }
+  private static SlopeSeries series(String cause) {
+    return new SlopeSeries(cause, catalogue, SOURCE);
   }
 
   private static final Quantity[] ALL = {
@@ -176,9 +85,9 @@
   };
 
   /** Builds a cell for each count, samples it and adds the points. */
-  private static Series measure(
+  private static SlopeSeries measure(
       String cause, double[] counts, DoubleFunction<ScaledCell> prepare, long sampleMs) {
-    Series series = new Series(cause);
+    SlopeSeries series = series(cause);
     for (double count : counts) {
       ScaledCell cell = prepare.apply(count);
       int starts = cell.starts;
@@ -217,7 +126,7 @@
 
   @Test
   void reports() {
-    Series series = new Series("report");
+    SlopeSeries series = series("report");
     for (long ms : new long[] {8_000, 4_000, 2_000, 1_333, 1_000, 800}) {
       ScaledCell cell = settled(ScaledCell.Shape.of(1_000).withReport(ms));
       Map<String, Map<Quantity, Double>> sample = cell.sample(SAMPLE_MS);
@@ -246,7 +155,7 @@
 
   private static final double[] RATES_OF_STARTS = {50, 100, 200, 400, 600, 800, 1_000};
 
-  private static Series starts(String cause, double estimateS) {
+  private static SlopeSeries starts(String cause, double estimateS) {
     return measure(
         cause,
         RATES_OF_STARTS,
@@ -261,9 +170,9 @@
 
   @Test
   void startsAndEnds() {
-    Series starts = starts("start", 1_000_000);
+    SlopeSeries starts = starts("start", 1_000_000);
     starts.keep(RATES);
-    Series both = starts("start-and-end", 5);
+    SlopeSeries both = starts("start-and-end", 5);
     both.keep(RATES);
     both.less(starts, "end").keepAnew(RATES);
   }
@@ -325,8 +234,9 @@
   @Test
   void workersInRounds() {
     double[] sizes = {250, 500, 1_000, 2_000, 4_000};
-    Series idle = measure("worker", sizes, n -> settled(ScaledCell.Shape.of((int) n)), SAMPLE_MS);
-    Series starting =
+    SlopeSeries idle =
+        measure("worker", sizes, n -> settled(ScaledCell.Shape.of((int) n)), SAMPLE_MS);
+    SlopeSeries starting =
         measure(
             "worker-at-work",
             sizes,
@@ -412,7 +322,7 @@
    */
   @Test
   void changeOfLeader() {
-    Series series = new Series("leader-change");
+    SlopeSeries series = series("leader-change");
     for (int workers : new int[] {250, 500, 1_000, 2_000, 4_000}) {
       ScaledCell cell = settled(ScaledCell.Shape.of(workers));
       cell.repeat(4, 5_000L * workers / 1_000, () -> cell.submit(cell.array(100, 1_000_000)));
@@ -472,39 +382,4 @@
             SAMPLE_MS)
         .keep(RATES);
   }
-
-  /** How many starts a second one leader comes to when more are asked for. */
-  @Test
-  void mostStarts() {
-    for (double rate : new double[] {800, 1_000, 1_200, 1_600}) {
-      ScaledCell cell = settled(ScaledCell.Shape.of(1_000));
-      cell.repeat(rate / 50, 25_000, () -> cell.submit(cell.array(50, 5)));
-      cell.run(10_000);
-      int starts = cell.starts;
-      cell.run(15_000);
-      System.out.printf(
-          "most starts: %.0f asked for, %.0f a second begun%n",
-          rate, (cell.starts - starts) / 15.0);
-    }
-  }
-
-  /** The same with the limits that a state service of a fleet site has today. */
-  @Test
-  void mostStartsWithLimits() {
-    for (double changes : new double[] {50, 100, 250, 500, 1_000}) {
-      for (int size : new int[] {10, 50}) {
-        Settings.State limits = new Settings.State(changes * 3.2, changes, 16 * 1024, 12);
-        ScaledCell cell = settled(ScaledCell.Shape.of(1_000).withLimits(limits));
-        cell.repeat(817.0 / size, 60_000, () -> cell.submit(cell.array(size, 5)));
-        cell.run(30_000);
-        int starts = cell.starts;
-        int ends = cell.ends;
-        cell.run(30_000);
-        System.out.printf(
-            "limits: %.0f changes a second, jobs of %d: 817 asked for, %.0f begun, %.0f done a second,"
-                + " answers %s%n",
-            changes, size, (cell.starts - starts) / 30.0, (cell.ends - ends) / 30.0, cell.answers);
-      }
-    }
-  }
 }
