--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -25,6 +25,24 @@
   /** Longest wait for the state service's answer, ms: occasionally it takes a few hundred. */
   public static final long STATE_TIMEOUT_MS = 1_000;
 
+  /**
+   * A request to the state service without an answer for so long is overdue, ms: as a rule it takes
+   * 10, in slow spells a hundred or two.
+   */
+  public static final long STATE_OVERDUE_MS = 250;
+
+  /** Answers are overdue after so many times what they took lately: a slow service is no loss. */
+  public static final double STATE_OVERDUE_TYPICAL = 3;
+
+  /** Weight of one more answer in what answers take as a rule. */
+  public static final double STATE_TYPICAL_WEIGHT = 0.1;
+
+  /** So many overdue requests, and no answer since they were sent, tell that nothing is served. */
+  public static final int STATE_SILENT_REQUESTS = 2;
+
+  /** How often a transaction that someone waits for is sent, times, if its answers stay away. */
+  public static final int ANSWER_TRIES = 4;
+
   /** Longest wait for a renewal, ms: short, since a fresh try may still save the lease. */
   public static final long RENEW_TIMEOUT_MS = 900;
 
@@ -696,6 +714,9 @@
    */
   public static final long ANSWER_MS = 1_000;
 
+  /** Users told to come back are counted for so long for one line of the log, ms. */
+  public static final long REFUSALS_LOG_MS = 10_000;
+
   /** How many submissions may wait for a transaction: the next ones are told to come back. */
   public static final int ACCEPT_QUEUE = 200;
 
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -76,9 +76,14 @@
     return NEEDS + id + "/" + part;
   }
 
+  /** Prefix of a job's finished tasks. */
+  public static String finishedOf(String id) {
+    return FINISHED + id + "/";
+  }
+
   /** One chunk of a job's finished tasks. */
   public static String finished(String id, int chunk) {
-    return FINISHED + id + "/" + chunk;
+    return finishedOf(id) + chunk;
   }
 
   /** Prefix of the round records of one epoch. */
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -133,6 +133,13 @@
     txn.removeList().forEach(key -> remove(key, at));
   }
 
+  /** Takes over an entry that was read by itself, if the copy has not come so far yet. */
+  public void learned(StateClient.Entry entry) {
+    if (entry.value() != null && entry.revision() > revision) {
+      put(entry.key(), entry.value(), entry.revision());
+    }
+  }
+
   private void moveTo(Phase next) {
     if (phase != next) {
       log.debug("replica {} -> {} at {}", phase, next, revision);
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -56,9 +56,8 @@
   private final String address;
   private final Limits limits;
   private final Budget budget;
-  private long lastOkAt;
-  private long lastFailAt = -1;
-  private long unansweredAt = -1;
+  private final ServiceHealth health;
+  private boolean looking;
   private long malformed;
 
   /** Creates a client. */
@@ -67,26 +66,44 @@
     this.address = settings.stateAddr();
     this.limits = new Limits(settings.state());
     this.budget = new Budget(host, settings.state().rps(), settings.state().writeRps());
-    this.lastOkAt = host.nowMs();
+    this.health = new ServiceHealth(host.nowMs());
   }
 
   /**
    * True if a request made now, with so many changes, would be answered in the time aimed at. Not
-   * if the last request got no answer, or if too many wait already: then whoever asks is better
-   * told at once when to come back.
+   * if the service is silent, or if too many wait already: then whoever asks is better told at once
+   * when to come back.
    */
   public boolean answersSoon(int writes) {
-    return unansweredAt <= lastOkAt && budget.sendsSoon(writes);
+    return whyNotSoon(writes) == null;
+  }
+
+  /** Why a request made now would not be answered soon, or null if it would. */
+  public Unavailability whyNotSoon(int writes) {
+    if (health.verdict(host.nowMs()) == ServiceHealth.Verdict.SILENT) {
+      return Unavailability.SILENT;
+    }
+    return budget.sendsSoon(writes) ? null : Unavailability.BUSY;
+  }
+
+  /** After how long an answer that someone waits for is worth asking for again, ms. */
+  public long overdueMs() {
+    return health.overdueMs();
   }
 
   /** How long the state service has refused us, ms; 0 if its last answer was good. */
   public long refusedForMs() {
-    return lastFailAt > lastOkAt ? host.nowMs() - lastOkAt : 0;
+    return health.failingForMs(host.nowMs());
   }
 
   /** When the service last answered well. */
   public long servedAtMs() {
-    return lastOkAt;
+    return health.servedAtMs();
+  }
+
+  /** What became of the requests so far, for a line of the log. */
+  public String census() {
+    return health.census();
   }
 
   /** How large values and transactions may be. */
@@ -168,14 +185,30 @@
 
   /** Sends a transaction. */
   public void txn(Lane lane, Txn txn, Consumer<TxnResult> done) {
+    txn(lane, txn, () -> {}, done);
+  }
+
+  /**
+   * Sends a transaction; {@code overdue} is run if it has had no answer for longer than answers
+   * take, while it may still come: whoever waits for it may find out by other means.
+   */
+  public void txn(Lane lane, Txn txn, Runnable overdue, Consumer<TxnResult> done) {
     budget.submit(
         lane,
         txn.ops(),
-        () ->
-            call(
-                Call.post("/multi", Codec.CBOR, txn.body()),
-                Constants.STATE_TIMEOUT_MS,
-                answer -> done.accept(result(txn, answer))),
+        () -> {
+          Host.Cancellable timer = host.after(health.overdueMs(), overdue);
+          call(
+              Call.post("/multi", Codec.CBOR, txn.body()),
+              Constants.STATE_TIMEOUT_MS,
+              Constants.STATE_TRIES_WHEN_BUSY,
+              // It speaks, and asks to be left alone: the last one to send things twice.
+              timer::cancel,
+              answer -> {
+                timer.cancel();
+                done.accept(result(txn, answer));
+              });
+        },
         () -> done.accept(new TxnResult.Refused("too many requests wait")));
   }
 
@@ -301,36 +334,71 @@
   }
 
   private void call(Call call, long timeoutMs, Consumer<Answer> done) {
-    call(call, timeoutMs, Constants.STATE_TRIES_WHEN_BUSY, done);
+    call(call, timeoutMs, Constants.STATE_TRIES_WHEN_BUSY, () -> {}, done);
   }
 
-  private void call(Call call, long timeoutMs, int tries, Consumer<Answer> done) {
+  private void call(
+      Call call, long timeoutMs, int tries, Runnable whenBusy, Consumer<Answer> done) {
+    // A watch is answered when something changes: how long that takes says nothing.
+    boolean timed = timeoutMs <= Constants.WATCH_HOLD_MS;
+    long ticket = timed ? health.sent(host.nowMs()) : 0;
+    if (timed) {
+      look();
+    }
     host.call(
         address,
         call,
         timeoutMs,
         answer -> {
+          note(ticket, timed, answer);
           if (answer != null && answer.status() == 429) {
             // Not executed, since all controllers together ask for too much: we hold back, and try
             // again before whoever waits has to.
             budget.exceeded();
+            whenBusy.run();
             if (tries > 0) {
               host.after(
                   (long) (Constants.STATE_BUSY_MS * (1 + host.random().nextDouble())),
-                  () -> call(call, timeoutMs, tries - 1, done));
+                  () -> call(call, timeoutMs, tries - 1, whenBusy, done));
               return;
             }
           }
-          boolean good = answer != null && answer.status() < 500 && answer.status() != 429;
-          if (good) {
-            lastOkAt = host.nowMs();
-          } else if (answer == null || answer.status() >= 500) {
-            lastFailAt = host.nowMs();
-            if (answer == null) {
-              unansweredAt = lastFailAt;
-            }
-          }
           done.accept(answer);
         });
   }
+
+  private void note(long ticket, boolean timed, Answer answer) {
+    long now = host.nowMs();
+    if (answer == null) {
+      health.unanswered(ticket, now);
+    } else if (answer.status() == 429) {
+      health.busy(ticket, now);
+    } else if (answer.status() >= 500) {
+      health.refused(ticket, now);
+    } else if (timed) {
+      health.served(ticket, now);
+    } else {
+      health.servedUntimed(now);
+    }
+  }
+
+  /** While requests wait, looks whether they are overdue, and asks for a sign of life if so. */
+  private void look() {
+    if (looking) {
+      return;
+    }
+    looking = true;
+    host.after(
+        Constants.STATE_OVERDUE_MS,
+        () -> {
+          looking = false;
+          if (health.verdict(host.nowMs()) == ServiceHealth.Verdict.DOUBTFUL) {
+            // One question more tells a lost answer from a service that is silent.
+            changes(count -> {});
+          }
+          if (health.isWaiting()) {
+            look();
+          }
+        });
+  }
 }
