--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -1,10 +1,13 @@
 package fennelthread.api;
 
 import fennelthread.Constants;
+import fennelthread.jobs.Acceptance;
+import fennelthread.jobs.DependencyCheck;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
 import fennelthread.jobs.JobTable;
 import fennelthread.jobs.Lookup;
+import fennelthread.jobs.Submission;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
 import fennelthread.net.Request;
@@ -39,6 +42,7 @@
   private final BooleanSupplier oldSibling;
   private final BooleanSupplier tight;
   private final BiConsumer<WorkerReport, Consumer<Answer>> beats;
+  private final Refusals refusals;
 
   /**
    * Creates the interface; {@code beats} answers reports, {@code oldSibling} tells whether a
@@ -64,6 +68,7 @@
     this.oldSibling = oldSibling;
     this.tight = tight;
     this.beats = beats;
+    this.refusals = new Refusals(host);
   }
 
   @Override
@@ -83,7 +88,7 @@
         String id =
             path.substring(
                 JOBS.length() + 1, Math.max(JOBS.length() + 1, path.length() - WITHDRAW.length()));
-        withdraw(id, bounded(reply));
+        cancel(id, bounded(reply));
       }
     } else if (path.startsWith(JOBS + "/")) {
       if (allowed(method, "GET", reply)) {
@@ -94,7 +99,7 @@
         reply.accept(
             up.getAsBoolean()
                 ? Answer.of(200, Codec.CBOR, Fields.create())
-                : later("can't serve now"));
+                : Answer.later(503, "can't serve now", Constants.RETRY_AFTER_S));
       }
     } else {
       reply.accept(Answer.error(404, "unknown path"));
@@ -133,7 +138,8 @@
     };
   }
 
-  private static Answer later(String why) {
+  private Answer later(String why) {
+    refusals.add(why);
     return Answer.later(503, why, Constants.RETRY_AFTER_S);
   }
 
@@ -158,7 +164,7 @@
       reply.accept(Answer.error(400, e.getMessage()));
       return;
     }
-    JobStore.Prepared job;
+    Submission job;
     try {
       JobSpec spec = JobSpec.read(body);
       Answer impossible = impossible(spec);
@@ -172,6 +178,7 @@
       return;
     }
     if (tight.getAsBoolean() && !store.isKnown(id)) {
+      refusals.add("no memory for more jobs");
       refuse(id, Answer.later(503, "no memory for more jobs", Constants.HEAP_RETRY_S), reply);
     } else if (job.spec().needs().isEmpty() || store.isKnown(id)) {
       accept(job, reply);
@@ -180,7 +187,7 @@
     }
   }
 
-  private void checkNeeds(JobStore.Prepared job, Consumer<Answer> reply) {
+  private void checkNeeds(Submission job, Consumer<Answer> reply) {
     String id = job.spec().id();
     if (oldSibling.getAsBoolean()) {
       // It would run the job without waiting, if it came to lead.
@@ -191,12 +198,12 @@
     store.checkNeeds(
         job.spec(),
         needs -> {
-          if (needs instanceof JobStore.Needs.Good good) {
-            accept(good.withdrawn() ? store.withdrawn(job) : job, reply);
-          } else if (needs instanceof JobStore.Needs.Bad bad) {
+          if (needs instanceof DependencyCheck.Needs.Good good) {
+            accept(good.cancelled() ? store.cancelled(job) : job, reply);
+          } else if (needs instanceof DependencyCheck.Needs.Bad bad) {
             refuse(id, Answer.error(422, JobSpec.NEEDS + ": " + bad.why()), reply);
-          } else {
-            reply.accept(later("the state service can't be reached"));
+          } else if (needs instanceof DependencyCheck.Needs.Unavailable unavailable) {
+            reply.accept(later(unavailable.why().text()));
           }
         });
   }
@@ -209,20 +216,20 @@
         id, found -> reply.accept(found instanceof Lookup.Unknown ? refusal : known(id, found)));
   }
 
-  private void accept(JobStore.Prepared job, Consumer<Answer> reply) {
+  private void accept(Submission job, Consumer<Answer> reply) {
     String id = job.spec().id();
     store.accept(
         job,
         outcome -> {
-          switch (outcome) {
-            case NEW -> {
-              JobState state = job.end() == null ? JobState.PENDING : job.end().state();
-              reply.accept(Answer.of(201, Codec.CBOR, JobStatus.accepted(id, state)));
-            }
-            case KNOWN -> store.lookup(id, found -> reply.accept(known(id, found)));
-            case UNAVAILABLE -> reply.accept(later("the state service can't be reached"));
-            case TOO_LARGE -> reply.accept(Answer.error(400, "body: is too large"));
-            default -> throw new IllegalStateException();
+          if (outcome instanceof Acceptance.New) {
+            JobState state = job.end() == null ? JobState.PENDING : job.end().state();
+            reply.accept(Answer.of(201, Codec.CBOR, JobStatus.accepted(id, state)));
+          } else if (outcome instanceof Acceptance.Known) {
+            store.lookup(id, found -> reply.accept(known(id, found)));
+          } else if (outcome instanceof Acceptance.TooLarge) {
+            refuse(id, Answer.error(400, "body: is too large"), reply);
+          } else if (outcome instanceof Acceptance.Unavailable unavailable) {
+            reply.accept(later(unavailable.why().text()));
           }
         });
   }
@@ -262,12 +269,12 @@
     store.lookup(id, found -> reply.accept(known(id, found)));
   }
 
-  private void withdraw(String id, Consumer<Answer> reply) {
+  private void cancel(String id, Consumer<Answer> reply) {
     if (!JobSpec.isId(id)) {
       reply.accept(Answer.error(404, "unknown job"));
       return;
     }
-    store.withdraw(
+    store.cancel(
         id,
         found -> {
           if (found instanceof Lookup.Live) {
@@ -292,7 +299,10 @@
     if (found instanceof Lookup.Unknown) {
       return Answer.error(404, "unknown job");
     }
-    return later("the state service can't be reached");
+    return later(
+        found instanceof Lookup.Unavailable unavailable
+            ? unavailable.why().text()
+            : "the job's state is not known");
   }
 
   private static Answer answer(JobStatus status) {
--- /dev/null
+++ b/src/main/java/fennelthread/api/Refusals.java
@@ -0,0 +1,33 @@
+package fennelthread.api;
+
+import fennelthread.Constants;
+import fennelthread.net.Host;
+import java.util.Map;
+import java.util.TreeMap;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Counts the users that are told to come back, by cause, and logs a line now and then. */
+final class Refusals {
+  private static final Logger log = LoggerFactory.getLogger(Refusals.class);
+
+  private final Host host;
+  private final Map<String, Integer> counts = new TreeMap<>();
+
+  Refusals(Host host) {
+    this.host = host;
+  }
+
+  /** A user was told to come back. */
+  void add(String cause) {
+    if (counts.isEmpty()) {
+      host.after(
+          Constants.REFUSALS_LOG_MS,
+          () -> {
+            log.info("users told to come back: {}", counts);
+            counts.clear();
+          });
+    }
+    counts.merge(cause, 1, Integer::sum);
+  }
+}
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -45,6 +45,13 @@
     return finished;
   }
 
+  /** In how many keys its finished tasks may stand: none if its end is all that is written. */
+  int chunks() {
+    return spec.service() || spec.tasks() == 1
+        ? 0
+        : (spec.tasks() + Constants.TASKS_PER_CHUNK - 1) / Constants.TASKS_PER_CHUNK;
+  }
+
   /** The name of the count of further keys that hold needs. */
   private static final String PARTS = "espera_parts";
 
--- a/src/main/java/fennelthread/jobs/Lookup.java
+++ b/src/main/java/fennelthread/jobs/Lookup.java
@@ -1,5 +1,6 @@
 package fennelthread.jobs;
 
+import fennelthread.state.Unavailability;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobState;
 import fennelthread.wire.WireException;
@@ -33,5 +34,5 @@
   record Unknown() implements Lookup {}
 
   /** The state service can't be asked now. */
-  record Unavailable() implements Lookup {}
+  record Unavailable(Unavailability why) implements Lookup {}
 }
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -125,6 +125,8 @@
     controllers = members.running;
     settings = members.settings;
     rules = new InvariantChecker(world, settings);
+    // The version in production takes counts from its own copy of the state, which may be behind.
+    rules.countsMustNotFall = members::areAllNew;
     randomJobs = new RandomJobs(world);
     SimulatedNetwork.Process stateProcess = world.new Process("state");
     state = new StateEmulator(world, stateProcess, deployment.limits());
@@ -259,7 +261,12 @@
 
   /** A user asks one controller to cancel a job that is known to be done, once. */
   void cancelAt(String member, String id) {
-    users.cancelAt(member, id);
+    cancelAt(member, id, answer -> {});
+  }
+
+  /** A user asks one controller to cancel a job, once; {@code then} gets the answer, or null. */
+  void cancelAt(String member, String id, Consumer<Answer> then) {
+    users.cancelAt(member, id, then);
   }
 
   /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -109,6 +109,11 @@
     controller.start();
   }
 
+  /** True if none is of the version in production. */
+  boolean areAllNew() {
+    return inProduction.isEmpty();
+  }
+
   /** Ends a controller of the old version; the next one is of the new. */
   void upgrade(String member, long downMs) {
     inProduction.remove(member);
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -151,10 +151,10 @@
     ask(addresses.get(member), call, id, 5_000, rules.known(id), then);
   }
 
-  /** A user asks one controller to cancel a job that is known to be done, once. */
-  void cancelAt(String member, String id) {
+  /** A user asks one controller to cancel a job, once; {@code then} gets the answer, or null. */
+  void cancelAt(String member, String id, Consumer<Answer> then) {
     Call call = new Call("POST", "/v1/jobs/" + id + "/withdraw", new byte[0], Codec.CBOR);
-    ask(addresses.get(member), call, id, 5_000, rules.known(id), answer -> {});
+    ask(addresses.get(member), call, id, 5_000, rules.known(id), then);
   }
 
   private void ask(
