--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -147,7 +147,7 @@
     enoughSinceMs = !enough ? -1 : enoughSinceMs < 0 ? now : enoughSinceMs;
     if (!enough) {
       turn(true);
-    } else if (solo.isOn() && now - enoughSinceMs > Constants.SOLO_AFTER_MS) {
+    } else if (mayStand() && now - enoughSinceMs > Constants.SOLO_AFTER_MS) {
       turn(false);
     } else if (!solo.isOn()
         && unpromisedAtMs >= 0
@@ -158,6 +158,15 @@
     }
   }
 
+  /**
+   * True if our word that we do without promises may stand: written, or found in the copy of the
+   * state, since the answers to its writing or its withdrawal were lost. As long as it stands
+   * nobody can take over from us if we fall silent.
+   */
+  private boolean mayStand() {
+    return solo.isOn() || soloEpoch() == lease.epoch();
+  }
+
   private void turn(boolean on) {
     solo.turn(
         on,
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -59,6 +59,9 @@
   private Phase phase = Phase.IDLE;
   private long partsWrittenAt;
 
+  /** Counts the transactions: only the last one's answer is waited for. */
+  private long writes;
+
   /** Creates the completions of a term; {@code changed} is called when a round may place more. */
   Completions(
       Host host,
@@ -189,18 +192,43 @@
       return;
     }
     moveTo(Phase.WRITING);
+    long number = ++writes;
     state.txn(
         ends.isEmpty() ? StateClient.Lane.UPKEEP : StateClient.Lane.ROUND,
         txn,
-        result -> written(txn, written, ends, result));
+        () -> overdue(number),
+        result -> written(number, txn, written, ends, result));
+  }
+
+  private boolean isAwaited(long number) {
+    return phase == Phase.WRITING && number == writes;
+  }
+
+  /**
+   * The answer stays away: other jobs' ends must not wait for it. If the transaction was applied,
+   * the copy of the state shows those jobs as over by now; if not, they are written again, on the
+   * same conditions.
+   */
+  private void overdue(long number) {
+    if (isAwaited(number)) {
+      moveTo(Phase.IDLE);
+      tick();
+    }
   }
 
   private void written(
-      Txn txn, Map<ActiveJob, BitSet> written, Map<String, Lookup.Final> ends, TxnResult result) {
+      long number,
+      Txn txn,
+      Map<ActiveJob, BitSet> written,
+      Map<String, Lookup.Final> ends,
+      TxnResult result) {
     if (phase == Phase.CLOSED) {
       return;
     }
-    moveTo(Phase.IDLE);
+    boolean awaited = isAwaited(number);
+    if (awaited) {
+      moveTo(Phase.IDLE);
+    }
     if (result instanceof TxnResult.Applied applied) {
       written.forEach(
           (run, covered) -> {
@@ -219,7 +247,9 @@
         // A job that was withdrawn has no record any more: its tasks need not be kept.
         dirty.removeIf(run -> c.failed().contains(Keys.job(run.job().spec().id())));
       }
-      host.after(Constants.RETRY_MS, this::tick);
+      if (awaited) {
+        host.after(Constants.RETRY_MS, this::tick);
+      }
     }
   }
 
