--- a/src/main/java/fennelthread/cli/Status.java
+++ b/src/main/java/fennelthread/cli/Status.java
@@ -19,6 +19,6 @@
 
   @Override
   public Integer call() throws Exception {
-    return client.send("GET", "/v1/jobs/" + id, null);
+    return client.send("GET", Client.path(id), null);
   }
 }
--- a/src/main/java/fennelthread/cli/Withdraw.java
+++ b/src/main/java/fennelthread/cli/Withdraw.java
@@ -19,6 +19,6 @@
 
   @Override
   public Integer call() throws Exception {
-    return client.send("POST", "/v1/jobs/" + id + "/withdraw", new byte[0]);
+    return client.send("POST", Client.path(id) + "/withdraw", new byte[0]);
   }
 }
--- a/src/test/java/fennelthread/cli/MainTest.java
+++ b/src/test/java/fennelthread/cli/MainTest.java
@@ -9,9 +9,12 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 class MainTest {
   @TempDir Path folder;
@@ -48,6 +51,35 @@
     assertEquals(1, refusal("emulate", folder.resolve("none.sexp").toString()).lines().count());
   }
 
+  /** What is wrong on the command line is named in one line, and nothing is sent. */
+  @ParameterizedTest
+  @CsvSource({
+    "--to,nonsense,job-000412",
+    "--to,:8080,job-000412",
+    "--to,10.0.0.1:,job-000412",
+    "--to,10.0.0.1:0,job-000412",
+    "--to,10.0.0.1:65536,job-000412",
+    "--to,10.0.0.1:80/x,job-000412",
+    "--to,a b:80,job-000412",
+    "ID,127.0.0.1:1,nonsense",
+    "ID,127.0.0.1:1,job-1 2",
+    "ID,127.0.0.1:1,../up"
+  })
+  void badAddressesAndIdsAreNamed(String named, String to, String id) throws Exception {
+    Path job = Files.writeString(folder.resolve("job.json"), "{}");
+    List<String[]> commands = new ArrayList<>();
+    commands.add(new String[] {"withdraw", "--to", to, id});
+    commands.add(new String[] {"status", "--to", to, id});
+    if (named.equals("--to")) {
+      commands.add(new String[] {"submit", "--to", to, job.toString()});
+    }
+    for (String[] command : commands) {
+      String text = refusal(command);
+      assertTrue(text.startsWith(named + ": must be of the form "), text);
+      assertEquals(1, text.lines().count(), text);
+    }
+  }
+
   private static String refusal(String... args) {
     PrintStream before = System.err;
     ByteArrayOutputStream text = new ByteArrayOutputStream();
