--- a/src/test/java/fennelthread/simulation/TroubleStormTest.java
+++ b/src/test/java/fennelthread/simulation/TroubleStormTest.java
@@ -75,7 +75,6 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void storm(long seed) {
     SimulatedCluster c = new SimulatedCluster(seed);
-    Scenes.countsMayFall(c);
     next(c);
     c.storm(300_000);
     SimulationTest.settle(c);
