--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -31,6 +31,12 @@
    */
   public static final long STATE_OVERDUE_MS = 250;
 
+  /**
+   * An answer that a user waits for is asked for again after so long, ms: changes are in the copy
+   * of the state by then, and some users count on an answer within 200.
+   */
+  public static final long ANSWER_OVERDUE_MS = 120;
+
   /** Answers are overdue after so many times what they took lately: a slow service is no loss. */
   public static final double STATE_OVERDUE_TYPICAL = 3;
 
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -118,7 +118,7 @@
    */
   public long overdueMs() {
     return Math.max(
-        Constants.STATE_OVERDUE_MS, (long) (typicalMs * Constants.STATE_OVERDUE_TYPICAL));
+        Constants.ANSWER_OVERDUE_MS, (long) (typicalMs * Constants.STATE_OVERDUE_TYPICAL));
   }
 
   /** When the service last answered well, ms. */
