--- a/src/main/java/fennelthread/fleet/ReportHandler.java
+++ b/src/main/java/fennelthread/fleet/ReportHandler.java
@@ -90,6 +90,9 @@
     boolean newest = m.isNewer(report);
     if (newest) {
       doubtAnswersArrive(m, report, by);
+    } else if (!m.isConfirmed(context.epoch())) {
+      // What we take for newer may be a copy from an earlier life of the machine: it tells itself.
+      probes.probe(m);
     }
     apply(m, report, true);
     if (isUnreachable(m)) {
--- a/src/test/java/fennelthread/simulation/LeaderChangeMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/LeaderChangeMeetingsTest.java
@@ -36,8 +36,8 @@
   /**
    * Machines were in their second session, were started anew and are in their first again, with
    * tasks. A report of the life before reaches every controller as a new leader begins, which can't
-   * ask those machines yet. Its later session proves nothing: their tasks run on, and run nowhere
-   * else.
+   * ask those machines yet. Its later session proves nothing: their tasks run on and nowhere else,
+   * and the machines get work as soon as they can be asked.
    */
   @ParameterizedTest
   @CsvSource({
@@ -83,12 +83,14 @@
     c.crash(c.leader(), 3_000);
     c.world.runUntil(c.world.now() + 9_000);
     assertTrue(handed[0] > 0, "nobody has claimed");
+    c.world.runUntil(c.world.now() + 6_000);
+    c.submit(LeaderChanges.batch(c, 300, 20));
+    c.world.runUntil(c.world.now() + 5_000);
+    List<WorkerEmulator> idle = new ArrayList<>(silent);
+    idle.removeAll(LeaderChanges.carrying(c));
+    assertTrue(idle.size() <= 2, idle.size() + " machines are not used again");
     c.world.runUntil(c.world.now() + 20_000);
     assertTrue(c.allRun(services));
-    JobSpec wide = LeaderChanges.batch(c, 300, 5);
-    c.submit(wide);
-    c.world.runUntil(c.world.now() + 30_000);
-    assertTrue(c.rules.isOver(wide.id()), "not all machines are used again");
   }
 
   /**
@@ -461,8 +463,6 @@
     LeaderChanges.settle(c, services, jobs);
   }
 
-  // ---------------------------------------------------------------- on demand
-
   /**
    * More seeds of each: {@code mvn test -Dtest=LeaderChangeMeetingsTest#soak -Dsim.from=100
    * -Dsim.to=139}.
