--- /dev/null
+++ b/src/test/java/fennelthread/simulation/LateCommandsMeetingsTest.java
@@ -0,0 +1,135 @@
+package fennelthread.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fennelthread.wire.JobSpec;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.LongConsumer;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Commands that are held up for 2 to 16 s without an answer and carried out once, machines that
+ * hang and go on, old reports, and cancellations, over changes of leader. Leases are of 10 s,
+ * cancelled jobs' tasks gone after 30 s.
+ */
+class LateCommandsMeetingsTest {
+  private static final int MACHINES = 60;
+  private static final long SPELL_MS = 35_000;
+
+  private static SimulatedCluster settled(long seed) {
+    return Scenes.settled(seed, Deployment.large(MACHINES), 0);
+  }
+
+  /** Jobs of two or three tasks, of which those of every fourth job last long. */
+  private static List<JobSpec> smallJobs(SimulatedCluster c, long forMs) {
+    List<JobSpec> jobs = new ArrayList<>();
+    for (int i = 0; i * 300L < forMs; i++) {
+      String team = i % 2 == 0 ? "roja" : "azul";
+      JobSpec job = FleetLoad.array(c, team, 2 + i % 2, i % 4 == 0 ? 25 : 2);
+      jobs.add(job);
+      c.world.after(i * 300L, () -> c.submit(job));
+    }
+    return jobs;
+  }
+
+  private static int staleStarts(SimulatedCluster c) {
+    return c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
+  }
+
+  private static void crashLeader(SimulatedCluster c, long downMs) {
+    if (c.leader() != null) {
+      c.crash(c.leader(), downMs);
+    }
+  }
+
+  /**
+   * A share of all commands is held up, or all; jobs are cancelled in bursts while their machines
+   * hang, and the leader ends before, in and after the burst. Copies of reports are handed to every
+   * controller as the next one begins or after it has acted.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "1,0.3,3000,-1",
+    "2,0.3,8000,0",
+    "3,0.3,8000,3000",
+    "4,1,3000,-1",
+    "5,1,8000,0",
+    "6,1,8000,3000"
+  })
+  void heldCommandsOverChangesOfLeader(long seed, double share, long hangMs, long copiesAfterMs) {
+    SimulatedCluster c = settled(seed);
+    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
+    List<JobSpec> jobs = smallJobs(c, SPELL_MS);
+    c.holdCommands(share, SPELL_MS);
+    if (copiesAfterMs >= 0) {
+      c.keepReportsForNextLeader(0.5, SPELL_MS, copiesAfterMs);
+    }
+    c.world.after(5_000, () -> c.cancelNow(8, hangMs));
+    c.world.after(5_300, () -> crashLeader(c, 300));
+    c.world.after(15_000, () -> crashLeader(c, 4_000));
+    c.world.after(15_400, () -> c.cancelNow(8, hangMs));
+    c.world.after(26_000, () -> crashLeader(c, 50));
+    c.world.runUntil(c.world.now() + SPELL_MS + 20_000);
+    assertTrue(c.world.requestFaults.commandsDelivered > 20, "commands came late");
+    assertTrue(c.cancellations.hung > 4, c.cancellations.hung + " machines hung");
+    assertTrue(copiesAfterMs < 0 || c.reportCopies.handed() > 50, "copies were handed out");
+    c.rules.troublesAreOver();
+    c.world.runUntil(c.world.now() + 60_000);
+    assertTrue(staleStarts(c) > 0, "no start came under an old token");
+    assertTrue(
+        c.allRun(services.stream().filter(s -> !c.rules.isOver(s.id())).toList()),
+        "services are whole");
+    assertEquals(
+        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
+  }
+
+  /**
+   * Running jobs are cancelled while their machines hang for less than a lease, with or without a
+   * change of leader. The tasks go on when the machines do, and are stopped within three seconds of
+   * that.
+   */
+  @ParameterizedTest
+  @CsvSource({"11,3000,false", "12,7000,false", "13,3000,true", "14,7000,true"})
+  void cancelledTasksOfHungMachinesAreStopped(long seed, long hangMs, boolean leaderEnds) {
+    SimulatedCluster c = settled(seed);
+    c.cloud.outage(40_000);
+    Scenes.services(c, 12, 100, 15_000);
+    long fromMs = c.world.now();
+    List<String> cancelled = c.cancelNow(10, hangMs);
+    if (leaderEnds) {
+      c.world.after(100, () -> crashLeader(c, 300));
+    }
+    c.world.runUntil(fromMs + hangMs - 20);
+    int there = cancelled.stream().mapToInt(c.rules::running).sum();
+    assertTrue(there > 0, "nothing that is cancelled is on a hung machine");
+    c.world.runUntil(fromMs + hangMs + (leaderEnds ? 6_000 : 3_000));
+    assertEquals(0, cancelled.stream().mapToInt(c.rules::running).sum(), "cancelled tasks run");
+    c.world.runUntil(c.world.now() + 30_000);
+  }
+
+  /**
+   * More seeds of each: {@code mvn test -Dtest=LateCommandsMeetingsTest#soak -Dsim.from=100
+   * -Dsim.to=140}.
+   */
+  @Test
+  @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
+  void soak() {
+    Map<String, LongConsumer> cases =
+        Map.of(
+            "held",
+            seed ->
+                heldCommandsOverChangesOfLeader(
+                    seed, seed % 3 == 0 ? 1 : 0.3, 3_000 + seed % 2 * 5_000, seed % 4 * 1_500 - 1),
+            "hung",
+            seed ->
+                cancelledTasksOfHungMachinesAreStopped(
+                    seed, 3_000 + seed % 3 * 2_000, seed % 2 == 0));
+    assertEquals(List.of(), Soak.run(cases));
+  }
+}
--- a/src/test/java/fennelthread/simulation/TeamLimitMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/TeamLimitMeetingsTest.java
@@ -66,22 +66,24 @@
     abstract void begin(SimulatedCluster c, WorkerEmulator w);
   }
 
-  /** Two teams at their limits, with as much again waiting. */
+  /** Teams at their limits, with as much again waiting. */
   private static final class FullTeams {
     final SimulatedCluster c;
+    final List<String> teams;
     final List<JobSpec> jobs = new ArrayList<>();
     long claimedAtMs;
     int claims;
 
-    FullTeams(long seed) {
+    FullTeams(long seed, List<String> teams) {
+      this.teams = teams;
       c = Scenes.settled(seed, Deployment.large(MACHINES).withTeamCap(LIMIT), 0);
-      for (int i = 0; i < 48; i++) {
-        JobSpec job = FleetLoad.array(c, TEAMS.get(i % 2), 5, 600);
+      for (int i = 0; i < 24 * teams.size(); i++) {
+        JobSpec job = FleetLoad.array(c, teams.get(i % teams.size()), 5, 600);
         jobs.add(job);
         c.world.after(i * 20L, () -> c.submit(job));
       }
       c.world.runUntil(c.world.now() + 10_000);
-      assertTrue(FleetLoad.areAtLimit(c, TEAMS), c.rules.usage());
+      assertTrue(FleetLoad.areAtLimit(c, teams), c.rules.usage());
       c.state.onWrite.add(
           key -> {
             if (key.equals("live/lead")) {
@@ -94,7 +96,7 @@
     /** The first jobs of each team that are at work, of which all are to be cancelled. */
     List<JobSpec> atWork(int ofEach) {
       List<JobSpec> some = new ArrayList<>();
-      for (String team : TEAMS) {
+      for (String team : teams) {
         jobs.stream()
             .filter(job -> job.team().equals(team) && c.rules.running(job.id()) == job.tasks())
             .limit(ofEach)
@@ -126,14 +128,14 @@
     }
 
     private boolean isFullWithout(List<JobSpec> cancelled) {
-      return FleetLoad.areAtLimit(c, TEAMS)
+      return FleetLoad.areAtLimit(c, teams)
           && cancelled.stream().allMatch(job -> c.rules.running(job.id()) == 0);
     }
   }
 
   /**
-   * Both teams are at their limits; a few machines, or more than half, can't be asked from a moment
-   * before or after the leader ends, and jobs that run there are cancelled.
+   * Every team, or one, is at its limit; a few machines, or more than half, can't be asked from a
+   * moment before or after the leader ends, and jobs that run there are cancelled.
    *
    * <p>Stated times, from the later of the claim and the last cancellation: a machine that carries
    * out commands frees its room with the answer to its stop; one of a few that don't answer goes
@@ -143,25 +145,38 @@
    */
   @ParameterizedTest
   @CsvSource({
-    "1,CUT,4,100,300,true",
-    "2,CUT,4,1500,300,true",
-    "3,CUT,40,100,300,true",
-    "4,CUT,40,100,60000,true",
-    "5,CUT,4,100,300,false",
-    "6,CUT,4,100,60000,false",
-    "7,HANG,4,100,300,true",
-    "8,HANG,40,100,300,true",
-    "9,HANG,40,1500,60000,false",
-    "10,HEARS_NOTHING,4,100,300,true",
-    "11,HEARS_NOTHING,40,100,60000,true",
-    "12,MUTE,4,100,300,true",
-    "13,MUTE,40,100,60000,false"
+    "1,CUT,4,100,300,true,true",
+    "2,CUT,4,1500,300,true,true",
+    "3,CUT,40,100,300,true,true",
+    "4,CUT,40,100,60000,true,true",
+    "5,CUT,4,100,300,false,true",
+    "6,CUT,4,100,60000,false,true",
+    "7,HANG,4,100,300,true,true",
+    "8,HANG,40,100,300,true,true",
+    "9,HANG,40,1500,60000,false,true",
+    "10,HEARS_NOTHING,4,100,300,true,true",
+    "11,HEARS_NOTHING,40,100,60000,true,true",
+    "12,MUTE,4,100,300,true,true",
+    "13,MUTE,40,100,60000,false,true",
+    "14,CUT,4,100,300,true,false",
+    "15,CUT,40,100,60000,true,false",
+    "16,HANG,40,100,300,false,false",
+    "17,MUTE,4,100,300,true,false",
+    "18,MUTE,4,700,60000,true,true",
+    "19,MUTE,40,700,300,true,true",
+    "20,MUTE,10,900,60000,false,true"
   })
   void theRoomIsUsedAgainOnceItIsProvenFree(
-      long seed, Trouble trouble, int count, long cancelAfterMs, long downMs, boolean cloud) {
-    FullTeams f = new FullTeams(seed);
+      long seed,
+      Trouble trouble,
+      int count,
+      long cancelAfterMs,
+      long downMs,
+      boolean cloud,
+      boolean every) {
+    FullTeams f = new FullTeams(seed, every ? TEAMS : TEAMS.subList(0, 1));
     SimulatedCluster c = f.c;
-    List<JobSpec> cancelled = f.atWork(3);
+    List<JobSpec> cancelled = f.atWork(every ? 3 : 6);
     List<WorkerEmulator> machines = new ArrayList<>(FleetLoad.carrying(c, cancelled));
     c.cloud.machines().values().stream()
         .filter(w -> w.isUp() && !machines.contains(w))
@@ -202,7 +217,7 @@
   @ParameterizedTest
   @CsvSource({"21,4", "22,30", "23,45", "24,10"})
   void thePredecessorMayAnswerReportsAfterTheClaim(long seed, int count) {
-    FullTeams f = new FullTeams(seed);
+    FullTeams f = new FullTeams(seed, TEAMS);
     SimulatedCluster c = f.c;
     c.cloud.outage(TROUBLE_MS + 10_000);
     String old = c.leader();
@@ -283,7 +298,8 @@
                     seed / 4 % 2 == 0 ? 4 : 40,
                     100 + seed % 3 * 700,
                     seed / 8 % 2 == 0 ? 300 : 60_000,
-                    seed % 3 > 0),
+                    seed % 3 > 0,
+                    seed % 5 > 0),
             "predecessor",
             seed -> thePredecessorMayAnswerReportsAfterTheClaim(seed, 4 + (int) (seed % 40)),
             "session",
