--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -13,6 +13,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -102,7 +103,8 @@
     world.after(forMs, () -> down = false);
   }
 
-  TreeMap<String, WorkerEmulator> machines() {
+  /** The machines that are rented, by name; failed ones stay until they are returned. */
+  NavigableMap<String, WorkerEmulator> machines() {
     return machines;
   }
 
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -106,7 +106,7 @@
     if (!end.drawn && accounted.cardinality() == spec.tasks()) {
       end.drawn = true;
       if (world.faults.nextDouble() < endShare) {
-        long offset = world.faults.nextInt(2 * END_SPREAD_MS + 1) - END_SPREAD_MS;
+        long offset = (long) world.faults.nextInt(2 * END_SPREAD_MS + 1) - END_SPREAD_MS;
         world.at(end.atMs + offset, () -> cancel(spec.id()));
       }
     }
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -52,7 +52,7 @@
   }
 
   private void next() {
-    long pause = PAUSE_LEAST_MS + world.faults.nextInt(PAUSE_MOST_MS - PAUSE_LEAST_MS);
+    long pause = (long) PAUSE_LEAST_MS + world.faults.nextInt(PAUSE_MOST_MS - PAUSE_LEAST_MS);
     world.after(
         pause,
         () -> {
--- a/src/main/java/fennelthread/simulation/RandomTroubles.java
+++ b/src/main/java/fennelthread/simulation/RandomTroubles.java
@@ -42,7 +42,7 @@
     String busiest = leads == null ? member : leads;
     List<WorkerEmulator> all = List.copyOf(cluster.cloud.machines().values());
     WorkerEmulator worker = all.isEmpty() ? null : all.get(network.random.nextInt(all.size()));
-    long span = 1_000 + network.random.nextInt(20_000);
+    long span = 1_000L + network.random.nextInt(20_000);
     switch (network.random.nextInt(14)) {
       case 0 -> cluster.crash(member, 3_000);
       case 1 -> cluster.crash(busiest, 5_000);
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -43,7 +43,7 @@
   final Deployment deployment;
   final SimulatedControllers members;
   final SimulatedUsers users;
-  final Map<String, SimulatedNetwork.Process> processes;
+  final Map<String, SimulatedNetwork.HostProcess> processes;
   final Map<String, Node> controllers;
   final List<JobSpec> jobs;
   final ReportCopies reportCopies;
@@ -126,15 +126,15 @@
     settings = members.settings;
     rules = new InvariantChecker(world, settings);
     randomJobs = new RandomJobs(world);
-    SimulatedNetwork.Process stateProcess = world.new Process("state");
+    SimulatedNetwork.HostProcess stateProcess = world.new HostProcess("state");
     state = new StateEmulator(world, stateProcess, deployment.limits());
     stateProcess.listen(STATE, state);
     world.name(STATE, "state");
-    SimulatedNetwork.Process cloudProcess = world.new Process("cloud");
+    SimulatedNetwork.HostProcess cloudProcess = world.new HostProcess("cloud");
     cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
-    users = new SimulatedUsers(world, rules, world.new Process("users"), members.addresses);
+    users = new SimulatedUsers(world, rules, world.new HostProcess("users"), members.addresses);
     jobs = users.jobs;
     members.startAll();
     rentFirstMachines();
@@ -239,7 +239,7 @@
 
   /** A user asks one controller about a job, once. */
   void askThrough(String member, String id) {
-    users.askThrough(member, id);
+    users.askAt(member, id, answer -> {});
   }
 
   /** The same. */
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -21,7 +21,7 @@
   final Map<String, String> addresses = new LinkedHashMap<>();
 
   /** The last process of each member. */
-  final Map<String, SimulatedNetwork.Process> processes = new TreeMap<>();
+  final Map<String, SimulatedNetwork.HostProcess> processes = new TreeMap<>();
 
   /** The last controller of each member. */
   final Map<String, SimulatedCluster.Node> running = new TreeMap<>();
@@ -37,9 +37,10 @@
       addresses.put("nodo-" + i, "10.0.0." + (i + 1) + ":8080");
     }
     int small = deployment.small();
+    int guaranteedToBlue = small * 8 / 3;
     Map<String, Settings.Team> teams = new TreeMap<>();
     teams.put("roja", new Settings.Team("roja", small * 4, deployment.teamCap(), 2, 4));
-    teams.put("azul", new Settings.Team("azul", small * 8 / 3, deployment.teamCap(), 0, 2));
+    teams.put("azul", new Settings.Team("azul", guaranteedToBlue, deployment.teamCap(), 0, 2));
     settings = settingsOf("nodo-0", teams);
   }
 
@@ -47,7 +48,7 @@
   void startAll() {
     for (String member : addresses.keySet()) {
       network.name(addresses.get(member), member);
-      network.name(meshOf(member), member);
+      network.name(peerAddressOf(member), member);
       network.place(member, siteOf(member));
       if (deployment.production()) {
         inProduction.add(member);
@@ -56,7 +57,7 @@
     }
   }
 
-  private static String meshOf(String member) {
+  private static String peerAddressOf(String member) {
     return "10.0.0." + (indexOf(member) + 1) + ":8081";
   }
 
@@ -74,14 +75,14 @@
     List<Settings.Sibling> siblings = new ArrayList<>();
     for (String other : addresses.keySet()) {
       if (!other.equals(member)) {
-        siblings.add(new Settings.Sibling(other, siteOf(other), meshOf(other)));
+        siblings.add(new Settings.Sibling(other, siteOf(other), peerAddressOf(other)));
       }
     }
     return new Settings(
         member,
         siteOf(member),
         addresses.get(member),
-        meshOf(member),
+        peerAddressOf(member),
         siblings,
         SimulatedCluster.CLOUD,
         SimulatedCluster.STATE,
@@ -96,14 +97,14 @@
 
   /** Starts a controller of the version that its member has at the moment. */
   void start(String member) {
-    SimulatedNetwork.Process process = network.new Process(member);
+    SimulatedNetwork.HostProcess process = network.new HostProcess(member);
     Settings own = settingsOf(member, settings.teams());
     SimulatedCluster.Node controller =
         inProduction.contains(member)
             ? SimulatedCluster.oldVersion.controller(process, own, deployment.limits())
             : SimulatedCluster.Node.of(new Controller(process, own, Options.DEFAULTS));
     process.listen(addresses.get(member), controller.api());
-    process.listen(meshOf(member), controller.mesh());
+    process.listen(peerAddressOf(member), controller.mesh());
     processes.put(member, process);
     running.put(member, controller);
     controller.start();
@@ -124,7 +125,7 @@
   /** Ends a controller; another process of the same member begins after so long. */
   void crash(String member, long downMs) {
     processes.get(member).kill();
-    SimulatedNetwork.Process dead = processes.get(member);
+    SimulatedNetwork.HostProcess dead = processes.get(member);
     network.after(
         downMs,
         () -> {
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -25,7 +25,7 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.seq, b.seq));
-  private final Map<String, Process> byAddress = new HashMap<>();
+  private final Map<String, HostProcess> byAddress = new HashMap<>();
   private final NetworkCuts cuts = new NetworkCuts(this);
   private final List<Held> holds = new ArrayList<>();
 
@@ -48,7 +48,10 @@
   /** Faults of single requests. */
   final RequestFaults requestFaults = new RequestFaults(this);
 
+  /** Share of the packets that are lost. */
   double loss = 0.002;
+
+  /** Share of the packets that arrive 3 to 63 s late. */
   double late = 0.001;
 
   /** Share of the requests of controllers to workers for which no socket is to be had. */
@@ -74,14 +77,17 @@
     faults = new SplittableRandom(seed * 31 + 17);
   }
 
+  /** Simulated time, ms. */
   long now() {
     return now;
   }
 
+  /** Runs a task at that time, or at once if it has passed. */
   void at(long time, Runnable task) {
     events.add(new Event(Math.max(now, time), seq++, task));
   }
 
+  /** Runs a task after so many milliseconds. */
   void after(long delay, Runnable task) {
     at(now + delay, task);
   }
@@ -91,6 +97,7 @@
     afterEach.add(check);
   }
 
+  /** Runs all that happens until then. */
   void runUntil(long time) {
     while (!events.isEmpty() && events.peek().at <= time) {
       Event e = events.poll();
@@ -153,7 +160,7 @@
       String path, boolean answer, String from, String to, String address, Runnable deliver) {
     for (Held h : holds) {
       if (h.answers == answer && path.startsWith(h.path) && faults.nextDouble() < h.share) {
-        Process now = byAddress.get(address);
+        HostProcess now = byAddress.get(address);
         after(
             h.leastMs + faults.nextLong(h.mostMs - h.leastMs + 1),
             () -> {
@@ -215,9 +222,9 @@
     if (chance < loss) {
       return;
     }
-    long delay = 1 + random.nextInt(4);
+    long delay = 1L + random.nextInt(4);
     if (chance > 1 - late) {
-      delay = 3_000 + random.nextInt(60_000);
+      delay = 3_000L + random.nextInt(60_000);
     }
     after(delay + requestFaults.extraMs(from, to), deliver);
   }
@@ -241,7 +248,7 @@
    * @return false if no process listens there
    */
   boolean deliver(String from, String address, Call call) {
-    Process target = byAddress.get(address);
+    HostProcess target = byAddress.get(address);
     if (target != null) {
       target.serve(from, address, call, answer -> {});
     }
@@ -249,7 +256,7 @@
   }
 
   /** One process on a machine of its own; a restart is a new process under the same name. */
-  final class Process implements Host {
+  final class HostProcess implements Host {
     final String name;
     private final double drift;
     private final long born;
@@ -258,7 +265,7 @@
     boolean alive = true;
     private long pausedUntil;
 
-    Process(String name) {
+    HostProcess(String name) {
       this.name = name;
       this.drift = random.nextDouble() * 0.0005;
       this.born = now - random.nextInt(100_000);
@@ -381,7 +388,7 @@
           to,
           address,
           () -> {
-            Process target = byAddress.get(address);
+            HostProcess target = byAddress.get(address);
             if (target == null) {
               if (random.nextBoolean()) {
                 // Refused; the other half of the time, a machine without power stays silent.
@@ -406,7 +413,7 @@
 
     /** Delivers a request to the process that listens there now, unanswered, if it still does. */
     private void deliverLate(String address, Call call, long holdMs) {
-      Process target = byAddress.get(address);
+      HostProcess target = byAddress.get(address);
       SimulatedNetwork.this.after(
           holdMs,
           () -> {
@@ -449,7 +456,7 @@
       };
     }
 
-    /** Who sent the request that is being handled: for stand-ins that treat nodes differently. */
+    /** Who sent the request that is being handled, for emulators that treat callers differently. */
     String caller = "";
   }
 
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -13,9 +13,16 @@
 
 /** The users: they submit jobs, ask about them and cancel some, and the checker hears it all. */
 final class SimulatedUsers {
+  private static final String JOBS_PATH = "/v1/jobs";
+  private static final long SUBMIT_TIMEOUT_MS = 5_000;
+  private static final long QUESTION_TIMEOUT_MS = 2_000;
+  private static final long RETRY_MS = 1_000;
+  private static final int SUBMISSIONS = 40;
+  private static final long NO_COUNT = -1;
+
   private final SimulatedNetwork network;
   private final InvariantChecker rules;
-  private final SimulatedNetwork.Process process;
+  private final SimulatedNetwork.HostProcess process;
   private final Map<String, String> addresses;
   private final List<Consumer<String>> onNews = new ArrayList<>();
 
@@ -30,7 +37,7 @@
   SimulatedUsers(
       SimulatedNetwork network,
       InvariantChecker rules,
-      SimulatedNetwork.Process process,
+      SimulatedNetwork.HostProcess process,
       Map<String, String> addresses) {
     this.network = network;
     this.rules = rules;
@@ -40,30 +47,32 @@
 
   /** A user submits a job until it is accepted, and asks about it for ever. */
   void submit(JobSpec spec) {
-    rules.submits(spec);
-    jobs.add(spec);
-    submit(spec, 40);
+    note(spec);
+    submit(spec, SUBMISSIONS);
   }
 
-  /** The same by a user who never asks about it. */
+  /** The same by a user who submits once and never asks. */
   void submitOnly(JobSpec spec) {
+    note(spec);
+    ask(anyAddress(), submission(spec.write()), spec.id(), SUBMIT_TIMEOUT_MS, answer -> {});
+  }
+
+  private void note(JobSpec spec) {
     rules.submits(spec);
     jobs.add(spec);
-    ask("POST", "/v1/jobs", Codec.CBOR.encode(spec.write()), spec.id(), 5_000, good -> {});
   }
 
-  private void submit(JobSpec spec, int tries) {
+  private void submit(JobSpec spec, int triesLeft) {
     ask(
-        "POST",
-        "/v1/jobs",
-        Codec.CBOR.encode(spec.write()),
+        anyAddress(),
+        submission(spec.write()),
         spec.id(),
-        5_000,
-        good -> {
-          if (good) {
+        SUBMIT_TIMEOUT_MS,
+        answer -> {
+          if (isGranted(answer)) {
             poll(spec.id());
-          } else if (tries > 0) {
-            network.after(1_000, () -> submit(spec, tries - 1));
+          } else if (triesLeft > 0) {
+            network.after(RETRY_MS, () -> submit(spec, triesLeft - 1));
           }
         });
   }
@@ -82,16 +91,15 @@
 
   private void question(String id) {
     ask(
-        "GET",
-        "/v1/jobs/" + id,
-        null,
+        anyAddress(),
+        questionAbout(id),
         id,
-        2_000,
-        good -> {
-          if (good) {
+        QUESTION_TIMEOUT_MS,
+        answer -> {
+          if (isGranted(answer)) {
             poll(id);
           } else {
-            network.after(1_000, () -> question(id));
+            network.after(RETRY_MS, () -> question(id));
           }
         });
   }
@@ -100,14 +108,13 @@
   void withdraw(String id) {
     rules.asksToCancel(id);
     ask(
-        "POST",
-        "/v1/jobs/" + id + "/withdraw",
-        new byte[0],
+        anyAddress(),
+        cancellationOf(id),
         id,
-        5_000,
-        good -> {
-          if (!good) {
-            network.after(1_000, () -> withdraw(id));
+        SUBMIT_TIMEOUT_MS,
+        answer -> {
+          if (!isGranted(answer)) {
+            network.after(RETRY_MS, () -> withdraw(id));
           }
         });
   }
@@ -117,61 +124,35 @@
     rules.asksToCancel(id);
     ask(
         addresses.get(member),
-        "POST",
-        "/v1/jobs/" + id + "/withdraw",
-        new byte[0],
+        cancellationOf(id),
         id,
-        5_000,
-        good -> {
-          if (!good && tries > 1) {
-            network.after(1_000, () -> withdrawThrough(member, id, tries - 1));
+        SUBMIT_TIMEOUT_MS,
+        answer -> {
+          if (!isGranted(answer) && tries > 1) {
+            network.after(RETRY_MS, () -> withdrawThrough(member, id, tries - 1));
           }
         });
   }
 
-  /** A user asks one controller about a job, once. */
-  void askThrough(String member, String id) {
-    ask(addresses.get(member), "GET", "/v1/jobs/" + id, null, id, 2_000, good -> {});
-  }
-
-  /** A user asks one controller about a job, once. */
-  void askAt(String member, String id) {
-    askAt(member, id, answer -> {});
-  }
-
-  /** The same; {@code then} gets the answer, or null if there was none. */
+  /** A user asks one controller about a job, once; {@code then} gets the answer, or null. */
   void askAt(String member, String id, Consumer<Answer> then) {
-    InvariantChecker.Known before = rules.known(id);
-    ask(addresses.get(member), Call.get("/v1/jobs/" + id), id, 2_000, before, then);
+    ask(addresses.get(member), questionAbout(id), id, QUESTION_TIMEOUT_MS, then);
   }
 
   /** A user submits a body to one controller, once; {@code then} gets the answer, or null. */
   void submitAt(String member, String id, Fields body, Consumer<Answer> then) {
-    Call call = Call.post("/v1/jobs", Codec.CBOR, body);
-    ask(addresses.get(member), call, id, 5_000, rules.known(id), then);
+    ask(addresses.get(member), submission(body), id, SUBMIT_TIMEOUT_MS, then);
   }
 
   /** A user asks one controller to cancel a job that is known to be done, once. */
   void cancelAt(String member, String id) {
-    Call call = new Call("POST", "/v1/jobs/" + id + "/withdraw", new byte[0], Codec.CBOR);
-    ask(addresses.get(member), call, id, 5_000, rules.known(id), answer -> {});
+    ask(addresses.get(member), cancellationOf(id), id, SUBMIT_TIMEOUT_MS, answer -> {});
   }
 
-  private void ask(
-      String to,
-      Call call,
-      String id,
-      long timeoutMs,
-      InvariantChecker.Known before,
-      Consumer<Answer> then) {
-    process.call(
-        to,
-        call,
-        timeoutMs,
-        answer -> {
-          note(id, answer, before);
-          then.accept(answer);
-        });
+  /** A user asks about a job that nobody has submitted. */
+  void askUnknown() {
+    String id = "job-9" + network.random.nextInt(100_000);
+    ask(anyAddress(), questionAbout(id), id, QUESTION_TIMEOUT_MS, answer -> {});
   }
 
   /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
@@ -179,52 +160,57 @@
     onNews.add(listener);
   }
 
-  /** A user asks about a job that nobody has submitted. */
-  void askUnknown() {
-    String id = "job-9" + network.random.nextInt(100_000);
-    ask("GET", "/v1/jobs/" + id, null, id, 2_000, good -> {});
+  private static Call submission(Fields body) {
+    return Call.post(JOBS_PATH, Codec.CBOR, body);
+  }
+
+  private static Call questionAbout(String id) {
+    return Call.get(JOBS_PATH + "/" + id);
+  }
+
+  private static Call cancellationOf(String id) {
+    return new Call("POST", JOBS_PATH + "/" + id + "/withdraw", new byte[0], Codec.CBOR);
   }
 
-  private void ask(
-      String method, String path, byte[] body, String id, long timeoutMs, Consumer<Boolean> done) {
+  private String anyAddress() {
     List<String> all = List.copyOf(addresses.values());
-    ask(all.get(network.random.nextInt(all.size())), method, path, body, id, timeoutMs, done);
+    return all.get(network.random.nextInt(all.size()));
   }
 
-  private void ask(
-      String to,
-      String method,
-      String path,
-      byte[] body,
-      String id,
-      long timeoutMs,
-      Consumer<Boolean> done) {
+  /** Sends a request; the checker hears the answer before {@code then} does. */
+  private void ask(String to, Call call, String id, long timeoutMs, Consumer<Answer> then) {
     InvariantChecker.Known before = rules.known(id);
     process.call(
         to,
-        new Call(method, path, body, Codec.CBOR),
+        call,
         timeoutMs,
-        answer -> done.accept(note(id, answer, before)));
+        answer -> {
+          hear(id, answer, before);
+          then.accept(answer);
+        });
   }
 
-  private boolean note(String id, Answer answer, InvariantChecker.Known before) {
+  private void hear(String id, Answer answer, InvariantChecker.Known before) {
     if (answer == null) {
-      return false;
+      return;
     }
-    if (answer.status() != 200 && answer.status() != 201) {
+    if (!isGranted(answer)) {
       rules.refused(id, answer.status(), before);
-      return false;
+      return;
     }
     try {
       Fields body = answer.fields();
-      InvariantChecker.Known then = rules.known(id);
-      rules.told(id, body.text("estado"), body.count("done", -1), before);
-      if (rules.known(id).isNewsAfter(then)) {
+      InvariantChecker.Known until = rules.known(id);
+      rules.told(id, body.text("estado"), body.count("done", NO_COUNT), before);
+      if (rules.known(id).isNewsAfter(until)) {
         onNews.forEach(listener -> listener.accept(id));
       }
     } catch (WireException e) {
-      throw new AssertionError(e);
+      throw new AssertionError("an answer to a user can't be read", e);
     }
-    return true;
+  }
+
+  private static boolean isGranted(Answer answer) {
+    return answer != null && (answer.status() == 200 || answer.status() == 201);
   }
 }
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -24,8 +24,20 @@
 
   private record Change(long revision, String key, Fields value) {}
 
-  private record Watch(
-      String by, String prefix, long since, Consumer<Answer> reply, boolean[] over) {}
+  private static final class Watch {
+    final String by;
+    final String prefix;
+    final long since;
+    final Consumer<Answer> reply;
+    boolean over;
+
+    Watch(String by, String prefix, long since, Consumer<Answer> reply) {
+      this.by = by;
+      this.prefix = prefix;
+      this.since = since;
+      this.reply = reply;
+    }
+  }
 
   private static final class Grant {
     final long ttl;
@@ -38,7 +50,7 @@
   }
 
   private final SimulatedNetwork world;
-  private final SimulatedNetwork.Process process;
+  private final SimulatedNetwork.HostProcess process;
   private Settings.State limits;
   private double requestsLeft;
   private double writesLeft;
@@ -73,7 +85,8 @@
   /** Transactions that were carried out while their answers were lost. */
   int answersLost;
 
-  StateEmulator(SimulatedNetwork world, SimulatedNetwork.Process process, Settings.State limits) {
+  StateEmulator(
+      SimulatedNetwork world, SimulatedNetwork.HostProcess process, Settings.State limits) {
     this.world = world;
     this.answers = new TransactionAnswers(world, () -> answersLost++);
     this.process = process;
@@ -279,7 +292,7 @@
 
   private static Map<String, String> query(String path) {
     Map<String, String> query = new HashMap<>();
-    for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
+    for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       int eq = part.indexOf('=');
       query.put(part.substring(0, eq), part.substring(eq + 1));
     }
@@ -396,7 +409,7 @@
       reply.accept(Answer.error(410, "too old"));
       return;
     }
-    Watch watch = new Watch(process.caller, query.get("under"), since, reply, new boolean[1]);
+    Watch watch = new Watch(process.caller, query.get("under"), since, reply);
     watches.add(watch);
     world.after(Long.parseLong(query.get("hold_ms")), () -> answer(watch, true));
     serveWatches();
@@ -409,7 +422,7 @@
   }
 
   private void answer(Watch watch, boolean timeIsUp) {
-    if (watch.over[0] || down || refused.contains(watch.by)) {
+    if (watch.over || down || refused.contains(watch.by)) {
       return;
     }
     List<Object> changes = new ArrayList<>();
@@ -426,7 +439,7 @@
     if (changes.isEmpty() && !timeIsUp) {
       return;
     }
-    watch.over[0] = true;
+    watch.over = true;
     watches.remove(watch);
     watch.reply.accept(
         Answer.of(200, Codec.CBOR, Fields.create().with("asiento", revision).with("log", changes)));
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -24,7 +24,7 @@
 /** A start that rides on the answer to a report, step by step. */
 class CarriedStartsTest {
   private final SimulatedNetwork world = new SimulatedNetwork(1);
-  private final SimulatedNetwork.Process host = world.new Process("nodo");
+  private final SimulatedNetwork.HostProcess host = world.new HostProcess("nodo");
   private final List<Attempt> ended = new ArrayList<>();
   private boolean mayStart = true;
   private final Fleet fleet =
--- a/src/test/java/fennelthread/simulation/PairsTest.java
+++ b/src/test/java/fennelthread/simulation/PairsTest.java
@@ -80,7 +80,7 @@
         c -> {
           for (int i = 0; i < 60; i++) {
             JobSpec job = batch(c);
-            c.world.after(i * 100, () -> c.submit(job));
+            c.world.after(i * 100L, () -> c.submit(job));
           }
         });
   }
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -56,12 +56,12 @@
   final CloudEmulator cloud;
   final Map<String, Meter> meters = new LinkedHashMap<>();
   final Map<String, Controller> controllers = new LinkedHashMap<>();
-  final Map<String, SimulatedNetwork.Process> processes = new HashMap<>();
+  final Map<String, SimulatedNetwork.HostProcess> processes = new HashMap<>();
   final List<Fields> startRecords = new ArrayList<>();
   private final Shape shape;
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private final Map<String, JobSpec> jobs = new HashMap<>();
-  private final SimulatedNetwork.Process users;
+  private final SimulatedNetwork.HostProcess users;
   private int nextJob;
   private int nextUser;
 
@@ -77,17 +77,17 @@
     world = new SimulatedNetwork(seed);
     world.loss = 0;
     world.late = 0;
-    SimulatedNetwork.Process stateProcess = world.new Process("state");
+    SimulatedNetwork.HostProcess stateProcess = world.new HostProcess("state");
     state = new StateEmulator(world, stateProcess, shape.limits);
     stateProcess.listen(STATE, state);
     world.name(STATE, "state");
     Deployment deployment =
         Deployment.large(shape.workers).withLease(shape.reportMs, LEASE_MS, CANCEL_MS);
-    SimulatedNetwork.Process cloudProcess = world.new Process("cloud");
+    SimulatedNetwork.HostProcess cloudProcess = world.new HostProcess("cloud");
     cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
-    users = world.new Process("users");
+    users = world.new HostProcess("users");
     for (int i = 0; i < CONTROLLERS; i++) {
       addresses.put("nodo-" + i, "10.0.0." + (i + 1) + ":8080");
     }
@@ -107,7 +107,7 @@
   }
 
   private void start(String member, Deployment deployment) {
-    SimulatedNetwork.Process process = world.new Process(member);
+    SimulatedNetwork.HostProcess process = world.new HostProcess(member);
     Meter meter = new Meter();
     Controller controller =
         new Controller(
