--- a/src/main/java/fennelthread/emulate/EmulatedCloud.java
+++ b/src/main/java/fennelthread/emulate/EmulatedCloud.java
@@ -16,6 +16,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 
 /**
@@ -65,13 +66,13 @@
   private boolean out;
 
   /** Machines that controllers have rented so far. */
-  volatile int rented;
+  final AtomicInteger rented = new AtomicInteger();
 
   /** Machines that controllers have returned so far. */
-  volatile int returned;
+  final AtomicInteger returned = new AtomicInteger();
 
   /** Machines that are up. */
-  volatile int running;
+  final AtomicInteger running = new AtomicInteger();
 
   EmulatedCloud(EventLoop loop, EmulationConfig config, Addresses addresses, MachineHost host) {
     this.loop = loop;
@@ -112,7 +113,7 @@
           if (machines.get(name) == machine) {
             machine.state = RUNNING;
             machine.up = true;
-            running++;
+            running.incrementAndGet();
             host.boot(id);
           }
         });
@@ -131,7 +132,7 @@
       Machine machine = machines.get(name);
       if (machine != null && machine.up) {
         machine.up = false;
-        running--;
+        running.decrementAndGet();
         loop.after(Constants.EMULATION_FAILED_SHOWN_MS, () -> machine.state = HostEntry.FAILED);
       }
     }
@@ -187,7 +188,7 @@
 
   private Answer list(String path) throws WireException {
     String since = "";
-    for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
+    for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       if (part.startsWith("since=")) {
         since = part.substring("since=".length());
       }
@@ -231,7 +232,7 @@
         known.add(make(part.type(), body.text("zona"), body.optFlag("prestadas"), part.bootMs()));
       }
       spare -= count;
-      rented += count;
+      rented.addAndGet(count);
       rentals.put(name, known);
     }
     return Answer.of(200, Codec.CBOR, Fields.create().with("equipos", known));
@@ -247,9 +248,9 @@
     }
     for (String name : known) {
       Machine machine = machines.remove(name);
-      running -= machine.up ? 1 : 0;
+      running.addAndGet(-(machine.up ? 1 : 0));
       spare++;
-      returned++;
+      returned.incrementAndGet();
       host.end(
           name,
           () ->
--- a/src/main/java/fennelthread/emulate/EmulatedStateService.java
+++ b/src/main/java/fennelthread/emulate/EmulatedStateService.java
@@ -16,6 +16,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
@@ -47,19 +48,19 @@
   private long extraMs;
 
   /** Requests so far. */
-  volatile long requests;
+  final AtomicLong requests = new AtomicLong();
 
   /** Puts and deletes so far. */
-  volatile long changes;
+  final AtomicLong changes = new AtomicLong();
 
   /** Requests above a limit so far. */
-  volatile long refusedAsTooMany;
+  final AtomicLong refusedAsTooMany = new AtomicLong();
 
   /** Requests refused as malformed or too large so far. */
-  volatile long refusedAsMalformed;
+  final AtomicLong refusedAsMalformed = new AtomicLong();
 
   /** Bytes of requests and answers so far, without heads. */
-  volatile long bytes;
+  final AtomicLong bytes = new AtomicLong();
 
   /** Stored keys. */
   volatile int keys;
@@ -67,7 +68,7 @@
   /** Who leads. */
   volatile Leader leader = new Leader(null, 0);
 
-  /** Creates it; it listens once {@link #listen} is called. */
+  /** Creates it; whoever listens calls {@link #serviceFor}. */
   EmulatedStateService(EventLoop loop, StateSettings settings, RandomGenerator random) {
     this.loop = loop;
     this.settings = settings;
@@ -118,7 +119,7 @@
   }
 
   private void respond(Answer answer, Consumer<Answer> reply) {
-    bytes += answer.body().length;
+    bytes.addAndGet(answer.body().length);
     long latency = settings.latencyMs();
     long delay = extraMs + (latency == 0 ? 0 : latency / 2 + random.nextLong(latency + 1));
     if (delay == 0) {
@@ -135,21 +136,21 @@
   }
 
   private void handle(int member, Request request, Consumer<Answer> reply) {
-    requests++;
-    bytes += request.body().length;
+    requests.incrementAndGet();
+    bytes.addAndGet(request.body().length);
     if (out || refused.contains(member)) {
       reply.accept(Answer.error(503, "trouble"));
       return;
     }
     if (!requestBudget.take(1)) {
-      refusedAsTooMany++;
+      refusedAsTooMany.incrementAndGet();
       reply.accept(Answer.error(429, "too many requests"));
       return;
     }
     try {
       serve(member, request, reply);
     } catch (WireException | NumberFormatException e) {
-      refusedAsMalformed++;
+      refusedAsMalformed.incrementAndGet();
       reply.accept(Answer.error(400, String.valueOf(e.getMessage())));
     }
   }
@@ -176,7 +177,7 @@
 
   private static Map<String, String> query(String path) {
     Map<String, String> query = new HashMap<>();
-    for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
+    for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       int equals = part.indexOf('=');
       query.put(part.substring(0, equals), part.substring(equals + 1));
     }
@@ -237,11 +238,11 @@
   private void transaction(Fields body, Consumer<Answer> reply) throws WireException {
     int count = StateStore.changesIn(body);
     if (!changeBudget.take(count)) {
-      refusedAsTooMany++;
+      refusedAsTooMany.incrementAndGet();
       reply.accept(Answer.error(429, "too many changes"));
       return;
     }
-    changes += count;
+    changes.addAndGet(count);
     StateStore.Outcome outcome = store.commit(body);
     Fields answer = Fields.create();
     if (!outcome.applied()) {
--- a/src/main/java/fennelthread/emulate/EmulatedUsers.java
+++ b/src/main/java/fennelthread/emulate/EmulatedUsers.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
@@ -62,7 +63,7 @@
   private long accepted;
   private long refused;
   private long givenUp;
-  private volatile int finalAnswers;
+  private final AtomicInteger finalAnswers = new AtomicInteger();
   private volatile Counts counts = new Counts(0, 0, 0, 0, Map.of());
 
   EmulatedUsers(
@@ -261,7 +262,7 @@
   /** At the end asks once more about each accepted job; true once all have got an answer. */
   void askAboutAll() {
     List<Job> all = jobs.values().stream().filter(j -> j.accepted).toList();
-    finalAnswers = 0;
+    finalAnswers.set(0);
     for (int i = 0; i < all.size(); i++) {
       Job job = all.get(i);
       loop.after((long) (i * 1000.0 / Constants.EMULATION_FINAL_PER_S), () -> finalQuestion(job));
@@ -275,7 +276,7 @@
         Constants.EMULATION_POLL_TIMEOUT_MS,
         answer -> {
           if (answer != null && answer.status() < 429) {
-            finalAnswers++;
+            finalAnswers.incrementAndGet();
           } else {
             loop.after(pauseMs(answer), () -> finalQuestion(job));
           }
@@ -284,6 +285,6 @@
 
   /** How many of the last questions have got an answer. */
   int finalAnswers() {
-    return finalAnswers;
+    return finalAnswers.get();
   }
 }
--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -299,7 +299,12 @@
 
   private RunRecorder.Totals totals() {
     return new RunRecorder.Totals(
-        measurements.counts(), workers.traffic(), state.requests, state.changes, state.bytes);
+        measurements.counts(),
+        checker.present(),
+        workers.traffic(),
+        state.requests.get(),
+        state.changes.get(),
+        state.bytes.get());
   }
 
   /** Nothing may be forgotten: each accepted job is asked about once more. */
@@ -344,8 +349,8 @@
                 durationS,
                 request.seed(),
                 config.controllerHeapMb(),
-                cloud.rented,
-                cloud.returned),
+                cloud.rented.get(),
+                cloud.returned.get()),
             recorder.starts(durationS),
             RunRecorder.waits(measurements.histograms()),
             recorder.perWorker(durationS, config.workers(), controllerNames),
--- a/src/main/java/fennelthread/emulate/HistoryChecker.java
+++ b/src/main/java/fennelthread/emulate/HistoryChecker.java
@@ -120,6 +120,11 @@
     return new Counts(jobs.size(), starts, startsAfterDone, startsAfterCancel, answers);
   }
 
+  /** How many tasks are on machines. */
+  synchronized int present() {
+    return where.size();
+  }
+
   /** The ids of accepted jobs. */
   synchronized List<String> acceptedJobs() {
     return jobs.values().stream().filter(j -> j.accepted).map(j -> j.spec.id()).toList();
@@ -286,7 +291,7 @@
     Known before = e.before();
     boolean done = e.state().equals(JobState.DONE.wire());
     boolean cancelled = e.state().equals(JobState.WITHDRAWN.wire());
-    if (before.done() && !done || before.cancelled() && !cancelled) {
+    if ((before.done() && !done) || (before.cancelled() && !cancelled)) {
       broken("went_back", e.nanos(), e.job() + " is called " + e.state() + " after its end");
     }
     if (cancelled && !job.cancelAsked) {
--- a/src/main/java/fennelthread/emulate/HistoryEvent.java
+++ b/src/main/java/fennelthread/emulate/HistoryEvent.java
@@ -66,7 +66,7 @@
 
   /** Reads a line that {@link OnMachine#line} has written. */
   static OnMachine read(String line) throws WireException {
-    String[] words = line.split(" ");
+    String[] words = line.split(" ", -1);
     try {
       long nanos = Long.parseLong(words[1]);
       TaskRef task = TaskRef.parse(words[3]);
--- a/src/main/java/fennelthread/emulate/HistoryMerger.java
+++ b/src/main/java/fennelthread/emulate/HistoryMerger.java
@@ -16,7 +16,7 @@
  */
 final class HistoryMerger {
   /** One source of events, whose times must not fall; used by one thread. */
-  final class Source {
+  static final class Source {
     private final Queue<HistoryEvent> events = new ConcurrentLinkedQueue<>();
     private volatile long toldUntilNanos = Long.MIN_VALUE;
 
--- a/src/main/java/fennelthread/emulate/HttpMessage.java
+++ b/src/main/java/fennelthread/emulate/HttpMessage.java
@@ -17,6 +17,7 @@
  * @param retryAfterS the value of {@code Retry-After}, 0 if absent
  * @param body the body, empty if there is none
  */
+@SuppressWarnings("ArrayRecordComponent") // handed on, never compared
 record HttpMessage(String first, boolean close, int retryAfterS, byte[] body) {
   private static final byte[] END_OF_HEAD = "\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
@@ -42,7 +43,7 @@
         return null;
       }
       String[] lines =
-          new String(received, 0, headLength, StandardCharsets.ISO_8859_1).split("\r\n");
+          new String(received, 0, headLength, StandardCharsets.ISO_8859_1).split("\r\n", -1);
       int bodyLength = 0;
       int retryAfterS = 0;
       boolean close = false;
--- a/src/main/java/fennelthread/emulate/Measurements.java
+++ b/src/main/java/fennelthread/emulate/Measurements.java
@@ -40,7 +40,6 @@
   private long begun;
   private long restarted;
   private long completed;
-  private long killed;
   private long waiting;
 
   /** Measures what is submitted from this moment on. */
@@ -49,20 +48,15 @@
   }
 
   /** Counts so far; {@code waiting} is how many tasks of accepted jobs have not begun. */
-  record Counts(long begun, long restarted, long completed, long killed, long waiting) {
+  record Counts(long begun, long restarted, long completed, long waiting) {
     /** Starts, repeated ones included. */
     long starts() {
       return begun + restarted;
     }
-
-    /** Tasks on machines. */
-    long present() {
-      return starts() - completed - killed;
-    }
   }
 
   synchronized Counts counts() {
-    return new Counts(begun, restarted, completed, killed, waiting);
+    return new Counts(begun, restarted, completed, waiting);
   }
 
   /** Copies of all histograms, in microseconds, by name. */
@@ -155,14 +149,9 @@
 
   private void ended(Ended e) {
     Job job = jobs.get(e.task().job());
-    if (job == null) {
-      return;
-    }
-    if (e.completed()) {
+    if (job != null && e.completed()) {
       completed++;
       job.lastCompletedNanos = e.nanos();
-    } else {
-      killed++;
     }
   }
 }
--- a/src/main/java/fennelthread/emulate/ProcessSampler.java
+++ b/src/main/java/fennelthread/emulate/ProcessSampler.java
@@ -35,9 +35,9 @@
     Path base = Path.of("/proc", Long.toString(pid));
     try {
       String stat = Files.readString(base.resolve("stat"));
-      String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+      String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
       double ticks = Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
-      String[] memory = Files.readString(base.resolve("statm")).split(" ");
+      String[] memory = Files.readString(base.resolve("statm")).split(" ", -1);
       long read = 0;
       long written = 0;
       for (String line : Files.readAllLines(base.resolve("io"))) {
@@ -64,10 +64,9 @@
     for (String thread : threads == null ? new String[0] : threads) {
       try {
         String stat = Files.readString(base.resolve("task").resolve(thread).resolve("schedstat"));
-        nanos += Long.parseLong(stat.split(" ")[1]);
+        nanos += Long.parseLong(stat.split(" ", -1)[1]);
       } catch (IOException e) {
-        // The thread has ended since, or the system doesn't count this.
-        continue;
+        // The thread has ended since, or the system doesn't count this: it adds nothing.
       }
     }
     return nanos * 1e-9;
@@ -76,7 +75,7 @@
   /** The load average of the last minute, or -1. */
   static double loadAverage() {
     try {
-      return Double.parseDouble(Files.readString(Path.of("/proc/loadavg")).split(" ")[0]);
+      return Double.parseDouble(Files.readString(Path.of("/proc/loadavg")).split(" ", -1)[0]);
     } catch (IOException | RuntimeException e) {
       return -1;
     }
@@ -101,7 +100,7 @@
     try {
       for (String line : Files.readAllLines(Path.of("/proc/self/limits"))) {
         if (line.startsWith("Max open files")) {
-          String soft = line.substring("Max open files".length()).trim().split(" +")[0];
+          String soft = line.substring("Max open files".length()).trim().split(" +", -1)[0];
           return soft.equals("unlimited") ? Long.MAX_VALUE : Long.parseLong(soft);
         }
       }
--- a/src/main/java/fennelthread/emulate/ResourceCheck.java
+++ b/src/main/java/fennelthread/emulate/ResourceCheck.java
@@ -29,7 +29,7 @@
             + (long) config.controllers() * config.controllerHeapMb()
             + (long) config.workerProcesses() * config.workerHeapMb()
             + (long) processes * Constants.EMULATION_JVM_MB;
-    long machines = config.workers() + config.spareMachines();
+    long machines = (long) config.workers() + config.spareMachines();
     // Each machine listens, reports on one connection and may be asked on others.
     long workerSockets = machines * Constants.EMULATION_SOCKETS_PER_MACHINE;
     long perProcess =
--- a/src/main/java/fennelthread/emulate/RunRecorder.java
+++ b/src/main/java/fennelthread/emulate/RunRecorder.java
@@ -14,6 +14,7 @@
   /** Counters of the whole run at one moment. */
   record Totals(
       Measurements.Counts tasks,
+      int present,
       WorkerTraffic traffic,
       long stateRequests,
       long stateChanges,
@@ -114,7 +115,7 @@
             workers,
             perSecond(totals.tasks.starts() - last.tasks.starts(), seconds),
             perSecond(totals.tasks.completed() - last.tasks.completed(), seconds),
-            totals.tasks.present(),
+            totals.present,
             totals.tasks.waiting(),
             leader.member(),
             leader.epoch(),
@@ -128,7 +129,7 @@
             load);
     series.add(sample);
     last = totals;
-    runningSum += totals.tasks.present();
+    runningSum += totals.present;
     loadMax = Math.max(loadMax, load);
     keysMax = Math.max(keysMax, keys);
     return sample;
@@ -179,8 +180,8 @@
         round(changes / durationS, 1),
         round((double) requests / starts, 3),
         round((double) changes / starts, 3),
-        service.refusedAsTooMany,
-        service.refusedAsMalformed,
+        service.refusedAsTooMany.get(),
+        service.refusedAsMalformed.get(),
         round((last.stateBytes - first.stateBytes) / durationS / 1e3, 1),
         keysMax);
   }
--- a/src/main/java/fennelthread/emulate/SettingsNode.java
+++ b/src/main/java/fennelthread/emulate/SettingsNode.java
@@ -70,13 +70,18 @@
     return positions;
   }
 
-  private record Builder(String file, List<int[]> positions, int[] next) {
+  private static final class Builder {
+    private final String file;
+    private final List<int[]> positions;
+    private int next;
+
     Builder(String file, List<int[]> positions) {
-      this(file, positions, new int[1]);
+      this.file = file;
+      this.positions = positions;
     }
 
     SettingsNode build(Sexp list) throws SettingsException {
-      int index = next[0]++;
+      int index = next++;
       int[] at = index < positions.size() ? positions.get(index) : new int[] {1, 1};
       String position = file + ":" + at[0] + ":" + at[1] + ": ";
       if (list.getLength() == 0 || !list.get(0).isAtomic()) {
--- a/src/main/java/fennelthread/emulate/WorkerFleet.java
+++ b/src/main/java/fennelthread/emulate/WorkerFleet.java
@@ -19,7 +19,7 @@
 
 /** The processes with hollow workers, as the run's main process sees them. */
 final class WorkerFleet implements EmulatedCloud.MachineHost {
-  private final class Child {
+  private static final class Child {
     final int number;
     final Process process;
     final HistoryMerger.Source history;
--- a/src/main/java/fennelthread/emulate/WorkerTraffic.java
+++ b/src/main/java/fennelthread/emulate/WorkerTraffic.java
@@ -44,7 +44,7 @@
 
   /** Reads such a line. */
   static WorkerTraffic read(String line) {
-    long[] n = Arrays.stream(line.split(" ")).mapToLong(Long::parseLong).toArray();
+    long[] n = Arrays.stream(line.split(" ", -1)).mapToLong(Long::parseLong).toArray();
     return new WorkerTraffic(n[0], n[1], n[2], n[3], n[4], n[5]);
   }
 }
--- a/src/test/java/fennelthread/emulate/EmulationConfigReaderTest.java
+++ b/src/test/java/fennelthread/emulate/EmulationConfigReaderTest.java
@@ -6,6 +6,7 @@
 import fennelthread.settings.SettingsException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -68,8 +69,10 @@
     assertEquals(message, e.getMessage());
   }
 
-  static Stream<Path> deployed() throws Exception {
-    return Files.list(Path.of("deploy")).filter(p -> p.toString().endsWith(".sexp"));
+  static List<Path> deployed() throws Exception {
+    try (Stream<Path> files = Files.list(Path.of("deploy"))) {
+      return files.filter(p -> p.toString().endsWith(".sexp")).toList();
+    }
   }
 
   @ParameterizedTest
--- a/src/test/java/fennelthread/emulate/HistoryCheckerTest.java
+++ b/src/test/java/fennelthread/emulate/HistoryCheckerTest.java
@@ -79,8 +79,8 @@
         "submit; told withdrawn|went_back",
       })
   void findsEachRuleBroken(String story, String expected) {
-    for (String step : story.split("; ")) {
-      take(step.split(" "));
+    for (String step : story.split("; ", -1)) {
+      take(step.split(" ", -1));
     }
     Set<String> rules = new TreeSet<>();
     checker.violations().forEach(v -> rules.add(v.rule()));
