--- a/src/main/java/fennelthread/capacity/CapacityMain.java
+++ b/src/main/java/fennelthread/capacity/CapacityMain.java
@@ -33,7 +33,7 @@
       Path page = Path.of(args[2]);
       Files.writeString(page, replaced(Files.readString(page), tables));
     } catch (IOException | IllegalArgumentException e) {
-      refuse("capacity: " + e.getMessage());
+      refuse("capacity: " + String.valueOf(e.getMessage()).lines().findFirst().orElse("failed"));
     }
   }
 
