--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -1024,4 +1024,60 @@
 
   /** Height of a plot, pixels. */
   public static final int EMULATION_PLOT_HEIGHT = 260;
+
+  // ---------------------------------------------------------------- simulation
+
+  /** Within how long a burst of cancellations in a simulation comes, ms. */
+  public static final int SIMULATION_CANCEL_BURST_MS = 200;
+
+  /** Most machines that hang with a burst of cancellations. */
+  public static final int SIMULATION_CANCEL_MOST_HANGING = 8;
+
+  /** How far a cancellation at a job's end lies from it at the most, ms. */
+  public static final int SIMULATION_CANCEL_END_SPREAD_MS = 3;
+
+  /** How often simulated users look whether a job of a pipeline got on, ms. */
+  public static final int SIMULATION_PIPELINE_LOOK_MS = 200;
+
+  /** How many times they look. */
+  public static final int SIMULATION_PIPELINE_LOOKS = 3_000;
+
+  /** Shortest time between two odd requests, ms. */
+  public static final int SIMULATION_ODD_PAUSE_LEAST_MS = 100;
+
+  /** Longest time between two odd requests, ms. */
+  public static final int SIMULATION_ODD_PAUSE_MOST_MS = 600;
+
+  /** How many jobs are looked at for one that an odd request fits. */
+  public static final int SIMULATION_ODD_TRIES = 20;
+
+  /** An amount that no machine type has. */
+  public static final double SIMULATION_AMOUNT_TOO_LARGE = 1_000_000;
+
+  /** By how much sums of amounts may be off in a simulation. */
+  public static final double SIMULATION_ROUNDING = 1e-6;
+
+  /** Shortest time for which a command is held up, ms. */
+  public static final long SIMULATION_HELD_LEAST_MS = 2_000;
+
+  /** Longest time for which a command is held up, ms. */
+  public static final long SIMULATION_HELD_MOST_MS = 16_000;
+
+  /** Least share of a class, a team or its largest jobs that has to be served. */
+  public static final double SIMULATION_SERVED_SHARE = 0.5;
+
+  /** How long users wait for the answer to a submission or cancellation, ms. */
+  public static final long SIMULATION_SUBMIT_TIMEOUT_MS = 5_000;
+
+  /** How long users wait for the answer to a question, ms. */
+  public static final long SIMULATION_QUESTION_TIMEOUT_MS = 2_000;
+
+  /** When users try again, ms. */
+  public static final long SIMULATION_USER_RETRY_MS = 1_000;
+
+  /** How many times users repeat a submission. */
+  public static final int SIMULATION_SUBMISSIONS = 40;
+
+  /** Stands for a count that an answer lacks. */
+  public static final long SIMULATION_NO_COUNT = -1;
 }
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -1,5 +1,6 @@
 package fennelthread.simulation;
 
+import fennelthread.Constants;
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -12,9 +13,6 @@
 
 /** Users who cancel many running jobs at once, or a job just as its last task ends. */
 final class JobCancellations {
-  private static final int BURST_MS = 200;
-  private static final int MOST_HANGING = 8;
-  private static final int END_SPREAD_MS = 3;
 
   private final SimulatedCluster cluster;
   private final SimulatedNetwork world;
@@ -62,7 +60,8 @@
     }
     for (String id : ids) {
       cancelledNow++;
-      world.after(world.faults.nextInt(BURST_MS), () -> cluster.withdraw(id));
+      world.after(
+          world.faults.nextInt(Constants.SIMULATION_CANCEL_BURST_MS), () -> cluster.withdraw(id));
     }
     return ids;
   }
@@ -70,7 +69,7 @@
   private void hang(List<String> ids, long hangMs) {
     Set<WorkerEmulator> machines = new LinkedHashSet<>();
     for (WorkerEmulator w : cluster.cloud.machines().values()) {
-      if (machines.size() < MOST_HANGING
+      if (machines.size() < Constants.SIMULATION_CANCEL_MOST_HANGING
           && ids.stream().anyMatch(id -> cluster.rules.isOn(id, w))) {
         machines.add(w);
       }
@@ -106,7 +105,9 @@
     if (!end.drawn && accounted.cardinality() == spec.tasks()) {
       end.drawn = true;
       if (world.faults.nextDouble() < endShare) {
-        long offset = (long) world.faults.nextInt(2 * END_SPREAD_MS + 1) - END_SPREAD_MS;
+        long offset =
+            (long) world.faults.nextInt(2 * Constants.SIMULATION_CANCEL_END_SPREAD_MS + 1)
+                - Constants.SIMULATION_CANCEL_END_SPREAD_MS;
         world.at(end.atMs + offset, () -> cancel(spec.id()));
       }
     }
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -1,5 +1,6 @@
 package fennelthread.simulation;
 
+import fennelthread.Constants;
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.List;
@@ -7,8 +8,6 @@
 
 /** Users whose jobs need one another. */
 final class JobPipelines {
-  private static final int LOOK_MS = 200;
-  private static final int LOOKS = 3_000;
 
   private final SimulatedNetwork network;
   private final SimulatedUsers users;
@@ -84,14 +83,14 @@
 
   /** Does something as soon as something else holds; looked at every 200 ms, for ten minutes. */
   private void when(BooleanSupplier holds, Runnable task) {
-    when(holds, task, LOOKS);
+    when(holds, task, Constants.SIMULATION_PIPELINE_LOOKS);
   }
 
   private void when(BooleanSupplier holds, Runnable task, int tries) {
     if (holds.getAsBoolean()) {
       task.run();
     } else if (tries > 0) {
-      network.after(LOOK_MS, () -> when(holds, task, tries - 1));
+      network.after(Constants.SIMULATION_PIPELINE_LOOK_MS, () -> when(holds, task, tries - 1));
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -1,5 +1,6 @@
 package fennelthread.simulation;
 
+import fennelthread.Constants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
@@ -14,10 +15,6 @@
  * can't run or lack a field.
  */
 final class OddRequests {
-  private static final int PAUSE_LEAST_MS = 100;
-  private static final int PAUSE_MOST_MS = 600;
-  private static final int TRIES = 20;
-  private static final double TOO_LARGE = 1_000_000;
 
   /** What is odd about a request. */
   enum Kind {
@@ -52,7 +49,10 @@
   }
 
   private void next() {
-    long pause = (long) PAUSE_LEAST_MS + world.faults.nextInt(PAUSE_MOST_MS - PAUSE_LEAST_MS);
+    long pause =
+        (long) Constants.SIMULATION_ODD_PAUSE_LEAST_MS
+            + world.faults.nextInt(
+                Constants.SIMULATION_ODD_PAUSE_MOST_MS - Constants.SIMULATION_ODD_PAUSE_LEAST_MS);
     world.after(
         pause,
         () -> {
@@ -109,8 +109,8 @@
   private Fields fitsNoType() {
     Fields body = anyJob().write();
     return switch (world.faults.nextInt(4)) {
-      case 0 -> body.with("cpus", TOO_LARGE);
-      case 1 -> body.with("mem_gb", TOO_LARGE);
+      case 0 -> body.with("cpus", Constants.SIMULATION_AMOUNT_TOO_LARGE);
+      case 1 -> body.with("mem_gb", Constants.SIMULATION_AMOUNT_TOO_LARGE);
       case 2 -> body.with("modelos", List.of("ninguno"));
       default -> body.with("zona", "ninguna");
     };
@@ -139,7 +139,7 @@
     count(kind);
     String id = (String) body.map().get("name_id");
     cluster.rules.submitsInvalid(id);
-    submitInvalid(id, body, TRIES);
+    submitInvalid(id, body, Constants.SIMULATION_ODD_TRIES);
   }
 
   /** Repeats the submission until it is refused for good, then asks about the job. */
--- a/src/main/java/fennelthread/simulation/PlacementRules.java
+++ b/src/main/java/fennelthread/simulation/PlacementRules.java
@@ -1,5 +1,6 @@
 package fennelthread.simulation;
 
+import fennelthread.Constants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.MachineType;
@@ -8,7 +9,6 @@
 
 /** Where the protocol allows a task, given what is on machines at the moment. */
 final class PlacementRules {
-  private static final double ROUNDING = 1e-6;
 
   private final TaskPresence presence;
   private final Settings settings;
@@ -50,9 +50,9 @@
   }
 
   private static boolean fits(JobSpec spec, double cpus, double cards, double memGb) {
-    return spec.cpus() <= cpus + ROUNDING
-        && spec.cards() <= cards + ROUNDING
-        && spec.memGb() <= memGb + ROUNDING;
+    return spec.cpus() <= cpus + Constants.SIMULATION_ROUNDING
+        && spec.cards() <= cards + Constants.SIMULATION_ROUNDING
+        && spec.memGb() <= memGb + Constants.SIMULATION_ROUNDING;
   }
 
   /** True if a team stays within its limit with so many more tasks of the job. */
@@ -74,7 +74,7 @@
 
   /** A limit of 0 is none. */
   private static boolean isWithin(double amount, double limit) {
-    return limit <= 0 || amount <= limit + ROUNDING;
+    return limit <= 0 || amount <= limit + Constants.SIMULATION_ROUNDING;
   }
 
   /**
--- a/src/main/java/fennelthread/simulation/RequestFaults.java
+++ b/src/main/java/fennelthread/simulation/RequestFaults.java
@@ -1,5 +1,6 @@
 package fennelthread.simulation;
 
+import fennelthread.Constants;
 import fennelthread.net.Call;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,8 +11,6 @@
  */
 final class RequestFaults {
   private static final String COMMAND_PATH = "/commands";
-  private static final long HELD_LEAST_MS = 2_000;
-  private static final long HELD_MOST_MS = 16_000;
 
   /** Sees each request as its sender hands it to the network. */
   @FunctionalInterface
@@ -103,6 +102,8 @@
       return 0;
     }
     commandsHeld++;
-    return HELD_LEAST_MS + world.faults.nextLong(HELD_MOST_MS - HELD_LEAST_MS + 1);
+    return Constants.SIMULATION_HELD_LEAST_MS
+        + world.faults.nextLong(
+            Constants.SIMULATION_HELD_MOST_MS - Constants.SIMULATION_HELD_LEAST_MS + 1);
   }
 }
--- a/src/main/java/fennelthread/simulation/ServedRule.java
+++ b/src/main/java/fennelthread/simulation/ServedRule.java
@@ -34,8 +34,6 @@
     }
   }
 
-  private static final double LEAST_SHARE = 0.5;
-
   private final Map<String, long[]> replicas = new HashMap<>();
 
   /** Counts the replicas of a service that should be up at this moment, and those that are. */
@@ -68,7 +66,7 @@
           }
         });
     for (Map.Entry<String, Served> e : shares.entrySet()) {
-      if (e.getValue().share() < LEAST_SHARE) {
+      if (e.getValue().share() < Constants.SIMULATION_SERVED_SHARE) {
         return e.getKey() + " " + e.getValue().share();
       }
     }
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -1,5 +1,6 @@
 package fennelthread.simulation;
 
+import fennelthread.Constants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.wire.Codec;
@@ -14,11 +15,6 @@
 /** The users: they submit jobs, ask about them and cancel some, and the checker hears it all. */
 final class SimulatedUsers {
   private static final String JOBS_PATH = "/v1/jobs";
-  private static final long SUBMIT_TIMEOUT_MS = 5_000;
-  private static final long QUESTION_TIMEOUT_MS = 2_000;
-  private static final long RETRY_MS = 1_000;
-  private static final int SUBMISSIONS = 40;
-  private static final long NO_COUNT = -1;
 
   private final SimulatedNetwork network;
   private final InvariantChecker rules;
@@ -48,13 +44,18 @@
   /** A user submits a job until it is accepted, and asks about it for ever. */
   void submit(JobSpec spec) {
     note(spec);
-    submit(spec, SUBMISSIONS);
+    submit(spec, Constants.SIMULATION_SUBMISSIONS);
   }
 
   /** The same by a user who submits once and never asks. */
   void submitOnly(JobSpec spec) {
     note(spec);
-    ask(anyAddress(), submission(spec.write()), spec.id(), SUBMIT_TIMEOUT_MS, answer -> {});
+    ask(
+        anyAddress(),
+        submission(spec.write()),
+        spec.id(),
+        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
+        answer -> {});
   }
 
   private void note(JobSpec spec) {
@@ -67,12 +68,12 @@
         anyAddress(),
         submission(spec.write()),
         spec.id(),
-        SUBMIT_TIMEOUT_MS,
+        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
         answer -> {
           if (isGranted(answer)) {
             poll(spec.id());
           } else if (triesLeft > 0) {
-            network.after(RETRY_MS, () -> submit(spec, triesLeft - 1));
+            network.after(Constants.SIMULATION_USER_RETRY_MS, () -> submit(spec, triesLeft - 1));
           }
         });
   }
@@ -94,12 +95,12 @@
         anyAddress(),
         questionAbout(id),
         id,
-        QUESTION_TIMEOUT_MS,
+        Constants.SIMULATION_QUESTION_TIMEOUT_MS,
         answer -> {
           if (isGranted(answer)) {
             poll(id);
           } else {
-            network.after(RETRY_MS, () -> question(id));
+            network.after(Constants.SIMULATION_USER_RETRY_MS, () -> question(id));
           }
         });
   }
@@ -111,10 +112,10 @@
         anyAddress(),
         cancellationOf(id),
         id,
-        SUBMIT_TIMEOUT_MS,
+        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
         answer -> {
           if (!isGranted(answer)) {
-            network.after(RETRY_MS, () -> withdraw(id));
+            network.after(Constants.SIMULATION_USER_RETRY_MS, () -> withdraw(id));
           }
         });
   }
@@ -126,33 +127,49 @@
         addresses.get(member),
         cancellationOf(id),
         id,
-        SUBMIT_TIMEOUT_MS,
+        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
         answer -> {
           if (!isGranted(answer) && tries > 1) {
-            network.after(RETRY_MS, () -> withdrawThrough(member, id, tries - 1));
+            network.after(
+                Constants.SIMULATION_USER_RETRY_MS, () -> withdrawThrough(member, id, tries - 1));
           }
         });
   }
 
   /** A user asks one controller about a job, once; {@code then} gets the answer, or null. */
   void askAt(String member, String id, Consumer<Answer> then) {
-    ask(addresses.get(member), questionAbout(id), id, QUESTION_TIMEOUT_MS, then);
+    ask(
+        addresses.get(member),
+        questionAbout(id),
+        id,
+        Constants.SIMULATION_QUESTION_TIMEOUT_MS,
+        then);
   }
 
   /** A user submits a body to one controller, once; {@code then} gets the answer, or null. */
   void submitAt(String member, String id, Fields body, Consumer<Answer> then) {
-    ask(addresses.get(member), submission(body), id, SUBMIT_TIMEOUT_MS, then);
+    ask(addresses.get(member), submission(body), id, Constants.SIMULATION_SUBMIT_TIMEOUT_MS, then);
   }
 
   /** A user asks one controller to cancel a job, once; {@code then} gets the answer, or null. */
   void cancelAt(String member, String id, Consumer<Answer> then) {
-    ask(addresses.get(member), cancellationOf(id), id, SUBMIT_TIMEOUT_MS, then);
+    ask(
+        addresses.get(member),
+        cancellationOf(id),
+        id,
+        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
+        then);
   }
 
   /** A user asks about a job that nobody has submitted. */
   void askUnknown() {
     String id = "job-9" + network.random.nextInt(100_000);
-    ask(anyAddress(), questionAbout(id), id, QUESTION_TIMEOUT_MS, answer -> {});
+    ask(
+        anyAddress(),
+        questionAbout(id),
+        id,
+        Constants.SIMULATION_QUESTION_TIMEOUT_MS,
+        answer -> {});
   }
 
   /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
@@ -201,7 +218,8 @@
     try {
       Fields body = answer.fields();
       InvariantChecker.Known until = rules.known(id);
-      rules.told(id, body.text("estado"), body.count("done", NO_COUNT), before);
+      rules.told(
+          id, body.text("estado"), body.count("done", Constants.SIMULATION_NO_COUNT), before);
       if (rules.known(id).isNewsAfter(until)) {
         onNews.forEach(listener -> listener.accept(id));
       }
