--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -38,7 +38,6 @@
 
   private final Host host;
   private final Settings settings;
-  private final Options options;
   private final Cloud cloud;
   private final Fleet fleet;
   private final ZoneHealth zones;
@@ -73,7 +72,6 @@
       Consumer<List<MachineType>> onFlavors) {
     this.host = host;
     this.settings = settings;
-    this.options = options;
     this.cloud = cloud;
     this.fleet = fleet;
     this.zones = zones;
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -20,7 +20,6 @@
 final class MachineReturns {
   private static final Logger log = LoggerFactory.getLogger(MachineReturns.class);
 
-  private final Host host;
   private final Settings settings;
   private final Options options;
   private final Cloud cloud;
@@ -49,7 +48,6 @@
       ZoneHealth zones,
       StallDetector stalls,
       Consumer<Machine> onReturned) {
-    this.host = host;
     this.settings = settings;
     this.options = options;
     this.cloud = cloud;
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -31,7 +31,7 @@
   public static final Comparator<Snapshot.Need> ORDER =
       Comparator.<Snapshot.Need>comparingLong(
               n -> n.turn() == Aging.Turn.FIRST ? n.order() : Long.MAX_VALUE)
-          .thenComparingInt(n -> n.priority().ordinal())
+          .thenComparing(Snapshot.Need::priority)
           .thenComparing(n -> n.turn() != Aging.Turn.EARLY)
           .thenComparing(Snapshot.Need::late)
           .thenComparing(n -> !n.withinGuarantee())
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -30,7 +30,7 @@
     for (Snapshot.Host host : snapshot.hosts()) {
       for (Snapshot.Running r : host.running()) {
         if (!r.stopping()) {
-          runningByPriority[r.priority().ordinal()]++;
+          runningByPriority[r.priority().rank()]++;
         }
       }
     }
@@ -62,7 +62,7 @@
 
   /** False if no running work anywhere comes later than the need. */
   boolean isPossible(Snapshot.Need need) {
-    int rank = need.stopsAs().ordinal();
+    int rank = need.stopsAs().rank();
     for (int i = need.withinGuarantee() ? rank : rank + 1; i < runningByPriority.length; i++) {
       if (runningByPriority[i] > 0) {
         return true;
@@ -110,7 +110,8 @@
       }
     }
     candidates.sort(
-        Comparator.<Snapshot.Running>comparingInt(r -> -r.priority().ordinal())
+        Comparator.comparing(Snapshot.Running::priority)
+            .reversed()
             .thenComparingDouble(r -> r.runS(snapshot.nowMs())));
     return candidates;
   }
--- a/src/test/java/fennelthread/net/OpenConnections.java
+++ b/src/test/java/fennelthread/net/OpenConnections.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -29,7 +30,7 @@
     byte[] buffer = new byte[1_024];
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       while (open.size() < Integer.parseInt(line)) {
-        Socket socket = new Socket("127.0.0.1", port);
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
         InputStream answer = socket.getInputStream();
         if (answer.read(buffer) <= 0) {
--- a/src/test/java/fennelthread/net/RequestCostTest.java
+++ b/src/test/java/fennelthread/net/RequestCostTest.java
@@ -49,7 +49,7 @@
         "127.0.0.1:" + freePort(),
         (request, reply) -> reply.accept(Answer.error(404, "unknown path")));
     List<LinearFit.Point> points = new ArrayList<>();
-    try (Socket socket = new Socket("127.0.0.1", port)) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.setTcpNoDelay(true);
       exchange(socket, body, WARM_UP);
       for (int requests : new int[] {1_000, 2_000, 4_000, 8_000, 16_000}) {
@@ -159,7 +159,7 @@
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
   }
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -89,8 +89,9 @@
   private final List<Plan.Unplaced> unplaced = new ArrayList<>();
   private final Set<Snapshot.Running> stopped = new HashSet<>();
   private final Map<String, Snapshot.Use> started;
-  private final Map<Snapshot.Need, Map<String, Integer>> zonesOf = new IdentityHashMap<>();
-  private final Map<Snapshot.Need, Integer> startsOf = new IdentityHashMap<>();
+  private final IdentityHashMap<Snapshot.Need, Map<String, Integer>> zonesOf =
+      new IdentityHashMap<>();
+  private final IdentityHashMap<Snapshot.Need, Integer> startsOf = new IdentityHashMap<>();
   private int holds;
 
   private PlainPlanner(Snapshot snapshot) {
@@ -398,7 +399,8 @@
     candidates.removeIf(
         r -> r.stopping() || stopped.contains(r) || snapshot.kept().contains(r.attempt()));
     candidates.sort(
-        Comparator.<Snapshot.Running>comparingInt(r -> -r.priority().ordinal())
+        Comparator.comparing(Snapshot.Running::priority)
+            .reversed()
             .thenComparingDouble(r -> r.runS(snapshot.nowMs())));
     List<Snapshot.Running> victims = new ArrayList<>();
     for (Snapshot.Running r : candidates) {
@@ -448,10 +450,7 @@
     double cards = use.cards();
     for (Snapshot.Host host : snapshot.hosts()) {
       for (Snapshot.Running other : host.running()) {
-        boolean ends =
-            other.stopping()
-                || stopped.contains(other)
-                || stoppedBefore.stream().anyMatch(v -> v == other);
+        boolean ends = other.stopping() || stopped.contains(other) || stoppedBefore.contains(other);
         if (ends && other.spec().team().equals(team)) {
           cpus -= other.cpus();
           cards -= other.cards();
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -114,12 +114,10 @@
   void answersToInheritedCancellationsAreLost(long seed) {
     SimulatedCluster c = settled(seed);
     c.closeLooks(60_000);
-    List<JobSpec> first = new ArrayList<>();
     List<JobSpec> waiting = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       JobSpec job = Scenes.lasting(c, 1, 120);
       JobSpec next = Scenes.lasting(c, 2, 2).withNeeds(List.of(job.id()));
-      first.add(job);
       waiting.add(next);
       c.submit(job);
       c.world.after(1_000, () -> c.submit(next));
--- a/src/test/java/fennelthread/simulation/PreemptionMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/PreemptionMeetingsTest.java
@@ -18,6 +18,7 @@
  * stopped begins again and is done.
  */
 class PreemptionMeetingsTest {
+  private static final List<Priority> PRIORITIES = List.of(Priority.values());
   private static final int MACHINES = 10;
   private static final long FLOOD_MS = 90_000;
 
@@ -81,7 +82,7 @@
   }
 
   private static JobSpec next(SimulatedCluster c, Flood flood, int i) {
-    Priority priority = Priority.values()[c.world.faults.nextInt(Priority.values().length)];
+    Priority priority = PRIORITIES.get(c.world.faults.nextInt(PRIORITIES.size()));
     double saves = i % 2 == 0 ? 0 : 2;
     return switch (flood) {
       case MIXED ->
--- a/src/test/java/fennelthread/simulation/SlopesTest.java
+++ b/src/test/java/fennelthread/simulation/SlopesTest.java
@@ -142,8 +142,8 @@
             new double[] {3_000, 7_500, 15_000, 22_500, 30_000},
             n -> {
               ScaledCell cell = settled(ScaledCell.Shape.of(750));
-              cell.repeat(4, (long) n / 4 * 10, () -> cell.submit(cell.array(100, 1_000_000)));
-              cell.run(60_000 + (long) n * 3);
+              cell.repeat(4, ((long) n) / 4 * 10, () -> cell.submit(cell.array(100, 1_000_000)));
+              cell.run(60_000 + ((long) n) * 3);
               if (cell.starts < n) {
                 throw new AssertionError(cell.starts + " of " + n + " started");
               }
@@ -230,8 +230,8 @@
               if (cell.starts != 10_000) {
                 throw new AssertionError(cell.starts + " started, room for 10000");
               }
-              cell.repeat(4, (long) n / 4 * 10, () -> cell.submit(cell.array(100, 1_000_000)));
-              cell.run(20_000 + (long) n / 4 * 10);
+              cell.repeat(4, ((long) n) / 4 * 10, () -> cell.submit(cell.array(100, 1_000_000)));
+              cell.run(20_000 + ((long) n) / 4 * 10);
               return cell;
             },
             SAMPLE_MS)
--- a/src/test/java/fennelthread/state/ServiceHealthTest.java
+++ b/src/test/java/fennelthread/state/ServiceHealthTest.java
@@ -66,11 +66,11 @@
   void aSlowServiceIsNotAskedAgainAtOnce() {
     assertEquals(Constants.ANSWER_OVERDUE_MS, health.overdueMs());
     for (int i = 0; i < 100; i++) {
-      health.served(health.sent(i * 1_000), i * 1_000 + 400);
+      health.served(health.sent(i * 1_000L), i * 1_000L + 400);
     }
     assertTrue(health.overdueMs() > 1_000, "overdue after " + health.overdueMs());
     for (int i = 100; i < 200; i++) {
-      health.served(health.sent(i * 1_000), i * 1_000 + 8);
+      health.served(health.sent(i * 1_000L), i * 1_000L + 8);
     }
     assertEquals(Constants.ANSWER_OVERDUE_MS, health.overdueMs());
   }
