--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -107,6 +107,17 @@
     return evidence < Constants.STATE_SILENT_REQUESTS ? Verdict.DOUBTFUL : Verdict.SILENT;
   }
 
+  /** How long until a request may become overdue, ms. */
+  public long untilOverdueMs(long nowMs) {
+    for (long sentAt : outstanding.values()) {
+      long left = sentAt + Constants.STATE_OVERDUE_MS - nowMs;
+      if (sentAt >= answeredAtMs && left > 0) {
+        return left;
+      }
+    }
+    return Constants.STATE_OVERDUE_MS;
+  }
+
   /** True while requests wait for their answers. */
   public boolean isWaiting() {
     return !outstanding.isEmpty();
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -389,7 +389,7 @@
     }
     looking = true;
     host.after(
-        Constants.STATE_OVERDUE_MS,
+        health.untilOverdueMs(host.nowMs()),
         () -> {
           looking = false;
           if (health.verdict(host.nowMs()) == ServiceHealth.Verdict.DOUBTFUL) {
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -16,6 +16,8 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** What users get for good and bad requests, on any controller. */
 class UserAnswersTest {
@@ -160,14 +162,17 @@
    * One request that stays without an answer makes a controller ask for a sign of life: it knows of
    * the silence before that request's time is over.
    */
-  @Test
-  void silenceIsFoundBeforeTheFirstRequestsTimeIsOver() {
+  @ParameterizedTest
+  @ValueSource(longs = {0, 100, 200, 300, 400, 500, 600, 700})
+  void silenceIsFoundBeforeTheFirstRequestsTimeIsOver(long laterMs) {
+    c.world.runUntil(c.world.now() + laterMs);
     String follower =
         c.controllers.keySet().stream().filter(m -> !m.equals(c.leader())).findFirst().get();
     c.world.cut(follower, "state", 10_000);
     c.world.runUntil(c.world.now() + 100);
     Answer[] got = new Answer[2];
-    handle(follower, "POST", "/v1/jobs", Codec.CBOR.encode(good()), got, 0);
+    // A read, which is not sent again by itself.
+    handle(follower, "GET", "/v1/jobs/job-123456", null, got, 0);
     c.world.runUntil(c.world.now() + 2 * Constants.STATE_OVERDUE_MS + 10);
     handle(follower, "GET", "/v1/jobs/job-123456", null, got, 1);
     assertNotNull(got[1], "not answered at once");
--- a/src/test/java/fennelthread/state/ServiceHealthTest.java
+++ b/src/test/java/fennelthread/state/ServiceHealthTest.java
@@ -31,6 +31,7 @@
   @Test
   void oneOverdueRequestAloneIsDoubtful() {
     health.sent(100);
+    assertEquals(OVERDUE - 30, health.untilOverdueMs(130));
     assertEquals(Verdict.SERVING, health.verdict(99 + OVERDUE));
     assertEquals(Verdict.DOUBTFUL, health.verdict(100 + OVERDUE));
     assertEquals(Verdict.DOUBTFUL, health.verdict(100 + 10 * OVERDUE));
