--- a/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
@@ -262,7 +262,7 @@
   @CsvSource({"1,norte,", "2,norte,mesa", "3,,torre", "4,sur,torre", "5,norte,torre"})
   void whatAJobMayUseIsRentedForIt(long seed, String zone, String type) {
     SimulatedCluster c = Scenes.settled(seed, manySmallOnes(), 0);
-    c.cloud.bootMs = () -> 5_000;
+    c.cloud.bootMs = () -> 30_000;
     // All that is up is taken for good.
     for (WorkerEmulator w : c.cloud.machines().values()) {
       JobDraft job = JobDraft.array(c, 1, 2_000).cpus(w.flavor().cpus()).type(w.flavor().name());
@@ -282,7 +282,7 @@
     assertTrue(tookMs < 60_000, bound.id() + " began after " + tookMs + " ms");
   }
 
-  /** A few machines, and a cloud that has all the small ones that anybody may ask for. */
+  /** A few machines, and a cloud that has all the small ones, the cheaper, anybody asks for. */
   private static Deployment manySmallOnes() {
     Deployment few = Deployment.large(8);
     return new Deployment(
