--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -78,12 +78,12 @@
       boolean mayLook = mayStart && missing == 0 && starts.size() < snapshot.mostStarts();
       Room best = mayLook ? search.best() : null;
       if (best != null && mayAwaitImage && MachineRanking.fetchSeconds(spec, best) > 1) {
-        if (search.makeCachedRoom()) {
+        mayAwaitImage = search.makeCachedRoom();
+        if (mayAwaitImage) {
           // Less urgent work leaves a machine that has the image: sooner than fetching it here.
           budgets.request(spec);
           continue;
         }
-        mayAwaitImage = false;
       }
       if (best != null) {
         search.take(best);
@@ -99,10 +99,15 @@
         break;
       }
     }
+    noteLeft(need, search, missing, need.tasks().size() - (starts.size() - before));
+  }
+
+  /** Keeps in mind what has no place: {@code missing} tasks asked for one, of all that are left. */
+  private void noteLeft(Snapshot.Need need, TaskSearch search, int missing, int notStarted) {
     if (missing > 0) {
-      unplaced.add(new Plan.Unplaced(spec, missing, search.zones()));
+      unplaced.add(new Plan.Unplaced(need.spec(), missing, search.zones()));
     }
-    if (starts.size() - before < need.tasks().size()) {
+    if (notStarted > 0) {
       left.add(new Left(need, search));
     }
   }
