--- a/src/test/java/fennelthread/simulation/Production.java
+++ b/src/test/java/fennelthread/simulation/Production.java
@@ -11,9 +11,13 @@
 import java.net.MalformedURLException;
 import java.net.URL;
 import java.net.URLClassLoader;
+import java.nio.channels.FileChannel;
+import java.nio.channels.FileLock;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Matcher;
@@ -169,21 +173,19 @@
       if (!m.find()) {
         throw new IllegalStateException("deploy/service.toml names no production");
       }
-      Path sources =
-          Files.createDirectories(Path.of("target", "production", m.group(1), "sources"));
-      Path classes = Files.createDirectories(sources.resolveSibling("classes"));
-      List<String> files = new ArrayList<>();
-      try (ZipInputStream zip = new ZipInputStream(new ByteArrayInputStream(archive(m.group(1))))) {
-        for (ZipEntry e = zip.getNextEntry(); e != null; e = zip.getNextEntry()) {
-          if (e.getName().endsWith(".java")) {
-            Path file = sources.resolve(e.getName());
-            Files.createDirectories(file.getParent());
-            Files.write(file, zip.readAllBytes());
-            files.add(file.toString());
-          }
+      Path home = Files.createDirectories(Path.of("target", "production"));
+      Path classes = home.resolve(m.group(1) + "-classes");
+      try (FileChannel channel =
+              FileChannel.open(
+                  home.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+          FileLock lock = channel.lock()) {
+        // Test processes run side by side: the first one compiles, the others find the classes.
+        if (lock.isValid() && !Files.isDirectory(classes)) {
+          Path part = Files.createTempDirectory(home, "part");
+          compile(unpack(m.group(1), part.resolve("sources")), part.resolve("classes"));
+          Files.move(part.resolve("classes"), classes, StandardCopyOption.ATOMIC_MOVE);
         }
       }
-      compile(files, classes);
       return new Loader(classes.toUri().toURL());
     } catch (MalformedURLException e) {
       throw new IllegalStateException(e);
@@ -192,6 +194,22 @@
     }
   }
 
+  /** Writes the sources of a commit into a folder; returns the files. */
+  private static List<String> unpack(String commit, Path sources) throws IOException {
+    List<String> files = new ArrayList<>();
+    try (ZipInputStream zip = new ZipInputStream(new ByteArrayInputStream(archive(commit)))) {
+      for (ZipEntry e = zip.getNextEntry(); e != null; e = zip.getNextEntry()) {
+        if (e.getName().endsWith(".java")) {
+          Path file = sources.resolve(e.getName());
+          Files.createDirectories(file.getParent());
+          Files.write(file, zip.readAllBytes());
+          files.add(file.toString());
+        }
+      }
+    }
+    return files;
+  }
+
   private static byte[] archive(String commit) throws IOException {
     Process git =
         new ProcessBuilder("git", "archive", "--format=zip", commit, "src/main/java")
@@ -208,7 +226,8 @@
     }
   }
 
-  private static void compile(List<String> files, Path classes) {
+  private static void compile(List<String> files, Path classes) throws IOException {
+    Files.createDirectories(classes);
     JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
     StringWriter errors = new StringWriter();
     List<String> options =
