--- a/deploy/emulate-scale.sexp
+++ b/deploy/emulate-scale.sexp
@@ -1,5 +1,6 @@
-; Beyond a cell: 2,000 machines and more on one leader, with larger heaps and rounds each 20 ms.
-;   java -Xmx2g -jar target/fennelthread.jar emulate deploy/emulate-scale.sexp --workers 4000 --duration 75
+; Beyond a cell: 2,000 machines and more on one leader, 28 tasks of two minutes each, larger heaps,
+; a scheduling round each 20 ms.
+;   java -Xmx2g -jar target/fennelthread.jar emulate deploy/emulate-scale.sexp --workers 4000 --duration 120
 ; --workers changes the size; load, teams and limits of teams go along.
 (emulation
   (controllers 3)
@@ -27,8 +28,8 @@
   (job-class (name interactive) (teams t1 t2 t3 t4 t5) (priority urgent) (share 1)
              (tasks 1 16) (task-s 5 25) (images 8) (image-gb 0.1) (cancel-share 0.02))
   (job-class (name sweep) (teams t1 t2 t3 t4 t5) (priority standard) (share 6)
-             (tasks 20 60) (task-s 25 55) (images 8) (image-gb 0.2) (cancel-share 0.02))
+             (tasks 20 60) (task-s 80 160) (images 8) (image-gb 0.2) (cancel-share 0.02))
   (job-class (name night) (teams t3 t4) (priority best-effort) (share 1)
-             (tasks 20 60) (task-s 25 55) (images 4) (image-gb 0.2))
-  (load (tasks-per-worker 28) (at 0 0.2) (at 20 1))
+             (tasks 20 60) (task-s 80 160) (images 4) (image-gb 0.2))
+  (load (tasks-per-worker 28) (at 0 1))
   (measure-from-s 30))
--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -935,6 +935,9 @@
   /** Broken rules that a report lists, the first ones. */
   public static final int EMULATION_VIOLATIONS_KEPT = 50;
 
+  /** Tasks of a cancelled job that a report names. */
+  public static final int EMULATION_PLACES_NAMED = 3;
+
   /** Others count as answered if one was within this time, ms. */
   public static final long EMULATION_ANSWERING_MS = 5_000;
 
--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -377,7 +377,11 @@
         System.getProperty("java.version"),
         loadBefore,
         ProcessSampler.loadAverage(),
-        recorder.loadMax());
+        recorder.loadMax(),
+        new RunReport.Delays(
+            stateLoop.longestDelayMs(),
+            usersLoop.longestDelayMs(),
+            workers.traffic().longestDelayMs()));
   }
 
   private void write(RunReport report) throws IOException {
--- a/src/main/java/fennelthread/emulate/EventLoop.java
+++ b/src/main/java/fennelthread/emulate/EventLoop.java
@@ -54,6 +54,7 @@
   private final ByteBuffer readBuffer =
       ByteBuffer.allocateDirect(Constants.EMULATION_READ_BUFFER_BYTES);
   private long timersMade;
+  private volatile long longestDelayNanos;
   private volatile boolean stopped;
 
   /** Creates the loop; its thread runs from {@link #start} on. */
@@ -98,6 +99,11 @@
         });
   }
 
+  /** The longest time by which a timer came late, ms: how badly this thread lacked a core. */
+  long longestDelayMs() {
+    return TimeUnit.NANOSECONDS.toMillis(longestDelayNanos);
+  }
+
   /** Milliseconds of the steady clock, the same in all processes of this machine. */
   static long nowMs() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
@@ -159,6 +165,7 @@
       timers.poll();
       Runnable task = t.task;
       if (task != null) {
+        longestDelayNanos = Math.max(longestDelayNanos, now - t.dueNanos);
         t.task = null;
         guarded(task::run);
       }
--- a/src/main/java/fennelthread/emulate/HistoryChecker.java
+++ b/src/main/java/fennelthread/emulate/HistoryChecker.java
@@ -334,18 +334,30 @@
     }
   }
 
+  /** A cancelled job whose tasks go on, and where. */
+  private String describeCancelled(Job job) {
+    String id = job.spec.id();
+    List<String> places =
+        where.entrySet().stream()
+            .filter(e -> e.getKey().job().equals(id))
+            .limit(Constants.EMULATION_PLACES_NAMED)
+            .map(e -> e.getKey() + " on " + e.getValue())
+            .toList();
+    return String.format(
+        "%s of class %s is cancelled since %.2f s, and %d tasks run on: %s",
+        id,
+        job.spec.jobClass(),
+        (job.cancelledNanos - startNanos) * 1e-9,
+        job.present,
+        String.join(", ", places));
+  }
+
   /** Says that all events up to this moment have come. */
   synchronized void advanceTo(long nanos) {
     while (!cancelDeadlines.isEmpty() && cancelDeadlines.peek().nanos < nanos) {
       Deadline deadline = cancelDeadlines.poll();
       if (deadline.job.present > 0) {
-        broken(
-            "ran_cancelled",
-            deadline.nanos,
-            deadline.job.spec.id()
-                + " is cancelled, and "
-                + deadline.job.present
-                + " tasks run on");
+        broken("ran_cancelled", deadline.nanos, describeCancelled(deadline.job));
       }
     }
     boolean othersAreAnswered =
--- a/src/main/java/fennelthread/emulate/ReportPage.java
+++ b/src/main/java/fennelthread/emulate/ReportPage.java
@@ -94,9 +94,15 @@
         "load average before, largest",
         report.environment().loadBefore(),
         report.environment().loadMax());
+    row("longest delay of a timer, ms: state, users, workers", delays());
     html.append("</table>\n");
   }
 
+  private String delays() {
+    RunReport.Delays delays = report.environment().longestDelays();
+    return delays.stateMs() + ", " + delays.usersMs() + ", " + delays.workersMs();
+  }
+
   private void header(String... names) {
     html.append("<table><tr><th>").append(String.join("</th><th>", names)).append("</th></tr>\n");
   }
--- a/src/main/java/fennelthread/emulate/RunReport.java
+++ b/src/main/java/fennelthread/emulate/RunReport.java
@@ -100,7 +100,19 @@
 
   /** The machine. */
   record Environment(
-      int cores, long memoryMb, String java, double loadBefore, double loadAfter, double loadMax) {}
+      int cores,
+      long memoryMb,
+      String java,
+      double loadBefore,
+      double loadAfter,
+      double loadMax,
+      Delays longestDelays) {}
+
+  /**
+   * The longest time by which a timer of the emulation came late, by thread, ms: above a few
+   * hundred the emulation itself lacked a core, and tasks may outlive their leases for that reason.
+   */
+  record Delays(long stateMs, long usersMs, long workersMs) {}
 
   /** One second of the run; processor time is in cores, memory in MB. */
   record Sample(
--- a/src/main/java/fennelthread/emulate/WorkerProcess.java
+++ b/src/main/java/fennelthread/emulate/WorkerProcess.java
@@ -136,7 +136,7 @@
   }
 
   private void tellTraffic() {
-    tell("t " + new WorkerTraffic(workers.size(), traffic).line());
+    tell("t " + new WorkerTraffic(workers.size(), traffic, loop.longestDelayMs()).line());
     beforeSend();
   }
 
--- a/src/main/java/fennelthread/emulate/WorkerTraffic.java
+++ b/src/main/java/fennelthread/emulate/WorkerTraffic.java
@@ -9,11 +9,19 @@
     long reportBytes,
     long failedReports,
     long commandRequests,
-    long expiredLeases) {
-  static final WorkerTraffic NONE = new WorkerTraffic(0, 0, 0, 0, 0, 0);
+    long expiredLeases,
+    long longestDelayMs) {
+  static final WorkerTraffic NONE = new WorkerTraffic(0, 0, 0, 0, 0, 0, 0);
 
-  WorkerTraffic(int workers, HollowWorker.Traffic t) {
-    this(workers, t.reports, t.reportBytes, t.failedReports, t.commandRequests, t.expiredLeases);
+  WorkerTraffic(int workers, HollowWorker.Traffic t, long longestDelayMs) {
+    this(
+        workers,
+        t.reports,
+        t.reportBytes,
+        t.failedReports,
+        t.commandRequests,
+        t.expiredLeases,
+        longestDelayMs);
   }
 
   /** The sum of two processes' counters. */
@@ -24,7 +32,8 @@
         reportBytes + o.reportBytes,
         failedReports + o.failedReports,
         commandRequests + o.commandRequests,
-        expiredLeases + o.expiredLeases);
+        expiredLeases + o.expiredLeases,
+        Math.max(longestDelayMs, o.longestDelayMs));
   }
 
   /** A line of text. */
@@ -39,12 +48,14 @@
         + " "
         + commandRequests
         + " "
-        + expiredLeases;
+        + expiredLeases
+        + " "
+        + longestDelayMs;
   }
 
   /** Reads such a line. */
   static WorkerTraffic read(String line) {
     long[] n = Arrays.stream(line.split(" ", -1)).mapToLong(Long::parseLong).toArray();
-    return new WorkerTraffic(n[0], n[1], n[2], n[3], n[4], n[5]);
+    return new WorkerTraffic(n[0], n[1], n[2], n[3], n[4], n[5], n[6]);
   }
 }
