--- a/src/main/java/fennelthread/emulate/WorkerFleet.java
+++ b/src/main/java/fennelthread/emulate/WorkerFleet.java
@@ -120,6 +120,7 @@
 
   private void died(Child child) {
     child.alive = false;
+    child.traffic = child.traffic.withoutWorkers();
     child.history.add(new HistoryEvent.ProcessDied(System.nanoTime(), child.number));
     child.history.end();
     List<String> names = new ArrayList<>();
--- a/src/main/java/fennelthread/emulate/WorkerTraffic.java
+++ b/src/main/java/fennelthread/emulate/WorkerTraffic.java
@@ -36,6 +36,12 @@
         Math.max(longestDelayMs, o.longestDelayMs));
   }
 
+  /** The same of a process that has ended. */
+  WorkerTraffic withoutWorkers() {
+    return new WorkerTraffic(
+        0, reports, reportBytes, failedReports, commandRequests, expiredLeases, longestDelayMs);
+  }
+
   /** A line of text. */
   String line() {
     return workers
