--- a/src/test/java/fennelthread/simulation/LeaderChangeMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/LeaderChangeMeetingsTest.java
@@ -212,8 +212,6 @@
     assertTrue(c.allRun(services));
   }
 
-  // ---------------------------------------------------------------- many changes
-
   /**
    * Leaders end in every way, ten times in two minutes, also inside an outage, and while a share of
    * the transactions is carried out late, after the next leader's claim.
@@ -422,6 +420,8 @@
         .forEach(m -> c.crash(m, m.equals(second) ? downMs : 30_000));
     c.world.runUntil(c.world.now() + downMs + 7_000);
     assertEquals(second, c.leader());
+    // Users and workers wait 4 to 5 s for each of the two that are gone before they come over.
+    c.world.runUntil(c.world.now() + 7_000);
     assertTrue(c.rules.starts > before, "nothing is started");
     LeaderChanges.settle(c, services, jobs);
   }
