--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -1063,6 +1063,9 @@
   /** Longest time for which a command is held up, ms. */
   public static final long SIMULATION_HELD_MOST_MS = 16_000;
 
+  /** Events within so long stand in slots of a millisecond; a power of two, ms. */
+  public static final int SIMULATION_EVENT_WINDOW_MS = 1 << 13;
+
   /** Least share of a class, a team or its largest jobs that has to be served. */
   public static final double SIMULATION_SERVED_SHARE = 0.5;
 
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.ObjLongConsumer;
 
 /** Users who cancel many running jobs at once, or a job just as its last task ends. */
 final class JobCancellations {
@@ -17,6 +18,7 @@
   private final SimulatedCluster cluster;
   private final SimulatedNetwork world;
   private final Map<String, ExpectedEnd> expectedEnds = new HashMap<>();
+  private final List<ObjLongConsumer<JobSpec>> endListeners = new ArrayList<>();
   private double endShare;
 
   /** How many jobs were cancelled in bursts. */
@@ -92,9 +94,14 @@
     world.after(forMs, () -> endShare = 0);
   }
 
+  /** Calls a listener with a job, once its remaining tasks all run, and the time of its end. */
+  void onExpectedEnd(ObjLongConsumer<JobSpec> listener) {
+    endListeners.add(listener);
+  }
+
   /** A running task will be complete at that time if nothing happens to it. */
   void expect(JobSpec spec, int index, long atMs) {
-    if (endShare == 0) {
+    if (endShare == 0 && endListeners.isEmpty()) {
       return;
     }
     ExpectedEnd end = expectedEnds.computeIfAbsent(spec.id(), k -> new ExpectedEnd());
@@ -104,7 +111,8 @@
     accounted.or(end.timed);
     if (!end.drawn && accounted.cardinality() == spec.tasks()) {
       end.drawn = true;
-      if (world.faults.nextDouble() < endShare) {
+      endListeners.forEach(listener -> listener.accept(spec, end.atMs));
+      if (endShare > 0 && world.faults.nextDouble() < endShare) {
         long offset =
             (long) world.faults.nextInt(2 * Constants.SIMULATION_CANCEL_END_SPREAD_MS + 1)
                 - Constants.SIMULATION_CANCEL_END_SPREAD_MS;
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -10,7 +10,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
@@ -20,11 +19,7 @@
   private static final com.sun.management.ThreadMXBean MEMORY =
       (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-  private record Event(long at, long seq, Runnable task) {}
-
-  private final PriorityQueue<Event> events =
-      new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.seq, b.seq));
+  private final EventQueue events = new EventQueue();
   private final Map<String, HostProcess> byAddress = new HashMap<>();
   private final NetworkCuts cuts = new NetworkCuts(this);
   private final List<Held> holds = new ArrayList<>();
@@ -58,7 +53,6 @@
   double shortOfSockets;
 
   private long now;
-  private long seq;
 
   /** What handling one kind of event has cost in a process, in real time. */
   static final class Cost {
@@ -84,7 +78,7 @@
 
   /** Runs a task at that time, or at once if it has passed. */
   void at(long time, Runnable task) {
-    events.add(new Event(Math.max(now, time), seq++, task));
+    events.add(Math.max(now, time), task);
   }
 
   /** Runs a task after so many milliseconds. */
@@ -99,10 +93,9 @@
 
   /** Runs all that happens until then. */
   void runUntil(long time) {
-    while (!events.isEmpty() && events.peek().at <= time) {
-      Event e = events.poll();
-      now = e.at;
-      e.task.run();
+    while (events.nextMs() <= time) {
+      now = events.nextMs();
+      events.poll().run();
       afterEach.forEach(Runnable::run);
     }
     now = time;
