--- a/src/main/java/fennelthread/fleet/ReportHandler.java
+++ b/src/main/java/fennelthread/fleet/ReportHandler.java
@@ -184,14 +184,10 @@
       return;
     }
     m.setAddress(report.address());
+    boolean laterSession = report.session() > m.session() && m.session() > 0;
     if (context.isOurs(report)) {
       noteReporting(m, ownReport);
-    }
-    boolean laterSession = report.session() > m.session() && m.session() > 0;
-    if (report.session() > m.session()) {
-      // A worker's lease also counts from the start of its session, which may have begun just now
-      // although we have known the machine for long and answered nothing yet.
-      m.contact().leaseBegan(context.nowMs());
+      noteLease(m, report);
     }
     boolean confirmedBefore = m.isConfirmed(context.epoch());
     List<Attempt> ended = applyEvidence(m, report);
@@ -211,6 +207,19 @@
     }
   }
 
+  /**
+   * A worker's lease also counts from the start of its session, which may have begun just now
+   * although we have known the machine for long and answered nothing yet. Only sessions that are
+   * shown under our token count, as only in those we start anything: a machine that hears nothing
+   * shows a later one each time that its lease ends, and each put the end of what a predecessor had
+   * started there off for another lease.
+   */
+  private void noteLease(Machine m, WorkerReport report) {
+    if (report.session() > m.session() || !m.tokens().areOf(context.epoch())) {
+      m.contact().leaseBegan(context.nowMs());
+    }
+  }
+
   private List<Attempt> applyEvidence(Machine m, WorkerReport report) {
     ReportEvidence.Outcome outcome =
         ReportEvidence.apply(
