--- a/src/main/java/fennelthread/Constants.java
+++ b/src/main/java/fennelthread/Constants.java
@@ -935,6 +935,9 @@
   /** Broken rules that a report lists, the first ones. */
   public static final int EMULATION_VIOLATIONS_KEPT = 50;
 
+  /** Tasks of a cancelled job that a report names. */
+  public static final int EMULATION_PLACES_NAMED = 3;
+
   /** Others count as answered if one was within this time, ms. */
   public static final long EMULATION_ANSWERING_MS = 5_000;
 
@@ -1063,6 +1066,9 @@
   /** Longest time for which a command is held up, ms. */
   public static final long SIMULATION_HELD_MOST_MS = 16_000;
 
+  /** Events within so long stand in slots of a millisecond; a power of two, ms. */
+  public static final int SIMULATION_EVENT_WINDOW_MS = 1 << 13;
+
   /** Least share of a class, a team or its largest jobs that has to be served. */
   public static final double SIMULATION_SERVED_SHARE = 0.5;
 
