--- a/src/main/java/fennelthread/fleet/RentalPolicy.java
+++ b/src/main/java/fennelthread/fleet/RentalPolicy.java
@@ -131,8 +131,8 @@
                 f -> wanted.isEmpty() || wanted.contains(f.name()) ? 0 : 1)
             .thenComparingDouble(RentalPolicy::pricePerCpu));
     List<MachineKind> kinds = new ArrayList<>();
-    addKinds(kinds, types, stock, false);
-    addKinds(kinds, types, stock, true);
+    addKinds(kinds, types, stock, false, zone -> true);
+    addKinds(kinds, types, stock, true, zone -> true);
     return kinds;
   }
 
@@ -142,19 +142,27 @@
     types.removeIf(type -> !fits(type, u));
     types.sort(Comparator.comparingDouble(RentalPolicy::pricePerCpu));
     List<MachineKind> kinds = new ArrayList<>();
-    addKinds(kinds, types, stock, false);
+    addKinds(kinds, types, stock, false, u::mayUseZone);
     if (u.spec().spotAllowed()) {
-      addKinds(kinds, types, stock, true);
+      addKinds(kinds, types, stock, true, u::mayUseZone);
     }
-    kinds.removeIf(kind -> !u.mayUseZone(kind.zone()));
     return kinds;
   }
 
+  /**
+   * Adds the kinds of the zones that may be used. If all of these are away it is rented there: a
+   * zone of which no machine is left would seem away for ever.
+   */
   private void addKinds(
-      List<MachineKind> kinds, List<MachineType> types, Stock stock, boolean spot) {
+      List<MachineKind> kinds,
+      List<MachineType> types,
+      Stock stock,
+      boolean spot,
+      Predicate<String> mayUse) {
     for (MachineType type : types) {
-      if (!type.zones().isEmpty()) {
-        for (String zone : zones.rentIn(type.zones(), stock.cpusByZone)) {
+      List<String> usable = type.zones().stream().filter(mayUse).toList();
+      if (!usable.isEmpty()) {
+        for (String zone : zones.rentIn(usable, stock.cpusByZone)) {
           kinds.add(new MachineKind(type.name(), zone, spot));
         }
       }
--- a/src/test/java/fennelthread/simulation/TripleSearchTest.java
+++ b/src/test/java/fennelthread/simulation/TripleSearchTest.java
@@ -32,9 +32,18 @@
     }
   }
 
-  /** Cases drawn by the search, and those that once broke a rule. */
+  /** Cases that once broke a rule, or did so with a guard taken out, shortened. */
   @ParameterizedTest
-  @CsvSource({"1, START, 'outage at 0 for 12000 by 1'"})
+  @CsvSource({
+    "126, COMPLETION, 'writes late at 0 for 1000 by 0.5'",
+    "143, CANCELLATION, 'writes late at 0 for 3000 by 0.4'",
+    "19, CLAIM, 'commands and answers held at 0 for 12000 by 0.58; leader crashes at 440 for 2130 by 1.0'",
+    "107, LEADER_END, 'leader cut: workers at 700 for 800 by 1.0'",
+    "39, LEADER_END, 'burst at 0 for 1600 by 1.0'",
+    "1020, CLAIM, 'commands held at -1000 for 1000 by 0.8'",
+    "1025, CANCELLATION, 'all crash at 0 for 1050 by 1.0'",
+    "1517, COMPLETION, 'leader refused at 0 for 500 by 1.0; leader cut: state at -9 for 3000 by 1.0; another zone cut at 80 for 33000 by 1.0'"
+  })
   void replay(long seed, Event event, String troubles) {
     assertNull(TripleCase.read(seed, event, troubles).play());
   }
