--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -33,6 +33,18 @@
   /** How many requests or answers were delivered late on purpose. */
   int deliveredLate;
 
+  /** Observes the requests and answers of all processes. */
+  interface TrafficObserver {
+    /** A process sends a request, which may never arrive. */
+    void onRequest(long nowMs, String from, String address, Call call);
+
+    /** A process has answered a request; the answer may never arrive. */
+    void onAnswer(long nowMs, String from, String address, Call call, Answer answer);
+  }
+
+  /** Told of all traffic; null if nobody observes it. */
+  TrafficObserver trafficObserver;
+
   private final List<Runnable> afterEach = new ArrayList<>();
   final SplittableRandom random;
   private final SplittableRandom connections;
@@ -340,6 +352,9 @@
     @Override
     public void call(
         String address, Call call, long timeoutMs, Consumer<Answer> done, Unsent unsent) {
+      if (trafficObserver != null) {
+        trafficObserver.onRequest(SimulatedNetwork.this.now, name, address, call);
+      }
       requestFaults.sent(name, nameOf(address), call);
       if (requestFaults.takesConnection(name, nameOf(address))) {
         long giveUpMs = faults.nextBoolean() ? 1 : timeoutMs;
@@ -424,7 +439,14 @@
             caller = from;
             services
                 .get(address)
-                .handle(new Request(call.method(), call.path(), call.body()), reply);
+                .handle(
+                    new Request(call.method(), call.path(), call.body()),
+                    answer -> {
+                      if (trafficObserver != null) {
+                        trafficObserver.onAnswer(now, from, address, call, answer);
+                      }
+                      reply.accept(answer);
+                    });
           });
     }
 
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -15,6 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.BiConsumer;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 
@@ -59,6 +60,11 @@
   /** Requests that were above a limit. */
   int refusedAsTooMany;
 
+  /** Hands each stored key and its value to a consumer, in the order of the keys. */
+  void forEachStored(BiConsumer<String, Fields> consumer) {
+    items.forEach((key, item) -> consumer.accept(key, item.value()));
+  }
+
   /** Puts and deletes that counted against the limit. */
   long changes;
 
--- a/src/test/java/fennelthread/simulation/TroubleStormTest.java
+++ b/src/test/java/fennelthread/simulation/TroubleStormTest.java
@@ -83,13 +83,18 @@
     return drawn.poll();
   }
 
+  /** Plays the whole storm on a cluster. */
+  static void play(SimulatedCluster c) {
+    next(c, new ArrayDeque<>());
+    c.storm(300_000);
+    SimulationTest.settle(c);
+  }
+
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void storm(long seed) {
     SimulatedCluster c = new SimulatedCluster(seed);
-    next(c, new ArrayDeque<>());
-    c.storm(300_000);
-    SimulationTest.settle(c);
+    play(c);
     System.out.printf(
         "seed %d: %d starts, %d after a user was told of the cancellation%n",
         seed, c.rules.starts, c.rules.startsAfterCancel);
