--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -1,6 +1,7 @@
 package fennelthread;
 
 import fennelthread.api.Api;
+import fennelthread.constants.RelayConstants;
 import fennelthread.control.CurrentTerm;
 import fennelthread.control.KnownWorkers;
 import fennelthread.control.LeaderDirectory;
@@ -187,7 +188,7 @@
   }
 
   private void supervise() {
-    host.after(Constants.SUPERVISE_MS, this::supervise);
+    host.after(RelayConstants.SUPERVISE_MS, this::supervise);
     heap.look();
     supervisor.look();
   }
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -1,6 +1,6 @@
 package fennelthread.api;
 
-import fennelthread.Constants;
+import fennelthread.constants.ApiConstants;
 import fennelthread.jobs.Acceptance;
 import fennelthread.jobs.DependencyCheck;
 import fennelthread.jobs.Job;
@@ -99,7 +99,7 @@
         reply.accept(
             up.getAsBoolean()
                 ? Answer.of(200, Codec.CBOR, Fields.create())
-                : Answer.later(503, "can't serve now", Constants.RETRY_AFTER_S));
+                : Answer.later(503, "can't serve now", ApiConstants.RETRY_AFTER_S));
       }
     } else {
       reply.accept(Answer.error(404, "unknown path"));
@@ -122,7 +122,7 @@
     boolean[] answered = new boolean[1];
     Host.Cancellable timer =
         host.after(
-            Constants.ANSWER_MS,
+            ApiConstants.ANSWER_MS,
             () -> {
               if (!answered[0]) {
                 answered[0] = true;
@@ -140,7 +140,7 @@
 
   private Answer later(String why) {
     refusals.add(why);
-    return Answer.later(503, why, Constants.RETRY_AFTER_S);
+    return Answer.later(503, why, ApiConstants.RETRY_AFTER_S);
   }
 
   private void beat(Request request, Consumer<Answer> reply) {
@@ -179,7 +179,7 @@
     }
     if (tight.getAsBoolean() && !store.isKnown(id)) {
       refusals.add("no memory for more jobs");
-      refuse(id, Answer.later(503, "no memory for more jobs", Constants.HEAP_RETRY_S), reply);
+      refuse(id, Answer.later(503, "no memory for more jobs", ApiConstants.HEAP_RETRY_S), reply);
     } else if (job.spec().needs().isEmpty() || store.isKnown(id)) {
       accept(job, reply);
     } else {
--- a/src/main/java/fennelthread/api/Refusals.java
+++ b/src/main/java/fennelthread/api/Refusals.java
@@ -1,6 +1,6 @@
 package fennelthread.api;
 
-import fennelthread.Constants;
+import fennelthread.constants.ApiConstants;
 import fennelthread.net.Host;
 import java.util.Map;
 import java.util.TreeMap;
@@ -22,7 +22,7 @@
   void add(String cause) {
     if (counts.isEmpty()) {
       host.after(
-          Constants.REFUSALS_LOG_MS,
+          ApiConstants.REFUSALS_LOG_MS,
           () -> {
             log.info("users told to come back: {}", counts);
             counts.clear();
--- a/src/main/java/fennelthread/capacity/LinearFit.java
+++ b/src/main/java/fennelthread/capacity/LinearFit.java
@@ -1,6 +1,6 @@
 package fennelthread.capacity;
 
-import fennelthread.Constants;
+import fennelthread.constants.CapacityConstants;
 import java.util.List;
 
 /**
@@ -77,6 +77,6 @@
 
   /** True if the line explains nearly all of what was measured. */
   public boolean isLinear() {
-    return rSquared >= Constants.LINE_R_SQUARED;
+    return rSquared >= CapacityConstants.LINE_R_SQUARED;
   }
 }
--- a/src/main/java/fennelthread/capacity/Slope.java
+++ b/src/main/java/fennelthread/capacity/Slope.java
@@ -1,6 +1,6 @@
 package fennelthread.capacity;
 
-import fennelthread.Constants;
+import fennelthread.constants.CapacityConstants;
 import java.util.List;
 
 /**
@@ -28,8 +28,9 @@
   /** True if the value rises or falls by more than three standard errors of the slope. */
   public boolean grows() {
     LinearFit fit = fit();
-    boolean visible = points.stream().anyMatch(p -> Math.abs(p.value()) > Constants.SLOPE_VISIBLE);
-    return visible && Math.abs(fit.slope()) > Constants.SLOPE_ERRORS * fit.slopeError();
+    boolean visible =
+        points.stream().anyMatch(p -> Math.abs(p.value()) > CapacityConstants.SLOPE_VISIBLE);
+    return visible && Math.abs(fit.slope()) > CapacityConstants.SLOPE_ERRORS * fit.slopeError();
   }
 
   /** The name under which the catalogue holds it. */
--- a/src/main/java/fennelthread/control/KnownWorkers.java
+++ b/src/main/java/fennelthread/control/KnownWorkers.java
@@ -1,6 +1,7 @@
 package fennelthread.control;
 
-import fennelthread.Constants;
+import fennelthread.constants.PeerConstants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.wire.WorkerReport;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -29,14 +30,14 @@
   }
 
   private void trim() {
-    while (addresses.size() > Constants.KNOWN_ADDRESSES) {
+    while (addresses.size() > RelayConstants.KNOWN_ADDRESSES) {
       addresses.remove(addresses.keySet().iterator().next());
     }
   }
 
   /** Forgets reports that are no longer recent; their addresses stay. */
   void forgetOldReports(long nowMs) {
-    reportedAtMs.values().removeIf(at -> nowMs - at > Constants.SIBLING_SILENT_MS);
+    reportedAtMs.values().removeIf(at -> nowMs - at > PeerConstants.SIBLING_SILENT_MS);
   }
 
   /** The number of workers that have reported here lately. */
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -1,6 +1,7 @@
 package fennelthread.control;
 
-import fennelthread.Constants;
+import fennelthread.constants.ControlConstants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.handover.Handover;
 import fennelthread.leader.Lease;
 import fennelthread.net.Call;
@@ -37,7 +38,7 @@
   private final LeaderReachability reachability;
   private final UnreachableLeaderNotice notice;
 
-  /** Creates it; {@link #look} is to be called every {@link Constants#SUPERVISE_MS}. */
+  /** Creates it; {@link #look} is to be called every {@link RelayConstants#SUPERVISE_MS}. */
   public LeaderSupervisor(
       Host host,
       Settings settings,
@@ -77,12 +78,12 @@
     }
     checkReachability(now);
     if (isRefusedAlone()) {
-      lease.stepDown("the state service refuses only us", Constants.YIELD_PAUSE_MS);
+      lease.stepDown("the state service refuses only us", ControlConstants.YIELD_PAUSE_MS);
       handover.endThroughSiblings(lease.grant());
       return;
     }
     if (now - term.lastReportAtMs() > unheardMs() && peers.siblingsHearBeats() > 0) {
-      lease.stepDown("workers reach only the others", Constants.YIELD_PAUSE_MS);
+      lease.stepDown("workers reach only the others", ControlConstants.YIELD_PAUSE_MS);
     }
   }
 
@@ -90,7 +91,8 @@
   private long unheardMs() {
     return (long)
         Math.max(
-            Constants.UNHEARD_LEAST_MS, settings.workers().reportMs() * Constants.UNHEARD_REPORTS);
+            ControlConstants.UNHEARD_LEAST_MS,
+            settings.workers().reportMs() * ControlConstants.UNHEARD_REPORTS);
   }
 
   /**
@@ -100,7 +102,7 @@
    */
   private void confirmReplica(long now) {
     boolean silent =
-        now - Math.min(state.servedAtMs(), replica.readAtMs()) > Constants.SERVED_CHECK_MS;
+        now - Math.min(state.servedAtMs(), replica.readAtMs()) > ControlConstants.SERVED_CHECK_MS;
     if (replica.isReady() && silent) {
       state.changes(
           changes -> {
@@ -113,8 +115,8 @@
 
   /** True if the state service refuses this controller and has served a peer since. */
   public boolean isRefusedAlone() {
-    return state.refusedForMs() > Constants.REFUSED_ALONE_MS
-        && peers.siblingServedAfter(state.servedAtMs() + Constants.REFUSED_ALONE_MS / 2);
+    return state.refusedForMs() > ControlConstants.REFUSED_ALONE_MS
+        && peers.siblingServedAfter(state.servedAtMs() + ControlConstants.REFUSED_ALONE_MS / 2);
   }
 
   /** Checks whether this leader still hears its workers itself, and asks some if it does not. */
@@ -137,11 +139,11 @@
 
   private void askSomeWorkers() {
     List<String> all = List.copyOf(term.workers().values());
-    for (int i = 0; i < Math.min(all.size(), Constants.DEAF_QUESTIONS); i++) {
+    for (int i = 0; i < Math.min(all.size(), ControlConstants.DEAF_QUESTIONS); i++) {
       host.call(
           all.get(host.random().nextInt(all.size())),
           Call.get("/show").asSpare(),
-          Constants.PROBE_TIMEOUT_MS,
+          ControlConstants.PROBE_TIMEOUT_MS,
           answer -> {
             if (answer != null) {
               reachability.reached(host.nowMs());
@@ -157,7 +159,7 @@
   public void yieldIfNoticed() {
     if (lease.isLeading() && reachability.isDeaf() && notice.wasRead(lease.epoch())) {
       lease.stepDown(
-          "workers reach only the others, the state service says", Constants.YIELD_PAUSE_MS);
+          "workers reach only the others, the state service says", ControlConstants.YIELD_PAUSE_MS);
     }
   }
 
@@ -165,7 +167,7 @@
   public void considerNotice() {
     Leader leader = directory.leader();
     boolean peerLeads = leader.member() != null && !leader.member().equals(settings.member());
-    if (peerLeads && peers.silentMs(leader.member()) >= Constants.PETITION_SILENT_MS) {
+    if (peerLeads && peers.silentMs(leader.member()) >= ControlConstants.PETITION_SILENT_MS) {
       notice.consider(leader.epoch(), workers.size());
     } else {
       notice.clear();
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -1,6 +1,6 @@
 package fennelthread.control;
 
-import fennelthread.Constants;
+import fennelthread.constants.ControlConstants;
 import fennelthread.fleet.Cloud;
 import fennelthread.leader.Lease;
 import fennelthread.net.Host;
@@ -60,7 +60,7 @@
           if (types != null && !types.isEmpty()) {
             replace(types);
           } else {
-            host.after(Constants.MACHINE_TYPES_RETRY_MS, this::read);
+            host.after(ControlConstants.MACHINE_TYPES_RETRY_MS, this::read);
           }
         });
   }
--- a/src/main/java/fennelthread/control/ReportHandler.java
+++ b/src/main/java/fennelthread/control/ReportHandler.java
@@ -1,6 +1,7 @@
 package fennelthread.control;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.ReportOrder;
 import fennelthread.leader.Lease;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
@@ -104,7 +105,7 @@
     workers.reported(report, host.nowMs());
     Leader leader = directory.leader();
     boolean peerLeads = leader.member() != null && !member.equals(leader.member());
-    if (peerLeads && report.token() >> Constants.TOKEN_BITS == leader.epoch()) {
+    if (peerLeads && report.token() >> ProtocolConstants.TOKEN_BITS == leader.epoch()) {
       notice.came(report.machine());
       considerNotice.run();
     }
@@ -122,7 +123,8 @@
 
   /** The controller that a worker is to report to, null for the next one in its own order. */
   private String target(Leader leader, boolean peerLeads, Relay.Decision decision) {
-    boolean silent = !peerLeads || peers.silentMs(leader.member()) > Constants.KEEP_STILL_MS;
+    boolean silent =
+        !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.KEEP_STILL_MS;
     String renewing = silent ? peers.anyKeeping() : null;
     if (renewing != null) {
       return renewing;
--- a/src/main/java/fennelthread/election/LeaderView.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -1,6 +1,7 @@
 package fennelthread.election;
 
-import fennelthread.Constants;
+import fennelthread.constants.ElectionConstants;
+import fennelthread.constants.ProtocolConstants;
 
 /**
  * One follower's view of the leader of one epoch: what it has promised, and whether it may help to
@@ -22,7 +23,7 @@
     BOUND
   }
 
-  private final long[] gapsMs = new long[Constants.GREETING_GAPS];
+  private final long[] gapsMs = new long[ElectionConstants.GREETING_GAPS];
   private Phase phase = Phase.BOUND;
   private long epoch = -1;
   private long boundRevision = Long.MAX_VALUE;
@@ -76,19 +77,19 @@
     moveTo(Phase.HEARD);
     promisedUntilMs =
         nowMs
-            + (long) (Constants.PROMISE_MS * (1 + 2 * Constants.CLOCK_DRIFT))
-            + Constants.LEASE_MARGIN_MS;
+            + (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+            + ProtocolConstants.LEASE_MARGIN_MS;
     return epoch;
   }
 
   /**
-   * Looks; to be called every {@link Constants#VIEW_MS}. While our own timers run late we were not
-   * listening: what came in meanwhile waits to be read, and suspicion begins anew.
+   * Looks; to be called every {@link ElectionConstants#VIEW_MS}. While our own timers run late we
+   * were not listening: what came in meanwhile waits to be read, and suspicion begins anew.
    *
    * @return true if the leader is suspect
    */
   public boolean look(long nowMs) {
-    if (nowMs - lookedAtMs > Constants.VIEW_LATE_MS) {
+    if (nowMs - lookedAtMs > ElectionConstants.VIEW_LATE_MS) {
       awakeSinceMs = nowMs;
     }
     lookedAtMs = nowMs;
@@ -107,10 +108,12 @@
       longest = Math.max(longest, gapsMs[i]);
     }
     long patience =
-        Math.max(Constants.PROMISE_MS, (long) (longest * Constants.GREETING_GAPS_MISSED));
+        Math.max(
+            ElectionConstants.PROMISE_MS,
+            (long) (longest * ElectionConstants.GREETING_GAPS_MISSED));
     return nowMs > promisedUntilMs
         && nowMs - Math.max(heardAtMs, awakeSinceMs) > patience
-        && nowMs - sinceMs > Constants.TAKEOVER_GAP_MS;
+        && nowMs - sinceMs > ElectionConstants.TAKEOVER_GAP_MS;
   }
 
   /**
--- a/src/main/java/fennelthread/election/LeadershipPromises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -1,6 +1,7 @@
 package fennelthread.election;
 
-import fennelthread.Constants;
+import fennelthread.constants.ElectionConstants;
+import fennelthread.constants.ProtocolConstants;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
@@ -65,7 +66,7 @@
 
   /** What a promise is worth to the leader, ms: less than to the sibling that gave it. */
   private static long heldMs() {
-    return (long) (Constants.PROMISE_MS * (1 - 2 * Constants.CLOCK_DRIFT))
-        - Constants.LEASE_MARGIN_MS;
+    return (long) (ElectionConstants.PROMISE_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+        - ProtocolConstants.LEASE_MARGIN_MS;
   }
 }
--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -1,6 +1,6 @@
 package fennelthread.election;
 
-import fennelthread.Constants;
+import fennelthread.constants.ElectionConstants;
 import fennelthread.leader.Lease;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
@@ -89,7 +89,7 @@
 
   /** Begins to look. */
   public void start() {
-    host.after(Constants.VIEW_MS, this::start);
+    host.after(ElectionConstants.VIEW_MS, this::start);
     long now = host.nowMs();
     if (!ready) {
       if (replica.isReady()) {
@@ -143,15 +143,15 @@
   }
 
   private void lead(long now) {
-    boolean enough = promises.untilMs() - now > Constants.PROMISE_SPARE_MS;
+    boolean enough = promises.untilMs() - now > ElectionConstants.PROMISE_SPARE_MS;
     enoughSinceMs = !enough ? -1 : enoughSinceMs < 0 ? now : enoughSinceMs;
     if (!enough) {
       turn(true);
-    } else if (mayStand() && now - enoughSinceMs > Constants.SOLO_AFTER_MS) {
+    } else if (mayStand() && now - enoughSinceMs > ElectionConstants.SOLO_AFTER_MS) {
       turn(false);
     } else if (!solo.isOn()
         && unpromisedAtMs >= 0
-        && now - unpromisedAtMs > Constants.UNPROMISED_MS) {
+        && now - unpromisedAtMs > ElectionConstants.UNPROMISED_MS) {
       // A sibling that may be bound by what it agreed to earlier: our word anew makes that void.
       unpromisedAtMs = -1;
       turn(false);
@@ -202,7 +202,9 @@
     suspectedAtMs = suspectedAtMs < 0 ? now : suspectedAtMs;
     // Without the state service nobody can claim: whoever is cut off with a sibling asked it every
     // second.
-    if (!asking && state.answersSoon(0) && now - suspectedAtMs >= rank() * Constants.HEIR_STEP_MS) {
+    if (!asking
+        && state.answersSoon(0)
+        && now - suspectedAtMs >= rank() * ElectionConstants.HEIR_STEP_MS) {
       ask();
     }
   }
@@ -246,7 +248,7 @@
           s.member(),
           AGREE,
           question,
-          Constants.AGREE_TIMEOUT_MS,
+          ElectionConstants.AGREE_TIMEOUT_MS,
           answer -> {
             agreed[0] += agrees(answer) ? 1 : 0;
             if (--open[0] == 0 || agreed[0] == LeadershipPromises.majority(members.size())) {
@@ -254,7 +256,7 @@
             }
           });
     }
-    host.after(Constants.AGREE_PAUSE_MS, () -> asking = false);
+    host.after(ElectionConstants.AGREE_PAUSE_MS, () -> asking = false);
   }
 
   private static boolean agrees(Answer answer) {
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -1,6 +1,6 @@
 package fennelthread.election;
 
-import fennelthread.Constants;
+import fennelthread.constants.ElectionConstants;
 import fennelthread.net.Host;
 import fennelthread.state.Keys;
 import fennelthread.state.StateClient;
@@ -71,7 +71,7 @@
       Supplier<Txn> fenced,
       BiConsumer<Txn, TxnResult.Applied> applied) {
     boolean possible = phase == Phase.OFF || (phase == Phase.ON && !on);
-    if (!possible || host.nowMs() - triedAtMs < Constants.SOLO_RETRY_MS) {
+    if (!possible || host.nowMs() - triedAtMs < ElectionConstants.SOLO_RETRY_MS) {
       return;
     }
     triedAtMs = host.nowMs();
--- a/src/main/java/fennelthread/emulate/Addresses.java
+++ b/src/main/java/fennelthread/emulate/Addresses.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -25,11 +25,11 @@
   /** Takes a block that no other run on this machine holds, for as long as it is open. */
   static Addresses claim(RandomGenerator random) throws IOException {
     IOException last = null;
-    for (int i = 0; i < Constants.EMULATION_BLOCK_TRIES; i++) {
+    for (int i = 0; i < EmulationConstants.BLOCK_TRIES; i++) {
       int block = 1 + random.nextInt(254);
       try {
         InetAddress lock = InetAddress.getByName("127." + block + ".255.254");
-        return new Addresses(block, new ServerSocket(Constants.EMULATION_WORKER_PORT, 1, lock));
+        return new Addresses(block, new ServerSocket(EmulationConstants.WORKER_PORT, 1, lock));
       } catch (IOException e) {
         last = e;
       }
@@ -39,22 +39,22 @@
 
   /** A controller's address for users and workers; members count from 0. */
   String api(int member) {
-    return service(1, member, Constants.EMULATION_API_PORT);
+    return service(1, member, EmulationConstants.API_PORT);
   }
 
   /** A controller's address for the other controllers. */
   String peer(int member) {
-    return service(1, member, Constants.EMULATION_PEER_PORT);
+    return service(1, member, EmulationConstants.PEER_PORT);
   }
 
   /** The state service as one controller reaches it: the address says who asks. */
   String state(int member) {
-    return service(2, member, Constants.EMULATION_STATE_PORT);
+    return service(2, member, EmulationConstants.STATE_PORT);
   }
 
   /** The cloud as one controller reaches it. */
   String cloud(int member) {
-    return service(3, member, Constants.EMULATION_CLOUD_PORT);
+    return service(3, member, EmulationConstants.CLOUD_PORT);
   }
 
   private String service(int kind, int member, int port) {
@@ -68,7 +68,7 @@
       throw new IllegalStateException("more machines than a block of loopback addresses holds");
     }
     int fourth = 1 + number % 250;
-    return "127." + block + "." + third + "." + fourth + ":" + Constants.EMULATION_WORKER_PORT;
+    return "127." + block + "." + third + "." + fourth + ":" + EmulationConstants.WORKER_PORT;
   }
 
   /** Reads {@code a.b.c.d:port}. */
--- a/src/main/java/fennelthread/emulate/ControllerDirectory.java
+++ b/src/main/java/fennelthread/emulate/ControllerDirectory.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import java.util.ArrayDeque;
@@ -30,9 +30,9 @@
     void probed(boolean good) {
       successes = good ? successes + 1 : 0;
       failures = good ? 0 : failures + 1;
-      if (successes >= Constants.EMULATION_HEALTHY_AFTER) {
+      if (successes >= EmulationConstants.HEALTHY_AFTER) {
         healthy = true;
-      } else if (failures >= Constants.EMULATION_UNHEALTHY_AFTER) {
+      } else if (failures >= EmulationConstants.UNHEALTHY_AFTER) {
         healthy = false;
       }
     }
@@ -51,7 +51,7 @@
 
   /** Begins to check controllers' health. */
   void start() {
-    loop.every(Constants.EMULATION_PROBE_MS, this::probe);
+    loop.every(EmulationConstants.PROBE_MS, this::probe);
   }
 
   /** How many controllers are healthy. */
@@ -64,7 +64,7 @@
       if (!c.probe.isBusy()) {
         c.probe.call(
             Call.get("/up"),
-            Constants.EMULATION_PROBE_MS,
+            EmulationConstants.PROBE_MS,
             answer -> {
               c.probed(answer != null && answer.status() == 200);
               healthy = (int) controllers.stream().filter(o -> o.healthy).count();
@@ -98,7 +98,7 @@
         call,
         timeoutMs,
         answer -> {
-          if (answer != null && to.idle.size() < Constants.EMULATION_IDLE_CONNECTIONS) {
+          if (answer != null && to.idle.size() < EmulationConstants.IDLE_CONNECTIONS) {
             to.idle.push(connection);
           } else {
             connection.close();
--- a/src/main/java/fennelthread/emulate/EmulatedCloud.java
+++ b/src/main/java/fennelthread/emulate/EmulatedCloud.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.EmulationConfig.FleetPart;
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
@@ -86,7 +86,7 @@
 
   /** Sets the first machines going, spread over the boot time; on the loop's thread. */
   void start() {
-    loop.every(Constants.EMULATION_LIST_STEP_MS, this::takeSnapshot);
+    loop.every(EmulationConstants.LIST_STEP_MS, this::takeSnapshot);
     double shares = config.machineTypes().stream().mapToDouble(FleetPart::share).sum();
     double target = 0;
     int made = 0;
@@ -133,7 +133,7 @@
       if (machine != null && machine.up) {
         machine.up = false;
         running.decrementAndGet();
-        loop.after(Constants.EMULATION_FAILED_SHOWN_MS, () -> machine.state = HostEntry.FAILED);
+        loop.after(EmulationConstants.FAILED_SHOWN_MS, () -> machine.state = HostEntry.FAILED);
       }
     }
   }
@@ -205,7 +205,7 @@
     for (Object entry : shown.entries) {
       String name = (String) ((Map<?, ?>) entry).get("name_id");
       if (name.compareTo(since) > 0) {
-        if (page.size() == Constants.PAGE) {
+        if (page.size() == EmulationConstants.PAGE) {
           more = true;
           break;
         }
--- a/src/main/java/fennelthread/emulate/EmulatedStateService.java
+++ b/src/main/java/fennelthread/emulate/EmulatedStateService.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.EmulationConfig.StateSettings;
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
@@ -81,7 +81,7 @@
 
   /** Begins to end leases; on the loop's thread. */
   void start() {
-    loop.every(Constants.EMULATION_LEASE_STEP_MS, this::expireLeases);
+    loop.every(EmulationConstants.LEASE_STEP_MS, this::expireLeases);
   }
 
   /** The service as one controller sees it. */
@@ -221,7 +221,7 @@
     boolean more = false;
     for (Map.Entry<String, StateStore.Item> e :
         store.after(query.get("under"), query.getOrDefault("since", "")).entrySet()) {
-      if (found.size() == most || size > Constants.EMULATION_LIST_BYTES) {
+      if (found.size() == most || size > EmulationConstants.LIST_BYTES) {
         more = true;
         break;
       }
--- a/src/main/java/fennelthread/emulate/EmulatedUsers.java
+++ b/src/main/java/fennelthread/emulate/EmulatedUsers.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.HistoryEvent.Known;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
@@ -86,7 +86,7 @@
   /** Says on and on up to when everything was told; on the loop's thread. */
   void start() {
     loop.every(
-        Constants.EMULATION_WATERMARK_MS,
+        EmulationConstants.WATERMARK_MS,
         () -> {
           history.toldUntil(System.nanoTime());
           counts = new Counts(jobs.size(), accepted, refused, givenUp, new TreeMap<>(statuses));
@@ -98,8 +98,8 @@
     arriving = true;
     arrivalsFromMs = EventLoop.nowMs();
     arrivedUntilMs = arrivalsFromMs;
-    loop.every(Constants.EMULATION_ARRIVAL_STEP_MS, this::arrive);
-    loop.every(Constants.EMULATION_STRANGE_MS, this::askAboutUnknown);
+    loop.every(EmulationConstants.ARRIVAL_STEP_MS, this::arrive);
+    loop.every(EmulationConstants.STRANGE_MS, this::askAboutUnknown);
   }
 
   /** No more jobs arrive. */
@@ -136,7 +136,7 @@
     ask(
         job,
         Call.post("/v1/jobs", Codec.CBOR, job.spec.write()),
-        Constants.EMULATION_SUBMIT_TIMEOUT_MS,
+        EmulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
           if (answer != null) {
             measurements.answered("submission", System.nanoTime() - sentNanos);
@@ -147,7 +147,7 @@
           } else if (answer != null && (answer.status() == 400 || answer.status() == 422)) {
             refused++;
             job.refused = true;
-          } else if (EventLoop.nowMs() - job.submittedMs < Constants.EMULATION_GIVE_UP_MS) {
+          } else if (EventLoop.nowMs() - job.submittedMs < EmulationConstants.GIVE_UP_MS) {
             loop.after(pauseMs(answer), () -> submit(job));
           } else {
             givenUp++;
@@ -161,11 +161,11 @@
 
   private static long pauseMs(Answer answer) {
     long seconds = answer == null ? 1 : Math.max(1, answer.retryAfterS());
-    return Math.min(Constants.EMULATION_LONGEST_RETRY_S, seconds) * 1000;
+    return Math.min(EmulationConstants.LONGEST_RETRY_S, seconds) * 1000;
   }
 
   private void poll(Job job) {
-    long pause = job.isOver() ? Constants.EMULATION_LATER_POLL_MS : Constants.EMULATION_POLL_MS;
+    long pause = job.isOver() ? EmulationConstants.LATER_POLL_MS : EmulationConstants.POLL_MS;
     loop.after(pause * 3 / 4 + random.nextLong(pause / 2), () -> question(job));
   }
 
@@ -174,7 +174,7 @@
     ask(
         job,
         Call.get("/v1/jobs/" + job.spec.id()),
-        Constants.EMULATION_POLL_TIMEOUT_MS,
+        EmulationConstants.POLL_TIMEOUT_MS,
         answer -> {
           if (answer != null) {
             measurements.answered("question", System.nanoTime() - sentNanos);
@@ -188,7 +188,7 @@
       return;
     }
     if (!job.accepted) {
-      loop.after(Constants.EMULATION_NEXT_MEMBER_MS, () -> cancel(job));
+      loop.after(EmulationConstants.NEXT_MEMBER_MS, () -> cancel(job));
       return;
     }
     history.add(new HistoryEvent.AsksToCancel(System.nanoTime(), job.spec.id()));
@@ -196,7 +196,7 @@
     ask(
         job,
         Call.post("/v1/jobs/" + job.spec.id() + "/withdraw", Codec.CBOR, Fields.create()),
-        Constants.EMULATION_SUBMIT_TIMEOUT_MS,
+        EmulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
           if (answer != null) {
             measurements.answered("cancellation", System.nanoTime() - sentNanos);
@@ -249,7 +249,7 @@
     String id = "job-9" + String.format("%08d", random.nextInt(100_000_000));
     controllers.call(
         Call.get("/v1/jobs/" + id),
-        Constants.EMULATION_POLL_TIMEOUT_MS,
+        EmulationConstants.POLL_TIMEOUT_MS,
         answer -> {
           if (isGood(answer)) {
             history.add(
@@ -265,7 +265,7 @@
     finalAnswers.set(0);
     for (int i = 0; i < all.size(); i++) {
       Job job = all.get(i);
-      loop.after((long) (i * 1000.0 / Constants.EMULATION_FINAL_PER_S), () -> finalQuestion(job));
+      loop.after((long) (i * 1000.0 / EmulationConstants.FINAL_PER_S), () -> finalQuestion(job));
     }
   }
 
@@ -273,7 +273,7 @@
     ask(
         job,
         Call.get("/v1/jobs/" + job.spec.id()),
-        Constants.EMULATION_POLL_TIMEOUT_MS,
+        EmulationConstants.POLL_TIMEOUT_MS,
         answer -> {
           if (answer != null && answer.status() < 429) {
             finalAnswers.incrementAndGet();
--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.RunReport.Sample;
 import fennelthread.settings.SettingsException;
 import java.io.IOException;
@@ -97,7 +97,7 @@
   /** Ends a run early, as Ctrl-C does, and waits until its report is written. */
   public void interrupt() throws InterruptedException {
     stop.countDown();
-    over.await(Constants.EMULATION_REPORT_WAIT_S, TimeUnit.SECONDS);
+    over.await(EmulationConstants.REPORT_WAIT_S, TimeUnit.SECONDS);
   }
 
   /** Runs to the end; how many rules were broken. */
@@ -163,9 +163,9 @@
     } catch (BindException e) {
       throw new SettingsException(
           "ports "
-              + Constants.EMULATION_STATE_PORT
+              + EmulationConstants.STATE_PORT
               + " and "
-              + Constants.EMULATION_CLOUD_PORT
+              + EmulationConstants.CLOUD_PORT
               + " of the loopback can't be used: "
               + e.getMessage());
     }
@@ -211,14 +211,14 @@
 
   /** Waits until a controller serves users and all machines are up. */
   private void awaitFleet(Path logs) throws SettingsException, InterruptedException {
-    long deadline = EventLoop.nowMs() + config.bootMs() + Constants.EMULATION_START_MS;
+    long deadline = EventLoop.nowMs() + config.bootMs() + EmulationConstants.START_MS;
     while (directory.healthy() == 0
         || state.leader.member() == null
         || workers.traffic().workers() < config.workers()) {
       if (EventLoop.nowMs() > deadline) {
         throw new SettingsException(
             "after "
-                + (config.bootMs() + Constants.EMULATION_START_MS) / 1000
+                + (config.bootMs() + EmulationConstants.START_MS) / 1000
                 + " s "
                 + directory.healthy()
                 + " controllers serve and "
@@ -226,7 +226,7 @@
                 + " workers are up; see the logs in "
                 + logs);
       }
-      if (stop.await(Constants.EMULATION_DRAIN_MS, TimeUnit.MILLISECONDS)) {
+      if (stop.await(EmulationConstants.DRAIN_MS, TimeUnit.MILLISECONDS)) {
         return;
       }
     }
@@ -313,21 +313,20 @@
     usersLoop.execute(users::askAboutAll);
     long deadline =
         EventLoop.nowMs()
-            + Constants.EMULATION_FINAL_MS
-            + finalQuestions * 1000L / Constants.EMULATION_FINAL_PER_S;
+            + EmulationConstants.FINAL_MS
+            + finalQuestions * 1000L / EmulationConstants.FINAL_PER_S;
     while (users.finalAnswers() < finalQuestions && EventLoop.nowMs() < deadline) {
-      if (stop.await(Constants.EMULATION_DRAIN_MS, TimeUnit.MILLISECONDS)) {
+      if (stop.await(EmulationConstants.DRAIN_MS, TimeUnit.MILLISECONDS)) {
         return;
       }
     }
-    TimeUnit.MILLISECONDS.sleep(Constants.EMULATION_SETTLE_MS);
+    TimeUnit.MILLISECONDS.sleep(EmulationConstants.SETTLE_MS);
   }
 
   // ---------------------------------------------------------------- report
 
   private int report(boolean interrupted) throws IOException {
-    checker.finish(
-        System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(Constants.EMULATION_SETTLE_MS));
+    checker.finish(System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(EmulationConstants.SETTLE_MS));
     List<Sample> series = recorder.series();
     double durationS = series.isEmpty() ? 1 : series.get(series.size() - 1).atS();
     EmulatedUsers.Counts counts = users.counts();
--- a/src/main/java/fennelthread/emulate/EventLoop.java
+++ b/src/main/java/fennelthread/emulate/EventLoop.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.net.Host;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -52,7 +52,7 @@
   private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final ByteBuffer readBuffer =
-      ByteBuffer.allocateDirect(Constants.EMULATION_READ_BUFFER_BYTES);
+      ByteBuffer.allocateDirect(EmulationConstants.READ_BUFFER_BYTES);
   private long timersMade;
   private volatile long longestDelayNanos;
   private volatile boolean stopped;
@@ -138,10 +138,10 @@
     }
     Timer next = timers.peek();
     if (next == null) {
-      return Constants.EMULATION_IDLE_MS;
+      return EmulationConstants.IDLE_MS;
     }
     long millis = TimeUnit.NANOSECONDS.toMillis(next.dueNanos - System.nanoTime());
-    return Math.min(Constants.EMULATION_IDLE_MS, Math.max(1, millis + 1));
+    return Math.min(EmulationConstants.IDLE_MS, Math.max(1, millis + 1));
   }
 
   private void dispatch(SelectionKey key) {
--- a/src/main/java/fennelthread/emulate/HistoryChecker.java
+++ b/src/main/java/fennelthread/emulate/HistoryChecker.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.EmulatedCloud.MachineId;
 import fennelthread.emulate.HistoryEvent.AsksToCancel;
 import fennelthread.emulate.HistoryEvent.Began;
@@ -140,7 +140,7 @@
 
   private void broken(String rule, long nanos, String detail) {
     violationCount++;
-    if (violations.size() < Constants.EMULATION_VIOLATIONS_KEPT) {
+    if (violations.size() < EmulationConstants.VIOLATIONS_KEPT) {
       violations.add(new Violation(rule, (nanos - startNanos) * 1e-9, detail));
     }
   }
@@ -199,9 +199,9 @@
     used[0] += spec.cpus();
     used[1] += spec.cards();
     boolean tooManyCpus =
-        team.cpusMax() > 0 && used[0] > team.cpusMax() + Constants.EMULATION_ROUNDING;
+        team.cpusMax() > 0 && used[0] > team.cpusMax() + EmulationConstants.ROUNDING;
     boolean tooManyCards =
-        team.cardsMax() > 0 && used[1] > team.cardsMax() + Constants.EMULATION_ROUNDING;
+        team.cardsMax() > 0 && used[1] > team.cardsMax() + EmulationConstants.ROUNDING;
     if (tooManyCpus || tooManyCards) {
       broken(
           "quota",
@@ -340,7 +340,7 @@
     List<String> places =
         where.entrySet().stream()
             .filter(e -> e.getKey().job().equals(id))
-            .limit(Constants.EMULATION_PLACES_NAMED)
+            .limit(EmulationConstants.PLACES_NAMED)
             .map(e -> e.getKey() + " on " + e.getValue())
             .toList();
     return String.format(
@@ -361,8 +361,8 @@
       }
     }
     boolean othersAreAnswered =
-        nanos - lastAnswerNanos < TimeUnit.MILLISECONDS.toNanos(Constants.EMULATION_ANSWERING_MS);
-    long patience = TimeUnit.MILLISECONDS.toNanos(Constants.EMULATION_FORGOTTEN_MS);
+        nanos - lastAnswerNanos < TimeUnit.MILLISECONDS.toNanos(EmulationConstants.ANSWERING_MS);
+    long patience = TimeUnit.MILLISECONDS.toNanos(EmulationConstants.FORGOTTEN_MS);
     for (Job job : List.copyOf(unanswered)) {
       if (othersAreAnswered && nanos - job.unansweredSinceNanos > patience) {
         unanswered.remove(job);
--- a/src/main/java/fennelthread/emulate/HistoryMerger.java
+++ b/src/main/java/fennelthread/emulate/HistoryMerger.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -95,7 +95,7 @@
               try {
                 while (true) {
                   drain();
-                  Thread.sleep(Constants.EMULATION_DRAIN_MS);
+                  Thread.sleep(EmulationConstants.DRAIN_MS);
                 }
               } catch (InterruptedException e) {
                 drain();
--- a/src/main/java/fennelthread/emulate/HollowWorker.java
+++ b/src/main/java/fennelthread/emulate/HollowWorker.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.EmulatedCloud.MachineId;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
@@ -199,7 +199,7 @@
   private void reportSoon() {
     if (!reportDue && alive) {
       reportDue = true;
-      long earliestMs = lastSentAtMs + Constants.EMULATION_REPORT_GAP_MS;
+      long earliestMs = lastSentAtMs + EmulationConstants.REPORT_GAP_MS;
       loop.after(earliestMs - EventLoop.nowMs(), this::reportIfDue);
     }
   }
@@ -231,7 +231,7 @@
     context.beforeSend();
     used.call(
         Call.post("/agent/beat", Codec.CBOR, report().write()),
-        Constants.EMULATION_REPORT_TIMEOUT_MS,
+        EmulationConstants.REPORT_TIMEOUT_MS,
         answer -> {
           context.traffic().reports++;
           context.traffic().reportBytes += used.bytes - bytesBefore;
@@ -266,7 +266,7 @@
         int named = indexOf(answer.fields().optText("informar_a"));
         if (named >= 0 && named != context.members().indexOf(from)) {
           member = named;
-          loop.after(random.nextInt(Constants.EMULATION_REDIRECT_PAUSE_MS), this::sendIfIdle);
+          loop.after(random.nextInt(EmulationConstants.REDIRECT_PAUSE_MS), this::sendIfIdle);
           return;
         }
       }
@@ -296,7 +296,7 @@
 
   private void tryNextMember() {
     member = (member + 1) % context.members().size();
-    loop.after(Constants.EMULATION_NEXT_MEMBER_MS, this::sendIfIdle);
+    loop.after(EmulationConstants.NEXT_MEMBER_MS, this::sendIfIdle);
   }
 
   private void sendIfIdle() {
--- a/src/main/java/fennelthread/emulate/HttpListener.java
+++ b/src/main/java/fennelthread/emulate/HttpListener.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.NetConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
@@ -30,7 +30,7 @@
     this.service = service;
     socket = ServerSocketChannel.open();
     socket.configureBlocking(false);
-    socket.bind(address, Constants.BACKLOG);
+    socket.bind(address, NetConstants.BACKLOG);
     loop.register(socket, SelectionKey.OP_ACCEPT, this::accept);
   }
 
--- a/src/main/java/fennelthread/emulate/MachineTasks.java
+++ b/src/main/java/fennelthread/emulate/MachineTasks.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.EmulatedCloud.MachineId;
 import fennelthread.net.Host;
 import fennelthread.wire.JobSpec;
@@ -162,7 +162,7 @@
         memGb += other.spec.memGb();
       }
     }
-    double slack = Constants.EMULATION_ROUNDING;
+    double slack = EmulationConstants.ROUNDING;
     boolean fits =
         cpus <= machine.type().cpus() + slack
             && cards <= machine.type().cards() + slack
--- a/src/main/java/fennelthread/emulate/Measurements.java
+++ b/src/main/java/fennelthread/emulate/Measurements.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.HistoryEvent.Began;
 import fennelthread.emulate.HistoryEvent.Ended;
 import fennelthread.emulate.HistoryEvent.Running;
@@ -74,9 +74,8 @@
   private void record(String name, long nanos) {
     histograms
         .computeIfAbsent(
-            name, k -> new Histogram(Constants.EMULATION_LONGEST_US, Constants.EMULATION_DIGITS))
-        .recordValue(
-            Math.min(Constants.EMULATION_LONGEST_US, TimeUnit.NANOSECONDS.toMicros(nanos)));
+            name, k -> new Histogram(EmulationConstants.LONGEST_US, EmulationConstants.DIGITS))
+        .recordValue(Math.min(EmulationConstants.LONGEST_US, TimeUnit.NANOSECONDS.toMicros(nanos)));
   }
 
   private void recordWait(String what, Job job, long nanos) {
--- a/src/main/java/fennelthread/emulate/ProcessSampler.java
+++ b/src/main/java/fennelthread/emulate/ProcessSampler.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -47,9 +47,9 @@
       }
       String[] descriptors = new File(base.toFile(), "fd").list();
       return new Usage(
-          ticks / Constants.EMULATION_TICKS_PER_S,
+          ticks / EmulationConstants.TICKS_PER_S,
           waitedS(base),
-          Long.parseLong(memory[1]) * Constants.EMULATION_PAGE_BYTES,
+          Long.parseLong(memory[1]) * EmulationConstants.PAGE_BYTES,
           descriptors == null ? 0 : descriptors.length,
           read,
           written);
--- a/src/main/java/fennelthread/emulate/ReportPage.java
+++ b/src/main/java/fennelthread/emulate/ReportPage.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.RunReport.Sample;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -191,8 +191,8 @@
   private static XYChart chart(String title, String unit) {
     XYChart chart =
         new XYChartBuilder()
-            .width(Constants.EMULATION_PLOT_WIDTH)
-            .height(Constants.EMULATION_PLOT_HEIGHT)
+            .width(EmulationConstants.PLOT_WIDTH)
+            .height(EmulationConstants.PLOT_HEIGHT)
             .title(title)
             .xAxisTitle("s")
             .yAxisTitle(unit)
--- a/src/main/java/fennelthread/emulate/ResourceCheck.java
+++ b/src/main/java/fennelthread/emulate/ResourceCheck.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.settings.SettingsException;
 
 /** Says before a run whether the machine has what it takes. */
@@ -20,18 +20,18 @@
   /** What a run of this configuration takes; the heap of this process holds so much at most. */
   static Needs needs(EmulationConfig config, long ownMostHeapMb) {
     long expectedMb =
-        Constants.EMULATION_OWN_HEAP_MB
-            + Math.round(config.workers() * Constants.EMULATION_OWN_HEAP_PER_MACHINE_MB);
+        EmulationConstants.OWN_HEAP_MB
+            + Math.round(config.workers() * EmulationConstants.OWN_HEAP_PER_MACHINE_MB);
     long ownHeapMb = Math.min(ownMostHeapMb, expectedMb);
     int processes = config.controllers() + config.workerProcesses() + 1;
     long memoryMb =
         ownHeapMb
             + (long) config.controllers() * config.controllerHeapMb()
             + (long) config.workerProcesses() * config.workerHeapMb()
-            + (long) processes * Constants.EMULATION_JVM_MB;
+            + (long) processes * EmulationConstants.JVM_MB;
     long machines = (long) config.workers() + config.spareMachines();
     // Each machine listens, reports on one connection and may be asked on others.
-    long workerSockets = machines * Constants.EMULATION_SOCKETS_PER_MACHINE;
+    long workerSockets = machines * EmulationConstants.SOCKETS_PER_MACHINE;
     long perProcess =
         Math.max(workerSockets / config.workerProcesses() + 64, config.maxConnections() + 64L);
     long all = workerSockets + config.controllers() * (config.maxConnections() + 64L);
@@ -41,12 +41,12 @@
   /** Throws with one line if the machine has too little of something. */
   static void check(Needs needs, long mostDescriptors, long machineMb, long availableMb)
       throws SettingsException {
-    if (needs.processes > Constants.EMULATION_MOST_PROCESSES) {
+    if (needs.processes > EmulationConstants.MOST_PROCESSES) {
       throw new SettingsException(
           "this run takes "
               + needs.processes
               + " processes, more than "
-              + Constants.EMULATION_MOST_PROCESSES);
+              + EmulationConstants.MOST_PROCESSES);
     }
     if (mostDescriptors >= 0 && needs.socketsPerProcess > mostDescriptors) {
       throw new SettingsException(
--- a/src/main/java/fennelthread/emulate/StateStore.java
+++ b/src/main/java/fennelthread/emulate/StateStore.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
@@ -147,7 +147,7 @@
 
   private void checkSizes(List<Fields> conditions, List<Fields> operations) throws WireException {
     if (operations.size() > limits.txnOps()
-        || conditions.size() > limits.txnOps() * Constants.EMULATION_CONDITIONS_PER_OPERATION) {
+        || conditions.size() > limits.txnOps() * EmulationConstants.CONDITIONS_PER_OPERATION) {
       throw new WireException("then", "too many");
     }
     Set<String> touched = new LinkedHashSet<>();
@@ -186,7 +186,7 @@
   }
 
   private void forgetOldChanges() {
-    int most = Constants.EMULATION_CHANGES_KEPT;
+    int most = EmulationConstants.CHANGES_KEPT;
     if (changes.size() > 2 * most) {
       int drop = changes.size() - most;
       forgottenRevision = changes.get(drop - 1).revision;
--- a/src/main/java/fennelthread/emulate/WorkerProcess.java
+++ b/src/main/java/fennelthread/emulate/WorkerProcess.java
@@ -1,6 +1,6 @@
 package fennelthread.emulate;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.EmulatedCloud.MachineId;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
@@ -75,8 +75,8 @@
     loop.start();
     loop.execute(
         () -> {
-          loop.every(Constants.EMULATION_WATERMARK_MS, this::tellTime);
-          loop.every(Constants.EMULATION_SAMPLE_MS, this::tellTraffic);
+          loop.every(EmulationConstants.WATERMARK_MS, this::tellTime);
+          loop.every(EmulationConstants.SAMPLE_MS, this::tellTraffic);
         });
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       Fields message = decode(line);
--- a/src/main/java/fennelthread/fleet/AggregatedLog.java
+++ b/src/main/java/fennelthread/fleet/AggregatedLog.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
 import fennelthread.net.Host;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -31,7 +31,7 @@
   /** Something happened to a machine, so many times. */
   void add(String what, String machine, int times) {
     if (counts.isEmpty()) {
-      host.after(Constants.TALLY_MS, this::flush);
+      host.after(FleetConstants.TALLY_MS, this::flush);
     }
     Count count = counts.computeIfAbsent(what, k -> new Count());
     count.machines.add(machine);
@@ -52,7 +52,7 @@
         .append(count.machines.size() == 1 ? " machine (" : " machines (");
     int named = 0;
     for (String machine : count.machines) {
-      if (named == Constants.TALLY_NAMES) {
+      if (named == FleetConstants.TALLY_NAMES) {
         line.append(", ...");
         break;
       }
--- a/src/main/java/fennelthread/fleet/BootTimes.java
+++ b/src/main/java/fennelthread/fleet/BootTimes.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -21,7 +21,7 @@
   void came(String type, long askedMs, long nowMs) {
     ArrayDeque<Boot> boots = byType.computeIfAbsent(type, k -> new ArrayDeque<>());
     boots.add(new Boot(askedMs, (nowMs - askedMs) / 1000.0));
-    if (boots.size() > Constants.BOOTS_REMEMBERED) {
+    if (boots.size() > FleetConstants.BOOTS_REMEMBERED) {
       boots.poll();
     }
   }
@@ -34,7 +34,8 @@
    */
   boolean isLate(String type, double nominalS, long askedMs, long nowMs) {
     double ageS = (nowMs - askedMs) / 1000.0;
-    return ageS > nominalS * Constants.BOOT_LATE && ageS > usuallyS(type) * Constants.BOOT_SLOWER;
+    return ageS > nominalS * FleetConstants.BOOT_LATE
+        && ageS > usuallyS(type) * FleetConstants.BOOT_SLOWER;
   }
 
   /**
@@ -47,14 +48,14 @@
     double ageS = (nowMs - askedMs) / 1000.0;
     if (ageS
         > Math.max(
-            Constants.BOOT_PATIENCE_LEAST_S,
-            nominalS * Constants.BOOT_PATIENCE + Constants.BOOT_PATIENCE_S)) {
+            FleetConstants.BOOT_PATIENCE_LEAST_S,
+            nominalS * FleetConstants.BOOT_PATIENCE + FleetConstants.BOOT_PATIENCE_S)) {
       return true;
     }
     return isLate(type, nominalS, askedMs, nowMs)
-        && ageS > nominalS * Constants.BOOT_DUD
+        && ageS > nominalS * FleetConstants.BOOT_DUD
         && overtakenBy(type, askedMs)
-            >= (scarce ? Constants.BOOT_OVERTAKEN_SCARCE : Constants.BOOT_OVERTAKEN);
+            >= (scarce ? FleetConstants.BOOT_OVERTAKEN_SCARCE : FleetConstants.BOOT_OVERTAKEN);
   }
 
   /**
@@ -66,7 +67,7 @@
             .mapToDouble(Boot::tookS)
             .sorted()
             .toArray();
-    return took.length == 0 ? 0 : took[(int) ((took.length - 1) * Constants.BOOTS_NEARLY_ALL)];
+    return took.length == 0 ? 0 : took[(int) ((took.length - 1) * FleetConstants.BOOTS_NEARLY_ALL)];
   }
 
   private int overtakenBy(String type, long askedMs) {
--- a/src/main/java/fennelthread/fleet/Cloud.java
+++ b/src/main/java/fennelthread/fleet/Cloud.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
@@ -146,7 +146,7 @@
     host.call(
         address,
         call,
-        Constants.CLOUD_TIMEOUT_MS,
+        FleetConstants.CLOUD_TIMEOUT_MS,
         answer -> {
           if (answer != null && (answer.status() == 429 || answer.status() == 503)) {
             quietUntil = host.nowMs() + 1_000;
--- a/src/main/java/fennelthread/fleet/CommandQueue.java
+++ b/src/main/java/fennelthread/fleet/CommandQueue.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.wire.Codec;
@@ -45,8 +45,8 @@
       return commands;
     }
     long now = context.nowMs();
-    double pauseMs = context.leaseMs() * Constants.CLEARS_LEASE_SHARE;
-    if (waiting >= Constants.CLEARS_GATHERED || now - m.tokens().clearedAtMs() >= pauseMs) {
+    double pauseMs = context.leaseMs() * FleetConstants.CLEARS_LEASE_SHARE;
+    if (waiting >= FleetConstants.CLEARS_GATHERED || now - m.tokens().clearedAtMs() >= pauseMs) {
       m.tokens().raiseForClears(now);
       return commands;
     }
@@ -79,7 +79,7 @@
             m,
             m.address(),
             call(m.token(context.epoch()), m.session(), commands),
-            Constants.COMMAND_TIMEOUT_MS,
+            FleetConstants.COMMAND_TIMEOUT_MS,
             answer -> {
               WorkerReport report = reportOf(answer);
               if (!context.isClosed() && report != null) {
--- a/src/main/java/fennelthread/fleet/FailureHistory.java
+++ b/src/main/java/fennelthread/fleet/FailureHistory.java
@@ -1,6 +1,7 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.LeaderConstants;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -15,10 +16,11 @@
   /** Notes a failed task; true if the machine, not the job, must be at fault. */
   boolean failed(String job, long nowMs) {
     lastAtMs = nowMs;
-    failures.removeIf(f -> f.atMs < nowMs - Constants.FAILURE_WINDOW_MS);
+    failures.removeIf(f -> f.atMs < nowMs - LeaderConstants.FAILURE_WINDOW_MS);
     failures.add(new Failure(nowMs, job));
     long jobs = failures.stream().map(Failure::job).distinct().count();
-    return jobs >= Constants.BAD_MACHINE_JOBS || failures.size() >= Constants.BAD_MACHINE_TASKS;
+    return jobs >= FleetConstants.BAD_MACHINE_JOBS
+        || failures.size() >= FleetConstants.BAD_MACHINE_TASKS;
   }
 
   /** When a task last failed there, ms. */
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -1,6 +1,7 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
@@ -164,14 +165,14 @@
       known.describedBy(start);
     } else if (!m.isPast(start.session(), context.epoch())) {
       // Sent under a predecessor's token, whichever: only a report under ours tells.
-      long token = (context.epoch() << Constants.TOKEN_BITS) - 1;
+      long token = (context.epoch() << ProtocolConstants.TOKEN_BITS) - 1;
       m.add(new Attempt(m, start, Attempt.Phase.UNSURE, token, context.nowMs()));
     }
   }
 
   /** A new attempt, whose record is about to be written. */
   public Attempt create(Machine m, JobSpec spec, int index) {
-    long number = (context.epoch() << Constants.ATTEMPT_BITS) + ++attemptSeq;
+    long number = (context.epoch() << ProtocolConstants.ATTEMPT_BITS) + ++attemptSeq;
     StartRecord.Start start = StartRecord.Start.of(spec, index, number, m.name(), m.session());
     Attempt a =
         new Attempt(m, start, Attempt.Phase.RECORDED, m.token(context.epoch()), context.nowMs());
@@ -267,7 +268,7 @@
     if (m.isDraining()
         && m.phase() == Machine.Phase.REPORTING
         && !m.isEmpty()
-        && context.nowMs() - m.failures().lastAtMs() > Constants.DRAIN_MS) {
+        && context.nowMs() - m.failures().lastAtMs() > FleetConstants.DRAIN_MS) {
       log.info("{} has failed nothing for long, it gets tasks again", m.name());
       m.undrain();
       context.listener().changed();
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -1,6 +1,7 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Host;
 import fennelthread.net.StallDetector;
 import fennelthread.settings.Settings;
@@ -52,7 +53,8 @@
 
   /** A worker's lease as our clock may have to count it, ms. */
   long leaseAtMostMs() {
-    return (long) (leaseMs() * (1 + 2 * Constants.CLOCK_DRIFT)) + Constants.EXPIRY_MARGIN_MS;
+    return (long) (leaseMs() * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+        + ProtocolConstants.EXPIRY_MARGIN_MS;
   }
 
   /** The epoch of the term. */
@@ -84,7 +86,7 @@
 
   /** True if something that comes with every report should have come again since that time. */
   boolean isOverdue(long lastAtMs) {
-    return !isCatchingUp() && nowMs() - lastAtMs > reportMs() * Constants.SILENT_REPORTS_ALARM;
+    return !isCatchingUp() && nowMs() - lastAtMs > reportMs() * FleetConstants.SILENT_REPORTS_ALARM;
   }
 
   /** Ends the term. */
--- a/src/main/java/fennelthread/fleet/MachineContact.java
+++ b/src/main/java/fennelthread/fleet/MachineContact.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
@@ -48,7 +48,7 @@
   /** Notes that the session of its reports has risen: no answer had arrived for a lease. */
   void sessionRose(long nowMs) {
     sessionRises.add(nowMs);
-    if (sessionRises.size() > Constants.RISES_REMEMBERED) {
+    if (sessionRises.size() > FleetConstants.RISES_REMEMBERED) {
       sessionRises.poll();
     }
   }
--- a/src/main/java/fennelthread/fleet/MachineProbes.java
+++ b/src/main/java/fennelthread/fleet/MachineProbes.java
@@ -1,6 +1,7 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.ControlConstants;
+import fennelthread.constants.FleetConstants;
 import fennelthread.net.Answer;
 import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashSet;
@@ -52,7 +53,8 @@
   }
 
   private void probeNext() {
-    int most = Math.max(2, (int) (context.settings().mostOutbound() * Constants.PROBING_SHARE));
+    int most =
+        Math.max(2, (int) (context.settings().mostOutbound() * FleetConstants.PROBING_SHARE));
     while (!context.isClosed() && underWay < most && !waiting.isEmpty()) {
       Machine next = mostUrgent();
       waiting.remove(next);
@@ -84,7 +86,7 @@
             address,
             CommandQueue.call(m.token(context.epoch()), Math.max(1, inSession), List.of())
                 .asSpare(),
-            Constants.PROBE_TIMEOUT_MS,
+            ControlConstants.PROBE_TIMEOUT_MS,
             answer -> answered(m, sentAtMs, known, answer, true),
             tried -> answered(m, sentAtMs, known, null, tried));
   }
@@ -98,7 +100,7 @@
     }
     if (answer == null) {
       // Its worker reports by itself as soon as it can: asking on and on only costs connections.
-      m.contact().askAgainAt(context.nowMs() + Constants.PROBE_PAUSE_MS);
+      m.contact().askAgainAt(context.nowMs() + FleetConstants.PROBE_PAUSE_MS);
     }
     WorkerReport report = CommandQueue.reportOf(answer);
     if (!context.isClosed() && report != null) {
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
 import fennelthread.net.Host;
 import fennelthread.net.StallDetector;
 import fennelthread.plan.Plan;
@@ -111,7 +111,7 @@
             flavors = map;
             onFlavors.accept(list);
           }
-          host.after(list == null ? 2_000 : Constants.FLAVORS_EVERY_MS, this::readFlavors);
+          host.after(list == null ? 2_000 : FleetConstants.FLAVORS_EVERY_MS, this::readFlavors);
         });
   }
 
@@ -130,7 +130,7 @@
             listedOnce = true;
             entries.forEach(this::listed);
           }
-          host.after(Constants.LIST_EVERY_MS, this::list);
+          host.after(FleetConstants.LIST_EVERY_MS, this::list);
         });
   }
 
@@ -163,7 +163,7 @@
   /** Takes note of the demand of the moment, CPUs. */
   public void demand(double cpus) {
     long now = host.nowMs();
-    demands.removeIf(d -> d[0] < now - Constants.DEMAND_WINDOW_MS);
+    demands.removeIf(d -> d[0] < now - FleetConstants.DEMAND_WINDOW_MS);
     if (!demands.isEmpty() && now - demands.get(demands.size() - 1)[0] < 1_000) {
       double[] last = demands.get(demands.size() - 1);
       last[1] = Math.max(last[1], cpus);
@@ -198,7 +198,7 @@
       // Machines may have come up while we stood still, and their reports wait to be read.
       return;
     }
-    long heardMs = (long) (settings.workers().leaseMs() * Constants.BOOT_HEARD_LEASES);
+    long heardMs = (long) (settings.workers().leaseMs() * FleetConstants.BOOT_HEARD_LEASES);
     booting.forEach(
         (name, b) -> {
           Machine m = fleet.learn(name, null);
@@ -213,7 +213,7 @@
 
   private double bootS(MachineKind kind) {
     MachineType f = flavors.get(kind.type());
-    return f == null ? Constants.BOOT_UNKNOWN_S : f.bootS();
+    return f == null ? FleetConstants.BOOT_UNKNOWN_S : f.bootS();
   }
 
   private boolean isRefused(MachineKind kind, long now) {
@@ -239,7 +239,9 @@
         coming.add(e.getKey());
       }
     }
-    return late > (late + coming.size()) * Constants.BOOT_LATE_SHARE ? booting.keySet() : coming;
+    return late > (late + coming.size()) * FleetConstants.BOOT_LATE_SHARE
+        ? booting.keySet()
+        : coming;
   }
 
   private void returned(Machine m) {
@@ -336,8 +338,8 @@
   }
 
   private void refuse(MachineKind kind, long now) {
-    long pause = refusedPause.getOrDefault(kind, Constants.REFUSED_FIRST_MS);
+    long pause = refusedPause.getOrDefault(kind, FleetConstants.REFUSED_FIRST_MS);
     refusedUntil.put(kind, now + pause);
-    refusedPause.put(kind, Math.min(Constants.REFUSED_MOST_MS, pause * 2));
+    refusedPause.put(kind, Math.min(FleetConstants.REFUSED_MOST_MS, pause * 2));
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineReadiness.java
+++ b/src/main/java/fennelthread/fleet/MachineReadiness.java
@@ -1,6 +1,7 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.RelayConstants;
 
 /** Judges from a machine's contact with this leader whether it is of use. */
 final class MachineReadiness {
@@ -23,7 +24,7 @@
         && m.isConfirmed(context.epoch())
         && !m.isDraining()
         && m.noticeUntilMs() < 0
-        && now - m.contact().unreachableAtMs() > Constants.UNREACHABLE_PAUSE_MS
+        && now - m.contact().unreachableAtMs() > FleetConstants.UNREACHABLE_PAUSE_MS
         && isHeard(m, now)
         && !isLosingSessions(m, now)
         && zones.mayPlace(m);
@@ -34,7 +35,7 @@
    * loses its tasks when its lease ends, whatever it is sent.
    */
   private boolean isHeard(Machine m, long nowMs) {
-    double silentMs = context.reportMs() * Constants.SILENT_REPORTS;
+    double silentMs = context.reportMs() * RelayConstants.SILENT_REPORTS;
     return nowMs - m.contactAtMs() <= silentMs && nowMs - m.reportAnsweredAtMs() <= silentMs;
   }
 
@@ -45,8 +46,8 @@
   private boolean isLosingSessions(Machine m, long nowMs) {
     long leaseMs = context.leaseMs();
     return m.contact().sessionRisesSince(nowMs - leaseMs) > 0
-        && m.contact().sessionRisesSince(nowMs - leaseMs * Constants.RISES_LEASES)
-            >= Constants.RISES_NO_ROOM;
+        && m.contact().sessionRisesSince(nowMs - leaseMs * FleetConstants.RISES_LEASES)
+            >= FleetConstants.RISES_NO_ROOM;
   }
 
   /**
@@ -61,7 +62,7 @@
    * True if the machine's leases have ended again and again: it hears nothing, and is of no use.
    */
   boolean hearsNothing(Machine m) {
-    long fromMs = context.nowMs() - context.leaseMs() * Constants.RISES_LEASES;
-    return m.contact().sessionRisesSince(fromMs) >= Constants.RISES_HOPELESS;
+    long fromMs = context.nowMs() - context.leaseMs() * FleetConstants.RISES_LEASES;
+    return m.contact().sessionRisesSince(fromMs) >= FleetConstants.RISES_HOPELESS;
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
 import fennelthread.net.Host;
 import fennelthread.net.StallDetector;
 import fennelthread.settings.Options;
@@ -98,7 +98,7 @@
       if ((m.phase() == Machine.Phase.REPORTING || inherited) && !zones.isAway(m)) {
         known++;
         if (nowMs - m.quietSinceMs()
-            > settings.workers().reportMs() * Constants.SILENT_REPORTS_ALARM) {
+            > settings.workers().reportMs() * FleetConstants.SILENT_REPORTS_ALARM) {
           silent.add(m);
         }
       }
@@ -112,7 +112,8 @@
       long silentFromMs = Math.max(m.quietSinceMs(), Math.max(manySilentAtMs, zones.awayAtMs(m)));
       if (m.contact().probeFailed()
           && !m.isEmpty()
-          && nowMs - silentFromMs > settings.workers().leaseMs() * Constants.SILENT_LEASE_SHARE) {
+          && nowMs - silentFromMs
+              > settings.workers().leaseMs() * FleetConstants.SILENT_LEASE_SHARE) {
         giveBackRevocably(m, "silent");
       }
     }
@@ -144,14 +145,14 @@
     for (Machine m : mute) {
       if (m.isEmpty()
           && nowMs - m.reportAnsweredAtMs()
-              > settings.workers().leaseMs() * Constants.MUTE_LEASES) {
+              > settings.workers().leaseMs() * FleetConstants.MUTE_LEASES) {
         giveBack(m, "mute");
       }
     }
   }
 
   private static boolean isMany(List<Machine> some, int known) {
-    return some.size() > Math.max(1, known * Constants.SILENT_SHARE);
+    return some.size() > Math.max(1, known * FleetConstants.SILENT_SHARE);
   }
 
   /** Why a single machine goes back, or null if it stays. */
@@ -176,7 +177,7 @@
 
   private boolean isLost(Machine m, long nowMs) {
     boolean silent =
-        nowMs - m.contactAtMs() > settings.workers().leaseMs() + Constants.LOST_PATIENCE_MS;
+        nowMs - m.contactAtMs() > settings.workers().leaseMs() + FleetConstants.LOST_PATIENCE_MS;
     return m.phase() == Machine.Phase.LOST && silent && zones.mayReturnLost(m, nowMs);
   }
 
@@ -211,7 +212,7 @@
     if (requestUnderWay || returning.isEmpty() || cloud.isQuiet()) {
       return;
     }
-    List<String> names = returning.stream().limit(Constants.MAX_PER_RETURN).toList();
+    List<String> names = returning.stream().limit(FleetConstants.MAX_PER_RETURN).toList();
     requestUnderWay = true;
     cloud.giveBack(
         names,
--- a/src/main/java/fennelthread/fleet/MachineTokens.java
+++ b/src/main/java/fennelthread/fleet/MachineTokens.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.wire.WorkerReport;
 
 /**
@@ -15,12 +15,12 @@
 
   /** The epoch of the token that a report shows. */
   static long epochOf(WorkerReport report) {
-    return report.token() >> Constants.TOKEN_BITS;
+    return report.token() >> ProtocolConstants.TOKEN_BITS;
   }
 
   /** The token for what is sent to the machine now. */
   long current(long epoch) {
-    return (epoch << Constants.TOKEN_BITS) + counter;
+    return (epoch << ProtocolConstants.TOKEN_BITS) + counter;
   }
 
   /**
@@ -59,7 +59,7 @@
 
   /** True if the newest report showed a token of this epoch: it can't be a copy from before it. */
   boolean areOf(long epoch) {
-    return shown >> Constants.TOKEN_BITS == epoch;
+    return shown >> ProtocolConstants.TOKEN_BITS == epoch;
   }
 
   /**
@@ -67,6 +67,6 @@
    * sent.
    */
   boolean isConfirmed(long epoch) {
-    return shown >= (epoch << Constants.TOKEN_BITS) + neededCounter;
+    return shown >= (epoch << ProtocolConstants.TOKEN_BITS) + neededCounter;
   }
 }
--- a/src/main/java/fennelthread/fleet/ReportHandler.java
+++ b/src/main/java/fennelthread/fleet/ReportHandler.java
@@ -1,6 +1,7 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Answer;
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
@@ -82,7 +83,7 @@
     // later.
     boolean overtaken =
         report.session() == m.session()
-            && context.nowMs() - m.heardAtMs() < Constants.WORKER_WAITS_MS;
+            && context.nowMs() - m.heardAtMs() < ProtocolConstants.WORKER_WAITS_MS;
     return m.isOfAnotherLife(report) && !overtaken;
   }
 
@@ -120,7 +121,8 @@
    */
   private void doubtAnswersArrive(Machine m, WorkerReport report, String by) {
     boolean elsewhere = m.contact().cameBy(by);
-    double latestMs = context.reportMs() * Constants.DOUBT_REPORTS + Constants.DOUBT_SLACK_MS;
+    double latestMs =
+        context.reportMs() * FleetConstants.DOUBT_REPORTS + FleetConstants.DOUBT_SLACK_MS;
     boolean late = context.nowMs() - m.heardAtMs() > latestMs && !context.isCatchingUp();
     boolean risen = report.session() > m.session();
     if (m.heardAtMs() >= 0 && m.isConfirmed(context.epoch()) && (elsewhere || risen || late)) {
@@ -145,7 +147,7 @@
   private Answer askWhichLife(Machine m, WorkerReport report) {
     long now = context.nowMs();
     if (!m.contact().isProbing()
-        && now - m.contact().askedWhichLifeAtMs() > Constants.ASK_WHICH_MS) {
+        && now - m.contact().askedWhichLifeAtMs() > FleetConstants.ASK_WHICH_MS) {
       m.contact().askedWhichLife(now);
       m.tokens().raise();
       probes.send(m, report.address(), report.session());
--- a/src/main/java/fennelthread/fleet/ReportOrder.java
+++ b/src/main/java/fennelthread/fleet/ReportOrder.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -28,7 +28,7 @@
       return true;
     }
     last.put(beat.machine(), new Last(beat.session(), beat.seq(), beat.token()));
-    if (last.size() > Constants.KNOWN_ADDRESSES) {
+    if (last.size() > RelayConstants.KNOWN_ADDRESSES) {
       last.remove(last.keySet().iterator().next());
     }
     return false;
--- a/src/main/java/fennelthread/fleet/StartSender.java
+++ b/src/main/java/fennelthread/fleet/StartSender.java
@@ -1,6 +1,7 @@
 package fennelthread.fleet;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.net.Answer;
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
@@ -45,14 +46,15 @@
     KnownReport known = new KnownReport(session, m.seq());
     log.debug("{}: starts {} under token {}", m.name(), commands, token);
     m.contact()
-        .startLeaves(context.nowMs() + Constants.COMMAND_TIMEOUT_MS + Constants.RELAY_SLACK_MS);
+        .startLeaves(
+            context.nowMs() + FleetConstants.COMMAND_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS);
     context
         .paths()
         .send(
             m,
             m.address(),
             CommandQueue.call(token, session, commands),
-            Constants.COMMAND_TIMEOUT_MS,
+            FleetConstants.COMMAND_TIMEOUT_MS,
             answer -> answered(m, attempts, known, answer),
             tried -> notSent(m, attempts, tried));
   }
@@ -126,7 +128,7 @@
     for (Attempt a : carried(m)) {
       if (a.start().session() != m.session() || !context.listener().mayStart(a)) {
         neverStarted(m, a);
-      } else if (newest && starts.size() < Constants.STARTS_PER_ANSWER) {
+      } else if (newest && starts.size() < FleetConstants.STARTS_PER_ANSWER) {
         a.sentInAnswer(m.token(context.epoch()));
         starts.add(new WorkerCommand.Run(a.start().task(), a.start().attempt()));
       } else {
@@ -158,7 +160,7 @@
 
   /** Gives up starts whose machine does not report: they are better tried elsewhere. */
   void dropLate() {
-    long patienceMs = (long) (context.reportMs() * Constants.CARRY_REPORTS);
+    long patienceMs = (long) (context.reportMs() * FleetConstants.CARRY_REPORTS);
     boolean dropped = false;
     for (Machine m : List.copyOf(carriers)) {
       boolean left = false;
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -1,6 +1,7 @@
 package fennelthread.handover;
 
-import fennelthread.Constants;
+import fennelthread.constants.RelayConstants;
+import fennelthread.constants.StateConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Service;
 import fennelthread.peers.PeerHeartbeats;
@@ -49,7 +50,7 @@
           member,
           END,
           Fields.create().with("permiso", grant),
-          Constants.STATE_TIMEOUT_MS + Constants.RELAY_SLACK_MS,
+          StateConstants.STATE_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
           answer ->
               log.info(
                   "{} was asked to end our grant: {}",
--- a/src/main/java/fennelthread/health/HeapGuard.java
+++ b/src/main/java/fennelthread/health/HeapGuard.java
@@ -1,6 +1,7 @@
 package fennelthread.health;
 
-import fennelthread.Constants;
+import fennelthread.constants.HealthConstants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.net.Host;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
@@ -48,31 +49,31 @@
     return phase == Phase.TIGHT;
   }
 
-  /** Looks; cheap, and to be called every {@link Constants#SUPERVISE_MS}. */
+  /** Looks; cheap, and to be called every {@link RelayConstants#SUPERVISE_MS}. */
   public void look() {
     Host.Heap heap = host.heap();
     long now = host.nowMs();
     // What is used between two collections tells nothing; the least of some seconds is near what
     // lives.
     leastUsed = Math.min(leastUsed, heap.usedBytes());
-    if (now - leastSince < Constants.HEAP_WINDOW_MS) {
+    if (now - leastSince < HealthConstants.WINDOW_MS) {
       return;
     }
     long least = leastUsed;
     leastUsed = Long.MAX_VALUE;
     leastSince = now;
-    boolean doubtful = least > heap.mostBytes() * Constants.HEAP_TIGHT_SHARE;
+    boolean doubtful = least > heap.mostBytes() * HealthConstants.TIGHT_SHARE;
     boolean measure = phase == Phase.TIGHT || doubtful;
-    if (!measure || now - collectedAtMs < Constants.HEAP_COLLECT_MS) {
+    if (!measure || now - collectedAtMs < HealthConstants.COLLECT_MS) {
       return;
     }
     collectedAtMs = now;
     heap.collect();
     double live = (double) heap.usedBytes() / heap.mostBytes();
-    if (phase == Phase.ROOMY && live > Constants.HEAP_TIGHT_SHARE) {
+    if (phase == Phase.ROOMY && live > HealthConstants.TIGHT_SHARE) {
       moveTo(Phase.TIGHT, live);
       shed.run();
-    } else if (phase == Phase.TIGHT && live < Constants.HEAP_ROOMY_SHARE) {
+    } else if (phase == Phase.TIGHT && live < HealthConstants.ROOMY_SHARE) {
       moveTo(Phase.ROOMY, live);
     }
   }
--- a/src/main/java/fennelthread/jobs/Acceptances.java
+++ b/src/main/java/fennelthread/jobs/Acceptances.java
@@ -1,6 +1,6 @@
 package fennelthread.jobs;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
 import fennelthread.state.StateClient;
@@ -119,7 +119,7 @@
       return;
     }
     Unavailability why =
-        queue.size() >= Constants.ACCEPT_QUEUE
+        queue.size() >= JobConstants.ACCEPT_QUEUE
             ? Unavailability.BUSY
             : state.whyNotSoon(1 + queue.size());
     if (why != null) {
@@ -134,7 +134,7 @@
   }
 
   private void sendNext() {
-    if (underWay >= Constants.ACCEPTS_AT_ONCE || queue.isEmpty()) {
+    if (underWay >= JobConstants.ACCEPTS_AT_ONCE || queue.isEmpty()) {
       return;
     }
     Batch batch = nextBatch();
@@ -192,7 +192,7 @@
       }
       if (isKnown.test(p.id())) {
         tell(p, new Acceptance.Known());
-      } else if (p.sends < Constants.ANSWER_TRIES && state.answersSoon(p.job.records().size())) {
+      } else if (p.sends < JobConstants.ANSWER_TRIES && state.answersSoon(p.job.records().size())) {
         again(p);
       }
     }
--- a/src/main/java/fennelthread/jobs/Cancellations.java
+++ b/src/main/java/fennelthread/jobs/Cancellations.java
@@ -1,6 +1,6 @@
 package fennelthread.jobs;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
 import fennelthread.net.Host;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
@@ -43,7 +43,7 @@
 
   /** Cancels a job unless it is done: gets what the job is from now on. */
   void cancel(String id, Consumer<Lookup> done) {
-    cancel(id, Constants.JOB_TRIES, new FirstAnswer<>(done));
+    cancel(id, JobConstants.JOB_TRIES, new FirstAnswer<>(done));
   }
 
   private void cancel(String id, int tries, FirstAnswer<Lookup> done) {
@@ -82,7 +82,7 @@
         StateClient.Lane.ANSWER,
         txn,
         () -> {
-          if (tries > 1 && state.answersSoon(Constants.CHANGES_PER_END)) {
+          if (tries > 1 && state.answersSoon(JobConstants.CHANGES_PER_END)) {
             again.run();
           }
         },
@@ -112,7 +112,7 @@
     Txn txn = new Txn();
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
     for (Job job : waits.graph().doomed()) {
-      if (txn.ops() + Constants.CHANGES_PER_END > limits.txnOps()) {
+      if (txn.ops() + JobConstants.CHANGES_PER_END > limits.txnOps()) {
         break;
       }
       Lookup.Final end = cancelled(job);
--- a/src/main/java/fennelthread/jobs/DependencyTracker.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -1,6 +1,7 @@
 package fennelthread.jobs;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Host;
 import fennelthread.settings.Settings;
 import java.util.ArrayList;
@@ -83,7 +84,7 @@
 
   private void readUnknown() {
     for (String id : List.copyOf(graph.unknown())) {
-      if (reading >= Constants.END_READS_AT_ONCE) {
+      if (reading >= JobConstants.END_READS_AT_ONCE) {
         return;
       }
       if (!asked.add(id)) {
@@ -104,8 +105,8 @@
             // once, since a refusal for want of room may come before this call returns.
             host.after(
                 (long)
-                    (Constants.END_READ_PAUSE_MS
-                        * (1 + Constants.JITTER * host.random().nextDouble())),
+                    (JobConstants.END_READ_PAUSE_MS
+                        * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
                 () -> {
                   asked.remove(id);
                   readUnknown();
--- a/src/main/java/fennelthread/jobs/FinalStates.java
+++ b/src/main/java/fennelthread/jobs/FinalStates.java
@@ -2,7 +2,7 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
 import fennelthread.state.StateClient;
 import fennelthread.state.Unavailability;
@@ -19,7 +19,7 @@
   private final StateClient state;
   private final Consumer<String> onCancelled;
   private final Cache<String, Lookup.Final> cache =
-      Caffeine.newBuilder().maximumSize(Constants.FINAL_CACHE).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(JobConstants.FINAL_CACHE).executor(Runnable::run).build();
   private BiConsumer<String, Lookup.Final> listener = (id, end) -> {};
 
   /**
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -1,6 +1,6 @@
 package fennelthread.jobs;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
 import fennelthread.wire.Fields;
@@ -49,7 +49,7 @@
   int chunks() {
     return spec.service() || spec.tasks() == 1
         ? 0
-        : (spec.tasks() + Constants.TASKS_PER_CHUNK - 1) / Constants.TASKS_PER_CHUNK;
+        : (spec.tasks() + JobConstants.TASKS_PER_CHUNK - 1) / JobConstants.TASKS_PER_CHUNK;
   }
 
   /** The name of the count of further keys that hold needs. */
@@ -71,11 +71,11 @@
     Map<String, Fields> records = new LinkedHashMap<>();
     List<String> needs = spec.needs();
     if (!needs.isEmpty()) {
-      int next = fit(needs, 0, limits.valueBytes() - bytes - Constants.NEEDS_FIELD_BYTES);
+      int next = fit(needs, 0, limits.valueBytes() - bytes - JobConstants.NEEDS_FIELD_BYTES);
       List<Object> here = new ArrayList<>(needs.subList(0, next));
       int parts = 0;
       while (next < needs.size()) {
-        int to = fit(needs, next, limits.valueBytes() - Constants.NEEDS_FIELD_BYTES);
+        int to = fit(needs, next, limits.valueBytes() - JobConstants.NEEDS_FIELD_BYTES);
         if (to == next || parts >= limits.txnOps()) {
           throw new WireException(JobSpec.NEEDS, "names too many jobs");
         }
@@ -123,14 +123,14 @@
   }
 
   void readChunk(int chunk, Fields value) throws WireException {
-    int base = chunk * Constants.TASKS_PER_CHUNK;
+    int base = chunk * JobConstants.TASKS_PER_CHUNK;
     List<?> ranges = value.list("r");
     for (int i = 0; i + 1 < ranges.size(); i += 2) {
       if (ranges.get(i) instanceof Long from
           && ranges.get(i + 1) instanceof Long to
           && 0 <= from
           && from <= to
-          && to < Constants.TASKS_PER_CHUNK) {
+          && to < JobConstants.TASKS_PER_CHUNK) {
         finished.set(base + from.intValue(), base + to.intValue() + 1);
       }
     }
@@ -141,13 +141,13 @@
    * into so many bytes; what is written is noted in {@code covered}.
    */
   public static Fields writeChunk(int chunk, BitSet finished, int mostBytes, BitSet covered) {
-    int base = chunk * Constants.TASKS_PER_CHUNK;
-    int end = base + Constants.TASKS_PER_CHUNK;
+    int base = chunk * JobConstants.TASKS_PER_CHUNK;
+    int end = base + JobConstants.TASKS_PER_CHUNK;
     List<Object> ranges = new ArrayList<>();
-    int left = mostBytes - Constants.RECORD_BYTES_PER_ENTRY;
+    int left = mostBytes - JobConstants.RECORD_BYTES_PER_ENTRY;
     for (int from = finished.nextSetBit(base); from >= 0 && from < end; ) {
       int to = Math.min(end, finished.nextClearBit(from));
-      left -= Constants.RANGE_BYTES;
+      left -= JobConstants.RANGE_BYTES;
       if (left < 0) {
         break;
       }
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -1,6 +1,6 @@
 package fennelthread.jobs;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
 import fennelthread.state.Replica;
@@ -104,7 +104,7 @@
   }
 
   private void sendNext() {
-    if (underWay >= Constants.CONFIRMS_AT_ONCE || queue.isEmpty()) {
+    if (underWay >= JobConstants.CONFIRMS_AT_ONCE || queue.isEmpty()) {
       return;
     }
     Batch batch = nextBatch();
@@ -158,7 +158,7 @@
   private void overdue(Batch batch) {
     release(batch);
     for (Question q : batch.jobs.keySet()) {
-      if (q.isAnswered() || q.sends >= Constants.ANSWER_TRIES || !state.answersSoon(0)) {
+      if (q.isAnswered() || q.sends >= JobConstants.ANSWER_TRIES || !state.answersSoon(0)) {
         continue;
       }
       batch.sentAgain.add(q);
--- a/src/main/java/fennelthread/jobs/StartRecord.java
+++ b/src/main/java/fennelthread/jobs/StartRecord.java
@@ -1,6 +1,6 @@
 package fennelthread.jobs;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.TaskRef;
@@ -95,10 +95,10 @@
     private boolean makeRoom(Start s) {
       int start =
           digits(s.task.index())
-              + Constants.LONGEST_ATTEMPT
+              + JobConstants.LONGEST_ATTEMPT
               + s.machine.length()
               + digits(s.session)
-              + Constants.RECORD_BYTES_PER_ENTRY;
+              + JobConstants.RECORD_BYTES_PER_ENTRY;
       int head =
           s.task.job().length()
               // A letter may take several bytes, or be escaped.
@@ -106,10 +106,10 @@
               + Double.toString(s.cpus).length()
               + Double.toString(s.cards).length()
               + Double.toString(s.memGb).length()
-              + Constants.RECORD_BYTES_PER_ENTRY;
+              + JobConstants.RECORD_BYTES_PER_ENTRY;
       boolean known = jobs.contains(s.task.job());
       if (records.isEmpty() || start + (known ? 0 : head) > left) {
-        int whole = mostBytes - Constants.RECORD_BYTES_PER_ENTRY;
+        int whole = mostBytes - JobConstants.RECORD_BYTES_PER_ENTRY;
         if (records.size() >= mostRecords || start + head > whole) {
           return false;
         }
--- a/src/main/java/fennelthread/jobs/Submission.java
+++ b/src/main/java/fennelthread/jobs/Submission.java
@@ -1,6 +1,6 @@
 package fennelthread.jobs;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
 import fennelthread.state.Limits;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
@@ -14,7 +14,7 @@
   int bytes() {
     int bytes = 0;
     for (Fields record : records.values()) {
-      bytes += Limits.bytes(record) + Constants.TXN_BYTES_PER_CHANGE;
+      bytes += Limits.bytes(record) + JobConstants.TXN_BYTES_PER_CHANGE;
     }
     return bytes;
   }
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -1,6 +1,8 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
+import fennelthread.constants.LeaderConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.jobs.DependencyGraph;
 import fennelthread.jobs.Job;
@@ -131,7 +133,7 @@
       finished.set(index);
       idle.clear(index);
       unfinished--;
-      dirtyChunks.add(index / Constants.TASKS_PER_CHUNK);
+      dirtyChunks.add(index / JobConstants.TASKS_PER_CHUNK);
     }
   }
 
@@ -159,8 +161,8 @@
     durable.or(covered);
     dirtyChunks.removeIf(
         chunk -> {
-          int from = chunk * Constants.TASKS_PER_CHUNK;
-          for (int i = from; i < from + Constants.TASKS_PER_CHUNK; i++) {
+          int from = chunk * JobConstants.TASKS_PER_CHUNK;
+          for (int i = from; i < from + JobConstants.TASKS_PER_CHUNK; i++) {
             if (finished.get(i) && !durable.get(i)) {
               return false;
             }
@@ -240,8 +242,9 @@
     forgetOldTroubles(now);
     failedMachines.add(machine);
     failures++;
-    boolean jobsFault = failedMachines.size() >= Constants.BAD_JOB_MACHINES && finished.isEmpty();
-    pause(index, now + (jobsFault ? pauseMs(failures, chance) : Constants.TASK_PAUSE_MS / 3));
+    boolean jobsFault =
+        failedMachines.size() >= LeaderConstants.BAD_JOB_MACHINES && finished.isEmpty();
+    pause(index, now + (jobsFault ? pauseMs(failures, chance) : LeaderConstants.TASK_PAUSE_MS / 3));
     return jobsFault;
   }
 
@@ -250,7 +253,7 @@
    * in the course of a day is not at fault.
    */
   private void forgetOldTroubles(long now) {
-    if (now - lastTroubleMs > Constants.FAILURE_WINDOW_MS) {
+    if (now - lastTroubleMs > LeaderConstants.FAILURE_WINDOW_MS) {
       failedMachines.clear();
       refusals.clear();
       failures = Math.min(failures, 1);
@@ -259,7 +262,9 @@
   }
 
   private static long pauseMs(int times, double chance) {
-    long pause = Constants.TASK_PAUSE_MS << Math.min(times, 10);
-    return (long) (Math.min(Constants.TASK_PAUSE_MOST_MS, pause) * (1 + Constants.JITTER * chance));
+    long pause = LeaderConstants.TASK_PAUSE_MS << Math.min(times, 10);
+    return (long)
+        (Math.min(LeaderConstants.TASK_PAUSE_MOST_MS, pause)
+            * (1 + ProtocolConstants.JITTER * chance));
   }
 }
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -1,6 +1,8 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.JobConstants;
+import fennelthread.constants.LeaderConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
@@ -151,7 +153,7 @@
       // Its user waits for this one; tasks of other jobs can wait for one another.
       moveTo(Phase.GATHERING);
       host.after(
-          Constants.FLUSH_DONE_MS,
+          LeaderConstants.FLUSH_DONE_MS,
           () -> {
             if (phase == Phase.GATHERING) {
               write();
@@ -172,13 +174,13 @@
     Map<ActiveJob, BitSet> written = new LinkedHashMap<>();
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
     for (ActiveJob run : dirty) {
-      if (run.unfinished() == 0 && txn.ops() + Constants.CHANGES_PER_END <= limits.txnOps()) {
+      if (run.unfinished() == 0 && txn.ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
         Lookup.Final end = new Lookup.Final(JobState.DONE, run.job().spec().tasks(), host.wallMs());
         JobStore.addFinal(txn, run.job(), end);
         ends.put(run.job().spec().id(), end);
       }
     }
-    if (ends.isEmpty() && host.nowMs() - partsWrittenAt >= Constants.FLUSH_PARTS_MS) {
+    if (ends.isEmpty() && host.nowMs() - partsWrittenAt >= LeaderConstants.FLUSH_PARTS_MS) {
       boolean all = true;
       for (ActiveJob run : dirty) {
         all &= addParts(run, txn, written);
@@ -248,7 +250,7 @@
         dirty.removeIf(run -> c.failed().contains(Keys.job(run.job().spec().id())));
       }
       if (awaited) {
-        host.after(Constants.RETRY_MS, this::tick);
+        host.after(ProtocolConstants.RETRY_MS, this::tick);
       }
     }
   }
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -1,6 +1,8 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
+import fennelthread.constants.PlanConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
@@ -91,7 +93,7 @@
       // Of a service that has more than one replica another goes on whatever is stopped.
       boolean looked =
           run.isReleased()
-              && waitedMs > Constants.BEGIN_AFTER_MS
+              && waitedMs > PlanConstants.BEGIN_AFTER_MS
               && (run.hasIdle() || run.isUndone())
               && !(run.job().spec().service() && run.attempts().size() > 1);
       if (looked) {
@@ -143,15 +145,18 @@
    */
   private double work(ActiveJob run, int tasks, double takesS) {
     double work = tasks * Math.max(0.1, run.job().spec().cpus()) * Math.max(1, takesS);
-    long agedMs = Math.max(0, host.wallMs() - run.releasedWallMs() - Constants.WORK_AGES_AFTER_MS);
-    return work * Math.pow(0.5, agedMs / Constants.WORK_HALVED_MS);
+    long agedMs =
+        Math.max(0, host.wallMs() - run.releasedWallMs() - LeaderConstants.WORK_AGES_AFTER_MS);
+    return work * Math.pow(0.5, agedMs / LeaderConstants.WORK_HALVED_MS);
   }
 
   /** How long a task waits for room that comes by itself before others are stopped for it, s. */
   private double patienceS(JobSpec spec) {
     return spec.service()
         ? 0
-        : settings.waitsMatter(spec.jobClass()) ? Constants.PATIENCE_SHORT_S : Constants.PATIENCE_S;
+        : settings.waitsMatter(spec.jobClass())
+            ? LeaderConstants.PATIENCE_SHORT_S
+            : LeaderConstants.PATIENCE_S;
   }
 
   /** The priority with which a job may stop others: a lent one only once its time runs short. */
@@ -163,7 +168,7 @@
     double latestMs = loan.dueMs() - takesS * 1000;
     boolean patient =
         latestMs - host.wallMs()
-            > (latestMs - run.releasedWallMs()) * (1 - Constants.LENT_PATIENCE);
+            > (latestMs - run.releasedWallMs()) * (1 - LeaderConstants.LENT_PATIENCE);
     return patient ? run.job().spec().priority() : run.priority();
   }
 
@@ -197,7 +202,7 @@
     if (next != Double.MAX_VALUE) {
       return next - ageS - takesS;
     }
-    return last == 0 || ageS > last * Constants.LATE_PATIENCE
+    return last == 0 || ageS > last * LeaderConstants.LATE_PATIENCE
         ? Double.MAX_VALUE
         : last - ageS - takesS;
   }
@@ -215,7 +220,8 @@
       double[] d = demanded.computeIfAbsent(spec.team(), k -> new double[2]);
       d[0] += run.unfinished() * spec.cpus();
       d[1] += run.unfinished() * spec.cards();
-      if (d[0] <= team.cpus() + Constants.EPSILON && d[1] <= team.cards() + Constants.EPSILON) {
+      if (d[0] <= team.cpus() + ProtocolConstants.EPSILON
+          && d[1] <= team.cards() + ProtocolConstants.EPSILON) {
         guaranteed.add(spec.id());
       }
     }
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -1,6 +1,7 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Host;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
@@ -96,8 +97,11 @@
             : Math.min(
                 10_000,
                 Math.max(
-                    2_000, (long) (settings.workers().leaseMs() * Constants.GRANT_SHARE_OF_LEASE)));
-    this.leaseMs = (long) (ttlMs * (1 - 2 * Constants.CLOCK_DRIFT)) - Constants.LEASE_MARGIN_MS;
+                    2_000,
+                    (long) (settings.workers().leaseMs() * LeaderConstants.GRANT_SHARE_OF_LEASE)));
+    this.leaseMs =
+        (long) (ttlMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+            - ProtocolConstants.LEASE_MARGIN_MS;
     replica.listen((key, value, revision) -> observe(key, value, revision));
   }
 
@@ -206,7 +210,7 @@
     moveTo(Phase.FOLLOWING, why);
     state.endGrant(old, status -> {});
     listener.deposed(why);
-    host.after(pauseMs + Constants.RETRY_MS, this::consider);
+    host.after(pauseMs + ProtocolConstants.RETRY_MS, this::consider);
   }
 
   private void moveTo(Phase next, String why) {
@@ -254,7 +258,7 @@
     claimPlanned = true;
     long wait = Math.max(0, notBefore - host.nowMs());
     host.after(
-        wait + (long) (Constants.CLAIM_SPREAD_MS * host.random().nextDouble()),
+        wait + (long) (LeaderConstants.CLAIM_SPREAD_MS * host.random().nextDouble()),
         () -> {
           claimPlanned = false;
           if (phase == Phase.FOLLOWING && replica.isReady() && replica.get(Keys.LEAD) == null) {
@@ -271,18 +275,18 @@
         return;
       }
       endingOld = true;
-      if (Math.abs(host.wallMs() - lead.count("at_ms", 0)) < Constants.FLAPPING_MS) {
+      if (Math.abs(host.wallMs() - lead.count("at_ms", 0)) < LeaderConstants.FLAPPING_MS) {
         // Our predecessor ended soon after its claim, and so may we: whoever runs well goes first.
         // A process
         // that ends at once each time would otherwise lead for ever, a moment at a time.
-        notBefore = Math.max(notBefore, host.nowMs() + Constants.FLAPPING_PAUSE_MS);
+        notBefore = Math.max(notBefore, host.nowMs() + LeaderConstants.FLAPPING_PAUSE_MS);
       }
       state.endGrant(
           lead.count("permiso"),
           status -> {
             endingOld = false;
             if (status != 200 && status != 404) {
-              host.after(Constants.RETRY_MS, this::consider);
+              host.after(ProtocolConstants.RETRY_MS, this::consider);
             }
           });
     } catch (WireException e) {
@@ -387,7 +391,8 @@
 
   private void giveUp(String why) {
     moveTo(Phase.FOLLOWING, why);
-    host.after((long) (Constants.RETRY_MS * (0.5 + host.random().nextDouble())), this::consider);
+    host.after(
+        (long) (ProtocolConstants.RETRY_MS * (0.5 + host.random().nextDouble())), this::consider);
   }
 
   private void won(long next, long revision, long id, long t0, Txn txn) {
@@ -400,7 +405,7 @@
     listener.elected(epoch, epochRevision);
     replica.applied(txn, revision);
     if (phase == Phase.LEADING && epoch == next) {
-      host.after(ttlMs / Constants.RENEWALS_PER_GRANT, () -> renew(next));
+      host.after(ttlMs / LeaderConstants.RENEWALS_PER_GRANT, () -> renew(next));
     }
   }
 
@@ -424,7 +429,8 @@
             leaseUntil = Math.max(leaseUntil, t0 + leaseMs);
           }
           long spent = host.nowMs() - t0;
-          long pause = good ? ttlMs / Constants.RENEWALS_PER_GRANT : Constants.RETRY_MS / 2;
+          long pause =
+              good ? ttlMs / LeaderConstants.RENEWALS_PER_GRANT : ProtocolConstants.RETRY_MS / 2;
           host.after(Math.max(20, pause - spent), () -> renew(of));
         });
   }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
@@ -107,7 +107,7 @@
                 fetching,
                 classes,
                 running,
-                Constants.TASKS_PER_REPORT - reported);
+                LeaderConstants.TASKS_PER_REPORT - reported);
     // Last: noting an image above may have changed the machine once more.
     version = m.version();
   }
--- a/src/main/java/fennelthread/leader/PassedOverJobs.java
+++ b/src/main/java/fennelthread/leader/PassedOverJobs.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -26,7 +26,7 @@
     Set<String> overdue = new HashSet<>();
     sinceMs.forEach(
         (id, since) -> {
-          if (nowMs - since > Constants.PASSED_OVER_MS) {
+          if (nowMs - since > LeaderConstants.PASSED_OVER_MS) {
             overdue.add(id);
           }
         });
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.jobs.JobTable;
@@ -69,7 +69,7 @@
 
   /** Removes some, if it is time to. */
   void tick() {
-    if (sweeping || !lease.mayStart() || host.nowMs() - sweptAt < Constants.SWEEP_MS) {
+    if (sweeping || !lease.mayStart() || host.nowMs() - sweptAt < LeaderConstants.SWEEP_MS) {
       return;
     }
     sweptAt = host.nowMs();
@@ -82,7 +82,7 @@
         txn.remove(key);
       }
     }
-    while (spare.size() > Constants.SPARE_RECORDS && txn.ops() < most) {
+    while (spare.size() > LeaderConstants.SPARE_RECORDS && txn.ops() < most) {
       // A removal that got no answer may be applied late: not to what a round has written there
       // since.
       String key = spare.take();
@@ -124,7 +124,7 @@
   private Census look() {
     Census census = new Census();
     String ours = Keys.rounds(lease.epoch());
-    int fewLive = recordCapacity() / Constants.SPARSE_RECORD_PARTS;
+    int fewLive = recordCapacity() / LeaderConstants.SPARSE_RECORD_PARTS;
     for (Map.Entry<String, StartRecord> e : table.rounds().entrySet()) {
       if (rounds.isWriting(e.getKey())) {
         // It may be in the replica before its attempts are.
@@ -158,15 +158,16 @@
 
   /** How many starts a full record holds, more or less. */
   private int recordCapacity() {
-    return Math.max(1, limits.valueBytes() / Constants.RECORD_BYTES_PER_START);
+    return Math.max(1, limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
   /** True if the records are many times what their live starts would fill. */
   private boolean tooMany(Census census) {
     int needed = 1 + census.live / recordCapacity();
     return table.rounds().size() - spare.size()
-            > Constants.RECORDS_PER_NEEDED * needed + Constants.RECORDS_SLACK
-        || census.starts > Constants.RECORDS_PER_NEEDED * census.live + Constants.STARTS_SLACK;
+            > LeaderConstants.RECORDS_PER_NEEDED * needed + LeaderConstants.RECORDS_SLACK
+        || census.starts
+            > LeaderConstants.RECORDS_PER_NEEDED * census.live + LeaderConstants.STARTS_SLACK;
   }
 
   /**
--- a/src/main/java/fennelthread/leader/RunTimes.java
+++ b/src/main/java/fennelthread/leader/RunTimes.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
 import fennelthread.wire.JobSpec;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,8 +11,8 @@
  */
 final class RunTimes {
   private static final class Ratio {
-    double sum = Constants.RUN_TIME_PRIOR;
-    double weight = Constants.RUN_TIME_PRIOR;
+    double sum = LeaderConstants.RUN_TIME_PRIOR;
+    double weight = LeaderConstants.RUN_TIME_PRIOR;
   }
 
   private final Map<String, Ratio> byClass = new HashMap<>();
@@ -21,9 +21,9 @@
   void learn(JobSpec spec, double tookS) {
     Ratio r = byClass.computeIfAbsent(spec.jobClass(), k -> new Ratio());
     r.sum =
-        r.sum * Constants.RUN_TIME_FADE
-            + Math.min(Constants.RUN_TIME_MOST, tookS / spec.estimateS());
-    r.weight = r.weight * Constants.RUN_TIME_FADE + 1;
+        r.sum * LeaderConstants.RUN_TIME_FADE
+            + Math.min(LeaderConstants.RUN_TIME_MOST, tookS / spec.estimateS());
+    r.weight = r.weight * LeaderConstants.RUN_TIME_FADE + 1;
   }
 
   /** The time that a task of the job is expected to run, s; 0 for services. */
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -1,6 +1,7 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
@@ -150,7 +151,7 @@
 
   /** Makes a round if none was made for long: for what no event announced. */
   void tick() {
-    if (host.nowMs() - lastAt >= Constants.ROUND_IDLE_MS) {
+    if (host.nowMs() - lastAt >= LeaderConstants.ROUND_IDLE_MS) {
       changed();
     }
   }
@@ -265,7 +266,7 @@
       log.info("round abandoned: {}", result);
       byMachine.forEach(this::drop);
       lease.refused(result);
-      pausedUntil = host.nowMs() + Constants.RETRY_MS;
+      pausedUntil = host.nowMs() + ProtocolConstants.RETRY_MS;
     }
     changed();
   }
@@ -352,7 +353,7 @@
 
   private int mostStarts() {
     return Math.min(
-        Constants.STARTS_PER_ROUND,
-        limits.txnOps() * limits.valueBytes() / Constants.RECORD_BYTES_PER_START);
+        LeaderConstants.STARTS_PER_ROUND,
+        limits.txnOps() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 }
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Cloud;
 import fennelthread.fleet.Fleet;
@@ -257,7 +257,7 @@
       scheduling.tick();
       collector.tick();
     }
-    host.after(Constants.TERM_TICK_MS, this::tick);
+    host.after(LeaderConstants.TERM_TICK_MS, this::tick);
   }
 
   private boolean isOver() {
@@ -271,7 +271,7 @@
     if (phase == Phase.ACTIVE && lease.mayStart()) {
       provisioner.tick(scheduling.unplaced());
     }
-    host.after(Constants.RENT_EVERY_MS, this::rentTick);
+    host.after(LeaderConstants.RENT_EVERY_MS, this::rentTick);
   }
 
   /** Answers a report that came by a sibling or directly; null if we are not entitled to. */
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
@@ -62,7 +62,7 @@
           // Nothing to say of attempts that the worker has not reported.
         }
       }
-      if (orders.size() >= Constants.ORDERS_PER_ANSWER) {
+      if (orders.size() >= LeaseRenewalConstants.ORDERS_PER_ANSWER) {
         break;
       }
     }
--- a/src/main/java/fennelthread/leaserenewal/CancellationLog.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -1,6 +1,6 @@
 package fennelthread.leaserenewal;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
 import fennelthread.net.Host;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -68,7 +68,7 @@
     }
     List<String> ids = new ArrayList<>();
     for (Told t : log) {
-      if (t.number > number && ids.size() < Constants.WITHDRAWN_PER_GREETING) {
+      if (t.number > number && ids.size() < LeaseRenewalConstants.WITHDRAWN_PER_GREETING) {
         ids.add(t.id);
       }
     }
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -1,6 +1,8 @@
 package fennelthread.leaserenewal;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
+import fennelthread.constants.PeerConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
 import fennelthread.peers.PeerHeartbeat;
@@ -119,7 +121,7 @@
   public PeerHeartbeat greet(String member, PeerHeartbeat greeting) {
     return greeting.keeping(
         note(
-            mesh.silentMs(member) < Constants.SIBLING_SILENT_MS,
+            mesh.silentMs(member) < PeerConstants.SIBLING_SILENT_MS,
             currency.taken(member),
             0,
             new CancellationLog.Page(List.of(), 0, false)));
@@ -149,8 +151,8 @@
     }
     stillUntilMs =
         host.nowMs()
-            + (long) (Constants.KEEP_STILL_MS * (1 + 2 * Constants.CLOCK_DRIFT))
-            + Constants.LEASE_MARGIN_MS;
+            + (long) (LeaseRenewalConstants.KEEP_STILL_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+            + ProtocolConstants.LEASE_MARGIN_MS;
     moveTo(Phase.STANDING_BY);
     return epoch;
   }
@@ -165,7 +167,7 @@
         page.to(),
         page.all(),
         phase == Phase.KEEPING,
-        everKept ? host.nowMs() - keptAtMs : Constants.KEPT_NEVER);
+        everKept ? host.nowMs() - keptAtMs : PeerConstants.KEPT_NEVER);
   }
 
   @Override
@@ -196,7 +198,7 @@
    */
   public Answer keep(WorkerReport beat) {
     long now = host.nowMs();
-    boolean obeys = epoch > 0 && beat.token() >> Constants.TOKEN_BITS == epoch;
+    boolean obeys = epoch > 0 && beat.token() >> ProtocolConstants.TOKEN_BITS == epoch;
     if (!obeys
         || leading.getAsBoolean()
         || highestEpoch.getAsLong() > epoch
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -1,6 +1,6 @@
 package fennelthread.leaserenewal;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
 import fennelthread.fleet.Fleet;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
@@ -58,12 +58,13 @@
     for (WorkerReport.Task t : beat.tasks()) {
       if (t.phase() != WorkerReport.Phase.ENDED
           && withdrawals.isOver(t.ref().job())
-          && all.size() < Constants.ORDERS_PER_ANSWER) {
+          && all.size() < LeaseRenewalConstants.ORDERS_PER_ANSWER) {
         all.add(new WorkerCommand.Stop(t.ref(), t.attempt(), 0));
       }
     }
     for (WorkerCommand order : orders) {
-      if (all.size() < Constants.ORDERS_PER_ANSWER || order instanceof WorkerCommand.Run) {
+      if (all.size() < LeaseRenewalConstants.ORDERS_PER_ANSWER
+          || order instanceof WorkerCommand.Run) {
         all.add(order);
       }
     }
--- a/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
@@ -1,6 +1,7 @@
 package fennelthread.leaserenewal;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.settings.Settings;
 
 /**
@@ -17,7 +18,7 @@
    * How long after it last knew everything a controller may answer reports, ms of its own clock.
    */
   public static long keepMs(Settings.Workers workers) {
-    return Math.max(Constants.KEEP_LEAST_MS, roomMs(workers));
+    return Math.max(LeaseRenewalConstants.KEEP_LEAST_MS, roomMs(workers));
   }
 
   /**
@@ -26,17 +27,18 @@
    * would serve nobody.
    */
   public static long shortfallMs(Settings.Workers workers) {
-    return Math.max(0, Constants.KEEP_LEAST_MS - roomMs(workers));
+    return Math.max(0, LeaseRenewalConstants.KEEP_LEAST_MS - roomMs(workers));
   }
 
   private static long roomMs(Settings.Workers workers) {
-    return (long) (workers.cancelMs() * (1 - 2 * Constants.CLOCK_DRIFT))
-        - (long) (workers.leaseMs() * (1 + 2 * Constants.CLOCK_DRIFT))
-        - Constants.KEEP_MARGIN_MS;
+    return (long) (workers.cancelMs() * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+        - (long) (workers.leaseMs() * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+        - LeaseRenewalConstants.KEEP_MARGIN_MS;
   }
 
   /** The same as another controller must take it to be, whose clock may be faster, ms. */
   public static long keptAtMostMs(Settings.Workers workers) {
-    return (long) (keepMs(workers) * (1 + 2 * Constants.CLOCK_DRIFT)) + Constants.LEASE_MARGIN_MS;
+    return (long) (keepMs(workers) * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+        + ProtocolConstants.LEASE_MARGIN_MS;
   }
 }
--- a/src/main/java/fennelthread/leaserenewal/RenewalLog.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalLog.java
@@ -1,6 +1,8 @@
 package fennelthread.leaserenewal;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
+import fennelthread.constants.PeerConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.peers.PeerHeartbeat;
 import java.util.HashMap;
 import java.util.Map;
@@ -61,8 +63,9 @@
     }
     born(s, reply.incarnation(), nowMs);
     long ago = reply.keep().keptMsAgo();
-    if (ago != Constants.KEPT_NEVER) {
-      s.keptAtMs = Math.max(s.keptAtMs, nowMs - (long) (ago * (1 - 2 * Constants.CLOCK_DRIFT)));
+    if (ago != PeerConstants.KEPT_NEVER) {
+      s.keptAtMs =
+          Math.max(s.keptAtMs, nowMs - (long) (ago * (1 - 2 * ProtocolConstants.CLOCK_DRIFT)));
     }
     if (reply.keep().still() == epoch) {
       s.stillSinceMs = Math.max(s.stillSinceMs, sentAtMs);
@@ -81,8 +84,8 @@
 
   private long mayHaveKept(Sibling s, long nowMs) {
     long still =
-        (long) (Constants.KEEP_STILL_MS * (1 - 2 * Constants.CLOCK_DRIFT))
-            - Constants.LEASE_MARGIN_MS;
+        (long) (LeaseRenewalConstants.KEEP_STILL_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+            - ProtocolConstants.LEASE_MARGIN_MS;
     return nowMs <= s.stillSinceMs + still
         ? Long.MIN_VALUE / 2
         : Math.min(nowMs, s.answeredAtMs + keptAtMostMs);
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -1,6 +1,6 @@
 package fennelthread.net;
 
-import fennelthread.Constants;
+import fennelthread.constants.NetConstants;
 import io.undertow.client.ClientCallback;
 import io.undertow.client.ClientConnection;
 import io.undertow.client.ClientExchange;
@@ -58,7 +58,7 @@
     this.thread = thread;
     this.buffers = buffers;
     this.mostOutbound = mostOutbound;
-    this.mostSpareOpening = Math.max(1, (int) (mostOutbound * Constants.SPARE_SHARE));
+    this.mostSpareOpening = Math.max(1, (int) (mostOutbound * NetConstants.SPARE_SHARE));
     this.essential = essential;
   }
 
@@ -147,7 +147,7 @@
     Pending next = nextWaiting(link.peer);
     if (next != null) {
       send(next, link);
-    } else if (link.peer.idle.size() < Constants.IDLE_PER_ADDRESS && starved.isEmpty()) {
+    } else if (link.peer.idle.size() < NetConstants.IDLE_PER_ADDRESS && starved.isEmpty()) {
       link.idleSinceMs = host.nowMs();
       link.peer.idle.push(link);
       idle.add(link);
@@ -199,7 +199,7 @@
     while (!peer.idle.isEmpty()) {
       Link link = peer.idle.pop();
       idle.remove(link);
-      if (link.connection.isOpen() && host.nowMs() - link.idleSinceMs < Constants.IDLE_MS) {
+      if (link.connection.isOpen() && host.nowMs() - link.idleSinceMs < NetConstants.IDLE_MS) {
         send(p, link);
         return;
       }
@@ -222,8 +222,8 @@
    */
   private void open(Peer peer, boolean spare) {
     boolean vital = essential.contains(peer.address);
-    int most = vital ? Constants.CONNECTING_PER_ADDRESS : Constants.CONNECTING_PER_WORKER;
-    if (peer.connecting >= most || (!vital && peer.opening >= Constants.OPENING_PER_WORKER)) {
+    int most = vital ? NetConstants.CONNECTING_PER_ADDRESS : NetConstants.CONNECTING_PER_WORKER;
+    if (peer.connecting >= most || (!vital && peer.opening >= NetConstants.OPENING_PER_WORKER)) {
       return;
     }
     if (outbound >= mostOutbound && !vital) {
@@ -249,7 +249,7 @@
     // call makes a fresh one. Its socket is taken until the system gives up, though.
     Host.Cancellable giveUp =
         host.after(
-            Constants.CONNECT_TIMEOUT_MS,
+            NetConstants.CONNECT_TIMEOUT_MS,
             () -> {
               if (!over[0]) {
                 over[0] = true;
@@ -415,7 +415,7 @@
               byte[] chunk = new byte[n];
               buffer.get(chunk);
               collected.write(chunk, 0, n);
-              if (collected.size() > Constants.MAX_ANSWER_BYTES) {
+              if (collected.size() > NetConstants.MAX_ANSWER_BYTES) {
                 p.finish(null, false);
                 return;
               }
--- a/src/main/java/fennelthread/net/HttpServer.java
+++ b/src/main/java/fennelthread/net/HttpServer.java
@@ -1,6 +1,7 @@
 package fennelthread.net;
 
-import fennelthread.Constants;
+import fennelthread.constants.NetConstants;
+import fennelthread.constants.ProtocolConstants;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
@@ -42,8 +43,8 @@
             .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
             .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
             .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.NO_REQUEST_MS)
-            .setSocketOption(Options.BACKLOG, Constants.BACKLOG)
+            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, NetConstants.NO_REQUEST_MS)
+            .setSocketOption(Options.BACKLOG, NetConstants.BACKLOG)
             .setSocketOption(Options.REUSE_ADDRESSES, true)
             .addListener(listener(apiAddr, handler(api)))
             .addListener(listener(meshAddr, handler(mesh)))
@@ -85,16 +86,16 @@
       serve(exchange, service, new Request(method, path, null));
       return;
     }
-    if (exchange.getRequestContentLength() > Constants.MAX_BODY_BYTES) {
+    if (exchange.getRequestContentLength() > ProtocolConstants.MAX_BODY_BYTES) {
       tooLarge(exchange);
       return;
     }
-    exchange.getRequestReceiver().setMaxBufferSize(Constants.MAX_BODY_BYTES);
+    exchange.getRequestReceiver().setMaxBufferSize(ProtocolConstants.MAX_BODY_BYTES);
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
             (e, body) -> {
-              if (body.length > Constants.MAX_BODY_BYTES) {
+              if (body.length > ProtocolConstants.MAX_BODY_BYTES) {
                 tooLarge(e);
               } else {
                 serve(e, service, new Request(method, path, body));
@@ -112,7 +113,7 @@
   private void tooLarge(HttpServerExchange exchange) {
     respond(
         exchange,
-        Answer.error(413, "body: is larger than " + Constants.MAX_BODY_BYTES + " bytes")
+        Answer.error(413, "body: is larger than " + ProtocolConstants.MAX_BODY_BYTES + " bytes")
             .then(Answer.Afterwards.CLOSE));
   }
 
--- a/src/main/java/fennelthread/net/InboundConnections.java
+++ b/src/main/java/fennelthread/net/InboundConnections.java
@@ -1,6 +1,6 @@
 package fennelthread.net;
 
-import fennelthread.Constants;
+import fennelthread.constants.NetConstants;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -33,8 +33,8 @@
    */
   InboundConnections(LongSupplier nowMs, int mostSockets, IntSupplier outbound, Consumer<C> close) {
     this.nowMs = nowMs;
-    this.most = (int) (mostSockets * Constants.SOCKETS_FULL_SHARE);
-    this.crowded = (int) (mostSockets * Constants.SOCKETS_CROWDED_SHARE);
+    this.most = (int) (mostSockets * NetConstants.SOCKETS_FULL_SHARE);
+    this.crowded = (int) (mostSockets * NetConstants.SOCKETS_CROWDED_SHARE);
     this.outbound = outbound;
     this.close = close;
   }
@@ -65,7 +65,7 @@
   private void makeRoom() {
     while (usedAtMs.size() + outbound.getAsInt() > most) {
       Map.Entry<C, Long> longest = usedAtMs.entrySet().iterator().next();
-      if (nowMs.getAsLong() - longest.getValue() < Constants.STALE_CONNECTION_MS) {
+      if (nowMs.getAsLong() - longest.getValue() < NetConstants.STALE_CONNECTION_MS) {
         return;
       }
       C connection = longest.getKey();
--- a/src/main/java/fennelthread/net/StallDetector.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -1,6 +1,6 @@
 package fennelthread.net;
 
-import fennelthread.Constants;
+import fennelthread.constants.NetConstants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -38,7 +38,7 @@
   /** Begins to look at the clock. */
   public void start() {
     isListening();
-    host.after(Constants.WAKE_LOOK_MS, this::start);
+    host.after(NetConstants.WAKE_LOOK_MS, this::start);
   }
 
   /**
@@ -49,11 +49,11 @@
     long now = host.nowMs();
     long gapMs = now - lookedAtMs;
     lookedAtMs = now;
-    if (gapMs > Constants.WAKE_LATE_MS) {
+    if (gapMs > NetConstants.WAKE_LATE_MS) {
       sleeps++;
       log.info("we stood still for {} ms, for the {}. time", gapMs, sleeps);
       listensUntilMs =
-          Math.max(listensUntilMs, now + Math.min(Constants.WAKE_LISTEN_MOST_MS, gapMs));
+          Math.max(listensUntilMs, now + Math.min(NetConstants.WAKE_LISTEN_MOST_MS, gapMs));
       moveTo(Phase.LISTENING);
     } else if (now >= listensUntilMs) {
       moveTo(Phase.AWAKE);
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -1,6 +1,6 @@
 package fennelthread.peers;
 
-import fennelthread.Constants;
+import fennelthread.constants.PeerConstants;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
 import java.util.LinkedHashMap;
@@ -38,7 +38,7 @@
    * withdrawals is known. In an answer: {@code still} is the epoch to whose leader the greeting
    * brought a promise not to keep any lease for a while, {@code withdrawn} goes on from {@code
    * after}, up to {@code to}; {@code all} says that this is all there is. {@code keeping} and
-   * {@code keptMsAgo}, which is {@link Constants#KEPT_NEVER} of one that never did, are of the
+   * {@code keptMsAgo}, which is {@link PeerConstants#KEPT_NEVER} of one that never did, are of the
    * sender, at any time.
    */
   public record Keep(
@@ -61,7 +61,7 @@
               .with("to", to)
               .with("all", all)
               .with("keeping", keeping);
-      return keptMsAgo == Constants.KEPT_NEVER ? f : f.with("kept_ms_ago", keptMsAgo);
+      return keptMsAgo == PeerConstants.KEPT_NEVER ? f : f.with("kept_ms_ago", keptMsAgo);
     }
 
     static Keep read(Fields f) throws WireException {
@@ -73,7 +73,7 @@
           f.count("to", 0),
           f.optFlag("all"),
           f.optFlag("keeping"),
-          f.has("kept_ms_ago") ? f.count("kept_ms_ago") : Constants.KEPT_NEVER);
+          f.has("kept_ms_ago") ? f.count("kept_ms_ago") : PeerConstants.KEPT_NEVER);
     }
   }
 
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -1,6 +1,7 @@
 package fennelthread.peers;
 
-import fennelthread.Constants;
+import fennelthread.constants.PeerConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
@@ -87,7 +88,8 @@
   public void start() {
     greetAll();
     host.after(
-        (long) (Constants.HAIL_MS * (1 + Constants.JITTER * host.random().nextDouble())),
+        (long)
+            (PeerConstants.HAIL_MS * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
         this::start);
   }
 
@@ -111,7 +113,7 @@
     host.call(
         peer.sibling.addr(),
         Call.post("/hail", Codec.JSON, greeting.write()),
-        Constants.HAIL_TIMEOUT_MS,
+        PeerConstants.HAIL_TIMEOUT_MS,
         answer -> {
           peer.greeting = false;
           if (answer == null) {
@@ -151,7 +153,7 @@
     }
     Map<String, String> fresh = new LinkedHashMap<>();
     for (Map.Entry<String, String> e : current.entrySet()) {
-      if (fresh.size() >= Constants.ADDRESSES_PER_GREETING) {
+      if (fresh.size() >= PeerConstants.ADDRESSES_PER_GREETING) {
         break;
       }
       if (!e.getValue().equals(peer.told.get(e.getKey()))) {
@@ -160,7 +162,7 @@
     }
     List<String> gone = new ArrayList<>();
     for (String name : peer.told.keySet()) {
-      if (!current.containsKey(name) && gone.size() < Constants.ADDRESSES_PER_GREETING) {
+      if (!current.containsKey(name) && gone.size() < PeerConstants.ADDRESSES_PER_GREETING) {
         gone.add(name);
       }
     }
@@ -250,7 +252,7 @@
   }
 
   private boolean isHeard(Peer p) {
-    return p.last != null && host.nowMs() - p.heardAt < Constants.SIBLING_SILENT_MS;
+    return p.last != null && host.nowMs() - p.heardAt < PeerConstants.SIBLING_SILENT_MS;
   }
 
   @Override
@@ -357,7 +359,7 @@
     for (Peer p : peers.values()) {
       if (p.last != null
           && !p.last.chains()
-          && host.nowMs() - p.heardAt < Constants.OLD_SIBLING_MS) {
+          && host.nowMs() - p.heardAt < PeerConstants.OLD_SIBLING_MS) {
         return true;
       }
     }
--- a/src/main/java/fennelthread/plan/Aging.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -1,6 +1,6 @@
 package fennelthread.plan;
 
-import fennelthread.Constants;
+import fennelthread.constants.PlanConstants;
 import java.util.HashSet;
 import java.util.Set;
 
@@ -53,18 +53,19 @@
 
   /** Begins with nobody's turn, in a fleet of so many CPUs. */
   public Aging(double fleetCpus) {
-    this.mostCpus = fleetCpus * Constants.TURNS_SHARE;
+    this.mostCpus = fleetCpus * PlanConstants.TURNS_SHARE;
   }
 
   /** Looks at the next job; the oldest come first. */
   public void look(Candidate job) {
-    if (job.begun || job.waitedMs <= Constants.BEGIN_AFTER_MS) {
+    if (job.begun || job.waitedMs <= PlanConstants.BEGIN_AFTER_MS) {
       return;
     }
     boolean room = cpus == 0 || cpus + job.cpus <= mostCpus;
     if (job.attempt == null) {
       (room ? first : early).add(job.id);
-    } else if (job.ranS <= Math.max(Constants.KEPT_LEAST_S, Constants.KEPT_TIMES * job.takesS)) {
+    } else if (job.ranS
+        <= Math.max(PlanConstants.KEPT_LEAST_S, PlanConstants.KEPT_TIMES * job.takesS)) {
       (room ? kept : spared).add(job.attempt);
     } else {
       // It has run for so long that others need not stand back for it any more.
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -1,6 +1,6 @@
 package fennelthread.plan;
 
-import fennelthread.Constants;
+import fennelthread.constants.PlanConstants;
 import fennelthread.wire.JobSpec;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -44,7 +44,7 @@
     }
     double alone = spec.imageGb() / Math.max(0.01, room.host.fetchGbPerS());
     return room.fetching().contains(spec.image())
-        ? alone * (spec.service() ? 1 : Constants.FETCH_LEFT)
+        ? alone * (spec.service() ? 1 : PlanConstants.FETCH_LEFT)
         : alone * (1 + room.fetching().size());
   }
 
@@ -60,8 +60,8 @@
       // death then costs little, and later replicas find the image on machines with room.
       int crowd = room.tasksOfClass(spec.jobClass());
       return room.hasImage(spec)
-          ? crowd * Constants.CROWD_CACHED + left
-          : Constants.NOT_CACHED + fetch + crowd + left;
+          ? crowd * PlanConstants.CROWD_CACHED + left
+          : PlanConstants.NOT_CACHED + fetch + crowd + left;
     }
     double spot = room.host.spot() ? -0.5 : 0;
     return fetch * (need.waitMatters() ? 10 : 1) + left + spot;
--- a/src/main/java/fennelthread/plan/Room.java
+++ b/src/main/java/fennelthread/plan/Room.java
@@ -1,6 +1,6 @@
 package fennelthread.plan;
 
-import fennelthread.Constants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -86,9 +86,9 @@
    */
   private boolean isEnough(JobSpec spec, double cpus, double cards, double memGb) {
     return slots > 0
-        && spec.cpus() <= cpus + Constants.EPSILON
-        && spec.cards() <= cards + Constants.EPSILON
-        && spec.memGb() <= memGb + Constants.EPSILON;
+        && spec.cpus() <= cpus + ProtocolConstants.EPSILON
+        && spec.cards() <= cards + ProtocolConstants.EPSILON
+        && spec.memGb() <= memGb + ProtocolConstants.EPSILON;
   }
 
   boolean hasImage(JobSpec spec) {
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -1,6 +1,6 @@
 package fennelthread.plan;
 
-import fennelthread.Constants;
+import fennelthread.constants.PlanConstants;
 import fennelthread.plan.PlacementRules.Shape;
 import fennelthread.wire.Priority;
 import java.util.ArrayList;
@@ -57,7 +57,7 @@
 
   /** How many machines may be kept free at once for tasks that wait for them, of a snapshot's. */
   static int mostHolds(Snapshot snapshot) {
-    return Math.max(1, (int) (snapshot.hosts().size() * Constants.HOLDS_SHARE));
+    return Math.max(1, (int) (snapshot.hosts().size() * PlanConstants.HOLDS_SHARE));
   }
 
   /** True if one more machine may be kept free for a task that nothing else makes room for. */
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -1,6 +1,7 @@
 package fennelthread.plan;
 
-import fennelthread.Constants;
+import fennelthread.constants.PlanConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.Priority;
 import java.util.List;
@@ -147,7 +148,7 @@
     double leftS(long nowMs) {
       return takesS <= 0
           ? Double.POSITIVE_INFINITY
-          : Math.max(takesS * Constants.RUN_LEFT_LEAST, takesS - runS(nowMs));
+          : Math.max(takesS * PlanConstants.RUN_LEFT_LEAST, takesS - runS(nowMs));
     }
   }
 
@@ -170,8 +171,8 @@
 
     /** True if another task of this size stays within the cap. */
     public boolean allows(double moreCpus, double moreCards) {
-      return (cpusMax <= 0 || cpus + moreCpus <= cpusMax + Constants.EPSILON)
-          && (cardsMax <= 0 || cards + moreCards <= cardsMax + Constants.EPSILON);
+      return (cpusMax <= 0 || cpus + moreCpus <= cpusMax + ProtocolConstants.EPSILON)
+          && (cardsMax <= 0 || cards + moreCards <= cardsMax + ProtocolConstants.EPSILON);
     }
 
     /** True if a task that takes so much is part of what the team uses beyond its guarantee. */
@@ -181,7 +182,7 @@
     }
 
     private static boolean isBeyond(double used, double guaranteed) {
-      return guaranteed <= 0 || used > guaranteed + Constants.EPSILON;
+      return guaranteed <= 0 || used > guaranteed + ProtocolConstants.EPSILON;
     }
 
     Use plus(double moreCpus, double moreCards) {
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -1,6 +1,7 @@
 package fennelthread.relay;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.net.Answer;
@@ -93,7 +94,7 @@
     if (sibling != null) {
       // A question does no harm if it comes again; of anything else a peer's word proves nothing.
       Runnable notPassedOn = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
-      long relayedMs = timeoutMs + Constants.RELAY_SLACK_MS;
+      long relayedMs = timeoutMs + RelayConstants.RELAY_SLACK_MS;
       around(sibling, address, call, relayedMs, done, unsent, notPassedOn);
     } else if (call.spare() && mesh.anyRelay() != null) {
       new Question(m, address, call, timeoutMs, done, unsent).ask();
@@ -137,7 +138,7 @@
     void ask() {
       host.call(address, call, timeoutMs, this::answered, this::notSent);
       host.after(
-          Math.min(Constants.HEDGE_MS, timeoutMs / 2),
+          Math.min(RelayConstants.HEDGE_MS, timeoutMs / 2),
           () -> {
             String sibling = over ? null : mesh.anyRelay();
             if (sibling != null) {
@@ -209,7 +210,7 @@
         sibling,
         RelayWire.COMMANDS,
         new RelayWire.Commands(
-                epoch, address, timeoutMs - Constants.RELAY_SLACK_MS / 2, call.spare(), body)
+                epoch, address, timeoutMs - RelayConstants.RELAY_SLACK_MS / 2, call.spare(), body)
             .write(),
         timeoutMs,
         answer -> {
@@ -227,7 +228,7 @@
   private String sibling(Machine m) {
     Via via = vias.get(m.name());
     if (via != null) {
-      if (host.nowMs() - via.atMs <= settings.workers().reportMs() * Constants.SILENT_REPORTS
+      if (host.nowMs() - via.atMs <= settings.workers().reportMs() * RelayConstants.SILENT_REPORTS
           && mesh.relaysFor(via.member)) {
         return via.member;
       }
@@ -280,7 +281,7 @@
     host.call(
         commands.address(),
         commands.spare() ? call.asSpare() : call,
-        Math.min(commands.timeoutMs(), Constants.COMMAND_TIMEOUT_MS),
+        Math.min(commands.timeoutMs(), FleetConstants.COMMAND_TIMEOUT_MS),
         answer -> reply.accept(Answer.of(200, Codec.JSON, RelayWire.Outcome.of(answer).write())),
         tried ->
             reply.accept(Answer.of(200, Codec.JSON, new RelayWire.Outcome(0, null, true).write())));
--- a/src/main/java/fennelthread/relay/LeaderReachability.java
+++ b/src/main/java/fennelthread/relay/LeaderReachability.java
@@ -1,6 +1,6 @@
 package fennelthread.relay;
 
-import fennelthread.Constants;
+import fennelthread.constants.RelayConstants;
 
 /**
  * Whether a leader still hears its workers by itself. Hundreds of workers report at random moments,
@@ -24,7 +24,7 @@
   private long lookedAtMs;
   private long deafAtMs = Long.MIN_VALUE / 2;
   private long backAtMs = Long.MIN_VALUE / 2;
-  private long patienceMs = Constants.DEAF_FIRST_MS;
+  private long patienceMs = RelayConstants.DEAF_FIRST_MS;
 
   /** Creates it; workers report every {@code reportMs}, ms, more or less. */
   public LeaderReachability(long reportMs) {
@@ -35,7 +35,7 @@
   public void begin(long nowMs) {
     heardAtMs = nowMs + 2 * reportMs;
     lookedAtMs = nowMs;
-    patienceMs = Constants.DEAF_FIRST_MS;
+    patienceMs = RelayConstants.DEAF_FIRST_MS;
     deafAtMs = Long.MIN_VALUE / 2;
     backAtMs = Long.MIN_VALUE / 2;
     moveTo(Phase.HEARING);
@@ -63,13 +63,13 @@
   }
 
   /**
-   * Looks again; to be called every {@link Constants#SUPERVISE_MS}.
+   * Looks again; to be called every {@link RelayConstants#SUPERVISE_MS}.
    *
    * @param workers how many workers report to this leader, by whatever way
    * @return true if the phase has changed
    */
   public boolean look(long nowMs, int workers) {
-    boolean late = nowMs - lookedAtMs > 2 * Constants.SUPERVISE_MS;
+    boolean late = nowMs - lookedAtMs > 2 * RelayConstants.SUPERVISE_MS;
     lookedAtMs = nowMs;
     if (late) {
       heardAtMs = Math.max(heardAtMs, nowMs);
@@ -80,15 +80,15 @@
     long silentMs = nowMs - heardAtMs;
     double due = (double) workers * silentMs / reportMs;
     boolean allMissed =
-        workers >= Constants.DEAF_WORKERS && silentMs > reportMs * Constants.DEAF_REPORTS;
-    if (silentMs < Constants.DEAF_LEAST_MS || (due < Constants.DEAF_DUE && !allMissed)) {
+        workers >= RelayConstants.DEAF_WORKERS && silentMs > reportMs * RelayConstants.DEAF_REPORTS;
+    if (silentMs < RelayConstants.DEAF_LEAST_MS || (due < RelayConstants.DEAF_DUE && !allMissed)) {
       return false;
     }
     // Ears that close again soon after they opened are believed later the next time.
     patienceMs =
-        nowMs - backAtMs < Constants.DEAF_AGAIN_MS
-            ? Math.min(Constants.DEAF_MOST_MS, patienceMs * 2)
-            : Constants.DEAF_FIRST_MS;
+        nowMs - backAtMs < RelayConstants.DEAF_AGAIN_MS
+            ? Math.min(RelayConstants.DEAF_MOST_MS, patienceMs * 2)
+            : RelayConstants.DEAF_FIRST_MS;
     deafAtMs = nowMs;
     moveTo(Phase.DEAF);
     return true;
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -1,6 +1,7 @@
 package fennelthread.relay;
 
-import fennelthread.Constants;
+import fennelthread.constants.ProtocolConstants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Host;
 import fennelthread.peers.PeerHeartbeats;
@@ -45,7 +46,7 @@
   private static final class Worker {
     long sentOnAtMs;
     long relayedSinceMs = -1;
-    long holdMs = Constants.RELAY_HOLD_MS;
+    long holdMs = RelayConstants.RELAY_HOLD_MS;
   }
 
   private final Host host;
@@ -105,7 +106,7 @@
       }
       // Now and then it tries the leader again, less often each time.
       w.relayedSinceMs = -1;
-      w.holdMs = Math.min(Constants.RELAY_HOLD_MOST_MS, w.holdMs * 2);
+      w.holdMs = Math.min(RelayConstants.RELAY_HOLD_MOST_MS, w.holdMs * 2);
       w.sentOnAtMs = now;
       return false;
     }
@@ -113,8 +114,8 @@
     // the
     // first moments of a term workers know its token from questions, before they have come over.
     boolean obeyed =
-        beat.token() >> Constants.TOKEN_BITS == epoch
-            && now - epochSinceMs > Constants.RELAY_SETTLED_MS;
+        beat.token() >> ProtocolConstants.TOKEN_BITS == epoch
+            && now - epochSinceMs > RelayConstants.RELAY_SETTLED_MS;
     boolean sentOn = now - w.sentOnAtMs < settings.workers().leaseMs();
     if (obeyed || sentOn) {
       w.relayedSinceMs = now;
@@ -125,7 +126,7 @@
   }
 
   private void trim() {
-    while (workers.size() > Constants.KNOWN_ADDRESSES) {
+    while (workers.size() > RelayConstants.KNOWN_ADDRESSES) {
       workers.remove(workers.keySet().iterator().next());
     }
   }
@@ -135,7 +136,7 @@
       moveTo(Phase.OPEN);
       unanswered = 0;
     }
-    return phase == Phase.OPEN && underWay < Constants.RELAYS_AT_ONCE;
+    return phase == Phase.OPEN && underWay < RelayConstants.RELAYS_AT_ONCE;
   }
 
   /** The only place where the phase changes. */
@@ -150,7 +151,7 @@
         leader.member(),
         RelayWire.REPORT,
         new RelayWire.Report(settings.member(), leader.epoch(), beat).write(),
-        Constants.RELAY_TIMEOUT_MS,
+        RelayConstants.RELAY_TIMEOUT_MS,
         answer -> {
           underWay--;
           RelayWire.Outcome outcome = outcome(answer);
@@ -166,8 +167,8 @@
   }
 
   private void failed() {
-    if (++unanswered >= Constants.RELAY_FAILURES && phase == Phase.OPEN) {
-      pausedUntilMs = host.nowMs() + Constants.RELAY_PAUSE_MS;
+    if (++unanswered >= RelayConstants.RELAY_FAILURES && phase == Phase.OPEN) {
+      pausedUntilMs = host.nowMs() + RelayConstants.RELAY_PAUSE_MS;
       moveTo(Phase.PAUSED);
     }
   }
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -1,6 +1,6 @@
 package fennelthread.relay;
 
-import fennelthread.Constants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.net.Host;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
@@ -56,10 +56,11 @@
    */
   public void consider(long epoch, int known) {
     long now = host.nowMs();
-    comers.values().removeIf(at -> now - at > Constants.PETITION_FRESH_MS);
+    comers.values().removeIf(at -> now - at > RelayConstants.PETITION_FRESH_MS);
     if (writing
-        || comers.size() < Math.max(Constants.PETITION_WORKERS, known * Constants.PETITION_SHARE)
-        || now - writtenAtMs < Constants.PETITION_EVERY_MS) {
+        || comers.size()
+            < Math.max(RelayConstants.PETITION_WORKERS, known * RelayConstants.PETITION_SHARE)
+        || now - writtenAtMs < RelayConstants.PETITION_EVERY_MS) {
       return;
     }
     writing = true;
@@ -91,6 +92,6 @@
 
   /** True if a sibling has just said that workers of this epoch's leader come to it. */
   public boolean wasRead(long epoch) {
-    return readEpoch == epoch && host.nowMs() - readAtMs < Constants.PETITION_FRESH_MS;
+    return readEpoch == epoch && host.nowMs() - readAtMs < RelayConstants.PETITION_FRESH_MS;
   }
 }
--- a/src/main/java/fennelthread/settings/Options.java
+++ b/src/main/java/fennelthread/settings/Options.java
@@ -3,7 +3,7 @@
 import de.tudresden.inf.lat.jsexp.Sexp;
 import de.tudresden.inf.lat.jsexp.SexpFactory;
 import de.tudresden.inf.lat.jsexp.SexpParserException;
-import fennelthread.Constants;
+import fennelthread.constants.SettingsConstants;
 import java.io.IOException;
 import java.io.StringReader;
 import java.nio.file.Files;
@@ -27,7 +27,7 @@
    * lost machines from being replaced.
    */
   public static final Options DEFAULTS =
-      new Options(0, Constants.ROUND_GAP_MS, Integer.MAX_VALUE, 2.0, 900_000);
+      new Options(0, SettingsConstants.ROUND_GAP_MS, Integer.MAX_VALUE, 2.0, 900_000);
 
   /** Reads and checks a file. */
   public static Options load(Path file) throws SettingsException {
--- a/src/main/java/fennelthread/settings/Settings.java
+++ b/src/main/java/fennelthread/settings/Settings.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
-import fennelthread.Constants;
+import fennelthread.constants.SettingsConstants;
 import fennelthread.wire.JobSpec;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -111,7 +111,7 @@
 
   /** How many connections of our own we may have at once. */
   public int mostOutbound() {
-    return Math.max(4, (int) (maxConnections * Constants.OUTBOUND_SHARE));
+    return Math.max(4, (int) (maxConnections * SettingsConstants.OUTBOUND_SHARE));
   }
 
   /** True if some objective names the price. */
--- a/src/main/java/fennelthread/simulation/EventQueue.java
+++ b/src/main/java/fennelthread/simulation/EventQueue.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -18,8 +18,8 @@
   private record Later(long atMs, long order, Runnable task) {}
 
   private final List<ArrayDeque<Runnable>> slots =
-      new ArrayList<>(Collections.nCopies(Constants.SIMULATION_EVENT_WINDOW_MS, null));
-  private final BitSet used = new BitSet(Constants.SIMULATION_EVENT_WINDOW_MS);
+      new ArrayList<>(Collections.nCopies(SimulationConstants.EVENT_WINDOW_MS, null));
+  private final BitSet used = new BitSet(SimulationConstants.EVENT_WINDOW_MS);
   private final PriorityQueue<Later> later =
       new PriorityQueue<>(Comparator.comparingLong(Later::atMs).thenComparingLong(Later::order));
   private long windowStartMs;
@@ -27,7 +27,7 @@
 
   /** Adds an event; its time is not before that of the event taken last. */
   void add(long atMs, Runnable task) {
-    if (atMs < windowStartMs + Constants.SIMULATION_EVENT_WINDOW_MS) {
+    if (atMs < windowStartMs + SimulationConstants.EVENT_WINDOW_MS) {
       addToSlot(atMs, task);
     } else {
       later.add(new Later(atMs, order++, task));
@@ -35,7 +35,7 @@
   }
 
   private void addToSlot(long atMs, Runnable task) {
-    int index = (int) (atMs & (Constants.SIMULATION_EVENT_WINDOW_MS - 1));
+    int index = (int) (atMs & (SimulationConstants.EVENT_WINDOW_MS - 1));
     ArrayDeque<Runnable> slot = slots.get(index);
     if (slot == null) {
       slot = new ArrayDeque<>(4);
@@ -47,13 +47,13 @@
 
   /** The time of the next event, or {@link Long#MAX_VALUE} if there is none. */
   long nextMs() {
-    int start = (int) (windowStartMs & (Constants.SIMULATION_EVENT_WINDOW_MS - 1));
+    int start = (int) (windowStartMs & (SimulationConstants.EVENT_WINDOW_MS - 1));
     int index = used.nextSetBit(start);
     if (index < 0) {
       index = used.nextSetBit(0);
     }
     if (index >= 0) {
-      return windowStartMs + ((index - start) & (Constants.SIMULATION_EVENT_WINDOW_MS - 1));
+      return windowStartMs + ((index - start) & (SimulationConstants.EVENT_WINDOW_MS - 1));
     }
     return later.isEmpty() ? Long.MAX_VALUE : later.peek().atMs;
   }
@@ -61,7 +61,7 @@
   /** Takes the next event; there is one. */
   Runnable poll() {
     moveWindow(nextMs());
-    int index = (int) (windowStartMs & (Constants.SIMULATION_EVENT_WINDOW_MS - 1));
+    int index = (int) (windowStartMs & (SimulationConstants.EVENT_WINDOW_MS - 1));
     ArrayDeque<Runnable> slot = slots.get(index);
     Runnable task = slot.poll();
     if (slot.isEmpty()) {
@@ -74,7 +74,7 @@
   private void moveWindow(long startMs) {
     windowStartMs = startMs;
     while (!later.isEmpty()
-        && later.peek().atMs < windowStartMs + Constants.SIMULATION_EVENT_WINDOW_MS) {
+        && later.peek().atMs < windowStartMs + SimulationConstants.EVENT_WINDOW_MS) {
       Later event = later.poll();
       addToSlot(event.atMs, event.task);
     }
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.MachineType;
@@ -263,7 +263,7 @@
   private void checkBegun(JobSpec spec) {
     long accepted = acceptedAt.get(spec.id());
     long begun = begunAt.getOrDefault(spec.id(), world.now());
-    if (spec.needs().isEmpty() && begun - accepted > Constants.BEGUN_WITHIN_MS) {
+    if (spec.needs().isEmpty() && begun - accepted > SimulationConstants.BEGUN_WITHIN_MS) {
       broken("unserved", spec.id() + " did not begin for " + (begun - accepted) + " ms");
     }
   }
@@ -286,7 +286,7 @@
     unanswered.forEach(
         (id, since) -> {
           long from = Math.max(since, calmSince);
-          if (world.now() - from > Constants.ANSWERED_WITHIN_MS
+          if (world.now() - from > SimulationConstants.ANSWERED_WITHIN_MS
               && accepted.contains(id)
               && !isUnwanted(id)) {
             broken("forgotten", id + " without an answer since " + from);
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -63,7 +63,7 @@
     for (String id : ids) {
       cancelledNow++;
       world.after(
-          world.faults.nextInt(Constants.SIMULATION_CANCEL_BURST_MS), () -> cluster.withdraw(id));
+          world.faults.nextInt(SimulationConstants.CANCEL_BURST_MS), () -> cluster.withdraw(id));
     }
     return ids;
   }
@@ -71,7 +71,7 @@
   private void hang(List<String> ids, long hangMs) {
     Set<WorkerEmulator> machines = new LinkedHashSet<>();
     for (WorkerEmulator w : cluster.cloud.machines().values()) {
-      if (machines.size() < Constants.SIMULATION_CANCEL_MOST_HANGING
+      if (machines.size() < SimulationConstants.CANCEL_MOST_HANGING
           && ids.stream().anyMatch(id -> cluster.rules.isOn(id, w))) {
         machines.add(w);
       }
@@ -114,8 +114,8 @@
       endListeners.forEach(listener -> listener.accept(spec, end.atMs));
       if (endShare > 0 && world.faults.nextDouble() < endShare) {
         long offset =
-            (long) world.faults.nextInt(2 * Constants.SIMULATION_CANCEL_END_SPREAD_MS + 1)
-                - Constants.SIMULATION_CANCEL_END_SPREAD_MS;
+            (long) world.faults.nextInt(2 * SimulationConstants.CANCEL_END_SPREAD_MS + 1)
+                - SimulationConstants.CANCEL_END_SPREAD_MS;
         world.at(end.atMs + offset, () -> cancel(spec.id()));
       }
     }
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.List;
@@ -83,14 +83,14 @@
 
   /** Does something as soon as something else holds; looked at every 200 ms, for ten minutes. */
   private void when(BooleanSupplier holds, Runnable task) {
-    when(holds, task, Constants.SIMULATION_PIPELINE_LOOKS);
+    when(holds, task, SimulationConstants.PIPELINE_LOOKS);
   }
 
   private void when(BooleanSupplier holds, Runnable task, int tries) {
     if (holds.getAsBoolean()) {
       task.run();
     } else if (tries > 0) {
-      network.after(Constants.SIMULATION_PIPELINE_LOOK_MS, () -> when(holds, task, tries - 1));
+      network.after(SimulationConstants.PIPELINE_LOOK_MS, () -> when(holds, task, tries - 1));
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
@@ -50,9 +50,9 @@
 
   private void next() {
     long pause =
-        (long) Constants.SIMULATION_ODD_PAUSE_LEAST_MS
+        (long) SimulationConstants.ODD_PAUSE_LEAST_MS
             + world.faults.nextInt(
-                Constants.SIMULATION_ODD_PAUSE_MOST_MS - Constants.SIMULATION_ODD_PAUSE_LEAST_MS);
+                SimulationConstants.ODD_PAUSE_MOST_MS - SimulationConstants.ODD_PAUSE_LEAST_MS);
     world.after(
         pause,
         () -> {
@@ -109,8 +109,8 @@
   private Fields fitsNoType() {
     Fields body = anyJob().write();
     return switch (world.faults.nextInt(4)) {
-      case 0 -> body.with("cpus", Constants.SIMULATION_AMOUNT_TOO_LARGE);
-      case 1 -> body.with("mem_gb", Constants.SIMULATION_AMOUNT_TOO_LARGE);
+      case 0 -> body.with("cpus", SimulationConstants.AMOUNT_TOO_LARGE);
+      case 1 -> body.with("mem_gb", SimulationConstants.AMOUNT_TOO_LARGE);
       case 2 -> body.with("modelos", List.of("ninguno"));
       default -> body.with("zona", "ninguna");
     };
@@ -139,7 +139,7 @@
     count(kind);
     String id = (String) body.map().get("name_id");
     cluster.rules.submitsInvalid(id);
-    submitInvalid(id, body, Constants.SIMULATION_ODD_TRIES);
+    submitInvalid(id, body, SimulationConstants.ODD_TRIES);
   }
 
   /** Repeats the submission until it is refused for good, then asks about the job. */
--- a/src/main/java/fennelthread/simulation/PlacementRules.java
+++ b/src/main/java/fennelthread/simulation/PlacementRules.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.MachineType;
@@ -50,9 +50,9 @@
   }
 
   private static boolean fits(JobSpec spec, double cpus, double cards, double memGb) {
-    return spec.cpus() <= cpus + Constants.SIMULATION_ROUNDING
-        && spec.cards() <= cards + Constants.SIMULATION_ROUNDING
-        && spec.memGb() <= memGb + Constants.SIMULATION_ROUNDING;
+    return spec.cpus() <= cpus + SimulationConstants.ROUNDING
+        && spec.cards() <= cards + SimulationConstants.ROUNDING
+        && spec.memGb() <= memGb + SimulationConstants.ROUNDING;
   }
 
   /** True if a team stays within its limit with so many more tasks of the job. */
@@ -74,7 +74,7 @@
 
   /** A limit of 0 is none. */
   private static boolean isWithin(double amount, double limit) {
-    return limit <= 0 || amount <= limit + Constants.SIMULATION_ROUNDING;
+    return limit <= 0 || amount <= limit + SimulationConstants.ROUNDING;
   }
 
   /**
--- a/src/main/java/fennelthread/simulation/RequestFaults.java
+++ b/src/main/java/fennelthread/simulation/RequestFaults.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.net.Call;
 import java.util.ArrayList;
 import java.util.List;
@@ -102,8 +102,8 @@
       return 0;
     }
     commandsHeld++;
-    return Constants.SIMULATION_HELD_LEAST_MS
+    return SimulationConstants.HELD_LEAST_MS
         + world.faults.nextLong(
-            Constants.SIMULATION_HELD_MOST_MS - Constants.SIMULATION_HELD_LEAST_MS + 1);
+            SimulationConstants.HELD_MOST_MS - SimulationConstants.HELD_LEAST_MS + 1);
   }
 }
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.wire.Codec;
@@ -44,7 +44,7 @@
   /** A user submits a job until it is accepted, and asks about it for ever. */
   void submit(JobSpec spec) {
     note(spec);
-    submit(spec, Constants.SIMULATION_SUBMISSIONS);
+    submit(spec, SimulationConstants.SUBMISSIONS);
   }
 
   /** The same by a user who submits once and never asks. */
@@ -54,7 +54,7 @@
         anyAddress(),
         submission(spec.write()),
         spec.id(),
-        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
+        SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {});
   }
 
@@ -68,12 +68,12 @@
         anyAddress(),
         submission(spec.write()),
         spec.id(),
-        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
+        SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
           if (isGranted(answer)) {
             poll(spec.id());
           } else if (triesLeft > 0) {
-            network.after(Constants.SIMULATION_USER_RETRY_MS, () -> submit(spec, triesLeft - 1));
+            network.after(SimulationConstants.USER_RETRY_MS, () -> submit(spec, triesLeft - 1));
           }
         });
   }
@@ -95,12 +95,12 @@
         anyAddress(),
         questionAbout(id),
         id,
-        Constants.SIMULATION_QUESTION_TIMEOUT_MS,
+        SimulationConstants.QUESTION_TIMEOUT_MS,
         answer -> {
           if (isGranted(answer)) {
             poll(id);
           } else {
-            network.after(Constants.SIMULATION_USER_RETRY_MS, () -> question(id));
+            network.after(SimulationConstants.USER_RETRY_MS, () -> question(id));
           }
         });
   }
@@ -112,10 +112,10 @@
         anyAddress(),
         cancellationOf(id),
         id,
-        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
+        SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
           if (!isGranted(answer)) {
-            network.after(Constants.SIMULATION_USER_RETRY_MS, () -> withdraw(id));
+            network.after(SimulationConstants.USER_RETRY_MS, () -> withdraw(id));
           }
         });
   }
@@ -127,11 +127,11 @@
         addresses.get(member),
         cancellationOf(id),
         id,
-        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
+        SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
           if (!isGranted(answer) && tries > 1) {
             network.after(
-                Constants.SIMULATION_USER_RETRY_MS, () -> withdrawThrough(member, id, tries - 1));
+                SimulationConstants.USER_RETRY_MS, () -> withdrawThrough(member, id, tries - 1));
           }
         });
   }
@@ -142,34 +142,24 @@
         addresses.get(member),
         questionAbout(id),
         id,
-        Constants.SIMULATION_QUESTION_TIMEOUT_MS,
+        SimulationConstants.QUESTION_TIMEOUT_MS,
         then);
   }
 
   /** A user submits a body to one controller, once; {@code then} gets the answer, or null. */
   void submitAt(String member, String id, Fields body, Consumer<Answer> then) {
-    ask(addresses.get(member), submission(body), id, Constants.SIMULATION_SUBMIT_TIMEOUT_MS, then);
+    ask(addresses.get(member), submission(body), id, SimulationConstants.SUBMIT_TIMEOUT_MS, then);
   }
 
   /** A user asks one controller to cancel a job, once; {@code then} gets the answer, or null. */
   void cancelAt(String member, String id, Consumer<Answer> then) {
-    ask(
-        addresses.get(member),
-        cancellationOf(id),
-        id,
-        Constants.SIMULATION_SUBMIT_TIMEOUT_MS,
-        then);
+    ask(addresses.get(member), cancellationOf(id), id, SimulationConstants.SUBMIT_TIMEOUT_MS, then);
   }
 
   /** A user asks about a job that nobody has submitted. */
   void askUnknown() {
     String id = "job-9" + network.random.nextInt(100_000);
-    ask(
-        anyAddress(),
-        questionAbout(id),
-        id,
-        Constants.SIMULATION_QUESTION_TIMEOUT_MS,
-        answer -> {});
+    ask(anyAddress(), questionAbout(id), id, SimulationConstants.QUESTION_TIMEOUT_MS, answer -> {});
   }
 
   /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
@@ -218,8 +208,7 @@
     try {
       Fields body = answer.fields();
       InvariantChecker.Known until = rules.known(id);
-      rules.told(
-          id, body.text("estado"), body.count("done", Constants.SIMULATION_NO_COUNT), before);
+      rules.told(id, body.text("estado"), body.count("done", SimulationConstants.NO_COUNT), before);
       if (rules.known(id).isNewsAfter(until)) {
         onNews.forEach(listener -> listener.accept(id));
       }
--- a/src/main/java/fennelthread/simulation/WaitingRule.java
+++ b/src/main/java/fennelthread/simulation/WaitingRule.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.wire.JobSpec;
 import java.util.Collection;
 import java.util.HashMap;
@@ -47,7 +47,7 @@
       return null;
     }
     long since = waitingSince.computeIfAbsent(spec.id(), k -> now);
-    if (now - since <= Constants.STARTED_WITHIN_MS) {
+    if (now - since <= SimulationConstants.STARTED_WITHIN_MS) {
       return null;
     }
     return spec.id() + " waits since " + since + " while " + room.name() + " has room";
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.Constants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Request;
@@ -363,7 +363,8 @@
         if (order instanceof WorkerCommand.Run && body.count("ficha") < token) {
           staleRuns++;
           boolean ofEarlier =
-              body.count("ficha") >> Constants.TOKEN_BITS < token >> Constants.TOKEN_BITS;
+              body.count("ficha") >> ProtocolConstants.TOKEN_BITS
+                  < token >> ProtocolConstants.TOKEN_BITS;
           runsOfEarlierLeaders += ofEarlier ? 1 : 0;
         }
       }
--- a/src/main/java/fennelthread/state/Budget.java
+++ b/src/main/java/fennelthread/state/Budget.java
@@ -1,6 +1,6 @@
 package fennelthread.state;
 
-import fennelthread.Constants;
+import fennelthread.constants.StateConstants;
 import fennelthread.net.Host;
 import java.util.ArrayDeque;
 import java.util.EnumMap;
@@ -21,9 +21,9 @@
     private double left;
 
     Bucket(double limitPerS) {
-      double ours = limitPerS * Constants.STATE_RATE_SHARE;
+      double ours = limitPerS * StateConstants.STATE_RATE_SHARE;
       perMs = ours / 1000;
-      most = Math.max(Constants.STATE_LEAST_BURST, ours * Constants.STATE_BURST_S);
+      most = Math.max(StateConstants.STATE_LEAST_BURST, ours * StateConstants.STATE_BURST_S);
       left = most;
     }
 
@@ -72,14 +72,15 @@
       queued++;
       queuedWrites += w.writes;
     }
-    return requests.waitFor(queued + 1, 0) <= Constants.STATE_QUEUE_MS
-        && (writes == 0 || changes.waitFor(queuedWrites + writes, 0) <= Constants.STATE_QUEUE_MS);
+    return requests.waitFor(queued + 1, 0) <= StateConstants.STATE_QUEUE_MS
+        && (writes == 0
+            || changes.waitFor(queuedWrites + writes, 0) <= StateConstants.STATE_QUEUE_MS);
   }
 
   /** Sends a request when its turn has come, or refuses it at once if too many wait. */
   void submit(StateClient.Lane lane, int writes, Runnable send, Runnable refuse) {
     ArrayDeque<Waiting> queue = lanes.get(lane);
-    if (queue.size() >= Constants.STATE_QUEUE) {
+    if (queue.size() >= StateConstants.STATE_QUEUE) {
       refuse.run();
       return;
     }
@@ -105,7 +106,7 @@
     for (StateClient.Lane lane = next(); lane != null; lane = next()) {
       Waiting first = lanes.get(lane).peek();
       // Each lane leaves something of the burst to those before it, but not for ever.
-      double spared = isOverdue(lane) ? 0 : lane.rank() * Constants.STATE_SPARED_PER_LANE;
+      double spared = isOverdue(lane) ? 0 : lane.rank() * StateConstants.STATE_SPARED_PER_LANE;
       double wait =
           Math.max(
               requests.waitFor(1, spared),
@@ -140,8 +141,8 @@
     long patience =
         switch (lane) {
           case ANSWER -> Long.MAX_VALUE;
-          case ROUND -> Constants.STATE_ROUND_PATIENCE_MS;
-          case UPKEEP -> Constants.STATE_UPKEEP_PATIENCE_MS;
+          case ROUND -> StateConstants.STATE_ROUND_PATIENCE_MS;
+          case UPKEEP -> StateConstants.STATE_UPKEEP_PATIENCE_MS;
         };
     return first != null && host.nowMs() - first.sinceMs > patience;
   }
--- a/src/main/java/fennelthread/state/Limits.java
+++ b/src/main/java/fennelthread/state/Limits.java
@@ -1,6 +1,6 @@
 package fennelthread.state;
 
-import fennelthread.Constants;
+import fennelthread.constants.StateConstants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
@@ -28,7 +28,7 @@
 
   /** Most bytes of a value that we write. */
   public int valueBytes() {
-    return valueBytes - Constants.VALUE_SLACK_BYTES;
+    return valueBytes - StateConstants.VALUE_SLACK_BYTES;
   }
 
   /** Most puts and deletes in a transaction. */
@@ -43,7 +43,7 @@
 
   /** Most bytes of all values in a transaction, well below the protocol's bound on bodies. */
   public int txnBytes() {
-    return Constants.TXN_BYTES;
+    return StateConstants.TXN_BYTES;
   }
 
   /** Transactions that were refused for their size. */
@@ -64,13 +64,15 @@
       largest = Math.max(largest, bytes(value));
     }
     int ops = Math.max(txn.ops(), (txn.conditions() + 3) / 4);
-    if (ops > Constants.LEAST_TXN_OPS) {
-      txnOps = Math.min(txnOps, Math.max(Constants.LEAST_TXN_OPS, ops / 2));
+    if (ops > StateConstants.LEAST_TXN_OPS) {
+      txnOps = Math.min(txnOps, Math.max(StateConstants.LEAST_TXN_OPS, ops / 2));
     } else {
       valueBytes =
           Math.min(
               valueBytes,
-              Math.max(Constants.LEAST_VALUE_BYTES, largest / 2 + Constants.VALUE_SLACK_BYTES));
+              Math.max(
+                  StateConstants.LEAST_VALUE_BYTES,
+                  largest / 2 + StateConstants.VALUE_SLACK_BYTES));
     }
     log.error(
         "transaction of {} changes, {} conditions, values up to {} bytes refused with 400: "
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -1,6 +1,7 @@
 package fennelthread.state;
 
-import fennelthread.Constants;
+import fennelthread.constants.ProtocolConstants;
+import fennelthread.constants.StateConstants;
 import fennelthread.net.Host;
 import fennelthread.wire.Fields;
 import java.util.ArrayList;
@@ -213,7 +214,7 @@
           removed.values().removeIf(at -> at <= reached);
           readAtMs = Math.max(readAtMs, openedAt);
           advanced();
-          long gap = Constants.WATCH_GAP_MS - (host.nowMs() - openedAt);
+          long gap = StateConstants.WATCH_GAP_MS - (host.nowMs() - openedAt);
           if (gap > 0) {
             host.after(gap, () -> follow(reached));
           } else {
@@ -230,7 +231,10 @@
 
   private void retry(Runnable task) {
     host.after(
-        (long) (Constants.RETRY_MS * (1 + Constants.JITTER * host.random().nextDouble())), task);
+        (long)
+            (ProtocolConstants.RETRY_MS
+                * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
+        task);
   }
 
   private void put(String key, Fields value, long at) {
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -1,6 +1,6 @@
 package fennelthread.state;
 
-import fennelthread.Constants;
+import fennelthread.constants.StateConstants;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -89,7 +89,7 @@
     heard(nowMs);
     if (sentAt != null) {
       double took = nowMs - sentAt;
-      typicalMs += (took - typicalMs) * Constants.STATE_TYPICAL_WEIGHT;
+      typicalMs += (took - typicalMs) * StateConstants.STATE_TYPICAL_WEIGHT;
     }
   }
 
@@ -97,25 +97,25 @@
   public Verdict verdict(long nowMs) {
     int evidence = unansweredSinceAnswer;
     for (long sentAt : outstanding.values()) {
-      if (sentAt >= answeredAtMs && nowMs - sentAt >= Constants.STATE_OVERDUE_MS) {
+      if (sentAt >= answeredAtMs && nowMs - sentAt >= StateConstants.STATE_OVERDUE_MS) {
         evidence++;
       }
     }
     if (evidence == 0) {
       return Verdict.SERVING;
     }
-    return evidence < Constants.STATE_SILENT_REQUESTS ? Verdict.DOUBTFUL : Verdict.SILENT;
+    return evidence < StateConstants.STATE_SILENT_REQUESTS ? Verdict.DOUBTFUL : Verdict.SILENT;
   }
 
   /** How long until a request may become overdue, ms. */
   public long untilOverdueMs(long nowMs) {
     for (long sentAt : outstanding.values()) {
-      long left = sentAt + Constants.STATE_OVERDUE_MS - nowMs;
+      long left = sentAt + StateConstants.STATE_OVERDUE_MS - nowMs;
       if (sentAt >= answeredAtMs && left > 0) {
         return left;
       }
     }
-    return Constants.STATE_OVERDUE_MS;
+    return StateConstants.STATE_OVERDUE_MS;
   }
 
   /** True while requests wait for their answers. */
@@ -129,7 +129,8 @@
    */
   public long overdueMs() {
     return Math.max(
-        Constants.ANSWER_OVERDUE_MS, (long) (typicalMs * Constants.STATE_OVERDUE_TYPICAL));
+        StateConstants.ANSWER_OVERDUE_MS,
+        (long) (typicalMs * StateConstants.STATE_OVERDUE_TYPICAL));
   }
 
   /** When the service last answered well, ms. */
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -1,6 +1,7 @@
 package fennelthread.state;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
+import fennelthread.constants.StateConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
 import fennelthread.net.Host;
@@ -124,7 +125,7 @@
         () ->
             call(
                 Call.get("/keys/" + key),
-                Constants.STATE_TIMEOUT_MS,
+                StateConstants.STATE_TIMEOUT_MS,
                 answer -> {
                   if (answer == null) {
                     done.accept(null);
@@ -154,14 +155,14 @@
             + prefix
             + (since == null ? "" : "&since=" + since)
             + "&most="
-            + Constants.PAGE;
+            + EmulationConstants.PAGE;
     budget.submit(
         Lane.ANSWER,
         0,
         () ->
             call(
                 Call.get(path),
-                Constants.STATE_TIMEOUT_MS * 2,
+                StateConstants.STATE_TIMEOUT_MS * 2,
                 answer ->
                     done.accept(
                         answer == null
@@ -200,8 +201,8 @@
           Host.Cancellable timer = host.after(health.overdueMs(), overdue);
           call(
               Call.post("/multi", Codec.CBOR, txn.body()),
-              Constants.STATE_TIMEOUT_MS,
-              Constants.STATE_TRIES_WHEN_BUSY,
+              StateConstants.STATE_TIMEOUT_MS,
+              StateConstants.STATE_TRIES_WHEN_BUSY,
               // It speaks, and asks to be left alone: the last one to send things twice.
               timer::cancel,
               answer -> {
@@ -250,7 +251,7 @@
   public void grant(long ttlMs, Consumer<Long> done) {
     call(
         Call.post("/grants", Codec.CBOR, Fields.create().with("ttl_ms", ttlMs)),
-        Constants.STATE_TIMEOUT_MS,
+        StateConstants.STATE_TIMEOUT_MS,
         answer -> {
           Long id = answer == null ? null : parse(answer, f -> f.count("permiso"));
           done.accept(id == null ? 0L : id);
@@ -261,7 +262,7 @@
   public void extend(long grant, Consumer<Integer> done) {
     call(
         Call.post("/grants/" + grant + "/extend", Codec.CBOR, Fields.create()),
-        Constants.RENEW_TIMEOUT_MS,
+        StateConstants.RENEW_TIMEOUT_MS,
         answer -> done.accept(answer == null ? 0 : answer.status()));
   }
 
@@ -269,21 +270,21 @@
   public void endGrant(long grant, Consumer<Integer> done) {
     call(
         new Call("DELETE", "/grants/" + grant, null, Codec.CBOR),
-        Constants.STATE_TIMEOUT_MS,
+        StateConstants.STATE_TIMEOUT_MS,
         answer -> done.accept(answer == null ? 0 : answer.status()));
   }
 
   /** Waits for changes; null means that nothing is known. */
   public void watch(String prefix, long since, Consumer<Changes> done) {
     String path =
-        "/watch?under=" + prefix + "&since=" + since + "&hold_ms=" + Constants.WATCH_HOLD_MS;
+        "/watch?under=" + prefix + "&since=" + since + "&hold_ms=" + StateConstants.WATCH_HOLD_MS;
     budget.submit(
         Lane.ANSWER,
         0,
         () ->
             call(
                 Call.get(path),
-                Constants.WATCH_HOLD_MS + Constants.STATE_TIMEOUT_MS,
+                StateConstants.WATCH_HOLD_MS + StateConstants.STATE_TIMEOUT_MS,
                 answer -> {
                   if (answer != null && answer.status() == 410) {
                     done.accept(new Changes(List.of(), 0, true));
@@ -334,13 +335,13 @@
   }
 
   private void call(Call call, long timeoutMs, Consumer<Answer> done) {
-    call(call, timeoutMs, Constants.STATE_TRIES_WHEN_BUSY, () -> {}, done);
+    call(call, timeoutMs, StateConstants.STATE_TRIES_WHEN_BUSY, () -> {}, done);
   }
 
   private void call(
       Call call, long timeoutMs, int tries, Runnable whenBusy, Consumer<Answer> done) {
     // A watch is answered when something changes: how long that takes says nothing.
-    boolean timed = timeoutMs <= Constants.WATCH_HOLD_MS;
+    boolean timed = timeoutMs <= StateConstants.WATCH_HOLD_MS;
     long ticket = timed ? health.sent(host.nowMs()) : 0;
     if (timed) {
       look();
@@ -358,7 +359,7 @@
             whenBusy.run();
             if (tries > 0) {
               host.after(
-                  (long) (Constants.STATE_BUSY_MS * (1 + host.random().nextDouble())),
+                  (long) (StateConstants.STATE_BUSY_MS * (1 + host.random().nextDouble())),
                   () -> call(call, timeoutMs, tries - 1, whenBusy, done));
               return;
             }
--- a/src/main/java/fennelthread/zones/Zone.java
+++ b/src/main/java/fennelthread/zones/Zone.java
@@ -1,6 +1,6 @@
 package fennelthread.zones;
 
-import fennelthread.Constants;
+import fennelthread.constants.ZoneConstants;
 import java.util.ArrayDeque;
 
 /**
@@ -44,8 +44,8 @@
   /** Takes note of what is seen; true if the phase has changed. */
   boolean look(Evidence e, long leaseMs, long nowMs) {
     Phase before = phase;
-    boolean judged = e.known >= Constants.ZONE_LEAST_MACHINES && e.othersHeard;
-    boolean silent = judged && (e.share() >= Constants.ZONE_SILENT_SHARE || e.silentForMs > 0);
+    boolean judged = e.known >= ZoneConstants.LEAST_MACHINES && e.othersHeard;
+    boolean silent = judged && (e.share() >= ZoneConstants.SILENT_SHARE || e.silentForMs > 0);
     switch (phase) {
       case WHOLE, PARTLY, RETURNING -> {
         if (silent) {
@@ -55,15 +55,15 @@
         } else if (phase == Phase.RETURNING) {
           settle(e, nowMs);
         } else {
-          boolean partly = judged && e.share() > Constants.ZONE_PARTLY_SHARE;
+          boolean partly = judged && e.share() > ZoneConstants.PARTLY_SHARE;
           moveTo(partly ? Phase.PARTLY : Phase.WHOLE, nowMs);
         }
       }
       case SILENT, LOST -> {
-        if (e.share() < Constants.ZONE_BACK_SHARE && e.silentForMs <= 0) {
+        if (e.share() < ZoneConstants.BACK_SHARE && e.silentForMs <= 0) {
           calmSinceMs = -1;
           moveTo(Phase.RETURNING, nowMs);
-        } else if (nowMs - silentSinceMs > leaseMs * Constants.ZONE_LOST_LEASES) {
+        } else if (nowMs - silentSinceMs > leaseMs * ZoneConstants.LOST_LEASES) {
           moveTo(Phase.LOST, nowMs);
         }
       }
@@ -75,7 +75,7 @@
   }
 
   private void settle(Evidence e, long nowMs) {
-    if (e.share() > Constants.ZONE_CALM_SHARE) {
+    if (e.share() > ZoneConstants.CALM_SHARE) {
       calmSinceMs = -1;
     } else if (calmSinceMs < 0) {
       calmSinceMs = nowMs;
@@ -86,12 +86,12 @@
 
   /** How long a zone that is back must be calm: longer each time that it was away lately, ms. */
   long trustMs(long nowMs) {
-    losses.removeIf(at -> nowMs - at > Constants.ZONE_MEMORY_MS);
-    long trust = Constants.ZONE_TRUST_MS;
-    for (int i = 1; i < losses.size() && trust < Constants.ZONE_TRUST_MOST_MS; i++) {
+    losses.removeIf(at -> nowMs - at > ZoneConstants.MEMORY_MS);
+    long trust = ZoneConstants.TRUST_MS;
+    for (int i = 1; i < losses.size() && trust < ZoneConstants.TRUST_MOST_MS; i++) {
       trust *= 2;
     }
-    return Math.min(trust, Constants.ZONE_TRUST_MOST_MS);
+    return Math.min(trust, ZoneConstants.TRUST_MOST_MS);
   }
 
   /** The only place where the phase changes. */
--- a/src/main/java/fennelthread/zones/Zones.java
+++ b/src/main/java/fennelthread/zones/Zones.java
@@ -1,6 +1,8 @@
 package fennelthread.zones;
 
-import fennelthread.Constants;
+import fennelthread.constants.FleetConstants;
+import fennelthread.constants.RelayConstants;
+import fennelthread.constants.ZoneConstants;
 import fennelthread.fleet.Machine;
 import fennelthread.fleet.ZoneHealth;
 import fennelthread.settings.Settings;
@@ -54,7 +56,7 @@
     if (!several) {
       return;
     }
-    if (nowMs - lookedAtMs > Constants.ZONE_LATE_MS) {
+    if (nowMs - lookedAtMs > ZoneConstants.LATE_MS) {
       // We were not listening ourselves: what came in meanwhile waits to be read.
       awakeSinceMs = nowMs;
     }
@@ -78,7 +80,7 @@
         c.reporting++;
       }
       if (nowMs - Math.max(m.quietSinceMs(), awakeSinceMs)
-          > reportMs * Constants.SILENT_REPORTS_ALARM) {
+          > reportMs * FleetConstants.SILENT_REPORTS_ALARM) {
         c.silent++;
         silent++;
       }
@@ -88,8 +90,8 @@
       int othersKnown = known - c.known;
       int othersSilent = silent - c.silent;
       boolean othersHeard =
-          othersKnown >= Constants.ZONE_LEAST_MACHINES
-              && othersSilent < othersKnown * Constants.ZONE_OTHERS_SILENT
+          othersKnown >= ZoneConstants.LEAST_MACHINES
+              && othersSilent < othersKnown * ZoneConstants.OTHERS_SILENT
               && heardLately(counts, e.getKey(), nowMs);
       Zone zone = zones.computeIfAbsent(e.getKey(), k -> new Zone());
       Zone.Phase before = zone.phase();
@@ -111,8 +113,7 @@
   /** True if a machine of another zone was heard in the last moment: then our own ears are good. */
   private boolean heardLately(Map<String, Count> counts, String but, long nowMs) {
     for (Map.Entry<String, Count> e : counts.entrySet()) {
-      if (!e.getKey().equals(but)
-          && nowMs - e.getValue().heardAtMs < Constants.ZONE_ALL_SILENT_MS) {
+      if (!e.getKey().equals(but) && nowMs - e.getValue().heardAtMs < ZoneConstants.ALL_SILENT_MS) {
         return true;
       }
     }
@@ -128,8 +129,8 @@
     long from = Math.max(Math.max(c.heardAtMs, awakeSinceMs), termSinceMs + 2 * reportMs);
     long forMs = nowMs - from;
     boolean tooLong =
-        forMs >= Constants.ZONE_ALL_SILENT_MS
-            && (double) c.reporting * forMs / reportMs >= Constants.DEAF_DUE;
+        forMs >= ZoneConstants.ALL_SILENT_MS
+            && (double) c.reporting * forMs / reportMs >= RelayConstants.DEAF_DUE;
     return tooLong ? forMs : 0;
   }
 
@@ -158,7 +159,7 @@
   @Override
   public boolean mayReturnLost(Machine m, long nowMs) {
     Zone z = of(m);
-    return z == null || !z.isAway() || nowMs - z.silentSinceMs() > Constants.ZONE_KEPT_MS;
+    return z == null || !z.isAway() || nowMs - z.silentSinceMs() > ZoneConstants.KEPT_MS;
   }
 
   @Override
@@ -170,8 +171,8 @@
     // One that is back in ten seconds must not have cost a second fleet, one that stays away must
     // not be
     // missed for a minute.
-    double awayMs = nowMs - z.silentSinceMs() - Constants.ZONE_REPLACE_FROM_MS;
-    return Math.max(0, 1 - Math.max(0, awayMs) / Constants.ZONE_REPLACE_OVER_MS);
+    double awayMs = nowMs - z.silentSinceMs() - ZoneConstants.REPLACE_FROM_MS;
+    return Math.max(0, 1 - Math.max(0, awayMs) / ZoneConstants.REPLACE_OVER_MS);
   }
 
   @Override
--- a/src/test/java/fennelthread/LayersTest.java
+++ b/src/test/java/fennelthread/LayersTest.java
@@ -106,10 +106,7 @@
           .areFinal()
           .and()
           .areDeclaredInClassesThat()
-          .doNotHaveFullyQualifiedName(Constants.class.getName())
-          .and()
-          .areDeclaredInClassesThat()
-          .resideOutsideOfPackages("..wire..", "..cli..")
+          .resideOutsideOfPackages("fennelthread.constants", "..wire..", "..cli..")
           .and()
           .doNotHaveName("serialVersionUID")
           .should(notBeStatic());
--- a/src/test/java/fennelthread/election/LeaderViewTest.java
+++ b/src/test/java/fennelthread/election/LeaderViewTest.java
@@ -4,7 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.ElectionConstants;
+import fennelthread.constants.PeerConstants;
+import fennelthread.constants.ProtocolConstants;
 import org.junit.jupiter.api.Test;
 
 /** One follower's view, step by step, and the margins between its times. */
@@ -15,7 +17,7 @@
   /** Time passes, looked at as it should be; true if the leader is suspect at the end of it. */
   private boolean pass(long ms) {
     boolean suspect = false;
-    for (long end = now + ms; now < end; now += Constants.VIEW_MS) {
+    for (long end = now + ms; now < end; now += ElectionConstants.VIEW_MS) {
       suspect = view.look(now);
     }
     return suspect;
@@ -38,13 +40,17 @@
   @Test
   void marginsHold() {
     long promise =
-        (long) (Constants.PROMISE_MS * (1 + 2 * Constants.CLOCK_DRIFT)) + Constants.LEASE_MARGIN_MS;
+        (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+            + ProtocolConstants.LEASE_MARGIN_MS;
     assertTrue(
-        Constants.TAKEOVER_GAP_MS > promise, "a new process forgets promises still in force");
+        ElectionConstants.TAKEOVER_GAP_MS > promise,
+        "a new process forgets promises still in force");
     assertTrue(
-        Constants.PROMISE_SPARE_MS > Constants.HAIL_MS, "alone before the next greeting is due");
+        ElectionConstants.PROMISE_SPARE_MS > PeerConstants.HAIL_MS,
+        "alone before the next greeting is due");
     assertTrue(
-        Constants.PROMISE_MS > 2 * Constants.HAIL_MS * (1 + Constants.JITTER), "one lost greeting");
+        ElectionConstants.PROMISE_MS > 2 * PeerConstants.HAIL_MS * (1 + ProtocolConstants.JITTER),
+        "one lost greeting");
   }
 
   @Test
@@ -89,7 +95,7 @@
     view.look(now);
     view.born(7, 12, now);
     assertEquals(0, view.greeted(7, 12, now));
-    assertFalse(pass(Constants.TAKEOVER_GAP_MS - 500));
+    assertFalse(pass(ElectionConstants.TAKEOVER_GAP_MS - 500));
     assertFalse(view.agree(7, 12, now));
     assertTrue(pass(1_000));
     assertTrue(view.agree(7, 12, now));
--- a/src/test/java/fennelthread/emulate/StateStoreTest.java
+++ b/src/test/java/fennelthread/emulate/StateStoreTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.EmulationConstants;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
@@ -97,12 +97,12 @@
 
   @Test
   void forgetsOldChangesAndSaysSo() throws WireException {
-    for (int i = 0; i < 2 * Constants.EMULATION_CHANGES_KEPT + 1; i++) {
+    for (int i = 0; i < 2 * EmulationConstants.CHANGES_KEPT + 1; i++) {
       store.commit(new Transaction().write("a", value(i)).body);
     }
     assertTrue(store.isForgotten(0));
-    long oldest = store.revision() - Constants.EMULATION_CHANGES_KEPT;
+    long oldest = store.revision() - EmulationConstants.CHANGES_KEPT;
     assertFalse(store.isForgotten(oldest));
-    assertEquals(Constants.EMULATION_CHANGES_KEPT, store.changesAfter(oldest, "").size());
+    assertEquals(EmulationConstants.CHANGES_KEPT, store.changesAfter(oldest, "").size());
   }
 }
--- a/src/test/java/fennelthread/leader/PassedOverJobsTest.java
+++ b/src/test/java/fennelthread/leader/PassedOverJobsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -13,11 +13,11 @@
   void countsOnlyWithoutAPause() {
     PassedOverJobs jobs = new PassedOverJobs();
     jobs.update(A, 0);
-    jobs.update(A, Constants.PASSED_OVER_MS);
-    assertEquals(Set.of(), jobs.overdue(Constants.PASSED_OVER_MS));
-    assertEquals(A, jobs.overdue(Constants.PASSED_OVER_MS + 1));
-    jobs.update(Set.of(), Constants.PASSED_OVER_MS + 2);
-    jobs.update(A, Constants.PASSED_OVER_MS + 3);
-    assertEquals(Set.of(), jobs.overdue(Constants.PASSED_OVER_MS + 4));
+    jobs.update(A, LeaderConstants.PASSED_OVER_MS);
+    assertEquals(Set.of(), jobs.overdue(LeaderConstants.PASSED_OVER_MS));
+    assertEquals(A, jobs.overdue(LeaderConstants.PASSED_OVER_MS + 1));
+    jobs.update(Set.of(), LeaderConstants.PASSED_OVER_MS + 2);
+    jobs.update(A, LeaderConstants.PASSED_OVER_MS + 3);
+    assertEquals(Set.of(), jobs.overdue(LeaderConstants.PASSED_OVER_MS + 4));
   }
 }
--- a/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
+++ b/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
@@ -3,7 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaseRenewalConstants;
+import fennelthread.constants.ProtocolConstants;
 import fennelthread.settings.Settings;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -29,13 +30,14 @@
   })
   void whatIsAnsweredLastEndsInTime(long leaseMs, long cancelMs, long shortMs) {
     Settings.Workers workers = new Settings.Workers(4_000, leaseMs, cancelMs);
-    double fast = 1 + 2 * Constants.CLOCK_DRIFT;
-    double slow = 1 - 2 * Constants.CLOCK_DRIFT;
+    double fast = 1 + 2 * ProtocolConstants.CLOCK_DRIFT;
+    double slow = 1 - 2 * ProtocolConstants.CLOCK_DRIFT;
     double end = RenewalBounds.keepMs(workers) + leaseMs * fast;
-    assertTrue(RenewalBounds.keepMs(workers) >= Constants.KEEP_LEAST_MS);
+    assertTrue(RenewalBounds.keepMs(workers) >= LeaseRenewalConstants.KEEP_LEAST_MS);
     assertEquals((double) shortMs, (double) RenewalBounds.shortfallMs(workers), 60);
     assertTrue(
-        end + Constants.KEEP_MARGIN_MS <= cancelMs * slow + RenewalBounds.shortfallMs(workers) + 1,
+        end + LeaseRenewalConstants.KEEP_MARGIN_MS
+            <= cancelMs * slow + RenewalBounds.shortfallMs(workers) + 1,
         "ends at " + end);
   }
 }
--- a/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
+++ b/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.PeerConstants;
 import fennelthread.wire.Codec;
 import fennelthread.wire.WireException;
 import java.nio.charset.StandardCharsets;
@@ -61,6 +61,6 @@
     assertTrue(read(NOW.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],")).chains());
     assertNull(read(NOW.replace("keep", "kept")).keep());
     assertEquals(
-        Constants.KEPT_NEVER, read(NOW.replace(",\"kept_ms_ago\":900", "")).keep().keptMsAgo());
+        PeerConstants.KEPT_NEVER, read(NOW.replace(",\"kept_ms_ago\":900", "")).keep().keptMsAgo());
   }
 }
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.LeaderConstants;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.Priority;
 import java.util.ArrayList;
@@ -221,7 +221,7 @@
     for (Job j : jobs) {
       byId.put("job-" + j.order, j);
       if (j.startedAt < 0) {
-        double work = j.what.cpus * Math.pow(0.5, (now - j.at) / Constants.WORK_HALVED_MS);
+        double work = j.what.cpus * Math.pow(0.5, (now - j.at) / LeaderConstants.WORK_HALVED_MS);
         needs.add(
             need(
                 j.order,
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.RelayConstants;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.fleet.ZoneHealth;
@@ -115,7 +115,7 @@
     mesh.handle(new Request("POST", "/hail", greeting), a -> {});
     courier.begin(7);
     hearing.begin(now - 100_000);
-    for (long t = now - 10_000; t <= now; t += Constants.SUPERVISE_MS) {
+    for (long t = now - 10_000; t <= now; t += RelayConstants.SUPERVISE_MS) {
       hearing.look(t, 500);
     }
     assertTrue(hearing.isDeaf());
--- a/src/test/java/fennelthread/relay/LeaderReachabilityTest.java
+++ b/src/test/java/fennelthread/relay/LeaderReachabilityTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.RelayConstants;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -28,7 +28,7 @@
       for (int i = 0; i < workers; i++) {
         next[i] = random.nextInt((int) REPORT_MS);
       }
-      for (now = 0; now < 3_600_000; now += Constants.SUPERVISE_MS) {
+      for (now = 0; now < 3_600_000; now += RelayConstants.SUPERVISE_MS) {
         for (int i = 0; i < workers; i++) {
           while (next[i] <= now) {
             if (random.nextInt(20) > 0) {
@@ -55,8 +55,8 @@
     LeaderReachability hearing = new LeaderReachability(REPORT_MS);
     hearing.begin(-100_000);
     hearing.heard(0);
-    hearing.look(-Constants.SUPERVISE_MS, workers);
-    for (now = 0; now < 60_000; now += Constants.SUPERVISE_MS) {
+    hearing.look(-RelayConstants.SUPERVISE_MS, workers);
+    for (now = 0; now < 60_000; now += RelayConstants.SUPERVISE_MS) {
       if (hearing.look(now, workers)) {
         return now;
       }
@@ -85,7 +85,7 @@
     hearing.begin(-100_000);
     hearing.heard(0);
     int opened = 0;
-    for (now = 0; now < 120_000; now += Constants.SUPERVISE_MS) {
+    for (now = 0; now < 120_000; now += RelayConstants.SUPERVISE_MS) {
       hearing.look(now, 1_000);
       boolean before = hearing.isDeaf();
       hearing.reached(now);
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -4,7 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.ApiConstants;
+import fennelthread.constants.StateConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
 import fennelthread.wire.Codec;
@@ -146,7 +147,7 @@
     c.world.runUntil(c.world.now() + 100);
     Answer[] got = new Answer[4];
     handle("nodo-0", "POST", "/v1/jobs", Codec.CBOR.encode(good()), got, 0);
-    c.world.runUntil(c.world.now() + Constants.ANSWER_MS + 10);
+    c.world.runUntil(c.world.now() + ApiConstants.ANSWER_MS + 10);
     assertEquals(503, got[0].status());
     handle("nodo-0", "POST", "/v1/jobs", Codec.CBOR.encode(good()), got, 1);
     handle("nodo-0", "GET", "/v1/jobs/job-123456", null, got, 2);
@@ -173,7 +174,7 @@
     Answer[] got = new Answer[2];
     // A read, which is not sent again by itself.
     handle(follower, "GET", "/v1/jobs/job-123456", null, got, 0);
-    c.world.runUntil(c.world.now() + 2 * Constants.STATE_OVERDUE_MS + 10);
+    c.world.runUntil(c.world.now() + 2 * StateConstants.STATE_OVERDUE_MS + 10);
     handle(follower, "GET", "/v1/jobs/job-123456", null, got, 1);
     assertNotNull(got[1], "not answered at once");
     assertEquals(503, got[1].status());
@@ -187,7 +188,7 @@
     c.state.delay = (caller, text) -> text.contains("at_ms") ? 3_000 : 0;
     Answer[] got = new Answer[1];
     handle("nodo-0", "POST", "/v1/jobs", bytes, got, 0);
-    c.world.runUntil(c.world.now() + Constants.ANSWER_MS + 10);
+    c.world.runUntil(c.world.now() + ApiConstants.ANSWER_MS + 10);
     assertEquals(503, got[0].status());
     c.state.delay = (caller, text) -> 0;
     c.world.runUntil(c.world.now() + 3_000);
@@ -207,7 +208,7 @@
         (caller, text) -> {
           sent[0] += text.contains("at_ms") ? 1 : 0;
           // Not so long that the controller itself takes the answer for lost.
-          return text.contains("at_ms") ? Constants.ANSWER_OVERDUE_MS - 10 : 0;
+          return text.contains("at_ms") ? StateConstants.ANSWER_OVERDUE_MS - 10 : 0;
         };
     Answer[] got = new Answer[3];
     handle("nodo-0", "POST", "/v1/jobs", bytes, got, 0);
--- a/src/test/java/fennelthread/simulation/WaitingTest.java
+++ b/src/test/java/fennelthread/simulation/WaitingTest.java
@@ -3,7 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.PlanConstants;
+import fennelthread.constants.SimulationConstants;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.Priority;
 import java.util.ArrayList;
@@ -67,7 +68,7 @@
     c.submit(other);
     long tookMs = beginsAfterMs(c, other);
     assertTrue(tookMs > 30_000, "did not stand back, began after " + tookMs + " ms");
-    assertTrue(tookMs < Constants.STARTED_WITHIN_MS, "began after " + tookMs + " ms");
+    assertTrue(tookMs < SimulationConstants.STARTED_WITHIN_MS, "began after " + tookMs + " ms");
     assertEquals(0, c.rules.running(stuck.id()));
   }
 
@@ -95,12 +96,12 @@
     JobSpec largest = JobDraft.array(c, 1, 10).cpus(MACHINE_CPUS).spec();
     c.submit(largest);
     // Until its turn has come, and a machine is kept.
-    c.world.runUntil(c.world.now() + Constants.BEGIN_AFTER_MS + 3_000);
+    c.world.runUntil(c.world.now() + PlanConstants.BEGIN_AFTER_MS + 3_000);
     JobSpec small = JobDraft.array(c, 2, 2).priority(Priority.BEST_EFFORT).spec();
     c.submit(small);
     long tookMs = beginsAfterMs(c, small);
     assertTrue(tookMs > 30_000, "did not stand back, began after " + tookMs + " ms");
-    assertTrue(tookMs < Constants.STARTED_WITHIN_MS, "began after " + tookMs + " ms");
+    assertTrue(tookMs < SimulationConstants.STARTED_WITHIN_MS, "began after " + tookMs + " ms");
     Scenes.until(c, 100_000, () -> c.rules.allCompleted(small.id()));
     assertTrue(c.rules.allCompleted(small.id()), "the small job is done");
     assertEquals(0, c.rules.running(largest.id()));
--- a/src/test/java/fennelthread/state/ServiceHealthTest.java
+++ b/src/test/java/fennelthread/state/ServiceHealthTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fennelthread.Constants;
+import fennelthread.constants.StateConstants;
 import fennelthread.state.ServiceHealth.Verdict;
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ServiceHealthTest {
-  private static final long OVERDUE = Constants.STATE_OVERDUE_MS;
-  private static final long TIMEOUT = Constants.STATE_TIMEOUT_MS;
+  private static final long OVERDUE = StateConstants.STATE_OVERDUE_MS;
+  private static final long TIMEOUT = StateConstants.STATE_TIMEOUT_MS;
 
   private final ServiceHealth health = new ServiceHealth(0);
 
@@ -65,7 +65,7 @@
 
   @Test
   void aSlowServiceIsNotAskedAgainAtOnce() {
-    assertEquals(Constants.ANSWER_OVERDUE_MS, health.overdueMs());
+    assertEquals(StateConstants.ANSWER_OVERDUE_MS, health.overdueMs());
     for (int i = 0; i < 100; i++) {
       health.served(health.sent(i * 1_000L), i * 1_000L + 400);
     }
@@ -73,7 +73,7 @@
     for (int i = 100; i < 200; i++) {
       health.served(health.sent(i * 1_000L), i * 1_000L + 8);
     }
-    assertEquals(Constants.ANSWER_OVERDUE_MS, health.overdueMs());
+    assertEquals(StateConstants.ANSWER_OVERDUE_MS, health.overdueMs());
   }
 
   /** A fifth of the answers lost, at forty requests a second: never taken for silence. */
