--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -157,7 +157,7 @@
             table,
             machineTypes::byName,
             this::isUp,
-            peers::oldSiblingHeard,
+            peers::hasHeardOutdatedPeer,
             heap::isTight,
             reports::handle);
   }
@@ -264,7 +264,7 @@
       renewer.elected();
       zones.begin(now);
       currentTerm.begin(now, () -> newTerm(epoch, now));
-      peers.greetAll();
+      peers.sendHeartbeats();
     }
 
     @Override
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -39,15 +39,15 @@
   private final JobTable table;
   private final Supplier<Map<String, MachineType>> flavors;
   private final BooleanSupplier up;
-  private final BooleanSupplier oldSibling;
+  private final BooleanSupplier oldPeer;
   private final BooleanSupplier tight;
   private final BiConsumer<WorkerReport, Consumer<Answer>> beats;
   private final Refusals refusals;
 
   /**
-   * Creates the interface; {@code beats} answers reports, {@code oldSibling} tells whether a
-   * sibling serves that does not know of chained jobs, {@code tight} whether there is no memory for
-   * new ones.
+   * Creates the interface; {@code beats} answers reports, {@code oldPeer} tells whether a peer
+   * serves that does not know of chained jobs, {@code tight} whether there is no memory for new
+   * ones.
    */
   public Api(
       Host host,
@@ -56,7 +56,7 @@
       JobTable table,
       Supplier<Map<String, MachineType>> flavors,
       BooleanSupplier up,
-      BooleanSupplier oldSibling,
+      BooleanSupplier oldPeer,
       BooleanSupplier tight,
       BiConsumer<WorkerReport, Consumer<Answer>> beats) {
     this.host = host;
@@ -65,7 +65,7 @@
     this.table = table;
     this.flavors = flavors;
     this.up = up;
-    this.oldSibling = oldSibling;
+    this.oldPeer = oldPeer;
     this.tight = tight;
     this.beats = beats;
     this.refusals = new Refusals(host);
@@ -189,7 +189,7 @@
 
   private void checkNeeds(Submission job, Consumer<Answer> reply) {
     String id = job.spec().id();
-    if (oldSibling.getAsBoolean()) {
+    if (oldPeer.getAsBoolean()) {
       // It would run the job without waiting, if it came to lead.
       refuse(
           id, later("a controller that does not know " + JobSpec.NEEDS + " still serves"), reply);
--- a/src/main/java/fennelthread/cli/Check.java
+++ b/src/main/java/fennelthread/cli/Check.java
@@ -23,7 +23,7 @@
         "%s: %s of %d controllers, %d teams, %d objectives: ok%n",
         files.config,
         settings.member(),
-        settings.siblings().size() + 1,
+        settings.peers().size() + 1,
         settings.teams().size(),
         settings.objectives().size());
     long shortMs = RenewalBounds.shortfallMs(settings.workers());
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -49,7 +49,7 @@
     Set<String> essential = new HashSet<>();
     essential.add(settings.stateAddr());
     essential.add(settings.cloudAddr());
-    settings.siblings().forEach(s -> essential.add(s.addr()));
+    settings.peers().forEach(s -> essential.add(s.addr()));
     return new XnioHost(settings.maxConnections(), settings.mostOutbound(), essential);
   }
 
--- a/src/main/java/fennelthread/constants/ControlConstants.java
+++ b/src/main/java/fennelthread/constants/ControlConstants.java
@@ -8,13 +8,13 @@
   /** Longest wait for a worker's answer to a question, ms: no more than a hint depends on it. */
   public static final long PROBE_TIMEOUT_MS = 1_200;
 
-  /** A leader refused by the state service for this long yields if a sibling is served, ms. */
+  /** A leader refused by the state service for this long yields if a peer is served, ms. */
   public static final long REFUSED_ALONE_MS = 2_500;
 
   /** After this long without an answer of the state service one is asked for, ms. */
   public static final long SERVED_CHECK_MS = 800;
 
-  /** A leader that has heard no worker for this many report intervals yields if siblings do. */
+  /** A leader that has heard no worker for this many report intervals yields if peers do. */
   public static final double UNHEARD_REPORTS = 3;
 
   /** It waits this long at least before it yields for that reason, ms. */
--- a/src/main/java/fennelthread/constants/ElectionConstants.java
+++ b/src/main/java/fennelthread/constants/ElectionConstants.java
@@ -6,8 +6,8 @@
  */
 public final class ElectionConstants {
   /**
-   * How long a sibling's promise not to help anyone take over lasts, ms: three greetings, so that
-   * two may be lost; what a crash of the leader costs follows from it.
+   * How long a peer's promise not to help anyone take over lasts, ms: three heartbeats, so that two
+   * may be lost; what a crash of the leader costs follows from it.
    */
   public static final long PROMISE_MS = 2_500;
 
@@ -20,7 +20,7 @@
   /** Promises must have been enough for so long before the word is withdrawn, ms. */
   public static final long SOLO_AFTER_MS = 5_000;
 
-  /** A sibling that answers and does not promise for so long is bound by an old agreement, ms. */
+  /** A peer that answers and does not promise for so long is bound by an old agreement, ms. */
   public static final long UNPROMISED_MS = 2_000;
 
   /** How often the view of the leader is looked at, ms. */
@@ -29,11 +29,11 @@
   /** A look that comes so long after the last one tells that we were not listening, ms. */
   public static final long VIEW_LATE_MS = 500;
 
-  /** Gaps between greetings that are remembered. */
-  public static final int GREETING_GAPS = 32;
+  /** Gaps between heartbeats that are remembered. */
+  public static final int HEARTBEAT_GAPS = 32;
 
   /** A leader is silent if it stays away for so many times the longest of them. */
-  public static final double GREETING_GAPS_MISSED = 2;
+  public static final double HEARTBEAT_GAPS_MISSED = 2;
 
   /**
    * Shortest time between the beginning of an epoch, or of our process, and a takeover, ms: bounds
@@ -44,10 +44,10 @@
   /** How much longer each further heir waits than the one before it, ms. */
   public static final long HEIR_STEP_MS = 300;
 
-  /** Longest wait for a sibling's agreement, ms. */
+  /** Longest wait for a peer's agreement, ms. */
   public static final long AGREE_TIMEOUT_MS = 500;
 
-  /** Pause before siblings are asked again, ms. */
+  /** Pause before peers are asked again, ms. */
   public static final long AGREE_PAUSE_MS = 900;
 
   private ElectionConstants() {}
--- a/src/main/java/fennelthread/constants/LeaderConstants.java
+++ b/src/main/java/fennelthread/constants/LeaderConstants.java
@@ -30,7 +30,7 @@
    */
   public static final long FLAPPING_MS = 15_000;
 
-  /** For how long, ms: siblings that are there claim within 60 ms and a call. */
+  /** For how long, ms: peers that are there claim within 60 ms and a call. */
   public static final long FLAPPING_PAUSE_MS = 400;
 
   /** Longest random wait before a claim, ms: followers rarely claim at the same instant. */
--- a/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
+++ b/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
@@ -21,14 +21,14 @@
   public static final long KEEP_LEAST_MS = 2_500;
 
   /**
-   * How long a sibling's promise lasts not to answer reports in the leader's place, ms: three
-   * greetings, and less than a worker takes that waits for a leader's answer before it comes to the
-   * sibling.
+   * How long a peer's promise lasts not to answer reports in the leader's place, ms: three
+   * heartbeats, and less than a worker takes that waits for a leader's answer before it comes to
+   * the peer.
    */
   public static final long KEEP_STILL_MS = 2_500;
 
-  /** Most withdrawn jobs named in one greeting: keeps it below the bound on bodies. */
-  public static final int WITHDRAWN_PER_GREETING = 500;
+  /** Most withdrawn jobs named in one heartbeat: keeps it below the bound on bodies. */
+  public static final int WITHDRAWN_PER_HEARTBEAT = 500;
 
   private LeaseRenewalConstants() {}
 }
--- a/src/main/java/fennelthread/constants/NetConstants.java
+++ b/src/main/java/fennelthread/constants/NetConstants.java
@@ -17,7 +17,7 @@
   /** How long an idle connection of ours is kept, ms: peers may drop theirs without a word. */
   public static final long IDLE_MS = 20_000;
 
-  /** Connection attempts to the state service, the cloud or a sibling at a time. */
+  /** Connection attempts to the state service, the cloud or a peer at a time. */
   public static final int CONNECTING_PER_ADDRESS = 4;
 
   /** Connection attempts to a worker at a time: dead ones hang, and many may die at once. */
@@ -41,7 +41,7 @@
 
   /**
    * Part of the process's sockets beyond which a worker's connection is closed after each answer:
-   * what is left is for users, siblings and health checks, and for the workers that come next.
+   * what is left is for users, peers and health checks, and for the workers that come next.
    */
   public static final double SOCKETS_CROWDED_SHARE = 0.83;
 
--- a/src/main/java/fennelthread/constants/RelayConstants.java
+++ b/src/main/java/fennelthread/constants/RelayConstants.java
@@ -8,7 +8,7 @@
   /** Most workers' addresses that a controller keeps: bounds memory far above any fleet. */
   public static final int KNOWN_ADDRESSES = 20_000;
 
-  /** How often a controller looks at its own state and its siblings', ms. */
+  /** How often a controller looks at its own state and its peers', ms. */
   public static final long SUPERVISE_MS = 500;
 
   /** Reports that must be missing before a leader takes itself for deaf: chance misses a few. */
@@ -35,10 +35,10 @@
   /** Longest wait for the leader's answer to a report that is passed on, ms: workers wait 4 s. */
   public static final long RELAY_TIMEOUT_MS = 1_200;
 
-  /** A worker that has not answered a question in this time is asked through a sibling too, ms. */
+  /** A worker that has not answered a question in this time is asked through a peer too, ms. */
   public static final long HEDGE_MS = 300;
 
-  /** Added to a command's time when a sibling passes it on, ms. */
+  /** Added to a command's time when a peer passes it on, ms. */
   public static final long RELAY_SLACK_MS = 400;
 
   /** Reports under way to the leader at once: beyond that workers try the next controller. */
@@ -61,7 +61,7 @@
   /** After so long in a term, whoever obeys its leader has also reported to it, ms. */
   public static final long RELAY_SETTLED_MS = 10_000;
 
-  /** How long it counts that a worker came here, or that a sibling said so, ms. */
+  /** How long it counts that a worker came here, or that a peer said so, ms. */
   public static final long PETITION_FRESH_MS = 4_000;
 
   /** Shortest time between two such words through the state service, ms: each is a change. */
--- a/src/main/java/fennelthread/constants/SettingsConstants.java
+++ b/src/main/java/fennelthread/constants/SettingsConstants.java
@@ -7,7 +7,7 @@
 
   /**
    * Part of the process's sockets that our own connections may take: the workers' connections, the
-   * users' and the siblings' need the rest.
+   * users' and the peers' need the rest.
    */
   public static final double OUTBOUND_SHARE = 0.2;
 
--- a/src/main/java/fennelthread/control/KnownWorkers.java
+++ b/src/main/java/fennelthread/control/KnownWorkers.java
@@ -37,7 +37,7 @@
 
   /** Forgets reports that are no longer recent; their addresses stay. */
   void forgetOldReports(long nowMs) {
-    reportedAtMs.values().removeIf(at -> nowMs - at > PeerConstants.SIBLING_SILENT_MS);
+    reportedAtMs.values().removeIf(at -> nowMs - at > PeerConstants.PEER_SILENT_MS);
   }
 
   /** The number of workers that have reported here lately. */
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -79,10 +79,10 @@
     checkReachability(now);
     if (isRefusedAlone()) {
       lease.stepDown("the state service refuses only us", ControlConstants.YIELD_PAUSE_MS);
-      handover.endThroughSiblings(lease.grant());
+      handover.endThroughPeers(lease.grant());
       return;
     }
-    if (now - term.lastReportAtMs() > unheardMs() && peers.siblingsHearBeats() > 0) {
+    if (now - term.lastReportAtMs() > unheardMs() && peers.peersHearWorkers() > 0) {
       lease.stepDown("workers reach only the others", ControlConstants.YIELD_PAUSE_MS);
     }
   }
@@ -116,7 +116,7 @@
   /** True if the state service refuses this controller and has served a peer since. */
   public boolean isRefusedAlone() {
     return state.refusedForMs() > ControlConstants.REFUSED_ALONE_MS
-        && peers.siblingServedAfter(state.servedAtMs() + ControlConstants.REFUSED_ALONE_MS / 2);
+        && peers.peerServedAfter(state.servedAtMs() + ControlConstants.REFUSED_ALONE_MS / 2);
   }
 
   /** Checks whether this leader still hears its workers itself, and asks some if it does not. */
@@ -126,7 +126,7 @@
     }
     if (reachability.look(now, term.reporting())) {
       log.info("no report reaches us any more: workers are reached through siblings from now on");
-      peers.greetAll();
+      peers.sendHeartbeats();
     }
     if (!reachability.isDeaf()) {
       return;
--- a/src/main/java/fennelthread/election/LeaderView.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -11,7 +11,7 @@
 
   /** How the leader looks from here. */
   public enum Phase {
-    /** Greetings come in, and a promise is in force. */
+    /** Heartbeats come in, and a promise is in force. */
     HEARD,
     /** None has come in for longer than they ever take: worth asking the others. */
     SUSPECTED,
@@ -23,7 +23,7 @@
     BOUND
   }
 
-  private final long[] gapsMs = new long[ElectionConstants.GREETING_GAPS];
+  private final long[] gapsMs = new long[ElectionConstants.HEARTBEAT_GAPS];
   private Phase phase = Phase.BOUND;
   private long epoch = -1;
   private long boundRevision = Long.MAX_VALUE;
@@ -57,12 +57,12 @@
   }
 
   /**
-   * The leader has greeted us: promises for a while not to help anyone take over from it.
+   * The leader has onHeartbeat us: promises for a while not to help anyone take over from it.
    *
    * @param soloRevision the revision of the leader's word, as far as our copy of the state goes
    * @return the epoch that the promise is for, 0 if none is given
    */
-  public long greeted(long byEpoch, long soloRevision, long nowMs) {
+  public long onHeartbeat(long byEpoch, long soloRevision, long nowMs) {
     if (byEpoch != epoch) {
       return 0;
     }
@@ -110,7 +110,7 @@
     long patience =
         Math.max(
             ElectionConstants.PROMISE_MS,
-            (long) (longest * ElectionConstants.GREETING_GAPS_MISSED));
+            (long) (longest * ElectionConstants.HEARTBEAT_GAPS_MISSED));
     return nowMs > promisedUntilMs
         && nowMs - Math.max(heardAtMs, awakeSinceMs) > patience
         && nowMs - sinceMs > ElectionConstants.TAKEOVER_GAP_MS;
@@ -155,7 +155,7 @@
     return suspicions;
   }
 
-  /** How often one that was suspected greeted again. */
+  /** How often one that was suspected onHeartbeat again. */
   public long refuted() {
     return refuted;
   }
--- a/src/main/java/fennelthread/election/LeadershipPromises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * What lets a leader start work beside its grant, so that its siblings may end its term before the
- * grant does. Each sibling that answers a greeting promises not to help anyone take over for a
- * while; the leader counts that while from before the greeting left, the sibling from when it came
- * in. With enough promises in force no majority can take over. Without, the leader must have
- * written into the state service that it goes alone ({@link UnilateralLeadership}), on whose
- * absence every takeover is conditional.
+ * What lets a leader start work beside its grant, so that its peers may end its term before the
+ * grant does. Each peer that answers a heartbeat promises not to help anyone take over for a while;
+ * the leader counts that while from before the heartbeat left, the peer from when it came in. With
+ * enough promises in force no majority can take over. Without, the leader must have written into
+ * the state service that it goes alone ({@link UnilateralLeadership}), on whose absence every
+ * takeover is conditional.
  *
  * <p>The paper's rule for a lease (t0 before the request) is applied to each promise; its A5 is
- * needed of the siblings' clocks as well.
+ * needed of the peers' clocks as well.
  */
 public final class LeadershipPromises {
   private final Map<String, Long> askedAtMs = new HashMap<>();
@@ -43,7 +43,7 @@
   }
 
   /**
-   * A sibling has answered the greeting that left at {@code sentAtMs} with a promise for an epoch.
+   * A peer has answered the heartbeat that left at {@code sentAtMs} with a promise for an epoch.
    */
   public void promised(String member, long forEpoch, long sentAtMs) {
     if (forEpoch == epoch) {
@@ -64,7 +64,7 @@
     return times[times.length - needed] + heldMs();
   }
 
-  /** What a promise is worth to the leader, ms: less than to the sibling that gave it. */
+  /** What a promise is worth to the leader, ms: less than to the peer that gave it. */
   private static long heldMs() {
     return (long) (ElectionConstants.PROMISE_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
         - ProtocolConstants.LEASE_MARGIN_MS;
--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -23,7 +23,7 @@
 
 /**
  * How controllers notice that the leader is gone, and who comes next, before its grant runs out.
- * Siblings of which a majority agrees that it is silent take over with one transaction; what keeps
+ * Peers of which a majority agrees that it is silent take over with one transaction; what keeps
  * that safe is in {@link LeadershipPromises}.
  */
 public final class Membership {
@@ -47,7 +47,7 @@
   private long enoughSinceMs = -1;
   private long takeovers;
 
-  /** Creates it, and answers siblings that ask. */
+  /** Creates it, and answers peers that ask. */
   public Membership(
       Host host,
       Settings settings,
@@ -61,17 +61,17 @@
     this.state = state;
     this.replica = replica;
     this.lease = lease;
-    this.promises = new LeadershipPromises(settings.siblings().size() + 1);
+    this.promises = new LeadershipPromises(settings.peers().size() + 1);
     this.solo = new UnilateralLeadership(host, state);
     members.add(settings.member());
-    settings.siblings().forEach(s -> members.add(s.member()));
+    settings.peers().forEach(s -> members.add(s.member()));
     Collections.sort(members);
     mesh.serve("/member/", this::asked);
     mesh.join(
         new PeerHeartbeats.Guest() {
           @Override
           public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
-            return answer.promising(greeted(asked));
+            return answer.promising(onHeartbeat(asked));
           }
 
           @Override
@@ -121,7 +121,7 @@
     solo.begin();
     unpromisedAtMs = -1;
     enoughSinceMs = -1;
-    // Promises come with the next greetings, and siblings must have seen the epoch first.
+    // Promises come with the next heartbeats, and peers must have seen the epoch first.
     turn(true);
   }
 
@@ -152,7 +152,7 @@
     } else if (!solo.isOn()
         && unpromisedAtMs >= 0
         && now - unpromisedAtMs > ElectionConstants.UNPROMISED_MS) {
-      // A sibling that may be bound by what it agreed to earlier: our word anew makes that void.
+      // A peer that may be bound by what it agreed to earlier: our word anew makes that void.
       unpromisedAtMs = -1;
       turn(false);
     }
@@ -178,9 +178,9 @@
 
   // ---------------------------------------------------------------- following
 
-  private long greeted(PeerHeartbeat greeting) {
-    return ready && greeting.leading() && !lease.isLeading()
-        ? view.greeted(greeting.epoch(), replica.revisionOf(Keys.SOLO), host.nowMs())
+  private long onHeartbeat(PeerHeartbeat heartbeat) {
+    return ready && heartbeat.leading() && !lease.isLeading()
+        ? view.onHeartbeat(heartbeat.epoch(), replica.revisionOf(Keys.SOLO), host.nowMs())
         : 0;
   }
 
@@ -200,7 +200,7 @@
       return;
     }
     suspectedAtMs = suspectedAtMs < 0 ? now : suspectedAtMs;
-    // Without the state service nobody can claim: whoever is cut off with a sibling asked it every
+    // Without the state service nobody can claim: whoever is cut off with a peer asked it every
     // second.
     if (!asking
         && state.answersSoon(0)
@@ -243,7 +243,7 @@
     int[] open = {members.size() - 1};
     Fields question =
         Fields.create().with("from", settings.member()).with("epoch", epoch).with("solo", revision);
-    for (Settings.Sibling s : settings.siblings()) {
+    for (Settings.Peer s : settings.peers()) {
       mesh.call(
           s.member(),
           AGREE,
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's word in the state service that it does without its siblings' promises. Every
- * takeover is conditional on what the key held when the siblings agreed to it: once the word is
- * written none that was agreed on before can be applied, and none is agreed on while it stands.
+ * The leader's word in the state service that it does without its peers' promises. Every takeover
+ * is conditional on what the key held when the peers agreed to it: once the word is written none
+ * that was agreed on before can be applied, and none is agreed on while it stands.
  */
 final class UnilateralLeadership {
   private static final Logger log = LoggerFactory.getLogger(UnilateralLeadership.class);
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Writes the word, withdraws it, or, if it is withdrawn already, writes that anew: siblings that
-   * may have agreed to a takeover are then free to promise again. Each is conditional on the one
+   * Writes the word, withdraws it, or, if it is withdrawn already, writes that anew: peers that may
+   * have agreed to a takeover are then free to promise again. Each is conditional on the one
    * before, since one without an answer may be applied after the next.
    *
    * @param revision the key's revision, as far as our copy of the state goes
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -14,9 +14,9 @@
 
 /**
  * What controllers do for one another when leadership passes on. A leader that the state service
- * refuses alone can't end its own grant, and nobody could claim until that runs out; a sibling ends
- * it instead. The leader has dropped its local lease before it asks, so that the request may take
- * as long as it likes.
+ * refuses alone can't end its own grant, and nobody could claim until that runs out; a peer ends it
+ * instead. The leader has dropped its local lease before it asks, so that the request may take as
+ * long as it likes.
  */
 public final class Handover {
   private static final Logger log = LoggerFactory.getLogger(Handover.class);
@@ -24,7 +24,7 @@
 
   private final PeerHeartbeats mesh;
 
-  /** Creates it, and answers siblings that ask. */
+  /** Creates it, and answers peers that ask. */
   public Handover(StateClient state, PeerHeartbeats mesh) {
     this.mesh = mesh;
     Service service =
@@ -43,8 +43,8 @@
     mesh.serve("/handover/", service);
   }
 
-  /** Has siblings end a grant of ours whose lease we have dropped. */
-  public void endThroughSiblings(long grant) {
+  /** Has peers end a grant of ours whose lease we have dropped. */
+  public void endThroughPeers(long grant) {
     for (String member : mesh.relays()) {
       mesh.call(
           member,
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -68,9 +68,9 @@
   private Phase phase = Phase.CATCHING_UP;
 
   /**
-   * Begins a term; {@code addresses} are workers that siblings or predecessors knew, {@code
-   * isJobOver} says which jobs are known to be over although no record says so yet, {@code gate}
-   * lets answers to reports out.
+   * Begins a term; {@code addresses} are workers that peers or predecessors knew, {@code isJobOver}
+   * says which jobs are known to be over although no record says so yet, {@code gate} lets answers
+   * to reports out.
    */
   public Term(
       Host host,
@@ -146,7 +146,7 @@
     rentTick();
   }
 
-  /** The workers' addresses, for siblings to keep warm. */
+  /** The workers' addresses, for peers to keep warm. */
   public Map<String, String> addresses() {
     Map<String, String> known = new LinkedHashMap<>();
     for (Machine m : fleet.machines()) {
@@ -274,7 +274,7 @@
     host.after(LeaderConstants.RENT_EVERY_MS, this::rentTick);
   }
 
-  /** Answers a report that came by a sibling or directly; null if we are not entitled to. */
+  /** Answers a report that came by a peer or directly; null if we are not entitled to. */
   public Answer beat(WorkerReport beat, String by) {
     Answer answer = fleet.beat(beat, by);
     return phase == Phase.CLOSED ? null : answer;
--- a/src/main/java/fennelthread/leaserenewal/CancellationLog.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -13,7 +13,7 @@
 
 /**
  * The jobs that are known to be over since lately, and of those that users may have been told are
- * withdrawn a numbered log for siblings. Bounded by time: whoever was told longer ago than any task
+ * withdrawn a numbered log for peers. Bounded by time: whoever was told longer ago than any task
  * may live on has nothing left to be stopped.
  */
 public final class CancellationLog {
@@ -68,7 +68,7 @@
     }
     List<String> ids = new ArrayList<>();
     for (Told t : log) {
-      if (t.number > number && ids.size() < LeaseRenewalConstants.WITHDRAWN_PER_GREETING) {
+      if (t.number > number && ids.size() < LeaseRenewalConstants.WITHDRAWN_PER_HEARTBEAT) {
         ids.add(t.id);
       }
     }
--- a/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
@@ -7,7 +7,7 @@
 
 /**
  * Up to when this controller knows of every withdrawal that anyone was told of. The state service
- * says so; in an outage of it nobody can be told of a new one, which the siblings together say as
+ * says so; in an outage of it nobody can be told of a new one, which the peers together say as
  * well: each tells what it may have told its users, and what it can't have known it can't have
  * told.
  *
@@ -15,7 +15,7 @@
  * once the state service was read after it was first heard.
  */
 public final class CancellationWatermark {
-  private static final class Sibling {
+  private static final class Peer {
     String incarnation;
     long bornAtMs = Long.MAX_VALUE;
     long taken;
@@ -24,14 +24,14 @@
 
   private final LongSupplier readAtMs;
   private final CancellationLog withdrawals;
-  private final Map<String, Sibling> siblings = new HashMap<>();
+  private final Map<String, Peer> peers = new HashMap<>();
 
   /** Creates it; {@code readAtMs} is when what our copy of the state holds was asked for. */
   CancellationWatermark(
       LongSupplier readAtMs, Iterable<String> members, CancellationLog withdrawals) {
     this.readAtMs = readAtMs;
     this.withdrawals = withdrawals;
-    members.forEach(m -> siblings.put(m, new Sibling()));
+    members.forEach(m -> peers.put(m, new Peer()));
   }
 
   /** The moment until which everything is known, ms of our clock. */
@@ -39,23 +39,22 @@
     long read = readAtMs.getAsLong();
     // Alone, whoever was told anything was told by us.
     long together = Long.MAX_VALUE / 2;
-    for (Sibling s : siblings.values()) {
+    for (Peer s : peers.values()) {
       together = Math.min(together, s.bornAtMs < read ? s.spokeAtMs : Long.MIN_VALUE / 2);
     }
     return Math.max(read, together);
   }
 
-  /** How far a sibling's log is known: what is to be asked for next. */
+  /** How far a peer's log is known: what is to be asked for next. */
   long taken(String member) {
-    return siblings.get(member).taken;
+    return peers.get(member).taken;
   }
 
   /**
-   * A sibling has answered our greeting of {@code sentAtMs}, which asked for what follows the
-   * known.
+   * A peer has answered our heartbeat of {@code sentAtMs}, which asked for what follows the known.
    */
   void answered(String member, PeerHeartbeat reply, long sentAtMs, long nowMs) {
-    Sibling s = siblings.get(member);
+    Peer s = peers.get(member);
     PeerHeartbeat.Keep said = reply.keep();
     if (s == null || said == null) {
       return;
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -55,7 +55,7 @@
   private boolean everKept;
 
   /**
-   * Creates it, and joins the greetings.
+   * Creates it, and joins the heartbeats.
    *
    * @param replica our copy of the state
    * @param leading whether this controller leads
@@ -77,7 +77,7 @@
     this.ownEpoch = ownEpoch;
     this.highestEpoch = highestEpoch;
     this.withdrawals = withdrawals;
-    List<String> members = settings.siblings().stream().map(Settings.Sibling::member).toList();
+    List<String> members = settings.peers().stream().map(Settings.Peer::member).toList();
     this.currency = new CancellationWatermark(replica::readAtMs, members, withdrawals);
     this.keepMs = RenewalBounds.keepMs(settings.workers());
     this.keptAtMostMs = RenewalBounds.keptAtMostMs(settings.workers());
@@ -115,13 +115,13 @@
     return mesh.acknowledgedSince(ofEpoch, electedAtMs + keptAtMostMs, unbounded);
   }
 
-  // ---------------------------------------------------------------- greetings
+  // ---------------------------------------------------------------- heartbeats
 
   @Override
-  public PeerHeartbeat greet(String member, PeerHeartbeat greeting) {
-    return greeting.keeping(
+  public PeerHeartbeat sendHeartbeat(String member, PeerHeartbeat heartbeat) {
+    return heartbeat.keeping(
         note(
-            mesh.silentMs(member) < PeerConstants.SIBLING_SILENT_MS,
+            mesh.silentMs(member) < PeerConstants.PEER_SILENT_MS,
             currency.taken(member),
             0,
             new CancellationLog.Page(List.of(), 0, false)));
@@ -139,7 +139,10 @@
     return answer.keeping(note(true, 0, promise(asked), withdrawals.after(question.after())));
   }
 
-  /** Promises the leader that greets us to keep nothing for a while, unless it does not hear us. */
+  /**
+   * Promises the leader that sends a heartbeat to us to keep nothing for a while, unless it does
+   * not hear us.
+   */
   private long promise(PeerHeartbeat asked) {
     if (!asked.leading() || asked.epoch() < epoch) {
       return 0;
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -14,7 +14,7 @@
 /**
  * The one place that lets out an answer that renews a worker's lease, whoever gives it: a leader,
  * one whose copy of the state has not reached its claim yet, one that has resigned, a follower that
- * keeps leases; directly or through a sibling. Whoever answers knows of every withdrawal that users
+ * keeps leases; directly or through a peer. Whoever answers knows of every withdrawal that users
  * were told of until a moment so late that the lease, were it the last, ends in time for all later
  * ones; and the answer stops all that the report shows of those that are known.
  * docs/lease-renewal.md has the inequality and the list of places.
--- a/src/main/java/fennelthread/leaserenewal/RenewalLog.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalLog.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 
 /**
- * What a leader knows of its siblings' keeping: the last moment at which one of them may have
- * answered a report in its place. A sibling that answers a greeting promises to keep nothing for a
- * while, which the leader counts from before the greeting left; beyond that it may, until its own
- * last word from us is too old. Its word that it kept nothing counts only in such an answer, since
- * a greeting may arrive late.
+ * What a leader knows of its peers' keeping: the last moment at which one of them may have answered
+ * a report in its place. A peer that answers a heartbeat promises to keep nothing for a while,
+ * which the leader counts from before the heartbeat left; beyond that it may, until its own last
+ * word from us is too old. Its word that it kept nothing counts only in such an answer, since a
+ * heartbeat may arrive late.
  */
 final class RenewalLog {
-  private static final class Sibling {
+  private static final class Peer {
     String incarnation;
 
-    /** Before our last greeting that it answered with a promise left, ms. */
+    /** Before our last heartbeat that it answered with a promise left, ms. */
     long stillSinceMs = Long.MIN_VALUE / 2;
 
     /** When we last answered it as the leader of this epoch, ms. */
@@ -29,35 +29,35 @@
   }
 
   private final long keptAtMostMs;
-  private final Map<String, Sibling> siblings = new HashMap<>();
+  private final Map<String, Peer> peers = new HashMap<>();
 
   /**
    * Creates an empty one.
    *
-   * @param keptAtMostMs for how long after our last word to it a sibling may keep, ms
+   * @param keptAtMostMs for how long after our last word to it a peer may keep, ms
    */
   RenewalLog(Iterable<String> members, long keptAtMostMs) {
     this.keptAtMostMs = keptAtMostMs;
-    members.forEach(m -> siblings.put(m, new Sibling()));
+    members.forEach(m -> peers.put(m, new Peer()));
   }
 
   /** A term of ours begins: nobody can have kept anything for its leader yet. */
   void begin() {
-    siblings.replaceAll((member, s) -> new Sibling());
+    peers.replaceAll((member, s) -> new Peer());
   }
 
-  /** We answer a sibling's greeting as the leader. */
+  /** We answer a peer's heartbeat as the leader. */
   void weAnswer(PeerHeartbeat asked, long nowMs) {
-    Sibling s = siblings.get(asked.member());
+    Peer s = peers.get(asked.member());
     if (s != null) {
       born(s, asked.incarnation(), nowMs);
       s.answeredAtMs = nowMs;
     }
   }
 
-  /** A sibling has answered the greeting that left at {@code sentAtMs}. */
+  /** A peer has answered the heartbeat that left at {@code sentAtMs}. */
   void answered(String member, PeerHeartbeat reply, long epoch, long sentAtMs, long nowMs) {
-    Sibling s = siblings.get(member);
+    Peer s = peers.get(member);
     if (s == null || reply.keep() == null) {
       return;
     }
@@ -73,7 +73,7 @@
   }
 
   /** A new process can't say what the one before it kept. */
-  private void born(Sibling s, String incarnation, long nowMs) {
+  private void born(Peer s, String incarnation, long nowMs) {
     if (s.incarnation != null && !s.incarnation.equals(incarnation)) {
       s.keptAtMs = Math.max(s.keptAtMs, mayHaveKept(s, nowMs));
       s.answeredAtMs = Long.MIN_VALUE / 2;
@@ -82,7 +82,7 @@
     s.incarnation = incarnation;
   }
 
-  private long mayHaveKept(Sibling s, long nowMs) {
+  private long mayHaveKept(Peer s, long nowMs) {
     long still =
         (long) (LeaseRenewalConstants.KEEP_STILL_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
@@ -91,10 +91,10 @@
         : Math.min(nowMs, s.answeredAtMs + keptAtMostMs);
   }
 
-  /** The last moment at which a sibling may have answered a report for this epoch, ms. */
+  /** The last moment at which a peer may have answered a report for this epoch, ms. */
   long lastKeptMs(long nowMs) {
     long latest = Long.MIN_VALUE / 2;
-    for (Sibling s : siblings.values()) {
+    for (Peer s : peers.values()) {
       latest = Math.max(latest, Math.max(s.keptAtMs, mayHaveKept(s, nowMs)));
     }
     return latest;
--- a/src/main/java/fennelthread/net/HttpServer.java
+++ b/src/main/java/fennelthread/net/HttpServer.java
@@ -17,7 +17,7 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Listens for users, workers and siblings, and answers them. Everything runs on one thread. */
+/** Listens for users, workers and peers, and answers them. Everything runs on one thread. */
 final class HttpServer {
   private static final Logger log = LoggerFactory.getLogger(HttpServer.class);
 
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -8,13 +8,14 @@
 import java.util.Map;
 
 /**
- * What a greeting says of its sender; {@code workers} and {@code gone} are what has changed of the
- * workers' addresses since the last greeting that the receiver has answered. {@code chains} is true
- * if the sender makes jobs wait for others, {@code relays} if it passes on reports and commands:
- * versions that do not, leave the fields out. {@code deaf} is true of a leader that does not hear
- * its workers itself. {@code promised}, in an answer, is the epoch to whose leader the greeting
- * brought a promise not to help anyone take over, {@code promises} of a version that gives such.
- * {@code keep} is null from a version that never keeps leases alive in a silent leader's place.
+ * What a heartbeat says of its sender; {@code workers} and {@code gone} are what has changed of the
+ * workers' addresses since the last heartbeat that the receiver has answered. {@code chains} is
+ * true if the sender makes jobs wait for others, {@code relays} if it passes on reports and
+ * commands: versions that do not, leave the fields out. {@code deaf} is true of a leader that does
+ * not hear its workers itself. {@code promised}, in an answer, is the epoch to whose leader the
+ * heartbeat brought a promise not to help anyone take over, {@code promises} of a version that
+ * gives such. {@code keep} is null from a version that never keeps leases alive in a silent
+ * leader's place.
  */
 public record PeerHeartbeat(
     String member,
@@ -33,9 +34,9 @@
     List<String> gone) {
 
   /**
-   * What controllers tell one another about keeping leases alive without the leader. In a greeting:
-   * {@code hears} says that the receiver was heard lately, {@code after} how far its log of
-   * withdrawals is known. In an answer: {@code still} is the epoch to whose leader the greeting
+   * What controllers tell one another about keeping leases alive without the leader. In a
+   * heartbeat: {@code hears} says that the receiver was heard lately, {@code after} how far its log
+   * of withdrawals is known. In an answer: {@code still} is the epoch to whose leader the heartbeat
    * brought a promise not to keep any lease for a while, {@code withdrawn} goes on from {@code
    * after}, up to {@code to}; {@code all} says that this is all there is. {@code keeping} and
    * {@code keptMsAgo}, which is {@link PeerConstants#KEPT_NEVER} of one that never did, are of the
@@ -77,7 +78,7 @@
     }
   }
 
-  /** A greeting of this version that has promised nothing yet. */
+  /** A heartbeat of this version that has promised nothing yet. */
   public PeerHeartbeat(
       String member,
       String incarnation,
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -21,40 +21,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What controllers tell one another: greetings in JSON. A greeting that names an epoch acknowledges
- * it: from then on its sender answers no report for an older one.
+ * What controllers tell one another: heartbeats in JSON. A heartbeat that names an epoch
+ * acknowledges it: from then on its sender answers no report for an older one.
  */
 public final class PeerHeartbeats implements Service {
   private static final Logger log = LoggerFactory.getLogger(PeerHeartbeats.class);
 
-  /** A subsystem that has something to say in greetings, and to hear. */
+  /** A subsystem that has something to say in heartbeats, and to hear. */
   public interface Guest {
-    /** Adds to a greeting that is about to leave for a sibling. */
-    default PeerHeartbeat greet(String member, PeerHeartbeat greeting) {
-      return greeting;
+    /** Adds to a heartbeat that is about to leave for a peer. */
+    default PeerHeartbeat sendHeartbeat(String member, PeerHeartbeat heartbeat) {
+      return heartbeat;
     }
 
-    /** Adds to the answer to a greeting that has just been taken note of. */
+    /** Adds to the answer to a heartbeat that has just been taken note of. */
     PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer);
 
-    /**
-     * A sibling has answered the greeting that left at {@code sentAtMs}, read before it was sent.
-     */
+    /** A peer has answered the heartbeat that left at {@code sentAtMs}, read before it was sent. */
     void acknowledged(String member, PeerHeartbeat reply, long sentAtMs);
   }
 
   private static final class Peer {
-    final Settings.Sibling sibling;
+    final Settings.Peer peer;
     PeerHeartbeat last;
     long heardAt = Long.MIN_VALUE / 2;
     long epochSince = Long.MAX_VALUE;
     long missedAt = Long.MIN_VALUE / 2;
-    boolean greeting;
+    boolean heartbeat;
     final Map<String, String> told = new HashMap<>();
     String toldIncarnation = "";
 
-    Peer(Settings.Sibling sibling) {
-      this.sibling = sibling;
+    Peer(Settings.Peer peer) {
+      this.peer = peer;
     }
   }
 
@@ -68,8 +66,8 @@
   private long malformed;
 
   /**
-   * Creates the mesh of one controller; {@code workers} gives the addresses that siblings should
-   * keep warm, none while another leads.
+   * Creates the mesh of one controller; {@code workers} gives the addresses that peers should keep
+   * warm, none while another leads.
    */
   public PeerHeartbeats(
       Host host,
@@ -81,41 +79,42 @@
     this.self = self;
     this.workers = workers;
     this.heard = heard;
-    settings.siblings().forEach(s -> peers.put(s.member(), new Peer(s)));
+    settings.peers().forEach(s -> peers.put(s.member(), new Peer(s)));
   }
 
-  /** Begins to greet. */
+  /** Begins to sendHeartbeat. */
   public void start() {
-    greetAll();
+    sendHeartbeats();
     host.after(
         (long)
-            (PeerConstants.HAIL_MS * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
+            (PeerConstants.HEARTBEAT_INTERVAL_MS
+                * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
         this::start);
   }
 
-  /** Greets all siblings now: after a claim, every moment counts. */
-  public void greetAll() {
-    peers.values().forEach(this::greet);
+  /** Greets all peers now: after a claim, every moment counts. */
+  public void sendHeartbeats() {
+    peers.values().forEach(this::sendHeartbeat);
   }
 
-  private void greet(Peer peer) {
-    if (peer.greeting) {
+  private void sendHeartbeat(Peer peer) {
+    if (peer.heartbeat) {
       return;
     }
-    peer.greeting = true;
-    PeerHeartbeat greeting = news(peer);
+    peer.heartbeat = true;
+    PeerHeartbeat heartbeat = news(peer);
     for (Guest guest : guests) {
-      greeting = guest.greet(peer.sibling.member(), greeting);
+      heartbeat = guest.sendHeartbeat(peer.peer.member(), heartbeat);
     }
-    Map<String, String> told = greeting.workers();
-    List<String> gone = greeting.gone();
+    Map<String, String> told = heartbeat.workers();
+    List<String> gone = heartbeat.gone();
     long sentAt = host.nowMs();
     host.call(
-        peer.sibling.addr(),
-        Call.post("/hail", Codec.JSON, greeting.write()),
-        PeerConstants.HAIL_TIMEOUT_MS,
+        peer.peer.addr(),
+        Call.post("/hail", Codec.JSON, heartbeat.write()),
+        PeerConstants.HEARTBEAT_TIMEOUT_MS,
         answer -> {
-          peer.greeting = false;
+          peer.heartbeat = false;
           if (answer == null) {
             peer.missedAt = host.nowMs();
           }
@@ -123,7 +122,7 @@
             try {
               PeerHeartbeat reply = PeerHeartbeat.read(Codec.JSON.decode(answer.body()));
               if (!reply.incarnation().equals(peer.toldIncarnation)) {
-                // A new process knows nothing yet but what this greeting said.
+                // A new process knows nothing yet but what this heartbeat said.
                 peer.toldIncarnation = reply.incarnation();
                 peer.told.clear();
               }
@@ -131,18 +130,18 @@
               gone.forEach(peer.told::remove);
               took(reply);
               for (Guest guest : guests) {
-                guest.acknowledged(peer.sibling.member(), reply, sentAt);
+                guest.acknowledged(peer.peer.member(), reply, sentAt);
               }
             } catch (WireException e) {
               malformed++;
-              log.info("malformed greeting of {}: {}", peer.sibling.member(), e.getMessage());
+              log.info("malformed heartbeat of {}: {}", peer.peer.member(), e.getMessage());
             }
           }
         });
   }
 
   /**
-   * A greeting with what the peer was not told yet: the addresses of hundreds of workers in each
+   * A heartbeat with what the peer was not told yet: the addresses of hundreds of workers in each
    * would be tens of kilobytes a second, to be written and read on a small processor.
    */
   private PeerHeartbeat news(Peer peer) {
@@ -153,7 +152,7 @@
     }
     Map<String, String> fresh = new LinkedHashMap<>();
     for (Map.Entry<String, String> e : current.entrySet()) {
-      if (fresh.size() >= PeerConstants.ADDRESSES_PER_GREETING) {
+      if (fresh.size() >= PeerConstants.ADDRESSES_PER_HEARTBEAT) {
         break;
       }
       if (!e.getValue().equals(peer.told.get(e.getKey()))) {
@@ -162,24 +161,24 @@
     }
     List<String> gone = new ArrayList<>();
     for (String name : peer.told.keySet()) {
-      if (!current.containsKey(name) && gone.size() < PeerConstants.ADDRESSES_PER_GREETING) {
+      if (!current.containsKey(name) && gone.size() < PeerConstants.ADDRESSES_PER_HEARTBEAT) {
         gone.add(name);
       }
     }
     return self.get().with(fresh, gone);
   }
 
-  /** Lets a subsystem say something in greetings from now on. */
+  /** Lets a subsystem say something in heartbeats from now on. */
   public void join(Guest guest) {
     guests.add(guest);
   }
 
-  /** Lets a subsystem answer what siblings ask under a path with this prefix. */
+  /** Lets a subsystem answer what peers ask under a path with this prefix. */
   public void serve(String prefix, Service service) {
     services.put(prefix, service);
   }
 
-  /** Asks a sibling something, as {@link Host#call} says. */
+  /** Asks a peer something, as {@link Host#call} says. */
   public void call(
       String member,
       String path,
@@ -188,11 +187,7 @@
       Consumer<Answer> done,
       Host.Unsent unsent) {
     host.call(
-        peers.get(member).sibling.addr(),
-        Call.post(path, Codec.JSON, body),
-        timeoutMs,
-        done,
-        unsent);
+        peers.get(member).peer.addr(), Call.post(path, Codec.JSON, body), timeoutMs, done, unsent);
   }
 
   /** The same for whoever need not know whether an unanswered one was sent at all. */
@@ -200,22 +195,22 @@
     call(member, path, body, timeoutMs, done, tried -> done.accept(null));
   }
 
-  /** True if a sibling passes on reports and commands, and was reached or heard the last time. */
+  /** True if a peer passes on reports and commands, and was reached or heard the last time. */
   public boolean relaysFor(String member) {
     Peer p = peers.get(member);
     return p != null && relays(p);
   }
 
-  /** The siblings of which that is true. */
+  /** The peers of which that is true. */
   public List<String> relays() {
-    return peers.values().stream().filter(this::relays).map(p -> p.sibling.member()).toList();
+    return peers.values().stream().filter(this::relays).map(p -> p.peer.member()).toList();
   }
 
   private boolean relays(Peer p) {
     return isHeard(p) && p.last.relays() && p.heardAt > p.missedAt;
   }
 
-  /** A sibling that passes on commands and hears most workers; null if there is none. */
+  /** A peer that passes on commands and hears most workers; null if there is none. */
   public String anyRelay() {
     Peer best = null;
     for (Peer p : peers.values()) {
@@ -223,36 +218,35 @@
         best = p;
       }
     }
-    return best == null ? null : best.sibling.member();
+    return best == null ? null : best.peer.member();
   }
 
   /**
-   * A sibling heard lately that keeps leases alive in the place of a silent leader; null if none
-   * does.
+   * A peer heard lately that keeps leases alive in the place of a silent leader; null if none does.
    */
   public String anyKeeping() {
     for (Peer p : peers.values()) {
       if (isHeard(p) && p.last.keep() != null && p.last.keep().keeping()) {
-        return p.sibling.member();
+        return p.peer.member();
       }
     }
     return null;
   }
 
-  /** True if this sibling says that it leads and does not hear its workers itself. */
+  /** True if this peer says that it leads and does not hear its workers itself. */
   public boolean isDeaf(String member) {
     Peer p = peers.get(member);
     return p != null && isHeard(p) && p.last.leading() && p.last.deaf();
   }
 
-  /** For how long a sibling was not heard, ms; 0 of one that is none. */
+  /** For how long a peer was not heard, ms; 0 of one that is none. */
   public long silentMs(String member) {
     Peer p = peers.get(member);
     return p == null ? 0 : host.nowMs() - p.heardAt;
   }
 
   private boolean isHeard(Peer p) {
-    return p.last != null && host.nowMs() - p.heardAt < PeerConstants.SIBLING_SILENT_MS;
+    return p.last != null && host.nowMs() - p.heardAt < PeerConstants.PEER_SILENT_MS;
   }
 
   @Override
@@ -271,10 +265,10 @@
       reply.accept(Answer.of(405, Codec.JSON, Fields.create().with("error", "use POST")));
       return;
     }
-    PeerHeartbeat greeting;
+    PeerHeartbeat heartbeat;
     try {
-      greeting = PeerHeartbeat.read(Codec.JSON.decode(request.body()));
-      took(greeting);
+      heartbeat = PeerHeartbeat.read(Codec.JSON.decode(request.body()));
+      took(heartbeat);
     } catch (WireException e) {
       malformed++;
       reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
@@ -283,35 +277,35 @@
     // After taking note: the answer acknowledges the epoch that was just heard.
     PeerHeartbeat answer = self.get();
     for (Guest guest : guests) {
-      answer = guest.answer(greeting, answer);
+      answer = guest.answer(heartbeat, answer);
     }
     reply.accept(Answer.of(200, Codec.JSON, answer.write()));
   }
 
-  private void took(PeerHeartbeat greeting) {
-    Peer peer = peers.get(greeting.member());
+  private void took(PeerHeartbeat heartbeat) {
+    Peer peer = peers.get(heartbeat.member());
     if (peer == null) {
       return;
     }
     long now = host.nowMs();
-    if (peer.last == null || greeting.epoch() > peer.last.epoch()) {
+    if (peer.last == null || heartbeat.epoch() > peer.last.epoch()) {
       peer.epochSince = now;
-    } else if (greeting.epoch() < peer.last.epoch()
-        && greeting.incarnation().equals(peer.last.incarnation())) {
+    } else if (heartbeat.epoch() < peer.last.epoch()
+        && heartbeat.incarnation().equals(peer.last.incarnation())) {
       // A packet that was held back: it says nothing of the present.
       return;
-    } else if (greeting.epoch() < peer.last.epoch()) {
+    } else if (heartbeat.epoch() < peer.last.epoch()) {
       peer.epochSince = Long.MAX_VALUE;
     }
-    peer.last = greeting;
+    peer.last = heartbeat;
     peer.heardAt = now;
-    heard.accept(greeting);
+    heard.accept(heartbeat);
   }
 
   /**
-   * Since when every sibling has acknowledged {@code epoch}, or can't answer reports for an older
-   * one any more: those that bound themselves, from {@code boundMs} on. {@code Long.MAX_VALUE}
-   * while one counts as still answering.
+   * Since when every peer has acknowledged {@code epoch}, or can't answer reports for an older one
+   * any more: those that bound themselves, from {@code boundMs} on. {@code Long.MAX_VALUE} while
+   * one counts as still answering.
    *
    * @param unbounded the last epoch whose leader may be of a version that does not bound itself, or
    *     0
@@ -331,7 +325,7 @@
   }
 
   /**
-   * True if no sibling can be the leader of that epoch or an older one of a version that knows no
+   * True if no peer can be the leader of that epoch or an older one of a version that knows no
    * bound.
    */
   public boolean allBound(long unbounded) {
@@ -343,31 +337,31 @@
   }
 
   /**
-   * True if the state service has answered some sibling after {@code time}. A sibling's word that
-   * it is served is not enough: in an outage that has just begun, it may not have noticed yet.
+   * True if the state service has answered some peer after {@code time}. A peer's word that it is
+   * served is not enough: in an outage that has just begun, it may not have noticed yet.
    */
-  public boolean siblingServedAfter(long time) {
+  public boolean peerServedAfter(long time) {
     return peers.values().stream()
         .anyMatch(p -> p.last != null && p.heardAt - p.last.servedAgoMs() > time);
   }
 
   /**
-   * True if a sibling that was heard lately does not make jobs wait for others. One that is silent
+   * True if a peer that was heard lately does not make jobs wait for others. One that is silent
    * does not count: it may be gone for good.
    */
-  public boolean oldSiblingHeard() {
+  public boolean hasHeardOutdatedPeer() {
     for (Peer p : peers.values()) {
       if (p.last != null
           && !p.last.chains()
-          && host.nowMs() - p.heardAt < PeerConstants.OLD_SIBLING_MS) {
+          && host.nowMs() - p.heardAt < PeerConstants.OLD_PEER_MS) {
         return true;
       }
     }
     return false;
   }
 
-  /** Reports that siblings heard lately say they get and redirect. */
-  public long siblingsHearBeats() {
+  /** Reports that peers heard lately say they get and redirect. */
+  public long peersHearWorkers() {
     long heardBeats = 0;
     for (Peer p : peers.values()) {
       if (isHeard(p)) {
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -21,13 +21,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * How a leader reaches workers: directly, or through a sibling while it does not hear them itself.
- * A command through a sibling is a command that takes longer: without an answer it counts as one
- * that may still be executed, and it is the worker that refuses what comes under an old token.
+ * How a leader reaches workers: directly, or through a peer while it does not hear them itself. A
+ * command through a peer is a command that takes longer: without an answer it counts as one that
+ * may still be executed, and it is the worker that refuses what comes under an old token.
  */
 public final class CommandSender implements Fleet.Paths {
 
-  /** Answers reports that siblings pass on. */
+  /** Answers reports that peers pass on. */
   @FunctionalInterface
   public interface Reports {
     /**
@@ -77,7 +77,7 @@
     vias.remove(machine);
   }
 
-  /** How many commands siblings were asked to pass on, since the start of the process. */
+  /** How many commands peers were asked to pass on, since the start of the process. */
   public long carried() {
     return carried;
   }
@@ -90,12 +90,12 @@
       long timeoutMs,
       Consumer<Answer> done,
       Host.Unsent unsent) {
-    String sibling = sibling(m);
-    if (sibling != null) {
+    String peer = peer(m);
+    if (peer != null) {
       // A question does no harm if it comes again; of anything else a peer's word proves nothing.
       Runnable notPassedOn = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
       long relayedMs = timeoutMs + RelayConstants.RELAY_SLACK_MS;
-      around(sibling, address, call, relayedMs, done, unsent, notPassedOn);
+      around(peer, address, call, relayedMs, done, unsent, notPassedOn);
     } else if (call.spare() && mesh.anyRelay() != null) {
       new Question(m, address, call, timeoutMs, done, unsent).ask();
     } else {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * A question that is put to a worker directly, and through a sibling too if its answer stays
-   * away: a machine that only we can't reach is not to be taken for dead.
+   * A question that is put to a worker directly, and through a peer too if its answer stays away: a
+   * machine that only we can't reach is not to be taken for dead.
    */
   private final class Question {
     private final Machine machine;
@@ -140,17 +140,17 @@
       host.after(
           Math.min(RelayConstants.HEDGE_MS, timeoutMs / 2),
           () -> {
-            String sibling = over ? null : mesh.anyRelay();
-            if (sibling != null) {
+            String peer = over ? null : mesh.anyRelay();
+            if (peer != null) {
               open++;
               around(
-                  sibling,
+                  peer,
                   address,
                   call,
                   timeoutMs - (host.nowMs() - askedAtMs),
                   answer -> {
                     if (answer != null && !over) {
-                      vias.put(machine.name(), new Via(sibling, host.nowMs()));
+                      vias.put(machine.name(), new Via(peer, host.nowMs()));
                     }
                     answered(answer);
                   },
@@ -192,7 +192,7 @@
    *     asked of it may reach it a second time, and then go through
    */
   private void around(
-      String sibling,
+      String peer,
       String address,
       Call call,
       long timeoutMs,
@@ -207,7 +207,7 @@
     }
     carried++;
     mesh.call(
-        sibling,
+        peer,
         RelayWire.COMMANDS,
         new RelayWire.Commands(
                 epoch, address, timeoutMs - RelayConstants.RELAY_SLACK_MS / 2, call.spare(), body)
@@ -224,8 +224,8 @@
         tried -> unsent.over(false));
   }
 
-  /** The sibling to go through, or null for the direct way. */
-  private String sibling(Machine m) {
+  /** The peer to go through, or null for the direct way. */
+  private String peer(Machine m) {
     Via via = vias.get(m.name());
     if (via != null) {
       if (host.nowMs() - via.atMs <= settings.workers().reportMs() * RelayConstants.SILENT_REPORTS
@@ -238,9 +238,9 @@
   }
 
   /**
-   * What siblings ask for: reports for us to answer, commands for us to pass on.
+   * What peers ask for: reports for us to answer, commands for us to pass on.
    *
-   * @param reports answers what siblings pass on
+   * @param reports answers what peers pass on
    */
   public Service service(Reports reports) {
     return (request, reply) -> {
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -31,7 +31,7 @@
   private long readEpoch = -1;
   private boolean writing;
 
-  /** Creates it for a member; {@code onRead} is called when a sibling's word was read. */
+  /** Creates it for a member; {@code onRead} is called when a peer's word was read. */
   public UnreachableLeaderNotice(
       Host host, StateClient state, Replica replica, String member, Runnable onRead) {
     this.host = host;
@@ -90,7 +90,7 @@
     }
   }
 
-  /** True if a sibling has just said that workers of this epoch's leader come to it. */
+  /** True if a peer has just said that workers of this epoch's leader come to it. */
   public boolean wasRead(long epoch) {
     return readEpoch == epoch && host.nowMs() - readAtMs < RelayConstants.PETITION_FRESH_MS;
   }
--- a/src/main/java/fennelthread/settings/Settings.java
+++ b/src/main/java/fennelthread/settings/Settings.java
@@ -23,7 +23,7 @@
     String site,
     String apiAddr,
     String meshAddr,
-    List<Sibling> siblings,
+    List<Peer> peers,
     String cloudAddr,
     String stateAddr,
     List<String> zones,
@@ -37,7 +37,7 @@
   /**
    * Another controller; {@code site} is the zone that it is in, empty if the settings do not say.
    */
-  public record Sibling(String member, String site, String addr) {}
+  public record Peer(String member, String site, String addr) {}
 
   /** A team's guarantee and caps; a cap of 0 means that there is none. */
   public record Team(String name, double cpus, double cpusMax, double cards, double cardsMax) {}
@@ -172,10 +172,10 @@
   private record Reader(String file, JsonNode root) {
 
     Settings settings() throws SettingsException {
-      List<Sibling> siblings = new ArrayList<>();
+      List<Peer> peers = new ArrayList<>();
       for (JsonNode n : root.path("siblings")) {
-        siblings.add(
-            new Sibling(
+        peers.add(
+            new Peer(
                 text(n, "siblings.", "member"),
                 n.path("site").asText(""),
                 address(n, "siblings.", "addr")));
@@ -219,7 +219,7 @@
           text(root, "", "site"),
           address(root, "", "api_addr"),
           address(root, "", "mesh_addr"),
-          List.copyOf(siblings),
+          List.copyOf(peers),
           address(endpoints, "endpoints.", "cloud"),
           address(endpoints, "endpoints.", "state"),
           List.copyOf(zones),
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -72,10 +72,10 @@
   }
 
   private Settings settingsOf(String member, Map<String, Settings.Team> teams) {
-    List<Settings.Sibling> siblings = new ArrayList<>();
+    List<Settings.Peer> peers = new ArrayList<>();
     for (String other : addresses.keySet()) {
       if (!other.equals(member)) {
-        siblings.add(new Settings.Sibling(other, siteOf(other), peerAddressOf(other)));
+        peers.add(new Settings.Peer(other, siteOf(other), peerAddressOf(other)));
       }
     }
     return new Settings(
@@ -83,7 +83,7 @@
         siteOf(member),
         addresses.get(member),
         peerAddressOf(member),
-        siblings,
+        peers,
         SimulatedCluster.CLOUD,
         SimulatedCluster.STATE,
         deployment.zones(),
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -14,7 +14,7 @@
   /** Without a grant: the highest epoch ever claimed. */
   public static final String EPOCH = LIVE + "epoch";
 
-  /** Without a grant: the epoch whose leader does without its siblings' promises, 0 for none. */
+  /** Without a grant: the epoch whose leader does without its peers' promises, 0 for none. */
   public static final String SOLO = LIVE + "solo";
 
   /** The machine types, kept for starts during an outage of the cloud. */
--- a/src/test/java/fennelthread/election/LeaderViewTest.java
+++ b/src/test/java/fennelthread/election/LeaderViewTest.java
@@ -23,9 +23,9 @@
     return suspect;
   }
 
-  private void greetedFor(long ms) {
+  private void heartbeatsFor(long ms) {
     for (long end = now + ms; now < end; ) {
-      assertEquals(7, view.greeted(7, 0, now));
+      assertEquals(7, view.onHeartbeat(7, 0, now));
       assertFalse(pass(800));
     }
   }
@@ -33,7 +33,7 @@
   private void settled() {
     view.look(now);
     view.begin(7, now);
-    greetedFor(20_000);
+    heartbeatsFor(20_000);
   }
 
   /** The paper's second finding: margins that must be larger than others are compared. */
@@ -46,11 +46,12 @@
         ElectionConstants.TAKEOVER_GAP_MS > promise,
         "a new process forgets promises still in force");
     assertTrue(
-        ElectionConstants.PROMISE_SPARE_MS > PeerConstants.HAIL_MS,
-        "alone before the next greeting is due");
+        ElectionConstants.PROMISE_SPARE_MS > PeerConstants.HEARTBEAT_INTERVAL_MS,
+        "alone before the next heartbeat is due");
     assertTrue(
-        ElectionConstants.PROMISE_MS > 2 * PeerConstants.HAIL_MS * (1 + ProtocolConstants.JITTER),
-        "one lost greeting");
+        ElectionConstants.PROMISE_MS
+            > 2 * PeerConstants.HEARTBEAT_INTERVAL_MS * (1 + ProtocolConstants.JITTER),
+        "one lost heartbeat");
   }
 
   @Test
@@ -61,18 +62,18 @@
     assertEquals(LeaderView.Phase.SUSPECTED, view.phase());
     assertFalse(view.agree(6, 3, now), "of another epoch");
     assertTrue(view.agree(7, 3, now));
-    assertEquals(0, view.greeted(7, 3, now), "bound until the word is newer");
-    assertEquals(7, view.greeted(7, 4, now));
+    assertEquals(0, view.onHeartbeat(7, 3, now), "bound until the word is newer");
+    assertEquals(7, view.onHeartbeat(7, 4, now));
     assertFalse(view.agree(7, 4, now));
   }
 
-  /** A leader whose greetings are slow is suspected later than one whose are not. */
+  /** A leader whose heartbeats are slow is suspected later than one whose are not. */
   @Test
   void suspicionFollowsTheGaps() {
     settled();
     for (int i = 0; i < 4; i++) {
       pass(1_900);
-      view.greeted(7, 0, now);
+      view.onHeartbeat(7, 0, now);
     }
     // The longest gap was some 2.8 s.
     assertFalse(pass(4_500));
@@ -94,12 +95,12 @@
   void aNewProcessIsBoundAndPatient() {
     view.look(now);
     view.born(7, 12, now);
-    assertEquals(0, view.greeted(7, 12, now));
+    assertEquals(0, view.onHeartbeat(7, 12, now));
     assertFalse(pass(ElectionConstants.TAKEOVER_GAP_MS - 500));
     assertFalse(view.agree(7, 12, now));
     assertTrue(pass(1_000));
     assertTrue(view.agree(7, 12, now));
     view.begin(8, now);
-    assertEquals(8, view.greeted(8, 12, now));
+    assertEquals(8, view.onHeartbeat(8, 12, now));
   }
 }
--- a/src/test/java/fennelthread/election/TakeoverModelTest.java
+++ b/src/test/java/fennelthread/election/TakeoverModelTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of taking over, searched through: a leader, two siblings and the state service, with
- * messages and transactions that arrive at any later time or never, and a sibling that restarts.
+ * The rules of taking over, searched through: a leader, two peers and the state service, with
+ * messages and transactions that arrive at any later time or never, and a peer that restarts.
  * Whatever can happen in some ticks does: the leader must never think that it may start once a
  * takeover was applied. The leader may restart too, while its last messages are under way, and lead
  * again under the next epoch. The grant is left out, as if it ran for ever. Without one of the
@@ -37,7 +37,7 @@
     BINDING,
     /** A takeover is conditional on the word's revision that was agreed on. */
     CONDITION,
-    /** The leader counts a promise from before its greeting left. */
+    /** The leader counts a promise from before its heartbeat left. */
     T0,
     /** A majority must agree. */
     MAJORITY,
@@ -54,11 +54,11 @@
   /** Nothing, for messages and times. */
   private static final int NONE = -1;
 
-  /** Everything there is, as small numbers; arrays of two are per sibling. */
+  /** Everything there is, as small numbers; arrays of two are per peer. */
   private static final class State {
     int now;
     int[] asked = {NONE, NONE};
-    int[] greeting = {NONE, NONE};
+    int[] heartbeat = {NONE, NONE};
     int[] ack = {NONE, NONE};
     int[] promised = {NONE, NONE};
     int[] bound = {NONE, NONE};
@@ -77,7 +77,7 @@
     int epoch = 1;
     int leaderEpoch = 1;
     int[] known = {1, 1};
-    int[] greetingOf = {0, 0};
+    int[] heartbeatEpoch = {0, 0};
     int[] ackOf = {0, 0};
     int[] agreedOf = {0, 0};
     int[] takeoverOf = {0, 0};
@@ -92,7 +92,7 @@
       State s = new State();
       s.now = now;
       s.asked = asked.clone();
-      s.greeting = greeting.clone();
+      s.heartbeat = heartbeat.clone();
       s.ack = ack.clone();
       s.promised = promised.clone();
       s.bound = bound.clone();
@@ -111,7 +111,7 @@
       s.leaderRestarts = leaderRestarts;
       s.leaderEpoch = leaderEpoch;
       s.known = known.clone();
-      s.greetingOf = greetingOf.clone();
+      s.heartbeatEpoch = heartbeatEpoch.clone();
       s.ackOf = ackOf.clone();
       s.agreedOf = agreedOf.clone();
       s.takeoverOf = takeoverOf.clone();
@@ -125,8 +125,9 @@
       StringBuilder b = new StringBuilder(64);
       for (int[] a :
           new int[][] {
-            asked, greeting, ack, promised, bound, agreesFrom, knownRevision, knownWord, agreed,
-            takeover, sentOn, sentCondition, known, greetingOf, ackOf, agreedOf, takeoverOf, wordOf
+            asked, heartbeat, ack, promised, bound, agreesFrom, knownRevision, knownWord, agreed,
+            takeover, sentOn, sentCondition, known, heartbeatEpoch, ackOf, agreedOf, takeoverOf,
+                wordOf
           }) {
         for (int v : a) {
           b.append((char) ('0' + v));
@@ -168,35 +169,35 @@
       steps.add(new Search.Step<>("tick " + t.now, t));
     }
     for (int x = 0; x < 2; x++) {
-      sibling(s, x, w, steps);
+      peer(s, x, w, steps);
     }
     words(s, w, steps);
     leader(s, steps);
     return steps;
   }
 
-  private static void sibling(State s, int x, Without w, List<Search.Step<State>> steps) {
+  private static void peer(State s, int x, Without w, List<Search.Step<State>> steps) {
     String name = x == 0 ? "F" : "G";
     boolean epochs = w != Without.EPOCHS;
     if (s.leaderEpoch != 0
         && s.ack[x] == NONE
-        && (s.greeting[x] == NONE || s.greetingOf[x] != s.leaderEpoch)) {
+        && (s.heartbeat[x] == NONE || s.heartbeatEpoch[x] != s.leaderEpoch)) {
       State t = s.copy();
-      t.greeting[x] = s.now;
-      t.greetingOf[x] = s.leaderEpoch;
-      steps.add(new Search.Step<>("L greets " + name, t));
+      t.heartbeat[x] = s.now;
+      t.heartbeatEpoch[x] = s.leaderEpoch;
+      steps.add(new Search.Step<>("L sends a heartbeat to " + name, t));
     }
-    if (s.greeting[x] != NONE) {
+    if (s.heartbeat[x] != NONE) {
       State t = s.copy();
-      t.greeting[x] = NONE;
+      t.heartbeat[x] = NONE;
       boolean free =
           (w == Without.BINDING || s.bound[x] == NONE || s.knownRevision[x] > s.bound[x])
-              && (!epochs || s.greetingOf[x] == s.known[x]);
+              && (!epochs || s.heartbeatEpoch[x] == s.known[x]);
       if (free) {
         t.bound[x] = NONE;
         t.promised[x] = s.now;
-        t.ack[x] = s.greeting[x];
-        t.ackOf[x] = s.greetingOf[x];
+        t.ack[x] = s.heartbeat[x];
+        t.ackOf[x] = s.heartbeatEpoch[x];
       }
       steps.add(new Search.Step<>(name + (free ? " promises" : " promises nothing"), t));
     }
--- a/src/test/java/fennelthread/leaserenewal/GapModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/GapModelTest.java
@@ -60,7 +60,7 @@
     int asked = NONE;
     boolean knows;
     int incarnationHeard;
-    int greeting = NONE;
+    int heartbeat = NONE;
     int reply = NONE;
     boolean replyNames;
     boolean replyAll;
@@ -92,7 +92,7 @@
             asked,
             knows ? 1 : 0,
             incarnationHeard,
-            greeting,
+            heartbeat,
             reply,
             replyNames ? 1 : 0,
             replyAll ? 1 : 0,
@@ -167,16 +167,16 @@
   }
 
   private static void words(State s, Without w, List<Search.Step<State>> steps) {
-    if (s.greeting == NONE && s.reply == NONE) {
+    if (s.heartbeat == NONE && s.reply == NONE) {
       State t = s.copy();
-      t.greeting = s.now;
-      steps.add(new Search.Step<>("L greets F", t));
+      t.heartbeat = s.now;
+      steps.add(new Search.Step<>("L sends a heartbeat to F", t));
     }
-    if (s.greeting != NONE && s.reply == NONE) {
+    if (s.heartbeat != NONE && s.reply == NONE) {
       for (boolean all : new boolean[] {true, false}) {
         State t = s.copy();
-        t.reply = s.greeting;
-        t.greeting = NONE;
+        t.reply = s.heartbeat;
+        t.heartbeat = NONE;
         t.replyAll = all;
         t.replyNames = all && s.inLog;
         t.replyIncarnation = s.incarnation;
--- a/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of keeping leases, searched through: a leader L, a sibling S, one worker's task, and
+ * The rules of keeping leases, searched through: a leader L, a peer S, one worker's task, and
  * messages that arrive at any later time or never. Another leader N may claim, and a user may be
  * told, by a controller that neither L nor S hears, that the job is withdrawn. Never may L or N
  * take the task for gone while it runs, and never may it run longer after the user was told than it
@@ -40,13 +40,13 @@
     EXCHANGE_BOUND,
     /** The same, counted from when L's answer came. */
     EXCHANGE_T0,
-    /** L counts S's promise from before its greeting left. */
+    /** L counts S's promise from before its heartbeat left. */
     STILL_T0,
-    /** L takes a sibling that has promised nothing for one that may be keeping. */
+    /** L takes a peer that has promised nothing for one that may be keeping. */
     LEDGER,
     /** A new process does not say what the one before it kept. */
     BORN,
-    /** That S kept nothing counts only in an answer, not in a greeting, which may be old. */
+    /** That S kept nothing counts only in an answer, not in a heartbeat, which may be old. */
     ANSWERS_ONLY,
     /** N waits until those that do not know of it can keep nothing any more. */
     CLAIM_BOUND,
@@ -69,7 +69,7 @@
     int still = NONE;
     int answeredS = NONE;
     int keptKnown = NONE;
-    int greeting = NONE;
+    int heartbeat = NONE;
     int ack = NONE;
     int ackKept = NONE;
 
@@ -113,7 +113,7 @@
             still,
             answeredS,
             keptKnown,
-            greeting,
+            heartbeat,
             ack,
             ackKept,
             readS,
@@ -173,7 +173,7 @@
     }
     worker(s, w, steps);
     reads(s, w, steps);
-    greetings(s, w, steps);
+    heartbeats(s, w, steps);
     if (s.told == NONE) {
       State t = s.copy();
       t.told = s.now;
@@ -213,9 +213,9 @@
       t.answeredByL = s.now;
       steps.add(new Search.Step<>("L answers W", t));
     }
-    boolean siblingKnowsN = s.claimed != NONE && s.knowsS > s.claimed;
+    boolean peerKnowsN = s.claimed != NONE && s.knowsS > s.claimed;
     boolean bound = w == Without.EXCHANGE_BOUND || s.now < s.exchanged + KEEP;
-    if (!siblingKnowsN
+    if (!peerKnowsN
         && s.exchanged != NONE
         && s.now > s.stillUntil
         && bound
@@ -249,18 +249,18 @@
     }
   }
 
-  private static void greetings(State s, Without w, List<Search.Step<State>> steps) {
+  private static void heartbeats(State s, Without w, List<Search.Step<State>> steps) {
     boolean leaderKnowsN = s.claimed != NONE && s.knowsL > s.claimed;
-    if (s.greeting == NONE && s.ack == NONE) {
+    if (s.heartbeat == NONE && s.ack == NONE) {
       State t = s.copy();
-      t.greeting = s.now;
-      steps.add(new Search.Step<>("L greets S", t));
+      t.heartbeat = s.now;
+      steps.add(new Search.Step<>("L sends a heartbeat to S", t));
     }
-    if (s.greeting != NONE && s.ack == NONE) {
+    if (s.heartbeat != NONE && s.ack == NONE) {
       State t = s.copy();
-      t.ack = s.greeting;
+      t.ack = s.heartbeat;
       t.ackKept = s.kept;
-      t.greeting = NONE;
+      t.heartbeat = NONE;
       t.stillUntil = s.now + STILL;
       steps.add(new Search.Step<>("S promises", t));
     }
@@ -277,7 +277,7 @@
       State t = s.copy();
       t.hail = s.now;
       t.hailKept = s.kept;
-      steps.add(new Search.Step<>("S greets L", t));
+      steps.add(new Search.Step<>("S sends a heartbeat to L", t));
     }
     if (s.hail != NONE && !leaderKnowsN) {
       State t = s.copy();
--- a/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
+++ b/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
@@ -32,7 +32,7 @@
 
   @Test
   void writtenAsBefore() throws WireException {
-    PeerHeartbeat greeting =
+    PeerHeartbeat heartbeat =
         new PeerHeartbeat(
             "nodo-0",
             "a1",
@@ -48,8 +48,8 @@
             KEEP,
             Map.of("n-1", "10.1.0.1:9000"),
             List.of("n-2"));
-    assertEquals(NOW, new String(Codec.JSON.encode(greeting.write()), StandardCharsets.UTF_8));
-    assertEquals(greeting, read(NOW));
+    assertEquals(NOW, new String(Codec.JSON.encode(heartbeat.write()), StandardCharsets.UTF_8));
+    assertEquals(heartbeat, read(NOW));
   }
 
   /**
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a leader may conclude from commands that a sibling passes on. */
+/** What a leader may conclude from commands that a peer passes on. */
 class CommandSenderTest {
   private record Sent(String address, Call call, Consumer<Answer> done, Host.Unsent unsent) {}
 
@@ -72,7 +72,7 @@
           "norte",
           "10.0.0.1:8080",
           "10.0.0.1:8081",
-          List.of(new Settings.Sibling("nodo-1", "here", "10.0.0.2:8081")),
+          List.of(new Settings.Peer("nodo-1", "here", "10.0.0.2:8081")),
           "10.2.0.2:8443",
           "10.2.0.1:2379",
           List.of("norte"),
@@ -107,12 +107,12 @@
   private final List<Object> outcomes = new ArrayList<>();
 
   @BeforeEach
-  void deafAndGreeted() {
-    byte[] greeting =
+  void deafWithHeartbeats() {
+    byte[] heartbeat =
         ("{\"member\":\"nodo-1\",\"incarnation\":\"b\",\"epoch\":7,\"leading\":false,"
                 + "\"served_ago_ms\":1,\"beats_heard\":3,\"chains\":true,\"relays\":true}")
             .getBytes(StandardCharsets.UTF_8);
-    mesh.handle(new Request("POST", "/hail", greeting), a -> {});
+    mesh.handle(new Request("POST", "/hail", heartbeat), a -> {});
     courier.begin(7);
     hearing.begin(now - 100_000);
     for (long t = now - 10_000; t <= now; t += RelayConstants.SUPERVISE_MS) {
@@ -143,7 +143,7 @@
    * left this process does.
    */
   @Test
-  void silenceOfTheSiblingProvesNothing() {
+  void silenceOfThePeerProvesNothing() {
     send(false).done.accept(null);
     send(false).done.accept(outcome(new RelayWire.Outcome(0, null, false)));
     send(false).done.accept(Answer.error(404, "unknown path"));
@@ -154,7 +154,7 @@
     assertTrue(sent.stream().allMatch(s -> s.address.equals("10.0.0.2:8081")));
   }
 
-  /** A sibling that knows of a later leader passes nothing on, and says so. */
+  /** A peer that knows of a later leader passes nothing on, and says so. */
   @Test
   void commandsOfAnOldLeaderAreNotPassedOn() throws WireException {
     for (long epoch = 6; epoch <= 7; epoch++) {
--- a/src/test/java/fennelthread/simulation/CopiesTest.java
+++ b/src/test/java/fennelthread/simulation/CopiesTest.java
@@ -144,7 +144,7 @@
   }
 
   /**
-   * Takeovers while copies from before, greetings and promises and reports alike, come in at the
+   * Takeovers while copies from before, heartbeats and promises and reports alike, come in at the
    * next leader.
    */
   @ParameterizedTest
--- a/src/test/java/fennelthread/simulation/GapTest.java
+++ b/src/test/java/fennelthread/simulation/GapTest.java
@@ -36,7 +36,7 @@
   /** What happens beside the gap itself. */
   private enum With {
     NOTHING,
-    /** The old leader is cut off from one sibling, the one that confirms. */
+    /** The old leader is cut off from one peer, the one that confirms. */
     CUT_FROM_ONE,
     /** From both. */
     CUT_FROM_BOTH,
@@ -146,7 +146,7 @@
             c.state.refuse(claimed[0], 60_000);
           }
         });
-    // Frozen and back, not ended: a new process of a sibling would have everybody wait for the
+    // Frozen and back, not ended: a new process of a peer would have everybody wait for the
     // state service.
     long frozenAt = Long.MIN_VALUE / 2;
     while (claimed[0] == null || !claimed[0].equals(c.leader())) {
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -90,8 +90,8 @@
   }
 
   /**
-   * The answers to a leader's word that it goes alone are lost until its siblings promise again:
-   * the word is withdrawn all the same. As long as it stands no sibling can take over.
+   * The answers to a leader's word that it goes alone are lost until its peers promise again: the
+   * word is withdrawn all the same. As long as it stands no peer can take over.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/fennelthread/simulation/Production.java
+++ b/src/test/java/fennelthread/simulation/Production.java
@@ -114,9 +114,9 @@
     t.append("site = \"").append(s.site()).append("\"\n");
     t.append("api_addr = \"").append(s.apiAddr()).append("\"\n");
     t.append("mesh_addr = \"").append(s.meshAddr()).append("\"\n");
-    for (Settings.Sibling sibling : s.siblings()) {
-      t.append("[[siblings]]\nmember = \"").append(sibling.member());
-      t.append("\"\naddr = \"").append(sibling.addr()).append("\"\n");
+    for (Settings.Peer peer : s.peers()) {
+      t.append("[[siblings]]\nmember = \"").append(peer.member());
+      t.append("\"\naddr = \"").append(peer.addr()).append("\"\n");
     }
     t.append("[endpoints]\ncloud = \"").append(s.cloudAddr());
     t.append("\"\nstate = \"").append(s.stateAddr()).append("\"\n");
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -30,7 +30,7 @@
   private static final int MACHINES = 200;
   private static final long CUT_MS = 14_000;
 
-  /** Reports and commands go through siblings: nothing is lost, the leader stays, jobs start. */
+  /** Reports and commands go through peers: nothing is lost, the leader stays, jobs start. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderCutFromItsWorkersGoesOn(long seed) {
@@ -72,9 +72,7 @@
     assertTrue(c.allRun(services));
   }
 
-  /**
-   * No path between controllers either: the siblings say through the state service what they hear.
-   */
+  /** No path between controllers either: the peers say through the state service what they hear. */
   @ParameterizedTest
   @ValueSource(longs = {7, 8, 9})
   void cutOffWhileTheMeshIsRefused(long seed) {
@@ -98,12 +96,12 @@
   }
 
   /**
-   * One sibling is dead, the other relays. Half of the workers try the dead one first, and some of
+   * One peer is dead, the other relays. Half of the workers try the dead one first, and some of
    * those have no time left then: twice 4 s and twice 1 s is a whole lease here.
    */
   @ParameterizedTest
   @ValueSource(longs = {10, 11})
-  void cutOffWithOneSiblingDead(long seed) {
+  void cutOffWithOnePeerDead(long seed) {
     cutOffAt(seed, 31_000, 80, c -> c.crash(follower(c), 9_000));
   }
 
@@ -142,7 +140,7 @@
   }
 
   /**
-   * An old leader is not relayed to, and an old sibling relays nothing: it yields as it always did.
+   * An old leader is not relayed to, and an old peer relays nothing: it yields as it always did.
    */
   @ParameterizedTest
   @ValueSource(longs = {18, 19, 20})
@@ -166,7 +164,7 @@
 
   /**
    * The relay has passed commands on, and is cut off before it can say so: without its answer they
-   * count as ones that may be executed, until the workers' own reports come by the other sibling.
+   * count as ones that may be executed, until the workers' own reports come by the other peer.
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
@@ -194,7 +192,7 @@
 
   /**
    * A leader that yielded keeps tasks alive while nobody leads, and not a moment longer than it
-   * knows: the next one counts leases from when its siblings have acknowledged its epoch.
+   * knows: the next one counts leases from when its peers have acknowledged its epoch.
    */
   @Test
   void aResignedLeaderStopsOnceAnotherLeads() throws WireException {
@@ -228,7 +226,7 @@
               a -> answer[0] = a);
       if (answer[0] != null && answer[0].status() == 200) {
         answers++;
-        // Greetings that bring the news take a few milliseconds, and one in between may be lost.
+        // Heartbeats that bring the news take a few milliseconds, and one in between may be lost.
         assertTrue(c.world.now() < another + 1_000, "answers at " + c.world.now());
       }
     }
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -123,10 +123,10 @@
   }
 
   private Settings settingsOf(String member, Deployment deployment) {
-    List<Settings.Sibling> siblings = new ArrayList<>();
+    List<Settings.Peer> peers = new ArrayList<>();
     for (String other : addresses.keySet()) {
       if (!other.equals(member)) {
-        siblings.add(new Settings.Sibling(other, deployment.zones().get(0), meshOf(other)));
+        peers.add(new Settings.Peer(other, deployment.zones().get(0), meshOf(other)));
       }
     }
     Map<String, Settings.Team> teams = new TreeMap<>();
@@ -139,7 +139,7 @@
         deployment.zones().get(0),
         addresses.get(member),
         meshOf(member),
-        siblings,
+        peers,
         CLOUD,
         STATE,
         deployment.zones(),
--- a/src/test/java/fennelthread/simulation/SimulationTest.java
+++ b/src/test/java/fennelthread/simulation/SimulationTest.java
@@ -143,15 +143,14 @@
   }
 
   /**
-   * A leader that is cut off from the state service and its siblings goes on answering the one
-   * worker that hears only it. The successor must not count that worker's lease as over: the
-   * sibling that has not acknowledged the new epoch may be keeping it alive, for as long as it may
-   * without knowing of withdrawals. The cloud takes nothing back meanwhile, which would be proof of
-   * another kind.
+   * A leader that is cut off from the state service and its peers goes on answering the one worker
+   * that hears only it. The successor must not count that worker's lease as over: the peer that has
+   * not acknowledged the new epoch may be keeping it alive, for as long as it may without knowing
+   * of withdrawals. The cloud takes nothing back meanwhile, which would be proof of another kind.
    */
   @ParameterizedTest
   @ValueSource(longs = {41, 42, 43})
-  void silentSiblingMayKeepTasksAlive(long seed) {
+  void silentPeerMayKeepTasksAlive(long seed) {
     SimulatedCluster c = calmCluster(seed);
     JobSpec job = c.job(true, 1, 1, false, false, false);
     c.submit(job);
--- a/src/test/java/fennelthread/simulation/TakeoverTest.java
+++ b/src/test/java/fennelthread/simulation/TakeoverTest.java
@@ -96,7 +96,7 @@
   /** The mesh is refused, or broken between two: the leader goes alone and nobody takes over. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aLeaderWithoutItsSiblingsGoesOn(long seed) {
+  void aLeaderWithoutItsPeersGoesOn(long seed) {
     SimulatedCluster c = settled(seed);
     String leader = c.leader();
     c.refuseMesh(40_000);
@@ -111,11 +111,9 @@
     assertTrue(starts >= 25, "starts in " + starts + " of 30 seconds");
   }
 
-  /**
-   * One sibling is gone for good: the other one's promises are enough, and nobody can take over.
-   */
+  /** One peer is gone for good: the other one's promises are enough, and nobody can take over. */
   @Test
-  void oneSiblingIsGone() {
+  void onePeerIsGone() {
     SimulatedCluster c = settled(4);
     String leader = c.leader();
     String gone = c.controllers.keySet().stream().filter(m -> !m.equals(leader)).findFirst().get();
--- a/src/test/java/fennelthread/simulation/UntoldTest.java
+++ b/src/test/java/fennelthread/simulation/UntoldTest.java
@@ -60,10 +60,10 @@
     assertTrue(c.allRun(services));
   }
 
-  /** A cut only from the leader: siblings tell the machines what it says, and nothing is lost. */
+  /** A cut only from the leader: peers tell the machines what it says, and nothing is lost. */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
-  void whoeverOnlyTheLeaderCanNotTellIsToldBySiblings(long seed) {
+  void whoeverOnlyTheLeaderCanNotTellIsToldByPeers(long seed) {
     SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
     int before = c.rules.starts;
