--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -31,7 +31,7 @@
 /** What users, workers and the load balancer ask of a controller. */
 public final class Api implements Service {
   private static final String JOBS = "/v1/jobs";
-  private static final String WITHDRAW = "/withdraw";
+  private static final String CANCEL = "/withdraw";
 
   private final Host host;
   private final Settings settings;
@@ -83,11 +83,11 @@
       if (allowed(method, "POST", reply)) {
         submit(request, bounded(reply));
       }
-    } else if (path.startsWith(JOBS + "/") && path.endsWith(WITHDRAW)) {
+    } else if (path.startsWith(JOBS + "/") && path.endsWith(CANCEL)) {
       if (allowed(method, "POST", reply)) {
         String id =
             path.substring(
-                JOBS.length() + 1, Math.max(JOBS.length() + 1, path.length() - WITHDRAW.length()));
+                JOBS.length() + 1, Math.max(JOBS.length() + 1, path.length() - CANCEL.length()));
         cancel(id, bounded(reply));
       }
     } else if (path.startsWith(JOBS + "/")) {
--- a/src/main/java/fennelthread/cli/Withdraw.java
+++ b/src/main/java/fennelthread/cli/Cancel.java
@@ -5,13 +5,13 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Withdraws a job. */
+/** Cancels a job. */
 @Command(
     name = "withdraw",
     mixinStandardHelpOptions = true,
     versionProvider = Version.class,
     description = "Withdraws a job: its tasks are stopped and none is started any more.")
-final class Withdraw implements Callable<Integer> {
+final class Cancel implements Callable<Integer> {
   @Mixin private Client client;
 
   @Parameters(paramLabel = "ID", description = "The job's id, such as job-000412.")
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -22,7 +22,7 @@
       Check.class,
       Submit.class,
       Status.class,
-      Withdraw.class,
+      Cancel.class,
       Train.class
     })
 final class Serve implements Callable<Integer> {
--- a/src/main/java/fennelthread/constants/ElectionConstants.java
+++ b/src/main/java/fennelthread/constants/ElectionConstants.java
@@ -17,7 +17,7 @@
   /** Shortest time between two such words, ms: each is a change. */
   public static final long SOLO_RETRY_MS = 300;
 
-  /** Promises must have been enough for so long before the word is withdrawn, ms. */
+  /** Promises must have been enough for so long before the word is cancelled, ms. */
   public static final long SOLO_AFTER_MS = 5_000;
 
   /** A peer that answers and does not promise for so long is bound by an old agreement, ms. */
--- a/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
+++ b/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
@@ -15,7 +15,7 @@
    * Least such time, ms: a copy of the state is as old as one watch is held, and one call. With
    * less than that between a lease and {@code cancel_s} a healthy leader, which knows everything
    * until about a second ago, could not answer reports; a task that is cut off then outlives its
-   * withdrawal, as it does without any controller. Seven seconds once lengthened the answering of
+   * cancellation, as it does without any controller. Seven seconds once lengthened the answering of
    * settings that had room for five.
    */
   public static final long KEEP_LEAST_MS = 2_500;
@@ -27,8 +27,8 @@
    */
   public static final long KEEP_STILL_MS = 2_500;
 
-  /** Most withdrawn jobs named in one heartbeat: keeps it below the bound on bodies. */
-  public static final int WITHDRAWN_PER_HEARTBEAT = 500;
+  /** Most cancelled jobs named in one heartbeat: keeps it below the bound on bodies. */
+  public static final int CANCELLED_PER_HEARTBEAT = 500;
 
   private LeaseRenewalConstants() {}
 }
--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -160,7 +160,7 @@
 
   /**
    * True if our word that we do without promises may stand: written, or found in the copy of the
-   * state, since the answers to its writing or its withdrawal were lost. As long as it stands
+   * state, since the answers to its writing or its cancellation were lost. As long as it stands
    * nobody can take over from us if we fall silent.
    */
   private boolean mayStand() {
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -22,13 +22,13 @@
 
   /** Where the word stands. Only ON is a reason to start anything. */
   enum Phase {
-    /** Not written, or about to be withdrawn. */
+    /** Not written, or about to be cancelled. */
     OFF,
     /** Being written; without an answer it may be written or not. */
     TURNING_ON,
     /** Written. */
     ON,
-    /** Being withdrawn: from the moment that was sent, it counts for nothing. */
+    /** Being cancelled: from the moment that was sent, it counts for nothing. */
     TURNING_OFF
   }
 
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Writes the word, withdraws it, or, if it is withdrawn already, writes that anew: peers that may
+   * Writes the word, cancels it, or, if it is cancelled already, writes that anew: peers that may
    * have agreed to a takeover are then free to promise again. Each is conditional on the one
    * before, since one without an answer may be applied after the next.
    *
--- a/src/main/java/fennelthread/emulate/EmulatedUsers.java
+++ b/src/main/java/fennelthread/emulate/EmulatedUsers.java
@@ -230,7 +230,7 @@
         history.add(new HistoryEvent.Told(now, id, state, body.count("done", 0), before));
         job.accepted = true;
         job.done |= state.equals(JobState.DONE.wire());
-        job.cancelled |= state.equals(JobState.WITHDRAWN.wire());
+        job.cancelled |= state.equals(JobState.CANCELLED.wire());
         return;
       } catch (WireException e) {
         System.err.println("emulation: an answer to a user can't be read: " + e.getMessage());
--- a/src/main/java/fennelthread/emulate/HistoryChecker.java
+++ b/src/main/java/fennelthread/emulate/HistoryChecker.java
@@ -290,7 +290,7 @@
     job.accepted = true;
     Known before = e.before();
     boolean done = e.state().equals(JobState.DONE.wire());
-    boolean cancelled = e.state().equals(JobState.WITHDRAWN.wire());
+    boolean cancelled = e.state().equals(JobState.CANCELLED.wire());
     if ((before.done() && !done) || (before.cancelled() && !cancelled)) {
       broken("went_back", e.nanos(), e.job() + " is called " + e.state() + " after its end");
     }
--- a/src/main/java/fennelthread/emulate/Measurements.java
+++ b/src/main/java/fennelthread/emulate/Measurements.java
@@ -117,7 +117,7 @@
       if (job.measured && job.lastCompletedNanos != 0) {
         record("last task to done", e.nanos() - job.lastCompletedNanos);
       }
-    } else if (e.state().equals(JobState.WITHDRAWN.wire())) {
+    } else if (e.state().equals(JobState.CANCELLED.wire())) {
       job.over = true;
       waiting -= job.spec.tasks() - job.begun.cardinality();
     }
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -120,7 +120,7 @@
 
   /**
    * Takes over what a round record says of an attempt that a report showed first: the job may be
-   * withdrawn and unknown by now, yet its tasks still count against their team's cap.
+   * cancelled and unknown by now, yet its tasks still count against their team's cap.
    */
   void describedBy(StartRecord.Start recorded) {
     start = recorded;
--- a/src/main/java/fennelthread/jobs/Cancellations.java
+++ b/src/main/java/fennelthread/jobs/Cancellations.java
@@ -133,7 +133,7 @@
   }
 
   private Lookup.Final cancelled(Job job) {
-    return new Lookup.Final(JobState.WITHDRAWN, job.finished().cardinality(), host.wallMs());
+    return new Lookup.Final(JobState.CANCELLED, job.finished().cardinality(), host.wallMs());
   }
 
   /** Adds the changes that make a live job final, on condition that it still is what is known. */
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -72,7 +72,7 @@
 
   private boolean isCancelled(String id, Lookup found) {
     return waits.graph().isDoomed(id)
-        || (found instanceof Lookup.Final end && end.state() == JobState.WITHDRAWN);
+        || (found instanceof Lookup.Final end && end.state() == JobState.CANCELLED);
   }
 
   private void read(List<String> needs, int at, boolean cancelled, Consumer<Needs> done) {
--- a/src/main/java/fennelthread/jobs/DependencyGraph.java
+++ b/src/main/java/fennelthread/jobs/DependencyGraph.java
@@ -20,7 +20,7 @@
 /**
  * Which live jobs wait for which others, and what follows from that. It holds no assumption: a need
  * is met by the final record that says done and by nothing else; that a job is no longer live
- * proves nothing, for it may have been withdrawn. All of it follows from the records, so that every
+ * proves nothing, for it may have been cancelled. All of it follows from the records, so that every
  * controller has the same graph and no step is lost when one ends.
  *
  * <p>Nothing here recurses, since chains may be long.
@@ -33,7 +33,7 @@
     WAITING,
     /** All needs are done: tasks may start. */
     RELEASED,
-    /** A need, or a need of a need, was withdrawn: this job is to be withdrawn too. */
+    /** A need, or a need of a need, was cancelled: this job is to be cancelled too. */
     DOOMED
   }
 
@@ -108,7 +108,7 @@
     relend(node.unmet);
   }
 
-  /** A job is no longer live: done or withdrawn, which {@link #learn} says. */
+  /** A job is no longer live: done or cancelled, which {@link #learn} says. */
   public void remove(String id) {
     doomed.remove(id);
     Node node = nodes.remove(id);
@@ -157,7 +157,7 @@
     return Collections.unmodifiableSet(unknown);
   }
 
-  /** The live jobs that are to be withdrawn, those that are needed before those that need them. */
+  /** The live jobs that are to be cancelled, those that are needed before those that need them. */
   public Collection<Job> doomed() {
     return Collections.unmodifiableCollection(doomed.values());
   }
@@ -171,7 +171,7 @@
     return node != null && node.phase == Phase.RELEASED;
   }
 
-  /** True if a live job is to be withdrawn with one that it needs. */
+  /** True if a live job is to be cancelled with one that it needs. */
   public boolean isDoomed(String id) {
     return doomed.containsKey(id);
   }
--- a/src/main/java/fennelthread/jobs/FinalStates.java
+++ b/src/main/java/fennelthread/jobs/FinalStates.java
@@ -54,7 +54,7 @@
   /** Takes note of a final record: the one place where it becomes known here. */
   void learn(String id, Lookup.Final end) {
     cache.put(id, end);
-    if (end.state() == JobState.WITHDRAWN) {
+    if (end.state() == JobState.CANCELLED) {
       onCancelled.accept(id);
     }
     listener.accept(id, end);
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** An accepted job that is neither done nor withdrawn, as the state service knows it. */
+/** An accepted job that is neither done nor cancelled, as the state service knows it. */
 public final class Job {
   private final JobSpec spec;
   private final long revision;
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -85,7 +85,7 @@
    * first, it would be called so long after its user was told of the cancellation.
    */
   public Submission cancelled(Submission job) {
-    Lookup.Final end = new Lookup.Final(JobState.WITHDRAWN, 0, host.wallMs());
+    Lookup.Final end = new Lookup.Final(JobState.CANCELLED, 0, host.wallMs());
     return new Submission(job.spec(), Map.of(Keys.finalJob(job.spec().id()), end.write()), end);
   }
 
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -27,7 +27,7 @@
     /** A job was accepted somewhere. */
     void added(Job job);
 
-    /** A job is done or was withdrawn. */
+    /** A job is done or was cancelled. */
     void removed(Job job);
   }
 
--- a/src/main/java/fennelthread/jobs/Lookup.java
+++ b/src/main/java/fennelthread/jobs/Lookup.java
@@ -7,11 +7,11 @@
 
 /** What the state service says of a job at the moment of asking. */
 public sealed interface Lookup {
-  /** Accepted, neither done nor withdrawn. */
+  /** Accepted, neither done nor cancelled. */
   record Live(Job job) implements Lookup {}
 
   /**
-   * Done or withdrawn, for ever; {@code endedWallMs} is the time of day when that was written, 0 in
+   * Done or cancelled, for ever; {@code endedWallMs} is the time of day when that was written, 0 in
    * records of versions that did not write it.
    */
   record Final(JobState state, int done, long endedWallMs) implements Lookup {
--- a/src/main/java/fennelthread/jobs/StartRecord.java
+++ b/src/main/java/fennelthread/jobs/StartRecord.java
@@ -14,7 +14,7 @@
 
 /**
  * What one round is about to start, written before any start is sent. It names the team and the
- * resources too: a successor must count a withdrawn job's tasks, whose record is gone by then.
+ * resources too: a successor must count a cancelled job's tasks, whose record is gone by then.
  */
 public record StartRecord(List<Start> starts) {
 
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -246,7 +246,7 @@
     } else {
       lease.refused(result);
       if (result instanceof TxnResult.Conflict c) {
-        // A job that was withdrawn has no record any more: its tasks need not be kept.
+        // A job that was cancelled has no record any more: its tasks need not be kept.
         dirty.removeIf(run -> c.failed().contains(Keys.job(run.job().spec().id())));
       }
       if (awaited) {
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -230,7 +230,7 @@
         continue;
       }
       if (jobs.add(id)) {
-        // A job that was withdrawn meanwhile fails the whole record.
+        // A job that was cancelled meanwhile fails the whole record.
         txn.when(Keys.job(id), run.job().revision());
       }
       Attempt a = fleet.create(m, s.spec(), s.task());
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -299,7 +299,7 @@
       return StartRecord.Start.of(
           job.spec(), task.ref().index(), task.attempt(), m.name(), m.session());
     }
-    // A withdrawn job's task: its round record still says what it takes.
+    // A cancelled job's task: its round record still says what it takes.
     StartRecord.Start recorded = table.startOf(task.ref(), task.attempt(), m.name());
     return recorded != null
         ? recorded
--- a/src/main/java/fennelthread/leaserenewal/CancellationLog.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -13,7 +13,7 @@
 
 /**
  * The jobs that are known to be over since lately, and of those that users may have been told are
- * withdrawn a numbered log for peers. Bounded by time: whoever was told longer ago than any task
+ * cancelled a numbered log for peers. Bounded by time: whoever was told longer ago than any task
  * may live on has nothing left to be stopped.
  */
 public final class CancellationLog {
@@ -32,13 +32,13 @@
     this.rememberMs = rememberMs;
   }
 
-  /** A job is over, done or withdrawn: no task of it may run on. */
+  /** A job is over, done or cancelled: no task of it may run on. */
   public void over(String id) {
     over.putIfAbsent(id, host.nowMs());
     trim();
   }
 
-  /** This controller knows that a job is withdrawn: from now on it may tell users so. */
+  /** This controller knows that a job is cancelled: from now on it may tell users so. */
   public void mayTell(String id) {
     over(id);
     if (logged.add(id)) {
@@ -68,7 +68,7 @@
     }
     List<String> ids = new ArrayList<>();
     for (Told t : log) {
-      if (t.number > number && ids.size() < LeaseRenewalConstants.WITHDRAWN_PER_HEARTBEAT) {
+      if (t.number > number && ids.size() < LeaseRenewalConstants.CANCELLED_PER_HEARTBEAT) {
         ids.add(t.id);
       }
     }
--- a/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Up to when this controller knows of every withdrawal that anyone was told of. The state service
+ * Up to when this controller knows of every cancellation that anyone was told of. The state service
  * says so; in an outage of it nobody can be told of a new one, which the peers together say as
  * well: each tells what it may have told its users, and what it can't have known it can't have
  * told.
@@ -23,14 +23,14 @@
   }
 
   private final LongSupplier readAtMs;
-  private final CancellationLog withdrawals;
+  private final CancellationLog cancellations;
   private final Map<String, Peer> peers = new HashMap<>();
 
   /** Creates it; {@code readAtMs} is when what our copy of the state holds was asked for. */
   CancellationWatermark(
-      LongSupplier readAtMs, Iterable<String> members, CancellationLog withdrawals) {
+      LongSupplier readAtMs, Iterable<String> members, CancellationLog cancellations) {
     this.readAtMs = readAtMs;
-    this.withdrawals = withdrawals;
+    this.cancellations = cancellations;
     members.forEach(m -> peers.put(m, new Peer()));
   }
 
@@ -59,8 +59,8 @@
     if (s == null || said == null) {
       return;
     }
-    said.withdrawn().forEach(withdrawals::over);
-    boolean gap = !said.all() && said.withdrawn().isEmpty();
+    said.cancelled().forEach(cancellations::over);
+    boolean gap = !said.all() && said.cancelled().isEmpty();
     if (gap || !reply.incarnation().equals(s.incarnation)) {
       // Its log begins anew for us: what came before, only the state service can say.
       s.incarnation = reply.incarnation();
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -40,7 +40,7 @@
   private final BooleanSupplier leading;
   private final LongSupplier ownEpoch;
   private final LongSupplier highestEpoch;
-  private final CancellationLog withdrawals;
+  private final CancellationLog cancellations;
   private final CancellationWatermark currency;
   private final HeartbeatResponseGate gate;
   private final RenewalLog ledger;
@@ -66,7 +66,7 @@
       Host host,
       Settings settings,
       PeerHeartbeats mesh,
-      CancellationLog withdrawals,
+      CancellationLog cancellations,
       Replica replica,
       BooleanSupplier leading,
       LongSupplier ownEpoch,
@@ -76,12 +76,12 @@
     this.leading = leading;
     this.ownEpoch = ownEpoch;
     this.highestEpoch = highestEpoch;
-    this.withdrawals = withdrawals;
+    this.cancellations = cancellations;
     List<String> members = settings.peers().stream().map(Settings.Peer::member).toList();
-    this.currency = new CancellationWatermark(replica::readAtMs, members, withdrawals);
+    this.currency = new CancellationWatermark(replica::readAtMs, members, cancellations);
     this.keepMs = RenewalBounds.keepMs(settings.workers());
     this.keptAtMostMs = RenewalBounds.keptAtMostMs(settings.workers());
-    this.gate = new HeartbeatResponseGate(host, currency, withdrawals, keepMs);
+    this.gate = new HeartbeatResponseGate(host, currency, cancellations, keepMs);
     this.ledger = new RenewalLog(members, keptAtMostMs);
     mesh.join(this);
   }
@@ -136,7 +136,7 @@
     if (leading.getAsBoolean()) {
       ledger.weAnswer(asked, host.nowMs());
     }
-    return answer.keeping(note(true, 0, promise(asked), withdrawals.after(question.after())));
+    return answer.keeping(note(true, 0, promise(asked), cancellations.after(question.after())));
   }
 
   /**
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -14,7 +14,7 @@
 /**
  * The one place that lets out an answer that renews a worker's lease, whoever gives it: a leader,
  * one whose copy of the state has not reached its claim yet, one that has resigned, a follower that
- * keeps leases; directly or through a peer. Whoever answers knows of every withdrawal that users
+ * keeps leases; directly or through a peer. Whoever answers knows of every cancellation that users
  * were told of until a moment so late that the lease, were it the last, ends in time for all later
  * ones; and the answer stops all that the report shows of those that are known.
  * docs/lease-renewal.md has the inequality and the list of places.
@@ -25,14 +25,14 @@
 public final class HeartbeatResponseGate implements Fleet.Gate {
   private final Host host;
   private final CancellationWatermark currency;
-  private final CancellationLog withdrawals;
+  private final CancellationLog cancellations;
   private final long keepMs;
 
   HeartbeatResponseGate(
-      Host host, CancellationWatermark currency, CancellationLog withdrawals, long keepMs) {
+      Host host, CancellationWatermark currency, CancellationLog cancellations, long keepMs) {
     this.host = host;
     this.currency = currency;
-    this.withdrawals = withdrawals;
+    this.cancellations = cancellations;
     this.keepMs = keepMs;
   }
 
@@ -57,7 +57,7 @@
     Set<WorkerCommand> all = new LinkedHashSet<>();
     for (WorkerReport.Task t : beat.tasks()) {
       if (t.phase() != WorkerReport.Phase.ENDED
-          && withdrawals.isOver(t.ref().job())
+          && cancellations.isOver(t.ref().job())
           && all.size() < LeaseRenewalConstants.ORDERS_PER_ANSWER) {
         all.add(new WorkerCommand.Stop(t.ref(), t.attempt(), 0));
       }
--- a/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
@@ -7,8 +7,8 @@
 /**
  * For how long leases may be kept alive by a controller that can't know what users are told
  * elsewhere. A worker's tasks live on for a lease after the last report that was answered; all of a
- * withdrawn job's must be gone within {@code cancel_s} of the moment its user was told. So a
- * controller that last knew of all withdrawals at some moment answers no report later than {@code
+ * cancelled job's must be gone within {@code cancel_s} of the moment its user was told. So a
+ * controller that last knew of all cancellations at some moment answers no report later than {@code
  * cancel_s} less a lease after it.
  */
 public final class RenewalBounds {
@@ -22,7 +22,7 @@
   }
 
   /**
-   * By how much a withdrawn job's task may outlive its withdrawal at the worst, ms; 0 if {@code
+   * By how much a cancelled job's task may outlive its cancellation at the worst, ms; 0 if {@code
    * cancel_s} leaves enough room beside {@code lease_s}. A service that answered no report at all
    * would serve nobody.
    */
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -36,17 +36,17 @@
   /**
    * What controllers tell one another about keeping leases alive without the leader. In a
    * heartbeat: {@code hears} says that the receiver was heard lately, {@code after} how far its log
-   * of withdrawals is known. In an answer: {@code still} is the epoch to whose leader the heartbeat
-   * brought a promise not to keep any lease for a while, {@code withdrawn} goes on from {@code
-   * after}, up to {@code to}; {@code all} says that this is all there is. {@code keeping} and
-   * {@code keptMsAgo}, which is {@link PeerConstants#KEPT_NEVER} of one that never did, are of the
-   * sender, at any time.
+   * of cancellations is known. In an answer: {@code still} is the epoch to whose leader the
+   * heartbeat brought a promise not to keep any lease for a while, {@code cancelled} goes on from
+   * {@code after}, up to {@code to}; {@code all} says that this is all there is. {@code keeping}
+   * and {@code keptMsAgo}, which is {@link PeerConstants#KEPT_NEVER} of one that never did, are of
+   * the sender, at any time.
    */
   public record Keep(
       boolean hears,
       long after,
       long still,
-      List<String> withdrawn,
+      List<String> cancelled,
       long to,
       boolean all,
       boolean keeping,
@@ -58,7 +58,7 @@
               .with("hears", hears)
               .with("after", after)
               .with("still", still)
-              .with("withdrawn", withdrawn)
+              .with("withdrawn", cancelled)
               .with("to", to)
               .with("all", all)
               .with("keeping", keeping);
--- a/src/main/java/fennelthread/simulation/Deployment.java
+++ b/src/main/java/fennelthread/simulation/Deployment.java
@@ -19,7 +19,7 @@
  * @param next what the controllers' settings say that it will take
  * @param reportMs how often workers report, ms
  * @param leaseMs the workers' lease, ms
- * @param cancelMs within which a withdrawn job's tasks must be gone, ms
+ * @param cancelMs within which a cancelled job's tasks must be gone, ms
  * @param production true if all controllers begin with the version in production
  */
 record Deployment(
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -63,7 +63,7 @@
     for (String id : ids) {
       cancelledNow++;
       world.after(
-          world.faults.nextInt(SimulationConstants.CANCEL_BURST_MS), () -> cluster.withdraw(id));
+          world.faults.nextInt(SimulationConstants.CANCEL_BURST_MS), () -> cluster.cancel(id));
     }
     return ids;
   }
@@ -123,6 +123,6 @@
 
   private void cancel(String id) {
     cancelledAtEnd++;
-    cluster.withdraw(id);
+    cluster.cancel(id);
   }
 }
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -75,7 +75,7 @@
           network.random.nextInt(30_000),
           () -> {
             if (rules.isAccepted(unlucky)) {
-              users.withdraw(unlucky);
+              users.cancel(unlucky);
             }
           });
     }
--- a/src/main/java/fennelthread/simulation/RandomTroubles.java
+++ b/src/main/java/fennelthread/simulation/RandomTroubles.java
@@ -26,7 +26,7 @@
           }
           users.submit(jobs.any());
           if (!users.jobs.isEmpty() && network.random.nextInt(5) == 0) {
-            users.withdraw(users.jobs.get(network.random.nextInt(users.jobs.size())).id());
+            users.cancel(users.jobs.get(network.random.nextInt(users.jobs.size())).id());
           }
           users.askUnknown();
           if (network.random.nextInt(4) == 0) {
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -230,13 +230,13 @@
   }
 
   /** A user asks some controller to cancel a job until it is answered. */
-  void withdraw(String id) {
-    users.withdraw(id);
+  void cancel(String id) {
+    users.cancel(id);
   }
 
   /** A user asks one controller to cancel a job, as often as it takes or its user has patience. */
-  void withdrawThrough(String member, String id, int tries) {
-    users.withdrawThrough(member, id, tries);
+  void cancelThrough(String member, String id, int tries) {
+    users.cancelThrough(member, id, tries);
   }
 
   /** A user asks one controller about a job, once. */
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -106,7 +106,7 @@
   }
 
   /** A user asks some controller to cancel a job until it is answered. */
-  void withdraw(String id) {
+  void cancel(String id) {
     rules.asksToCancel(id);
     ask(
         anyAddress(),
@@ -115,13 +115,13 @@
         SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
           if (!isGranted(answer)) {
-            network.after(SimulationConstants.USER_RETRY_MS, () -> withdraw(id));
+            network.after(SimulationConstants.USER_RETRY_MS, () -> cancel(id));
           }
         });
   }
 
   /** A user asks one controller to cancel a job, as often as it takes or its user has patience. */
-  void withdrawThrough(String member, String id, int tries) {
+  void cancelThrough(String member, String id, int tries) {
     rules.asksToCancel(id);
     ask(
         addresses.get(member),
@@ -131,7 +131,7 @@
         answer -> {
           if (!isGranted(answer) && tries > 1) {
             network.after(
-                SimulationConstants.USER_RETRY_MS, () -> withdrawThrough(member, id, tries - 1));
+                SimulationConstants.USER_RETRY_MS, () -> cancelThrough(member, id, tries - 1));
           }
         });
   }
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -20,7 +20,7 @@
   /** The machine types, kept for starts during an outage of the cloud. */
   public static final String FLAVORS = LIVE + "flavors";
 
-  /** Prefix of accepted jobs that are neither done nor withdrawn. */
+  /** Prefix of accepted jobs that are neither done nor cancelled. */
   public static final String JOB = LIVE + "job/";
 
   /** Prefix of finished tasks, per job and chunk. */
@@ -61,7 +61,7 @@
     return JOB + id;
   }
 
-  /** The record of a job that is done or withdrawn. */
+  /** The record of a job that is done or cancelled. */
   public static String finalJob(String id) {
     return FINAL + id;
   }
--- a/src/main/java/fennelthread/wire/JobState.java
+++ b/src/main/java/fennelthread/wire/JobState.java
@@ -5,7 +5,7 @@
   PENDING("pending"),
   RUNNING("running"),
   DONE("done"),
-  WITHDRAWN("withdrawn");
+  CANCELLED("withdrawn");
 
   private final String wire;
 
@@ -20,7 +20,7 @@
 
   /** True once nothing about the job can change any more. */
   public boolean isFinal() {
-    return this == DONE || this == WITHDRAWN;
+    return this == DONE || this == CANCELLED;
   }
 
   /** Reads a state from a message. */
--- a/src/test/java/fennelthread/jobs/DependencyGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -123,9 +123,9 @@
     // Due at 103 s, less 10 s for the last and 10 s for the one in the middle; 1.5 times as late.
     assertEquals(new DependencyGraph.Loan(Priority.URGENT, 93_000, 143_000), graph.loan("job-2"));
     assertEquals(new DependencyGraph.Loan(Priority.URGENT, 83_000, 133_000), graph.loan("job-1"));
-    end("job-3", JobState.WITHDRAWN);
+    end("job-3", JobState.CANCELLED);
     assertEquals(Priority.BEST_EFFORT, graph.loan("job-1").priority());
-    end("job-2", JobState.WITHDRAWN);
+    end("job-2", JobState.CANCELLED);
     assertNull(graph.loan("job-1"), "a withdrawn job lends nothing");
   }
 
@@ -158,7 +158,7 @@
         List<Job> from = done ? free : List.copyOf(live.values());
         end(
             from.get(r.nextInt(from.size())).spec().id(),
-            done ? JobState.DONE : JobState.WITHDRAWN);
+            done ? JobState.DONE : JobState.CANCELLED);
       } else if (!graph.unknown().isEmpty()) {
         read(List.copyOf(graph.unknown()).get(r.nextInt(graph.unknown().size())));
       }
@@ -193,7 +193,7 @@
         .anyMatch(
             need ->
                 known.containsKey(need)
-                    ? known.get(need).state() == JobState.WITHDRAWN
+                    ? known.get(need).state() == JobState.CANCELLED
                     : (ever || live.containsKey(need)) && doomed(need, all, ever));
   }
 
@@ -222,7 +222,7 @@
     assertEquals(2 * 1_000 - 1, told);
     assertEquals(Priority.URGENT, graph.loan("job-0").priority());
     told = 0;
-    end("job-0", JobState.WITHDRAWN);
+    end("job-0", JobState.CANCELLED);
     read("job-0");
     assertEquals(1_000, graph.doomed().size());
     assertTrue(told <= 3_000, told + " changes");
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -96,7 +96,7 @@
     assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", json(end.write()));
     assertEquals(end, Lookup.Final.read(end.write()));
     assertEquals(
-        new Lookup.Final(JobState.WITHDRAWN, 2, 0),
+        new Lookup.Final(JobState.CANCELLED, 2, 0),
         Lookup.Final.read(parsed("{\"estado\":\"withdrawn\",\"done\":2}")),
         "as production writes it");
   }
--- a/src/test/java/fennelthread/leaserenewal/GapModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/GapModelTest.java
@@ -12,7 +12,7 @@
 
 /**
  * The rules by which an answer to a report is let out, searched through: L answers reports, F tells
- * a user that the job is withdrawn, each may be unable to read the state at any time, and what they
+ * a user that the job is cancelled, each may be unable to read the state at any time, and what they
  * say to one another arrives at any later time or never. F may end and be back at once, knowing
  * nothing of what it told. Never may the task be there longer after the user was told than it is
  * allowed to.
@@ -28,7 +28,7 @@
   /** What is left out. */
   private enum Without {
     NOTHING,
-    /** An answer stops what is known to be withdrawn, in whatever phase the term is. */
+    /** An answer stops what is known to be cancelled, in whatever phase the term is. */
     STOPS,
     /** Without word from the state service or F, reports are answered only for so long. */
     BOUND,
@@ -51,7 +51,7 @@
 
     /**
      * L: until when it knows everything by reading, by F's word, and whether it knows of the
-     * withdrawal.
+     * cancellation.
      */
     int readL;
 
@@ -207,7 +207,7 @@
   }
 
   @Test
-  void nothingOutlivesItsWithdrawal() {
+  void nothingOutlivesItsCancellation() {
     Search.Result result = search(Without.NOTHING, DEPTH);
     System.out.printf("%d states in sequences of %d steps%n", result.states(), DEPTH);
     assertNull(result.trace(), () -> String.join("; ", result.trace()));
--- a/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
@@ -13,7 +13,7 @@
 /**
  * The rules of keeping leases, searched through: a leader L, a peer S, one worker's task, and
  * messages that arrive at any later time or never. Another leader N may claim, and a user may be
- * told, by a controller that neither L nor S hears, that the job is withdrawn. Never may L or N
+ * told, by a controller that neither L nor S hears, that the job is cancelled. Never may L or N
  * take the task for gone while it runs, and never may it run longer after the user was told than it
  * is allowed to.
  */
@@ -50,7 +50,7 @@
     ANSWERS_ONLY,
     /** N waits until those that do not know of it can keep nothing any more. */
     CLAIM_BOUND,
-    /** S stops what it knows to be withdrawn. */
+    /** S stops what it knows to be cancelled. */
     STOPS
   }
 
--- a/src/test/java/fennelthread/simulation/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/simulation/ChainedJobsTest.java
@@ -158,8 +158,8 @@
   }
 
   /**
-   * A withdrawal whose cascade nobody has begun: no leader is there, and the first controller that
-   * is asked about the last job of the chain finishes it before it answers.
+   * A cancellation whose cascade nobody has begun: no leader is there, and the first controller
+   * that is asked about the last job of the chain finishes it before it answers.
    */
   @Test
   void cascadeDoesNotWaitForALeader() throws WireException {
@@ -177,14 +177,14 @@
     String other = leader.equals("nodo-0") ? "nodo-1" : "nodo-0";
     c.state.delay =
         (caller, body) -> caller.equals(leader) && body.contains("withdrawn") ? 60_000 : 0;
-    Answer a = withdraw(c, other, root);
+    Answer a = cancel(c, other, root);
     assertEquals("withdrawn", a.fields().text("estado"));
     c.world.runUntil(c.world.now() + 1_000);
     Answer last = ask(c, other, "GET", "/v1/jobs/" + chain.get(4).id(), null);
     assertEquals("withdrawn", last.fields().text("estado"));
   }
 
-  /** A leader that ends between a withdrawal and its cascade: the next one knows what is left. */
+  /** A leader that ends between a cancellation and its cascade: the next one knows what is left. */
   @ParameterizedTest
   @ValueSource(longs = {52, 53})
   void cascadeByTheNextLeader(long seed) {
@@ -203,14 +203,14 @@
             c.crash(leader, 30_000);
           }
         });
-    c.withdraw(root.id());
+    c.cancel(root.id());
     c.world.runUntil(c.world.now() + 25_000);
     assertNotEquals(leader, c.leader());
     assertEquals(1, c.state.count("final/" + last.id()));
     assertEquals(0, c.state.count("live/job/"));
   }
 
-  /** An outage right after a need's end and a withdrawal: nothing is lost of either. */
+  /** An outage right after a need's end and a cancellation: nothing is lost of either. */
   @ParameterizedTest
   @ValueSource(longs = {54, 55})
   void outageBetweenAnEndAndWhatFollows(long seed) {
@@ -227,7 +227,7 @@
     c.state.onWrite.add(
         key -> {
           if (key.equals("final/" + first.id())) {
-            c.withdraw(root.id());
+            c.cancel(root.id());
           } else if (key.equals("final/" + root.id())) {
             c.world.after(0, () -> c.state.outage(12_000));
           }
@@ -238,9 +238,9 @@
     assertEquals(0, c.rules.running(orphan.id()));
   }
 
-  /** Submissions that race with the withdrawal of what they need all end withdrawn, and early. */
+  /** Submissions that race with the cancellation of what they need all end cancelled, and early. */
   @Test
-  void submittedWhileItsNeedIsWithdrawn() {
+  void submittedWhileItsNeedIsCancelled() {
     SimulatedCluster c = new SimulatedCluster(56);
     calm(c);
     List<JobSpec> late = new ArrayList<>();
@@ -249,7 +249,7 @@
       submit(c, "nodo-0", root);
       JobSpec next = plain(c, List.of(root.id()));
       late.add(next);
-      c.world.after(10, () -> c.withdraw(root.id()));
+      c.world.after(10, () -> c.cancel(root.id()));
       c.world.after(2 + i, () -> c.submit(next));
     }
     c.world.runUntil(c.world.now() + 20_000);
@@ -259,7 +259,7 @@
     assertEquals(0, c.state.count("live/job/"));
   }
 
-  /** The leader withdraws all that depends on a withdrawn job, asked or not. */
+  /** The leader cancels all that depends on a cancelled job, asked or not. */
   @ParameterizedTest
   @ValueSource(longs = {61, 62})
   void cascadeReachesAll(long seed) throws WireException {
@@ -275,7 +275,7 @@
       assertEquals(201, submit(c, "nodo-" + i % 3, next).status());
       all.add(next);
     }
-    withdraw(c, "nodo-1", root);
+    cancel(c, "nodo-1", root);
     c.world.runUntil(c.world.now() + 10_000);
     assertEquals(0, c.state.count("live/job/"));
     for (JobSpec job : all) {
@@ -284,14 +284,14 @@
     }
   }
 
-  /** Naming a withdrawn job: accepted all the same, and withdrawn. */
+  /** Naming a cancelled job: accepted all the same, and cancelled. */
   @Test
-  void namingAWithdrawnJob() throws WireException {
+  void namingACancelledJob() throws WireException {
     SimulatedCluster c = new SimulatedCluster(71);
     calm(c);
     JobSpec root = endless(c);
     submit(c, "nodo-0", root);
-    withdraw(c, "nodo-1", root);
+    cancel(c, "nodo-1", root);
     JobSpec next = plain(c, List.of(root.id()));
     assertEquals(201, submit(c, "nodo-2", next).status());
     c.world.runUntil(c.world.now() + 5_000);
@@ -300,9 +300,9 @@
         ask(c, "nodo-0", "GET", "/v1/jobs/" + next.id(), null).fields().text("estado"));
   }
 
-  /** A withdrawal that is answered with done stops nothing. */
+  /** A cancellation that is answered with done stops nothing. */
   @Test
-  void withdrawnTooLate() throws WireException {
+  void cancelledTooLate() throws WireException {
     SimulatedCluster c = new SimulatedCluster(72);
     calm(c);
     JobSpec first = plain(c, List.of());
@@ -428,7 +428,7 @@
     return known(c, 2, 5, needs);
   }
 
-  /** A job of one task that runs for days: it is live until it is withdrawn. */
+  /** A job of one task that runs for days: it is live until it is cancelled. */
   private static JobSpec endless(SimulatedCluster c) {
     return known(c, 1, 1_000_000, List.of());
   }
@@ -466,7 +466,7 @@
     return spec;
   }
 
-  private static Answer withdraw(SimulatedCluster c, String member, JobSpec job) {
+  private static Answer cancel(SimulatedCluster c, String member, JobSpec job) {
     c.rules.asksToCancel(job.id());
     return ask(c, member, "POST", "/v1/jobs/" + job.id() + "/withdraw", new byte[0]);
   }
--- a/src/test/java/fennelthread/simulation/GapTest.java
+++ b/src/test/java/fennelthread/simulation/GapTest.java
@@ -112,7 +112,7 @@
       String id = jobs.get(i).id();
       c.world.at(
           from + leadMs * i / (jobs.size() + 1),
-          () -> c.withdrawThrough(confirms, id, 1 + (int) leadMs / 1_000));
+          () -> c.cancelThrough(confirms, id, 1 + (int) leadMs / 1_000));
       if (with == With.TOLD_BY_QUESTION) {
         c.world.at(from + leadMs * i / (jobs.size() + 1) + 100, () -> c.askThrough(third, id));
       }
--- a/src/test/java/fennelthread/simulation/LeaderChangeMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/LeaderChangeMeetingsTest.java
@@ -280,7 +280,7 @@
           for (int i = 0; i < cancelled.size(); i++) {
             String by = members.get(i % 3);
             String id = cancelled.get(i).id();
-            c.world.after(i / 3 * 120L, () -> c.withdrawThrough(by, id, 25));
+            c.world.after(i / 3 * 120L, () -> c.cancelThrough(by, id, 25));
           }
         });
     if (copyLateMs > 0) {
@@ -323,7 +323,7 @@
     for (int i = 0; i < cancelled.size(); i++) {
       String id = cancelled.get(i).id();
       String by = others.get(i % 2);
-      c.world.after(i % 4, () -> c.withdrawThrough(by, id, 3));
+      c.world.after(i % 4, () -> c.cancelThrough(by, id, 3));
     }
     List<WorkerEmulator> hanging = LeaderChanges.carrying(c).subList(0, 4);
     hanging.forEach(w -> w.hang(12_000));
@@ -373,7 +373,7 @@
     c.holdCommands(0.5, 3_000);
     List<JobSpec> jobs = LeaderChanges.busy(c, 10, 250);
     c.world.runUntil(c.world.now() + 2_500);
-    cancelled.forEach(job -> c.withdraw(job.id()));
+    cancelled.forEach(job -> c.cancel(job.id()));
     c.world.runUntil(c.world.now() + 60);
     for (String member : List.copyOf(c.controllers.keySet())) {
       boolean last = member.equals("nodo-2");
--- a/src/test/java/fennelthread/simulation/LeaderChanges.java
+++ b/src/test/java/fennelthread/simulation/LeaderChanges.java
@@ -175,7 +175,7 @@
       jobs.add(job);
       c.world.after(i * everyMs, () -> c.submit(job));
       if (i % 3 == 0) {
-        c.world.after(i * everyMs + 300 + i % 7 * 400L, () -> c.withdraw(job.id()));
+        c.world.after(i * everyMs + 300 + i % 7 * 400L, () -> c.cancel(job.id()));
       }
     }
     return jobs;
--- a/src/test/java/fennelthread/simulation/LeaseRenewalTest.java
+++ b/src/test/java/fennelthread/simulation/LeaseRenewalTest.java
@@ -13,27 +13,27 @@
 
 /**
  * Leases kept alive without the leader. Times are those of the large deployments: reports every 4
- * s, leases of 22 s, a withdrawn job's tasks gone after 50 s; nodo-0 and nodo-2 are in norte,
+ * s, leases of 22 s, a cancelled job's tasks gone after 50 s; nodo-0 and nodo-2 are in norte,
  * nodo-1 in sur.
  */
 class LeaseRenewalTest {
   private static final int MACHINES = 60;
 
   /**
-   * A zone with the leader is cut off for twice the time in which a withdrawn job's tasks must be
-   * gone, and users withdraw jobs meanwhile. The leader that was cut off once went on answering its
-   * zone's workers for as long as it heard of no other: fifteen tasks outlived their withdrawals on
-   * one day of the bench.
+   * A zone with the leader is cut off for twice the time in which a cancelled job's tasks must be
+   * gone, and users cancel jobs meanwhile. The leader that was cut off once went on answering its
+   * zone's workers for as long as it heard of no other: fifteen tasks outlived their cancellations
+   * on one day of the bench.
    */
   @ParameterizedTest
   @CsvSource({"1,norte", "2,norte", "3,sur", "4,sur", "5,norte", "6,sur"})
-  void withdrawnJobsEndInAZoneThatIsCutOff(long seed, String zone) {
+  void cancelledJobsEndInAZoneThatIsCutOff(long seed, String zone) {
     SimulatedCluster c = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
     c.world.cutZone(zone, 100_000);
     for (int i = 0; i < 15; i++) {
       String id = services.get(i).id();
-      c.world.after(500 + i * 4_000, () -> c.withdraw(id));
+      c.world.after(500 + i * 4_000, () -> c.cancel(id));
     }
     // Rules are checked after each step.
     c.world.runUntil(c.world.now() + 180_000);
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -68,7 +68,7 @@
       jobs.add(job);
       c.world.after(i * 600L, () -> c.submit(job));
       if (i % 4 == 0) {
-        c.world.after(i * 600L + 300 + i % 7 * 300L, () -> c.withdraw(job.id()));
+        c.world.after(i * 600L + 300 + i % 7 * 300L, () -> c.cancel(job.id()));
       }
     }
     c.world.after(
@@ -91,11 +91,11 @@
 
   /**
    * The answers to a leader's word that it goes alone are lost until its peers promise again: the
-   * word is withdrawn all the same. As long as it stands no peer can take over.
+   * word is cancelled all the same. As long as it stands no peer can take over.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aWordWhoseAnswersAreLostIsWithdrawn(long seed) throws WireException {
+  void aWordWhoseAnswersAreLostIsCancelled(long seed) throws WireException {
     SimulatedCluster c = settled(seed);
     long lostUntil = c.world.now() + 6_000;
     c.state.loseAnswerOf(
@@ -121,7 +121,7 @@
       waiting.add(next);
       c.submit(job);
       c.world.after(1_000, () -> c.submit(next));
-      c.world.after(5_000 + i * 3_000, () -> c.withdraw(job.id()));
+      c.world.after(5_000 + i * 3_000, () -> c.cancel(job.id()));
     }
     c.state.loseAnswerOf(
         (caller, body) -> waiting.stream().anyMatch(j -> body.contains("final/" + j.id())), 3);
--- a/src/test/java/fennelthread/simulation/MeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/MeetingsTest.java
@@ -19,7 +19,7 @@
  * Where two troubles meet. The rules are checked after each step; each test sees to it that its
  * meeting came about. The gap has {@link GapTest}, late copies {@link CopiesTest}, machines that
  * hear nothing {@link UntoldTest}, processes that are back within a second {@link RestartTest}.
- * Leases are of 10 s, withdrawn jobs' tasks gone after 30 s.
+ * Leases are of 10 s, cancelled jobs' tasks gone after 30 s.
  */
 class MeetingsTest {
   private static final int MACHINES = 60;
@@ -61,7 +61,7 @@
       jobs.add(job);
       c.world.after(i * everyMs, () -> c.submit(job));
       if (i % 3 == 0) {
-        c.world.after(i * everyMs + 300 + i % 7 * 400L, () -> c.withdraw(job.id()));
+        c.world.after(i * everyMs + 300 + i % 7 * 400L, () -> c.cancel(job.id()));
       }
     }
     return jobs;
@@ -126,7 +126,7 @@
 
   /**
    * A share of all transactions gets no answer and is carried out 2 to 12 s later, after newer ones
-   * of the same controller: submissions, withdrawals, rounds, finished batches, removals, claims.
+   * of the same controller: submissions, cancellations, rounds, finished batches, removals, claims.
    * Leaders end meanwhile.
    */
   @ParameterizedTest
@@ -356,7 +356,7 @@
           400 + i * Math.min(1_000, forMs / 12),
           () -> {
             there[0] += c.rules.running(id) > 0 ? 1 : 0;
-            c.withdrawThrough(by, id, 30);
+            c.cancelThrough(by, id, 30);
           });
     }
     c.world.runUntil(c.world.now() + forMs);
--- a/src/test/java/fennelthread/simulation/MuteMachinesTest.java
+++ b/src/test/java/fennelthread/simulation/MuteMachinesTest.java
@@ -201,7 +201,7 @@
       c.crash(ended, 4_000);
       Scenes.until(c, 10_000, () -> c.leaderOtherThan(ended) != null);
     }
-    cancelled.forEach(job -> c.withdraw(job.id()));
+    cancelled.forEach(job -> c.cancel(job.id()));
     assertTrue(areOn(c, cancelled, mute), "nothing was cancelled there");
     Scenes.until(c, 10_000, () -> cancelled.stream().allMatch(j -> isToldOver(c, j)));
     long took = Scenes.until(c, 8_000, () -> isFullWithout(c, teams, cancelled));
--- a/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
+++ b/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
@@ -96,7 +96,7 @@
             JobSpec job = c.job(service, service ? 1 : 10, 1, !service, false, false);
             c.submit(job);
             if (service && c.world.random.nextInt(8) == 0) {
-              c.world.after(60_000, () -> c.withdraw(job.id()));
+              c.world.after(60_000, () -> c.cancel(job.id()));
             }
           });
     }
--- a/src/test/java/fennelthread/simulation/SimulationTest.java
+++ b/src/test/java/fennelthread/simulation/SimulationTest.java
@@ -54,7 +54,7 @@
     Set<String> kept = new HashSet<>();
     for (JobSpec job : c.jobs) {
       if (job.service() && (c.rules.isOver(job.id()) || !kept.add(job.team()))) {
-        c.withdraw(job.id());
+        c.cancel(job.id());
       }
     }
     c.world.runUntil(700_000);
@@ -146,7 +146,7 @@
    * A leader that is cut off from the state service and its peers goes on answering the one worker
    * that hears only it. The successor must not count that worker's lease as over: the peer that has
    * not acknowledged the new epoch may be keeping it alive, for as long as it may without knowing
-   * of withdrawals. The cloud takes nothing back meanwhile, which would be proof of another kind.
+   * of cancellations. The cloud takes nothing back meanwhile, which would be proof of another kind.
    */
   @ParameterizedTest
   @ValueSource(longs = {41, 42, 43})
@@ -170,7 +170,7 @@
     c.world.runUntil(66_000);
     assertNotNull(c.leaderOtherThan(first));
     assertEquals(before, c.rules.starts, "started again while the first was alive");
-    // It can't be any more once the time in which a withdrawn job's tasks must be gone is over.
+    // It can't be any more once the time in which a cancelled job's tasks must be gone is over.
     c.world.runUntil(86_000);
     assertEquals(1, c.rules.running(job.id()), "not started elsewhere");
     assertEquals(before + 1, c.rules.starts);
--- a/src/test/java/fennelthread/simulation/TeamLimitMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/TeamLimitMeetingsTest.java
@@ -221,7 +221,7 @@
     troubled.forEach(w -> trouble.begin(c, w));
     c.world.after(200, () -> c.crash(c.leader(), downMs));
     c.world.runUntil(c.world.now() + cancelAfterMs);
-    cancelled.forEach(job -> c.withdraw(job.id()));
+    cancelled.forEach(job -> c.cancel(job.id()));
     long toldMs = f.toldAll(cancelled);
     Scenes.until(c, 10_000, () -> f.claims > 0);
     assertEquals(1, f.claims, "changes of leader");
@@ -257,7 +257,7 @@
         .forEach(w -> c.world.cut(w.name(), old, TROUBLE_MS));
     troubled.forEach(w -> others.forEach(m -> c.world.cut(w.name(), m, TROUBLE_MS)));
     c.world.runUntil(c.world.now() + 1_000);
-    cancelled.forEach(job -> c.withdrawThrough(others.get(0), job.id(), 30));
+    cancelled.forEach(job -> c.cancelThrough(others.get(0), job.id(), 30));
     f.toldAll(cancelled);
     Scenes.until(c, 10_000, () -> c.leaderOtherThan(old) != null);
     c.world.runUntil(f.claimedAtMs + 12_000);
--- a/src/test/java/fennelthread/simulation/TroubledDay.java
+++ b/src/test/java/fennelthread/simulation/TroubledDay.java
@@ -228,15 +228,15 @@
   private void submitCancelled(long atMs, long cancelledAtMs, int tasks) {
     JobSpec job = lasting(tasks, 20);
     cluster.world.at(atMs, () -> cluster.submit(job));
-    cluster.world.at(cancelledAtMs, () -> cluster.withdraw(job.id()));
+    cluster.world.at(cancelledAtMs, () -> cluster.cancel(job.id()));
   }
 
   /** Users cancel a long job and a service, both of which have run for a while. */
   private void cancelNext(long atMs) {
     String longJob = longJobs.get(cancelledLongJobs++).id();
     String service = services.get(cancelledServices++).id();
-    cluster.world.at(atMs + 20, () -> cluster.withdraw(longJob));
-    cluster.world.at(atMs + 1_000, () -> cluster.withdraw(service));
+    cluster.world.at(atMs + 20, () -> cluster.cancel(longJob));
+    cluster.world.at(atMs + 1_000, () -> cluster.cancel(service));
   }
 
   private JobSpec lasting(int tasks, double estimateS) {
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -231,7 +231,7 @@
   }
 
   @Test
-  void aWithdrawnJobStaysWithdrawnEverywhere() throws WireException {
+  void aCancelledJobStaysCancelledEverywhere() throws WireException {
     Fields body = good();
     submit("nodo-0", body);
     String id = body.text("name_id");
--- a/src/test/java/fennelthread/simulation/UserMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/UserMeetingsTest.java
@@ -377,7 +377,7 @@
       jobs.add(job);
       c.world.after(i * 250L, () -> c.submit(job));
       if (i % 4 == 0) {
-        c.world.after(i * 250L + 100 + i % 9 * 500L, () -> c.withdraw(job.id()));
+        c.world.after(i * 250L + 100 + i % 9 * 500L, () -> c.cancel(job.id()));
       }
     }
     Map<String, Long> toDone = timesToDone(c, jobs, 320_000);
--- a/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
@@ -77,7 +77,7 @@
           400 + i * 900L,
           () -> {
             there[0] += c.rules.taskPresence().running(id, zone) > 0 ? 1 : 0;
-            c.withdrawThrough(outside, id, 30);
+            c.cancelThrough(outside, id, 30);
           });
     }
     if (!leaderInside) {
