--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -37,15 +37,15 @@
   private final Settings settings;
   private final JobStore store;
   private final JobTable table;
-  private final Supplier<Map<String, MachineType>> flavors;
+  private final Supplier<Map<String, MachineType>> machineTypes;
   private final BooleanSupplier up;
   private final BooleanSupplier oldPeer;
   private final BooleanSupplier tight;
-  private final BiConsumer<WorkerReport, Consumer<Answer>> beats;
+  private final BiConsumer<WorkerReport, Consumer<Answer>> reports;
   private final Refusals refusals;
 
   /**
-   * Creates the interface; {@code beats} answers reports, {@code oldPeer} tells whether a peer
+   * Creates the interface; {@code reports} answers reports, {@code oldPeer} tells whether a peer
    * serves that does not know of chained jobs, {@code tight} whether there is no memory for new
    * ones.
    */
@@ -54,20 +54,20 @@
       Settings settings,
       JobStore store,
       JobTable table,
-      Supplier<Map<String, MachineType>> flavors,
+      Supplier<Map<String, MachineType>> machineTypes,
       BooleanSupplier up,
       BooleanSupplier oldPeer,
       BooleanSupplier tight,
-      BiConsumer<WorkerReport, Consumer<Answer>> beats) {
+      BiConsumer<WorkerReport, Consumer<Answer>> reports) {
     this.host = host;
     this.settings = settings;
     this.store = store;
     this.table = table;
-    this.flavors = flavors;
+    this.machineTypes = machineTypes;
     this.up = up;
     this.oldPeer = oldPeer;
     this.tight = tight;
-    this.beats = beats;
+    this.reports = reports;
     this.refusals = new Refusals(host);
   }
 
@@ -77,7 +77,7 @@
     String method = request.method();
     if (path.equals("/agent/beat")) {
       if (allowed(method, "POST", reply)) {
-        beat(request, reply);
+        handleReport(request, reply);
       }
     } else if (path.equals(JOBS)) {
       if (allowed(method, "POST", reply)) {
@@ -143,15 +143,15 @@
     return Answer.later(503, why, ApiConstants.RETRY_AFTER_S);
   }
 
-  private void beat(Request request, Consumer<Answer> reply) {
-    WorkerReport beat;
+  private void handleReport(Request request, Consumer<Answer> reply) {
+    WorkerReport report;
     try {
-      beat = WorkerReport.read(Codec.CBOR.decode(request.body()));
+      report = WorkerReport.read(Codec.CBOR.decode(request.body()));
     } catch (WireException e) {
       reply.accept(Answer.error(400, e.getMessage()));
       return;
     }
-    beats.accept(beat, answer -> reply.accept(answer.then(Answer.Afterwards.KEEP_IF_ROOM)));
+    reports.accept(report, answer -> reply.accept(answer.then(Answer.Afterwards.KEEP_IF_ROOM)));
   }
 
   private void submit(Request request, Consumer<Answer> reply) {
@@ -245,7 +245,7 @@
         || (team.cardsMax() > 0 && spec.cards() * together > team.cardsMax())) {
       return Answer.error(422, "dueno: the job needs more than the team's limit");
     }
-    Map<String, MachineType> types = flavors.get();
+    Map<String, MachineType> types = machineTypes.get();
     if (types.isEmpty()) {
       return later("machine types are not known yet");
     }
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -105,7 +105,7 @@
                   0,
                   0,
                   JobSpec.NO_DEADLINE);
-          WorkerReport beat =
+          WorkerReport report =
               new WorkerReport(
                   "n-1",
                   "127.0.0.1:1",
@@ -122,7 +122,7 @@
                   Call.get("/up"),
                   Call.get("/v1/jobs/job-000001"),
                   Call.post("/v1/jobs", Codec.CBOR, spec.write()),
-                  Call.post("/agent/beat", Codec.CBOR, beat.write()),
+                  Call.post("/agent/beat", Codec.CBOR, report.write()),
                   Call.post("/v1/jobs", Codec.CBOR, Fields.create()));
           for (Call call : calls) {
             host.call(settings.apiAddr(), call, 3_000, answer -> answers.countDown());
--- a/src/main/java/fennelthread/constants/FleetConstants.java
+++ b/src/main/java/fennelthread/constants/FleetConstants.java
@@ -85,7 +85,7 @@
   public static final long LIST_EVERY_MS = 4_000;
 
   /** How often types and prices are read, ms. */
-  public static final long FLAVORS_EVERY_MS = 30_000;
+  public static final long MACHINE_TYPES_EVERY_MS = 30_000;
 
   /** First pause after a refusal for capacity, per type, zone and kind, ms. */
   public static final long REFUSED_FIRST_MS = 5_000;
--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -53,12 +53,12 @@
    */
   Answer answer(WorkerReport report, String by) {
     if (active != null && lease.isLeading() && lease.epoch() >= lease.highestEpoch()) {
-      return active.beat(report, by);
+      return active.handleReport(report, by);
     }
     if (resigned != null && resigned.epoch() < lease.highestEpoch()) {
       closeResigned();
     }
-    return resigned == null ? null : resigned.beat(report, by);
+    return resigned == null ? null : resigned.handleReport(report, by);
   }
 
   /** True while a term is active. */
@@ -73,7 +73,7 @@
 
   /** When a worker last reported to the active term, or when it began if none has, ms. */
   long lastReportAtMs() {
-    return Math.max(ledSinceMs, active == null ? 0 : active.lastBeatAt());
+    return Math.max(ledSinceMs, active == null ? 0 : active.lastReportAtMs());
   }
 
   /** The addresses of the active term's workers by machine, empty without a term. */
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -54,7 +54,7 @@
       return;
     }
     reading = true;
-    cloud.flavors(
+    cloud.machineTypes(
         types -> {
           reading = false;
           if (types != null && !types.isEmpty()) {
@@ -67,7 +67,7 @@
 
   /** Takes over the types that the state service holds, unless some are known already. */
   public void changed(String key, Fields value) {
-    if (!key.equals(Keys.FLAVORS) || value == null || !byName.isEmpty()) {
+    if (!key.equals(Keys.MACHINE_TYPES) || value == null || !byName.isEmpty()) {
       return;
     }
     try {
@@ -92,11 +92,11 @@
       log.info("machine types need {} bytes and are not kept for an outage", encoded.length);
       return;
     }
-    Fields stored = replica.get(Keys.FLAVORS);
+    Fields stored = replica.get(Keys.MACHINE_TYPES);
     if (stored != null && Arrays.equals(Codec.JSON.encode(stored), encoded)) {
       return;
     }
-    Txn txn = new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.FLAVORS, value);
+    Txn txn = new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.MACHINE_TYPES, value);
     state.txn(StateClient.Lane.UPKEEP, txn, result -> {});
   }
 
--- a/src/main/java/fennelthread/fleet/Cloud.java
+++ b/src/main/java/fennelthread/fleet/Cloud.java
@@ -49,7 +49,7 @@
   }
 
   /** Reads types and prices. */
-  public void flavors(Consumer<List<MachineType>> done) {
+  public void machineTypes(Consumer<List<MachineType>> done) {
     call(
         Call.get("/flavors"),
         answer -> {
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -74,12 +74,12 @@
     boolean isOpen();
 
     /** The answer to a report: what its sender is told, under which token. */
-    Answer answer(WorkerReport beat, long token, List<WorkerCommand> orders);
+    Answer answer(WorkerReport report, long token, List<WorkerCommand> orders);
   }
 
   private final FleetContext context;
   private final LongSupplier othersSilentSince;
-  private final Supplier<Map<String, MachineType>> flavors;
+  private final Supplier<Map<String, MachineType>> machineTypes;
   private final ZoneHealth zones;
   private final MachineReadiness readiness;
   private final MachineProbes probes;
@@ -105,7 +105,7 @@
       long epoch,
       Listener listener,
       LongSupplier othersSilentSince,
-      Supplier<Map<String, MachineType>> flavors,
+      Supplier<Map<String, MachineType>> machineTypes,
       Paths paths,
       ZoneHealth zones,
       StallDetector stalls,
@@ -113,7 +113,7 @@
     AggregatedLog aggregatedLog = new AggregatedLog(host, log::info);
     this.context = new FleetContext(host, settings, epoch, listener, paths, stalls, aggregatedLog);
     this.othersSilentSince = othersSilentSince;
-    this.flavors = flavors;
+    this.machineTypes = machineTypes;
     this.zones = zones;
     this.readiness = new MachineReadiness(context, zones);
     this.probes = new MachineProbes(context, this::probed);
@@ -153,7 +153,7 @@
   }
 
   /** When a worker last reported to us, or -1. */
-  public long lastBeatAt() {
+  public long lastReportAtMs() {
     return reports.lastReportAtMs();
   }
 
@@ -209,7 +209,7 @@
    *
    * @param by whom it came: a peer's name, or ours
    */
-  public Answer beat(WorkerReport report, String by) {
+  public Answer handleReport(WorkerReport report, String by) {
     return reports.answer(report, by);
   }
 
@@ -328,7 +328,7 @@
 
   /** Notes that an image is on a machine. */
   public void cached(Machine m, String image, double gb) {
-    m.cached(image, gb, flavors.get().get(m.type()));
+    m.cached(image, gb, machineTypes.get().get(m.type()));
   }
 
   /** The attempt of a task on a machine, or null. */
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -46,12 +46,12 @@
   private final BootTimes boots = new BootTimes();
   private final RentalPolicy policy;
   private final String prefix;
-  private final Consumer<List<MachineType>> onFlavors;
+  private final Consumer<List<MachineType>> onMachineTypes;
   private final Map<String, Booting> booting = new LinkedHashMap<>();
   private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
   private final Map<MachineKind, Long> refusedPause = new HashMap<>();
   private final List<double[]> demands = new ArrayList<>();
-  private Map<String, MachineType> flavors;
+  private Map<String, MachineType> machineTypes;
   private boolean closed;
   private boolean renting;
   private boolean listing;
@@ -68,8 +68,8 @@
       ZoneHealth zones,
       StallDetector wake,
       String prefix,
-      Map<String, MachineType> flavors,
-      Consumer<List<MachineType>> onFlavors) {
+      Map<String, MachineType> machineTypes,
+      Consumer<List<MachineType>> onMachineTypes) {
     this.host = host;
     this.settings = settings;
     this.cloud = cloud;
@@ -79,15 +79,15 @@
     this.returns =
         new MachineReturns(host, settings, options, cloud, fleet, zones, wake, this::returned);
     this.prefix = prefix;
-    this.flavors = flavors;
-    this.onFlavors = onFlavors;
+    this.machineTypes = machineTypes;
+    this.onMachineTypes = onMachineTypes;
     this.policy = new RentalPolicy(settings.priceMatters(), options, zones);
   }
 
   /** Begins to read lists and prices. */
   public void start() {
     list();
-    readFlavors();
+    readMachineTypes();
   }
 
   /** Ends the term. */
@@ -96,11 +96,11 @@
     returns.close();
   }
 
-  private void readFlavors() {
+  private void readMachineTypes() {
     if (closed) {
       return;
     }
-    cloud.flavors(
+    cloud.machineTypes(
         list -> {
           if (closed) {
             return;
@@ -108,10 +108,11 @@
           if (list != null && !list.isEmpty()) {
             Map<String, MachineType> map = new LinkedHashMap<>();
             list.forEach(f -> map.put(f.name(), f));
-            flavors = map;
-            onFlavors.accept(list);
+            machineTypes = map;
+            onMachineTypes.accept(list);
           }
-          host.after(list == null ? 2_000 : FleetConstants.FLAVORS_EVERY_MS, this::readFlavors);
+          host.after(
+              list == null ? 2_000 : FleetConstants.MACHINE_TYPES_EVERY_MS, this::readMachineTypes);
         });
   }
 
@@ -188,7 +189,7 @@
     returns.selectMachines(now);
     returnDuds(now);
     returns.send();
-    if (!cloud.isQuiet() && listedOnce && !flavors.isEmpty()) {
+    if (!cloud.isQuiet() && listedOnce && !machineTypes.isEmpty()) {
       rent(unplaced, now);
     }
   }
@@ -212,7 +213,7 @@
   }
 
   private double bootS(MachineKind kind) {
-    MachineType f = flavors.get(kind.type());
+    MachineType f = machineTypes.get(kind.type());
     return f == null ? FleetConstants.BOOT_UNKNOWN_S : f.bootS();
   }
 
@@ -284,12 +285,12 @@
       if (m.phase() != Machine.Phase.GONE) {
         count++;
       }
-      MachineType f = flavors.get(m.type());
+      MachineType f = machineTypes.get(m.type());
       if (f != null && (counts || coming.contains(m.name()))) {
         byZone.merge(String.valueOf(m.zone()), f.cpus() * zones.presence(m, now), Double::sum);
       }
     }
-    return new RentalPolicy.Stock(flavors, count, byZone, comingKinds);
+    return new RentalPolicy.Stock(machineTypes, count, byZone, comingKinds);
   }
 
   private void order(MachineKind kind, int many, String request, int tries) {
--- a/src/main/java/fennelthread/fleet/ReportOrder.java
+++ b/src/main/java/fennelthread/fleet/ReportOrder.java
@@ -22,20 +22,20 @@
   private final Map<String, Last> last = new LinkedHashMap<>(64, 0.75f, true);
 
   /** Takes note of a report; true if it, or a later one of the same machine, has come in before. */
-  public boolean isCopy(WorkerReport beat) {
-    Last known = last.get(beat.machine());
-    if (known != null && beat.token() <= known.token && !isLater(beat, known)) {
+  public boolean isCopy(WorkerReport report) {
+    Last known = last.get(report.machine());
+    if (known != null && report.token() <= known.token && !isLater(report, known)) {
       return true;
     }
-    last.put(beat.machine(), new Last(beat.session(), beat.seq(), beat.token()));
+    last.put(report.machine(), new Last(report.session(), report.seq(), report.token()));
     if (last.size() > RelayConstants.KNOWN_ADDRESSES) {
       last.remove(last.keySet().iterator().next());
     }
     return false;
   }
 
-  private static boolean isLater(WorkerReport beat, Last known) {
-    return beat.session() > known.session
-        || (beat.session() == known.session && beat.seq() > known.seq);
+  private static boolean isLater(WorkerReport report, Last known) {
+    return report.session() > known.session
+        || (report.session() == known.session && report.seq() > known.seq);
   }
 }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -24,7 +24,7 @@
  */
 final class MachineLoad {
   private long version = -1;
-  private MachineType flavor;
+  private MachineType machineType;
   private Snapshot.Host host;
   private final Map<String, double[]> used = new HashMap<>(4);
 
@@ -35,10 +35,10 @@
       Fleet fleet,
       Function<String, ActiveJob> runs,
       RunTimes runTimes) {
-    if (version == m.version() && Objects.equals(flavor, type)) {
+    if (version == m.version() && Objects.equals(machineType, type)) {
       return;
     }
-    flavor = type;
+    machineType = type;
     used.clear();
     double cpus = type == null ? 0 : type.cpus();
     double cards = type == null ? 0 : type.cards();
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -65,7 +65,7 @@
   private final Demand demand;
   private final RunTimes runTimes;
   private final DoubleConsumer cpusWanted;
-  private final Supplier<Map<String, MachineType>> flavors;
+  private final Supplier<Map<String, MachineType>> machineTypes;
   private final SpareKeys spare;
   private final Set<String> writing = new HashSet<>();
   private final IdentityHashMap<Machine, MachineLoad> loads = new IdentityHashMap<>();
@@ -89,7 +89,7 @@
       Demand demand,
       RunTimes runTimes,
       DoubleConsumer cpusWanted,
-      Supplier<Map<String, MachineType>> flavors,
+      Supplier<Map<String, MachineType>> machineTypes,
       SpareKeys spare) {
     this.host = host;
     this.settings = settings;
@@ -103,7 +103,7 @@
     this.demand = demand;
     this.runTimes = runTimes;
     this.cpusWanted = cpusWanted;
-    this.flavors = flavors;
+    this.machineTypes = machineTypes;
     this.spare = spare;
   }
 
@@ -316,7 +316,7 @@
     if (waiting.isEmpty()) {
       return null;
     }
-    Map<String, MachineType> types = flavors.get();
+    Map<String, MachineType> types = machineTypes.get();
     Map<String, double[]> used = new HashMap<>();
     List<Snapshot.Host> hosts = new ArrayList<>();
     for (Machine m : fleet.machines()) {
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -82,8 +82,8 @@
       JobStore store,
       Lease lease,
       Cloud cloud,
-      Supplier<Map<String, MachineType>> flavors,
-      Consumer<List<MachineType>> onFlavors,
+      Supplier<Map<String, MachineType>> machineTypes,
+      Consumer<List<MachineType>> onMachineTypes,
       LongSupplier othersSilentSince,
       Fleet.Paths paths,
       ZoneHealth zones,
@@ -100,7 +100,16 @@
     this.isJobOver = isJobOver;
     this.fleet =
         new Fleet(
-            host, settings, epoch, this, othersSilentSince, flavors, paths, zones, stalls, gate);
+            host,
+            settings,
+            epoch,
+            this,
+            othersSilentSince,
+            machineTypes,
+            paths,
+            zones,
+            stalls,
+            gate);
     this.provisioner =
         new MachineProvisioner(
             host,
@@ -111,8 +120,8 @@
             zones,
             stalls,
             "r-" + epoch + "-" + settings.member(),
-            flavors.get(),
-            onFlavors);
+            machineTypes.get(),
+            onMachineTypes);
     RunTimes runTimes = new RunTimes();
     this.activeJobs = new ActiveJobs(store.waits().graph());
     Demand demand = new Demand(host, settings, fleet, activeJobs, runTimes);
@@ -131,7 +140,7 @@
             demand,
             runTimes,
             provisioner::demand,
-            flavors,
+            machineTypes,
             spare);
     this.completions =
         new Completions(
@@ -176,8 +185,8 @@
   }
 
   /** When a worker last reported, or -1. */
-  public long lastBeatAt() {
-    return fleet.lastBeatAt();
+  public long lastReportAtMs() {
+    return fleet.lastReportAtMs();
   }
 
   /**
@@ -275,8 +284,8 @@
   }
 
   /** Answers a report that came by a peer or directly; null if we are not entitled to. */
-  public Answer beat(WorkerReport beat, String by) {
-    Answer answer = fleet.beat(beat, by);
+  public Answer handleReport(WorkerReport report, String by) {
+    Answer answer = fleet.handleReport(report, by);
     return phase == Phase.CLOSED ? null : answer;
   }
 
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -199,9 +199,9 @@
    * token is the worker's own: an equal one is obeyed from anyone, and nothing but stops comes with
    * it.
    */
-  public Answer keep(WorkerReport beat) {
+  public Answer keep(WorkerReport report) {
     long now = host.nowMs();
-    boolean obeys = epoch > 0 && beat.token() >> ProtocolConstants.TOKEN_BITS == epoch;
+    boolean obeys = epoch > 0 && report.token() >> ProtocolConstants.TOKEN_BITS == epoch;
     if (!obeys
         || leading.getAsBoolean()
         || highestEpoch.getAsLong() > epoch
@@ -216,7 +216,7 @@
     keptAtMs = now;
     everKept = true;
     kept++;
-    return gate.answer(beat, beat.token(), List.of());
+    return gate.answer(report, report.token(), List.of());
   }
 
   /** The only place where the phase changes. */
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -50,12 +50,12 @@
    * @param token what the worker is to obey
    */
   @Override
-  public Answer answer(WorkerReport beat, long token, List<WorkerCommand> orders) {
+  public Answer answer(WorkerReport report, long token, List<WorkerCommand> orders) {
     if (!isOpen()) {
       throw new IllegalStateException("nobody may be answered now");
     }
     Set<WorkerCommand> all = new LinkedHashSet<>();
-    for (WorkerReport.Task t : beat.tasks()) {
+    for (WorkerReport.Task t : report.tasks()) {
       if (t.phase() != WorkerReport.Phase.ENDED
           && cancellations.isOver(t.ref().job())
           && all.size() < LeaseRenewalConstants.ORDERS_PER_ANSWER) {
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -23,7 +23,7 @@
     long epoch,
     boolean leading,
     long servedAgoMs,
-    long beatsHeard,
+    long reportsHeard,
     boolean chains,
     boolean relays,
     boolean deaf,
@@ -85,7 +85,7 @@
       long epoch,
       boolean leading,
       long servedAgoMs,
-      long beatsHeard,
+      long reportsHeard,
       boolean deaf) {
     this(
         member,
@@ -93,7 +93,7 @@
         epoch,
         leading,
         servedAgoMs,
-        beatsHeard,
+        reportsHeard,
         true,
         true,
         deaf,
@@ -112,7 +112,7 @@
         epoch,
         leading,
         servedAgoMs,
-        beatsHeard,
+        reportsHeard,
         chains,
         relays,
         deaf,
@@ -131,7 +131,7 @@
         epoch,
         leading,
         servedAgoMs,
-        beatsHeard,
+        reportsHeard,
         chains,
         relays,
         deaf,
@@ -149,7 +149,7 @@
         epoch,
         leading,
         servedAgoMs,
-        beatsHeard,
+        reportsHeard,
         chains,
         relays,
         deaf,
@@ -168,7 +168,7 @@
             .with("epoch", epoch)
             .with("leading", leading)
             .with("served_ago_ms", servedAgoMs)
-            .with("beats_heard", beatsHeard)
+            .with("beats_heard", reportsHeard)
             .with("chains", chains)
             .with("relays", relays)
             .with("deaf", deaf)
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -214,7 +214,7 @@
   public String anyRelay() {
     Peer best = null;
     for (Peer p : peers.values()) {
-      if (relays(p) && (best == null || p.last.beatsHeard() > best.last.beatsHeard())) {
+      if (relays(p) && (best == null || p.last.reportsHeard() > best.last.reportsHeard())) {
         best = p;
       }
     }
@@ -362,12 +362,12 @@
 
   /** Reports that peers heard lately say they get and redirect. */
   public long peersHearWorkers() {
-    long heardBeats = 0;
+    long heardReports = 0;
     for (Peer p : peers.values()) {
       if (isHeard(p)) {
-        heardBeats += p.last.beatsHeard();
+        heardReports += p.last.reportsHeard();
       }
     }
-    return heardBeats;
+    return heardReports;
   }
 }
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -33,7 +33,7 @@
     /**
      * Answers one under the given epoch as if it had come directly; null if we are not entitled to.
      */
-    Answer answer(WorkerReport beat, long epoch, String from);
+    Answer answer(WorkerReport report, long epoch, String from);
   }
 
   /** By whom a worker's last report was passed on. */
@@ -259,9 +259,9 @@
   private void report(Request request, Reports reports, Consumer<Answer> reply)
       throws WireException {
     RelayWire.Report report = RelayWire.Report.read(Codec.JSON.decode(request.body()));
-    Answer answer = reports.answer(report.beat(), report.epoch(), report.from());
+    Answer answer = reports.answer(report.workerReport(), report.epoch(), report.from());
     if (answer != null && answer.status() == 200) {
-      vias.put(report.beat().machine(), new Via(report.from(), host.nowMs()));
+      vias.put(report.workerReport().machine(), new Via(report.from(), host.nowMs()));
     }
     reply.accept(
         Answer.of(
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -72,14 +72,14 @@
    * Takes a report that this controller must not answer; {@code reply} is called if it is passed
    * on.
    */
-  public Decision take(WorkerReport beat, Leader leader, Consumer<Answer> reply) {
+  public Decision take(WorkerReport report, Leader leader, Consumer<Answer> reply) {
     long now = host.nowMs();
     if (leader.epoch() != epoch) {
       epoch = leader.epoch();
       epochSinceMs = now;
       workers.clear();
     }
-    boolean left = hasLeft(beat, now);
+    boolean left = hasLeft(report, now);
     if (!left && !mesh.isDeaf(leader.member())) {
       return Decision.TO_LEADER;
     }
@@ -87,17 +87,17 @@
       // To send it back would cost it the time it waits for the leader's answer, most of its lease.
       return left ? Decision.TO_NEXT : Decision.TO_LEADER;
     }
-    pass(beat, leader, reply);
+    pass(report, leader, reply);
     return Decision.PASSED_ON;
   }
 
   /** True if the worker comes from the leader, which does not answer it. */
-  private boolean hasLeft(WorkerReport beat, long now) {
-    Worker w = workers.get(beat.machine());
+  private boolean hasLeft(WorkerReport report, long now) {
+    Worker w = workers.get(report.machine());
     if (w == null) {
       w = new Worker();
       w.sentOnAtMs = Long.MIN_VALUE / 2;
-      workers.put(beat.machine(), w);
+      workers.put(report.machine(), w);
       trim();
     }
     if (w.relayedSinceMs >= 0) {
@@ -114,7 +114,7 @@
     // the
     // first moments of a term workers know its token from questions, before they have come over.
     boolean obeyed =
-        beat.token() >> ProtocolConstants.TOKEN_BITS == epoch
+        report.token() >> ProtocolConstants.TOKEN_BITS == epoch
             && now - epochSinceMs > RelayConstants.RELAY_SETTLED_MS;
     boolean sentOn = now - w.sentOnAtMs < settings.workers().leaseMs();
     if (obeyed || sentOn) {
@@ -145,12 +145,12 @@
     phase = next;
   }
 
-  private void pass(WorkerReport beat, Leader leader, Consumer<Answer> reply) {
+  private void pass(WorkerReport report, Leader leader, Consumer<Answer> reply) {
     underWay++;
     mesh.call(
         leader.member(),
         RelayWire.REPORT,
-        new RelayWire.Report(settings.member(), leader.epoch(), beat).write(),
+        new RelayWire.Report(settings.member(), leader.epoch(), report).write(),
         RelayConstants.RELAY_TIMEOUT_MS,
         answer -> {
           underWay--;
--- a/src/main/java/fennelthread/relay/RelayWire.java
+++ b/src/main/java/fennelthread/relay/RelayWire.java
@@ -19,9 +19,12 @@
   private RelayWire() {}
 
   /** A report; {@code epoch} is the one that the sender takes for the latest. */
-  record Report(String from, long epoch, WorkerReport beat) {
+  record Report(String from, long epoch, WorkerReport workerReport) {
     Fields write() {
-      return Fields.create().with("from", from).with("epoch", epoch).with("beat", beat.write());
+      return Fields.create()
+          .with("from", from)
+          .with("epoch", epoch)
+          .with("beat", workerReport.write());
     }
 
     static Report read(Fields f) throws WireException {
--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -22,7 +22,7 @@
 
 /** The cloud as its protocol describes it: lists are late, some machines never come up. */
 final class CloudEmulator implements Service {
-  private final List<MachineType> flavors;
+  private final List<MachineType> machineTypes;
   private final SimulatedNetwork world;
   private final Consumer<WorkerEmulator> onWorker;
   private final WorkerEmulator.Surroundings surroundings;
@@ -44,7 +44,7 @@
     this.surroundings = surroundings;
     this.onWorker = onWorker;
     List<String> zones = deployment.zones();
-    this.flavors =
+    this.machineTypes =
         List.of(
             new MachineType("mesa", 4, 0, 16, 20, 0.5, 0.3, 0.1, 6, zones),
             new MachineType("torre", 16, 1, 64, 40, 1, 1.5, 0.5, 9, zones));
@@ -95,7 +95,7 @@
 
   /** The machine types on offer. */
   List<MachineType> types() {
-    return flavors;
+    return machineTypes;
   }
 
   void outage(long forMs) {
@@ -110,11 +110,11 @@
 
   WorkerEmulator rent(String type, String zone, boolean spot, long bootMs) {
     String name = String.format("n-%06d", ++seq);
-    MachineType flavor =
-        flavors.stream().filter(f -> f.name().equals(type)).findFirst().orElseThrow();
+    MachineType machineType =
+        machineTypes.stream().filter(f -> f.name().equals(type)).findFirst().orElseThrow();
     WorkerEmulator worker =
         new WorkerEmulator(
-            world, surroundings, name, "10.1.0." + seq + ":9000", flavor, zone, spot);
+            world, surroundings, name, "10.1.0." + seq + ":9000", machineType, zone, spot);
     world.place(name, zone);
     machines.put(name, worker);
     rentedAt.put(name, world.now());
@@ -130,7 +130,7 @@
     worker.end(failed);
     if (!failed) {
       machines.remove(worker.name());
-      left.merge(worker.flavor().name() + worker.zone() + worker.spot(), 1, Integer::sum);
+      left.merge(worker.machineType().name() + worker.zone() + worker.spot(), 1, Integer::sum);
     }
   }
 
@@ -141,7 +141,7 @@
           Fields.create()
               .with("name_id", w.name())
               .with("address", w.address())
-              .with("modelo", w.flavor().name())
+              .with("modelo", w.machineType().name())
               .with("zona", w.zone())
               .with("prestadas", w.spot())
               .with(
@@ -166,7 +166,7 @@
     try {
       String path = request.path();
       if (path.equals("/flavors")) {
-        reply.accept(Answer.of(200, Codec.CBOR, MachineType.writeAll(flavors)));
+        reply.accept(Answer.of(200, Codec.CBOR, MachineType.writeAll(machineTypes)));
       } else if (path.startsWith("/hosts?")) {
         int age = listAge.getAsInt();
         List<Object> old = snapshots.get(Math.max(0, snapshots.size() - age));
--- a/src/main/java/fennelthread/simulation/PlacementRules.java
+++ b/src/main/java/fennelthread/simulation/PlacementRules.java
@@ -20,7 +20,7 @@
 
   /** True if the machine has a type, a zone and a kind that the job allows. */
   static boolean isAllowed(JobSpec spec, WorkerEmulator machine) {
-    return (spec.types() == null || spec.types().contains(machine.flavor().name()))
+    return (spec.types() == null || spec.types().contains(machine.machineType().name()))
         && (spec.zone() == null || spec.zone().equals(machine.zone()))
         && (spec.spotAllowed() || !machine.spot());
   }
@@ -44,9 +44,9 @@
     TaskPresence.Amount used = presence.usedOn(machine);
     return fits(
         spec,
-        machine.flavor().cpus() - used.cpus,
-        machine.flavor().cards() - used.cards,
-        machine.flavor().memGb() - used.memGb);
+        machine.machineType().cpus() - used.cpus,
+        machine.machineType().cards() - used.cards,
+        machine.machineType().memGb() - used.memGb);
   }
 
   private static boolean fits(JobSpec spec, double cpus, double cards, double memGb) {
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -68,7 +68,7 @@
   private final Surroundings around;
   private final String name;
   private final String address;
-  private final MachineType flavor;
+  private final MachineType machineType;
   private final String zone;
   private final boolean spot;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
@@ -98,14 +98,14 @@
       Surroundings around,
       String name,
       String address,
-      MachineType flavor,
+      MachineType machineType,
       String zone,
       boolean spot) {
     this.world = world;
     this.around = around;
     this.name = name;
     this.address = address;
-    this.flavor = flavor;
+    this.machineType = machineType;
     this.zone = zone;
     this.spot = spot;
     world.name(address, name);
@@ -119,8 +119,8 @@
     return address;
   }
 
-  MachineType flavor() {
-    return flavor;
+  MachineType machineType() {
+    return machineType;
   }
 
   String zone() {
@@ -276,7 +276,7 @@
     String member = members.get(node % members.size());
     process.call(
         around.controllers().get(member),
-        Call.post("/agent/beat", Codec.CBOR, beat().write()),
+        Call.post("/agent/beat", Codec.CBOR, currentReport().write()),
         4_000,
         answer -> {
           inFlight = false;
@@ -326,7 +326,7 @@
     }
   }
 
-  private WorkerReport beat() {
+  private WorkerReport currentReport() {
     List<WorkerReport.Task> list = new ArrayList<>();
     for (Task t : tasks.values()) {
       list.add(new WorkerReport.Task(t.ref, t.attempt, t.phase, t.motive, false));
@@ -334,7 +334,7 @@
     return new WorkerReport(
         name,
         address,
-        flavor.name(),
+        machineType.name(),
         zone,
         spot,
         session,
@@ -350,7 +350,7 @@
       return;
     }
     if (request.path().equals("/show")) {
-      reply.accept(Answer.of(200, Codec.CBOR, beat().write()));
+      reply.accept(Answer.of(200, Codec.CBOR, currentReport().write()));
       return;
     }
     try {
@@ -375,7 +375,7 @@
       if (good) {
         WorkerCommand.read(body).forEach(this::execute);
       }
-      reply.accept(Answer.of(good ? 200 : 409, Codec.CBOR, beat().write()));
+      reply.accept(Answer.of(good ? 200 : 409, Codec.CBOR, currentReport().write()));
     } catch (WireException e) {
       throw new AssertionError("a command can't be read", e);
     }
@@ -383,7 +383,7 @@
 
   /** A report as the worker would send it now. */
   WorkerReport peek() {
-    return beat();
+    return currentReport();
   }
 
   private void execute(WorkerCommand order) {
@@ -443,7 +443,7 @@
       finish(t, WorkerReport.Motive.NO_SUCH);
     } else if (busy) {
       finish(t, WorkerReport.Motive.BUSY);
-    } else if (cpus > flavor.cpus() + 1e-6 || mem > flavor.memGb() + 1e-6) {
+    } else if (cpus > machineType.cpus() + 1e-6 || mem > machineType.memGb() + 1e-6) {
       finish(t, WorkerReport.Motive.FULL);
     } else {
       t.present = true;
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -18,7 +18,7 @@
   public static final String SOLO = LIVE + "solo";
 
   /** The machine types, kept for starts during an outage of the cloud. */
-  public static final String FLAVORS = LIVE + "flavors";
+  public static final String MACHINE_TYPES = LIVE + "flavors";
 
   /** Prefix of accepted jobs that are neither done nor cancelled. */
   public static final String JOB = LIVE + "job/";
--- a/src/main/java/fennelthread/wire/MachineType.java
+++ b/src/main/java/fennelthread/wire/MachineType.java
@@ -16,12 +16,12 @@
     double bootS,
     List<String> zones) {
 
-  /** Reads the answer of {@code GET /flavors}. */
+  /** Reads the answer of {@code GET /machineTypes}. */
   public static List<MachineType> readAll(Fields body) throws WireException {
-    List<MachineType> flavors = new ArrayList<>();
+    List<MachineType> machineTypes = new ArrayList<>();
     for (Fields f : body.maps("modelos")) {
       List<String> zones = f.optTexts("zonas");
-      flavors.add(
+      machineTypes.add(
           new MachineType(
               f.text("label"),
               f.amount("cpus"),
@@ -34,13 +34,13 @@
               f.amount("startup_s", 0),
               zones == null ? List.of() : zones));
     }
-    return flavors;
+    return machineTypes;
   }
 
-  /** Writes a list of flavors in the same form. */
-  public static Fields writeAll(List<MachineType> flavors) {
+  /** Writes a list of machineTypes in the same form. */
+  public static Fields writeAll(List<MachineType> machineTypes) {
     List<Object> list = new ArrayList<>();
-    for (MachineType f : flavors) {
+    for (MachineType f : machineTypes) {
       list.add(
           Fields.create()
               .with("label", f.name)
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -162,7 +162,7 @@
           new RelayWire.Commands(epoch, "10.1.0.1:9000", 2_500, false, Fields.create());
       Answer[] answer = new Answer[1];
       courier
-          .service((beat, e, from) -> null)
+          .service((report, e, from) -> null)
           .handle(
               new Request("POST", RelayWire.COMMANDS, Codec.JSON.encode(commands.write())),
               a -> answer[0] = a);
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -74,7 +74,7 @@
             }
 
             @Override
-            public Answer answer(WorkerReport beat, long token, List<WorkerCommand> orders) {
+            public Answer answer(WorkerReport report, long token, List<WorkerCommand> orders) {
               return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, orders));
             }
           });
@@ -82,7 +82,7 @@
   private long seq;
 
   private List<WorkerCommand> report(long token, WorkerReport.Task... tasks) throws WireException {
-    WorkerReport beat =
+    WorkerReport report =
         new WorkerReport(
             "n-1",
             "10.1.0.1:9000",
@@ -94,7 +94,7 @@
             token,
             WorkerReport.NO_NOTICE,
             List.of(tasks));
-    return WorkerCommand.read(fleet.beat(beat, "nodo").fields());
+    return WorkerCommand.read(fleet.handleReport(report, "nodo").fields());
   }
 
   private Attempt start() throws WireException {
--- a/src/test/java/fennelthread/simulation/LargeFleetTest.java
+++ b/src/test/java/fennelthread/simulation/LargeFleetTest.java
@@ -84,7 +84,7 @@
   private static double cpusUp(SimulatedCluster c) {
     return c.cloud.machines().values().stream()
         .filter(w -> w.isUp() && !w.isFailed())
-        .mapToDouble(w -> w.flavor().cpus())
+        .mapToDouble(w -> w.machineType().cpus())
         .sum();
   }
 }
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -205,7 +205,7 @@
       c.world.runUntil(c.world.now() + 20);
       String next = c.leaderOtherThan(old);
       another = next == null ? another : Math.min(another, c.world.now());
-      WorkerReport beat =
+      WorkerReport report =
           new WorkerReport(
               "n-900000",
               "10.9.0.1:9000",
@@ -222,7 +222,7 @@
           .get(old)
           .api()
           .handle(
-              new Request("POST", "/agent/beat", Codec.CBOR.encode(beat.write())),
+              new Request("POST", "/agent/beat", Codec.CBOR.encode(report.write())),
               a -> answer[0] = a);
       if (answer[0] != null && answer[0].status() == 200) {
         answers++;
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -250,7 +250,7 @@
     String leader = c.leader();
     for (String member : c.controllers.keySet()) {
       // One that has never obeyed the leader: those that have and come here are passed on.
-      WorkerReport beat =
+      WorkerReport report =
           new WorkerReport(
               "n-9",
               "10.1.0.9:9000",
@@ -262,7 +262,7 @@
               0,
               WorkerReport.NO_NOTICE,
               List.of());
-      Answer a = ask(member, "POST", "/agent/beat", Codec.CBOR.encode(beat.write()));
+      Answer a = ask(member, "POST", "/agent/beat", Codec.CBOR.encode(report.write()));
       if (member.equals(leader)) {
         assertEquals(200, a.status());
       } else {
--- a/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
@@ -265,7 +265,8 @@
     c.cloud.bootMs = () -> 30_000;
     // All that is up is taken for good.
     for (WorkerEmulator w : c.cloud.machines().values()) {
-      JobDraft job = JobDraft.array(c, 1, 2_000).cpus(w.flavor().cpus()).type(w.flavor().name());
+      JobDraft job =
+          JobDraft.array(c, 1, 2_000).cpus(w.machineType().cpus()).type(w.machineType().name());
       c.submit(job.zone(w.zone()).priority(Priority.CRITICAL).spec());
     }
     c.world.runUntil(c.world.now() + 5_000);
--- a/src/test/java/fennelthread/wire/CodecTest.java
+++ b/src/test/java/fennelthread/wire/CodecTest.java
@@ -109,7 +109,7 @@
 
   @Test
   void reportIsReadAndWritten() throws WireException {
-    WorkerReport beat =
+    WorkerReport report =
         WorkerReport.read(
             overCbor(
                 "{'equipo':'n-000007','address':'10.1.0.7:9000','modelo':'g4','zona':'b',"
@@ -118,13 +118,13 @@
                     + "{'tarea':'job-000778/0','intento':1,'estado':'ended','motivo':'halted',"
                     + "'kept':true},{'tarea':'job-000779/1','intento':9,'estado':'ended',"
                     + "'motivo':'peers'}]}"));
-    assertEquals(2, beat.session());
-    assertEquals(17.5, beat.noticeS());
-    assertEquals(new TaskRef("job-000777", 3), beat.tasks().get(0).ref());
-    assertEquals(WorkerReport.Motive.HALTED, beat.tasks().get(1).motive());
-    assertEquals(WorkerReport.Motive.OTHER, beat.tasks().get(2).motive());
-    WorkerReport again = WorkerReport.read(Codec.CBOR.decode(Codec.CBOR.encode(beat.write())));
-    assertEquals(beat.tasks().subList(0, 2), again.tasks().subList(0, 2));
+    assertEquals(2, report.session());
+    assertEquals(17.5, report.noticeS());
+    assertEquals(new TaskRef("job-000777", 3), report.tasks().get(0).ref());
+    assertEquals(WorkerReport.Motive.HALTED, report.tasks().get(1).motive());
+    assertEquals(WorkerReport.Motive.OTHER, report.tasks().get(2).motive());
+    WorkerReport again = WorkerReport.read(Codec.CBOR.decode(Codec.CBOR.encode(report.write())));
+    assertEquals(report.tasks().subList(0, 2), again.tasks().subList(0, 2));
   }
 
   @Test
@@ -146,16 +146,16 @@
   }
 
   @Test
-  void flavorsAndListsAreRead() throws WireException {
-    MachineType flavor =
+  void machineTypesAndListsAreRead() throws WireException {
+    MachineType machineType =
         MachineType.readAll(
                 overCbor(
                     "{'modelos':[{'label':'g4','cpus':48,'cards':4,'mem_gb':384,'local_gb':120,"
                         + "'pull_gb_per_s':0.7,'hourly':6.0,'low_price':2.5,'startup_s':40,"
                         + "'zonas':['b']}]}"))
             .get(0);
-    assertEquals(48, flavor.cpus());
-    assertEquals(List.of("b"), flavor.zones());
+    assertEquals(48, machineType.cpus());
+    assertEquals(List.of("b"), machineType.zones());
     HostEntry entry =
         HostEntry.readAll(
                 overCbor(
