--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -20,7 +20,7 @@
 import fennelthread.leaserenewal.CancellationLog;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
 import fennelthread.leaserenewal.RenewalBounds;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Service;
 import fennelthread.net.StallDetector;
 import fennelthread.peers.PeerHeartbeat;
@@ -38,11 +38,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: puts the parts together. Everything here runs on the host's one thread. */
+/** One controller: puts the parts together. Everything here runs on the event loop's thread. */
 public final class Controller {
   private static final Logger log = LoggerFactory.getLogger(Controller.class);
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final Options options;
   private final String incarnation;
@@ -70,22 +70,22 @@
   private final Api api;
 
   /** Creates a controller; {@link #start} sets it going. */
-  public Controller(Host host, Settings settings, Options options) {
-    this.host = host;
+  public Controller(EventLoop eventLoop, Settings settings, Options options) {
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.options = options;
-    this.incarnation = Long.toHexString(host.random().nextLong());
-    this.state = new StateClient(host, settings);
-    this.replica = new Replica(host, state);
+    this.incarnation = Long.toHexString(eventLoop.random().nextLong());
+    this.state = new StateClient(eventLoop, settings);
+    this.replica = new Replica(eventLoop, state);
     replica.listen(table);
     Settings.Workers limits = settings.workers();
-    this.cancellations = new CancellationLog(host, 2 * (limits.cancelMs() + limits.leaseMs()));
+    this.cancellations = new CancellationLog(eventLoop, 2 * (limits.cancelMs() + limits.leaseMs()));
     table.listen(new EndedJobs());
-    this.store = new JobStore(host, state, replica, table, settings, cancellations::mayTell);
-    this.cloud = new Cloud(host, settings);
+    this.store = new JobStore(eventLoop, state, replica, table, settings, cancellations::mayTell);
+    this.cloud = new Cloud(eventLoop, settings);
     this.lease =
         new Lease(
-            host,
+            eventLoop,
             state,
             replica,
             settings,
@@ -94,22 +94,24 @@
             this::isBacked,
             this::stillUnbounded,
             new Elections());
-    this.machineTypes = new MachineTypes(host, cloud, state, replica, lease);
+    this.machineTypes = new MachineTypes(eventLoop, cloud, state, replica, lease);
     replica.listen((key, value, revision) -> machineTypes.changed(key, value));
     this.currentTerm = new CurrentTerm(lease);
     this.directory = new LeaderDirectory(lease);
-    this.peers = new PeerHeartbeats(host, settings, this::heartbeat, this::workers, this::heard);
+    this.peers =
+        new PeerHeartbeats(eventLoop, settings, this::heartbeat, this::workers, this::heard);
     this.reachability = new LeaderReachability(limits.reportMs());
-    Relay relay = new Relay(host, settings, peers);
-    this.commands = new CommandSender(host, settings, peers, reachability, lease::highestEpoch);
+    Relay relay = new Relay(eventLoop, settings, peers);
+    this.commands =
+        new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice =
-        new UnreachableLeaderNotice(host, state, replica, settings.member(), this::noticed);
-    this.heap = new HeapGuard(host, this::census, store::shed);
-    this.membership = new Membership(host, settings, peers, state, replica, lease);
+        new UnreachableLeaderNotice(eventLoop, state, replica, settings.member(), this::noticed);
+    this.heap = new HeapGuard(eventLoop, this::census, store::shed);
+    this.membership = new Membership(eventLoop, settings, peers, state, replica, lease);
     Handover handover = new Handover(state, peers);
     this.renewer =
         new FollowerLeaseRenewer(
-            host,
+            eventLoop,
             settings,
             peers,
             cancellations,
@@ -118,10 +120,10 @@
             lease::epoch,
             lease::highestEpoch);
     this.zones = new Zones(settings);
-    this.stalls = new StallDetector(host);
+    this.stalls = new StallDetector(eventLoop);
     this.supervisor =
         new LeaderSupervisor(
-            host,
+            eventLoop,
             settings,
             state,
             replica,
@@ -135,7 +137,7 @@
             notice);
     this.reports =
         new ReportHandler(
-            host,
+            eventLoop,
             settings.member(),
             lease,
             currentTerm,
@@ -151,7 +153,7 @@
     peers.serve("/relay/", commands.service(reports::handleRelayed));
     this.api =
         new Api(
-            host,
+            eventLoop,
             settings,
             store,
             table,
@@ -188,7 +190,7 @@
   }
 
   private void supervise() {
-    host.after(RelayConstants.SUPERVISE_MS, this::supervise);
+    eventLoop.after(RelayConstants.SUPERVISE_MS, this::supervise);
     heap.look();
     supervisor.look();
   }
@@ -257,7 +259,7 @@
     @Override
     public void elected(long epoch, long epochRevision) {
       log.info("{} leads, epoch {}", settings.member(), epoch);
-      long now = host.nowMs();
+      long now = eventLoop.nowMs();
       reachability.begin(now);
       commands.begin(epoch);
       membership.elected(epoch);
@@ -276,7 +278,7 @@
 
   private Term newTerm(long epoch, long ledSinceMs) {
     return new Term(
-        host,
+        eventLoop,
         settings,
         options,
         state,
@@ -311,7 +313,7 @@
         incarnation,
         lease.highestEpoch(),
         lease.isLeading(),
-        host.nowMs() - state.servedAtMs(),
+        eventLoop.nowMs() - state.servedAtMs(),
         workers.reporting(),
         lease.isLeading() && reachability.isDeaf());
   }
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -9,7 +9,7 @@
 import fennelthread.jobs.Lookup;
 import fennelthread.jobs.Submission;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
 import fennelthread.settings.Settings;
@@ -33,7 +33,7 @@
   private static final String JOBS = "/v1/jobs";
   private static final String CANCEL = "/withdraw";
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final JobStore store;
   private final JobTable table;
@@ -50,7 +50,7 @@
    * ones.
    */
   public Api(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       JobStore store,
       JobTable table,
@@ -59,7 +59,7 @@
       BooleanSupplier oldPeer,
       BooleanSupplier tight,
       BiConsumer<WorkerReport, Consumer<Answer>> reports) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.store = store;
     this.table = table;
@@ -68,7 +68,7 @@
     this.oldPeer = oldPeer;
     this.tight = tight;
     this.reports = reports;
-    this.refusals = new Refusals(host);
+    this.refusals = new Refusals(eventLoop);
   }
 
   @Override
@@ -120,8 +120,8 @@
    */
   private Consumer<Answer> bounded(Consumer<Answer> reply) {
     boolean[] answered = new boolean[1];
-    Host.Cancellable timer =
-        host.after(
+    EventLoop.Cancellable timer =
+        eventLoop.after(
             ApiConstants.ANSWER_MS,
             () -> {
               if (!answered[0]) {
--- a/src/main/java/fennelthread/api/Refusals.java
+++ b/src/main/java/fennelthread/api/Refusals.java
@@ -1,7 +1,7 @@
 package fennelthread.api;
 
 import fennelthread.constants.ApiConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import java.util.Map;
 import java.util.TreeMap;
 import org.slf4j.Logger;
@@ -11,17 +11,17 @@
 final class Refusals {
   private static final Logger log = LoggerFactory.getLogger(Refusals.class);
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Map<String, Integer> counts = new TreeMap<>();
 
-  Refusals(Host host) {
-    this.host = host;
+  Refusals(EventLoop eventLoop) {
+    this.eventLoop = eventLoop;
   }
 
   /** A user was told to come back. */
   void add(String cause) {
     if (counts.isEmpty()) {
-      host.after(
+      eventLoop.after(
           ApiConstants.REFUSALS_LOG_MS,
           () -> {
             log.info("users told to come back: {}", counts);
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -1,7 +1,7 @@
 package fennelthread.cli;
 
 import fennelthread.Controller;
-import fennelthread.net.XnioHost;
+import fennelthread.net.XnioEventLoop;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import java.io.IOException;
@@ -39,24 +39,24 @@
   static int serve(SettingsFiles files) throws Exception {
     Settings settings = files.loadSettings();
     Options options = files.loadOptions();
-    XnioHost host = hostFor(settings);
-    host.run(() -> start(host, settings, options));
+    XnioEventLoop eventLoop = eventLoopFor(settings);
+    eventLoop.run(() -> start(eventLoop, settings, options));
     return KEEP_RUNNING;
   }
 
   /** The machine below a controller with these settings. */
-  static XnioHost hostFor(Settings settings) throws IOException {
+  static XnioEventLoop eventLoopFor(Settings settings) throws IOException {
     Set<String> essential = new HashSet<>();
     essential.add(settings.stateAddr());
     essential.add(settings.cloudAddr());
     settings.peers().forEach(s -> essential.add(s.addr()));
-    return new XnioHost(settings.maxConnections(), settings.mostOutbound(), essential);
+    return new XnioEventLoop(settings.maxConnections(), settings.mostOutbound(), essential);
   }
 
-  /** Sets a controller going; on the host's thread. */
-  static Controller start(XnioHost host, Settings settings, Options options) {
-    Controller controller = new Controller(host, settings, options);
-    host.listen(settings.apiAddr(), controller.api(), settings.meshAddr(), controller.mesh());
+  /** Sets a controller going; on the event loop's thread. */
+  static Controller start(XnioEventLoop eventLoop, Settings settings, Options options) {
+    Controller controller = new Controller(eventLoop, settings, options);
+    eventLoop.listen(settings.apiAddr(), controller.api(), settings.meshAddr(), controller.mesh());
     controller.start();
     return controller;
   }
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -3,7 +3,7 @@
 import fennelthread.Controller;
 import fennelthread.net.Call;
 import fennelthread.net.Request;
-import fennelthread.net.XnioHost;
+import fennelthread.net.XnioEventLoop;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
@@ -78,11 +78,11 @@
     Settings settings = Settings.load(file);
     Options options = Options.parse("training", "(fennelthread (max-machines 1))");
     Files.delete(file);
-    XnioHost host = Serve.hostFor(settings);
+    XnioEventLoop eventLoop = Serve.eventLoopFor(settings);
     CountDownLatch answers = new CountDownLatch(5);
-    host.run(
+    eventLoop.run(
         () -> {
-          Controller controller = Serve.start(host, settings, options);
+          Controller controller = Serve.start(eventLoop, settings, options);
           JobSpec spec =
               new JobSpec(
                   "job-000001",
@@ -125,7 +125,7 @@
                   Call.post("/agent/beat", Codec.CBOR, report.write()),
                   Call.post("/v1/jobs", Codec.CBOR, Fields.create()));
           for (Call call : calls) {
-            host.call(settings.apiAddr(), call, 3_000, answer -> answers.countDown());
+            eventLoop.call(settings.apiAddr(), call, 3_000, answer -> answers.countDown());
           }
           controller.mesh().handle(new Request("GET", "/none", null), answer -> {});
         });
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -5,7 +5,7 @@
 import fennelthread.handover.Handover;
 import fennelthread.leader.Lease;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.relay.Leader;
 import fennelthread.relay.LeaderReachability;
@@ -25,7 +25,7 @@
 public final class LeaderSupervisor {
   private static final Logger log = LoggerFactory.getLogger(LeaderSupervisor.class);
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final StateClient state;
   private final Replica replica;
@@ -40,7 +40,7 @@
 
   /** Creates it; {@link #look} is to be called every {@link RelayConstants#SUPERVISE_MS}. */
   public LeaderSupervisor(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       StateClient state,
       Replica replica,
@@ -52,7 +52,7 @@
       Handover handover,
       LeaderReachability reachability,
       UnreachableLeaderNotice notice) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.state = state;
     this.replica = replica;
@@ -68,7 +68,7 @@
 
   /** Looks once. */
   public void look() {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     workers.forgetOldReports(now);
     confirmReplica(now);
     if (!lease.isLeading()) {
@@ -140,13 +140,13 @@
   private void askSomeWorkers() {
     List<String> all = List.copyOf(term.workers().values());
     for (int i = 0; i < Math.min(all.size(), ControlConstants.DEAF_QUESTIONS); i++) {
-      host.call(
-          all.get(host.random().nextInt(all.size())),
+      eventLoop.call(
+          all.get(eventLoop.random().nextInt(all.size())),
           Call.get("/show").asSpare(),
           ControlConstants.PROBE_TIMEOUT_MS,
           answer -> {
             if (answer != null) {
-              reachability.reached(host.nowMs());
+              reachability.reached(eventLoop.nowMs());
             }
           });
     }
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -3,7 +3,7 @@
 import fennelthread.constants.ControlConstants;
 import fennelthread.fleet.Cloud;
 import fennelthread.leader.Lease;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
 import fennelthread.state.StateClient;
@@ -26,7 +26,7 @@
 public final class MachineTypes {
   private static final Logger log = LoggerFactory.getLogger(MachineTypes.class);
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Cloud cloud;
   private final StateClient state;
   private final Replica replica;
@@ -35,8 +35,9 @@
   private boolean reading;
 
   /** Creates it without any types. */
-  public MachineTypes(Host host, Cloud cloud, StateClient state, Replica replica, Lease lease) {
-    this.host = host;
+  public MachineTypes(
+      EventLoop eventLoop, Cloud cloud, StateClient state, Replica replica, Lease lease) {
+    this.eventLoop = eventLoop;
     this.cloud = cloud;
     this.state = state;
     this.replica = replica;
@@ -60,7 +61,7 @@
           if (types != null && !types.isEmpty()) {
             replace(types);
           } else {
-            host.after(ControlConstants.MACHINE_TYPES_RETRY_MS, this::read);
+            eventLoop.after(ControlConstants.MACHINE_TYPES_RETRY_MS, this::read);
           }
         });
   }
--- a/src/main/java/fennelthread/control/ReportHandler.java
+++ b/src/main/java/fennelthread/control/ReportHandler.java
@@ -6,7 +6,7 @@
 import fennelthread.leader.Lease;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.relay.CommandSender;
 import fennelthread.relay.Leader;
@@ -24,7 +24,7 @@
  * changes nothing.
  */
 public final class ReportHandler {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final String member;
   private final Lease lease;
   private final CurrentTerm term;
@@ -46,7 +46,7 @@
    * @param considerNotice looks whether the leader is to be told that its workers come here
    */
   public ReportHandler(
-      Host host,
+      EventLoop eventLoop,
       String member,
       Lease lease,
       CurrentTerm term,
@@ -59,7 +59,7 @@
       LeaderReachability reachability,
       UnreachableLeaderNotice notice,
       Runnable considerNotice) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.member = member;
     this.lease = lease;
     this.term = term;
@@ -83,7 +83,7 @@
     }
     Answer answer = term.answer(report, member);
     if (answer != null) {
-      reachability.heard(host.nowMs());
+      reachability.heard(eventLoop.nowMs());
       commands.direct(report.machine());
       reply.accept(answer);
     } else {
@@ -102,7 +102,7 @@
   }
 
   private void follow(WorkerReport report, Consumer<Answer> reply) {
-    workers.reported(report, host.nowMs());
+    workers.reported(report, eventLoop.nowMs());
     Leader leader = directory.leader();
     boolean peerLeads = leader.member() != null && !member.equals(leader.member());
     if (peerLeads && report.token() >> ProtocolConstants.TOKEN_BITS == leader.epoch()) {
--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -3,7 +3,7 @@
 import fennelthread.constants.ElectionConstants;
 import fennelthread.leader.Lease;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
@@ -30,7 +30,7 @@
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
   private static final String AGREE = "/member/agree";
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final PeerHeartbeats mesh;
   private final StateClient state;
@@ -49,20 +49,20 @@
 
   /** Creates it, and answers peers that ask. */
   public Membership(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       PeerHeartbeats mesh,
       StateClient state,
       Replica replica,
       Lease lease) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.mesh = mesh;
     this.state = state;
     this.replica = replica;
     this.lease = lease;
     this.promises = new LeadershipPromises(settings.peers().size() + 1);
-    this.solo = new UnilateralLeadership(host, state);
+    this.solo = new UnilateralLeadership(eventLoop, state);
     members.add(settings.member());
     settings.peers().forEach(s -> members.add(s.member()));
     Collections.sort(members);
@@ -89,8 +89,8 @@
 
   /** Begins to look. */
   public void start() {
-    host.after(ElectionConstants.VIEW_MS, this::start);
-    long now = host.nowMs();
+    eventLoop.after(ElectionConstants.VIEW_MS, this::start);
+    long now = eventLoop.nowMs();
     if (!ready) {
       if (replica.isReady()) {
         ready = true;
@@ -108,7 +108,7 @@
 
   private void follow() {
     if (lease.recordedEpoch() > view.epoch()) {
-      view.begin(lease.recordedEpoch(), host.nowMs());
+      view.begin(lease.recordedEpoch(), eventLoop.nowMs());
       suspectedAtMs = -1;
     }
   }
@@ -127,7 +127,7 @@
 
   /** True if nobody can have taken over at this very moment. */
   public boolean backs() {
-    return solo.isOn() || host.nowMs() < promises.untilMs();
+    return solo.isOn() || eventLoop.nowMs() < promises.untilMs();
   }
 
   private void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
@@ -138,7 +138,7 @@
     if (reply.promised() == lease.epoch()) {
       unpromisedAtMs = -1;
     } else if (reply.promises() && reply.epoch() == lease.epoch() && unpromisedAtMs < 0) {
-      unpromisedAtMs = host.nowMs();
+      unpromisedAtMs = eventLoop.nowMs();
     }
   }
 
@@ -180,7 +180,7 @@
 
   private long onHeartbeat(PeerHeartbeat heartbeat) {
     return ready && heartbeat.leading() && !lease.isLeading()
-        ? view.onHeartbeat(heartbeat.epoch(), replica.revisionOf(Keys.SOLO), host.nowMs())
+        ? view.onHeartbeat(heartbeat.epoch(), replica.revisionOf(Keys.SOLO), eventLoop.nowMs())
         : 0;
   }
 
@@ -256,7 +256,7 @@
             }
           });
     }
-    host.after(ElectionConstants.AGREE_PAUSE_MS, () -> asking = false);
+    eventLoop.after(ElectionConstants.AGREE_PAUSE_MS, () -> asking = false);
   }
 
   private static boolean agrees(Answer answer) {
@@ -272,7 +272,7 @@
         || lease.isLeading()
         || !isTakeable()
         || replica.revisionOf(Keys.SOLO) != revision
-        || !view.agree(epoch, revision, host.nowMs())) {
+        || !view.agree(epoch, revision, eventLoop.nowMs())) {
       return;
     }
     takeovers++;
@@ -282,7 +282,7 @@
         agreed,
         members.size(),
         lease.leaderMember(),
-        view.silentMs(host.nowMs()));
+        view.silentMs(eventLoop.nowMs()));
     lease.takeOver(epoch, revision);
   }
 
@@ -295,7 +295,7 @@
               && !lease.isLeading()
               && replica.revisionOf(Keys.SOLO) <= revision
               && isTakeable()
-              && view.agree(question.count("epoch"), revision, host.nowMs());
+              && view.agree(question.count("epoch"), revision, eventLoop.nowMs());
       if (agree) {
         log.info("epoch {}: we agree with {} to a takeover", view.epoch(), question.text("from"));
       }
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -1,7 +1,7 @@
 package fennelthread.election;
 
 import fennelthread.constants.ElectionConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
@@ -32,14 +32,14 @@
     TURNING_OFF
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final StateClient state;
   private Phase phase = Phase.OFF;
   private long term;
   private long triedAtMs = Long.MIN_VALUE / 2;
 
-  UnilateralLeadership(Host host, StateClient state) {
-    this.host = host;
+  UnilateralLeadership(EventLoop eventLoop, StateClient state) {
+    this.eventLoop = eventLoop;
     this.state = state;
   }
 
@@ -71,10 +71,10 @@
       Supplier<Txn> fenced,
       BiConsumer<Txn, TxnResult.Applied> applied) {
     boolean possible = phase == Phase.OFF || (phase == Phase.ON && !on);
-    if (!possible || host.nowMs() - triedAtMs < ElectionConstants.SOLO_RETRY_MS) {
+    if (!possible || eventLoop.nowMs() - triedAtMs < ElectionConstants.SOLO_RETRY_MS) {
       return;
     }
-    triedAtMs = host.nowMs();
+    triedAtMs = eventLoop.nowMs();
     long of = term;
     moveTo(on ? Phase.TURNING_ON : Phase.TURNING_OFF, epoch);
     Txn txn =
--- a/src/main/java/fennelthread/emulate/ControllerDirectory.java
+++ b/src/main/java/fennelthread/emulate/ControllerDirectory.java
@@ -22,7 +22,7 @@
     int failures;
     boolean healthy;
 
-    Controller(EventLoop loop, String address) {
+    Controller(SelectorLoop loop, String address) {
       this.address = address;
       this.probe = new HttpClientConnection(loop, null, address);
     }
@@ -38,12 +38,12 @@
     }
   }
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final RandomGenerator random;
   private final List<Controller> controllers = new ArrayList<>();
   private volatile int healthy;
 
-  ControllerDirectory(EventLoop loop, RandomGenerator random, List<String> addresses) {
+  ControllerDirectory(SelectorLoop loop, RandomGenerator random, List<String> addresses) {
     this.loop = loop;
     this.random = random;
     addresses.forEach(a -> controllers.add(new Controller(loop, a)));
--- a/src/main/java/fennelthread/emulate/EmulatedCloud.java
+++ b/src/main/java/fennelthread/emulate/EmulatedCloud.java
@@ -7,7 +7,7 @@
 import fennelthread.net.Service;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.HostEntry;
+import fennelthread.wire.MachineEntry;
 import fennelthread.wire.MachineType;
 import fennelthread.wire.WireException;
 import java.util.ArrayDeque;
@@ -42,8 +42,8 @@
 
   private static final class Machine {
     final MachineId id;
-    final long rentedAtMs = EventLoop.nowMs();
-    String state = HostEntry.STARTING;
+    final long rentedAtMs = SelectorLoop.nowMs();
+    String state = MachineEntry.STARTING;
     boolean up;
 
     Machine(MachineId id) {
@@ -53,7 +53,7 @@
 
   private record Snapshot(long atMs, List<Object> entries) {}
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final EmulationConfig config;
   private final Addresses addresses;
   private final MachineHost host;
@@ -74,7 +74,7 @@
   /** Machines that are up. */
   final AtomicInteger running = new AtomicInteger();
 
-  EmulatedCloud(EventLoop loop, EmulationConfig config, Addresses addresses, MachineHost host) {
+  EmulatedCloud(SelectorLoop loop, EmulationConfig config, Addresses addresses, MachineHost host) {
     this.loop = loop;
     this.config = config;
     this.addresses = addresses;
@@ -133,13 +133,13 @@
       if (machine != null && machine.up) {
         machine.up = false;
         running.decrementAndGet();
-        loop.after(EmulationConstants.FAILED_SHOWN_MS, () -> machine.state = HostEntry.FAILED);
+        loop.after(EmulationConstants.FAILED_SHOWN_MS, () -> machine.state = MachineEntry.FAILED);
       }
     }
   }
 
   private void takeSnapshot() {
-    long now = EventLoop.nowMs();
+    long now = SelectorLoop.nowMs();
     List<Object> entries = new ArrayList<>(machines.size());
     for (Machine machine : machines.values()) {
       entries.add(
@@ -193,7 +193,7 @@
         since = part.substring("since=".length());
       }
     }
-    long wanted = EventLoop.nowMs() - config.cloud().listLagMs();
+    long wanted = SelectorLoop.nowMs() - config.cloud().listLagMs();
     Snapshot shown = snapshots.peek();
     for (Snapshot snapshot : snapshots) {
       if (snapshot.atMs <= wanted) {
--- a/src/main/java/fennelthread/emulate/EmulatedStateService.java
+++ b/src/main/java/fennelthread/emulate/EmulatedStateService.java
@@ -36,7 +36,7 @@
     boolean answered;
   }
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final StateSettings settings;
   private final RandomGenerator random;
   private final StateStore store;
@@ -69,7 +69,7 @@
   volatile Leader leader = new Leader(null, 0);
 
   /** Creates it; whoever listens calls {@link #serviceFor}. */
-  EmulatedStateService(EventLoop loop, StateSettings settings, RandomGenerator random) {
+  EmulatedStateService(SelectorLoop loop, StateSettings settings, RandomGenerator random) {
     this.loop = loop;
     this.settings = settings;
     this.random = random;
@@ -96,7 +96,7 @@
         forMs,
         () -> {
           out = false;
-          store.restartLeases(EventLoop.nowMs());
+          store.restartLeases(SelectorLoop.nowMs());
           serveWatches();
         });
   }
@@ -130,7 +130,7 @@
   }
 
   private void expireLeases() {
-    if (!out && store.expireLeases(EventLoop.nowMs())) {
+    if (!out && store.expireLeases(SelectorLoop.nowMs())) {
       changed();
     }
   }
@@ -167,7 +167,7 @@
       watch(member, query(path), reply);
     } else if (path.equals("/grants")) {
       long ttlMs = Codec.CBOR.decode(request.body()).count("ttl_ms");
-      reply.accept(lease(store.grant(ttlMs, EventLoop.nowMs())));
+      reply.accept(lease(store.grant(ttlMs, SelectorLoop.nowMs())));
     } else if (path.startsWith("/grants/")) {
       reply.accept(changeLease(path.substring("/grants/".length())));
     } else {
@@ -191,7 +191,7 @@
   private Answer changeLease(String rest) {
     boolean extend = rest.endsWith("/extend");
     long id = Long.parseLong(extend ? rest.substring(0, rest.indexOf('/')) : rest);
-    boolean known = extend ? store.extend(id, EventLoop.nowMs()) : store.revoke(id);
+    boolean known = extend ? store.extend(id, SelectorLoop.nowMs()) : store.revoke(id);
     if (!extend && known) {
       changed();
     }
--- a/src/main/java/fennelthread/emulate/EmulatedUsers.java
+++ b/src/main/java/fennelthread/emulate/EmulatedUsers.java
@@ -29,7 +29,7 @@
 
   private static final class Job {
     final JobSpec spec;
-    final long submittedMs = EventLoop.nowMs();
+    final long submittedMs = SelectorLoop.nowMs();
     boolean accepted;
     boolean done;
     boolean cancelled;
@@ -48,7 +48,7 @@
     }
   }
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final RandomGenerator random;
   private final ControllerDirectory controllers;
   private final JobGenerator generator;
@@ -67,7 +67,7 @@
   private volatile Counts counts = new Counts(0, 0, 0, 0, Map.of());
 
   EmulatedUsers(
-      EventLoop loop,
+      SelectorLoop loop,
       RandomGenerator random,
       ControllerDirectory controllers,
       JobGenerator generator,
@@ -96,7 +96,7 @@
   /** Jobs arrive from now on. */
   void beginArrivals() {
     arriving = true;
-    arrivalsFromMs = EventLoop.nowMs();
+    arrivalsFromMs = SelectorLoop.nowMs();
     arrivedUntilMs = arrivalsFromMs;
     loop.every(EmulationConstants.ARRIVAL_STEP_MS, this::arrive);
     loop.every(EmulationConstants.STRANGE_MS, this::askAboutUnknown);
@@ -113,7 +113,7 @@
   }
 
   private void arrive() {
-    long now = EventLoop.nowMs();
+    long now = SelectorLoop.nowMs();
     double withinS = (now - arrivedUntilMs) / 1000.0;
     double atS = (arrivedUntilMs - arrivalsFromMs) / 1000.0;
     arrivedUntilMs = now;
@@ -147,7 +147,7 @@
           } else if (answer != null && (answer.status() == 400 || answer.status() == 422)) {
             refused++;
             job.refused = true;
-          } else if (EventLoop.nowMs() - job.submittedMs < EmulationConstants.GIVE_UP_MS) {
+          } else if (SelectorLoop.nowMs() - job.submittedMs < EmulationConstants.GIVE_UP_MS) {
             loop.after(pauseMs(answer), () -> submit(job));
           } else {
             givenUp++;
--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -47,8 +47,8 @@
   private final PrintStream out;
   private final CountDownLatch stop = new CountDownLatch(1);
   private final CountDownLatch over = new CountDownLatch(1);
-  private final EventLoop stateLoop;
-  private final EventLoop usersLoop;
+  private final SelectorLoop stateLoop;
+  private final SelectorLoop usersLoop;
   private final SplittableRandom random;
   private final WorkerFleet workers = new WorkerFleet();
   private final Measurements measurements = new Measurements();
@@ -72,8 +72,8 @@
     this.config = config;
     this.out = out;
     this.random = new SplittableRandom(request.seed());
-    this.stateLoop = new EventLoop("state-and-cloud");
-    this.usersLoop = new EventLoop("users");
+    this.stateLoop = new SelectorLoop("state-and-cloud");
+    this.usersLoop = new SelectorLoop("users");
     this.controllerNames =
         IntStream.range(0, config.controllers()).mapToObj(ControllerFleet::name).toList();
   }
@@ -211,11 +211,11 @@
 
   /** Waits until a controller serves users and all machines are up. */
   private void awaitFleet(Path logs) throws SettingsException, InterruptedException {
-    long deadline = EventLoop.nowMs() + config.bootMs() + EmulationConstants.START_MS;
+    long deadline = SelectorLoop.nowMs() + config.bootMs() + EmulationConstants.START_MS;
     while (directory.healthy() == 0
         || state.leader.member() == null
         || workers.traffic().workers() < config.workers()) {
-      if (EventLoop.nowMs() > deadline) {
+      if (SelectorLoop.nowMs() > deadline) {
         throw new SettingsException(
             "after "
                 + (config.bootMs() + EmulationConstants.START_MS) / 1000
@@ -239,16 +239,16 @@
     measurements.measureFrom(
         System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(config.measureFromMs()));
     recorder.baseline(pids(), totals());
-    long beganMs = EventLoop.nowMs();
+    long beganMs = SelectorLoop.nowMs();
     usersLoop.execute(users::beginArrivals);
     stateLoop.execute(() -> faults.schedule(config.faults(), durationMs));
     long lastMs = beganMs;
     for (int second = 1; lastMs < beganMs + durationMs; second++) {
       long dueMs = Math.min(beganMs + second * 1000L, beganMs + durationMs);
-      if (stop.await(Math.max(1, dueMs - EventLoop.nowMs()), TimeUnit.MILLISECONDS)) {
+      if (stop.await(Math.max(1, dueMs - SelectorLoop.nowMs()), TimeUnit.MILLISECONDS)) {
         break;
       }
-      long nowMs = EventLoop.nowMs();
+      long nowMs = SelectorLoop.nowMs();
       boolean fits = sample((nowMs - beganMs) / 1000.0, (nowMs - lastMs) / 1000.0);
       lastMs = nowMs;
       if (!fits) {
@@ -312,10 +312,10 @@
     finalQuestions = checker.acceptedJobs().size();
     usersLoop.execute(users::askAboutAll);
     long deadline =
-        EventLoop.nowMs()
+        SelectorLoop.nowMs()
             + EmulationConstants.FINAL_MS
             + finalQuestions * 1000L / EmulationConstants.FINAL_PER_S;
-    while (users.finalAnswers() < finalQuestions && EventLoop.nowMs() < deadline) {
+    while (users.finalAnswers() < finalQuestions && SelectorLoop.nowMs() < deadline) {
       if (stop.await(EmulationConstants.DRAIN_MS, TimeUnit.MILLISECONDS)) {
         return;
       }
--- a/src/main/java/fennelthread/emulate/FaultInjector.java
+++ b/src/main/java/fennelthread/emulate/FaultInjector.java
@@ -11,7 +11,7 @@
   /** A fault that was carried out. */
   record Done(double atS, String what) {}
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final ControllerFleet controllers;
   private final WorkerFleet workers;
   private final EmulatedStateService state;
@@ -20,7 +20,7 @@
   private long beganMs;
 
   FaultInjector(
-      EventLoop loop,
+      SelectorLoop loop,
       ControllerFleet controllers,
       WorkerFleet workers,
       EmulatedStateService state,
@@ -34,7 +34,7 @@
 
   /** Sets all faults up, those that begin at or after {@code untilMs} apart. */
   void schedule(List<Fault> faults, long untilMs) {
-    beganMs = EventLoop.nowMs();
+    beganMs = SelectorLoop.nowMs();
     for (Fault fault : faults) {
       long atMs = fault.atMs();
       do {
@@ -94,7 +94,7 @@
 
   private void enter(Fault fault, String target) {
     String what = fault.kind().word + (target.isEmpty() ? "" : " " + target);
-    done.add(new Done((EventLoop.nowMs() - beganMs) / 1000.0, what));
+    done.add(new Done((SelectorLoop.nowMs() - beganMs) / 1000.0, what));
   }
 
   private void killController(Fault fault) {
--- a/src/main/java/fennelthread/emulate/HollowWorker.java
+++ b/src/main/java/fennelthread/emulate/HollowWorker.java
@@ -53,7 +53,7 @@
     long expiredLeases;
   }
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final Context context;
   private final MachineId machine;
   private final RandomGenerator random;
@@ -72,7 +72,7 @@
   private boolean cut;
 
   /** Brings the machine up; on the loop's thread. */
-  HollowWorker(EventLoop loop, Context context, MachineId machine, RandomGenerator random)
+  HollowWorker(SelectorLoop loop, Context context, MachineId machine, RandomGenerator random)
       throws IOException {
     this.loop = loop;
     this.context = context;
@@ -143,11 +143,11 @@
 
   private void beginSession() {
     session++;
-    leaseFromMs = EventLoop.nowMs();
+    leaseFromMs = SelectorLoop.nowMs();
   }
 
   private void scheduleLeaseCheck() {
-    long endsInMs = leaseFromMs + context.timing().leaseMs() + 1 - EventLoop.nowMs();
+    long endsInMs = leaseFromMs + context.timing().leaseMs() + 1 - SelectorLoop.nowMs();
     loop.after(endsInMs, this::checkLease);
   }
 
@@ -155,7 +155,7 @@
     if (!alive) {
       return;
     }
-    if (EventLoop.nowMs() - leaseFromMs > context.timing().leaseMs()) {
+    if (SelectorLoop.nowMs() - leaseFromMs > context.timing().leaseMs()) {
       context.traffic().expiredLeases++;
       tasks.killAll();
       beginSession();
@@ -167,7 +167,7 @@
   private void raiseToken(long seen) {
     if (seen > token) {
       token = seen;
-      long now = EventLoop.nowMs();
+      long now = SelectorLoop.nowMs();
       if (now - tokenChangeAtMs >= context.timing().leaseMs() / 2) {
         tokenChangeAtMs = now;
         reportSoon();
@@ -200,7 +200,7 @@
     if (!reportDue && alive) {
       reportDue = true;
       long earliestMs = lastSentAtMs + EmulationConstants.REPORT_GAP_MS;
-      loop.after(earliestMs - EventLoop.nowMs(), this::reportIfDue);
+      loop.after(earliestMs - SelectorLoop.nowMs(), this::reportIfDue);
     }
   }
 
@@ -212,7 +212,7 @@
 
   private void send() {
     reportDue = false;
-    lastSentAtMs = EventLoop.nowMs();
+    lastSentAtMs = SelectorLoop.nowMs();
     if (cut) {
       tryNextMember();
       return;
--- a/src/main/java/fennelthread/emulate/HttpClientConnection.java
+++ b/src/main/java/fennelthread/emulate/HttpClientConnection.java
@@ -2,7 +2,7 @@
 
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -15,7 +15,7 @@
  * keeps it; one request at a time. Each hollow worker has one of its own, as a real worker has.
  */
 final class HttpClientConnection {
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final InetAddress source;
   private final String address;
   private final InetSocketAddress target;
@@ -31,14 +31,14 @@
    *
    * @param source the local address that it is opened from, or null for any
    */
-  HttpClientConnection(EventLoop loop, InetAddress source, String address) {
+  HttpClientConnection(SelectorLoop loop, InetAddress source, String address) {
     this.loop = loop;
     this.source = source;
     this.address = address;
     this.target = Addresses.parse(address);
   }
 
-  private record Pending(Call call, Consumer<Answer> done, Host.Cancellable timeout) {}
+  private record Pending(Call call, Consumer<Answer> done, EventLoop.Cancellable timeout) {}
 
   /** True while a request is under way. */
   boolean isBusy() {
--- a/src/main/java/fennelthread/emulate/HttpConnection.java
+++ b/src/main/java/fennelthread/emulate/HttpConnection.java
@@ -10,7 +10,7 @@
 
 /** One TCP connection of an event loop that carries HTTP messages, in either role. */
 abstract class HttpConnection {
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final SocketChannel channel;
   private final HttpMessage.Parser parser = new HttpMessage.Parser();
   private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
@@ -19,7 +19,7 @@
   private boolean closed;
 
   /** Creates it over a channel that one of the two methods below sets going. */
-  HttpConnection(EventLoop loop, SocketChannel channel) {
+  HttpConnection(SelectorLoop loop, SocketChannel channel) {
     this.loop = loop;
     this.channel = channel;
   }
--- a/src/main/java/fennelthread/emulate/HttpListener.java
+++ b/src/main/java/fennelthread/emulate/HttpListener.java
@@ -18,14 +18,14 @@
  * the path with its query, which the state service and the cloud need.
  */
 final class HttpListener {
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final Service service;
   private final ServerSocketChannel socket;
   private final Set<Accepted> connections = new HashSet<>();
   private boolean refusing;
 
   /** Listens from now on; on the loop's thread. */
-  HttpListener(EventLoop loop, InetSocketAddress address, Service service) throws IOException {
+  HttpListener(SelectorLoop loop, InetSocketAddress address, Service service) throws IOException {
     this.loop = loop;
     this.service = service;
     socket = ServerSocketChannel.open();
--- a/src/main/java/fennelthread/emulate/MachineTasks.java
+++ b/src/main/java/fennelthread/emulate/MachineTasks.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.EmulationConstants;
 import fennelthread.emulate.EmulatedCloud.MachineId;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.TaskRef;
 import fennelthread.wire.WorkerCommand;
@@ -47,7 +47,7 @@
     Motive motive;
     boolean kept;
     boolean present;
-    Host.Cancellable timer;
+    EventLoop.Cancellable timer;
 
     Task(TaskRef ref, long attempt, JobSpec spec) {
       this.ref = ref;
@@ -60,9 +60,9 @@
     }
   }
 
-  private record Fetch(List<Task> waiting, Host.Cancellable timer) {}
+  private record Fetch(List<Task> waiting, EventLoop.Cancellable timer) {}
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final MachineId machine;
   private final Function<String, JobSpec> jobs;
   private final RandomGenerator random;
@@ -73,7 +73,7 @@
   private final Map<String, Fetch> fetches = new HashMap<>();
 
   MachineTasks(
-      EventLoop loop,
+      SelectorLoop loop,
       MachineId machine,
       Function<String, JobSpec> jobs,
       RandomGenerator random,
@@ -172,7 +172,7 @@
 
   private Fetch fetch(JobSpec spec) {
     double seconds = spec.imageGb() / machine.type().fetchGbPerS() * (1 + between(-1, 1) / 3);
-    Host.Cancellable timer =
+    EventLoop.Cancellable timer =
         loop.after(
             (long) (seconds * 1000),
             () -> {
--- a/src/main/java/fennelthread/emulate/EventLoop.java
+++ b/src/main/java/fennelthread/emulate/SelectorLoop.java
@@ -1,7 +1,7 @@
 package fennelthread.emulate;
 
 import fennelthread.constants.EmulationConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectableChannel;
@@ -14,17 +14,17 @@
 
 /**
  * A thread with a selector, timers and a queue of tasks. Everything that is registered with it runs
- * on that thread, so that its state needs no lock. It replaces the service's own host here because
- * thousands of emulated machines need a listening socket and a connection each.
+ * on that thread, so that its state needs no lock. It replaces the service's own event loop here
+ * because thousands of emulated machines need a listening socket and a connection each.
  */
-final class EventLoop {
+final class SelectorLoop {
   /** Told that a channel can be read, written, accepted or has connected. */
   @FunctionalInterface
   interface ChannelHandler {
     void ready(SelectionKey key) throws IOException;
   }
 
-  private static final class Timer implements Comparable<Timer>, Host.Cancellable {
+  private static final class Timer implements Comparable<Timer>, EventLoop.Cancellable {
     final long dueNanos;
     final long order;
     Runnable task;
@@ -58,7 +58,7 @@
   private volatile boolean stopped;
 
   /** Creates the loop; its thread runs from {@link #start} on. */
-  EventLoop(String name) throws IOException {
+  SelectorLoop(String name) throws IOException {
     selector = Selector.open();
     thread = new Thread(this::run, name);
     thread.setDaemon(true);
@@ -82,7 +82,7 @@
   }
 
   /** Runs a task after a delay; only on the loop's thread. */
-  Host.Cancellable after(long delayMs, Runnable task) {
+  EventLoop.Cancellable after(long delayMs, Runnable task) {
     long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.max(0, delayMs));
     Timer timer = new Timer(due, timersMade++, task);
     timers.add(timer);
--- a/src/main/java/fennelthread/emulate/WorkerProcess.java
+++ b/src/main/java/fennelthread/emulate/WorkerProcess.java
@@ -29,7 +29,7 @@
   /** Ends each line: one that lacks it was cut short by the process's end. */
   static final String END_OF_LINE = ";";
 
-  private final EventLoop loop;
+  private final SelectorLoop loop;
   private final List<HollowWorker.Member> members = new ArrayList<>();
   private final Settings.Workers timing;
   private final SplittableRandom random;
@@ -41,7 +41,7 @@
 
   private WorkerProcess(Fields start, PrintStream out) throws WireException, IOException {
     this.out = out;
-    this.loop = new EventLoop("hollow-workers");
+    this.loop = new SelectorLoop("hollow-workers");
     for (Fields member : start.maps("members")) {
       members.add(new HollowWorker.Member(member.text("name"), member.text("address")));
     }
--- a/src/main/java/fennelthread/fleet/AggregatedLog.java
+++ b/src/main/java/fennelthread/fleet/AggregatedLog.java
@@ -1,7 +1,7 @@
 package fennelthread.fleet;
 
 import fennelthread.constants.FleetConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
@@ -18,20 +18,20 @@
     int events;
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Consumer<String> log;
   private final Map<String, Count> counts = new LinkedHashMap<>();
 
   /** Creates a tally; {@code log} gets its lines. */
-  AggregatedLog(Host host, Consumer<String> log) {
-    this.host = host;
+  AggregatedLog(EventLoop eventLoop, Consumer<String> log) {
+    this.eventLoop = eventLoop;
     this.log = log;
   }
 
   /** Something happened to a machine, so many times. */
   void add(String what, String machine, int times) {
     if (counts.isEmpty()) {
-      host.after(FleetConstants.TALLY_MS, this::flush);
+      eventLoop.after(FleetConstants.TALLY_MS, this::flush);
     }
     Count count = counts.computeIfAbsent(what, k -> new Count());
     count.machines.add(machine);
--- a/src/main/java/fennelthread/fleet/Cloud.java
+++ b/src/main/java/fennelthread/fleet/Cloud.java
@@ -3,11 +3,11 @@
 import fennelthread.constants.FleetConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.HostEntry;
+import fennelthread.wire.MachineEntry;
 import fennelthread.wire.MachineType;
 import fennelthread.wire.Rental;
 import fennelthread.wire.WireException;
@@ -33,19 +33,19 @@
     record Unknown() implements Rented {}
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final String address;
   private long quietUntil;
 
   /** Creates a client. */
-  public Cloud(Host host, Settings settings) {
-    this.host = host;
+  public Cloud(EventLoop eventLoop, Settings settings) {
+    this.eventLoop = eventLoop;
     this.address = settings.cloudAddr();
   }
 
   /** True while the cloud has asked us to slow down or is in trouble. */
   public boolean isQuiet() {
-    return host.nowMs() < quietUntil;
+    return eventLoop.nowMs() < quietUntil;
   }
 
   /** Reads types and prices. */
@@ -63,11 +63,11 @@
   }
 
   /** Reads the whole machine list. */
-  public void list(Consumer<List<HostEntry>> done) {
+  public void list(Consumer<List<MachineEntry>> done) {
     page(null, new ArrayList<>(), done);
   }
 
-  private void page(String since, List<HostEntry> sofar, Consumer<List<HostEntry>> done) {
+  private void page(String since, List<MachineEntry> sofar, Consumer<List<MachineEntry>> done) {
     call(
         Call.get("/hosts?" + (since == null ? "" : "since=" + since + "&") + "most=500"),
         answer -> {
@@ -77,7 +77,7 @@
               return;
             }
             Fields body = answer.fields();
-            List<HostEntry> entries = HostEntry.readAll(body);
+            List<MachineEntry> entries = MachineEntry.readAll(body);
             sofar.addAll(entries);
             if (body.optFlag("more") && !entries.isEmpty()) {
               page(entries.get(entries.size() - 1).name(), sofar, done);
@@ -143,13 +143,13 @@
   }
 
   private void call(Call call, Consumer<Answer> done) {
-    host.call(
+    eventLoop.call(
         address,
         call,
         FleetConstants.CLOUD_TIMEOUT_MS,
         answer -> {
           if (answer != null && (answer.status() == 429 || answer.status() == 503)) {
-            quietUntil = host.nowMs() + 1_000;
+            quietUntil = eventLoop.nowMs() + 1_000;
           }
           done.accept(answer);
         });
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -5,7 +5,7 @@
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.StallDetector;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
@@ -58,14 +58,14 @@
   /** How requests of ours reach workers. */
   @FunctionalInterface
   public interface Paths {
-    /** Sends a request to a worker, as {@link Host#call} says. */
+    /** Sends a request to a worker, as {@link EventLoop#call} says. */
     void send(
         Machine machine,
         String address,
         Call call,
         long timeoutMs,
         Consumer<Answer> done,
-        Host.Unsent unsent);
+        EventLoop.Unsent unsent);
   }
 
   /** What lets answers to reports out. */
@@ -100,7 +100,7 @@
    * @param gate lets answers to reports out
    */
   public Fleet(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       long epoch,
       Listener listener,
@@ -110,8 +110,9 @@
       ZoneHealth zones,
       StallDetector stalls,
       Gate gate) {
-    AggregatedLog aggregatedLog = new AggregatedLog(host, log::info);
-    this.context = new FleetContext(host, settings, epoch, listener, paths, stalls, aggregatedLog);
+    AggregatedLog aggregatedLog = new AggregatedLog(eventLoop, log::info);
+    this.context =
+        new FleetContext(eventLoop, settings, epoch, listener, paths, stalls, aggregatedLog);
     this.othersSilentSince = othersSilentSince;
     this.machineTypes = machineTypes;
     this.zones = zones;
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -2,14 +2,14 @@
 
 import fennelthread.constants.FleetConstants;
 import fennelthread.constants.ProtocolConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.StallDetector;
 import fennelthread.settings.Settings;
 import fennelthread.wire.WorkerReport;
 
 /** What the parts of one term's fleet share. */
 final class FleetContext {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final long epoch;
   private final Fleet.Listener listener;
@@ -19,14 +19,14 @@
   private boolean closed;
 
   FleetContext(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       long epoch,
       Fleet.Listener listener,
       Fleet.Paths paths,
       StallDetector stalls,
       AggregatedLog aggregatedLog) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.epoch = epoch;
     this.listener = listener;
@@ -36,7 +36,7 @@
   }
 
   long nowMs() {
-    return host.nowMs();
+    return eventLoop.nowMs();
   }
 
   Settings settings() {
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -1,12 +1,12 @@
 package fennelthread.fleet;
 
 import fennelthread.constants.FleetConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.StallDetector;
 import fennelthread.plan.Plan;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
-import fennelthread.wire.HostEntry;
+import fennelthread.wire.MachineEntry;
 import fennelthread.wire.MachineType;
 import fennelthread.wire.Rental;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
    */
   private record Booting(MachineKind kind, long askedMs, long knownMs, boolean ours) {}
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final Cloud cloud;
   private final Fleet fleet;
@@ -60,7 +60,7 @@
 
   /** Creates the rentals of one term; {@code prefix} makes request names unique for ever. */
   public MachineProvisioner(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       Options options,
       Cloud cloud,
@@ -70,14 +70,14 @@
       String prefix,
       Map<String, MachineType> machineTypes,
       Consumer<List<MachineType>> onMachineTypes) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.cloud = cloud;
     this.fleet = fleet;
     this.zones = zones;
     this.wake = wake;
     this.returns =
-        new MachineReturns(host, settings, options, cloud, fleet, zones, wake, this::returned);
+        new MachineReturns(eventLoop, settings, options, cloud, fleet, zones, wake, this::returned);
     this.prefix = prefix;
     this.machineTypes = machineTypes;
     this.onMachineTypes = onMachineTypes;
@@ -111,7 +111,7 @@
             machineTypes = map;
             onMachineTypes.accept(list);
           }
-          host.after(
+          eventLoop.after(
               list == null ? 2_000 : FleetConstants.MACHINE_TYPES_EVERY_MS, this::readMachineTypes);
         });
   }
@@ -131,18 +131,18 @@
             listedOnce = true;
             entries.forEach(this::listed);
           }
-          host.after(FleetConstants.LIST_EVERY_MS, this::list);
+          eventLoop.after(FleetConstants.LIST_EVERY_MS, this::list);
         });
   }
 
-  private void listed(HostEntry e) {
+  private void listed(MachineEntry e) {
     Machine known = fleet.get(e.name());
     if (known != null && known.phase() == Machine.Phase.GONE) {
       return;
     }
     Machine m = fleet.learn(e.name(), e.address());
     fleet.describe(m, e.type(), e.zone(), e.spot());
-    if (e.state().equals(HostEntry.FAILED)) {
+    if (e.state().equals(MachineEntry.FAILED)) {
       m.setListedFailed();
     } else if (m.phase() == Machine.Phase.UNHEARD && !booting.containsKey(e.name())) {
       // Rented by a predecessor, or by a request of ours that was executed late. What is listed as
@@ -153,8 +153,8 @@
       // is
       // listed as starting goes on from its age, or each change of leader would put its end off
       // anew.
-      long now = host.nowMs();
-      long askedMs = e.state().equals(HostEntry.STARTING) ? now - (long) (e.ageS() * 1000) : now;
+      long now = eventLoop.nowMs();
+      long askedMs = e.state().equals(MachineEntry.STARTING) ? now - (long) (e.ageS() * 1000) : now;
       booting.put(
           e.name(),
           new Booting(new MachineKind(e.type(), e.zone(), e.spot()), askedMs, now, false));
@@ -163,7 +163,7 @@
 
   /** Takes note of the demand of the moment, CPUs. */
   public void demand(double cpus) {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     demands.removeIf(d -> d[0] < now - FleetConstants.DEMAND_WINDOW_MS);
     if (!demands.isEmpty() && now - demands.get(demands.size() - 1)[0] < 1_000) {
       double[] last = demands.get(demands.size() - 1);
@@ -178,7 +178,7 @@
     if (closed) {
       return;
     }
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     for (Machine m : fleet.machines()) {
       boolean up = m.phase() == Machine.Phase.REPORTING || m.phase() == Machine.Phase.LOST;
       Booting b = up ? booting.remove(m.name()) : null;
@@ -302,7 +302,7 @@
           if (closed) {
             return;
           }
-          long now = host.nowMs();
+          long now = eventLoop.nowMs();
           if (result instanceof Cloud.Rented.Machines rented) {
             log.info(
                 "rented {} {} (spot {}) of {}",
@@ -326,7 +326,7 @@
           } else if (tries < 5) {
             // Under the same name: if the first was executed, this one rents nothing more.
             renting = true;
-            host.after(
+            eventLoop.after(
                 1_500,
                 () -> {
                   renting = false;
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -1,7 +1,7 @@
 package fennelthread.fleet;
 
 import fennelthread.constants.FleetConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.StallDetector;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
@@ -40,7 +40,7 @@
    * @param onReturned told each machine that the cloud has confirmed to be gone
    */
   MachineReturns(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       Options options,
       Cloud cloud,
@@ -55,7 +55,7 @@
     this.zones = zones;
     this.stalls = stalls;
     this.onReturned = onReturned;
-    this.aggregatedLog = new AggregatedLog(host, log::info);
+    this.aggregatedLog = new AggregatedLog(eventLoop, log::info);
   }
 
   /** Ends the term: answers that are still under way change nothing. */
--- a/src/main/java/fennelthread/health/HeapGuard.java
+++ b/src/main/java/fennelthread/health/HeapGuard.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.HealthConstants;
 import fennelthread.constants.RelayConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -23,7 +23,7 @@
     TIGHT
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Supplier<String> census;
   private final Runnable shed;
   private Phase phase = Phase.ROOMY;
@@ -37,11 +37,11 @@
    * @param census says what is held, in one line
    * @param shed gives up caches
    */
-  public HeapGuard(Host host, Supplier<String> census, Runnable shed) {
-    this.host = host;
+  public HeapGuard(EventLoop eventLoop, Supplier<String> census, Runnable shed) {
+    this.eventLoop = eventLoop;
     this.census = census;
     this.shed = shed;
-    this.leastSince = host.nowMs();
+    this.leastSince = eventLoop.nowMs();
   }
 
   /** True if nothing new should be taken. */
@@ -51,8 +51,8 @@
 
   /** Looks; cheap, and to be called every {@link RelayConstants#SUPERVISE_MS}. */
   public void look() {
-    Host.Heap heap = host.heap();
-    long now = host.nowMs();
+    EventLoop.Heap heap = eventLoop.heap();
+    long now = eventLoop.nowMs();
     // What is used between two collections tells nothing; the least of some seconds is near what
     // lives.
     leastUsed = Math.min(leastUsed, heap.usedBytes());
@@ -82,7 +82,7 @@
   private void moveTo(Phase next, double live) {
     log.error(
         "heap {} -> {}: {}% of {} MB live; {}",
-        phase, next, Math.round(live * 100), host.heap().mostBytes() >> 20, census.get());
+        phase, next, Math.round(live * 100), eventLoop.heap().mostBytes() >> 20, census.get());
     phase = next;
   }
 }
--- a/src/main/java/fennelthread/jobs/Cancellations.java
+++ b/src/main/java/fennelthread/jobs/Cancellations.java
@@ -1,7 +1,7 @@
 package fennelthread.jobs;
 
 import fennelthread.constants.JobConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
 import fennelthread.state.Replica;
@@ -16,7 +16,7 @@
 
 /** Moves jobs from their live to their final records: cancellations, and notes of completions. */
 final class Cancellations {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
   private final FinalStates finals;
@@ -26,13 +26,13 @@
   private boolean cascading;
 
   Cancellations(
-      Host host,
+      EventLoop eventLoop,
       StateClient state,
       Replica replica,
       FinalStates finals,
       JobQueries queries,
       DependencyTracker waits) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
     this.finals = finals;
@@ -133,7 +133,7 @@
   }
 
   private Lookup.Final cancelled(Job job) {
-    return new Lookup.Final(JobState.CANCELLED, job.finished().cardinality(), host.wallMs());
+    return new Lookup.Final(JobState.CANCELLED, job.finished().cardinality(), eventLoop.wallMs());
   }
 
   /** Adds the changes that make a live job final, on condition that it still is what is known. */
--- a/src/main/java/fennelthread/jobs/DependencyTracker.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.JobConstants;
 import fennelthread.constants.ProtocolConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.settings.Settings;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -29,7 +29,7 @@
     void read(String id, Consumer<Lookup.Final> done);
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final JobTable table;
   private final Ends ends;
   private final DependencyGraph graph;
@@ -37,8 +37,8 @@
   private final List<DependencyGraph.Listener> listeners = new ArrayList<>();
   private int reading;
 
-  DependencyTracker(Host host, JobTable table, Settings settings, Ends ends) {
-    this.host = host;
+  DependencyTracker(EventLoop eventLoop, JobTable table, Settings settings, Ends ends) {
+    this.eventLoop = eventLoop;
     this.table = table;
     this.ends = ends;
     this.graph = new DependencyGraph(settings::lastDeadlineS, this);
@@ -103,10 +103,10 @@
             // Unreachable, or live in truth and not yet known to be here: asked again later. Never
             // at
             // once, since a refusal for want of room may come before this call returns.
-            host.after(
+            eventLoop.after(
                 (long)
                     (JobConstants.END_READ_PAUSE_MS
-                        * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
+                        * (1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble())),
                 () -> {
                   asked.remove(id);
                   readUnknown();
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -1,6 +1,6 @@
 package fennelthread.jobs;
 
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
@@ -19,7 +19,7 @@
  * gave. What happens when an answer of the state service is lost: docs/answers.md.
  */
 public final class JobStore {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final JobTable table;
   private final Limits limits;
   private final FinalStates finals;
@@ -34,21 +34,21 @@
    * is told that it is cancelled.
    */
   public JobStore(
-      Host host,
+      EventLoop eventLoop,
       StateClient state,
       Replica replica,
       JobTable table,
       Settings settings,
       Consumer<String> onCancelled) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.table = table;
     this.limits = state.limits();
     this.finals = new FinalStates(state, onCancelled);
     this.queries = new JobQueries(state, replica, table, finals);
-    this.waits = new DependencyTracker(host, table, settings, ends());
+    this.waits = new DependencyTracker(eventLoop, table, settings, ends());
     finals.listen(waits::learned);
     this.needsCheck = new DependencyCheck(state, table, finals, queries, waits);
-    this.cancellations = new Cancellations(host, state, replica, finals, queries, waits);
+    this.cancellations = new Cancellations(eventLoop, state, replica, finals, queries, waits);
     this.acceptances = new Acceptances(state, this::isKnown, cancellations::madeFinal);
   }
 
@@ -77,7 +77,7 @@
    * @throws WireException naming the field that is too large for the state service
    */
   public Submission prepare(JobSpec spec) throws WireException {
-    return new Submission(spec, Job.write(spec, host.wallMs(), limits), null);
+    return new Submission(spec, Job.write(spec, eventLoop.wallMs(), limits), null);
   }
 
   /**
@@ -85,7 +85,7 @@
    * first, it would be called so long after its user was told of the cancellation.
    */
   public Submission cancelled(Submission job) {
-    Lookup.Final end = new Lookup.Final(JobState.CANCELLED, 0, host.wallMs());
+    Lookup.Final end = new Lookup.Final(JobState.CANCELLED, 0, eventLoop.wallMs());
     return new Submission(job.spec(), Map.of(Keys.finalJob(job.spec().id()), end.write()), end);
   }
 
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -9,7 +9,7 @@
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
 import fennelthread.jobs.Lookup;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
 import fennelthread.state.Replica;
@@ -47,7 +47,7 @@
     CLOSED
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
   private final JobStore store;
@@ -66,7 +66,7 @@
 
   /** Creates the completions of a term; {@code changed} is called when a round may place more. */
   Completions(
-      Host host,
+      EventLoop eventLoop,
       StateClient state,
       Replica replica,
       JobStore store,
@@ -75,7 +75,7 @@
       ActiveJobs runs,
       RunTimes runTimes,
       Runnable changed) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
     this.store = store;
@@ -120,19 +120,19 @@
     if (a.phase() == Attempt.Phase.GONE || a.motive() == null) {
       return;
     }
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     JobSpec spec = run.job().spec();
     switch (a.motive()) {
       case DONE -> done(m, a, run);
       case ERROR -> {
-        boolean known = run.failedOn(index, m.name(), now, host.random().nextDouble());
+        boolean known = run.failedOn(index, m.name(), now, eventLoop.random().nextDouble());
         if (!known && fleet.failed(m, spec.id())) {
           log.info("{} fails its tasks, draining it", m.name());
           fleet.drain(m);
         }
       }
       case HALTED -> run.pause(index, 0);
-      case FULL, BUSY, NO_SUCH, OTHER -> run.refused(index, now, host.random().nextDouble());
+      case FULL, BUSY, NO_SUCH, OTHER -> run.refused(index, now, eventLoop.random().nextDouble());
       default -> throw new IllegalStateException();
     }
   }
@@ -142,7 +142,7 @@
     fleet.succeeded(m);
     fleet.cached(m, spec.image(), spec.imageGb());
     if (a.runningSinceMs() >= 0 && spec.estimateS() > 0) {
-      runTimes.learn(spec, (host.nowMs() - a.runningSinceMs()) / 1000.0);
+      runTimes.learn(spec, (eventLoop.nowMs() - a.runningSinceMs()) / 1000.0);
     }
     if (spec.service()) {
       return;
@@ -152,7 +152,7 @@
     if (run.unfinished() == 0 && phase == Phase.IDLE) {
       // Its user waits for this one; tasks of other jobs can wait for one another.
       moveTo(Phase.GATHERING);
-      host.after(
+      eventLoop.after(
           LeaderConstants.FLUSH_DONE_MS,
           () -> {
             if (phase == Phase.GATHERING) {
@@ -175,18 +175,19 @@
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
     for (ActiveJob run : dirty) {
       if (run.unfinished() == 0 && txn.ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
-        Lookup.Final end = new Lookup.Final(JobState.DONE, run.job().spec().tasks(), host.wallMs());
+        Lookup.Final end =
+            new Lookup.Final(JobState.DONE, run.job().spec().tasks(), eventLoop.wallMs());
         JobStore.addFinal(txn, run.job(), end);
         ends.put(run.job().spec().id(), end);
       }
     }
-    if (ends.isEmpty() && host.nowMs() - partsWrittenAt >= LeaderConstants.FLUSH_PARTS_MS) {
+    if (ends.isEmpty() && eventLoop.nowMs() - partsWrittenAt >= LeaderConstants.FLUSH_PARTS_MS) {
       boolean all = true;
       for (ActiveJob run : dirty) {
         all &= addParts(run, txn, written);
       }
       if (all) {
-        partsWrittenAt = host.nowMs();
+        partsWrittenAt = eventLoop.nowMs();
       }
     }
     if (txn.ops() == 0) {
@@ -250,7 +251,7 @@
         dirty.removeIf(run -> c.failed().contains(Keys.job(run.job().spec().id())));
       }
       if (awaited) {
-        host.after(ProtocolConstants.RETRY_MS, this::tick);
+        eventLoop.after(ProtocolConstants.RETRY_MS, this::tick);
       }
     }
   }
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -7,7 +7,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.DependencyGraph;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.plan.Aging;
 import fennelthread.plan.Snapshot;
 import fennelthread.settings.Settings;
@@ -23,14 +23,14 @@
 
 /** What the released jobs ask of a round, and how urgently. */
 final class Demand {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final Fleet fleet;
   private final ActiveJobs runs;
   private final RunTimes runTimes;
 
-  Demand(Host host, Settings settings, Fleet fleet, ActiveJobs runs, RunTimes runTimes) {
-    this.host = host;
+  Demand(EventLoop eventLoop, Settings settings, Fleet fleet, ActiveJobs runs, RunTimes runTimes) {
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.fleet = fleet;
     this.runs = runs;
@@ -50,7 +50,7 @@
 
   /** Tasks that may be started now, at most {@code most} of each job. */
   Map<ActiveJob, List<Integer>> waiting(int most) {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     Map<ActiveJob, List<Integer>> waiting = new LinkedHashMap<>();
     for (ActiveJob run : runs.all()) {
       // The gate: nothing of a job that waits for others gets into a round.
@@ -87,9 +87,9 @@
   /** Whose turn it is among the released jobs, in a fleet of so many CPUs. */
   Aging turns(double fleetCpus) {
     Aging turns = new Aging(fleetCpus);
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     for (ActiveJob run : runs.all()) {
-      long waitedMs = host.wallMs() - run.releasedWallMs();
+      long waitedMs = eventLoop.wallMs() - run.releasedWallMs();
       // Of a service that has more than one replica another goes on whatever is stopped.
       boolean looked =
           run.isReleased()
@@ -146,7 +146,7 @@
   private double work(ActiveJob run, int tasks, double takesS) {
     double work = tasks * Math.max(0.1, run.job().spec().cpus()) * Math.max(1, takesS);
     long agedMs =
-        Math.max(0, host.wallMs() - run.releasedWallMs() - LeaderConstants.WORK_AGES_AFTER_MS);
+        Math.max(0, eventLoop.wallMs() - run.releasedWallMs() - LeaderConstants.WORK_AGES_AFTER_MS);
     return work * Math.pow(0.5, agedMs / LeaderConstants.WORK_HALVED_MS);
   }
 
@@ -167,7 +167,7 @@
     }
     double latestMs = loan.dueMs() - takesS * 1000;
     boolean patient =
-        latestMs - host.wallMs()
+        latestMs - eventLoop.wallMs()
             > (latestMs - run.releasedWallMs()) * (1 - LeaderConstants.LENT_PATIENCE);
     return patient ? run.job().spec().priority() : run.priority();
   }
@@ -183,7 +183,7 @@
       return Double.MAX_VALUE;
     }
     long accepted = run.job().acceptedWallMs();
-    double ageS = (host.wallMs() - accepted) / 1000.0;
+    double ageS = (eventLoop.wallMs() - accepted) / 1000.0;
     double waitedS = (run.releasedWallMs() - accepted) / 1000.0;
     List<Double> times = settings.doneByS(spec.jobClass(), spec.deadlineS(), waitedS);
     DependencyGraph.Loan loan = run.loan();
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.LeaderConstants;
 import fennelthread.constants.ProtocolConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
@@ -44,7 +44,7 @@
     void deposed(String why);
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
   private final Listener listener;
@@ -74,7 +74,7 @@
    *     for as long as it hears of no later one, gives 0 if that one is known not to any more
    */
   public Lease(
-      Host host,
+      EventLoop eventLoop,
       StateClient state,
       Replica replica,
       Settings settings,
@@ -83,7 +83,7 @@
       BooleanSupplier backed,
       LongUnaryOperator stillUnbounded,
       Listener listener) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
     this.listener = listener;
@@ -112,7 +112,7 @@
 
   /** True if starts may be sent at this very moment. */
   public boolean mayStart() {
-    return phase == Phase.LEADING && host.nowMs() < leaseUntil && backed.getAsBoolean();
+    return phase == Phase.LEADING && eventLoop.nowMs() < leaseUntil && backed.getAsBoolean();
   }
 
   /** Our epoch; only meaningful while leading. */
@@ -204,13 +204,13 @@
     if (phase != Phase.LEADING) {
       return;
     }
-    notBefore = host.nowMs() + pauseMs;
+    notBefore = eventLoop.nowMs() + pauseMs;
     leaseUntil = Long.MIN_VALUE;
     long old = grant;
     moveTo(Phase.FOLLOWING, why);
     state.endGrant(old, status -> {});
     listener.deposed(why);
-    host.after(pauseMs + ProtocolConstants.RETRY_MS, this::consider);
+    eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::consider);
   }
 
   private void moveTo(Phase next, String why) {
@@ -256,9 +256,9 @@
       return;
     }
     claimPlanned = true;
-    long wait = Math.max(0, notBefore - host.nowMs());
-    host.after(
-        wait + (long) (LeaderConstants.CLAIM_SPREAD_MS * host.random().nextDouble()),
+    long wait = Math.max(0, notBefore - eventLoop.nowMs());
+    eventLoop.after(
+        wait + (long) (LeaderConstants.CLAIM_SPREAD_MS * eventLoop.random().nextDouble()),
         () -> {
           claimPlanned = false;
           if (phase == Phase.FOLLOWING && replica.isReady() && replica.get(Keys.LEAD) == null) {
@@ -275,18 +275,18 @@
         return;
       }
       endingOld = true;
-      if (Math.abs(host.wallMs() - lead.count("at_ms", 0)) < LeaderConstants.FLAPPING_MS) {
+      if (Math.abs(eventLoop.wallMs() - lead.count("at_ms", 0)) < LeaderConstants.FLAPPING_MS) {
         // Our predecessor ended soon after its claim, and so may we: whoever runs well goes first.
         // A process
         // that ends at once each time would otherwise lead for ever, a moment at a time.
-        notBefore = Math.max(notBefore, host.nowMs() + LeaderConstants.FLAPPING_PAUSE_MS);
+        notBefore = Math.max(notBefore, eventLoop.nowMs() + LeaderConstants.FLAPPING_PAUSE_MS);
       }
       state.endGrant(
           lead.count("permiso"),
           status -> {
             endingOld = false;
             if (status != 200 && status != 404) {
-              host.after(ProtocolConstants.RETRY_MS, this::consider);
+              eventLoop.after(ProtocolConstants.RETRY_MS, this::consider);
             }
           });
     } catch (WireException e) {
@@ -327,7 +327,7 @@
 
   private void claim(String why, Txn conditions) {
     moveTo(Phase.CLAIMING, why);
-    long t0 = host.nowMs();
+    long t0 = eventLoop.nowMs();
     state.grant(
         ttlMs,
         id -> {
@@ -348,7 +348,7 @@
                           .with("epoch", next)
                           .with("permiso", id)
                           .with("promises", true)
-                          .with("at_ms", host.wallMs()),
+                          .with("at_ms", eventLoop.wallMs()),
                       id)
                   .write(
                       Keys.EPOCH,
@@ -391,8 +391,9 @@
 
   private void giveUp(String why) {
     moveTo(Phase.FOLLOWING, why);
-    host.after(
-        (long) (ProtocolConstants.RETRY_MS * (0.5 + host.random().nextDouble())), this::consider);
+    eventLoop.after(
+        (long) (ProtocolConstants.RETRY_MS * (0.5 + eventLoop.random().nextDouble())),
+        this::consider);
   }
 
   private void won(long next, long revision, long id, long t0, Txn txn) {
@@ -405,7 +406,7 @@
     listener.elected(epoch, epochRevision);
     replica.applied(txn, revision);
     if (phase == Phase.LEADING && epoch == next) {
-      host.after(ttlMs / LeaderConstants.RENEWALS_PER_GRANT, () -> renew(next));
+      eventLoop.after(ttlMs / LeaderConstants.RENEWALS_PER_GRANT, () -> renew(next));
     }
   }
 
@@ -413,7 +414,7 @@
     if (phase != Phase.LEADING || epoch != of) {
       return;
     }
-    long t0 = host.nowMs();
+    long t0 = eventLoop.nowMs();
     state.extend(
         grant,
         status -> {
@@ -428,10 +429,10 @@
           if (good) {
             leaseUntil = Math.max(leaseUntil, t0 + leaseMs);
           }
-          long spent = host.nowMs() - t0;
+          long spent = eventLoop.nowMs() - t0;
           long pause =
               good ? ttlMs / LeaderConstants.RENEWALS_PER_GRANT : ProtocolConstants.RETRY_MS / 2;
-          host.after(Math.max(20, pause - spent), () -> renew(of));
+          eventLoop.after(Math.max(20, pause - spent), () -> renew(of));
         });
   }
 }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -25,7 +25,7 @@
 final class MachineLoad {
   private long version = -1;
   private MachineType machineType;
-  private Snapshot.Host host;
+  private Snapshot.Machine snapshot;
   private final Map<String, double[]> used = new HashMap<>(4);
 
   /** Brings it up to date; {@code runs} gives what is known of a live job, or null. */
@@ -89,10 +89,10 @@
       }
     }
     fetching.removeAll(m.images());
-    host =
+    snapshot =
         type == null
             ? null
-            : new Snapshot.Host(
+            : new Snapshot.Machine(
                 m.name(),
                 m.type(),
                 m.zone(),
@@ -113,8 +113,8 @@
   }
 
   /** The machine as placement sees it, or null if its type is not known. */
-  Snapshot.Host host() {
-    return host;
+  Snapshot.Machine snapshot() {
+    return snapshot;
   }
 
   /** Adds what each team's tasks may take here. */
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -5,7 +5,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.jobs.JobTable;
 import fennelthread.jobs.StartRecord;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
 import fennelthread.state.Replica;
@@ -27,7 +27,7 @@
 final class RecordCollector {
   private static final Logger log = LoggerFactory.getLogger(RecordCollector.class);
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final StateClient state;
   private final Limits limits;
   private final Replica replica;
@@ -40,7 +40,7 @@
   private long sweptAt;
 
   RecordCollector(
-      Host host,
+      EventLoop eventLoop,
       StateClient state,
       Replica replica,
       JobTable table,
@@ -48,7 +48,7 @@
       Fleet fleet,
       SchedulingLoop rounds,
       SpareKeys spare) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.state = state;
     this.limits = state.limits();
     this.replica = replica;
@@ -69,10 +69,10 @@
 
   /** Removes some, if it is time to. */
   void tick() {
-    if (sweeping || !lease.mayStart() || host.nowMs() - sweptAt < LeaderConstants.SWEEP_MS) {
+    if (sweeping || !lease.mayStart() || eventLoop.nowMs() - sweptAt < LeaderConstants.SWEEP_MS) {
       return;
     }
-    sweptAt = host.nowMs();
+    sweptAt = eventLoop.nowMs();
     Census census = look();
     boolean tooMany = tooMany(census);
     Txn txn = lease.fenced();
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -6,7 +6,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.StartRecord;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.plan.Aging;
 import fennelthread.plan.Plan;
 import fennelthread.plan.Planner;
@@ -53,7 +53,7 @@
     CLOSED
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final Options options;
   private final StateClient state;
@@ -78,7 +78,7 @@
 
   /** Creates the rounds of a term; {@code cpusWanted} is told the demand seen by each. */
   SchedulingLoop(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       Options options,
       StateClient state,
@@ -91,7 +91,7 @@
       DoubleConsumer cpusWanted,
       Supplier<Map<String, MachineType>> machineTypes,
       SpareKeys spare) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.options = options;
     this.state = state;
@@ -151,7 +151,7 @@
 
   /** Makes a round if none was made for long: for what no event announced. */
   void tick() {
-    if (host.nowMs() - lastAt >= LeaderConstants.ROUND_IDLE_MS) {
+    if (eventLoop.nowMs() - lastAt >= LeaderConstants.ROUND_IDLE_MS) {
       changed();
     }
   }
@@ -163,8 +163,8 @@
     }
     moveTo(Phase.PLANNED);
     long at = Math.max(lastAt + options.roundGapMs(), pausedUntil);
-    host.after(
-        Math.max(1, at - host.nowMs()),
+    eventLoop.after(
+        Math.max(1, at - eventLoop.nowMs()),
         () -> {
           if (phase == Phase.PLANNED) {
             make();
@@ -173,7 +173,7 @@
   }
 
   private void make() {
-    lastAt = host.nowMs();
+    lastAt = eventLoop.nowMs();
     if (!lease.mayStart()) {
       moveTo(Phase.IDLE);
       return;
@@ -181,13 +181,13 @@
     Snapshot snapshot = snapshot();
     if (snapshot == null) {
       unplaced = List.of();
-      passedOver.update(Set.of(), host.nowMs());
+      passedOver.update(Set.of(), eventLoop.nowMs());
       moveTo(Phase.IDLE);
       return;
     }
     Plan plan = Planner.plan(snapshot);
     unplaced = plan.unplaced();
-    passedOver.update(plan.passedOver(), host.nowMs());
+    passedOver.update(plan.passedOver(), eventLoop.nowMs());
     if (log.isDebugEnabled() && !unplaced.isEmpty()) {
       log.debug(
           "{} jobs have tasks without a place, {} starts, use {}",
@@ -266,7 +266,7 @@
       log.info("round abandoned: {}", result);
       byMachine.forEach(this::drop);
       lease.refused(result);
-      pausedUntil = host.nowMs() + ProtocolConstants.RETRY_MS;
+      pausedUntil = eventLoop.nowMs() + ProtocolConstants.RETRY_MS;
     }
     changed();
   }
@@ -318,13 +318,13 @@
     }
     Map<String, MachineType> types = machineTypes.get();
     Map<String, double[]> used = new HashMap<>();
-    List<Snapshot.Host> hosts = new ArrayList<>();
+    List<Snapshot.Machine> machines = new ArrayList<>();
     for (Machine m : fleet.machines()) {
       MachineLoad load = loads.computeIfAbsent(m, k -> new MachineLoad());
       load.update(m, types.get(m.type()), fleet, runs::get, runTimes);
       load.addTo(used);
-      if (load.host() != null && fleet.isReady(m)) {
-        hosts.add(load.host());
+      if (load.snapshot() != null && fleet.isReady(m)) {
+        machines.add(load.snapshot());
       }
     }
     Map<String, Snapshot.Use> teams = new HashMap<>();
@@ -335,19 +335,19 @@
     }
     Set<String> guaranteed = demand.guaranteed();
     double cpus = 0;
-    for (Snapshot.Host h : hosts) {
-      cpus += h.cpusTotal();
+    for (Snapshot.Machine machine : machines) {
+      cpus += machine.cpusTotal();
     }
     Aging turns = demand.turns(cpus);
     return new Snapshot(
-        hosts,
+        machines,
         demand.needs(waiting, guaranteed, turns),
         guaranteed,
         turns.kept(),
         teams,
-        host.nowMs(),
+        eventLoop.nowMs(),
         mostStarts,
-        passedOver.overdue(host.nowMs()),
+        passedOver.overdue(eventLoop.nowMs()),
         turns.spared());
   }
 
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -12,7 +12,7 @@
 import fennelthread.jobs.JobTable;
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.StallDetector;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
@@ -50,7 +50,7 @@
     CLOSED
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Replica replica;
   private final JobTable table;
   private final JobStore store;
@@ -73,7 +73,7 @@
    * to reports out.
    */
   public Term(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       Options options,
       StateClient state,
@@ -91,7 +91,7 @@
       Predicate<String> isJobOver,
       Fleet.Gate gate,
       Map<String, String> addresses) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.replica = replica;
     this.table = table;
     this.store = store;
@@ -100,7 +100,7 @@
     this.isJobOver = isJobOver;
     this.fleet =
         new Fleet(
-            host,
+            eventLoop,
             settings,
             epoch,
             this,
@@ -112,7 +112,7 @@
             gate);
     this.provisioner =
         new MachineProvisioner(
-            host,
+            eventLoop,
             settings,
             options,
             cloud,
@@ -124,12 +124,12 @@
             onMachineTypes);
     RunTimes runTimes = new RunTimes();
     this.activeJobs = new ActiveJobs(store.waits().graph());
-    Demand demand = new Demand(host, settings, fleet, activeJobs, runTimes);
-    this.commands = new WorkerCommands(host, fleet, activeJobs, runTimes, isJobOver);
+    Demand demand = new Demand(eventLoop, settings, fleet, activeJobs, runTimes);
+    this.commands = new WorkerCommands(eventLoop, fleet, activeJobs, runTimes, isJobOver);
     SpareKeys spare = new SpareKeys();
     this.scheduling =
         new SchedulingLoop(
-            host,
+            eventLoop,
             settings,
             options,
             state,
@@ -144,9 +144,17 @@
             spare);
     this.completions =
         new Completions(
-            host, state, replica, store, lease, fleet, activeJobs, runTimes, scheduling::changed);
+            eventLoop,
+            state,
+            replica,
+            store,
+            lease,
+            fleet,
+            activeJobs,
+            runTimes,
+            scheduling::changed);
     this.collector =
-        new RecordCollector(host, state, replica, table, lease, fleet, scheduling, spare);
+        new RecordCollector(eventLoop, state, replica, table, lease, fleet, scheduling, spare);
     this.jobUpdates = new JobUpdates(table, store, fleet, activeJobs, completions, scheduling);
     addresses.forEach((name, address) -> fleet.probe(fleet.learn(name, address)));
     awaitReplica();
@@ -266,7 +274,7 @@
       scheduling.tick();
       collector.tick();
     }
-    host.after(LeaderConstants.TERM_TICK_MS, this::tick);
+    eventLoop.after(LeaderConstants.TERM_TICK_MS, this::tick);
   }
 
   private boolean isOver() {
@@ -280,7 +288,7 @@
     if (phase == Phase.ACTIVE && lease.mayStart()) {
       provisioner.tick(scheduling.unplaced());
     }
-    host.after(LeaderConstants.RENT_EVERY_MS, this::rentTick);
+    eventLoop.after(LeaderConstants.RENT_EVERY_MS, this::rentTick);
   }
 
   /** Answers a report that came by a peer or directly; null if we are not entitled to. */
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -4,7 +4,7 @@
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
@@ -14,7 +14,7 @@
 
 /** What workers are told of tasks that are over, unwanted, or to be stopped. */
 final class WorkerCommands {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Fleet fleet;
   private final ActiveJobs runs;
   private final RunTimes runTimes;
@@ -24,9 +24,13 @@
    * Creates them; {@code over} says which jobs are known to be over although no record says so yet.
    */
   WorkerCommands(
-      Host host, Fleet fleet, ActiveJobs runs, RunTimes runTimes, Predicate<String> over) {
+      EventLoop eventLoop,
+      Fleet fleet,
+      ActiveJobs runs,
+      RunTimes runTimes,
+      Predicate<String> over) {
     this.over = over;
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.fleet = fleet;
     this.runs = runs;
     this.runTimes = runTimes;
@@ -71,7 +75,7 @@
 
   /** Stops what can't be over before its machine is taken. */
   void stopBeforeNotices() {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     for (Machine m : fleet.machines()) {
       if (m.phase() != Machine.Phase.REPORTING || m.noticeUntilMs() < 0) {
         continue;
--- a/src/main/java/fennelthread/leaserenewal/CancellationLog.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -1,7 +1,7 @@
 package fennelthread.leaserenewal;
 
 import fennelthread.constants.LeaseRenewalConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -19,7 +19,7 @@
 public final class CancellationLog {
   private record Told(long number, String id, long atMs) {}
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final long rememberMs;
   private final Map<String, Long> over = new LinkedHashMap<>();
   private final Set<String> logged = new HashSet<>();
@@ -27,14 +27,14 @@
   private long last;
 
   /** Creates an empty memory; what is older than {@code rememberMs} is forgotten. */
-  public CancellationLog(Host host, long rememberMs) {
-    this.host = host;
+  public CancellationLog(EventLoop eventLoop, long rememberMs) {
+    this.eventLoop = eventLoop;
     this.rememberMs = rememberMs;
   }
 
   /** A job is over, done or cancelled: no task of it may run on. */
   public void over(String id) {
-    over.putIfAbsent(id, host.nowMs());
+    over.putIfAbsent(id, eventLoop.nowMs());
     trim();
   }
 
@@ -42,7 +42,7 @@
   public void mayTell(String id) {
     over(id);
     if (logged.add(id)) {
-      log.add(new Told(++last, id, host.nowMs()));
+      log.add(new Told(++last, id, eventLoop.nowMs()));
     }
   }
 
@@ -77,7 +77,7 @@
   }
 
   private void trim() {
-    long old = host.nowMs() - rememberMs;
+    long old = eventLoop.nowMs() - rememberMs;
     Iterator<Long> times = over.values().iterator();
     while (times.hasNext() && times.next() < old) {
       times.remove();
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -4,7 +4,7 @@
 import fennelthread.constants.PeerConstants;
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
@@ -35,7 +35,7 @@
     KEEPING
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final PeerHeartbeats mesh;
   private final BooleanSupplier leading;
   private final LongSupplier ownEpoch;
@@ -63,7 +63,7 @@
    * @param highestEpoch the highest epoch heard of from anyone
    */
   public FollowerLeaseRenewer(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       PeerHeartbeats mesh,
       CancellationLog cancellations,
@@ -71,7 +71,7 @@
       BooleanSupplier leading,
       LongSupplier ownEpoch,
       LongSupplier highestEpoch) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.mesh = mesh;
     this.leading = leading;
     this.ownEpoch = ownEpoch;
@@ -81,7 +81,7 @@
     this.currency = new CancellationWatermark(replica::readAtMs, members, cancellations);
     this.keepMs = RenewalBounds.keepMs(settings.workers());
     this.keptAtMostMs = RenewalBounds.keptAtMostMs(settings.workers());
-    this.gate = new HeartbeatResponseGate(host, currency, cancellations, keepMs);
+    this.gate = new HeartbeatResponseGate(eventLoop, currency, cancellations, keepMs);
     this.ledger = new RenewalLog(members, keptAtMostMs);
     mesh.join(this);
   }
@@ -103,7 +103,7 @@
 
   /** The last moment at which another controller may have answered a report for our epoch, ms. */
   public long lastKeptMs() {
-    return ledger.lastKeptMs(host.nowMs());
+    return ledger.lastKeptMs(eventLoop.nowMs());
   }
 
   /**
@@ -134,7 +134,7 @@
       return answer.keeping(note(true, 0, 0, new CancellationLog.Page(List.of(), 0, false)));
     }
     if (leading.getAsBoolean()) {
-      ledger.weAnswer(asked, host.nowMs());
+      ledger.weAnswer(asked, eventLoop.nowMs());
     }
     return answer.keeping(note(true, 0, promise(asked), cancellations.after(question.after())));
   }
@@ -153,7 +153,7 @@
       return 0;
     }
     stillUntilMs =
-        host.nowMs()
+        eventLoop.nowMs()
             + (long) (LeaseRenewalConstants.KEEP_STILL_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
             + ProtocolConstants.LEASE_MARGIN_MS;
     moveTo(Phase.STANDING_BY);
@@ -170,14 +170,14 @@
         page.to(),
         page.all(),
         phase == Phase.KEEPING,
-        everKept ? host.nowMs() - keptAtMs : PeerConstants.KEPT_NEVER);
+        everKept ? eventLoop.nowMs() - keptAtMs : PeerConstants.KEPT_NEVER);
   }
 
   @Override
   public void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
-    currency.answered(member, reply, sentAtMs, host.nowMs());
+    currency.answered(member, reply, sentAtMs, eventLoop.nowMs());
     if (leading.getAsBoolean()) {
-      ledger.answered(member, reply, ownEpoch.getAsLong(), sentAtMs, host.nowMs());
+      ledger.answered(member, reply, ownEpoch.getAsLong(), sentAtMs, eventLoop.nowMs());
     } else if (reply.leading() && reply.keep() != null && reply.epoch() >= epoch) {
       follow(reply.epoch());
       exchangedAtMs = Math.max(exchangedAtMs, sentAtMs);
@@ -200,7 +200,7 @@
    * it.
    */
   public Answer keep(WorkerReport report) {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     boolean obeys = epoch > 0 && report.token() >> ProtocolConstants.TOKEN_BITS == epoch;
     if (!obeys
         || leading.getAsBoolean()
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -3,7 +3,7 @@
 import fennelthread.constants.LeaseRenewalConstants;
 import fennelthread.fleet.Fleet;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.wire.Codec;
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
@@ -23,14 +23,17 @@
  * once answered reports for the whole of an outage without a single stop.
  */
 public final class HeartbeatResponseGate implements Fleet.Gate {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final CancellationWatermark currency;
   private final CancellationLog cancellations;
   private final long keepMs;
 
   HeartbeatResponseGate(
-      Host host, CancellationWatermark currency, CancellationLog cancellations, long keepMs) {
-    this.host = host;
+      EventLoop eventLoop,
+      CancellationWatermark currency,
+      CancellationLog cancellations,
+      long keepMs) {
+    this.eventLoop = eventLoop;
     this.currency = currency;
     this.cancellations = cancellations;
     this.keepMs = keepMs;
@@ -39,7 +42,7 @@
   /** True if reports may be answered at this moment by whoever is entitled to otherwise. */
   @Override
   public boolean isOpen() {
-    return host.nowMs() < currency.knownUntilMs() + keepMs;
+    return eventLoop.nowMs() < currency.knownUntilMs() + keepMs;
   }
 
   /**
--- a/src/main/java/fennelthread/net/Host.java
+++ b/src/main/java/fennelthread/net/EventLoop.java
@@ -7,7 +7,7 @@
  * What a controller needs from the machine it runs on. Everything is called back on one thread, so
  * that no state needs a lock; in tests a seeded simulation takes the place of the machine.
  */
-public interface Host {
+public interface EventLoop {
 
   /** Something that can be called off. */
   interface Cancellable {
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -31,10 +31,10 @@
 
 /**
  * Our own connections to others: kept for the next call, few in all, and closed by whoever is no
- * longer worth one. Everything runs on the host's thread.
+ * longer worth one. Everything runs on the event loop's thread.
  */
 final class HttpClient {
-  private final Host host;
+  private final EventLoop eventLoop;
   private final XnioIoThread thread;
   private final ByteBufferPool buffers;
   private final UndertowClient client = UndertowClient.getInstance();
@@ -49,12 +49,12 @@
 
   /** Creates a client; {@code essential} addresses never wait for room among the connections. */
   HttpClient(
-      Host host,
+      EventLoop eventLoop,
       XnioIoThread thread,
       ByteBufferPool buffers,
       int mostOutbound,
       Set<String> essential) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.thread = thread;
     this.buffers = buffers;
     this.mostOutbound = mostOutbound;
@@ -98,12 +98,12 @@
     final String address;
     final Call call;
     final Consumer<Answer> done;
-    final Host.Unsent unsent;
-    Host.Cancellable timer;
+    final EventLoop.Unsent unsent;
+    EventLoop.Cancellable timer;
     Link link;
     boolean over;
 
-    Pending(String address, Call call, Consumer<Answer> done, Host.Unsent unsent) {
+    Pending(String address, Call call, Consumer<Answer> done, EventLoop.Unsent unsent) {
       this.unsent = unsent;
       this.address = address;
       this.call = call;
@@ -127,13 +127,13 @@
           close(link);
         }
       }
-      XnioHost.guarded(() -> done.accept(answer)).run();
+      XnioEventLoop.guarded(() -> done.accept(answer)).run();
     }
 
     void leaveUnsent(boolean tried) {
       if (!over) {
         end();
-        XnioHost.guarded(() -> unsent.over(tried)).run();
+        XnioEventLoop.guarded(() -> unsent.over(tried)).run();
       }
     }
 
@@ -148,7 +148,7 @@
     if (next != null) {
       send(next, link);
     } else if (link.peer.idle.size() < NetConstants.IDLE_PER_ADDRESS && starved.isEmpty()) {
-      link.idleSinceMs = host.nowMs();
+      link.idleSinceMs = eventLoop.nowMs();
       link.peer.idle.push(link);
       idle.add(link);
     } else {
@@ -191,22 +191,23 @@
     }
   }
 
-  /** Sends a request, as {@link Host#call} says. */
-  void call(String address, Call call, long timeoutMs, Consumer<Answer> done, Host.Unsent unsent) {
+  /** Sends a request, as {@link EventLoop#call} says. */
+  void call(
+      String address, Call call, long timeoutMs, Consumer<Answer> done, EventLoop.Unsent unsent) {
     Pending p = new Pending(address, call, done, unsent);
-    p.timer = host.after(timeoutMs, () -> p.finish(null, false));
+    p.timer = eventLoop.after(timeoutMs, () -> p.finish(null, false));
     Peer peer = peers.computeIfAbsent(address, Peer::new);
     while (!peer.idle.isEmpty()) {
       Link link = peer.idle.pop();
       idle.remove(link);
-      if (link.connection.isOpen() && host.nowMs() - link.idleSinceMs < NetConstants.IDLE_MS) {
+      if (link.connection.isOpen() && eventLoop.nowMs() - link.idleSinceMs < NetConstants.IDLE_MS) {
         send(p, link);
         return;
       }
       close(link);
     }
     if (call.spare() && peer.opening == 0 && spareOpening >= mostSpareOpening) {
-      host.after(0, () -> p.leaveUnsent(false));
+      eventLoop.after(0, () -> p.leaveUnsent(false));
       return;
     }
     peer.waiting.add(p);
@@ -247,8 +248,8 @@
     boolean[] over = new boolean[1];
     // A peer without power never refuses: after a while the attempt no longer counts, and a later
     // call makes a fresh one. Its socket is taken until the system gives up, though.
-    Host.Cancellable giveUp =
-        host.after(
+    EventLoop.Cancellable giveUp =
+        eventLoop.after(
             NetConstants.CONNECT_TIMEOUT_MS,
             () -> {
               if (!over[0]) {
--- a/src/main/java/fennelthread/net/StallDetector.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -23,22 +23,22 @@
     LISTENING
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private Phase phase = Phase.AWAKE;
   private long lookedAtMs;
   private long listensUntilMs;
   private long sleeps;
 
   /** Creates it; {@link #start} sets it going. */
-  public StallDetector(Host host) {
-    this.host = host;
-    this.lookedAtMs = host.nowMs();
+  public StallDetector(EventLoop eventLoop) {
+    this.eventLoop = eventLoop;
+    this.lookedAtMs = eventLoop.nowMs();
   }
 
   /** Begins to look at the clock. */
   public void start() {
     isListening();
-    host.after(NetConstants.WAKE_LOOK_MS, this::start);
+    eventLoop.after(NetConstants.WAKE_LOOK_MS, this::start);
   }
 
   /**
@@ -46,7 +46,7 @@
    * said.
    */
   public boolean isListening() {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     long gapMs = now - lookedAtMs;
     lookedAtMs = now;
     if (gapMs > NetConstants.WAKE_LATE_MS) {
--- a/src/main/java/fennelthread/net/XnioHost.java
+++ b/src/main/java/fennelthread/net/XnioEventLoop.java
@@ -20,8 +20,8 @@
 import org.xnio.XnioWorker;
 
 /** The real machine: Undertow's server and client over one XNIO thread, which owns all state. */
-public final class XnioHost implements Host {
-  private static final Logger log = LoggerFactory.getLogger(XnioHost.class);
+public final class XnioEventLoop implements EventLoop {
+  private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
 
   private final XnioWorker worker;
   private final XnioIoThread thread;
@@ -33,13 +33,14 @@
   private HttpServer server;
 
   /**
-   * Creates the host with its thread; nothing listens yet.
+   * Creates the event loop with its thread; nothing listens yet.
    *
    * @param mostSockets how many sockets the process may hold
    * @param mostOutbound how many of them may be connections of ours at once
    * @param essential addresses whose connections never wait for room among them
    */
-  public XnioHost(int mostSockets, int mostOutbound, Set<String> essential) throws IOException {
+  public XnioEventLoop(int mostSockets, int mostOutbound, Set<String> essential)
+      throws IOException {
     worker =
         Xnio.getInstance()
             .createWorker(
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -4,7 +4,7 @@
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
 import fennelthread.settings.Settings;
@@ -56,7 +56,7 @@
     }
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
   private final java.util.function.Supplier<PeerHeartbeat> self;
   private final java.util.function.Supplier<Map<String, String>> workers;
@@ -70,12 +70,12 @@
    * warm, none while another leads.
    */
   public PeerHeartbeats(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       java.util.function.Supplier<PeerHeartbeat> self,
       java.util.function.Supplier<Map<String, String>> workers,
       Consumer<PeerHeartbeat> heard) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.self = self;
     this.workers = workers;
     this.heard = heard;
@@ -85,10 +85,10 @@
   /** Begins to sendHeartbeat. */
   public void start() {
     sendHeartbeats();
-    host.after(
+    eventLoop.after(
         (long)
             (PeerConstants.HEARTBEAT_INTERVAL_MS
-                * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
+                * (1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble())),
         this::start);
   }
 
@@ -108,15 +108,15 @@
     }
     Map<String, String> told = heartbeat.workers();
     List<String> gone = heartbeat.gone();
-    long sentAt = host.nowMs();
-    host.call(
+    long sentAt = eventLoop.nowMs();
+    eventLoop.call(
         peer.peer.addr(),
         Call.post("/hail", Codec.JSON, heartbeat.write()),
         PeerConstants.HEARTBEAT_TIMEOUT_MS,
         answer -> {
           peer.heartbeat = false;
           if (answer == null) {
-            peer.missedAt = host.nowMs();
+            peer.missedAt = eventLoop.nowMs();
           }
           if (answer != null && answer.status() == 200) {
             try {
@@ -178,15 +178,15 @@
     services.put(prefix, service);
   }
 
-  /** Asks a peer something, as {@link Host#call} says. */
+  /** Asks a peer something, as {@link EventLoop#call} says. */
   public void call(
       String member,
       String path,
       Fields body,
       long timeoutMs,
       Consumer<Answer> done,
-      Host.Unsent unsent) {
-    host.call(
+      EventLoop.Unsent unsent) {
+    eventLoop.call(
         peers.get(member).peer.addr(), Call.post(path, Codec.JSON, body), timeoutMs, done, unsent);
   }
 
@@ -242,11 +242,11 @@
   /** For how long a peer was not heard, ms; 0 of one that is none. */
   public long silentMs(String member) {
     Peer p = peers.get(member);
-    return p == null ? 0 : host.nowMs() - p.heardAt;
+    return p == null ? 0 : eventLoop.nowMs() - p.heardAt;
   }
 
   private boolean isHeard(Peer p) {
-    return p.last != null && host.nowMs() - p.heardAt < PeerConstants.PEER_SILENT_MS;
+    return p.last != null && eventLoop.nowMs() - p.heardAt < PeerConstants.PEER_SILENT_MS;
   }
 
   @Override
@@ -287,7 +287,7 @@
     if (peer == null) {
       return;
     }
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     if (peer.last == null || heartbeat.epoch() > peer.last.epoch()) {
       peer.epochSince = now;
     } else if (heartbeat.epoch() < peer.last.epoch()
@@ -353,7 +353,7 @@
     for (Peer p : peers.values()) {
       if (p.last != null
           && !p.last.chains()
-          && host.nowMs() - p.heardAt < PeerConstants.OLD_PEER_MS) {
+          && eventLoop.nowMs() - p.heardAt < PeerConstants.OLD_PEER_MS) {
         return true;
       }
     }
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -42,7 +42,7 @@
     if (room.hasImage(spec)) {
       return 0;
     }
-    double alone = spec.imageGb() / Math.max(0.01, room.host.fetchGbPerS());
+    double alone = spec.imageGb() / Math.max(0.01, room.machine.fetchGbPerS());
     return room.fetching().contains(spec.image())
         ? alone * (spec.service() ? 1 : PlanConstants.FETCH_LEFT)
         : alone * (1 + room.fetching().size());
@@ -54,7 +54,7 @@
   static double score(Snapshot.Need need, Room room) {
     JobSpec spec = need.spec();
     double fetch = fetchSeconds(spec, room);
-    double left = (room.freeCpus() - spec.cpus()) / Math.max(1, room.host.cpusTotal());
+    double left = (room.freeCpus() - spec.cpus()) / Math.max(1, room.machine.cpusTotal());
     if (spec.service()) {
       // A replica that must wait for its image anyway brings it to a machine with few others: one
       // death then costs little, and later replicas find the image on machines with room.
@@ -63,7 +63,7 @@
           ? crowd * PlanConstants.CROWD_CACHED + left
           : PlanConstants.NOT_CACHED + fetch + crowd + left;
     }
-    double spot = room.host.spot() ? -0.5 : 0;
+    double spot = room.machine.spot() ? -0.5 : 0;
     return fetch * (need.waitMatters() ? 10 : 1) + left + spot;
   }
 }
--- a/src/main/java/fennelthread/plan/PlacementRules.java
+++ b/src/main/java/fennelthread/plan/PlacementRules.java
@@ -26,15 +26,15 @@
    * True if the job's own rules let a task of it start there now; {@code zones} counts the job's
    * tasks that may be present, by zone.
    */
-  static boolean allow(JobSpec spec, Map<String, Integer> zones, Snapshot.Host host) {
-    return allowKind(spec, host)
-        && (!dependOnOtherTasks(spec) || allowZone(spec, zones, host.zone()));
+  static boolean allow(JobSpec spec, Map<String, Integer> zones, Snapshot.Machine machine) {
+    return allowKind(spec, machine)
+        && (!dependOnOtherTasks(spec) || allowZone(spec, zones, machine.zone()));
   }
 
-  private static boolean allowKind(JobSpec spec, Snapshot.Host host) {
-    return (spec.types() == null || spec.types().contains(host.type()))
-        && (spec.zone() == null || spec.zone().equals(host.zone()))
-        && (!host.spot() || spec.spotAllowed());
+  private static boolean allowKind(JobSpec spec, Snapshot.Machine machine) {
+    return (spec.types() == null || spec.types().contains(machine.type()))
+        && (spec.zone() == null || spec.zone().equals(machine.zone()))
+        && (!machine.spot() || spec.spotAllowed());
   }
 
   /** True if one more task in this zone breaks neither {@code same_place} nor {@code apart}. */
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -88,7 +88,7 @@
       if (best != null) {
         search.take(best);
         budgets.start(spec);
-        starts.add(new Plan.Start(spec, task, best.host.name()));
+        starts.add(new Plan.Start(spec, task, best.machine.name()));
       } else if (mayAsk) {
         missing++;
         budgets.request(spec);
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -24,11 +24,11 @@
   Preemption(Snapshot snapshot) {
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
-    for (Snapshot.Host host : snapshot.hosts()) {
-      host.running().stream().filter(Snapshot.Running::stopping).forEach(this::discount);
+    for (Snapshot.Machine machine : snapshot.machines()) {
+      machine.running().stream().filter(Snapshot.Running::stopping).forEach(this::discount);
     }
-    for (Snapshot.Host host : snapshot.hosts()) {
-      for (Snapshot.Running r : host.running()) {
+    for (Snapshot.Machine machine : snapshot.machines()) {
+      for (Snapshot.Running r : machine.running()) {
         if (!r.stopping()) {
           runningByPriority[r.priority().rank()]++;
         }
@@ -101,7 +101,7 @@
 
   private List<Snapshot.Running> candidates(Snapshot.Need need, Room room) {
     List<Snapshot.Running> candidates = new ArrayList<>();
-    for (Snapshot.Running r : room.host.running()) {
+    for (Snapshot.Running r : room.machine.running()) {
       if (!r.stopping()
           && (isLessUrgent(need, r) || mayGiveBack(need, r))
           && !stopped.contains(r)
--- a/src/main/java/fennelthread/plan/Room.java
+++ b/src/main/java/fennelthread/plan/Room.java
@@ -16,7 +16,7 @@
  * that a ranking made before it can be recognized as out of date.
  */
 final class Room {
-  final Snapshot.Host host;
+  final Snapshot.Machine machine;
   final int index;
   private int version;
   private double cpus;
@@ -32,13 +32,13 @@
   private double soonestS = -1;
 
   /** Creates the room of a machine; {@code index} is its place among the machines of the round. */
-  Room(Snapshot.Host host, int index) {
-    this.host = host;
+  Room(Snapshot.Machine machine, int index) {
+    this.machine = machine;
     this.index = index;
-    this.cpus = host.cpus();
-    this.cards = host.cards();
-    this.memGb = host.memGb();
-    this.slots = host.slots();
+    this.cpus = machine.cpus();
+    this.cards = machine.cards();
+    this.memGb = machine.memGb();
+    this.slots = machine.slots();
   }
 
   int version() {
@@ -92,7 +92,7 @@
   }
 
   boolean hasImage(JobSpec spec) {
-    return host.images().contains(spec.image());
+    return machine.images().contains(spec.image());
   }
 
   /** True if room is being made that is not reserved yet. */
@@ -104,7 +104,7 @@
   double soonestS(long nowMs) {
     if (soonestS < 0) {
       soonestS = Double.POSITIVE_INFINITY;
-      for (Snapshot.Running r : host.running()) {
+      for (Snapshot.Running r : machine.running()) {
         if (!r.stopping()) {
           soonestS = Math.min(soonestS, r.leftS(nowMs));
         }
@@ -116,7 +116,7 @@
   /** Its tasks in the order in which they end by themselves. */
   List<Snapshot.Running> byEnd(long nowMs) {
     if (byEnd == null) {
-      byEnd = new ArrayList<>(host.running());
+      byEnd = new ArrayList<>(machine.running());
       byEnd.removeIf(Snapshot.Running::stopping);
       byEnd.sort(Comparator.comparingDouble(r -> r.leftS(nowMs)));
     }
@@ -125,12 +125,12 @@
 
   /** Images that are being fetched, those of tasks that this round starts included. */
   Set<String> fetching() {
-    return fetching == null ? host.fetching() : fetching;
+    return fetching == null ? machine.fetching() : fetching;
   }
 
   /** How many tasks of a class are there, those that this round starts included. */
   int tasksOfClass(String jobClass) {
-    return (classes == null ? host.classes() : classes).getOrDefault(jobClass, 0);
+    return (classes == null ? machine.classes() : classes).getOrDefault(jobClass, 0);
   }
 
   /** Gives a task its room. */
@@ -141,8 +141,8 @@
     slots--;
     if (classes == null) {
       // Copied only here: most machines get nothing in a round.
-      classes = new HashMap<>(host.classes());
-      fetching = new HashSet<>(host.fetching());
+      classes = new HashMap<>(machine.classes());
+      fetching = new HashSet<>(machine.fetching());
     }
     classes.merge(spec.jobClass(), 1, Integer::sum);
     if (!hasImage(spec)) {
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -44,20 +44,20 @@
 
   RoundState(Snapshot snapshot) {
     this.snapshot = snapshot;
-    this.rooms = new ArrayList<>(snapshot.hosts().size());
+    this.rooms = new ArrayList<>(snapshot.machines().size());
     this.preemption = new Preemption(snapshot);
     this.mostHolds = mostHolds(snapshot);
-    for (Snapshot.Host host : snapshot.hosts()) {
-      Room room = new Room(host, rooms.size());
+    for (Snapshot.Machine machine : snapshot.machines()) {
+      Room room = new Room(machine, rooms.size());
       rooms.add(room);
-      host.running().stream().filter(Snapshot.Running::stopping).forEach(room::release);
+      machine.running().stream().filter(Snapshot.Running::stopping).forEach(room::release);
       coming.set(room.index, room.isComing());
     }
   }
 
   /** How many machines may be kept free at once for tasks that wait for them, of a snapshot's. */
   static int mostHolds(Snapshot snapshot) {
-    return Math.max(1, (int) (snapshot.hosts().size() * PlanConstants.HOLDS_SHARE));
+    return Math.max(1, (int) (snapshot.machines().size() * PlanConstants.HOLDS_SHARE));
   }
 
   /** True if one more machine may be kept free for a task that nothing else makes room for. */
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -17,7 +17,7 @@
  * stopped for more urgent work alone.
  */
 public record Snapshot(
-    List<Host> hosts,
+    List<Machine> machines,
     List<Need> needs,
     Set<String> guaranteed,
     Set<Long> kept,
@@ -29,14 +29,14 @@
 
   /** A snapshot in which no job was passed over, and no attempt is spared. */
   public Snapshot(
-      List<Host> hosts,
+      List<Machine> machines,
       List<Need> needs,
       Set<String> guaranteed,
       Set<Long> kept,
       Map<String, Use> teams,
       long nowMs,
       int mostStarts) {
-    this(hosts, needs, guaranteed, kept, teams, nowMs, mostStarts, Set.of(), Set.of());
+    this(machines, needs, guaranteed, kept, teams, nowMs, mostStarts, Set.of(), Set.of());
   }
 
   /** Where tasks are that a predecessor started on a machine nobody has described yet. */
@@ -46,7 +46,7 @@
    * A machine that may take tasks; amounts are what is left. {@code slots} is how many more tasks
    * its worker's reports have room for.
    */
-  public record Host(
+  public record Machine(
       String name,
       String type,
       String zone,
@@ -64,7 +64,7 @@
       int slots) {
 
     /** A machine whose worker's reports have room for any number of tasks. */
-    public Host(
+    public Machine(
         String name,
         String type,
         String zone,
--- a/src/main/java/fennelthread/plan/TaskSearch.java
+++ b/src/main/java/fennelthread/plan/TaskSearch.java
@@ -37,7 +37,7 @@
   }
 
   private boolean isAllowed(Room room) {
-    return PlacementRules.allow(spec, zones, room.host);
+    return PlacementRules.allow(spec, zones, room.machine);
   }
 
   /** A job that was passed over for long takes room that is reserved for others. */
@@ -87,7 +87,7 @@
   void take(Room room) {
     room.take(spec);
     if (zoned) {
-      zones.merge(room.host.zone(), 1, Integer::sum);
+      zones.merge(room.machine.zone(), 1, Integer::sum);
     }
     changed(room);
   }
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -6,7 +6,7 @@
 import fennelthread.fleet.Machine;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
 import fennelthread.peers.PeerHeartbeats;
@@ -39,7 +39,7 @@
   /** By whom a worker's last report was passed on. */
   private record Via(String member, long atMs) {}
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final PeerHeartbeats mesh;
   private final LeaderReachability hearing;
@@ -54,12 +54,12 @@
    * @param highestEpoch the highest epoch heard of: commands of an older one are not passed on
    */
   public CommandSender(
-      Host host,
+      EventLoop eventLoop,
       Settings settings,
       PeerHeartbeats mesh,
       LeaderReachability hearing,
       LongSupplier highestEpoch) {
-    this.host = host;
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.mesh = mesh;
     this.hearing = hearing;
@@ -89,7 +89,7 @@
       Call call,
       long timeoutMs,
       Consumer<Answer> done,
-      Host.Unsent unsent) {
+      EventLoop.Unsent unsent) {
     String peer = peer(m);
     if (peer != null) {
       // A question does no harm if it comes again; of anything else a peer's word proves nothing.
@@ -99,7 +99,7 @@
     } else if (call.spare() && mesh.anyRelay() != null) {
       new Question(m, address, call, timeoutMs, done, unsent).ask();
     } else {
-      host.call(address, call, timeoutMs, done, unsent);
+      eventLoop.call(address, call, timeoutMs, done, unsent);
     }
   }
 
@@ -113,8 +113,8 @@
     private final Call call;
     private final long timeoutMs;
     private final Consumer<Answer> done;
-    private final Host.Unsent unsent;
-    private final long askedAtMs = host.nowMs();
+    private final EventLoop.Unsent unsent;
+    private final long askedAtMs = eventLoop.nowMs();
     private int open = 1;
     private boolean over;
     private boolean sent;
@@ -126,7 +126,7 @@
         Call call,
         long timeoutMs,
         Consumer<Answer> done,
-        Host.Unsent unsent) {
+        EventLoop.Unsent unsent) {
       this.machine = machine;
       this.address = address;
       this.call = call;
@@ -136,8 +136,8 @@
     }
 
     void ask() {
-      host.call(address, call, timeoutMs, this::answered, this::notSent);
-      host.after(
+      eventLoop.call(address, call, timeoutMs, this::answered, this::notSent);
+      eventLoop.after(
           Math.min(RelayConstants.HEDGE_MS, timeoutMs / 2),
           () -> {
             String peer = over ? null : mesh.anyRelay();
@@ -147,10 +147,10 @@
                   peer,
                   address,
                   call,
-                  timeoutMs - (host.nowMs() - askedAtMs),
+                  timeoutMs - (eventLoop.nowMs() - askedAtMs),
                   answer -> {
                     if (answer != null && !over) {
-                      vias.put(machine.name(), new Via(peer, host.nowMs()));
+                      vias.put(machine.name(), new Via(peer, eventLoop.nowMs()));
                     }
                     answered(answer);
                   },
@@ -197,7 +197,7 @@
       Call call,
       long timeoutMs,
       Consumer<Answer> done,
-      Host.Unsent unsent,
+      EventLoop.Unsent unsent,
       Runnable notPassedOn) {
     Fields body;
     try {
@@ -228,7 +228,8 @@
   private String peer(Machine m) {
     Via via = vias.get(m.name());
     if (via != null) {
-      if (host.nowMs() - via.atMs <= settings.workers().reportMs() * RelayConstants.SILENT_REPORTS
+      if (eventLoop.nowMs() - via.atMs
+              <= settings.workers().reportMs() * RelayConstants.SILENT_REPORTS
           && mesh.relaysFor(via.member)) {
         return via.member;
       }
@@ -261,7 +262,7 @@
     RelayWire.Report report = RelayWire.Report.read(Codec.JSON.decode(request.body()));
     Answer answer = reports.answer(report.workerReport(), report.epoch(), report.from());
     if (answer != null && answer.status() == 200) {
-      vias.put(report.workerReport().machine(), new Via(report.from(), host.nowMs()));
+      vias.put(report.workerReport().machine(), new Via(report.from(), eventLoop.nowMs()));
     }
     reply.accept(
         Answer.of(
@@ -278,7 +279,7 @@
       return;
     }
     Call call = Call.post("/commands", Codec.CBOR, commands.body());
-    host.call(
+    eventLoop.call(
         commands.address(),
         commands.spare() ? call.asSpare() : call,
         Math.min(commands.timeoutMs(), FleetConstants.COMMAND_TIMEOUT_MS),
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -3,7 +3,7 @@
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.constants.RelayConstants;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
@@ -49,7 +49,7 @@
     long holdMs = RelayConstants.RELAY_HOLD_MS;
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Settings settings;
   private final PeerHeartbeats mesh;
   private final Map<String, Worker> workers = new LinkedHashMap<>(64, 0.75f, true);
@@ -62,8 +62,8 @@
   private long relayed;
 
   /** Creates a relay. */
-  public Relay(Host host, Settings settings, PeerHeartbeats mesh) {
-    this.host = host;
+  public Relay(EventLoop eventLoop, Settings settings, PeerHeartbeats mesh) {
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.mesh = mesh;
   }
@@ -73,7 +73,7 @@
    * on.
    */
   public Decision take(WorkerReport report, Leader leader, Consumer<Answer> reply) {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     if (leader.epoch() != epoch) {
       epoch = leader.epoch();
       epochSinceMs = now;
@@ -168,7 +168,7 @@
 
   private void failed() {
     if (++unanswered >= RelayConstants.RELAY_FAILURES && phase == Phase.OPEN) {
-      pausedUntilMs = host.nowMs() + RelayConstants.RELAY_PAUSE_MS;
+      pausedUntilMs = eventLoop.nowMs() + RelayConstants.RELAY_PAUSE_MS;
       moveTo(Phase.PAUSED);
     }
   }
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -1,7 +1,7 @@
 package fennelthread.relay;
 
 import fennelthread.constants.RelayConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
 import fennelthread.state.StateClient;
@@ -21,7 +21,7 @@
 public final class UnreachableLeaderNotice {
   private static final Logger log = LoggerFactory.getLogger(UnreachableLeaderNotice.class);
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final StateClient state;
   private final String member;
   private final Runnable onRead;
@@ -33,8 +33,8 @@
 
   /** Creates it for a member; {@code onRead} is called when a peer's word was read. */
   public UnreachableLeaderNotice(
-      Host host, StateClient state, Replica replica, String member, Runnable onRead) {
-    this.host = host;
+      EventLoop eventLoop, StateClient state, Replica replica, String member, Runnable onRead) {
+    this.eventLoop = eventLoop;
     this.state = state;
     this.member = member;
     this.onRead = onRead;
@@ -43,7 +43,7 @@
 
   /** A worker came here that obeys the leader of this epoch. */
   public void came(String machine) {
-    comers.put(machine, host.nowMs());
+    comers.put(machine, eventLoop.nowMs());
   }
 
   /** Forgets who came: another leads, or the leader can be reached. */
@@ -55,7 +55,7 @@
    * Says so if it is time to: {@code known} workers are known, the leader of {@code epoch} silent.
    */
   public void consider(long epoch, int known) {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     comers.values().removeIf(at -> now - at > RelayConstants.PETITION_FRESH_MS);
     if (writing
         || comers.size()
@@ -83,7 +83,7 @@
     }
     try {
       readEpoch = value.count("epoch");
-      readAtMs = host.nowMs();
+      readAtMs = eventLoop.nowMs();
       onRead.run();
     } catch (WireException e) {
       log.error("unreadable {}: {}", key, e.getMessage());
@@ -92,6 +92,6 @@
 
   /** True if a peer has just said that workers of this epoch's leader come to it. */
   public boolean wasRead(long epoch) {
-    return readEpoch == epoch && host.nowMs() - readAtMs < RelayConstants.PETITION_FRESH_MS;
+    return readEpoch == epoch && eventLoop.nowMs() - readAtMs < RelayConstants.PETITION_FRESH_MS;
   }
 }
--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -5,7 +5,7 @@
 import fennelthread.net.Service;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.HostEntry;
+import fennelthread.wire.MachineEntry;
 import fennelthread.wire.MachineType;
 import fennelthread.wire.WireException;
 import java.util.ArrayList;
@@ -146,7 +146,7 @@
               .with("prestadas", w.spot())
               .with(
                   "estado",
-                  w.isFailed() ? HostEntry.FAILED : w.isUp() ? "running" : HostEntry.STARTING)
+                  w.isFailed() ? MachineEntry.FAILED : w.isUp() ? "running" : MachineEntry.STARTING)
               .with("held_s", (world.now() - rentedAt.get(w.name())) / 1000.0)
               .map());
     }
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -2,7 +2,7 @@
 
 import fennelthread.Controller;
 import fennelthread.net.Answer;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Service;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Fields;
@@ -22,7 +22,7 @@
    * it, since they take it from the repository's history.
    */
   static OldVersion oldVersion =
-      (host, settings, limits) -> {
+      (eventLoop, settings, limits) -> {
         throw new IllegalStateException("nobody knows the version in production here");
       };
 
@@ -32,7 +32,7 @@
    */
   @FunctionalInterface
   interface OldVersion {
-    Node controller(Host host, Settings settings, Settings.State limits);
+    Node controller(EventLoop eventLoop, Settings settings, Settings.State limits);
   }
 
   final SimulatedNetwork world;
@@ -43,7 +43,7 @@
   final Deployment deployment;
   final SimulatedControllers members;
   final SimulatedUsers users;
-  final Map<String, SimulatedNetwork.HostProcess> processes;
+  final Map<String, SimulatedNetwork.SimulatedProcess> processes;
   final Map<String, Node> controllers;
   final List<JobSpec> jobs;
   final ReportCopies reportCopies;
@@ -128,15 +128,16 @@
     // The version in production takes counts from its own copy of the state, which may be behind.
     rules.countsMustNotFall = members::areAllNew;
     randomJobs = new RandomJobs(world);
-    SimulatedNetwork.HostProcess stateProcess = world.new HostProcess("state");
+    SimulatedNetwork.SimulatedProcess stateProcess = world.new SimulatedProcess("state");
     state = new StateEmulator(world, stateProcess, deployment.limits());
     stateProcess.listen(STATE, state);
     world.name(STATE, "state");
-    SimulatedNetwork.HostProcess cloudProcess = world.new HostProcess("cloud");
+    SimulatedNetwork.SimulatedProcess cloudProcess = world.new SimulatedProcess("cloud");
     cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
-    users = new SimulatedUsers(world, rules, world.new HostProcess("users"), members.addresses);
+    users =
+        new SimulatedUsers(world, rules, world.new SimulatedProcess("users"), members.addresses);
     jobs = users.jobs;
     members.startAll();
     rentFirstMachines();
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -2,7 +2,7 @@
 
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
 import java.lang.management.ManagementFactory;
@@ -20,7 +20,7 @@
       (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
 
   private final EventQueue events = new EventQueue();
-  private final Map<String, HostProcess> byAddress = new HashMap<>();
+  private final Map<String, SimulatedProcess> byAddress = new HashMap<>();
   private final NetworkCuts cuts = new NetworkCuts(this);
   private final List<Held> holds = new ArrayList<>();
 
@@ -165,7 +165,7 @@
       String path, boolean answer, String from, String to, String address, Runnable deliver) {
     for (Held h : holds) {
       if (h.answers == answer && path.startsWith(h.path) && faults.nextDouble() < h.share) {
-        HostProcess now = byAddress.get(address);
+        SimulatedProcess now = byAddress.get(address);
         after(
             h.leastMs + faults.nextLong(h.mostMs - h.leastMs + 1),
             () -> {
@@ -253,7 +253,7 @@
    * @return false if no process listens there
    */
   boolean deliver(String from, String address, Call call) {
-    HostProcess target = byAddress.get(address);
+    SimulatedProcess target = byAddress.get(address);
     if (target != null) {
       target.serve(from, address, call, answer -> {});
     }
@@ -261,7 +261,7 @@
   }
 
   /** One process on a machine of its own; a restart is a new process under the same name. */
-  final class HostProcess implements Host {
+  final class SimulatedProcess implements EventLoop {
     final String name;
     private final double drift;
     private final long born;
@@ -270,7 +270,7 @@
     boolean alive = true;
     private long pausedUntil;
 
-    HostProcess(String name) {
+    SimulatedProcess(String name) {
       this.name = name;
       this.drift = random.nextDouble() * 0.0005;
       this.born = now - random.nextInt(100_000);
@@ -396,7 +396,7 @@
           to,
           address,
           () -> {
-            HostProcess target = byAddress.get(address);
+            SimulatedProcess target = byAddress.get(address);
             if (target == null) {
               if (random.nextBoolean()) {
                 // Refused; the other half of the time, a machine without power stays silent.
@@ -421,7 +421,7 @@
 
     /** Delivers a request to the process that listens there now, unanswered, if it still does. */
     private void deliverLate(String address, Call call, long holdMs) {
-      HostProcess target = byAddress.get(address);
+      SimulatedProcess target = byAddress.get(address);
       SimulatedNetwork.this.after(
           holdMs,
           () -> {
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -51,7 +51,7 @@
   }
 
   private final SimulatedNetwork world;
-  private final SimulatedNetwork.HostProcess process;
+  private final SimulatedNetwork.SimulatedProcess process;
   private Settings.State limits;
   private double requestsLeft;
   private double writesLeft;
@@ -92,7 +92,7 @@
   int answersLost;
 
   StateEmulator(
-      SimulatedNetwork world, SimulatedNetwork.HostProcess process, Settings.State limits) {
+      SimulatedNetwork world, SimulatedNetwork.SimulatedProcess process, Settings.State limits) {
     this.world = world;
     this.answers = new TransactionAnswers(world, () -> answersLost++);
     this.process = process;
--- a/src/main/java/fennelthread/state/Budget.java
+++ b/src/main/java/fennelthread/state/Budget.java
@@ -1,7 +1,7 @@
 package fennelthread.state;
 
 import fennelthread.constants.StateConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import java.util.ArrayDeque;
 import java.util.EnumMap;
 import java.util.Map;
@@ -44,7 +44,7 @@
     }
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final Bucket requests;
   private final Bucket changes;
   private final Map<StateClient.Lane, ArrayDeque<Waiting>> lanes =
@@ -53,11 +53,11 @@
   private boolean wakeUpSet;
 
   /** Creates a full budget; limits are the service's, requests and changes a second. */
-  Budget(Host host, double rps, double writeRps) {
-    this.host = host;
+  Budget(EventLoop eventLoop, double rps, double writeRps) {
+    this.eventLoop = eventLoop;
     this.requests = new Bucket(rps);
     this.changes = new Bucket(writeRps);
-    this.filledAt = host.nowMs();
+    this.filledAt = eventLoop.nowMs();
     for (StateClient.Lane lane : StateClient.Lane.values()) {
       lanes.put(lane, new ArrayDeque<>());
     }
@@ -84,7 +84,7 @@
       refuse.run();
       return;
     }
-    queue.add(new Waiting(writes, send, host.nowMs()));
+    queue.add(new Waiting(writes, send, eventLoop.nowMs()));
     drain();
   }
 
@@ -95,7 +95,7 @@
   }
 
   private void fill() {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     requests.fill(now - filledAt);
     changes.fill(now - filledAt);
     filledAt = now;
@@ -144,13 +144,13 @@
           case ROUND -> StateConstants.STATE_ROUND_PATIENCE_MS;
           case UPKEEP -> StateConstants.STATE_UPKEEP_PATIENCE_MS;
         };
-    return first != null && host.nowMs() - first.sinceMs > patience;
+    return first != null && eventLoop.nowMs() - first.sinceMs > patience;
   }
 
   private void wakeUpIn(double waitMs) {
     if (!wakeUpSet) {
       wakeUpSet = true;
-      host.after(
+      eventLoop.after(
           (long) Math.ceil(waitMs),
           () -> {
             wakeUpSet = false;
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.constants.StateConstants;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.wire.Fields;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,7 +36,7 @@
 
   private record Versioned(Fields value, long revision) {}
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final StateClient state;
   private final TreeMap<String, Versioned> entries = new TreeMap<>();
   private final Map<String, Long> removed = new HashMap<>();
@@ -50,8 +50,8 @@
   private Set<String> loaded;
 
   /** Creates an empty copy; {@link #start} fills it. */
-  public Replica(Host host, StateClient state) {
-    this.host = host;
+  public Replica(EventLoop eventLoop, StateClient state) {
+    this.eventLoop = eventLoop;
     this.state = state;
   }
 
@@ -65,7 +65,7 @@
     moveTo(Phase.LOADING);
     loaded = new HashSet<>();
     loadRevision = 0;
-    loadedFromMs = host.nowMs();
+    loadedFromMs = eventLoop.nowMs();
     loadFrom(null);
   }
 
@@ -189,7 +189,7 @@
   }
 
   private void follow(long since) {
-    long openedAt = host.nowMs();
+    long openedAt = eventLoop.nowMs();
     state.watch(
         Keys.LIVE,
         since,
@@ -214,9 +214,9 @@
           removed.values().removeIf(at -> at <= reached);
           readAtMs = Math.max(readAtMs, openedAt);
           advanced();
-          long gap = StateConstants.WATCH_GAP_MS - (host.nowMs() - openedAt);
+          long gap = StateConstants.WATCH_GAP_MS - (eventLoop.nowMs() - openedAt);
           if (gap > 0) {
-            host.after(gap, () -> follow(reached));
+            eventLoop.after(gap, () -> follow(reached));
           } else {
             follow(reached);
           }
@@ -230,10 +230,10 @@
   }
 
   private void retry(Runnable task) {
-    host.after(
+    eventLoop.after(
         (long)
             (ProtocolConstants.RETRY_MS
-                * (1 + ProtocolConstants.JITTER * host.random().nextDouble())),
+                * (1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble())),
         task);
   }
 
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -4,7 +4,7 @@
 import fennelthread.constants.StateConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.settings.Settings;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
@@ -53,7 +53,7 @@
     }
   }
 
-  private final Host host;
+  private final EventLoop eventLoop;
   private final String address;
   private final Limits limits;
   private final Budget budget;
@@ -62,12 +62,12 @@
   private long malformed;
 
   /** Creates a client. */
-  public StateClient(Host host, Settings settings) {
-    this.host = host;
+  public StateClient(EventLoop eventLoop, Settings settings) {
+    this.eventLoop = eventLoop;
     this.address = settings.stateAddr();
     this.limits = new Limits(settings.state());
-    this.budget = new Budget(host, settings.state().rps(), settings.state().writeRps());
-    this.health = new ServiceHealth(host.nowMs());
+    this.budget = new Budget(eventLoop, settings.state().rps(), settings.state().writeRps());
+    this.health = new ServiceHealth(eventLoop.nowMs());
   }
 
   /**
@@ -81,7 +81,7 @@
 
   /** Why a request made now would not be answered soon, or null if it would. */
   public Unavailability whyNotSoon(int writes) {
-    if (health.verdict(host.nowMs()) == ServiceHealth.Verdict.SILENT) {
+    if (health.verdict(eventLoop.nowMs()) == ServiceHealth.Verdict.SILENT) {
       return Unavailability.SILENT;
     }
     return budget.sendsSoon(writes) ? null : Unavailability.BUSY;
@@ -94,7 +94,7 @@
 
   /** How long the state service has refused us, ms; 0 if its last answer was good. */
   public long refusedForMs() {
-    return health.failingForMs(host.nowMs());
+    return health.failingForMs(eventLoop.nowMs());
   }
 
   /** When the service last answered well. */
@@ -198,7 +198,7 @@
         lane,
         txn.ops(),
         () -> {
-          Host.Cancellable timer = host.after(health.overdueMs(), overdue);
+          EventLoop.Cancellable timer = eventLoop.after(health.overdueMs(), overdue);
           call(
               Call.post("/multi", Codec.CBOR, txn.body()),
               StateConstants.STATE_TIMEOUT_MS,
@@ -342,11 +342,11 @@
       Call call, long timeoutMs, int tries, Runnable whenBusy, Consumer<Answer> done) {
     // A watch is answered when something changes: how long that takes says nothing.
     boolean timed = timeoutMs <= StateConstants.WATCH_HOLD_MS;
-    long ticket = timed ? health.sent(host.nowMs()) : 0;
+    long ticket = timed ? health.sent(eventLoop.nowMs()) : 0;
     if (timed) {
       look();
     }
-    host.call(
+    eventLoop.call(
         address,
         call,
         timeoutMs,
@@ -358,8 +358,8 @@
             budget.exceeded();
             whenBusy.run();
             if (tries > 0) {
-              host.after(
-                  (long) (StateConstants.STATE_BUSY_MS * (1 + host.random().nextDouble())),
+              eventLoop.after(
+                  (long) (StateConstants.STATE_BUSY_MS * (1 + eventLoop.random().nextDouble())),
                   () -> call(call, timeoutMs, tries - 1, whenBusy, done));
               return;
             }
@@ -369,7 +369,7 @@
   }
 
   private void note(long ticket, boolean timed, Answer answer) {
-    long now = host.nowMs();
+    long now = eventLoop.nowMs();
     if (answer == null) {
       health.unanswered(ticket, now);
     } else if (answer.status() == 429) {
@@ -389,11 +389,11 @@
       return;
     }
     looking = true;
-    host.after(
-        health.untilOverdueMs(host.nowMs()),
+    eventLoop.after(
+        health.untilOverdueMs(eventLoop.nowMs()),
         () -> {
           looking = false;
-          if (health.verdict(host.nowMs()) == ServiceHealth.Verdict.DOUBTFUL) {
+          if (health.verdict(eventLoop.nowMs()) == ServiceHealth.Verdict.DOUBTFUL) {
             // One question more tells a lost answer from a service that is silent.
             changes(count -> {});
           }
--- a/src/main/java/fennelthread/wire/HostEntry.java
+++ b/src/main/java/fennelthread/wire/MachineEntry.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** One machine of the cloud's list, as old as the list is. */
-public record HostEntry(
+public record MachineEntry(
     String name,
     String address,
     String type,
@@ -20,11 +20,11 @@
   public static final String FAILED = "failed";
 
   /** Reads one page of {@code GET /hosts}. */
-  public static List<HostEntry> readAll(Fields body) throws WireException {
-    List<HostEntry> entries = new ArrayList<>();
+  public static List<MachineEntry> readAll(Fields body) throws WireException {
+    List<MachineEntry> entries = new ArrayList<>();
     for (Fields f : body.maps("equipos")) {
       entries.add(
-          new HostEntry(
+          new MachineEntry(
               f.text("name_id"),
               f.optText("address"),
               f.text("modelo"),
--- a/src/test/java/fennelthread/net/RequestCostTest.java
+++ b/src/test/java/fennelthread/net/RequestCostTest.java
@@ -40,10 +40,10 @@
 
   @Test
   void processorTimeOfRequests() throws Exception {
-    XnioHost host = new XnioHost(100, 10, Set.of());
+    XnioEventLoop eventLoop = new XnioEventLoop(100, 10, Set.of());
     int port = freePort();
     byte[] body = Codec.CBOR.encode(Fields.create().with("texto", "x".repeat(300)));
-    host.listen(
+    eventLoop.listen(
         "127.0.0.1:" + port,
         (request, reply) -> reply.accept(Answer.of(200, Codec.CBOR, Fields.create())),
         "127.0.0.1:" + freePort(),
@@ -53,16 +53,16 @@
       socket.setTcpNoDelay(true);
       exchange(socket, body, WARM_UP);
       for (int requests : new int[] {1_000, 2_000, 4_000, 8_000, 16_000}) {
-        long before = nanosOf(host);
+        long before = nanosOf(eventLoop);
         exchange(socket, body, requests);
-        double ms = (nanosOf(host) - before) / 1e6;
+        double ms = (nanosOf(eventLoop) - before) / 1e6;
         points.add(new LinearFit.Point(requests, ms));
         System.out.printf(
             "%d requests: %.1f us each on the controller's thread%n",
             requests, ms * 1e3 / requests);
       }
     } finally {
-      host.stop();
+      eventLoop.stop();
     }
     keep(List.of("leader", "follower"), "request", Quantity.PROCESSOR, points);
   }
@@ -70,9 +70,9 @@
   /** The server's side of open connections that were used once, as those of workers are. */
   @Test
   void heapOfConnections() throws Exception {
-    XnioHost host = new XnioHost(10_000, 10, Set.of());
+    XnioEventLoop eventLoop = new XnioEventLoop(10_000, 10, Set.of());
     int port = freePort();
-    host.listen(
+    eventLoop.listen(
         "127.0.0.1:" + port,
         (request, reply) -> reply.accept(Answer.of(200, Codec.CBOR, Fields.create())),
         "127.0.0.1:" + freePort(),
@@ -99,7 +99,7 @@
       }
     } finally {
       clients.destroy();
-      host.stop();
+      eventLoop.stop();
     }
     keep(List.of("leader"), "connection", Quantity.HEAP, points);
   }
@@ -152,9 +152,9 @@
     }
   }
 
-  private static long nanosOf(XnioHost host) throws Exception {
+  private static long nanosOf(XnioEventLoop eventLoop) throws Exception {
     CompletableFuture<Long> nanos = new CompletableFuture<>();
-    host.run(() -> nanos.complete(THREADS.getCurrentThreadCpuTime()));
+    eventLoop.run(() -> nanos.complete(THREADS.getCurrentThreadCpuTime()));
     return nanos.get();
   }
 
--- a/src/test/java/fennelthread/net/XnioHostTest.java
+++ b/src/test/java/fennelthread/net/XnioEventLoopTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The real sockets, on loopback. */
-class XnioHostTest {
+class XnioEventLoopTest {
   private static final int MOST_OUTBOUND = 10;
 
   /**
@@ -27,9 +27,9 @@
    */
   @Test
   void questionsToSilentMachinesLeaveConnectionsForStarts() throws Exception {
-    XnioHost host = new XnioHost(100, MOST_OUTBOUND, Set.of());
+    XnioEventLoop eventLoop = new XnioEventLoop(100, MOST_OUTBOUND, Set.of());
     String alive = "127.0.0.1:" + freePort();
-    host.listen(
+    eventLoop.listen(
         alive,
         (request, reply) -> reply.accept(Answer.of(200, Codec.CBOR, Fields.create())),
         "127.0.0.1:" + freePort(),
@@ -47,13 +47,14 @@
       CompletableFuture<Boolean> unsent = new CompletableFuture<>();
       CompletableFuture<Answer> answer = new CompletableFuture<>();
       Call start = Call.post("/commands", Codec.CBOR, Fields.create());
-      host.run(
+      eventLoop.run(
           () -> {
             for (int i = 2; i < 40; i++) {
               String address = "127.0.0." + i + ":" + silent.getLocalPort();
-              host.call(address, start.asSpare(), 1_000, a -> {}, tried -> unsent.complete(tried));
+              eventLoop.call(
+                  address, start.asSpare(), 1_000, a -> {}, tried -> unsent.complete(tried));
             }
-            host.after(200, () -> host.call(alive, start, 2_000, answer::complete));
+            eventLoop.after(200, () -> eventLoop.call(alive, start, 2_000, answer::complete));
           });
       Answer got = answer.get(10, TimeUnit.SECONDS);
       assertNotNull(got, "a start found no connection");
@@ -64,7 +65,7 @@
       for (SocketChannel c : filling) {
         c.close();
       }
-      host.stop();
+      eventLoop.stop();
     }
   }
 
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -233,7 +233,7 @@
                 turns.of("job-" + j.order)));
       }
     }
-    List<Snapshot.Host> hosts = new ArrayList<>();
+    List<Snapshot.Machine> machines = new ArrayList<>();
     for (int h = 0; h < 4; h++) {
       String name = "m" + h;
       double free = 16;
@@ -256,8 +256,8 @@
                   j.what.runsSteps * STEP_MS / 1000.0));
         }
       }
-      hosts.add(
-          new Snapshot.Host(
+      machines.add(
+          new Snapshot.Machine(
               name,
               "mesa",
               "z",
@@ -274,7 +274,8 @@
               running));
     }
     Map<String, Snapshot.Use> teams = Map.of("roja", new Snapshot.Use(0, 0, 0, 0));
-    Plan plan = Planner.plan(new Snapshot(hosts, needs, Set.of(), turns.kept(), teams, now, 1_000));
+    Plan plan =
+        Planner.plan(new Snapshot(machines, needs, Set.of(), turns.kept(), teams, now, 1_000));
     for (Snapshot.Running stopped : plan.stops()) {
       Job j = byId.get(stopped.spec().id());
       on.remove(j);
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -27,7 +27,7 @@
   private static final double NOT_CACHED = 1_000;
 
   private static final class Room {
-    final Snapshot.Host host;
+    final Snapshot.Machine machine;
     double cpus;
     double cards;
     double memGb;
@@ -38,14 +38,14 @@
     final Set<String> fetching;
     final Map<String, Integer> classes;
 
-    Room(Snapshot.Host host) {
-      this.host = host;
-      this.cpus = host.cpus();
-      this.cards = host.cards();
-      this.memGb = host.memGb();
-      this.slots = host.slots();
-      this.fetching = new HashSet<>(host.fetching());
-      this.classes = new HashMap<>(host.classes());
+    Room(Snapshot.Machine machine) {
+      this.machine = machine;
+      this.cpus = machine.cpus();
+      this.cards = machine.cards();
+      this.memGb = machine.memGb();
+      this.slots = machine.slots();
+      this.fetching = new HashSet<>(machine.fetching());
+      this.classes = new HashMap<>(machine.classes());
     }
 
     boolean hasFree(JobSpec spec) {
@@ -75,7 +75,7 @@
       memGb -= spec.memGb();
       slots--;
       classes.merge(spec.jobClass(), 1, Integer::sum);
-      if (!host.images().contains(spec.image())) {
+      if (!machine.images().contains(spec.image())) {
         fetching.add(spec.image());
       }
     }
@@ -98,11 +98,11 @@
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
     this.started = new HashMap<>(snapshot.teams());
-    for (Snapshot.Host host : snapshot.hosts()) {
-      rooms.add(new Room(host));
+    for (Snapshot.Machine machine : snapshot.machines()) {
+      rooms.add(new Room(machine));
     }
     for (Room room : rooms) {
-      for (Snapshot.Running r : room.host.running()) {
+      for (Snapshot.Running r : room.machine.running()) {
         if (r.stopping()) {
           room.comingCpus += r.cpus();
           room.comingCards += r.cards();
@@ -156,7 +156,7 @@
       }
       if (best != null) {
         best.take(spec);
-        starts.add(new Plan.Start(spec, task, best.host.name()));
+        starts.add(new Plan.Start(spec, task, best.machine.name()));
         started.put(spec.team(), real.plus(spec.cpus(), spec.cards()));
         startsOf.merge(need, 1, Integer::sum);
       } else if (!mayAsk) {
@@ -170,7 +170,7 @@
       // A task without a place yet is counted too: rooms asked for must not exceed the cap.
       teams.put(spec.team(), use.plus(spec.cpus(), spec.cards()));
       if (best != null && (spec.onePlace() || spec.apart())) {
-        zones.merge(best.host.zone(), 1, Integer::sum);
+        zones.merge(best.machine.zone(), 1, Integer::sum);
       }
     }
     if (missing > 0) {
@@ -189,7 +189,7 @@
           && real != null
           && real.allows(spec.cpus(), spec.cards())
           && rooms.stream()
-              .anyMatch(r -> r.hasFree(spec) && allowed(spec, zonesOf.get(need), r.host))) {
+              .anyMatch(r -> r.hasFree(spec) && allowed(spec, zonesOf.get(need), r.machine))) {
         passedOver.add(spec.id());
       }
     }
@@ -197,14 +197,14 @@
   }
 
   /** True if the job's own rules let a task of it start there now. */
-  static boolean allowed(JobSpec spec, Map<String, Integer> zones, Snapshot.Host host) {
-    if (spec.types() != null && !spec.types().contains(host.type())) {
+  static boolean allowed(JobSpec spec, Map<String, Integer> zones, Snapshot.Machine machine) {
+    if (spec.types() != null && !spec.types().contains(machine.type())) {
       return false;
     }
-    if (spec.zone() != null && !spec.zone().equals(host.zone())) {
+    if (spec.zone() != null && !spec.zone().equals(machine.zone())) {
       return false;
     }
-    if (host.spot() && !spec.spotAllowed()) {
+    if (machine.spot() && !spec.spotAllowed()) {
       return false;
     }
     if ((spec.onePlace() || spec.apart()) && zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
@@ -213,12 +213,12 @@
     }
     if (spec.onePlace()) {
       for (Map.Entry<String, Integer> e : zones.entrySet()) {
-        if (e.getValue() > 0 && !e.getKey().equals(host.zone())) {
+        if (e.getValue() > 0 && !e.getKey().equals(machine.zone())) {
           return false;
         }
       }
     }
-    return !spec.apart() || zones.getOrDefault(host.zone(), 0) + 1 <= (spec.tasks() + 1) / 2;
+    return !spec.apart() || zones.getOrDefault(machine.zone(), 0) + 1 <= (spec.tasks() + 1) / 2;
   }
 
   private Room bestRoom(Snapshot.Need need, Map<String, Integer> zones) {
@@ -227,7 +227,7 @@
     for (Room room : rooms) {
       boolean overdue = snapshot.overdue().contains(need.spec().id());
       boolean free = overdue ? room.hasFree(need.spec()) : room.fits(need.spec());
-      if (!free || !allowed(need.spec(), zones, room.host)) {
+      if (!free || !allowed(need.spec(), zones, room.machine)) {
         continue;
       }
       double score = score(need, room);
@@ -240,10 +240,10 @@
   }
 
   private static double fetchSeconds(JobSpec spec, Room room) {
-    if (room.host.images().contains(spec.image())) {
+    if (room.machine.images().contains(spec.image())) {
       return 0;
     }
-    double alone = spec.imageGb() / Math.max(0.01, room.host.fetchGbPerS());
+    double alone = spec.imageGb() / Math.max(0.01, room.machine.fetchGbPerS());
     return room.fetching.contains(spec.image())
         ? alone * (spec.service() ? 1 : FETCH_LEFT)
         : alone * (1 + room.fetching.size());
@@ -255,16 +255,16 @@
   private static double score(Snapshot.Need need, Room room) {
     JobSpec spec = need.spec();
     double fetch = fetchSeconds(spec, room);
-    double left = (room.cpus - spec.cpus()) / Math.max(1, room.host.cpusTotal());
+    double left = (room.cpus - spec.cpus()) / Math.max(1, room.machine.cpusTotal());
     if (spec.service()) {
       // A replica that must wait for its image anyway brings it to a machine with few others: one
       // death then costs little, and later replicas find the image on machines with room.
       int crowd = room.classes.getOrDefault(spec.jobClass(), 0);
-      return room.host.images().contains(spec.image())
+      return room.machine.images().contains(spec.image())
           ? crowd * CROWD_CACHED + left
           : NOT_CACHED + fetch + crowd + left;
     }
-    double spot = room.host.spot() ? -0.5 : 0;
+    double spot = room.machine.spot() ? -0.5 : 0;
     return fetch * (need.waitMatters() ? 10 : 1) + left + spot;
   }
 
@@ -294,7 +294,7 @@
     Room best = null;
     double bestS = Double.POSITIVE_INFINITY;
     for (Room room : rooms) {
-      double inS = allowed(need.spec(), zones, room.host) ? freeInS(need.spec(), room) : bestS;
+      double inS = allowed(need.spec(), zones, room.machine) ? freeInS(need.spec(), room) : bestS;
       if (inS < bestS) {
         best = room;
         bestS = inS;
@@ -308,7 +308,7 @@
   }
 
   private double freeInS(JobSpec spec, Room room) {
-    List<Snapshot.Running> ending = new ArrayList<>(room.host.running());
+    List<Snapshot.Running> ending = new ArrayList<>(room.machine.running());
     ending.removeIf(r -> r.stopping() || stopped.contains(r));
     ending.sort(Comparator.comparingDouble(r -> r.leftS(snapshot.nowMs())));
     double cpus = room.cpus + room.comingCpus;
@@ -336,8 +336,8 @@
   private boolean takeComing(Snapshot.Need need, Map<String, Integer> zones, boolean cachedOnly) {
     JobSpec spec = need.spec();
     for (Room room : rooms) {
-      if (allowed(spec, zones, room.host)
-          && (!cachedOnly || room.host.images().contains(spec.image()))
+      if (allowed(spec, zones, room.machine)
+          && (!cachedOnly || room.machine.images().contains(spec.image()))
           && (room.comingCpus > 0 || room.comingMemGb > 0)
           && room.willFit(spec)) {
         reserve(room, spec);
@@ -357,8 +357,8 @@
     List<Snapshot.Running> bestVictims = null;
     double bestCost = Double.MAX_VALUE;
     for (Room room : rooms) {
-      if (!allowed(spec, zones, room.host)
-          || (cachedOnly && !room.host.images().contains(spec.image()))) {
+      if (!allowed(spec, zones, room.machine)
+          || (cachedOnly && !room.machine.images().contains(spec.image()))) {
         continue;
       }
       List<Snapshot.Running> victims = victims(need, room);
@@ -395,7 +395,7 @@
 
   private List<Snapshot.Running> victims(Snapshot.Need need, Room room) {
     JobSpec spec = need.spec();
-    List<Snapshot.Running> candidates = new ArrayList<>(room.host.running());
+    List<Snapshot.Running> candidates = new ArrayList<>(room.machine.running());
     candidates.removeIf(
         r -> r.stopping() || stopped.contains(r) || snapshot.kept().contains(r.attempt()));
     candidates.sort(
@@ -448,8 +448,8 @@
     Snapshot.Use use = snapshot.teams().get(team);
     double cpus = use.cpus();
     double cards = use.cards();
-    for (Snapshot.Host host : snapshot.hosts()) {
-      for (Snapshot.Running other : host.running()) {
+    for (Snapshot.Machine machine : snapshot.machines()) {
+      for (Snapshot.Running other : machine.running()) {
         boolean ends = other.stopping() || stopped.contains(other) || stoppedBefore.contains(other);
         if (ends && other.spec().team().equals(team)) {
           cpus -= other.cpus();
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -43,9 +43,9 @@
         JobSpec.NO_DEADLINE);
   }
 
-  private static Snapshot.Host host(
+  private static Snapshot.Machine machine(
       String name, double total, double free, String image, Snapshot.Running... running) {
-    return new Snapshot.Host(
+    return new Snapshot.Machine(
         name,
         "mesa",
         "z",
@@ -79,8 +79,8 @@
   }
 
   private static Snapshot snapshot(
-      List<Snapshot.Host> hosts, Snapshot.Need need, Set<String> guaranteed) {
-    return new Snapshot(hosts, List.of(need), guaranteed, Set.of(), teams(0), NOW_MS, 10);
+      List<Snapshot.Machine> machines, Snapshot.Need need, Set<String> guaranteed) {
+    return new Snapshot(machines, List.of(need), guaranteed, Set.of(), teams(0), NOW_MS, 10);
   }
 
   private static Snapshot.Need need(JobSpec spec, boolean guaranteed, int count) {
@@ -111,7 +111,7 @@
   void cachedImageBeforeFullest() {
     Snapshot s =
         snapshot(
-            List.of(host("a", 8, 2, null), host("b", 8, 8, "img")),
+            List.of(machine("a", 8, 2, null), machine("b", 8, 8, "img")),
             need(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
             Set.of());
     assertEquals("b", Planner.plan(s).starts().get(0).machine());
@@ -121,7 +121,7 @@
   void fullestAmongEquals() {
     Snapshot s =
         snapshot(
-            List.of(host("a", 8, 8, null), host("b", 8, 3, null)),
+            List.of(machine("a", 8, 8, null), machine("b", 8, 3, null)),
             need(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
             Set.of());
     assertEquals("b", Planner.plan(s).starts().get(0).machine());
@@ -133,7 +133,7 @@
     Snapshot.Running same = running("job-9", "azul", Priority.CRITICAL, 1);
     Snapshot s =
         snapshot(
-            List.of(host("a", 8, 0, null, same, low)),
+            List.of(machine("a", 8, 0, null, same, low)),
             need(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
             Set.of("job-8", "job-9"));
     Plan plan = Planner.plan(s);
@@ -167,7 +167,7 @@
     Plan plan =
         Planner.plan(
             new Snapshot(
-                List.of(host("a", 4, 2, null, leaving)),
+                List.of(machine("a", 4, 2, null, leaving)),
                 needs,
                 Set.of(),
                 Set.of(),
@@ -197,8 +197,8 @@
             0,
             Aging.Turn.USUAL,
             1);
-    List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, other));
-    assertEquals(List.of(other), Planner.plan(snapshot(hosts, lent, Set.of())).stops());
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, other));
+    assertEquals(List.of(other), Planner.plan(snapshot(machines, lent, Set.of())).stops());
     Snapshot.Need patient =
         new Snapshot.Need(
             need,
@@ -213,13 +213,13 @@
             0,
             Aging.Turn.USUAL,
             1);
-    assertTrue(Planner.plan(snapshot(hosts, patient, Set.of())).stops().isEmpty());
+    assertTrue(Planner.plan(snapshot(machines, patient, Set.of())).stops().isEmpty());
     Snapshot.Running needed =
         new Snapshot.Running(need, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
     assertTrue(
         Planner.plan(
                 snapshot(
-                    List.of(host("a", 4, 0, null, needed)),
+                    List.of(machine("a", 4, 0, null, needed)),
                     need(job("job-2", "azul", Priority.STANDARD, 1, 4), true, 1),
                     Set.of()))
             .stops()
@@ -276,7 +276,13 @@
     Plan plan =
         Planner.plan(
             new Snapshot(
-                List.of(host("a", 8, 8, null)), needs, Set.of(), Set.of(), teams(0), NOW_MS, 10));
+                List.of(machine("a", 8, 8, null)),
+                needs,
+                Set.of(),
+                Set.of(),
+                teams(0),
+                NOW_MS,
+                10));
     assertEquals(
         List.of("job-3", "job-2"), plan.starts().stream().map(s -> s.spec().id()).toList());
   }
@@ -325,19 +331,20 @@
       soon.add(small(i, "a", 1, 4));
       later.add(small(10 + i, "b", 1, 40));
     }
-    List<Snapshot.Host> hosts =
+    List<Snapshot.Machine> machines =
         List.of(
-            host("b", 4, 0, null, later.toArray(new Snapshot.Running[0])),
-            host("a", 4, 0, null, soon.toArray(new Snapshot.Running[0])));
+            machine("b", 4, 0, null, later.toArray(new Snapshot.Running[0])),
+            machine("a", 4, 0, null, soon.toArray(new Snapshot.Running[0])));
     JobSpec four = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec guest = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
-    Plan plan = Planner.plan(snapshot(hosts, patient(four, 5, Aging.Turn.USUAL), Set.of()));
+    Plan plan = Planner.plan(snapshot(machines, patient(four, 5, Aging.Turn.USUAL), Set.of()));
     assertTrue(plan.stops().isEmpty(), plan.stops().toString());
     // Half of them have ended since: the rest must not be given away again.
     Plan next =
         Planner.plan(
             new Snapshot(
-                List.of(host("a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.Running[0]))),
+                List.of(
+                    machine("a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.Running[0]))),
                 List.of(patient(four, 5, Aging.Turn.USUAL), patient(guest, 5, Aging.Turn.USUAL)),
                 Set.of(),
                 Set.of(),
@@ -347,7 +354,9 @@
     assertTrue(next.starts().isEmpty() && next.stops().isEmpty(), next.toString());
     assertEquals(
         8,
-        Planner.plan(snapshot(hosts, patient(four, 0, Aging.Turn.USUAL), Set.of())).stops().size());
+        Planner.plan(snapshot(machines, patient(four, 0, Aging.Turn.USUAL), Set.of()))
+            .stops()
+            .size());
   }
 
   /**
@@ -359,13 +368,15 @@
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.Running long1 = running("job-8", "azul", Priority.STANDARD, 1);
-    List<Snapshot.Host> hosts =
-        List.of(host("a", 16, 12, null, long1), host("b", 16, 0, null, long1, long1, long1, long1));
+    List<Snapshot.Machine> machines =
+        List.of(
+            machine("a", 16, 12, null, long1),
+            machine("b", 16, 0, null, long1, long1, long1, long1));
     for (Aging.Turn turn : Aging.Turn.values()) {
       Plan plan =
           Planner.plan(
               new Snapshot(
-                  hosts,
+                  machines,
                   List.of(patient(small, 0, Aging.Turn.USUAL), patient(whole, 0, turn)),
                   Set.of(),
                   Set.of(),
@@ -389,7 +400,7 @@
     Snapshot.Running b = running("job-8", "azul", Priority.STANDARD, 2);
     Snapshot.Running c = running("job-9", "azul", Priority.STANDARD, 3);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 3, 4);
-    List<Snapshot.Host> hosts = List.of(host("a", 12, 0, null, a, b, c));
+    List<Snapshot.Machine> machines = List.of(machine("a", 12, 0, null, a, b, c));
     Map<Integer, List<Snapshot.Running>> expected =
         Map.of(12, List.of(), 11, List.of(a), 8, List.of(a), 7, List.of(a, b), 0, List.of(a, b, c));
     expected.forEach(
@@ -400,7 +411,7 @@
                   "azul", new Snapshot.Use(12, 0, 0, 0, guarantee, 0));
           Snapshot s =
               new Snapshot(
-                  hosts, List.of(need(spec, true, 3)), Set.of(), Set.of(), teams, NOW_MS, 10);
+                  machines, List.of(need(spec, true, 3)), Set.of(), Set.of(), teams, NOW_MS, 10);
           assertEquals(stops, Planner.plan(s).stops(), "guarantee " + guarantee);
         });
   }
@@ -438,19 +449,19 @@
    */
   @Test
   void whatFindsNoRoomKeepsItsTeamsLimitForAWhileOnly() {
-    List<Snapshot.Host> hosts = List.of(host("a", 8, 8, null));
+    List<Snapshot.Machine> machines = List.of(machine("a", 8, 8, null));
     List<Snapshot.Need> needs =
         List.of(
             bound("job-1", Priority.URGENT, 10, "elsewhere"),
             bound("job-2", Priority.STANDARD, 3, null));
     Plan first =
-        Planner.plan(new Snapshot(hosts, needs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
+        Planner.plan(new Snapshot(machines, needs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
     assertEquals(List.of(), first.starts());
     assertEquals(Set.of("job-2"), first.passedOver());
     Plan later =
         Planner.plan(
             new Snapshot(
-                hosts,
+                machines,
                 needs,
                 Set.of(),
                 Set.of(),
@@ -465,7 +476,7 @@
     Plan full =
         Planner.plan(
             new Snapshot(
-                hosts,
+                machines,
                 needs,
                 Set.of(),
                 Set.of(),
@@ -483,15 +494,15 @@
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.Running endless = running("job-8", "azul", Priority.STANDARD, 1);
-    List<Snapshot.Host> hosts = List.of(host("a", 16, 12, null, endless));
+    List<Snapshot.Machine> machines = List.of(machine("a", 16, 12, null, endless));
     List<Snapshot.Need> needs =
         List.of(patient(small, 0, Aging.Turn.USUAL), patient(whole, 0, Aging.Turn.FIRST));
-    Snapshot kept = new Snapshot(hosts, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
+    Snapshot kept = new Snapshot(machines, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
     assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
     assertEquals(List.of(), Planner.plan(kept).starts());
     Snapshot over =
         new Snapshot(
-            hosts, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10, Set.of("job-2"), Set.of());
+            machines, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10, Set.of("job-2"), Set.of());
     assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(over).starts());
   }
 
@@ -502,12 +513,12 @@
   @Test
   void whatComesFirstAmongEqualsIsNotStoppedForThem() {
     Snapshot.Running first = running("job-8", "azul", Priority.STANDARD, 5);
-    List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, first));
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, first));
     for (Priority p : Priority.values()) {
       Snapshot.Need owed = need(job("job-1", "roja", p, 1, 4), true, 1);
       Snapshot s =
           new Snapshot(
-              hosts,
+              machines,
               List.of(owed),
               Set.of(),
               Set.of(),
@@ -526,12 +537,18 @@
   void aFirstTaskOutOfTurnIsNotStopped() {
     Snapshot.Running only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
     Snapshot.Need urgent = need(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
-    List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, only));
-    assertEquals(List.of(only), Planner.plan(snapshot(hosts, urgent, Set.of())).stops());
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, only));
+    assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).stops());
     assertTrue(
         Planner.plan(
                 new Snapshot(
-                    hosts, List.of(urgent), Set.of(), Set.of(only.attempt()), teams(0), NOW_MS, 10))
+                    machines,
+                    List.of(urgent),
+                    Set.of(),
+                    Set.of(only.attempt()),
+                    teams(0),
+                    NOW_MS,
+                    10))
             .stops()
             .isEmpty());
   }
@@ -565,7 +582,7 @@
     Plan plan =
         Planner.plan(
             snapshot(
-                List.of(host("a", 8, 8, null), host("b", 4, 0, "img", low)),
+                List.of(machine("a", 8, 8, null), machine("b", 4, 0, "img", low)),
                 need(service, true, 1),
                 Set.of("job-8")));
     assertEquals(List.of(low), plan.stops());
@@ -577,14 +594,15 @@
     Snapshot.Running borrowed = running("job-8", "azul", Priority.STANDARD, 5);
     Snapshot.Running urgent = running("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
-    List<Snapshot.Host> hosts = List.of(host("a", 4, 0, null, borrowed));
-    assertEquals(1, Planner.plan(snapshot(hosts, need(spec, true, 1), Set.of())).stops().size());
-    assertEquals(0, Planner.plan(snapshot(hosts, need(spec, false, 1), Set.of())).stops().size());
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, borrowed));
+    assertEquals(1, Planner.plan(snapshot(machines, need(spec, true, 1), Set.of())).stops().size());
+    assertEquals(
+        0, Planner.plan(snapshot(machines, need(spec, false, 1), Set.of())).stops().size());
     // Borrowed work of higher priority would be placed first and take the room back.
     assertEquals(
         0,
         Planner.plan(
-                snapshot(List.of(host("a", 4, 0, null, urgent)), need(spec, true, 1), Set.of()))
+                snapshot(List.of(machine("a", 4, 0, null, urgent)), need(spec, true, 1), Set.of()))
             .stops()
             .size());
   }
@@ -621,11 +639,11 @@
     }
   }
 
-  private static Snapshot randomSnapshot(int seed, int machines) {
+  private static Snapshot randomSnapshot(int seed, int machineCount) {
     SplittableRandom r = new SplittableRandom(seed);
-    List<Snapshot.Host> hosts = new ArrayList<>();
+    List<Snapshot.Machine> machines = new ArrayList<>();
     Set<String> guaranteed = new HashSet<>();
-    for (int i = 0; i < machines; i++) {
+    for (int i = 0; i < machineCount; i++) {
       List<Snapshot.Running> running = new ArrayList<>();
       for (int k = r.nextInt(5); k > 0; k--) {
         JobSpec spec =
@@ -652,8 +670,8 @@
                 r.nextInt(6) == 0 ? -1 : NOW_MS - r.nextInt(20) * 500L,
                 r.nextInt(3) == 0 ? 0 : 1 + r.nextInt(20)));
       }
-      hosts.add(
-          new Snapshot.Host(
+      machines.add(
+          new Snapshot.Machine(
               "m" + i,
               r.nextBoolean() ? "mesa" : "torre",
               "z" + r.nextInt(3),
@@ -722,19 +740,21 @@
             "azul", new Snapshot.Use(0, 0, 5 + r.nextInt(40), 2));
     Set<Long> kept = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
     int mostStarts = 1 + r.nextInt(30);
-    hosts.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
+    machines.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
     Set<String> overdue = r.nextInt(3) == 0 ? Set.of("job-" + r.nextInt(6)) : Set.of();
     if (r.nextInt(3) == 0) {
-      teams = Map.of("roja", use(r, hosts, "roja"), "azul", use(r, hosts, "azul"));
+      teams = Map.of("roja", use(r, machines, "roja"), "azul", use(r, machines, "azul"));
     }
     Set<Long> spared = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
-    return new Snapshot(hosts, needs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue, spared);
+    return new Snapshot(
+        machines, needs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue, spared);
   }
 
   /** What a team's running tasks use, with a limit above and a guarantee that may be below. */
-  private static Snapshot.Use use(SplittableRandom r, List<Snapshot.Host> hosts, String team) {
+  private static Snapshot.Use use(
+      SplittableRandom r, List<Snapshot.Machine> machines, String team) {
     double used =
-        hosts.stream()
+        machines.stream()
             .flatMap(h -> h.running().stream())
             .filter(running -> running.spec().team().equals(team))
             .mapToDouble(Snapshot.Running::cpus)
@@ -742,8 +762,8 @@
     return new Snapshot.Use(used, 0, used + 2 + r.nextInt(40), 2, 1 + r.nextInt(30), 0);
   }
 
-  private static Snapshot.Host withSlots(Snapshot.Host h, int slots) {
-    return new Snapshot.Host(
+  private static Snapshot.Machine withSlots(Snapshot.Machine h, int slots) {
+    return new Snapshot.Machine(
         h.name(),
         h.type(),
         h.zone(),
@@ -770,40 +790,40 @@
   private static void check(Snapshot s, int seed) {
     Plan plan = Planner.plan(s);
     assertTrue(plan.starts().size() <= s.mostStarts());
-    Map<String, double[]> byHost = new HashMap<>();
+    Map<String, double[]> byMachine = new HashMap<>();
     Map<String, double[]> byTeam = new HashMap<>();
     Map<String, Map<String, Integer>> zones = new HashMap<>();
     s.needs().forEach(n -> zones.put(n.spec().id(), new HashMap<>(n.zones())));
     for (Plan.Start start : plan.starts()) {
       JobSpec spec = start.spec();
-      Snapshot.Host host =
-          s.hosts().stream()
+      Snapshot.Machine machine =
+          s.machines().stream()
               .filter(h -> h.name().equals(start.machine()))
               .findFirst()
               .orElseThrow();
-      double[] used = byHost.computeIfAbsent(host.name(), k -> new double[4]);
+      double[] used = byMachine.computeIfAbsent(machine.name(), k -> new double[4]);
       used[3]++;
       used[0] += spec.cpus();
       used[1] += spec.cards();
       used[2] += spec.memGb();
       assertTrue(
-          used[0] <= host.cpus()
-              && used[1] <= host.cards()
-              && used[2] <= host.memGb()
-              && used[3] <= host.slots(),
+          used[0] <= machine.cpus()
+              && used[1] <= machine.cards()
+              && used[2] <= machine.memGb()
+              && used[3] <= machine.slots(),
           "seed " + seed);
       double[] team = byTeam.computeIfAbsent(spec.team(), k -> new double[2]);
       team[0] += spec.cpus();
       team[1] += spec.cards();
       Snapshot.Use use = s.teams().get(spec.team());
       assertTrue(use.cpus() + team[0] <= use.cpusMax() && use.cards() + team[1] <= use.cardsMax());
-      assertTrue(spec.types() == null || spec.types().contains(host.type()));
-      assertTrue(spec.zone() == null || spec.zone().equals(host.zone()));
-      assertTrue(spec.spotAllowed() || !host.spot());
+      assertTrue(spec.types() == null || spec.types().contains(machine.type()));
+      assertTrue(spec.zone() == null || spec.zone().equals(machine.zone()));
+      assertTrue(spec.spotAllowed() || !machine.spot());
       Map<String, Integer> at = zones.get(spec.id());
-      at.merge(host.zone(), 1, Integer::sum);
+      at.merge(machine.zone(), 1, Integer::sum);
       assertTrue(!spec.onePlace() || at.size() == 1, "seed " + seed);
-      assertTrue(!spec.apart() || at.get(host.zone()) <= (spec.tasks() + 1) / 2, "seed " + seed);
+      assertTrue(!spec.apart() || at.get(machine.zone()) <= (spec.tasks() + 1) / 2, "seed " + seed);
     }
   }
 }
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -10,7 +10,7 @@
 import fennelthread.fleet.ZoneHealth;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.net.StallDetector;
 import fennelthread.peers.PeerHeartbeat;
@@ -32,13 +32,13 @@
 
 /** What a leader may conclude from commands that a peer passes on. */
 class CommandSenderTest {
-  private record Sent(String address, Call call, Consumer<Answer> done, Host.Unsent unsent) {}
+  private record Sent(String address, Call call, Consumer<Answer> done, EventLoop.Unsent unsent) {}
 
   private long now = 100_000;
   private final List<Sent> sent = new ArrayList<>();
   private final List<Runnable> timers = new ArrayList<>();
-  private final Host host =
-      new Host() {
+  private final EventLoop eventLoop =
+      new EventLoop() {
         @Override
         public long nowMs() {
           return now;
@@ -84,16 +84,17 @@
           500);
   private final PeerHeartbeats mesh =
       new PeerHeartbeats(
-          host,
+          eventLoop,
           settings,
           () -> new PeerHeartbeat("nodo-0", "a", 7, true, 0, 0, false),
           Map::of,
           g -> {});
   private final LeaderReachability hearing = new LeaderReachability(1_500);
-  private final CommandSender courier = new CommandSender(host, settings, mesh, hearing, () -> 7);
+  private final CommandSender courier =
+      new CommandSender(eventLoop, settings, mesh, hearing, () -> 7);
   private final Machine machine =
       new Fleet(
-              host,
+              eventLoop,
               settings,
               7,
               null,
@@ -101,7 +102,7 @@
               Map::of,
               courier,
               ZoneHealth.NONE,
-              new StallDetector(host),
+              new StallDetector(eventLoop),
               null)
           .learn("n-1", "10.1.0.1:9000");
   private final List<Object> outcomes = new ArrayList<>();
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -24,12 +24,12 @@
 /** A start that rides on the answer to a report, step by step. */
 class CarriedStartsTest {
   private final SimulatedNetwork world = new SimulatedNetwork(1);
-  private final SimulatedNetwork.HostProcess host = world.new HostProcess("nodo");
+  private final SimulatedNetwork.SimulatedProcess eventLoop = world.new SimulatedProcess("nodo");
   private final List<Attempt> ended = new ArrayList<>();
   private boolean mayStart = true;
   private final Fleet fleet =
       new Fleet(
-          host,
+          eventLoop,
           SimulatedCluster.large(1, 20).settings,
           1,
           new Fleet.Listener() {
@@ -66,7 +66,7 @@
           Map::of,
           (machine, address, call, timeoutMs, done, unsent) -> unsent.over(false),
           ZoneHealth.NONE,
-          new StallDetector(host),
+          new StallDetector(eventLoop),
           new Fleet.Gate() {
             @Override
             public boolean isOpen() {
--- a/src/test/java/fennelthread/simulation/Meter.java
+++ b/src/test/java/fennelthread/simulation/Meter.java
@@ -2,7 +2,7 @@
 
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.net.Service;
 import fennelthread.wire.Codec;
@@ -124,41 +124,41 @@
         : Partner.PEER;
   }
 
-  /** The same host, counted. */
-  Host counted(Host host) {
-    return new Counted(host);
+  /** The same event loop, counted. */
+  EventLoop counted(EventLoop eventLoop) {
+    return new Counted(eventLoop);
   }
 
-  private final class Counted implements Host {
-    private final Host host;
+  private final class Counted implements EventLoop {
+    private final EventLoop eventLoop;
 
-    Counted(Host host) {
-      this.host = host;
+    Counted(EventLoop eventLoop) {
+      this.eventLoop = eventLoop;
     }
 
     @Override
     public long nowMs() {
-      return host.nowMs();
+      return eventLoop.nowMs();
     }
 
     @Override
     public long wallMs() {
-      return host.wallMs();
+      return eventLoop.wallMs();
     }
 
     @Override
     public Cancellable after(long delayMs, Runnable task) {
-      return host.after(delayMs, () -> timed("timer", task));
+      return eventLoop.after(delayMs, () -> timed("timer", task));
     }
 
     @Override
     public RandomGenerator random() {
-      return host.random();
+      return eventLoop.random();
     }
 
     @Override
     public Heap heap() {
-      return host.heap();
+      return eventLoop.heap();
     }
 
     @Override
@@ -171,7 +171,7 @@
       if (partner == Partner.STATE) {
         countState(call);
       }
-      host.call(
+      eventLoop.call(
           address,
           call,
           timeoutMs,
--- a/src/test/java/fennelthread/simulation/Production.java
+++ b/src/test/java/fennelthread/simulation/Production.java
@@ -1,6 +1,6 @@
 package fennelthread.simulation;
 
-import fennelthread.net.Host;
+import fennelthread.net.EventLoop;
 import fennelthread.net.Service;
 import fennelthread.settings.Settings;
 import java.io.ByteArrayInputStream;
@@ -20,6 +20,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.zip.ZipEntry;
@@ -31,7 +32,7 @@
  * The version in production, as {@code deploy/service.toml} names it: its sources come from the
  * repository's own history, are compiled once a run and loaded by a loader of their own, so that
  * controllers of both versions serve in one simulated world. What the simulation itself speaks, the
- * host below a controller and its messages, is shared; all else is the old version's.
+ * event loop below a controller and its messages, is shared; all else is the old version's.
  */
 final class Production {
   private static final List<String> SHARED =
@@ -41,6 +42,10 @@
           "fennelthread.wire.Fields",
           "fennelthread.wire.WireException");
 
+  /** Names of shared types that have changed since the version in production, by today's names. */
+  private static final Map<Pattern, String> SHARED_NAMES =
+      Map.of(Pattern.compile("\\bHost\\b(?!:)"), "EventLoop");
+
   private static final Loader LOADER = load();
 
   /** Clusters whose deployment says so begin with the version in production from now on. */
@@ -51,7 +56,8 @@
   private Production() {}
 
   /** A controller of the old version; {@code limits} are those that it knows of. */
-  static SimulatedCluster.Node controller(Host host, Settings settings, Settings.State limits) {
+  static SimulatedCluster.Node controller(
+      EventLoop eventLoop, Settings settings, Settings.State limits) {
     try {
       Path file = Files.createTempFile("production", ".toml");
       try {
@@ -60,9 +66,9 @@
         Class<?> optionsClass = LOADER.loadClass("fennelthread.settings.Options");
         Class<?> type = LOADER.loadClass("fennelthread.Controller");
         Object controller =
-            type.getConstructor(Host.class, settingsClass, optionsClass)
+            type.getConstructor(EventLoop.class, settingsClass, optionsClass)
                 .newInstance(
-                    host,
+                    eventLoop,
                     settingsClass.getMethod("load", Path.class).invoke(null, file),
                     optionsClass.getField("DEFAULTS").get(null));
         return node(type, controller);
@@ -200,9 +206,9 @@
     try (ZipInputStream zip = new ZipInputStream(new ByteArrayInputStream(archive(commit)))) {
       for (ZipEntry e = zip.getNextEntry(); e != null; e = zip.getNextEntry()) {
         if (e.getName().endsWith(".java")) {
-          Path file = sources.resolve(e.getName());
+          Path file = sources.resolve(renamed(e.getName()));
           Files.createDirectories(file.getParent());
-          Files.write(file, zip.readAllBytes());
+          Files.writeString(file, renamed(new String(zip.readAllBytes(), StandardCharsets.UTF_8)));
           files.add(file.toString());
         }
       }
@@ -210,6 +216,15 @@
     return files;
   }
 
+  /** A text of the old version with the names that the shared types have today. */
+  private static String renamed(String text) {
+    String today = text;
+    for (Map.Entry<Pattern, String> name : SHARED_NAMES.entrySet()) {
+      today = name.getKey().matcher(today).replaceAll(name.getValue());
+    }
+    return today;
+  }
+
   private static byte[] archive(String commit) throws IOException {
     Process git =
         new ProcessBuilder("git", "archive", "--format=zip", commit, "src/main/java")
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -56,12 +56,12 @@
   final CloudEmulator cloud;
   final Map<String, Meter> meters = new LinkedHashMap<>();
   final Map<String, Controller> controllers = new LinkedHashMap<>();
-  final Map<String, SimulatedNetwork.HostProcess> processes = new HashMap<>();
+  final Map<String, SimulatedNetwork.SimulatedProcess> processes = new HashMap<>();
   final List<Fields> startRecords = new ArrayList<>();
   private final Shape shape;
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private final Map<String, JobSpec> jobs = new HashMap<>();
-  private final SimulatedNetwork.HostProcess users;
+  private final SimulatedNetwork.SimulatedProcess users;
   private int nextJob;
   private int nextUser;
 
@@ -77,17 +77,17 @@
     world = new SimulatedNetwork(seed);
     world.loss = 0;
     world.late = 0;
-    SimulatedNetwork.HostProcess stateProcess = world.new HostProcess("state");
+    SimulatedNetwork.SimulatedProcess stateProcess = world.new SimulatedProcess("state");
     state = new StateEmulator(world, stateProcess, shape.limits);
     stateProcess.listen(STATE, state);
     world.name(STATE, "state");
     Deployment deployment =
         Deployment.large(shape.workers).withLease(shape.reportMs, LEASE_MS, CANCEL_MS);
-    SimulatedNetwork.HostProcess cloudProcess = world.new HostProcess("cloud");
+    SimulatedNetwork.SimulatedProcess cloudProcess = world.new SimulatedProcess("cloud");
     cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
-    users = world.new HostProcess("users");
+    users = world.new SimulatedProcess("users");
     for (int i = 0; i < CONTROLLERS; i++) {
       addresses.put("nodo-" + i, "10.0.0." + (i + 1) + ":8080");
     }
@@ -107,7 +107,7 @@
   }
 
   private void start(String member, Deployment deployment) {
-    SimulatedNetwork.HostProcess process = world.new HostProcess(member);
+    SimulatedNetwork.SimulatedProcess process = world.new SimulatedProcess(member);
     Meter meter = new Meter();
     Controller controller =
         new Controller(
--- a/src/test/java/fennelthread/wire/CodecTest.java
+++ b/src/test/java/fennelthread/wire/CodecTest.java
@@ -156,13 +156,13 @@
             .get(0);
     assertEquals(48, machineType.cpus());
     assertEquals(List.of("b"), machineType.zones());
-    HostEntry entry =
-        HostEntry.readAll(
+    MachineEntry entry =
+        MachineEntry.readAll(
                 overCbor(
                     "{'equipos':[{'name_id':'n-000007','address':'10.1.0.7:9000','modelo':'g4',"
                         + "'zona':'b','prestadas':false,'estado':'starting','held_s':3.5}],"
                         + "'more':false}"))
             .get(0);
-    assertEquals(HostEntry.STARTING, entry.state());
+    assertEquals(MachineEntry.STARTING, entry.state());
   }
 }
