--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -180,29 +180,31 @@
     if (tight.getAsBoolean() && !store.isKnown(id)) {
       refusals.add("no memory for more jobs");
       refuse(id, Answer.later(503, "no memory for more jobs", ApiConstants.HEAP_RETRY_S), reply);
-    } else if (job.spec().needs().isEmpty() || store.isKnown(id)) {
+    } else if (job.spec().dependencies().isEmpty() || store.isKnown(id)) {
       accept(job, reply);
     } else {
-      checkNeeds(job, reply);
+      checkDependencies(job, reply);
     }
   }
 
-  private void checkNeeds(Submission job, Consumer<Answer> reply) {
+  private void checkDependencies(Submission job, Consumer<Answer> reply) {
     String id = job.spec().id();
     if (oldPeer.getAsBoolean()) {
       // It would run the job without waiting, if it came to lead.
       refuse(
-          id, later("a controller that does not know " + JobSpec.NEEDS + " still serves"), reply);
+          id,
+          later("a controller that does not know " + JobSpec.DEPENDENCIES + " still serves"),
+          reply);
       return;
     }
-    store.checkNeeds(
+    store.checkDependencies(
         job.spec(),
-        needs -> {
-          if (needs instanceof DependencyCheck.Needs.Good good) {
+        dependencies -> {
+          if (dependencies instanceof DependencyCheck.Dependencies.Good good) {
             accept(good.cancelled() ? store.cancelled(job) : job, reply);
-          } else if (needs instanceof DependencyCheck.Needs.Bad bad) {
-            refuse(id, Answer.error(422, JobSpec.NEEDS + ": " + bad.why()), reply);
-          } else if (needs instanceof DependencyCheck.Needs.Unavailable unavailable) {
+          } else if (dependencies instanceof DependencyCheck.Dependencies.Bad bad) {
+            refuse(id, Answer.error(422, JobSpec.DEPENDENCIES + ": " + bad.why()), reply);
+          } else if (dependencies instanceof DependencyCheck.Dependencies.Unavailable unavailable) {
             reply.accept(later(unavailable.why().text()));
           }
         });
--- a/src/main/java/fennelthread/cli/Submit.java
+++ b/src/main/java/fennelthread/cli/Submit.java
@@ -41,7 +41,7 @@
     byte[] body;
     try {
       Fields job = Codec.JSON.decode(Files.readAllBytes(file));
-      body = Codec.CBOR.encode(after.isEmpty() ? job : withNeeds(job, after));
+      body = Codec.CBOR.encode(after.isEmpty() ? job : withDependencies(job, after));
     } catch (IOException e) {
       throw new SettingsException(file + ": can't be read: " + e.getMessage());
     } catch (WireException e) {
@@ -51,10 +51,10 @@
   }
 
   /** Adds needs to those that the job names already; the controller checks them all. */
-  static Fields withNeeds(Fields job, List<String> after) throws WireException {
-    List<String> named = job.optTexts(JobSpec.NEEDS);
-    List<Object> needs = new ArrayList<>(named == null ? List.of() : named);
-    needs.addAll(after);
-    return job.with(JobSpec.NEEDS, needs);
+  static Fields withDependencies(Fields job, List<String> after) throws WireException {
+    List<String> named = job.optTexts(JobSpec.DEPENDENCIES);
+    List<Object> dependencies = new ArrayList<>(named == null ? List.of() : named);
+    dependencies.addAll(after);
+    return job.with(JobSpec.DEPENDENCIES, dependencies);
   }
 }
--- a/src/main/java/fennelthread/constants/JobConstants.java
+++ b/src/main/java/fennelthread/constants/JobConstants.java
@@ -15,7 +15,7 @@
   public static final long END_READ_PAUSE_MS = 1_000;
 
   /** Bytes of the names and brackets around a list of needs, and of the count of its parts. */
-  public static final int NEEDS_FIELD_BYTES = 64;
+  public static final int DEPENDENCIES_FIELD_BYTES = 64;
 
   /** Bytes of one range of finished tasks: two numbers of up to three digits, two commas. */
   public static final int RANGE_BYTES = 8;
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -16,15 +16,15 @@
  */
 public final class DependencyCheck {
   /** What is known of the jobs that a submission names. */
-  public sealed interface Needs {
+  public sealed interface Dependencies {
     /** All were accepted, and none is a service; {@code cancelled} if one of them is. */
-    record Good(boolean cancelled) implements Needs {}
+    record Good(boolean cancelled) implements Dependencies {}
 
     /** One was never accepted, or is a service. */
-    record Bad(String why) implements Needs {}
+    record Bad(String why) implements Dependencies {}
 
     /** The state service can't be asked now. */
-    record Unavailable(Unavailability why) implements Needs {}
+    record Unavailable(Unavailability why) implements Dependencies {}
   }
 
   private final StateClient state;
@@ -47,24 +47,24 @@
   }
 
   /** Checks the needs of a submission. */
-  void check(JobSpec spec, Consumer<Needs> done) {
+  void check(JobSpec spec, Consumer<Dependencies> done) {
     List<String> toRead = new ArrayList<>();
     boolean cancelled = false;
-    for (String need : spec.needs()) {
-      Job job = table.get(need);
+    for (String dependency : spec.dependencies()) {
+      Job job = table.get(dependency);
       if (job != null && job.spec().service()) {
-        done.accept(new Needs.Bad("names the service " + need));
+        done.accept(new Dependencies.Bad("names the service " + dependency));
         return;
       }
-      Lookup.Final end = finals.known(need);
+      Lookup.Final end = finals.known(dependency);
       if (job == null && end == null) {
-        toRead.add(need);
+        toRead.add(dependency);
       }
-      cancelled |= isCancelled(need, end);
+      cancelled |= isCancelled(dependency, end);
     }
     Unavailability why = toRead.isEmpty() ? null : state.whyNotSoon(0);
     if (why != null) {
-      done.accept(new Needs.Unavailable(why));
+      done.accept(new Dependencies.Unavailable(why));
     } else {
       read(toRead, 0, cancelled, done);
     }
@@ -75,23 +75,24 @@
         || (found instanceof Lookup.Final end && end.state() == JobState.CANCELLED);
   }
 
-  private void read(List<String> needs, int at, boolean cancelled, Consumer<Needs> done) {
-    if (at == needs.size()) {
-      done.accept(new Needs.Good(cancelled));
+  private void read(
+      List<String> dependencies, int at, boolean cancelled, Consumer<Dependencies> done) {
+    if (at == dependencies.size()) {
+      done.accept(new Dependencies.Good(cancelled));
       return;
     }
-    String need = needs.get(at);
+    String dependency = dependencies.get(at);
     queries.read(
-        need,
+        dependency,
         found -> {
           if (found instanceof Lookup.Unavailable unavailable) {
-            done.accept(new Needs.Unavailable(unavailable.why()));
+            done.accept(new Dependencies.Unavailable(unavailable.why()));
           } else if (found instanceof Lookup.Unknown) {
-            done.accept(new Needs.Bad("names " + need + ", which was never accepted"));
+            done.accept(new Dependencies.Bad("names " + dependency + ", which was never accepted"));
           } else if (found instanceof Lookup.Live live && live.job().spec().service()) {
-            done.accept(new Needs.Bad("names the service " + need));
+            done.accept(new Dependencies.Bad("names the service " + dependency));
           } else {
-            read(needs, at + 1, cancelled || isCancelled(need, found), done);
+            read(dependencies, at + 1, cancelled || isCancelled(dependency, found), done);
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/DependencyGraph.java
+++ b/src/main/java/fennelthread/jobs/DependencyGraph.java
@@ -61,7 +61,7 @@
 
     Node(Job job) {
       this.job = job;
-      this.unmet = new LinkedHashSet<>(job.spec().needs());
+      this.unmet = new LinkedHashSet<>(job.spec().dependencies());
       this.releasedMs = job.acceptedWallMs();
     }
   }
@@ -87,21 +87,21 @@
   public void add(Job job, Predicate<String> live, Function<String, Lookup.Final> known) {
     String id = job.spec().id();
     unknown.remove(id);
-    if (job.spec().needs().isEmpty()) {
+    if (job.spec().dependencies().isEmpty()) {
       return;
     }
     Node node = new Node(job);
     nodes.put(id, node);
-    for (String need : node.unmet) {
-      neededBy.computeIfAbsent(need, k -> new LinkedHashSet<>()).add(id);
+    for (String dependency : node.unmet) {
+      neededBy.computeIfAbsent(dependency, k -> new LinkedHashSet<>()).add(id);
     }
-    for (String need : job.spec().needs()) {
-      Lookup.Final end = known.apply(need);
+    for (String dependency : job.spec().dependencies()) {
+      Lookup.Final end = known.apply(dependency);
       if (end != null) {
-        learn(need, end);
-      } else if (!live.test(need)) {
-        unknown.add(need);
-      } else if (doomed.containsKey(need)) {
+        learn(dependency, end);
+      } else if (!live.test(dependency)) {
+        unknown.add(dependency);
+      } else if (doomed.containsKey(dependency)) {
         doom(List.of(id));
       }
     }
@@ -113,12 +113,12 @@
     doomed.remove(id);
     Node node = nodes.remove(id);
     if (node != null) {
-      for (String need : node.unmet) {
-        Set<String> others = neededBy.get(need);
+      for (String dependency : node.unmet) {
+        Set<String> others = neededBy.get(dependency);
         others.remove(id);
         if (others.isEmpty()) {
-          neededBy.remove(need);
-          unknown.remove(need);
+          neededBy.remove(dependency);
+          unknown.remove(dependency);
         }
       }
       relend(node.unmet);
@@ -164,7 +164,7 @@
 
   /** The one question asked before placement: true if a live job need not wait for others. */
   public boolean isReleased(Job job) {
-    if (job.spec().needs().isEmpty()) {
+    if (job.spec().dependencies().isEmpty()) {
       return true;
     }
     Node node = nodes.get(job.spec().id());
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -63,46 +63,49 @@
    * @throws WireException naming the field that is too large for the state service
    */
   static Map<String, Fields> write(JobSpec spec, long wallMs, Limits limits) throws WireException {
-    Fields record = spec.withNeeds(List.of()).write().with("at_ms", wallMs);
+    Fields record = spec.withDependencies(List.of()).write().with("at_ms", wallMs);
     int bytes = Limits.bytes(record);
     if (bytes > limits.valueBytes()) {
       throw new WireException("body", "is too large");
     }
     Map<String, Fields> records = new LinkedHashMap<>();
-    List<String> needs = spec.needs();
-    if (!needs.isEmpty()) {
-      int next = fit(needs, 0, limits.valueBytes() - bytes - JobConstants.NEEDS_FIELD_BYTES);
-      List<Object> here = new ArrayList<>(needs.subList(0, next));
+    List<String> dependencies = spec.dependencies();
+    if (!dependencies.isEmpty()) {
+      int next =
+          fit(dependencies, 0, limits.valueBytes() - bytes - JobConstants.DEPENDENCIES_FIELD_BYTES);
+      List<Object> here = new ArrayList<>(dependencies.subList(0, next));
       int parts = 0;
-      while (next < needs.size()) {
-        int to = fit(needs, next, limits.valueBytes() - JobConstants.NEEDS_FIELD_BYTES);
+      while (next < dependencies.size()) {
+        int to =
+            fit(dependencies, next, limits.valueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES);
         if (to == next || parts >= limits.txnOps()) {
-          throw new WireException(JobSpec.NEEDS, "names too many jobs");
+          throw new WireException(JobSpec.DEPENDENCIES, "names too many jobs");
         }
         Fields part =
-            Fields.create().with(JobSpec.NEEDS, new ArrayList<Object>(needs.subList(next, to)));
+            Fields.create()
+                .with(JobSpec.DEPENDENCIES, new ArrayList<Object>(dependencies.subList(next, to)));
         bytes += Limits.bytes(part);
-        records.put(Keys.needs(spec.id(), parts++), part);
+        records.put(Keys.dependencies(spec.id(), parts++), part);
         next = to;
       }
-      record.with(JobSpec.NEEDS, here);
+      record.with(JobSpec.DEPENDENCIES, here);
       if (parts > 0) {
         record.with(PARTS, (long) parts);
       }
     }
     records.put(Keys.job(spec.id()), record);
     if (records.size() > limits.txnOps() || bytes > limits.txnBytes()) {
-      throw new WireException(JobSpec.NEEDS, "names too many jobs");
+      throw new WireException(JobSpec.DEPENDENCIES, "names too many jobs");
     }
     return records;
   }
 
   /** How far the needs from {@code from} on fit into so many bytes. */
-  private static int fit(List<String> needs, int from, int bytes) {
+  private static int fit(List<String> dependencies, int from, int bytes) {
     int to = from;
     int left = bytes;
-    while (to < needs.size() && left >= needs.get(to).length() + 3) {
-      left -= needs.get(to).length() + 3;
+    while (to < dependencies.size() && left >= dependencies.get(to).length() + 3) {
+      left -= dependencies.get(to).length() + 3;
       to++;
     }
     return to;
@@ -114,8 +117,8 @@
   }
 
   /** The same job with all its needs. */
-  Job withNeeds(List<String> needs) {
-    return new Job(spec.withNeeds(needs), revision, acceptedWallMs);
+  Job withDependencies(List<String> dependencies) {
+    return new Job(spec.withDependencies(dependencies), revision, acceptedWallMs);
   }
 
   static Job read(Fields value, long revision) throws WireException {
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -110,7 +110,7 @@
   }
 
   /** Checks that every job that a submission needs was accepted. */
-  public void checkNeeds(JobSpec spec, Consumer<DependencyCheck.Needs> done) {
+  public void checkDependencies(JobSpec spec, Consumer<DependencyCheck.Dependencies> done) {
     needsCheck.check(spec, done);
   }
 
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -37,7 +37,7 @@
   private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
       new Object2ObjectLinkedOpenHashMap<>();
   private final Map<String, Map<String, Fields>> earlyChunks = new HashMap<>();
-  private final Map<String, TreeMap<Integer, List<String>>> needs = new HashMap<>();
+  private final Map<String, TreeMap<Integer, List<String>>> dependencies = new HashMap<>();
   private final Map<String, Incomplete> incomplete = new HashMap<>();
   private final Map<String, StartRecord> rounds = new LinkedHashMap<>();
 
@@ -137,7 +137,7 @@
         changedJob(key.substring(Keys.JOB.length()), value, revision);
       } else if (key.startsWith(Keys.FINISHED)) {
         changedChunk(key, value);
-      } else if (key.startsWith(Keys.NEEDS)) {
+      } else if (key.startsWith(Keys.DEPENDENCIES)) {
         changedNeeds(key, value);
       } else if (key.startsWith(Keys.ROUND)) {
         record(key, value == null ? null : StartRecord.read(value));
@@ -167,31 +167,31 @@
   }
 
   private void changedNeeds(String key, Fields value) throws WireException {
-    String id = Keys.jobOf(Keys.NEEDS, key);
+    String id = Keys.jobOf(Keys.DEPENDENCIES, key);
     int part = Keys.partOf(key);
     if (value == null) {
-      needs.computeIfPresent(
+      dependencies.computeIfPresent(
           id, (k, parts) -> parts.remove(part) != null && parts.isEmpty() ? null : parts);
       return;
     }
-    List<String> ids = value.optTexts(JobSpec.NEEDS);
+    List<String> ids = value.optTexts(JobSpec.DEPENDENCIES);
     if (ids == null) {
-      throw new WireException(JobSpec.NEEDS, "is missing");
+      throw new WireException(JobSpec.DEPENDENCIES, "is missing");
     }
-    needs.computeIfAbsent(id, k -> new TreeMap<>()).put(part, ids);
+    dependencies.computeIfAbsent(id, k -> new TreeMap<>()).put(part, ids);
     complete(id);
   }
 
   /** Adds a job once all its needs have arrived: pages of a list may be of different moments. */
   private void complete(String id) throws WireException {
     Incomplete known = incomplete.get(id);
-    if (known == null || needs.getOrDefault(id, new TreeMap<>()).size() < known.parts) {
+    if (known == null || dependencies.getOrDefault(id, new TreeMap<>()).size() < known.parts) {
       return;
     }
     incomplete.remove(id);
-    List<String> all = new ArrayList<>(known.job.spec().needs());
-    needs.get(id).values().forEach(all::addAll);
-    add(known.job.withNeeds(all));
+    List<String> all = new ArrayList<>(known.job.spec().dependencies());
+    dependencies.get(id).values().forEach(all::addAll);
+    add(known.job.withDependencies(all));
   }
 
   private void add(Job job) throws WireException {
--- a/src/main/java/fennelthread/leader/ActiveJobs.java
+++ b/src/main/java/fennelthread/leader/ActiveJobs.java
@@ -9,12 +9,12 @@
 
 /** The live jobs of a term with how far each is, in the order in which they were released. */
 final class ActiveJobs {
-  private final DependencyGraph needs;
+  private final DependencyGraph dependencies;
   private final Map<String, ActiveJob> runs = new LinkedHashMap<>();
   private long releases;
 
-  ActiveJobs(DependencyGraph needs) {
-    this.needs = needs;
+  ActiveJobs(DependencyGraph dependencies) {
+    this.dependencies = dependencies;
   }
 
   Collection<ActiveJob> all() {
@@ -35,9 +35,9 @@
   void begin(Job job) {
     String id = job.spec().id();
     ActiveJob run = new ActiveJob(job);
-    run.lend(needs.loan(id));
+    run.lend(dependencies.loan(id));
     runs.put(id, run);
-    if (needs.isReleased(job)) {
+    if (dependencies.isReleased(job)) {
       release(run);
     }
   }
@@ -47,12 +47,12 @@
     String id = run.job().spec().id();
     runs.remove(id);
     runs.put(id, run);
-    run.release(++releases, needs.releasedMs(run.job()));
+    run.release(++releases, dependencies.releasedMs(run.job()));
   }
 
   /** Takes note of what the jobs that need this one have lent it. */
   void lend(ActiveJob run) {
-    run.lend(needs.loan(run.job().spec().id()));
+    run.lend(dependencies.loan(run.job().spec().id()));
   }
 
   /** Drops a job that is final; gives what was known of it, or null. */
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -65,23 +65,24 @@
   }
 
   /** The same as placement is told of it. */
-  List<Snapshot.Need> needs(
+  List<Snapshot.PendingJob> pendingJobs(
       Map<ActiveJob, List<Integer>> waiting, Set<String> guaranteed, Aging turns) {
-    List<Snapshot.Need> needs = new ArrayList<>(waiting.size());
+    List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(waiting.size());
     waiting.forEach(
         (run, tasks) -> {
           Aging.Turn turn = turns.of(run.job().spec().id());
           if (turn == Aging.Turn.USUAL) {
-            needs.add(need(run, tasks, guaranteed, turn));
+            pendingJobs.add(pendingJob(run, tasks, guaranteed, turn));
             return;
           }
-          needs.add(need(run, tasks.subList(0, 1), guaranteed, turn));
+          pendingJobs.add(pendingJob(run, tasks.subList(0, 1), guaranteed, turn));
           // Where its tasks may be follows from where the first one is, which the next round knows.
           if (tasks.size() > 1 && !hasZoneRule(run.job().spec())) {
-            needs.add(need(run, tasks.subList(1, tasks.size()), guaranteed, Aging.Turn.USUAL));
+            pendingJobs.add(
+                pendingJob(run, tasks.subList(1, tasks.size()), guaranteed, Aging.Turn.USUAL));
           }
         });
-    return needs;
+    return pendingJobs;
   }
 
   /** Whose turn it is among the released jobs, in a fleet of so many CPUs. */
@@ -119,12 +120,12 @@
     return spec.onePlace() || spec.apart();
   }
 
-  private Snapshot.Need need(
+  private Snapshot.PendingJob pendingJob(
       ActiveJob run, List<Integer> tasks, Set<String> guaranteed, Aging.Turn turn) {
     JobSpec spec = run.job().spec();
     double takes = runTimes.of(spec);
     double slack = slackS(run, takes);
-    return new Snapshot.Need(
+    return new Snapshot.PendingJob(
         spec,
         run.priority(),
         stopsAs(run, takes),
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -89,7 +89,7 @@
       txn.when(key, replica.revisionOf(key)).remove(key);
     }
     addLeftOvers(txn, most, Keys.FINISHED);
-    addLeftOvers(txn, most, Keys.NEEDS);
+    addLeftOvers(txn, most, Keys.DEPENDENCIES);
     boolean compacting = tooMany && txn.ops() <= most / 2 && compact(census, txn, most);
     if (txn.ops() == 0) {
       return;
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -341,7 +341,7 @@
     Aging turns = demand.turns(cpus);
     return new Snapshot(
         machines,
-        demand.needs(waiting, guaranteed, turns),
+        demand.pendingJobs(waiting, guaranteed, turns),
         guaranteed,
         turns.kept(),
         teams,
--- a/src/main/java/fennelthread/plan/Room.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -15,7 +15,7 @@
  * about to become free, and what of that is reserved. {@code version} rises with each change, so
  * that a ranking made before it can be recognized as out of date.
  */
-final class Room {
+final class FreeCapacity {
   final Snapshot.Machine machine;
   final int index;
   private int version;
@@ -32,7 +32,7 @@
   private double soonestS = -1;
 
   /** Creates the room of a machine; {@code index} is its place among the machines of the round. */
-  Room(Snapshot.Machine machine, int index) {
+  FreeCapacity(Snapshot.Machine machine, int index) {
     this.machine = machine;
     this.index = index;
     this.cpus = machine.cpus();
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -14,11 +14,11 @@
    *
    * @param victims the tasks that have to be stopped there first, or null
    */
-  record Candidate(double cost, Room room, int version, List<Snapshot.Running> victims)
+  record Candidate(double cost, FreeCapacity room, int version, List<Snapshot.Running> victims)
       implements Comparable<Candidate> {
 
     /** A machine as it is now, on which nothing has to be stopped. */
-    static Candidate of(double cost, Room room) {
+    static Candidate of(double cost, FreeCapacity room) {
       return new Candidate(cost, room, room.version(), null);
     }
 
@@ -38,7 +38,7 @@
   }
 
   /** How long the machine takes to fetch the job's image, s; 0 if it has it. */
-  static double fetchSeconds(JobSpec spec, Room room) {
+  static double fetchSeconds(JobSpec spec, FreeCapacity room) {
     if (room.hasImage(spec)) {
       return 0;
     }
@@ -51,8 +51,8 @@
   /**
    * Lower is better: seconds until the task would run, then how empty the machine would be left.
    */
-  static double score(Snapshot.Need need, Room room) {
-    JobSpec spec = need.spec();
+  static double score(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+    JobSpec spec = pendingJob.spec();
     double fetch = fetchSeconds(spec, room);
     double left = (room.freeCpus() - spec.cpus()) / Math.max(1, room.machine.cpusTotal());
     if (spec.service()) {
@@ -64,6 +64,6 @@
           : PlanConstants.NOT_CACHED + fetch + crowd + left;
     }
     double spot = room.machine.spot() ? -0.5 : 0;
-    return fetch * (need.waitMatters() ? 10 : 1) + left + spot;
+    return fetch * (pendingJob.waitMatters() ? 10 : 1) + left + spot;
   }
 }
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -28,18 +28,18 @@
    * at work comes first with its first task, whatever its priority: one task of each such job is
    * the price.
    */
-  public static final Comparator<Snapshot.Need> ORDER =
-      Comparator.<Snapshot.Need>comparingLong(
+  public static final Comparator<Snapshot.PendingJob> ORDER =
+      Comparator.<Snapshot.PendingJob>comparingLong(
               n -> n.turn() == Aging.Turn.FIRST ? n.order() : Long.MAX_VALUE)
-          .thenComparing(Snapshot.Need::priority)
+          .thenComparing(Snapshot.PendingJob::priority)
           .thenComparing(n -> n.turn() != Aging.Turn.EARLY)
-          .thenComparing(Snapshot.Need::late)
+          .thenComparing(Snapshot.PendingJob::late)
           .thenComparing(n -> !n.withinGuarantee())
-          .thenComparingDouble(Snapshot.Need::work)
-          .thenComparingLong(Snapshot.Need::order);
+          .thenComparingDouble(Snapshot.PendingJob::work)
+          .thenComparingLong(Snapshot.PendingJob::order);
 
   /** A job that has tasks left without a place. */
-  private record Left(Snapshot.Need need, TaskSearch search) {}
+  private record Left(Snapshot.PendingJob pendingJob, TaskSearch search) {}
 
   private final Snapshot snapshot;
   private final RoundState round;
@@ -57,26 +57,26 @@
   /** Plans one round. */
   public static Plan plan(Snapshot snapshot) {
     Planner planner = new Planner(snapshot);
-    List<Snapshot.Need> needs = new ArrayList<>(snapshot.needs());
-    needs.sort(ORDER);
-    needs.forEach(planner::place);
+    List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(snapshot.pendingJobs());
+    pendingJobs.sort(ORDER);
+    pendingJobs.forEach(planner::place);
     return new Plan(
         planner.starts, planner.round.preemption.stops(), planner.unplaced, planner.passedOver());
   }
 
-  private void place(Snapshot.Need need) {
-    TaskSearch search = new TaskSearch(round, need);
-    JobSpec spec = need.spec();
+  private void place(Snapshot.PendingJob pendingJob) {
+    TaskSearch search = new TaskSearch(round, pendingJob);
+    JobSpec spec = pendingJob.spec();
     boolean overdue = snapshot.overdue().contains(spec.id());
     boolean mayAwaitImage = spec.service() && !overdue;
     boolean hopeful = true;
     int before = starts.size();
     int missing = 0;
-    for (int task : need.tasks()) {
+    for (int task : pendingJob.tasks()) {
       boolean mayAsk = budgets.allowsRequest(spec);
       boolean mayStart = mayAsk || (overdue && budgets.allowsStart(spec));
       boolean mayLook = mayStart && missing == 0 && starts.size() < snapshot.mostStarts();
-      Room best = mayLook ? search.best() : null;
+      FreeCapacity best = mayLook ? search.best() : null;
       if (best != null && mayAwaitImage && MachineRanking.fetchSeconds(spec, best) > 1) {
         mayAwaitImage = search.makeCachedRoom();
         if (mayAwaitImage) {
@@ -99,16 +99,17 @@
         break;
       }
     }
-    noteLeft(need, search, missing, need.tasks().size() - (starts.size() - before));
+    noteLeft(pendingJob, search, missing, pendingJob.tasks().size() - (starts.size() - before));
   }
 
   /** Keeps in mind what has no place: {@code missing} tasks asked for one, of all that are left. */
-  private void noteLeft(Snapshot.Need need, TaskSearch search, int missing, int notStarted) {
+  private void noteLeft(
+      Snapshot.PendingJob pendingJob, TaskSearch search, int missing, int notStarted) {
     if (missing > 0) {
-      unplaced.add(new Plan.Unplaced(need.spec(), missing, search.zones()));
+      unplaced.add(new Plan.Unplaced(pendingJob.spec(), missing, search.zones()));
     }
     if (notStarted > 0) {
-      left.add(new Left(need, search));
+      left.add(new Left(pendingJob, search));
     }
   }
 
@@ -120,7 +121,7 @@
     Set<String> passedOver = new HashSet<>();
     Map<Shape, Boolean> known = new HashMap<>();
     for (Left l : left) {
-      JobSpec spec = l.need.spec();
+      JobSpec spec = l.pendingJob.spec();
       if (!budgets.allowsStart(spec)) {
         continue;
       }
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -51,7 +51,7 @@
   }
 
   /** Stops tasks; their machine's room comes free. */
-  void stop(List<Snapshot.Running> victims, Room room) {
+  void stop(List<Snapshot.Running> victims, FreeCapacity room) {
     for (Snapshot.Running v : victims) {
       stopped.add(v);
       stops.add(v);
@@ -61,9 +61,11 @@
   }
 
   /** False if no running work anywhere comes later than the need. */
-  boolean isPossible(Snapshot.Need need) {
-    int rank = need.stopsAs().rank();
-    for (int i = need.withinGuarantee() ? rank : rank + 1; i < runningByPriority.length; i++) {
+  boolean isPossible(Snapshot.PendingJob pendingJob) {
+    int rank = pendingJob.stopsAs().rank();
+    for (int i = pendingJob.withinGuarantee() ? rank : rank + 1;
+        i < runningByPriority.length;
+        i++) {
       if (runningByPriority[i] > 0) {
         return true;
       }
@@ -72,8 +74,8 @@
   }
 
   /** The tasks to stop on a machine so that one of the job's fits, or null if that can't be. */
-  List<Snapshot.Running> victims(Snapshot.Need need, Room room) {
-    List<Snapshot.Running> candidates = candidates(need, room);
+  List<Snapshot.Running> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+    List<Snapshot.Running> candidates = candidates(pendingJob, room);
     if (candidates.isEmpty()) {
       return null;
     }
@@ -83,12 +85,12 @@
     Map<String, Snapshot.Use> left = new HashMap<>();
     List<Snapshot.Running> victims = new ArrayList<>();
     for (Snapshot.Running r : candidates) {
-      if (room.fitsWith(need.spec(), cpus, cards, memGb)) {
+      if (room.fitsWith(pendingJob.spec(), cpus, cards, memGb)) {
         break;
       }
       String team = r.spec().team();
       Snapshot.Use use = left.getOrDefault(team, teams.get(team));
-      if (isLessUrgent(need, r) || isBorrowed(use, r)) {
+      if (isLessUrgent(pendingJob, r) || isBorrowed(use, r)) {
         victims.add(r);
         cpus += r.cpus();
         cards += r.cards();
@@ -96,14 +98,16 @@
         left.put(team, without(use, r));
       }
     }
-    return room.fitsWith(need.spec(), cpus, cards, memGb) && !victims.isEmpty() ? victims : null;
+    return room.fitsWith(pendingJob.spec(), cpus, cards, memGb) && !victims.isEmpty()
+        ? victims
+        : null;
   }
 
-  private List<Snapshot.Running> candidates(Snapshot.Need need, Room room) {
+  private List<Snapshot.Running> candidates(Snapshot.PendingJob pendingJob, FreeCapacity room) {
     List<Snapshot.Running> candidates = new ArrayList<>();
     for (Snapshot.Running r : room.machine.running()) {
       if (!r.stopping()
-          && (isLessUrgent(need, r) || mayGiveBack(need, r))
+          && (isLessUrgent(pendingJob, r) || mayGiveBack(pendingJob, r))
           && !stopped.contains(r)
           && !snapshot.kept().contains(r.attempt())) {
         candidates.add(r);
@@ -116,8 +120,8 @@
     return candidates;
   }
 
-  private static boolean isLessUrgent(Snapshot.Need need, Snapshot.Running r) {
-    return r.priority().compareTo(need.stopsAs()) > 0;
+  private static boolean isLessUrgent(Snapshot.PendingJob pendingJob, Snapshot.Running r) {
+    return r.priority().compareTo(pendingJob.stopsAs()) > 0;
   }
 
   /**
@@ -125,12 +129,12 @@
    * Only work that comes later in the order of placement is: a guarantee once stopped borrowed work
    * of higher priority, which took the room back in the next round, over and over.
    */
-  private boolean mayGiveBack(Snapshot.Need need, Snapshot.Running r) {
-    return r.priority() == need.stopsAs()
-        && need.withinGuarantee()
+  private boolean mayGiveBack(Snapshot.PendingJob pendingJob, Snapshot.Running r) {
+    return r.priority() == pendingJob.stopsAs()
+        && pendingJob.withinGuarantee()
         && !snapshot.spared().contains(r.attempt())
         && !snapshot.guaranteed().contains(r.spec().id())
-        && !r.spec().team().equals(need.spec().team());
+        && !r.spec().team().equals(pendingJob.spec().team());
   }
 
   /**
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -24,7 +24,7 @@
   record Claim(Shape shape, Priority priority, String guaranteedTeam, String image) {}
 
   final Snapshot snapshot;
-  final List<Room> rooms;
+  final List<FreeCapacity> rooms;
   final Preemption preemption;
 
   /** Machines on which room is being made that is not reserved yet, by index. */
@@ -48,7 +48,7 @@
     this.preemption = new Preemption(snapshot);
     this.mostHolds = mostHolds(snapshot);
     for (Snapshot.Machine machine : snapshot.machines()) {
-      Room room = new Room(machine, rooms.size());
+      FreeCapacity room = new FreeCapacity(machine, rooms.size());
       rooms.add(room);
       machine.running().stream().filter(Snapshot.Running::stopping).forEach(room::release);
       coming.set(room.index, room.isComing());
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -18,7 +18,7 @@
  */
 public record Snapshot(
     List<Machine> machines,
-    List<Need> needs,
+    List<PendingJob> pendingJobs,
     Set<String> guaranteed,
     Set<Long> kept,
     Map<String, Use> teams,
@@ -30,13 +30,13 @@
   /** A snapshot in which no job was passed over, and no attempt is spared. */
   public Snapshot(
       List<Machine> machines,
-      List<Need> needs,
+      List<PendingJob> pendingJobs,
       Set<String> guaranteed,
       Set<Long> kept,
       Map<String, Use> teams,
       long nowMs,
       int mostStarts) {
-    this(machines, needs, guaranteed, kept, teams, nowMs, mostStarts, Set.of(), Set.of());
+    this(machines, pendingJobs, guaranteed, kept, teams, nowMs, mostStarts, Set.of(), Set.of());
   }
 
   /** Where tasks are that a predecessor started on a machine nobody has described yet. */
@@ -107,7 +107,7 @@
    * rather waits for room than has others stopped, s. If its {@code turn} is not the usual one this
    * is its first task after long waiting.
    */
-  public record Need(
+  public record PendingJob(
       JobSpec spec,
       Priority priority,
       Priority stopsAs,
--- a/src/main/java/fennelthread/plan/TaskSearch.java
+++ b/src/main/java/fennelthread/plan/TaskSearch.java
@@ -15,7 +15,7 @@
  */
 final class TaskSearch {
   private final RoundState round;
-  private final Snapshot.Need need;
+  private final Snapshot.PendingJob pendingJob;
   private final JobSpec spec;
   private final boolean overdue;
   private final boolean zoned;
@@ -26,28 +26,28 @@
   private PriorityQueue<Candidate> stopsAny;
   private PriorityQueue<Candidate> awaited;
 
-  TaskSearch(RoundState round, Snapshot.Need need) {
+  TaskSearch(RoundState round, Snapshot.PendingJob pendingJob) {
     this.round = round;
-    this.need = need;
-    this.spec = need.spec();
+    this.pendingJob = pendingJob;
+    this.spec = pendingJob.spec();
     this.overdue = round.snapshot.overdue().contains(spec.id());
     this.zoned = PlacementRules.dependOnOtherTasks(spec);
-    this.zones = zoned ? new HashMap<>(need.zones()) : Map.of();
+    this.zones = zoned ? new HashMap<>(pendingJob.zones()) : Map.of();
     this.shape = Shape.of(spec);
   }
 
-  private boolean isAllowed(Room room) {
+  private boolean isAllowed(FreeCapacity room) {
     return PlacementRules.allow(spec, zones, room.machine);
   }
 
   /** A job that was passed over for long takes room that is reserved for others. */
-  private boolean hasRoom(Room room) {
+  private boolean hasRoom(FreeCapacity room) {
     return overdue ? room.fitsUnreserved(spec) : room.fits(spec);
   }
 
   /** True if some machine has room for a task, be it reserved for others or not. */
   boolean hasUnreservedRoom() {
-    for (Room room : round.rooms) {
+    for (FreeCapacity room : round.rooms) {
       if (room.fitsUnreserved(spec) && isAllowed(room)) {
         return true;
       }
@@ -61,7 +61,7 @@
   }
 
   /** The best machine with room, or null. */
-  Room best() {
+  FreeCapacity best() {
     boolean remembered = !zoned && !overdue;
     if (remembered && round.full.contains(shape)) {
       return null;
@@ -69,9 +69,9 @@
     if (places == null || zoned) {
       // With a rule about zones, each task placed may forbid machines to the next one.
       List<Candidate> all = new ArrayList<>();
-      for (Room room : round.rooms) {
+      for (FreeCapacity room : round.rooms) {
         if (hasRoom(room) && isAllowed(room)) {
-          all.add(Candidate.of(MachineRanking.score(need, room), room));
+          all.add(Candidate.of(MachineRanking.score(pendingJob, room), room));
         }
       }
       places = new PriorityQueue<>(all);
@@ -84,7 +84,7 @@
   }
 
   /** Gives the job's next task its room. */
-  void take(Room room) {
+  void take(FreeCapacity room) {
     room.take(spec);
     if (zoned) {
       zones.merge(room.machine.zone(), 1, Integer::sum);
@@ -93,13 +93,13 @@
   }
 
   /** Puts a changed machine back among the candidates. */
-  private void changed(Room room) {
+  private void changed(FreeCapacity room) {
     round.coming.set(room.index, room.isComing());
     if (zoned) {
       return;
     }
     if (places != null && hasRoom(room)) {
-      places.add(Candidate.of(MachineRanking.score(need, room), room));
+      places.add(Candidate.of(MachineRanking.score(pendingJob, room), room));
     }
     if (awaited != null) {
       offerAwaited(room);
@@ -108,7 +108,7 @@
     offer(stopsCached, room, true);
   }
 
-  private void offer(PriorityQueue<Candidate> queue, Room room, boolean cachedOnly) {
+  private void offer(PriorityQueue<Candidate> queue, FreeCapacity room, boolean cachedOnly) {
     if (queue != null) {
       Candidate c = stopsOn(room, cachedOnly);
       if (c != null) {
@@ -126,7 +126,7 @@
     return takeComing(false)
         || awaitEnds()
         || stopOthers(false)
-        || (need.turn() == Aging.Turn.FIRST && round.mayHold() && hold());
+        || (pendingJob.turn() == Aging.Turn.FIRST && round.mayHold() && hold());
   }
 
   /** The same on machines that have the image, by stopping others alone. */
@@ -134,14 +134,14 @@
     return takeComing(true) || stopOthers(true);
   }
 
-  private void reserve(Room room) {
+  private void reserve(FreeCapacity room) {
     room.reserve(spec);
     changed(room);
   }
 
   private boolean takeComing(boolean cachedOnly) {
     for (int i = round.coming.nextSetBit(0); i >= 0; i = round.coming.nextSetBit(i + 1)) {
-      Room room = round.rooms.get(i);
+      FreeCapacity room = round.rooms.get(i);
       if (room.willFit(spec) && isAllowed(room) && (!cachedOnly || room.hasImage(spec))) {
         reserve(room);
         return true;
@@ -156,8 +156,8 @@
    * way.
    */
   private boolean awaitEnds() {
-    RoundState.Patience patience = new RoundState.Patience(shape, need.patienceS());
-    if (need.patienceS() <= 0 || (!zoned && round.inVain.contains(patience))) {
+    RoundState.Patience patience = new RoundState.Patience(shape, pendingJob.patienceS());
+    if (pendingJob.patienceS() <= 0 || (!zoned && round.inVain.contains(patience))) {
       return false;
     }
     if (awaited == null || zoned) {
@@ -175,10 +175,10 @@
     return true;
   }
 
-  private void offerAwaited(Room room) {
-    if (room.soonestS(round.snapshot.nowMs()) <= need.patienceS() && isAllowed(room)) {
-      double inS = freeInS(room, need.patienceS());
-      if (inS <= need.patienceS()) {
+  private void offerAwaited(FreeCapacity room) {
+    if (room.soonestS(round.snapshot.nowMs()) <= pendingJob.patienceS() && isAllowed(room)) {
+      double inS = freeInS(room, pendingJob.patienceS());
+      if (inS <= pendingJob.patienceS()) {
         awaited.add(Candidate.of(inS, room));
       }
     }
@@ -186,9 +186,9 @@
 
   /** Keeps the machine on which room comes first for this task alone, however long that takes. */
   private boolean hold() {
-    Room best = null;
+    FreeCapacity best = null;
     double bestS = Double.POSITIVE_INFINITY;
-    for (Room room : round.rooms) {
+    for (FreeCapacity room : round.rooms) {
       if (isAllowed(room)) {
         double inS = freeInS(room, Double.MAX_VALUE);
         if (inS < bestS) {
@@ -209,7 +209,7 @@
    * When a task would fit if nothing else were started there, seconds; infinite if not within
    * {@code mostS}.
    */
-  private double freeInS(Room room, double mostS) {
+  private double freeInS(FreeCapacity room, double mostS) {
     long nowMs = round.snapshot.nowMs();
     double cpus = 0;
     double cards = 0;
@@ -241,10 +241,10 @@
     RoundState.Claim claim =
         new RoundState.Claim(
             shape,
-            need.stopsAs(),
-            need.withinGuarantee() ? spec.team() : null,
+            pendingJob.stopsAs(),
+            pendingJob.withinGuarantee() ? spec.team() : null,
             cachedOnly ? spec.image() : null);
-    if (!round.preemption.isPossible(need) || (!zoned && round.hopeless.contains(claim))) {
+    if (!round.preemption.isPossible(pendingJob) || (!zoned && round.hopeless.contains(claim))) {
       return false;
     }
     Candidate best = MachineRanking.best(stops(cachedOnly));
@@ -266,7 +266,7 @@
       return known;
     }
     List<Candidate> all = new ArrayList<>();
-    for (Room room : round.rooms) {
+    for (FreeCapacity room : round.rooms) {
       Candidate c = stopsOn(room, cachedOnly);
       if (c != null) {
         all.add(c);
@@ -281,11 +281,11 @@
     return queue;
   }
 
-  private Candidate stopsOn(Room room, boolean cachedOnly) {
+  private Candidate stopsOn(FreeCapacity room, boolean cachedOnly) {
     if ((cachedOnly && !room.hasImage(spec)) || !isAllowed(room)) {
       return null;
     }
-    List<Snapshot.Running> victims = round.preemption.victims(need, room);
+    List<Snapshot.Running> victims = round.preemption.victims(pendingJob, room);
     if (victims == null) {
       return null;
     }
@@ -293,7 +293,7 @@
     for (Snapshot.Running v : victims) {
       lost += v.runS(round.snapshot.nowMs()) * Math.max(1, v.cpus());
     }
-    double cost = lost + 100 * MachineRanking.score(need, room);
+    double cost = lost + 100 * MachineRanking.score(pendingJob, room);
     return new Candidate(cost, room, room.version(), victims);
   }
 }
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -78,8 +78,9 @@
 
   void submits(JobSpec spec) {
     submitted.put(spec.id(), spec);
-    Set<String> before = new HashSet<>(spec.needs());
-    spec.needs().forEach(need -> before.addAll(ancestors.getOrDefault(need, Set.of())));
+    Set<String> before = new HashSet<>(spec.dependencies());
+    spec.dependencies()
+        .forEach(dependency -> before.addAll(ancestors.getOrDefault(dependency, Set.of())));
     ancestors.put(spec.id(), before);
   }
 
@@ -220,7 +221,9 @@
   private void checkWaiting() {
     for (String id : acceptedAt.keySet()) {
       JobSpec spec = submitted.get(id);
-      if (isUnwanted(id) || isOver(id) || !spec.needs().stream().allMatch(this::allCompleted)) {
+      if (isUnwanted(id)
+          || isOver(id)
+          || !spec.dependencies().stream().allMatch(this::allCompleted)) {
         waiting.excuse(id);
         continue;
       }
@@ -263,7 +266,7 @@
   private void checkBegun(JobSpec spec) {
     long accepted = acceptedAt.get(spec.id());
     long begun = begunAt.getOrDefault(spec.id(), world.now());
-    if (spec.needs().isEmpty() && begun - accepted > SimulationConstants.BEGUN_WITHIN_MS) {
+    if (spec.dependencies().isEmpty() && begun - accepted > SimulationConstants.BEGUN_WITHIN_MS) {
       broken("unserved", spec.id() + " did not begin for " + (begun - accepted) + " ms");
     }
   }
@@ -318,9 +321,9 @@
         && presence.running(spec.id(), w.zone()) > PlacementRules.mostInOneZone(spec)) {
       broken("wrong_place", task + " crowds zone " + w.zone());
     }
-    for (String need : spec.needs()) {
-      if (!allCompleted(need)) {
-        broken("too_early", task + " starts before " + need + " is done");
+    for (String dependency : spec.dependencies()) {
+      if (!allCompleted(dependency)) {
+        broken("too_early", task + " starts before " + dependency + " is done");
       }
     }
     Long told = cancelTold.get(spec.id());
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -22,8 +22,9 @@
     this.rules = rules;
   }
 
-  private JobSpec stage(List<String> needs) {
-    return jobs.job(false, 1 + network.random.nextInt(5), 1, true, false, false).withNeeds(needs);
+  private JobSpec stage(List<String> dependencies) {
+    return jobs.job(false, 1 + network.random.nextInt(5), 1, true, false, false)
+        .withDependencies(dependencies);
   }
 
   /**
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -132,7 +132,7 @@
 
   /** Fields that may be null, and may therefore be absent. */
   private static boolean isOptional(String name) {
-    return List.of("modelos", "zona", "plazo_s", JobSpec.NEEDS).contains(name);
+    return List.of("modelos", "zona", "plazo_s", JobSpec.DEPENDENCIES).contains(name);
   }
 
   private void submitInvalid(Kind kind, Fields body) {
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -33,7 +33,7 @@
    * Prefix of the needs that found no room in a live job's own record, per job and part. It sorts
    * before {@link #JOB}: a copy that loads in order has the needs before the job.
    */
-  public static final String NEEDS = LIVE + "chain/";
+  public static final String DEPENDENCIES = LIVE + "chain/";
 
   /** Prefix of what followers say when workers of a leader come to them that they can't reach. */
   public static final String HEARD = LIVE + "heard/";
@@ -53,7 +53,7 @@
     return key.startsWith(JOB)
         || key.startsWith(FINISHED)
         || key.startsWith(ROUND)
-        || key.startsWith(NEEDS);
+        || key.startsWith(DEPENDENCIES);
   }
 
   /** The record of a live job. */
@@ -72,8 +72,8 @@
   }
 
   /** One part of a job's needs beyond those in its record. */
-  public static String needs(String id, int part) {
-    return NEEDS + id + "/" + part;
+  public static String dependencies(String id, int part) {
+    return DEPENDENCIES + id + "/" + part;
   }
 
   /** Prefix of a job's finished tasks. */
--- a/src/main/java/fennelthread/wire/JobSpec.java
+++ b/src/main/java/fennelthread/wire/JobSpec.java
@@ -31,7 +31,7 @@
     double checkpointS,
     double saveS,
     double deadlineS,
-    List<String> needs) {
+    List<String> dependencies) {
 
   /** The value of {@link #deadlineS} for a job that has none. */
   public static final double NO_DEADLINE = -1;
@@ -40,7 +40,7 @@
   public static final int MAX_TASKS = 100_000;
 
   /** The field that names the jobs which must be done first. */
-  public static final String NEEDS = "espera";
+  public static final String DEPENDENCIES = "espera";
 
   private static final Pattern ID = Pattern.compile("job-[0-9]{1,32}");
 
@@ -91,7 +91,7 @@
   }
 
   /** The same job with other needs. */
-  public JobSpec withNeeds(List<String> others) {
+  public JobSpec withDependencies(List<String> others) {
     return new JobSpec(
         id,
         jobClass,
@@ -171,18 +171,18 @@
 
   /** Each job once; absent, null and empty all mean that there is none. */
   private static List<String> readNeeds(Fields body) throws WireException {
-    List<String> named = body.optTexts(NEEDS);
+    List<String> named = body.optTexts(DEPENDENCIES);
     if (named == null || named.isEmpty()) {
       return List.of();
     }
-    Set<String> needs = new LinkedHashSet<>();
+    Set<String> dependencies = new LinkedHashSet<>();
     for (String id : named) {
       if (!isId(id)) {
-        throw new WireException(NEEDS, "must hold ids of the form job-000412");
+        throw new WireException(DEPENDENCIES, "must hold ids of the form job-000412");
       }
-      needs.add(id);
+      dependencies.add(id);
     }
-    return List.copyOf(new ArrayList<>(needs));
+    return List.copyOf(new ArrayList<>(dependencies));
   }
 
   /** The submission in the protocol's form; a job without needs has the form it always had. */
@@ -209,7 +209,9 @@
             .with("resguardo_s", checkpointS)
             .with("guardado_s", saveS)
             .with("plazo_s", deadlineS == NO_DEADLINE ? null : (Object) deadlineS);
-    return needs.isEmpty() ? body : body.with(NEEDS, new ArrayList<Object>(needs));
+    return dependencies.isEmpty()
+        ? body
+        : body.with(DEPENDENCIES, new ArrayList<Object>(dependencies));
   }
 
   private static String nonEmpty(Fields body, String name) throws WireException {
--- a/src/main/java/fennelthread/wire/JobStatus.java
+++ b/src/main/java/fennelthread/wire/JobStatus.java
@@ -17,6 +17,6 @@
   /** Writes the whole form. */
   public Fields write() {
     Fields body = accepted(id, state).with("done", done).with("running", running);
-    return unmet.isEmpty() ? body : body.with(JobSpec.NEEDS, new ArrayList<Object>(unmet));
+    return unmet.isEmpty() ? body : body.with(JobSpec.DEPENDENCIES, new ArrayList<Object>(unmet));
   }
 }
--- a/src/test/java/fennelthread/cli/MainTest.java
+++ b/src/test/java/fennelthread/cli/MainTest.java
@@ -37,7 +37,7 @@
     Fields job = Fields.create().with("espera", List.of("job-1"));
     assertEquals(
         List.of("job-1", "job-2", "job-3"),
-        Submit.withNeeds(job, List.of("job-2", "job-3")).optTexts("espera"));
+        Submit.withDependencies(job, List.of("job-2", "job-3")).optTexts("espera"));
   }
 
   @Test
--- a/src/test/java/fennelthread/jobs/DependencyGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -42,7 +42,7 @@
             }
           });
 
-  private Job job(int number, Priority priority, double deadlineS, List<String> needs) {
+  private Job job(int number, Priority priority, double deadlineS, List<String> dependencies) {
     return new Job(
         new JobSpec(
             "job-" + number,
@@ -65,7 +65,7 @@
             0,
             0,
             deadlineS,
-            needs),
+            dependencies),
         number,
         1_000L * number);
   }
@@ -139,16 +139,16 @@
     for (int step = 0; step < 1_500; step++) {
       int what = r.nextInt(10);
       if (what < 3 || ids.size() < 3) {
-        Set<String> needs = new HashSet<>();
+        Set<String> dependencies = new HashSet<>();
         for (int i = r.nextInt(4); i > 0 && !ids.isEmpty(); i--) {
-          needs.add(ids.get(Math.max(0, ids.size() - 1 - r.nextInt(12))));
+          dependencies.add(ids.get(Math.max(0, ids.size() - 1 - r.nextInt(12))));
         }
         Job job =
             job(
                 step + 1,
                 PRIORITIES.get(r.nextInt(4)),
                 r.nextBoolean() ? -1 : 50 + r.nextInt(100),
-                List.copyOf(needs));
+                List.copyOf(dependencies));
         ids.add(job.spec().id());
         all.put(job.spec().id(), job);
         accept(job);
@@ -171,10 +171,13 @@
   private void check(Job job, Map<String, Job> all) {
     String id = job.spec().id();
     boolean met = true;
-    for (String need : job.spec().needs()) {
-      Lookup.Final end = known.get(need);
+    for (String dependency : job.spec().dependencies()) {
+      Lookup.Final end = known.get(dependency);
       met &= end != null && end.state() == JobState.DONE;
-      assertEquals(!live.containsKey(need) && end == null, graph.unknown().contains(need), need);
+      assertEquals(
+          !live.containsKey(dependency) && end == null,
+          graph.unknown().contains(dependency),
+          dependency);
     }
     assertEquals(met, graph.isReleased(job), id);
     if (doomed(id, all, false)) {
@@ -189,18 +192,18 @@
 
   /** By what is live or known now; or, with {@code ever}, also by way of jobs that are over. */
   private boolean doomed(String id, Map<String, Job> all, boolean ever) {
-    return all.get(id).spec().needs().stream()
+    return all.get(id).spec().dependencies().stream()
         .anyMatch(
-            need ->
-                known.containsKey(need)
-                    ? known.get(need).state() == JobState.CANCELLED
-                    : (ever || live.containsKey(need)) && doomed(need, all, ever));
+            dependency ->
+                known.containsKey(dependency)
+                    ? known.get(dependency).state() == JobState.CANCELLED
+                    : (ever || live.containsKey(dependency)) && doomed(dependency, all, ever));
   }
 
   private int urgency(String id, Map<String, Job> all) {
     int most = 4;
     for (Job other : live.values()) {
-      if (other.spec().needs().contains(id) && !graph.isDoomed(other.spec().id())) {
+      if (other.spec().dependencies().contains(id) && !graph.isDoomed(other.spec().id())) {
         most = Math.min(most, PRIORITIES.indexOf(other.spec().priority()));
         most = Math.min(most, urgency(other.spec().id(), all));
       }
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -43,7 +43,7 @@
     return new Limits(new Settings.State(100, 50, valueBytes, ops));
   }
 
-  private static JobSpec spec(String id, String team, List<String> needs) {
+  private static JobSpec spec(String id, String team, List<String> dependencies) {
     return new JobSpec(
         id,
         "lote",
@@ -65,7 +65,7 @@
         0,
         0,
         60,
-        needs);
+        dependencies);
   }
 
   private static String json(Fields value) {
@@ -137,8 +137,8 @@
       for (int i = 0; i < n; i++) {
         unlike.add("job-" + i + "1".repeat(r.nextInt(28)));
       }
-      List<String> needs = List.copyOf(unlike);
-      JobSpec spec = spec("job-" + "9".repeat(32), "t".repeat(1 + n % 100), needs);
+      List<String> dependencies = List.copyOf(unlike);
+      JobSpec spec = spec("job-" + "9".repeat(32), "t".repeat(1 + n % 100), dependencies);
       Map<String, Fields> records;
       try {
         records = Job.write(spec, Long.MAX_VALUE, limits);
@@ -151,14 +151,14 @@
       List<String> read = new ArrayList<>();
       for (Map.Entry<String, Fields> e : records.entrySet()) {
         assertTrue(json(e.getValue()).length() <= valueBytes, e.getKey());
-        if (e.getKey().startsWith(Keys.NEEDS)) {
+        if (e.getKey().startsWith(Keys.DEPENDENCIES)) {
           read.addAll(e.getValue().optTexts("espera"));
         } else {
           assertEquals(records.size() - 1, Job.parts(e.getValue()));
-          read.addAll(0, Job.read(e.getValue(), 1).spec().needs());
+          read.addAll(0, Job.read(e.getValue(), 1).spec().dependencies());
         }
       }
-      assertEquals(needs, read);
+      assertEquals(dependencies, read);
     }
     assertTrue(largest >= Math.min(590, valueBytes * (ops - 1) / 60), "only " + largest + " needs");
     assertThrows(
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -60,7 +60,7 @@
         JobSpec.NO_DEADLINE);
   }
 
-  private static Snapshot.Need need(
+  private static Snapshot.PendingJob pendingJob(
       long order,
       Priority priority,
       double cpus,
@@ -68,7 +68,7 @@
       boolean guaranteed,
       double work,
       Aging.Turn turn) {
-    return new Snapshot.Need(
+    return new Snapshot.PendingJob(
         spec(order, priority, cpus),
         priority,
         priority,
@@ -84,23 +84,25 @@
   }
 
   @Provide
-  Arbitrary<List<Snapshot.Need>> needs() {
-    Arbitrary<Snapshot.Need> one =
+  Arbitrary<List<Snapshot.PendingJob>> pendingJobs() {
+    Arbitrary<Snapshot.PendingJob> one =
         Combinators.combine(
                 Arbitraries.of(Priority.class),
                 Arbitraries.of(true, false),
                 Arbitraries.of(true, false),
                 Arbitraries.of(0.1, 1.0, 1.0, 400.0),
                 Arbitraries.of(Aging.Turn.class))
-            .as((p, late, guaranteed, work, turn) -> need(0, p, 1, late, guaranteed, work, turn));
+            .as(
+                (p, late, guaranteed, work, turn) ->
+                    pendingJob(0, p, 1, late, guaranteed, work, turn));
     return one.list()
         .ofSize(3)
         .map(
             list -> {
-              List<Snapshot.Need> numbered = new ArrayList<>();
-              for (Snapshot.Need n : list) {
+              List<Snapshot.PendingJob> numbered = new ArrayList<>();
+              for (Snapshot.PendingJob n : list) {
                 numbered.add(
-                    need(
+                    pendingJob(
                         numbered.size(),
                         n.priority(),
                         1,
@@ -114,13 +116,13 @@
   }
 
   @Property(tries = TRIES, seed = "20261202")
-  void theOrderIsTotal(@ForAll("needs") List<Snapshot.Need> three) {
-    Comparator<Snapshot.Need> order = Planner.ORDER;
-    for (Snapshot.Need a : three) {
-      for (Snapshot.Need b : three) {
+  void theOrderIsTotal(@ForAll("needs") List<Snapshot.PendingJob> three) {
+    Comparator<Snapshot.PendingJob> order = Planner.ORDER;
+    for (Snapshot.PendingJob a : three) {
+      for (Snapshot.PendingJob b : three) {
         assertEquals(Integer.signum(order.compare(a, b)), -Integer.signum(order.compare(b, a)));
         assertEquals(a.equals(b), order.compare(a, b) == 0);
-        for (Snapshot.Need c : three) {
+        for (Snapshot.PendingJob c : three) {
           if (order.compare(a, b) < 0 && order.compare(b, c) < 0) {
             assertTrue(order.compare(a, c) < 0, a + ", " + b + ", " + c);
           }
@@ -204,7 +206,7 @@
 
   private static void place(List<Job> jobs, List<Job> on, Map<Job, String> where, long now) {
     Aging turns = new Aging(64);
-    List<Snapshot.Need> needs = new ArrayList<>();
+    List<Snapshot.PendingJob> pendingJobs = new ArrayList<>();
     Map<String, Job> byId = new HashMap<>();
     for (Job j : jobs) {
       boolean runs = j.startedAt >= 0;
@@ -222,8 +224,8 @@
       byId.put("job-" + j.order, j);
       if (j.startedAt < 0) {
         double work = j.what.cpus * Math.pow(0.5, (now - j.at) / LeaderConstants.WORK_HALVED_MS);
-        needs.add(
-            need(
+        pendingJobs.add(
+            pendingJob(
                 j.order,
                 j.what.priority,
                 j.what.cpus,
@@ -275,7 +277,8 @@
     }
     Map<String, Snapshot.Use> teams = Map.of("roja", new Snapshot.Use(0, 0, 0, 0));
     Plan plan =
-        Planner.plan(new Snapshot(machines, needs, Set.of(), turns.kept(), teams, now, 1_000));
+        Planner.plan(
+            new Snapshot(machines, pendingJobs, Set.of(), turns.kept(), teams, now, 1_000));
     for (Snapshot.Running stopped : plan.stops()) {
       Job j = byId.get(stopped.spec().id());
       on.remove(j);
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -26,7 +26,7 @@
   /** Above any score of a machine that has the image. */
   private static final double NOT_CACHED = 1_000;
 
-  private static final class Room {
+  private static final class FreeCapacity {
     final Snapshot.Machine machine;
     double cpus;
     double cards;
@@ -38,7 +38,7 @@
     final Set<String> fetching;
     final Map<String, Integer> classes;
 
-    Room(Snapshot.Machine machine) {
+    FreeCapacity(Snapshot.Machine machine) {
       this.machine = machine;
       this.cpus = machine.cpus();
       this.cards = machine.cards();
@@ -82,16 +82,16 @@
   }
 
   private final Snapshot snapshot;
-  private final List<Room> rooms = new ArrayList<>();
+  private final List<FreeCapacity> rooms = new ArrayList<>();
   private final Map<String, Snapshot.Use> teams;
   private final List<Plan.Start> starts = new ArrayList<>();
   private final List<Snapshot.Running> stops = new ArrayList<>();
   private final List<Plan.Unplaced> unplaced = new ArrayList<>();
   private final Set<Snapshot.Running> stopped = new HashSet<>();
   private final Map<String, Snapshot.Use> started;
-  private final IdentityHashMap<Snapshot.Need, Map<String, Integer>> zonesOf =
+  private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> zonesOf =
       new IdentityHashMap<>();
-  private final IdentityHashMap<Snapshot.Need, Integer> startsOf = new IdentityHashMap<>();
+  private final IdentityHashMap<Snapshot.PendingJob, Integer> startsOf = new IdentityHashMap<>();
   private int holds;
 
   private PlainPlanner(Snapshot snapshot) {
@@ -99,9 +99,9 @@
     this.teams = new HashMap<>(snapshot.teams());
     this.started = new HashMap<>(snapshot.teams());
     for (Snapshot.Machine machine : snapshot.machines()) {
-      rooms.add(new Room(machine));
+      rooms.add(new FreeCapacity(machine));
     }
-    for (Room room : rooms) {
+    for (FreeCapacity room : rooms) {
       for (Snapshot.Running r : room.machine.running()) {
         if (r.stopping()) {
           room.comingCpus += r.cpus();
@@ -120,34 +120,34 @@
   }
 
   private void run() {
-    List<Snapshot.Need> needs = new ArrayList<>(snapshot.needs());
-    needs.sort(Planner.ORDER);
-    for (Snapshot.Need need : needs) {
-      place(need);
+    List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(snapshot.pendingJobs());
+    pendingJobs.sort(Planner.ORDER);
+    for (Snapshot.PendingJob pendingJob : pendingJobs) {
+      place(pendingJob);
     }
   }
 
-  private void place(Snapshot.Need need) {
-    JobSpec spec = need.spec();
+  private void place(Snapshot.PendingJob pendingJob) {
+    JobSpec spec = pendingJob.spec();
     boolean overdue = snapshot.overdue().contains(spec.id());
-    Map<String, Integer> zones = new HashMap<>(need.zones());
-    zonesOf.put(need, zones);
+    Map<String, Integer> zones = new HashMap<>(pendingJob.zones());
+    zonesOf.put(pendingJob, zones);
     int missing = 0;
-    for (int task : need.tasks()) {
+    for (int task : pendingJob.tasks()) {
       Snapshot.Use use = teams.get(spec.team());
       Snapshot.Use real = started.get(spec.team());
       boolean mayAsk = use != null && use.allows(spec.cpus(), spec.cards());
       if (!mayAsk && !(overdue && real != null && real.allows(spec.cpus(), spec.cards()))) {
         break;
       }
-      Room best = null;
+      FreeCapacity best = null;
       if (missing == 0 && starts.size() < snapshot.mostStarts()) {
-        best = bestRoom(need, zones);
+        best = bestRoom(pendingJob, zones);
         if (best != null
             && spec.service()
             && !overdue
             && fetchSeconds(spec, best) > 1
-            && makeRoom(need, zones, true)) {
+            && makeRoom(pendingJob, zones, true)) {
           // Less urgent work leaves a machine that has the image: sooner than fetching it here.
           best = null;
           teams.put(spec.team(), use.plus(spec.cpus(), spec.cards()));
@@ -158,13 +158,13 @@
         best.take(spec);
         starts.add(new Plan.Start(spec, task, best.machine.name()));
         started.put(spec.team(), real.plus(spec.cpus(), spec.cards()));
-        startsOf.merge(need, 1, Integer::sum);
+        startsOf.merge(pendingJob, 1, Integer::sum);
       } else if (!mayAsk) {
         break;
       } else {
         missing++;
         if (starts.size() < snapshot.mostStarts()) {
-          awaitRoom(need, zones);
+          awaitRoom(pendingJob, zones);
         }
       }
       // A task without a place yet is counted too: rooms asked for must not exceed the cap.
@@ -182,14 +182,15 @@
   /** Jobs with tasks left although some machine has room and their team may start one. */
   private Set<String> passedOver() {
     Set<String> passedOver = new HashSet<>();
-    for (Snapshot.Need need : snapshot.needs()) {
-      JobSpec spec = need.spec();
+    for (Snapshot.PendingJob pendingJob : snapshot.pendingJobs()) {
+      JobSpec spec = pendingJob.spec();
       Snapshot.Use real = started.get(spec.team());
-      if (startsOf.getOrDefault(need, 0) < need.tasks().size()
+      if (startsOf.getOrDefault(pendingJob, 0) < pendingJob.tasks().size()
           && real != null
           && real.allows(spec.cpus(), spec.cards())
           && rooms.stream()
-              .anyMatch(r -> r.hasFree(spec) && allowed(spec, zonesOf.get(need), r.machine))) {
+              .anyMatch(
+                  r -> r.hasFree(spec) && allowed(spec, zonesOf.get(pendingJob), r.machine))) {
         passedOver.add(spec.id());
       }
     }
@@ -221,16 +222,16 @@
     return !spec.apart() || zones.getOrDefault(machine.zone(), 0) + 1 <= (spec.tasks() + 1) / 2;
   }
 
-  private Room bestRoom(Snapshot.Need need, Map<String, Integer> zones) {
-    Room best = null;
+  private FreeCapacity bestRoom(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
+    FreeCapacity best = null;
     double bestScore = 0;
-    for (Room room : rooms) {
-      boolean overdue = snapshot.overdue().contains(need.spec().id());
-      boolean free = overdue ? room.hasFree(need.spec()) : room.fits(need.spec());
-      if (!free || !allowed(need.spec(), zones, room.machine)) {
+    for (FreeCapacity room : rooms) {
+      boolean overdue = snapshot.overdue().contains(pendingJob.spec().id());
+      boolean free = overdue ? room.hasFree(pendingJob.spec()) : room.fits(pendingJob.spec());
+      if (!free || !allowed(pendingJob.spec(), zones, room.machine)) {
         continue;
       }
-      double score = score(need, room);
+      double score = score(pendingJob, room);
       if (best == null || score < bestScore) {
         best = room;
         bestScore = score;
@@ -239,7 +240,7 @@
     return best;
   }
 
-  private static double fetchSeconds(JobSpec spec, Room room) {
+  private static double fetchSeconds(JobSpec spec, FreeCapacity room) {
     if (room.machine.images().contains(spec.image())) {
       return 0;
     }
@@ -252,8 +253,8 @@
   /**
    * Lower is better: seconds until the task would run, then how empty the machine would be left.
    */
-  private static double score(Snapshot.Need need, Room room) {
-    JobSpec spec = need.spec();
+  private static double score(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+    JobSpec spec = pendingJob.spec();
     double fetch = fetchSeconds(spec, room);
     double left = (room.cpus - spec.cpus()) / Math.max(1, room.machine.cpusTotal());
     if (spec.service()) {
@@ -265,36 +266,42 @@
           : NOT_CACHED + fetch + crowd + left;
     }
     double spot = room.machine.spot() ? -0.5 : 0;
-    return fetch * (need.waitMatters() ? 10 : 1) + left + spot;
+    return fetch * (pendingJob.waitMatters() ? 10 : 1) + left + spot;
   }
 
   /**
    * Room that is being made, or comes by itself in time, or is made by stopping others, or is kept
    * free.
    */
-  private void awaitRoom(Snapshot.Need need, Map<String, Integer> zones) {
+  private void awaitRoom(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
     boolean found =
-        takeComing(need, zones, false)
-            || (need.patienceS() > 0 && reserveFirst(need, zones, need.patienceS()))
-            || stopOthers(need, zones, false);
+        takeComing(pendingJob, zones, false)
+            || (pendingJob.patienceS() > 0
+                && reserveFirst(pendingJob, zones, pendingJob.patienceS()))
+            || stopOthers(pendingJob, zones, false);
     if (!found
-        && need.turn() == Aging.Turn.FIRST
+        && pendingJob.turn() == Aging.Turn.FIRST
         && holds < RoundState.mostHolds(snapshot)
-        && reserveFirst(need, zones, Double.MAX_VALUE)) {
+        && reserveFirst(pendingJob, zones, Double.MAX_VALUE)) {
       holds++;
     }
   }
 
-  private boolean makeRoom(Snapshot.Need need, Map<String, Integer> zones, boolean cachedOnly) {
-    return takeComing(need, zones, cachedOnly) || stopOthers(need, zones, cachedOnly);
+  private boolean makeRoom(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean cachedOnly) {
+    return takeComing(pendingJob, zones, cachedOnly) || stopOthers(pendingJob, zones, cachedOnly);
   }
 
   /** Reserves the room that comes free first, if within so many seconds. */
-  private boolean reserveFirst(Snapshot.Need need, Map<String, Integer> zones, double mostS) {
-    Room best = null;
+  private boolean reserveFirst(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, double mostS) {
+    FreeCapacity best = null;
     double bestS = Double.POSITIVE_INFINITY;
-    for (Room room : rooms) {
-      double inS = allowed(need.spec(), zones, room.machine) ? freeInS(need.spec(), room) : bestS;
+    for (FreeCapacity room : rooms) {
+      double inS =
+          allowed(pendingJob.spec(), zones, room.machine)
+              ? freeInS(pendingJob.spec(), room)
+              : bestS;
       if (inS < bestS) {
         best = room;
         bestS = inS;
@@ -303,11 +310,11 @@
     if (best == null || bestS > mostS) {
       return false;
     }
-    reserve(best, need.spec());
+    reserve(best, pendingJob.spec());
     return true;
   }
 
-  private double freeInS(JobSpec spec, Room room) {
+  private double freeInS(JobSpec spec, FreeCapacity room) {
     List<Snapshot.Running> ending = new ArrayList<>(room.machine.running());
     ending.removeIf(r -> r.stopping() || stopped.contains(r));
     ending.sort(Comparator.comparingDouble(r -> r.leftS(snapshot.nowMs())));
@@ -333,9 +340,10 @@
     return Double.POSITIVE_INFINITY;
   }
 
-  private boolean takeComing(Snapshot.Need need, Map<String, Integer> zones, boolean cachedOnly) {
-    JobSpec spec = need.spec();
-    for (Room room : rooms) {
+  private boolean takeComing(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean cachedOnly) {
+    JobSpec spec = pendingJob.spec();
+    for (FreeCapacity room : rooms) {
       if (allowed(spec, zones, room.machine)
           && (!cachedOnly || room.machine.images().contains(spec.image()))
           && (room.comingCpus > 0 || room.comingMemGb > 0)
@@ -351,23 +359,24 @@
    * Stops less urgent work, or borrowed work of others, where that lets this task start soon; only
    * on machines that have its image, if so asked. True if room is being made.
    */
-  private boolean stopOthers(Snapshot.Need need, Map<String, Integer> zones, boolean cachedOnly) {
-    JobSpec spec = need.spec();
-    Room best = null;
+  private boolean stopOthers(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean cachedOnly) {
+    JobSpec spec = pendingJob.spec();
+    FreeCapacity best = null;
     List<Snapshot.Running> bestVictims = null;
     double bestCost = Double.MAX_VALUE;
-    for (Room room : rooms) {
+    for (FreeCapacity room : rooms) {
       if (!allowed(spec, zones, room.machine)
           || (cachedOnly && !room.machine.images().contains(spec.image()))) {
         continue;
       }
-      List<Snapshot.Running> victims = victims(need, room);
+      List<Snapshot.Running> victims = victims(pendingJob, room);
       if (victims == null) {
         continue;
       }
       double lost =
           victims.stream().mapToDouble(v -> v.runS(snapshot.nowMs()) * Math.max(1, v.cpus())).sum();
-      double cost = lost + 100 * score(need, room);
+      double cost = lost + 100 * score(pendingJob, room);
       if (cost < bestCost) {
         best = room;
         bestVictims = victims;
@@ -387,14 +396,14 @@
     return best != null;
   }
 
-  private static void reserve(Room room, JobSpec spec) {
+  private static void reserve(FreeCapacity room, JobSpec spec) {
     room.comingCpus -= spec.cpus();
     room.comingCards -= spec.cards();
     room.comingMemGb -= spec.memGb();
   }
 
-  private List<Snapshot.Running> victims(Snapshot.Need need, Room room) {
-    JobSpec spec = need.spec();
+  private List<Snapshot.Running> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+    JobSpec spec = pendingJob.spec();
     List<Snapshot.Running> candidates = new ArrayList<>(room.machine.running());
     candidates.removeIf(
         r -> r.stopping() || stopped.contains(r) || snapshot.kept().contains(r.attempt()));
@@ -404,14 +413,14 @@
             .thenComparingDouble(r -> r.runS(snapshot.nowMs())));
     List<Snapshot.Running> victims = new ArrayList<>();
     for (Snapshot.Running r : candidates) {
-      if (!isEnough(spec, room, victims) && mayStop(need, r, victims)) {
+      if (!isEnough(spec, room, victims) && mayStop(pendingJob, r, victims)) {
         victims.add(r);
       }
     }
     return isEnough(spec, room, victims) && !victims.isEmpty() ? victims : null;
   }
 
-  private static boolean isEnough(JobSpec spec, Room room, List<Snapshot.Running> victims) {
+  private static boolean isEnough(JobSpec spec, FreeCapacity room, List<Snapshot.Running> victims) {
     double cpus = room.cpus + room.comingCpus;
     double cards = room.cards + room.comingCards;
     double mem = room.memGb + room.comingMemGb;
@@ -432,15 +441,15 @@
    * stopped.
    */
   private boolean mayStop(
-      Snapshot.Need need, Snapshot.Running r, List<Snapshot.Running> stoppedBefore) {
-    if (r.priority() != need.stopsAs()) {
-      return r.priority().compareTo(need.stopsAs()) > 0;
+      Snapshot.PendingJob pendingJob, Snapshot.Running r, List<Snapshot.Running> stoppedBefore) {
+    if (r.priority() != pendingJob.stopsAs()) {
+      return r.priority().compareTo(pendingJob.stopsAs()) > 0;
     }
     String team = r.spec().team();
-    return need.withinGuarantee()
+    return pendingJob.withinGuarantee()
         && !snapshot.spared().contains(r.attempt())
         && !snapshot.guaranteed().contains(r.spec().id())
-        && !team.equals(need.spec().team())
+        && !team.equals(pendingJob.spec().team())
         && (snapshot.teams().get(team) == null || isBeyond(team, r, stoppedBefore));
   }
 
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -79,16 +79,16 @@
   }
 
   private static Snapshot snapshot(
-      List<Snapshot.Machine> machines, Snapshot.Need need, Set<String> guaranteed) {
-    return new Snapshot(machines, List.of(need), guaranteed, Set.of(), teams(0), NOW_MS, 10);
+      List<Snapshot.Machine> machines, Snapshot.PendingJob pendingJob, Set<String> guaranteed) {
+    return new Snapshot(machines, List.of(pendingJob), guaranteed, Set.of(), teams(0), NOW_MS, 10);
   }
 
-  private static Snapshot.Need need(JobSpec spec, boolean guaranteed, int count) {
+  private static Snapshot.PendingJob pendingJob(JobSpec spec, boolean guaranteed, int count) {
     List<Integer> tasks = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       tasks.add(i);
     }
-    return new Snapshot.Need(
+    return new Snapshot.PendingJob(
         spec,
         spec.priority(),
         spec.priority(),
@@ -112,7 +112,7 @@
     Snapshot s =
         snapshot(
             List.of(machine("a", 8, 2, null), machine("b", 8, 8, "img")),
-            need(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
+            pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
             Set.of());
     assertEquals("b", Planner.plan(s).starts().get(0).machine());
   }
@@ -122,7 +122,7 @@
     Snapshot s =
         snapshot(
             List.of(machine("a", 8, 8, null), machine("b", 8, 3, null)),
-            need(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
+            pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
             Set.of());
     assertEquals("b", Planner.plan(s).starts().get(0).machine());
   }
@@ -134,7 +134,7 @@
     Snapshot s =
         snapshot(
             List.of(machine("a", 8, 0, null, same, low)),
-            need(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
+            pendingJob(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
             Set.of("job-8", "job-9"));
     Plan plan = Planner.plan(s);
     assertEquals(List.of(low), plan.stops());
@@ -160,15 +160,15 @@
             1,
             NOW_MS,
             60);
-    List<Snapshot.Need> needs =
+    List<Snapshot.PendingJob> pendingJobs =
         List.of(
-            need(job("job-1", "roja", Priority.STANDARD, 1, 4), false, 1),
-            need(job("job-2", "azul", Priority.BEST_EFFORT, 1, 2), false, 1));
+            pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 4), false, 1),
+            pendingJob(job("job-2", "azul", Priority.BEST_EFFORT, 1, 2), false, 1));
     Plan plan =
         Planner.plan(
             new Snapshot(
                 List.of(machine("a", 4, 2, null, leaving)),
-                needs,
+                pendingJobs,
                 Set.of(),
                 Set.of(),
                 teams(0),
@@ -181,11 +181,11 @@
   /** Work that an urgent job needs is as urgent: it makes room, and is not stopped for less. */
   @Test
   void priorityOfThoseThatNeedIt() {
-    JobSpec need = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
+    JobSpec pendingJob = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
     Snapshot.Running other = running("job-9", "azul", Priority.STANDARD, 1);
-    Snapshot.Need lent =
-        new Snapshot.Need(
-            need,
+    Snapshot.PendingJob lent =
+        new Snapshot.PendingJob(
+            pendingJob,
             Priority.URGENT,
             Priority.URGENT,
             List.of(0),
@@ -199,9 +199,9 @@
             1);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, other));
     assertEquals(List.of(other), Planner.plan(snapshot(machines, lent, Set.of())).stops());
-    Snapshot.Need patient =
-        new Snapshot.Need(
-            need,
+    Snapshot.PendingJob patient =
+        new Snapshot.PendingJob(
+            pendingJob,
             Priority.URGENT,
             Priority.BEST_EFFORT,
             List.of(0),
@@ -215,12 +215,12 @@
             1);
     assertTrue(Planner.plan(snapshot(machines, patient, Set.of())).stops().isEmpty());
     Snapshot.Running needed =
-        new Snapshot.Running(need, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
+        new Snapshot.Running(pendingJob, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
     assertTrue(
         Planner.plan(
                 snapshot(
                     List.of(machine("a", 4, 0, null, needed)),
-                    need(job("job-2", "azul", Priority.STANDARD, 1, 4), true, 1),
+                    pendingJob(job("job-2", "azul", Priority.STANDARD, 1, 4), true, 1),
                     Set.of()))
             .stops()
             .isEmpty());
@@ -232,9 +232,9 @@
     JobSpec late = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec large = job("job-2", "roja", Priority.STANDARD, 1, 4);
     JobSpec small = job("job-3", "roja", Priority.STANDARD, 1, 4);
-    List<Snapshot.Need> needs =
+    List<Snapshot.PendingJob> pendingJobs =
         List.of(
-            new Snapshot.Need(
+            new Snapshot.PendingJob(
                 late,
                 late.priority(),
                 late.priority(),
@@ -247,7 +247,7 @@
                 0,
                 Aging.Turn.USUAL,
                 1),
-            new Snapshot.Need(
+            new Snapshot.PendingJob(
                 large,
                 large.priority(),
                 large.priority(),
@@ -260,7 +260,7 @@
                 0,
                 Aging.Turn.USUAL,
                 2),
-            new Snapshot.Need(
+            new Snapshot.PendingJob(
                 small,
                 small.priority(),
                 small.priority(),
@@ -277,7 +277,7 @@
         Planner.plan(
             new Snapshot(
                 List.of(machine("a", 8, 8, null)),
-                needs,
+                pendingJobs,
                 Set.of(),
                 Set.of(),
                 teams(0),
@@ -302,8 +302,8 @@
         takesS);
   }
 
-  private static Snapshot.Need patient(JobSpec spec, double patienceS, Aging.Turn turn) {
-    return new Snapshot.Need(
+  private static Snapshot.PendingJob patient(JobSpec spec, double patienceS, Aging.Turn turn) {
+    return new Snapshot.PendingJob(
         spec,
         spec.priority(),
         spec.priority(),
@@ -411,12 +411,18 @@
                   "azul", new Snapshot.Use(12, 0, 0, 0, guarantee, 0));
           Snapshot s =
               new Snapshot(
-                  machines, List.of(need(spec, true, 3)), Set.of(), Set.of(), teams, NOW_MS, 10);
+                  machines,
+                  List.of(pendingJob(spec, true, 3)),
+                  Set.of(),
+                  Set.of(),
+                  teams,
+                  NOW_MS,
+                  10);
           assertEquals(stops, Planner.plan(s).stops(), "guarantee " + guarantee);
         });
   }
 
-  private static Snapshot.Need bound(String id, Priority priority, int tasks, String zone) {
+  private static Snapshot.PendingJob bound(String id, Priority priority, int tasks, String zone) {
     JobSpec any = job(id, "roja", priority, tasks, 1);
     JobSpec spec =
         new JobSpec(
@@ -440,7 +446,7 @@
             0,
             0,
             JobSpec.NO_DEADLINE);
-    return need(spec, true, tasks);
+    return pendingJob(spec, true, tasks);
   }
 
   /**
@@ -450,19 +456,20 @@
   @Test
   void whatFindsNoRoomKeepsItsTeamsLimitForAWhileOnly() {
     List<Snapshot.Machine> machines = List.of(machine("a", 8, 8, null));
-    List<Snapshot.Need> needs =
+    List<Snapshot.PendingJob> pendingJobs =
         List.of(
             bound("job-1", Priority.URGENT, 10, "elsewhere"),
             bound("job-2", Priority.STANDARD, 3, null));
     Plan first =
-        Planner.plan(new Snapshot(machines, needs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
+        Planner.plan(
+            new Snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
     assertEquals(List.of(), first.starts());
     assertEquals(Set.of("job-2"), first.passedOver());
     Plan later =
         Planner.plan(
             new Snapshot(
                 machines,
-                needs,
+                pendingJobs,
                 Set.of(),
                 Set.of(),
                 teams(10),
@@ -477,7 +484,7 @@
         Planner.plan(
             new Snapshot(
                 machines,
-                needs,
+                pendingJobs,
                 Set.of(),
                 Set.of(),
                 Map.of("roja", new Snapshot.Use(9, 0, 10, 0)),
@@ -495,14 +502,22 @@
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.Running endless = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.Machine> machines = List.of(machine("a", 16, 12, null, endless));
-    List<Snapshot.Need> needs =
+    List<Snapshot.PendingJob> pendingJobs =
         List.of(patient(small, 0, Aging.Turn.USUAL), patient(whole, 0, Aging.Turn.FIRST));
-    Snapshot kept = new Snapshot(machines, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
+    Snapshot kept = new Snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
     assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
     assertEquals(List.of(), Planner.plan(kept).starts());
     Snapshot over =
         new Snapshot(
-            machines, needs, Set.of(), Set.of(), teams(0), NOW_MS, 10, Set.of("job-2"), Set.of());
+            machines,
+            pendingJobs,
+            Set.of(),
+            Set.of(),
+            teams(0),
+            NOW_MS,
+            10,
+            Set.of("job-2"),
+            Set.of());
     assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(over).starts());
   }
 
@@ -515,7 +530,7 @@
     Snapshot.Running first = running("job-8", "azul", Priority.STANDARD, 5);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, first));
     for (Priority p : Priority.values()) {
-      Snapshot.Need owed = need(job("job-1", "roja", p, 1, 4), true, 1);
+      Snapshot.PendingJob owed = pendingJob(job("job-1", "roja", p, 1, 4), true, 1);
       Snapshot s =
           new Snapshot(
               machines,
@@ -536,7 +551,7 @@
   @Test
   void aFirstTaskOutOfTurnIsNotStopped() {
     Snapshot.Running only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
-    Snapshot.Need urgent = need(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
+    Snapshot.PendingJob urgent = pendingJob(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, only));
     assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).stops());
     assertTrue(
@@ -583,7 +598,7 @@
         Planner.plan(
             snapshot(
                 List.of(machine("a", 8, 8, null), machine("b", 4, 0, "img", low)),
-                need(service, true, 1),
+                pendingJob(service, true, 1),
                 Set.of("job-8")));
     assertEquals(List.of(low), plan.stops());
     assertTrue(plan.starts().isEmpty());
@@ -595,14 +610,16 @@
     Snapshot.Running urgent = running("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, borrowed));
-    assertEquals(1, Planner.plan(snapshot(machines, need(spec, true, 1), Set.of())).stops().size());
     assertEquals(
-        0, Planner.plan(snapshot(machines, need(spec, false, 1), Set.of())).stops().size());
+        1, Planner.plan(snapshot(machines, pendingJob(spec, true, 1), Set.of())).stops().size());
+    assertEquals(
+        0, Planner.plan(snapshot(machines, pendingJob(spec, false, 1), Set.of())).stops().size());
     // Borrowed work of higher priority would be placed first and take the room back.
     assertEquals(
         0,
         Planner.plan(
-                snapshot(List.of(machine("a", 4, 0, null, urgent)), need(spec, true, 1), Set.of()))
+                snapshot(
+                    List.of(machine("a", 4, 0, null, urgent)), pendingJob(spec, true, 1), Set.of()))
             .stops()
             .size());
   }
@@ -687,7 +704,7 @@
               Map.of("lote", r.nextInt(3)),
               running));
     }
-    List<Snapshot.Need> needs = new ArrayList<>();
+    List<Snapshot.PendingJob> pendingJobs = new ArrayList<>();
     for (int i = 0; i < 1 + r.nextInt(6); i++) {
       int tasks = 1 + r.nextInt(9);
       boolean apart = r.nextInt(3) == 0;
@@ -719,8 +736,8 @@
         list.add(t);
       }
       Priority lent = lent(r, spec);
-      needs.add(
-          new Snapshot.Need(
+      pendingJobs.add(
+          new Snapshot.PendingJob(
               spec,
               lent,
               r.nextBoolean() ? lent : spec.priority(),
@@ -747,7 +764,7 @@
     }
     Set<Long> spared = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
     return new Snapshot(
-        machines, needs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue, spared);
+        machines, pendingJobs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue, spared);
   }
 
   /** What a team's running tasks use, with a limit above and a guarantee that may be below. */
@@ -793,7 +810,7 @@
     Map<String, double[]> byMachine = new HashMap<>();
     Map<String, double[]> byTeam = new HashMap<>();
     Map<String, Map<String, Integer>> zones = new HashMap<>();
-    s.needs().forEach(n -> zones.put(n.spec().id(), new HashMap<>(n.zones())));
+    s.pendingJobs().forEach(n -> zones.put(n.spec().id(), new HashMap<>(n.zones())));
     for (Plan.Start start : plan.starts()) {
       JobSpec spec = start.spec();
       Snapshot.Machine machine =
--- a/src/test/java/fennelthread/simulation/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/simulation/ChainedJobsTest.java
@@ -40,7 +40,8 @@
     c.pipelines(300_000);
     c.storm(300_000);
     SimulationTest.settle(c);
-    assertTrue(c.jobs.stream().anyMatch(j -> !j.needs().isEmpty() && c.rules.allCompleted(j.id())));
+    assertTrue(
+        c.jobs.stream().anyMatch(j -> !j.dependencies().isEmpty() && c.rules.allCompleted(j.id())));
     assertEquals(0, c.state.refusedAsTooLarge, "transactions above the limits");
     assertEquals(0, c.state.count("live/chain/"), "needs left behind");
   }
@@ -73,7 +74,8 @@
     c.world.at(105_000, () -> c.pipelines(260_000));
     c.world.at(150_000, () -> c.state.limit(NEXT));
     SimulationTest.settle(c);
-    assertTrue(c.jobs.stream().anyMatch(j -> !j.needs().isEmpty() && c.rules.allCompleted(j.id())));
+    assertTrue(
+        c.jobs.stream().anyMatch(j -> !j.dependencies().isEmpty() && c.rules.allCompleted(j.id())));
     assertEquals(0, c.state.refusedAsTooLarge, "transactions above the limits");
   }
 
@@ -329,7 +331,7 @@
     assertEquals(422, unknown.status());
     assertTrue(unknown.fields().text("error").startsWith("espera"));
     JobSpec self = plain(c, List.of());
-    assertEquals(422, submit(c, "nodo-1", self.withNeeds(List.of(self.id()))).status());
+    assertEquals(422, submit(c, "nodo-1", self.withDependencies(List.of(self.id()))).status());
     JobSpec service = c.job(true, 1, 1, false, false, false);
     c.rules.submits(service);
     submit(c, "nodo-0", service);
@@ -341,7 +343,9 @@
     JobSpec second = plain(c, List.of(first.id()));
     assertEquals(201, submit(c, "nodo-2", second).status());
     assertEquals(
-        200, submit(c, "nodo-1", second.withNeeds(List.of("job-99999999"))).status(), "known");
+        200,
+        submit(c, "nodo-1", second.withDependencies(List.of("job-99999999"))).status(),
+        "known");
     c.state.outage(10_000);
     Answer later = submit(c, "nodo-0", plain(c, List.of("job-88888888")));
     assertEquals(503, later.status());
@@ -424,8 +428,8 @@
     c.world.runUntil(20_000);
   }
 
-  private static JobSpec plain(SimulatedCluster c, List<String> needs) {
-    return known(c, 2, 5, needs);
+  private static JobSpec plain(SimulatedCluster c, List<String> dependencies) {
+    return known(c, 2, 5, dependencies);
   }
 
   /** A job of one task that runs for days: it is live until it is cancelled. */
@@ -437,7 +441,7 @@
    * The rules must know the job as it is submitted, without the place rules that chance gave it.
    */
   private static JobSpec known(
-      SimulatedCluster c, int tasks, double estimateS, List<String> needs) {
+      SimulatedCluster c, int tasks, double estimateS, List<String> dependencies) {
     JobSpec any = c.job(false, tasks, 1, true, false, false);
     JobSpec spec =
         new JobSpec(
@@ -461,7 +465,7 @@
             0,
             0,
             JobSpec.NO_DEADLINE,
-            needs);
+            dependencies);
     c.rules.submits(spec);
     return spec;
   }
--- a/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
+++ b/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
@@ -109,7 +109,7 @@
     private boolean samePlace;
     private boolean apart;
     private boolean spot;
-    private List<String> needs = List.of();
+    private List<String> dependencies = List.of();
 
     JobSpec build() {
       return new JobSpec(
@@ -133,7 +133,7 @@
           0,
           0,
           JobSpec.NO_DEADLINE,
-          needs);
+          dependencies);
     }
   }
 
@@ -278,7 +278,7 @@
     checker.begins(small, first, 0);
     JobBuilder dependent = job();
     dependent.id = "job-000002";
-    dependent.needs = List.of(first.id());
+    dependent.dependencies = List.of(first.id());
     accepted(dependent);
     checker.troublesAreOver();
     assertDoesNotThrow(() -> pass(300_000));
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -117,7 +117,7 @@
     List<JobSpec> waiting = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       JobSpec job = Scenes.lasting(c, 1, 120);
-      JobSpec next = Scenes.lasting(c, 2, 2).withNeeds(List.of(job.id()));
+      JobSpec next = Scenes.lasting(c, 2, 2).withDependencies(List.of(job.id()));
       waiting.add(next);
       c.submit(job);
       c.world.after(1_000, () -> c.submit(next));
