--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -106,7 +106,7 @@
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice =
         new UnreachableLeaderNotice(eventLoop, state, replica, settings.member(), this::noticed);
-    this.heap = new HeapGuard(eventLoop, this::census, store::shed);
+    this.heap = new HeapGuard(eventLoop, this::memoryUsage, store::shed);
     this.membership = new Membership(eventLoop, settings, peers, state, replica, lease);
     Handover handover = new Handover(state, peers);
     this.renewer =
@@ -201,7 +201,7 @@
   }
 
   /** What peers talk to. */
-  public Service mesh() {
+  public Service peerService() {
     return peers;
   }
 
@@ -218,14 +218,14 @@
     supervisor.yieldIfNoticed();
   }
 
-  private String census() {
-    return table.census()
+  private String memoryUsage() {
+    return table.memoryUsage()
         + ", "
-        + store.census()
+        + store.memoryUsage()
         + ", "
         + workers.size()
         + " addresses, "
-        + currentTerm.census();
+        + currentTerm.memoryUsage();
   }
 
   private void loaded() {
@@ -324,7 +324,7 @@
   }
 
   private void heard(PeerHeartbeat heartbeat) {
-    lease.heardOf(heartbeat.epoch());
+    lease.observeEpoch(heartbeat.epoch());
     directory.heard(heartbeat);
     if (heartbeat.leading() && heartbeat.epoch() >= lease.highestEpoch()) {
       workers.update(heartbeat.workers(), heartbeat.gone());
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -56,7 +56,8 @@
   /** Sets a controller going; on the event loop's thread. */
   static Controller start(XnioEventLoop eventLoop, Settings settings, Options options) {
     Controller controller = new Controller(eventLoop, settings, options);
-    eventLoop.listen(settings.apiAddr(), controller.api(), settings.meshAddr(), controller.mesh());
+    eventLoop.listen(
+        settings.apiAddr(), controller.api(), settings.meshAddr(), controller.peerService());
     controller.start();
     return controller;
   }
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -127,7 +127,7 @@
           for (Call call : calls) {
             eventLoop.call(settings.apiAddr(), call, 3_000, answer -> answers.countDown());
           }
-          controller.mesh().handle(new Request("GET", "/none", null), answer -> {});
+          controller.peerService().handle(new Request("GET", "/none", null), answer -> {});
         });
     boolean all = answers.await(30, TimeUnit.SECONDS);
     Thread.sleep(500);
--- a/src/main/java/fennelthread/constants/ControlConstants.java
+++ b/src/main/java/fennelthread/constants/ControlConstants.java
@@ -28,7 +28,7 @@
    */
   public static final int DEAF_QUESTIONS = 2;
 
-  /** A leader not heard over the mesh for this long can't be reached that way, ms. */
+  /** A leader not heard over the peer network for this long can't be reached that way, ms. */
   public static final long PETITION_SILENT_MS = 2_000;
 
   /** How long a controller that yielded leaves the claim to others, ms. */
--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -82,7 +82,7 @@
   }
 
   /** Describes what is held in memory, for a line of the log. */
-  public String census() {
-    return active == null ? "not leading" : active.census();
+  public String memoryUsage() {
+    return active == null ? "not leading" : active.memoryUsage();
   }
 }
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -79,7 +79,7 @@
     checkReachability(now);
     if (isRefusedAlone()) {
       lease.stepDown("the state service refuses only us", ControlConstants.YIELD_PAUSE_MS);
-      handover.endThroughPeers(lease.grant());
+      handover.endThroughPeers(lease.storeLeaseId());
       return;
     }
     if (now - term.lastReportAtMs() > unheardMs() && peers.peersHearWorkers() > 0) {
--- a/src/main/java/fennelthread/control/ReportHandler.java
+++ b/src/main/java/fennelthread/control/ReportHandler.java
@@ -96,7 +96,7 @@
    * entitled to.
    */
   public Answer handleRelayed(WorkerReport report, long epoch, String peer) {
-    lease.heardOf(epoch);
+    lease.observeEpoch(epoch);
     boolean answered = epoch == lease.epoch() && !order.isCopy(report);
     return answered ? term.answer(report, peer) : null;
   }
--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -32,7 +32,7 @@
 
   private final EventLoop eventLoop;
   private final Settings settings;
-  private final PeerHeartbeats mesh;
+  private final PeerHeartbeats peers;
   private final StateClient state;
   private final Replica replica;
   private final Lease lease;
@@ -51,13 +51,13 @@
   public Membership(
       EventLoop eventLoop,
       Settings settings,
-      PeerHeartbeats mesh,
+      PeerHeartbeats peers,
       StateClient state,
       Replica replica,
       Lease lease) {
     this.eventLoop = eventLoop;
     this.settings = settings;
-    this.mesh = mesh;
+    this.peers = peers;
     this.state = state;
     this.replica = replica;
     this.lease = lease;
@@ -66,8 +66,8 @@
     members.add(settings.member());
     settings.peers().forEach(s -> members.add(s.member()));
     Collections.sort(members);
-    mesh.serve("/member/", this::asked);
-    mesh.join(
+    peers.serve("/member/", this::asked);
+    peers.join(
         new PeerHeartbeats.Guest() {
           @Override
           public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
@@ -244,7 +244,7 @@
     Fields question =
         Fields.create().with("from", settings.member()).with("epoch", epoch).with("solo", revision);
     for (Settings.Peer s : settings.peers()) {
-      mesh.call(
+      peers.call(
           s.member(),
           AGREE,
           question,
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -22,17 +22,17 @@
   private static final Logger log = LoggerFactory.getLogger(Handover.class);
   private static final String END = "/handover/end";
 
-  private final PeerHeartbeats mesh;
+  private final PeerHeartbeats peers;
 
   /** Creates it, and answers peers that ask. */
-  public Handover(StateClient state, PeerHeartbeats mesh) {
-    this.mesh = mesh;
+  public Handover(StateClient state, PeerHeartbeats peers) {
+    this.peers = peers;
     Service service =
         (request, reply) -> {
           try {
-            long grant = Codec.JSON.decode(request.body()).count("permiso");
-            state.endGrant(
-                grant,
+            long leaseId = Codec.JSON.decode(request.body()).count("permiso");
+            state.revokeLease(
+                leaseId,
                 status ->
                     reply.accept(
                         Answer.of(200, Codec.JSON, Fields.create().with("status", (long) status))));
@@ -40,16 +40,16 @@
             reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
           }
         };
-    mesh.serve("/handover/", service);
+    peers.serve("/handover/", service);
   }
 
   /** Has peers end a grant of ours whose lease we have dropped. */
-  public void endThroughPeers(long grant) {
-    for (String member : mesh.relays()) {
-      mesh.call(
+  public void endThroughPeers(long leaseId) {
+    for (String member : peers.relays()) {
+      peers.call(
           member,
           END,
-          Fields.create().with("permiso", grant),
+          Fields.create().with("permiso", leaseId),
           StateConstants.STATE_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
           answer ->
               log.info(
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -95,7 +95,7 @@
   }
 
   /** How much is held, for a line of the log. */
-  public String census() {
+  public String memoryUsage() {
     return finals.size()
         + " final answers, "
         + acceptances.waiting()
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -75,7 +75,7 @@
   }
 
   /** How much is held, for a line of the log. */
-  public String census() {
+  public String memoryUsage() {
     int starts = 0;
     for (StartRecord r : rounds.values()) {
       starts += r.starts().size();
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -59,7 +59,7 @@
   private long epochRevision;
   private long highestEpoch;
   private long unboundedEpoch;
-  private long grant;
+  private long storeLeaseId;
   private long leaseUntil = Long.MIN_VALUE;
   private long notBefore;
   private boolean claimPlanned;
@@ -121,8 +121,8 @@
   }
 
   /** The grant that we hold or held last. */
-  public long grant() {
-    return grant;
+  public long storeLeaseId() {
+    return storeLeaseId;
   }
 
   /** The revision of the epoch's key that all our writes are conditional on. */
@@ -192,7 +192,7 @@
   }
 
   /** Takes note of an epoch; a leader of an older one stops at once. */
-  public void heardOf(long other) {
+  public void observeEpoch(long other) {
     highestEpoch = Math.max(highestEpoch, other);
     if (phase == Phase.LEADING && other > epoch) {
       stepDown("epoch " + other + " was claimed", 0);
@@ -206,9 +206,9 @@
     }
     notBefore = eventLoop.nowMs() + pauseMs;
     leaseUntil = Long.MIN_VALUE;
-    long old = grant;
+    long old = storeLeaseId;
     moveTo(Phase.FOLLOWING, why);
-    state.endGrant(old, status -> {});
+    state.revokeLease(old, status -> {});
     listener.deposed(why);
     eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::consider);
   }
@@ -230,7 +230,7 @@
   private void observe(String key, Fields value, long revision) {
     try {
       if (key.equals(Keys.EPOCH) && value != null) {
-        heardOf(value.count("epoch"));
+        observeEpoch(value.count("epoch"));
       } else if (key.equals(Keys.LEAD)) {
         if (phase == Phase.LEADING && value == null && revision > epochRevision) {
           stepDown("the grant has ended", 0);
@@ -281,7 +281,7 @@
         // that ends at once each time would otherwise lead for ever, a moment at a time.
         notBefore = Math.max(notBefore, eventLoop.nowMs() + LeaderConstants.FLAPPING_PAUSE_MS);
       }
-      state.endGrant(
+      state.revokeLease(
           lead.count("permiso"),
           status -> {
             endingOld = false;
@@ -328,7 +328,7 @@
   private void claim(String why, Txn conditions) {
     moveTo(Phase.CLAIMING, why);
     long t0 = eventLoop.nowMs();
-    state.grant(
+    state.createLease(
         ttlMs,
         id -> {
           if (id == 0) {
@@ -365,7 +365,7 @@
                   won(next, applied.revision(), id, t0, txn);
                 } else {
                   // Without an answer the claim may still be applied: ending its grant undoes it.
-                  state.endGrant(id, status -> {});
+                  state.revokeLease(id, status -> {});
                   giveUp(result.toString());
                 }
               });
@@ -399,7 +399,7 @@
   private void won(long next, long revision, long id, long t0, Txn txn) {
     epoch = next;
     epochRevision = revision;
-    grant = id;
+    storeLeaseId = id;
     leaseUntil = t0 + leaseMs;
     highestEpoch = Math.max(highestEpoch, next);
     moveTo(Phase.LEADING, "claimed");
@@ -415,8 +415,8 @@
       return;
     }
     long t0 = eventLoop.nowMs();
-    state.extend(
-        grant,
+    state.renewLease(
+        storeLeaseId,
         status -> {
           if (phase != Phase.LEADING || epoch != of) {
             return;
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -175,7 +175,7 @@
   }
 
   /** How much is held, for a line of the log. */
-  public String census() {
+  public String memoryUsage() {
     int attempts = 0;
     for (Machine m : fleet.machines()) {
       attempts += m.isEmpty() ? 0 : 1;
@@ -306,7 +306,7 @@
 
   @Override
   public void higherToken(long other) {
-    lease.heardOf(other);
+    lease.observeEpoch(other);
   }
 
   @Override
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -36,7 +36,7 @@
   }
 
   private final EventLoop eventLoop;
-  private final PeerHeartbeats mesh;
+  private final PeerHeartbeats peers;
   private final BooleanSupplier leading;
   private final LongSupplier ownEpoch;
   private final LongSupplier highestEpoch;
@@ -65,14 +65,14 @@
   public FollowerLeaseRenewer(
       EventLoop eventLoop,
       Settings settings,
-      PeerHeartbeats mesh,
+      PeerHeartbeats peers,
       CancellationLog cancellations,
       Replica replica,
       BooleanSupplier leading,
       LongSupplier ownEpoch,
       LongSupplier highestEpoch) {
     this.eventLoop = eventLoop;
-    this.mesh = mesh;
+    this.peers = peers;
     this.leading = leading;
     this.ownEpoch = ownEpoch;
     this.highestEpoch = highestEpoch;
@@ -83,7 +83,7 @@
     this.keptAtMostMs = RenewalBounds.keptAtMostMs(settings.workers());
     this.gate = new HeartbeatResponseGate(eventLoop, currency, cancellations, keepMs);
     this.ledger = new RenewalLog(members, keptAtMostMs);
-    mesh.join(this);
+    peers.join(this);
   }
 
   /**
@@ -112,7 +112,7 @@
    * bound.
    */
   public long othersSilentSinceMs(long ofEpoch, long electedAtMs, long unbounded) {
-    return mesh.acknowledgedSince(ofEpoch, electedAtMs + keptAtMostMs, unbounded);
+    return peers.acknowledgedSince(ofEpoch, electedAtMs + keptAtMostMs, unbounded);
   }
 
   // ---------------------------------------------------------------- heartbeats
@@ -121,7 +121,7 @@
   public PeerHeartbeat sendHeartbeat(String member, PeerHeartbeat heartbeat) {
     return heartbeat.keeping(
         note(
-            mesh.silentMs(member) < PeerConstants.PEER_SILENT_MS,
+            peers.silentMs(member) < PeerConstants.PEER_SILENT_MS,
             currency.taken(member),
             0,
             new CancellationLog.Page(List.of(), 0, false)));
--- a/src/main/java/fennelthread/net/HttpServer.java
+++ b/src/main/java/fennelthread/net/HttpServer.java
@@ -33,8 +33,8 @@
       InboundConnections<ServerConnection> inbound,
       String apiAddr,
       Service api,
-      String meshAddr,
-      Service mesh) {
+      String peerAddr,
+      Service peers) {
     this.inbound = inbound;
     this.server =
         Undertow.builder()
@@ -47,7 +47,7 @@
             .setSocketOption(Options.BACKLOG, NetConstants.BACKLOG)
             .setSocketOption(Options.REUSE_ADDRESSES, true)
             .addListener(listener(apiAddr, handler(api)))
-            .addListener(listener(meshAddr, handler(mesh)))
+            .addListener(listener(peerAddr, handler(peers)))
             .build();
   }
 
--- a/src/main/java/fennelthread/net/XnioEventLoop.java
+++ b/src/main/java/fennelthread/net/XnioEventLoop.java
@@ -64,8 +64,8 @@
   }
 
   /** Listens; the services are called on the one thread. */
-  public void listen(String apiAddr, Service api, String meshAddr, Service mesh) {
-    server = new HttpServer(worker, buffers, inbound, apiAddr, api, meshAddr, mesh);
+  public void listen(String apiAddr, Service api, String peerAddr, Service peers) {
+    server = new HttpServer(worker, buffers, inbound, apiAddr, api, peerAddr, peers);
     server.start();
   }
 
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -66,8 +66,8 @@
   private long malformed;
 
   /**
-   * Creates the mesh of one controller; {@code workers} gives the addresses that peers should keep
-   * warm, none while another leads.
+   * Creates the peer network of one controller; {@code workers} gives the addresses that peers
+   * should keep warm, none while another leads.
    */
   public PeerHeartbeats(
       EventLoop eventLoop,
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -41,7 +41,7 @@
 
   private final EventLoop eventLoop;
   private final Settings settings;
-  private final PeerHeartbeats mesh;
+  private final PeerHeartbeats peers;
   private final LeaderReachability hearing;
   private final LongSupplier highestEpoch;
   private final Map<String, Via> vias = new HashMap<>();
@@ -56,12 +56,12 @@
   public CommandSender(
       EventLoop eventLoop,
       Settings settings,
-      PeerHeartbeats mesh,
+      PeerHeartbeats peers,
       LeaderReachability hearing,
       LongSupplier highestEpoch) {
     this.eventLoop = eventLoop;
     this.settings = settings;
-    this.mesh = mesh;
+    this.peers = peers;
     this.hearing = hearing;
     this.highestEpoch = highestEpoch;
   }
@@ -96,7 +96,7 @@
       Runnable notPassedOn = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
       long relayedMs = timeoutMs + RelayConstants.RELAY_SLACK_MS;
       around(peer, address, call, relayedMs, done, unsent, notPassedOn);
-    } else if (call.spare() && mesh.anyRelay() != null) {
+    } else if (call.spare() && peers.anyRelay() != null) {
       new Question(m, address, call, timeoutMs, done, unsent).ask();
     } else {
       eventLoop.call(address, call, timeoutMs, done, unsent);
@@ -140,7 +140,7 @@
       eventLoop.after(
           Math.min(RelayConstants.HEDGE_MS, timeoutMs / 2),
           () -> {
-            String peer = over ? null : mesh.anyRelay();
+            String peer = over ? null : peers.anyRelay();
             if (peer != null) {
               open++;
               around(
@@ -206,7 +206,7 @@
       throw new IllegalStateException(e);
     }
     carried++;
-    mesh.call(
+    peers.call(
         peer,
         RelayWire.COMMANDS,
         new RelayWire.Commands(
@@ -230,12 +230,12 @@
     if (via != null) {
       if (eventLoop.nowMs() - via.atMs
               <= settings.workers().reportMs() * RelayConstants.SILENT_REPORTS
-          && mesh.relaysFor(via.member)) {
+          && peers.relaysFor(via.member)) {
         return via.member;
       }
       vias.remove(m.name());
     }
-    return hearing.isDeaf() ? mesh.anyRelay() : null;
+    return hearing.isDeaf() ? peers.anyRelay() : null;
   }
 
   /**
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -51,7 +51,7 @@
 
   private final EventLoop eventLoop;
   private final Settings settings;
-  private final PeerHeartbeats mesh;
+  private final PeerHeartbeats peers;
   private final Map<String, Worker> workers = new LinkedHashMap<>(64, 0.75f, true);
   private Phase phase = Phase.OPEN;
   private long epoch = -1;
@@ -62,10 +62,10 @@
   private long relayed;
 
   /** Creates a relay. */
-  public Relay(EventLoop eventLoop, Settings settings, PeerHeartbeats mesh) {
+  public Relay(EventLoop eventLoop, Settings settings, PeerHeartbeats peers) {
     this.eventLoop = eventLoop;
     this.settings = settings;
-    this.mesh = mesh;
+    this.peers = peers;
   }
 
   /**
@@ -80,10 +80,10 @@
       workers.clear();
     }
     boolean left = hasLeft(report, now);
-    if (!left && !mesh.isDeaf(leader.member())) {
+    if (!left && !peers.isDeaf(leader.member())) {
       return Decision.TO_LEADER;
     }
-    if (!isOpen(now) || !mesh.relaysFor(leader.member())) {
+    if (!isOpen(now) || !peers.relaysFor(leader.member())) {
       // To send it back would cost it the time it waits for the leader's answer, most of its lease.
       return left ? Decision.TO_NEXT : Decision.TO_LEADER;
     }
@@ -147,7 +147,7 @@
 
   private void pass(WorkerReport report, Leader leader, Consumer<Answer> reply) {
     underWay++;
-    mesh.call(
+    peers.call(
         leader.member(),
         RelayWire.REPORT,
         new RelayWire.Report(settings.member(), leader.epoch(), report).write(),
--- a/src/main/java/fennelthread/relay/RelayWire.java
+++ b/src/main/java/fennelthread/relay/RelayWire.java
@@ -7,7 +7,8 @@
 import fennelthread.wire.WorkerReport;
 
 /**
- * What passes between controllers for workers that only one of them reaches: JSON over the mesh.
+ * What passes between controllers for workers that only one of them reaches: JSON over the peer
+ * network.
  */
 final class RelayWire {
   /** A worker's report on its way to the leader. */
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a follower says through the state service when the mesh is silent: workers of the leader
- * come to me. A leader that hears none of them itself then knows that it is cut off, and that they
- * are not gone.
+ * What a follower says through the state service when the peer network is silent: workers of the
+ * leader come to me. A leader that hears none of them itself then knows that it is cut off, and
+ * that they are not gone.
  */
 public final class UnreachableLeaderNotice {
   private static final Logger log = LoggerFactory.getLogger(UnreachableLeaderNotice.class);
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -65,7 +65,7 @@
   interface Node {
     Service api();
 
-    Service mesh();
+    Service peerService();
 
     void start();
 
@@ -79,8 +79,8 @@
         }
 
         @Override
-        public Service mesh() {
-          return controller.mesh();
+        public Service peerService() {
+          return controller.peerService();
         }
 
         @Override
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -104,7 +104,7 @@
             ? SimulatedCluster.oldVersion.controller(process, own, deployment.limits())
             : SimulatedCluster.Node.of(new Controller(process, own, Options.DEFAULTS));
     process.listen(addresses.get(member), controller.api());
-    process.listen(peerAddressOf(member), controller.mesh());
+    process.listen(peerAddressOf(member), controller.peerService());
     processes.put(member, process);
     running.put(member, controller);
     controller.start();
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -144,7 +144,7 @@
   }
 
   /** The counts, for a line of the log. */
-  public String census() {
+  public String memoryUsage() {
     return answered + " answers, " + refused + " of them 503, " + unanswered + " missing";
   }
 }
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -24,7 +24,7 @@
    * A key's value and revision; {@code value} is null if the key does not exist, and the revision
    * that of the latest change of any key then.
    */
-  public record Entry(String key, Fields value, long revision, long grant) {}
+  public record Entry(String key, Fields value, long revision, long leaseId) {}
 
   /** One page of a list. */
   public record Page(List<Entry> items, boolean more, long revision) {}
@@ -103,8 +103,8 @@
   }
 
   /** What became of the requests so far, for a line of the log. */
-  public String census() {
-    return health.census();
+  public String memoryUsage() {
+    return health.memoryUsage();
   }
 
   /** How large values and transactions may be. */
@@ -248,7 +248,7 @@
   }
 
   /** Creates a grant; 0 means that it failed. */
-  public void grant(long ttlMs, Consumer<Long> done) {
+  public void createLease(long ttlMs, Consumer<Long> done) {
     call(
         Call.post("/grants", Codec.CBOR, Fields.create().with("ttl_ms", ttlMs)),
         StateConstants.STATE_TIMEOUT_MS,
@@ -259,17 +259,17 @@
   }
 
   /** Renews a grant: gets the status, or 0 for no answer. */
-  public void extend(long grant, Consumer<Integer> done) {
+  public void renewLease(long leaseId, Consumer<Integer> done) {
     call(
-        Call.post("/grants/" + grant + "/extend", Codec.CBOR, Fields.create()),
+        Call.post("/grants/" + leaseId + "/extend", Codec.CBOR, Fields.create()),
         StateConstants.RENEW_TIMEOUT_MS,
         answer -> done.accept(answer == null ? 0 : answer.status()));
   }
 
   /** Ends a grant at once: gets the status, or 0 for no answer. */
-  public void endGrant(long grant, Consumer<Integer> done) {
+  public void revokeLease(long leaseId, Consumer<Integer> done) {
     call(
-        new Call("DELETE", "/grants/" + grant, null, Codec.CBOR),
+        new Call("DELETE", "/grants/" + leaseId, null, Codec.CBOR),
         StateConstants.STATE_TIMEOUT_MS,
         answer -> done.accept(answer == null ? 0 : answer.status()));
   }
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -82,7 +82,7 @@
           new Settings.State(500, 200, 8_192, 8),
           new Settings.Cloud(5, 2_000),
           500);
-  private final PeerHeartbeats mesh =
+  private final PeerHeartbeats peers =
       new PeerHeartbeats(
           eventLoop,
           settings,
@@ -91,7 +91,7 @@
           g -> {});
   private final LeaderReachability hearing = new LeaderReachability(1_500);
   private final CommandSender courier =
-      new CommandSender(eventLoop, settings, mesh, hearing, () -> 7);
+      new CommandSender(eventLoop, settings, peers, hearing, () -> 7);
   private final Machine machine =
       new Fleet(
               eventLoop,
@@ -113,7 +113,7 @@
         ("{\"member\":\"nodo-1\",\"incarnation\":\"b\",\"epoch\":7,\"leading\":false,"
                 + "\"served_ago_ms\":1,\"beats_heard\":3,\"chains\":true,\"relays\":true}")
             .getBytes(StandardCharsets.UTF_8);
-    mesh.handle(new Request("POST", "/hail", heartbeat), a -> {});
+    peers.handle(new Request("POST", "/hail", heartbeat), a -> {});
     courier.begin(7);
     hearing.begin(now - 100_000);
     for (long t = now - 10_000; t <= now; t += RelayConstants.SUPERVISE_MS) {
--- a/src/test/java/fennelthread/simulation/Production.java
+++ b/src/test/java/fennelthread/simulation/Production.java
@@ -90,7 +90,7 @@
       }
 
       @Override
-      public Service mesh() {
+      public Service peerService() {
         return (Service) call("mesh");
       }
 
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -105,7 +105,10 @@
     cutOffAt(seed, 31_000, 80, c -> c.crash(follower(c), 9_000));
   }
 
-  /** A follower is cut off from the state service too: it still knows the leader from the mesh. */
+  /**
+   * A follower is cut off from the state service too: it still knows the leader from the peer
+   * network.
+   */
   @ParameterizedTest
   @ValueSource(longs = {12, 13})
   void cutOffWhileAFollowerIsCutFromTheState(long seed) {
--- a/src/test/java/fennelthread/simulation/RestartTest.java
+++ b/src/test/java/fennelthread/simulation/RestartTest.java
@@ -28,8 +28,8 @@
 
   /**
    * The writer of a key crashes the moment the state service has applied it, before it hears so: a
-   * claim, a takeover (its leader is frozen), a word that the leader goes alone (the mesh is
-   * refused), a round's record, a job's end.
+   * claim, a takeover (its leader is frozen), a word that the leader goes alone (the peer network
+   * is refused), a round's record, a job's end.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -115,7 +115,7 @@
             settingsOf(member, deployment),
             new Options(0, Options.DEFAULTS.roundGapMs(), shape.workers, 2, 900_000));
     process.listen(addresses.get(member), meter.counted(controller.api()));
-    process.listen(meshOf(member), meter.counted(controller.mesh()));
+    process.listen(meshOf(member), meter.counted(controller.peerService()));
     meters.put(member, meter);
     controllers.put(member, controller);
     processes.put(member, process);
--- a/src/test/java/fennelthread/simulation/TakeoverTest.java
+++ b/src/test/java/fennelthread/simulation/TakeoverTest.java
@@ -93,7 +93,10 @@
     assertEquals(0, stale, "starts sent after another had taken over");
   }
 
-  /** The mesh is refused, or broken between two: the leader goes alone and nobody takes over. */
+  /**
+   * The peer network is refused, or broken between two: the leader goes alone and nobody takes
+   * over.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderWithoutItsPeersGoesOn(long seed) {
