--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -77,7 +77,7 @@
     this.incarnation = Long.toHexString(eventLoop.random().nextLong());
     this.state = new StateClient(eventLoop, settings);
     this.replica = new Replica(eventLoop, state);
-    replica.listen(table);
+    replica.addListener(table);
     Settings.Workers limits = settings.workers();
     this.cancellations = new CancellationLog(eventLoop, 2 * (limits.cancelMs() + limits.leaseMs()));
     table.listen(new EndedJobs());
@@ -95,7 +95,7 @@
             this::stillUnbounded,
             new Elections());
     this.machineTypes = new MachineTypes(eventLoop, cloud, state, replica, lease);
-    replica.listen((key, value, revision) -> machineTypes.changed(key, value));
+    replica.addListener((key, value, revision) -> machineTypes.changed(key, value));
     this.currentTerm = new CurrentTerm(lease);
     this.directory = new LeaderDirectory(lease);
     this.peers =
@@ -169,7 +169,7 @@
     log.info("{} starts, incarnation {}", settings.member(), incarnation);
     warnOfShortfall();
     replica.start();
-    replica.onAdvance(this::loaded);
+    replica.onNextAdvance(this::loaded);
     stalls.start();
     peers.start();
     membership.start();
@@ -313,7 +313,7 @@
         incarnation,
         lease.highestEpoch(),
         lease.isLeading(),
-        eventLoop.nowMs() - state.servedAtMs(),
+        eventLoop.nowMs() - state.lastServedAtMs(),
         workers.reporting(),
         lease.isLeading() && reachability.isDeaf());
   }
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -102,21 +102,18 @@
    */
   private void confirmReplica(long now) {
     boolean silent =
-        now - Math.min(state.servedAtMs(), replica.readAtMs()) > ControlConstants.SERVED_CHECK_MS;
+        now - Math.min(state.lastServedAtMs(), replica.currentAsOfMs())
+            > ControlConstants.SERVED_CHECK_MS;
     if (replica.isReady() && silent) {
-      state.changes(
-          changes -> {
-            if (changes >= 0) {
-              replica.confirmed(changes, now);
-            }
-          });
+      state.readStoreRevision(
+          revision -> revision.ifPresent(reached -> replica.confirmRevision(reached, now)));
     }
   }
 
   /** True if the state service refuses this controller and has served a peer since. */
   public boolean isRefusedAlone() {
-    return state.refusedForMs() > ControlConstants.REFUSED_ALONE_MS
-        && peers.peerServedAfter(state.servedAtMs() + ControlConstants.REFUSED_ALONE_MS / 2);
+    return state.failingForMs() > ControlConstants.REFUSED_ALONE_MS
+        && peers.peerServedAfter(state.lastServedAtMs() + ControlConstants.REFUSED_ALONE_MS / 2);
   }
 
   /** Checks whether this leader still hears its workers itself, and asks some if it does not. */
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -6,6 +6,7 @@
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.wire.Codec;
@@ -98,7 +99,7 @@
       return;
     }
     Txn txn = new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.MACHINE_TYPES, value);
-    state.txn(StateClient.Lane.UPKEEP, txn, result -> {});
+    state.txn(RequestPriority.MAINTENANCE, txn, result -> {});
   }
 
   /** Prices move all the time; what is stored for starts need not follow them. */
--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -79,7 +79,7 @@
             Membership.this.acknowledged(member, reply, sentAtMs);
           }
         });
-    replica.listen(
+    replica.addListener(
         (key, value, revision) -> {
           if (key.equals(Keys.EPOCH) && ready) {
             follow();
@@ -171,16 +171,17 @@
     solo.turn(
         on,
         lease.epoch(),
-        replica.revisionOf(Keys.SOLO),
+        replica.revisionOf(Keys.UNILATERAL_LEADERSHIP),
         lease::fenced,
-        (txn, applied) -> replica.applied(txn, applied.revision()));
+        (txn, applied) -> replica.applyCommitted(txn, applied.revision()));
   }
 
   // ---------------------------------------------------------------- following
 
   private long onHeartbeat(PeerHeartbeat heartbeat) {
     return ready && heartbeat.leading() && !lease.isLeading()
-        ? view.onHeartbeat(heartbeat.epoch(), replica.revisionOf(Keys.SOLO), eventLoop.nowMs())
+        ? view.onHeartbeat(
+            heartbeat.epoch(), replica.revisionOf(Keys.UNILATERAL_LEADERSHIP), eventLoop.nowMs())
         : 0;
   }
 
@@ -203,7 +204,7 @@
     // Without the state service nobody can claim: whoever is cut off with a peer asked it every
     // second.
     if (!asking
-        && state.answersSoon(0)
+        && state.canAnswerInTime(0)
         && now - suspectedAtMs >= rank() * ElectionConstants.HEIR_STEP_MS) {
       ask();
     }
@@ -219,7 +220,7 @@
 
   private long soloEpoch() {
     try {
-      Fields word = replica.get(Keys.SOLO);
+      Fields word = replica.get(Keys.UNILATERAL_LEADERSHIP);
       return word == null ? 0 : word.count("epoch");
     } catch (WireException e) {
       return view.epoch();
@@ -238,7 +239,7 @@
   private void ask() {
     asking = true;
     long epoch = view.epoch();
-    long revision = replica.revisionOf(Keys.SOLO);
+    long revision = replica.revisionOf(Keys.UNILATERAL_LEADERSHIP);
     int[] agreed = {1};
     int[] open = {members.size() - 1};
     Fields question =
@@ -271,7 +272,7 @@
     if (agreed < LeadershipPromises.majority(members.size())
         || lease.isLeading()
         || !isTakeable()
-        || replica.revisionOf(Keys.SOLO) != revision
+        || replica.revisionOf(Keys.UNILATERAL_LEADERSHIP) != revision
         || !view.agree(epoch, revision, eventLoop.nowMs())) {
       return;
     }
@@ -293,7 +294,7 @@
       boolean agree =
           ready
               && !lease.isLeading()
-              && replica.revisionOf(Keys.SOLO) <= revision
+              && replica.revisionOf(Keys.UNILATERAL_LEADERSHIP) <= revision
               && isTakeable()
               && view.agree(question.count("epoch"), revision, eventLoop.nowMs());
       if (agree) {
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -3,6 +3,7 @@
 import fennelthread.constants.ElectionConstants;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -80,10 +81,10 @@
     Txn txn =
         fenced
             .get()
-            .when(Keys.SOLO, revision)
-            .write(Keys.SOLO, Fields.create().with("epoch", on ? epoch : 0L));
+            .when(Keys.UNILATERAL_LEADERSHIP, revision)
+            .write(Keys.UNILATERAL_LEADERSHIP, Fields.create().with("epoch", on ? epoch : 0L));
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         txn,
         result -> {
           if (of != term) {
--- a/src/main/java/fennelthread/emulate/EmulatedStateService.java
+++ b/src/main/java/fennelthread/emulate/EmulatedStateService.java
@@ -259,7 +259,7 @@
   private void changed() {
     keys = store.size();
     try {
-      StateStore.Item lead = store.get(Keys.LEAD);
+      StateStore.Item lead = store.get(Keys.LEADER);
       String member = lead == null ? null : lead.value().optText("member");
       leader = new Leader(member, member == null ? leader.epoch : lead.value().count("epoch", 0));
     } catch (WireException e) {
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -33,9 +33,12 @@
             long leaseId = Codec.JSON.decode(request.body()).count("permiso");
             state.revokeLease(
                 leaseId,
-                status ->
+                revocation ->
                     reply.accept(
-                        Answer.of(200, Codec.JSON, Fields.create().with("status", (long) status))));
+                        Answer.of(
+                            200,
+                            Codec.JSON,
+                            Fields.create().with("status", (long) revocation.status()))));
           } catch (WireException e) {
             reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
           }
@@ -50,7 +53,7 @@
           member,
           END,
           Fields.create().with("permiso", leaseId),
-          StateConstants.STATE_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
+          StateConstants.REQUEST_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
           answer ->
               log.info(
                   "{} was asked to end our grant: {}",
--- a/src/main/java/fennelthread/jobs/Acceptances.java
+++ b/src/main/java/fennelthread/jobs/Acceptances.java
@@ -2,7 +2,8 @@
 
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -13,6 +14,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -83,7 +85,7 @@
   }
 
   private final StateClient state;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final Predicate<String> isKnown;
   private final Applied onApplied;
   private final Map<String, Pending> pending = new HashMap<>();
@@ -118,12 +120,12 @@
       (known.sends == 0 ? known.callers : known.lateCallers).add(done);
       return;
     }
-    Unavailability why =
+    Optional<Unavailability> unavailability =
         queue.size() >= JobConstants.ACCEPT_QUEUE
-            ? Unavailability.BUSY
-            : state.whyNotSoon(1 + queue.size());
-    if (why != null) {
-      done.accept(new Acceptance.Unavailable(why));
+            ? Optional.of(Unavailability.BUSY)
+            : state.unavailability(1 + queue.size());
+    if (unavailability.isPresent()) {
+      done.accept(new Acceptance.Unavailable(unavailability.get()));
       return;
     }
     Pending next = new Pending(job);
@@ -140,7 +142,7 @@
     Batch batch = nextBatch();
     underWay++;
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         batch.txn,
         () -> overdue(batch),
         result -> {
@@ -159,7 +161,7 @@
       boolean fits =
           !alone
               && !p.alone
-              && batch.txn.ops() + p.job.records().size() <= limits.txnOps()
+              && batch.txn.changes() + p.job.records().size() <= limits.txnChanges()
               && bytes <= limits.txnBytes();
       if (!batch.jobs.isEmpty() && !fits) {
         break;
@@ -192,7 +194,8 @@
       }
       if (isKnown.test(p.id())) {
         tell(p, new Acceptance.Known());
-      } else if (p.sends < JobConstants.ANSWER_TRIES && state.answersSoon(p.job.records().size())) {
+      } else if (p.sends < JobConstants.ANSWER_TRIES
+          && state.canAnswerInTime(p.job.records().size())) {
         again(p);
       }
     }
--- a/src/main/java/fennelthread/jobs/Cancellations.java
+++ b/src/main/java/fennelthread/jobs/Cancellations.java
@@ -3,8 +3,9 @@
 import fennelthread.constants.JobConstants;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -22,7 +23,7 @@
   private final FinalStates finals;
   private final JobQueries queries;
   private final DependencyTracker waits;
-  private final Limits limits;
+  private final SizeLimits limits;
   private boolean cascading;
 
   Cancellations(
@@ -79,10 +80,10 @@
           }
         };
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         txn,
         () -> {
-          if (tries > 1 && state.answersSoon(JobConstants.CHANGES_PER_END)) {
+          if (tries > 1 && state.canAnswerInTime(JobConstants.CHANGES_PER_END)) {
             again.run();
           }
         },
@@ -112,7 +113,7 @@
     Txn txn = new Txn();
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
     for (Job job : waits.graph().doomed()) {
-      if (txn.ops() + JobConstants.CHANGES_PER_END > limits.txnOps()) {
+      if (txn.changes() + JobConstants.CHANGES_PER_END > limits.txnChanges()) {
         break;
       }
       Lookup.Final end = cancelled(job);
@@ -121,7 +122,7 @@
     }
     cascading = true;
     state.txn(
-        StateClient.Lane.ROUND,
+        RequestPriority.SCHEDULING,
         txn,
         result -> {
           cascading = false;
@@ -148,6 +149,6 @@
   void madeFinal(Txn txn, long revision, Map<String, Lookup.Final> ends) {
     // First all of them: whoever is told of a removal asks why.
     ends.forEach(finals::learn);
-    replica.applied(txn, revision);
+    replica.applyCommitted(txn, revision);
   }
 }
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -6,6 +6,7 @@
 import fennelthread.wire.JobState;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -62,9 +63,10 @@
       }
       cancelled |= isCancelled(dependency, end);
     }
-    Unavailability why = toRead.isEmpty() ? null : state.whyNotSoon(0);
-    if (why != null) {
-      done.accept(new Dependencies.Unavailable(why));
+    Optional<Unavailability> unavailability =
+        toRead.isEmpty() ? Optional.empty() : state.unavailability(0);
+    if (unavailability.isPresent()) {
+      done.accept(new Dependencies.Unavailable(unavailability.get()));
     } else {
       read(toRead, 0, cancelled, done);
     }
--- a/src/main/java/fennelthread/jobs/FinalStates.java
+++ b/src/main/java/fennelthread/jobs/FinalStates.java
@@ -4,6 +4,7 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
+import fennelthread.state.ReadResult;
 import fennelthread.state.StateClient;
 import fennelthread.state.Unavailability;
 import fennelthread.wire.JobState;
@@ -64,19 +65,19 @@
   void read(String id, Consumer<Lookup> done) {
     state.get(
         Keys.finalJob(id),
-        last -> {
-          if (last == null) {
+        result -> {
+          if (result instanceof ReadResult.Unavailable) {
             done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
-          } else if (last.value() == null) {
-            done.accept(new Lookup.Unknown());
-          } else {
+          } else if (result instanceof ReadResult.Found found) {
             try {
-              Lookup.Final end = Lookup.Final.read(last.value());
+              Lookup.Final end = Lookup.Final.read(found.entry().value());
               learn(id, end);
               done.accept(end);
             } catch (WireException e) {
               done.accept(new Lookup.Unavailable(Unavailability.UNREADABLE));
             }
+          } else {
+            done.accept(new Lookup.Unknown());
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
+import fennelthread.state.SizeLimits;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.WireException;
@@ -62,9 +62,10 @@
    *
    * @throws WireException naming the field that is too large for the state service
    */
-  static Map<String, Fields> write(JobSpec spec, long wallMs, Limits limits) throws WireException {
+  static Map<String, Fields> write(JobSpec spec, long wallMs, SizeLimits limits)
+      throws WireException {
     Fields record = spec.withDependencies(List.of()).write().with("at_ms", wallMs);
-    int bytes = Limits.bytes(record);
+    int bytes = SizeLimits.encodedBytes(record);
     if (bytes > limits.valueBytes()) {
       throw new WireException("body", "is too large");
     }
@@ -78,13 +79,13 @@
       while (next < dependencies.size()) {
         int to =
             fit(dependencies, next, limits.valueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES);
-        if (to == next || parts >= limits.txnOps()) {
+        if (to == next || parts >= limits.txnChanges()) {
           throw new WireException(JobSpec.DEPENDENCIES, "names too many jobs");
         }
         Fields part =
             Fields.create()
                 .with(JobSpec.DEPENDENCIES, new ArrayList<Object>(dependencies.subList(next, to)));
-        bytes += Limits.bytes(part);
+        bytes += SizeLimits.encodedBytes(part);
         records.put(Keys.dependencies(spec.id(), parts++), part);
         next = to;
       }
@@ -94,7 +95,7 @@
       }
     }
     records.put(Keys.job(spec.id()), record);
-    if (records.size() > limits.txnOps() || bytes > limits.txnBytes()) {
+    if (records.size() > limits.txnChanges() || bytes > limits.txnBytes()) {
       throw new WireException(JobSpec.DEPENDENCIES, "names too many jobs");
     }
     return records;
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -2,8 +2,9 @@
 
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -14,6 +15,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -55,7 +57,7 @@
   private final Replica replica;
   private final JobTable table;
   private final FinalStates finals;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final RecordReader reader;
   private final Map<String, Question> queue = new LinkedHashMap<>();
   private int underWay;
@@ -87,15 +89,15 @@
       done.accept(known);
       return;
     }
-    Unavailability why = state.whyNotSoon(0);
-    if (why != null) {
-      done.accept(new Lookup.Unavailable(why));
+    Optional<Unavailability> unavailability = state.unavailability(0);
+    if (unavailability.isPresent()) {
+      done.accept(new Lookup.Unavailable(unavailability.get()));
       return;
     }
     Job job = table.get(id);
     if (job == null) {
       reader.read(id, done);
-    } else if (job.chunks() >= limits.conditions()) {
+    } else if (job.chunks() >= limits.txnConditions()) {
       reader.readProgress(id, done);
     } else {
       queue.computeIfAbsent(id, Question::new).askers.add(new FirstAnswer<>(done));
@@ -110,7 +112,7 @@
     Batch batch = nextBatch();
     underWay++;
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         batch.txn,
         () -> overdue(batch),
         result -> {
@@ -125,7 +127,7 @@
     for (Question q : new ArrayList<>(queue.values())) {
       Job job = table.get(q.id);
       int conditions = job == null ? 0 : 1 + job.chunks();
-      if (!batch.jobs.isEmpty() && batch.txn.conditions() + conditions > limits.conditions()) {
+      if (!batch.jobs.isEmpty() && batch.txn.conditions() + conditions > limits.txnConditions()) {
         break;
       }
       queue.remove(q.id);
@@ -158,7 +160,7 @@
   private void overdue(Batch batch) {
     release(batch);
     for (Question q : batch.jobs.keySet()) {
-      if (q.isAnswered() || q.sends >= JobConstants.ANSWER_TRIES || !state.answersSoon(0)) {
+      if (q.isAnswered() || q.sends >= JobConstants.ANSWER_TRIES || !state.canAnswerInTime(0)) {
         continue;
       }
       batch.sentAgain.add(q);
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -3,8 +3,8 @@
 import fennelthread.net.EventLoop;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.wire.JobSpec;
@@ -21,7 +21,7 @@
 public final class JobStore {
   private final EventLoop eventLoop;
   private final JobTable table;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final FinalStates finals;
   private final JobQueries queries;
   private final DependencyTracker waits;
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -131,7 +131,7 @@
   }
 
   @Override
-  public void changed(String key, Fields value, long revision) {
+  public void onChange(String key, Fields value, long revision) {
     try {
       if (key.startsWith(Keys.JOB)) {
         changedJob(key.substring(Keys.JOB.length()), value, revision);
@@ -139,7 +139,7 @@
         changedChunk(key, value);
       } else if (key.startsWith(Keys.DEPENDENCIES)) {
         changedNeeds(key, value);
-      } else if (key.startsWith(Keys.ROUND)) {
+      } else if (key.startsWith(Keys.START_RECORD)) {
         record(key, value == null ? null : StartRecord.read(value));
       }
     } catch (WireException e) {
@@ -167,7 +167,7 @@
   }
 
   private void changedNeeds(String key, Fields value) throws WireException {
-    String id = Keys.jobOf(Keys.DEPENDENCIES, key);
+    String id = Keys.jobIdOf(Keys.DEPENDENCIES, key);
     int part = Keys.partOf(key);
     if (value == null) {
       dependencies.computeIfPresent(
@@ -210,7 +210,7 @@
     if (value == null) {
       return;
     }
-    String id = Keys.jobOf(Keys.FINISHED, key);
+    String id = Keys.jobIdOf(Keys.FINISHED, key);
     Job job = jobs.get(id);
     if (job == null) {
       // Keys arrive in order of their names when the replica loads: chunks come before jobs.
--- a/src/main/java/fennelthread/jobs/RecordReader.java
+++ b/src/main/java/fennelthread/jobs/RecordReader.java
@@ -1,6 +1,9 @@
 package fennelthread.jobs;
 
+import fennelthread.state.KeyPage;
+import fennelthread.state.KeyValue;
 import fennelthread.state.Keys;
+import fennelthread.state.ReadResult;
 import fennelthread.state.Replica;
 import fennelthread.state.StateClient;
 import fennelthread.state.Unavailability;
@@ -31,17 +34,17 @@
     state.get(
         Keys.job(id),
         live -> {
-          if (live == null) {
+          if (live instanceof ReadResult.Unavailable) {
             done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
-          } else if (live.value() == null) {
-            finals.read(id, done);
+          } else if (live instanceof ReadResult.Found found) {
+            found(id, found.entry(), done);
           } else {
-            found(id, live, done);
+            finals.read(id, done);
           }
         });
   }
 
-  private void found(String id, StateClient.Entry live, Consumer<Lookup> done) {
+  private void found(String id, KeyValue live, Consumer<Lookup> done) {
     try {
       Job job = table.get(id) != null ? table.get(id) : Job.read(live.value(), live.revision());
       if (job.chunks() == 0) {
@@ -67,16 +70,17 @@
   private void readChunks(Job job, String since, Consumer<Lookup> done) {
     String id = job.spec().id();
     state.list(
-        Keys.finishedOf(id),
+        Keys.finishedPrefix(id),
         since,
-        page -> {
-          if (page == null) {
+        result -> {
+          if (result.isEmpty()) {
             done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
             return;
           }
+          KeyPage page = result.get();
           try {
-            for (StateClient.Entry chunk : page.items()) {
-              replica.learned(chunk);
+            for (KeyValue chunk : page.items()) {
+              replica.applyRead(chunk);
               job.readChunk(Keys.partOf(chunk.key()), chunk.value());
             }
           } catch (WireException e) {
@@ -97,12 +101,12 @@
     state.get(
         Keys.job(id),
         live -> {
-          if (live == null) {
+          if (live instanceof ReadResult.Unavailable) {
             done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
-          } else if (live.value() == null) {
-            finals.read(id, done);
-          } else {
+          } else if (live instanceof ReadResult.Found) {
             done.accept(new Lookup.Live(job));
+          } else {
+            finals.read(id, done);
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/Submission.java
+++ b/src/main/java/fennelthread/jobs/Submission.java
@@ -1,7 +1,7 @@
 package fennelthread.jobs;
 
 import fennelthread.constants.JobConstants;
-import fennelthread.state.Limits;
+import fennelthread.state.SizeLimits;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import java.util.Map;
@@ -14,7 +14,7 @@
   int bytes() {
     int bytes = 0;
     for (Fields record : records.values()) {
-      bytes += Limits.bytes(record) + JobConstants.TXN_BYTES_PER_CHANGE;
+      bytes += SizeLimits.encodedBytes(record) + JobConstants.TXN_BYTES_PER_CHANGE;
     }
     return bytes;
   }
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -11,8 +11,9 @@
 import fennelthread.jobs.Lookup;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -51,7 +52,7 @@
   private final StateClient state;
   private final Replica replica;
   private final JobStore store;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final Lease lease;
   private final Fleet fleet;
   private final ActiveJobs runs;
@@ -174,7 +175,8 @@
     Map<ActiveJob, BitSet> written = new LinkedHashMap<>();
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
     for (ActiveJob run : dirty) {
-      if (run.unfinished() == 0 && txn.ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
+      if (run.unfinished() == 0
+          && txn.changes() + JobConstants.CHANGES_PER_END <= limits.txnChanges()) {
         Lookup.Final end =
             new Lookup.Final(JobState.DONE, run.job().spec().tasks(), eventLoop.wallMs());
         JobStore.addFinal(txn, run.job(), end);
@@ -190,14 +192,14 @@
         partsWrittenAt = eventLoop.nowMs();
       }
     }
-    if (txn.ops() == 0) {
+    if (txn.changes() == 0) {
       moveTo(Phase.IDLE);
       return;
     }
     moveTo(Phase.WRITING);
     long number = ++writes;
     state.txn(
-        ends.isEmpty() ? StateClient.Lane.UPKEEP : StateClient.Lane.ROUND,
+        ends.isEmpty() ? RequestPriority.MAINTENANCE : RequestPriority.SCHEDULING,
         txn,
         () -> overdue(number),
         result -> written(number, txn, written, ends, result));
@@ -263,7 +265,7 @@
     boolean all = true;
     boolean any = false;
     for (int chunk : run.dirtyChunks()) {
-      if (txn.ops() >= limits.txnOps() || txn.conditions() >= limits.conditions()) {
+      if (txn.changes() >= limits.txnChanges() || txn.conditions() >= limits.txnConditions()) {
         all = false;
         break;
       }
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -6,7 +6,10 @@
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
+import fennelthread.state.LeaseGrant;
+import fennelthread.state.LeaseRenewal;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -102,7 +105,7 @@
     this.leaseMs =
         (long) (ttlMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
-    replica.listen((key, value, revision) -> observe(key, value, revision));
+    replica.addListener((key, value, revision) -> observe(key, value, revision));
   }
 
   /** True between claim and step-down, even while the local lease is over. */
@@ -161,7 +164,7 @@
       return member;
     }
     try {
-      Fields lead = replica.get(Keys.LEAD);
+      Fields lead = replica.get(Keys.LEADER);
       return lead == null ? null : lead.text("member");
     } catch (WireException e) {
       return null;
@@ -174,7 +177,7 @@
       return epoch;
     }
     try {
-      Fields lead = replica.get(Keys.LEAD);
+      Fields lead = replica.get(Keys.LEADER);
       return lead == null ? 0 : lead.count("epoch");
     } catch (WireException e) {
       return 0;
@@ -208,7 +211,7 @@
     leaseUntil = Long.MIN_VALUE;
     long old = storeLeaseId;
     moveTo(Phase.FOLLOWING, why);
-    state.revokeLease(old, status -> {});
+    state.revokeLease(old, revocation -> {});
     listener.deposed(why);
     eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::consider);
   }
@@ -231,7 +234,7 @@
     try {
       if (key.equals(Keys.EPOCH) && value != null) {
         observeEpoch(value.count("epoch"));
-      } else if (key.equals(Keys.LEAD)) {
+      } else if (key.equals(Keys.LEADER)) {
         if (phase == Phase.LEADING && value == null && revision > epochRevision) {
           stepDown("the grant has ended", 0);
         }
@@ -247,7 +250,7 @@
     if (phase != Phase.FOLLOWING || !replica.isReady()) {
       return;
     }
-    Fields lead = replica.get(Keys.LEAD);
+    Fields lead = replica.get(Keys.LEADER);
     if (lead != null) {
       endPredecessor(lead);
       return;
@@ -261,7 +264,7 @@
         wait + (long) (LeaderConstants.CLAIM_SPREAD_MS * eventLoop.random().nextDouble()),
         () -> {
           claimPlanned = false;
-          if (phase == Phase.FOLLOWING && replica.isReady() && replica.get(Keys.LEAD) == null) {
+          if (phase == Phase.FOLLOWING && replica.isReady() && replica.get(Keys.LEADER) == null) {
             claim();
           }
         });
@@ -283,9 +286,9 @@
       }
       state.revokeLease(
           lead.count("permiso"),
-          status -> {
+          revocation -> {
             endingOld = false;
-            if (status != 200 && status != 404) {
+            if (!revocation.isConfirmed()) {
               eventLoop.after(ProtocolConstants.RETRY_MS, this::consider);
             }
           });
@@ -295,13 +298,13 @@
   }
 
   private void claim() {
-    claim("nobody leads", new Txn().when(Keys.LEAD, 0));
+    claim("nobody leads", new Txn().when(Keys.LEADER, 0));
   }
 
   /** True if the leader of this epoch is another and says in its record that it minds promises. */
   public boolean mayBeTaken(long ofEpoch) {
     try {
-      Fields lead = replica.get(Keys.LEAD);
+      Fields lead = replica.get(Keys.LEADER);
       return phase == Phase.FOLLOWING
           && replica.isReady()
           && lead != null
@@ -321,7 +324,9 @@
     if (mayBeTaken(fromEpoch) && highestEpoch == fromEpoch) {
       claim(
           "the leader is silent",
-          new Txn().when(Keys.LEAD, replica.revisionOf(Keys.LEAD)).when(Keys.SOLO, soloRevision));
+          new Txn()
+              .when(Keys.LEADER, replica.revisionOf(Keys.LEADER))
+              .when(Keys.UNILATERAL_LEADERSHIP, soloRevision));
     }
   }
 
@@ -330,18 +335,19 @@
     long t0 = eventLoop.nowMs();
     state.createLease(
         ttlMs,
-        id -> {
-          if (id == 0) {
+        grant -> {
+          if (!(grant instanceof LeaseGrant.Granted granted)) {
             giveUp("no grant");
             return;
           }
+          long id = granted.leaseId();
           long next = Math.max(highestEpoch, 0) + 1;
           long unbounded = unboundedBefore();
           Txn txn =
               conditions
                   .when(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
-                  .writeBound(
-                      Keys.LEAD,
+                  .writeWithLease(
+                      Keys.LEADER,
                       Fields.create()
                           .with("member", member)
                           .with("incarnation", incarnation)
@@ -357,7 +363,7 @@
                           .with("keeps", true)
                           .with("unbounded", unbounded));
           state.txn(
-              StateClient.Lane.ANSWER,
+              RequestPriority.INTERACTIVE,
               txn,
               result -> {
                 if (result instanceof TxnResult.Applied applied) {
@@ -365,7 +371,7 @@
                   won(next, applied.revision(), id, t0, txn);
                 } else {
                   // Without an answer the claim may still be applied: ending its grant undoes it.
-                  state.revokeLease(id, status -> {});
+                  state.revokeLease(id, revocation -> {});
                   giveUp(result.toString());
                 }
               });
@@ -404,7 +410,7 @@
     highestEpoch = Math.max(highestEpoch, next);
     moveTo(Phase.LEADING, "claimed");
     listener.elected(epoch, epochRevision);
-    replica.applied(txn, revision);
+    replica.applyCommitted(txn, revision);
     if (phase == Phase.LEADING && epoch == next) {
       eventLoop.after(ttlMs / LeaderConstants.RENEWALS_PER_GRANT, () -> renew(next));
     }
@@ -417,15 +423,15 @@
     long t0 = eventLoop.nowMs();
     state.renewLease(
         storeLeaseId,
-        status -> {
+        renewal -> {
           if (phase != Phase.LEADING || epoch != of) {
             return;
           }
-          if (status == 404) {
+          if (renewal == LeaseRenewal.EXPIRED) {
             stepDown("the grant has ended", 0);
             return;
           }
-          boolean good = status == 200;
+          boolean good = renewal == LeaseRenewal.RENEWED;
           if (good) {
             leaseUntil = Math.max(leaseUntil, t0 + leaseMs);
           }
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -7,8 +7,9 @@
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -29,7 +30,7 @@
 
   private final EventLoop eventLoop;
   private final StateClient state;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final Replica replica;
   private final JobTable table;
   private final Lease lease;
@@ -76,13 +77,13 @@
     Census census = look();
     boolean tooMany = tooMany(census);
     Txn txn = lease.fenced();
-    int most = limits.txnOps();
+    int most = limits.txnChanges();
     for (String key : census.obsolete) {
-      if (txn.ops() < most) {
+      if (txn.changes() < most) {
         txn.remove(key);
       }
     }
-    while (spare.size() > LeaderConstants.SPARE_RECORDS && txn.ops() < most) {
+    while (spare.size() > LeaderConstants.SPARE_RECORDS && txn.changes() < most) {
       // A removal that got no answer may be applied late: not to what a round has written there
       // since.
       String key = spare.take();
@@ -90,19 +91,19 @@
     }
     addLeftOvers(txn, most, Keys.FINISHED);
     addLeftOvers(txn, most, Keys.DEPENDENCIES);
-    boolean compacting = tooMany && txn.ops() <= most / 2 && compact(census, txn, most);
-    if (txn.ops() == 0) {
+    boolean compacting = tooMany && txn.changes() <= most / 2 && compact(census, txn, most);
+    if (txn.changes() == 0) {
       return;
     }
     sweeping = true;
     state.txn(
         // Removals can wait, but not until what piles up is what the processes can't hold any more.
-        tooMany ? StateClient.Lane.ROUND : StateClient.Lane.UPKEEP,
+        tooMany ? RequestPriority.SCHEDULING : RequestPriority.MAINTENANCE,
         txn,
         result -> {
           sweeping = false;
           if (result instanceof TxnResult.Applied applied) {
-            replica.applied(txn, applied.revision());
+            replica.applyCommitted(txn, applied.revision());
             if (compacting) {
               log.debug(
                   "{} round records with {} starts, of which {} live, drawn together",
@@ -110,7 +111,7 @@
                   census.starts,
                   census.live);
             }
-            if (txn.ops() >= most) {
+            if (txn.changes() >= most) {
               // More is left: rounds are written faster than one sweep a pause removes them.
               sweptAt = Long.MIN_VALUE / 2;
             }
@@ -123,7 +124,7 @@
   /** One look at every record: offers those of ours that nobody needs, and counts. */
   private Census look() {
     Census census = new Census();
-    String ours = Keys.rounds(lease.epoch());
+    String ours = Keys.startRecordPrefix(lease.epoch());
     int fewLive = recordCapacity() / LeaderConstants.SPARSE_RECORD_PARTS;
     for (Map.Entry<String, StartRecord> e : table.rounds().entrySet()) {
       if (rounds.isWriting(e.getKey())) {
@@ -180,8 +181,8 @@
     StartRecord.Packer packer = new StartRecord.Packer(limits.valueBytes(), 1);
     List<String> gone = new ArrayList<>();
     for (Map.Entry<String, List<StartRecord.Start>> e : census.sparse.entrySet()) {
-      if (txn.ops() + gone.size() + 2 > most
-          || txn.conditions() + gone.size() + 2 > limits.conditions()) {
+      if (txn.changes() + gone.size() + 2 > most
+          || txn.conditions() + gone.size() + 2 > limits.txnConditions()) {
         break;
       }
       if (!packer.addAll(e.getValue())) {
@@ -200,11 +201,11 @@
 
   /** Parts of jobs that have no live record; a part may have come before its job has. */
   private void addLeftOvers(Txn txn, int most, String prefix) {
-    for (String key : replica.keys(prefix).keySet()) {
-      if (txn.ops() >= most || txn.conditions() >= limits.conditions()) {
+    for (String key : replica.revisionsUnder(prefix).keySet()) {
+      if (txn.changes() >= most || txn.conditions() >= limits.txnConditions()) {
         return;
       }
-      String id = Keys.jobOf(prefix, key);
+      String id = Keys.jobIdOf(prefix, key);
       if (table.get(id) == null) {
         // Its job came after it, or is over: which of them, the condition tells.
         txn.when(Keys.job(id), 0).remove(key);
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -14,8 +14,9 @@
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -58,7 +59,7 @@
   private final Options options;
   private final StateClient state;
   private final Replica replica;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final Lease lease;
   private final Fleet fleet;
   private final ActiveJobs runs;
@@ -141,7 +142,7 @@
 
   /** A key for a record of this term that was never used. */
   String nextKey() {
-    return Keys.round(lease.epoch(), ++seq);
+    return Keys.startRecord(lease.epoch(), ++seq);
   }
 
   /** What found no place in the last round. */
@@ -218,13 +219,13 @@
   private void write(List<Plan.Start> starts) {
     Txn txn = lease.fenced();
     Map<Machine, List<Attempt>> byMachine = new LinkedHashMap<>();
-    StartRecord.Packer records = new StartRecord.Packer(limits.valueBytes(), limits.txnOps());
+    StartRecord.Packer records = new StartRecord.Packer(limits.valueBytes(), limits.txnChanges());
     Set<String> jobs = new HashSet<>();
     for (Plan.Start s : starts) {
       String id = s.spec().id();
       ActiveJob run = runs.get(id);
       Machine m = fleet.get(s.machine());
-      if ((!jobs.contains(id) && txn.conditions() + limits.txnOps() >= limits.conditions())
+      if ((!jobs.contains(id) && txn.conditions() + limits.txnChanges() >= limits.txnConditions())
           || !records.makeRoom(s.spec(), s.task(), m.name(), m.session())) {
         // The next round's turn.
         continue;
@@ -250,7 +251,7 @@
       txn.write(key, record.write());
     }
     moveTo(Phase.WRITING);
-    state.txn(StateClient.Lane.ROUND, txn, result -> written(txn, byMachine, result));
+    state.txn(RequestPriority.SCHEDULING, txn, result -> written(txn, byMachine, result));
   }
 
   private void written(Txn txn, Map<Machine, List<Attempt>> byMachine, TxnResult result) {
@@ -260,7 +261,7 @@
     moveTo(Phase.IDLE);
     writing.clear();
     if (result instanceof TxnResult.Applied applied) {
-      replica.applied(txn, applied.revision());
+      replica.applyCommitted(txn, applied.revision());
       sendStarts(byMachine);
     } else {
       log.info("round abandoned: {}", result);
@@ -354,6 +355,6 @@
   private int mostStarts() {
     return Math.min(
         LeaderConstants.STARTS_PER_ROUND,
-        limits.txnOps() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
+        limits.txnChanges() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 }
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -237,7 +237,7 @@
       return;
     }
     if (replica.revision() < lease.epochRevision()) {
-      replica.onAdvance(this::awaitReplica);
+      replica.onNextAdvance(this::awaitReplica);
       return;
     }
     for (StartRecord record : table.rounds().values()) {
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -78,7 +78,7 @@
     this.highestEpoch = highestEpoch;
     this.cancellations = cancellations;
     List<String> members = settings.peers().stream().map(Settings.Peer::member).toList();
-    this.currency = new CancellationWatermark(replica::readAtMs, members, cancellations);
+    this.currency = new CancellationWatermark(replica::currentAsOfMs, members, cancellations);
     this.keepMs = RenewalBounds.keepMs(settings.workers());
     this.keptAtMostMs = RenewalBounds.keptAtMostMs(settings.workers());
     this.gate = new HeartbeatResponseGate(eventLoop, currency, cancellations, keepMs);
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -4,6 +4,7 @@
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.wire.Fields;
@@ -38,7 +39,7 @@
     this.state = state;
     this.member = member;
     this.onRead = onRead;
-    replica.listen((key, value, revision) -> changed(key, value));
+    replica.addListener((key, value, revision) -> changed(key, value));
   }
 
   /** A worker came here that obeys the leader of this epoch. */
@@ -68,17 +69,19 @@
     log.info(
         "epoch {}: {} workers of a leader that can't be reached come here", epoch, comers.size());
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         // Not conditional on anything: it is a hint, and says itself which epoch it is about.
         new Txn()
             .write(
-                Keys.heard(member),
+                Keys.unreachableLeader(member),
                 Fields.create().with("epoch", epoch).with("workers", (long) comers.size())),
         result -> writing = false);
   }
 
   private void changed(String key, Fields value) {
-    if (value == null || !key.startsWith(Keys.HEARD) || key.equals(Keys.heard(member))) {
+    if (value == null
+        || !key.startsWith(Keys.UNREACHABLE_LEADER)
+        || key.equals(Keys.unreachableLeader(member))) {
       return;
     }
     try {
--- /dev/null
+++ b/src/main/java/fennelthread/state/KeyPage.java
@@ -0,0 +1,11 @@
+package fennelthread.state;
+
+import java.util.List;
+
+/**
+ * One page of the keys with a common prefix, in the order of the keys.
+ *
+ * @param more true if further keys follow the last one of this page
+ * @param revision the revision of the store at which the page was read
+ */
+public record KeyPage(List<KeyValue> items, boolean more, long revision) {}
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -1,107 +1,117 @@
 package fennelthread.state;
 
 /**
- * Where things stand in the state service. Everything that a controller follows by watch is under
- * one prefix; final answers are kept outside of it, so that a start reads only what still lives.
+ * The layout of the keys in the state service. Everything that controllers follow by watch is under
+ * one prefix; final records are outside of it, so that a start reads only jobs that are live.
  */
 public final class Keys {
   /** The prefix that every controller watches. */
   public static final String LIVE = "live/";
 
-  /** Bound to the leader's grant: who leads. */
-  public static final String LEAD = LIVE + "lead";
+  /** The leader's record, bound to its lease. */
+  public static final String LEADER = LIVE + "lead";
 
-  /** Without a grant: the highest epoch ever claimed. */
+  /** The highest epoch ever claimed; bound to no lease. */
   public static final String EPOCH = LIVE + "epoch";
 
-  /** Without a grant: the epoch whose leader does without its peers' promises, 0 for none. */
-  public static final String SOLO = LIVE + "solo";
+  /**
+   * The declaration of unilateral leadership: the epoch whose leader does without its peers'
+   * promises, 0 for none. Bound to no lease.
+   */
+  public static final String UNILATERAL_LEADERSHIP = LIVE + "solo";
 
-  /** The machine types, kept for starts during an outage of the cloud. */
+  /** The machine types, stored for starts during an outage of the cloud provider. */
   public static final String MACHINE_TYPES = LIVE + "flavors";
 
-  /** Prefix of accepted jobs that are neither done nor cancelled. */
+  /** Prefix of the records of live jobs: accepted, and neither done nor cancelled. */
   public static final String JOB = LIVE + "job/";
 
-  /** Prefix of finished tasks, per job and chunk. */
+  /** Prefix of the finished tasks of live jobs, by job and chunk. */
   public static final String FINISHED = LIVE + "finished/";
 
-  /** Prefix of round records. */
-  public static final String ROUND = LIVE + "round/";
+  /** Prefix of the start records of scheduling rounds. */
+  public static final String START_RECORD = LIVE + "round/";
 
   /**
-   * Prefix of the needs that found no room in a live job's own record, per job and part. It sorts
-   * before {@link #JOB}: a copy that loads in order has the needs before the job.
+   * Prefix of the dependencies that did not fit into a live job's own record, by job and part. It
+   * sorts before {@link #JOB}: a replica that loads in order has the dependencies before the job.
    */
   public static final String DEPENDENCIES = LIVE + "chain/";
 
-  /** Prefix of what followers say when workers of a leader come to them that they can't reach. */
-  public static final String HEARD = LIVE + "heard/";
+  /**
+   * Prefix of the notices by which followers say that workers of a leader reach them, and they
+   * can't reach that leader.
+   */
+  public static final String UNREACHABLE_LEADER = LIVE + "heard/";
 
-  /** Never written: whoever asks for it is told how many changes there were. */
-  static final String NONE = "none";
+  /** A key that is never written: the answer to its read carries the store's revision. */
+  static final String NONEXISTENT = "none";
 
   private static final String FINAL = "final/";
 
   private Keys() {}
 
   /**
-   * True for records that a listener decodes and keeps: a copy need not hold their values a second
-   * time, which thousands of round records once made the larger part of the heap.
+   * True for records that a listener decodes and keeps: the replica drops their values, since
+   * thousands of start records held twice once made the larger part of the heap.
    */
   static boolean isDecoded(String key) {
     return key.startsWith(JOB)
         || key.startsWith(FINISHED)
-        || key.startsWith(ROUND)
+        || key.startsWith(START_RECORD)
         || key.startsWith(DEPENDENCIES);
   }
 
   /** The record of a live job. */
-  public static String job(String id) {
-    return JOB + id;
+  public static String job(String jobId) {
+    return JOB + jobId;
   }
 
   /** The record of a job that is done or cancelled. */
-  public static String finalJob(String id) {
-    return FINAL + id;
+  public static String finalJob(String jobId) {
+    return FINAL + jobId;
   }
 
-  /** What one member says of a leader's workers. */
-  public static String heard(String member) {
-    return HEARD + member;
+  /** The notice of one member that it can't reach the leader of workers that reach it. */
+  public static String unreachableLeader(String member) {
+    return UNREACHABLE_LEADER + member;
   }
 
-  /** One part of a job's needs beyond those in its record. */
-  public static String dependencies(String id, int part) {
-    return DEPENDENCIES + id + "/" + part;
+  /** One part of a job's dependencies beyond those in its record. */
+  public static String dependencies(String jobId, int part) {
+    return DEPENDENCIES + jobId + "/" + part;
   }
 
-  /** Prefix of a job's finished tasks. */
-  public static String finishedOf(String id) {
-    return FINISHED + id + "/";
+  /** Prefix of one job's finished tasks. */
+  public static String finishedPrefix(String jobId) {
+    return FINISHED + jobId + "/";
   }
 
   /** One chunk of a job's finished tasks. */
-  public static String finished(String id, int chunk) {
-    return finishedOf(id) + chunk;
+  public static String finished(String jobId, int chunk) {
+    return finishedPrefix(jobId) + chunk;
   }
 
-  /** Prefix of the round records of one epoch. */
-  public static String rounds(long epoch) {
-    return ROUND + String.format("%010d", epoch);
+  /** Prefix of the start records of one epoch. */
+  public static String startRecordPrefix(long epoch) {
+    return START_RECORD + String.format("%010d", epoch);
   }
 
-  /** One round record; {@code seq} counts within the epoch. */
-  public static String round(long epoch, long seq) {
-    return rounds(epoch) + String.format("-%08d", seq);
+  /** One start record; {@code sequence} counts within the epoch. */
+  public static String startRecord(long epoch, long sequence) {
+    return startRecordPrefix(epoch) + String.format("-%08d", sequence);
   }
 
-  /** The job that a key of several per job belongs to: {@link #FINISHED} or {@link #NEEDS}. */
-  public static String jobOf(String prefix, String key) {
+  /**
+   * The id of the job that a key under {@link #FINISHED} or {@link #DEPENDENCIES} belongs to.
+   *
+   * @param prefix the one of the two that the key begins with
+   */
+  public static String jobIdOf(String prefix, String key) {
     return key.substring(prefix.length(), key.lastIndexOf('/'));
   }
 
-  /** Which part of its job such a key is. */
+  /** The number of the chunk or part that such a key holds. */
   public static int partOf(String key) {
     return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
   }
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -10,258 +10,267 @@
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller's copy of everything under {@link Keys#LIVE}, followed by watch. It may be behind;
- * whoever answers a user from it confirms revisions first.
+ * A controller's replica of all keys under {@link Keys#LIVE}, loaded page by page and then followed
+ * by watch. It may lag behind the store: whoever answers a user from it confirms revisions first.
+ * Used on the event loop's thread only.
  */
 public final class Replica {
   private static final Logger log = LoggerFactory.getLogger(Replica.class);
 
-  /** How far the copy is. */
-  public enum Phase {
+  /** Whether all keys are present. */
+  private enum Phase {
+    /** Pages of keys are being read. */
     LOADING,
+    /** All keys were read; changes arrive by watch. */
     FOLLOWING
   }
 
-  /** Told of every change, after it was made; {@code value} is null for a removal. */
+  /** Receives every change of a key after it was applied to the replica. */
+  @FunctionalInterface
   public interface Listener {
-    /** A key has changed. */
-    void changed(String key, Fields value, long revision);
+    /** Handles a change; {@code value} is null for a removal. */
+    void onChange(String key, Fields value, long revision);
   }
 
+  /** The value is null for keys that listeners decode: see {@link Keys#isDecoded}. */
   private record Versioned(Fields value, long revision) {}
 
   private final EventLoop eventLoop;
   private final StateClient state;
   private final TreeMap<String, Versioned> entries = new TreeMap<>();
-  private final Map<String, Long> removed = new HashMap<>();
+  private final Map<String, Long> removalRevisions = new HashMap<>();
   private final List<Listener> listeners = new ArrayList<>();
-  private final List<Runnable> waiters = new ArrayList<>();
+  private final List<Runnable> advanceCallbacks = new ArrayList<>();
   private Phase phase = Phase.LOADING;
+  private Set<String> loadedKeys = Set.of();
   private long revision;
   private long loadRevision;
-  private long loadedFromMs;
-  private long readAtMs = Long.MIN_VALUE / 2;
-  private Set<String> loaded;
+  private long loadStartedAtMs;
+  private long currentAsOfMs = Long.MIN_VALUE / 2;
 
-  /** Creates an empty copy; {@link #start} fills it. */
+  /** Creates an empty replica; {@link #start} fills it. */
   public Replica(EventLoop eventLoop, StateClient state) {
     this.eventLoop = eventLoop;
     this.state = state;
   }
 
-  /** Adds a listener. */
-  public void listen(Listener listener) {
+  /** Adds a listener; listeners are called in the order in which they were added. */
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
-  /** Begins to load and follow. */
+  /** Starts to load all keys and then to follow their changes. */
   public void start() {
-    moveTo(Phase.LOADING);
-    loaded = new HashSet<>();
+    transitionTo(Phase.LOADING);
+    loadedKeys = new HashSet<>();
     loadRevision = 0;
-    loadedFromMs = eventLoop.nowMs();
-    loadFrom(null);
+    loadStartedAtMs = eventLoop.nowMs();
+    loadPage(null);
   }
 
-  /** True once everything was read. */
+  /** True once all keys were read. */
   public boolean isReady() {
     return phase == Phase.FOLLOWING;
   }
 
-  /** The revision that the copy has reached. */
+  /** The revision of the store that the replica has reached. */
   public long revision() {
     return revision;
   }
 
   /**
-   * The state service has said that there were so many changes, when it was asked at {@code
-   * askedAtMs}: if the copy has them all it is as good as read then. A watch that waits for a
-   * change says nothing meanwhile.
+   * Records that the store had reached {@code storeRevision} when it was asked at {@code
+   * askedAtMs}: a replica that has reached it too is as current as if it had been read then. An
+   * open watch says nothing while nothing changes.
    */
-  public void confirmed(long changes, long askedAtMs) {
-    if (changes <= revision) {
-      readAtMs = Math.max(readAtMs, askedAtMs);
+  public void confirmRevision(long storeRevision, long askedAtMs) {
+    if (storeRevision <= revision) {
+      currentAsOfMs = Math.max(currentAsOfMs, askedAtMs);
     }
   }
 
-  /**
-   * When what the copy holds was asked for, ms: everything that was applied before then is in it.
-   */
-  public long readAtMs() {
-    return readAtMs;
+  /** The moment before which every change that was committed is in the replica, ms. */
+  public long currentAsOfMs() {
+    return currentAsOfMs;
   }
 
-  /** Runs {@code task} after each advance of the copy, until it says that it is done. */
-  public void onAdvance(Runnable task) {
-    waiters.add(task);
+  /** Runs {@code callback} once, after the next time that the watch or a load has advanced. */
+  public void onNextAdvance(Runnable callback) {
+    advanceCallbacks.add(callback);
   }
 
-  /** The value of a key that no listener decodes ({@link Keys#isDecoded}), or null. */
+  /** The value of a key that no listener decodes ({@link Keys#isDecoded}), null without one. */
   public Fields get(String key) {
-    Versioned v = entries.get(key);
-    return v == null ? null : v.value;
+    Versioned entry = entries.get(key);
+    return entry == null ? null : entry.value;
   }
 
-  /** The revision of a key, 0 if it does not exist here. */
+  /** The revision of a key, 0 if it is not in the replica. */
   public long revisionOf(String key) {
-    Versioned v = entries.get(key);
-    return v == null ? 0 : v.revision;
+    Versioned entry = entries.get(key);
+    return entry == null ? 0 : entry.revision;
   }
 
-  /** All keys with the prefix, in order. */
-  public NavigableMap<String, Long> keys(String prefix) {
-    TreeMap<String, Long> keys = new TreeMap<>();
+  /** A copy of all keys with a prefix, in order, each with its revision. */
+  public NavigableMap<String, Long> revisionsUnder(String prefix) {
+    TreeMap<String, Long> revisions = new TreeMap<>();
     entries
         .subMap(prefix, true, prefix + '\uffff', false)
-        .forEach((key, v) -> keys.put(key, v.revision));
-    return keys;
+        .forEach((key, entry) -> revisions.put(key, entry.revision));
+    return revisions;
   }
 
-  /** Takes over what a transaction of ours has changed, without waiting for the watch. */
-  public void applied(Txn txn, long at) {
-    if (at <= revision) {
+  /** Applies a transaction of this controller that was committed, ahead of the watch. */
+  public void applyCommitted(Txn txn, long commitRevision) {
+    if (commitRevision <= revision) {
       // The watch has brought this change already, and perhaps a later one that undid it: applying
       // it again would bring a removed job back to life.
       return;
     }
-    txn.writeMap().forEach((key, value) -> put(key, value, at));
-    txn.removeList().forEach(key -> remove(key, at));
+    txn.writesByKey().forEach((key, value) -> put(key, value, commitRevision));
+    txn.removedKeys().forEach(key -> remove(key, commitRevision));
   }
 
-  /** Takes over an entry that was read by itself, if the copy has not come so far yet. */
-  public void learned(StateClient.Entry entry) {
-    if (entry.value() != null && entry.revision() > revision) {
+  /** Applies an entry that was read by itself, unless the replica has passed its revision. */
+  public void applyRead(KeyValue entry) {
+    if (entry.revision() > revision) {
       put(entry.key(), entry.value(), entry.revision());
     }
   }
 
-  private void moveTo(Phase next) {
+  /** The only place where the phase changes. */
+  private void transitionTo(Phase next) {
     if (phase != next) {
-      log.debug("replica {} -> {} at {}", phase, next, revision);
+      log.debug("replica phase changed from={} to={} revision={}", phase, next, revision);
     }
     phase = next;
   }
 
-  private void loadFrom(String since) {
-    state.list(
-        Keys.LIVE,
-        since,
-        page -> {
-          if (page == null) {
-            retry(() -> loadFrom(since));
-            return;
-          }
-          if (loadRevision == 0) {
-            loadRevision = page.revision();
-          }
-          for (StateClient.Entry e : page.items()) {
-            // Taken over page by page: all values at once are a large part of a small heap.
-            loaded.add(e.key());
-            put(e.key(), e.value(), e.revision());
-          }
-          if (page.more() && !page.items().isEmpty()) {
-            loadFrom(page.items().get(page.items().size() - 1).key());
-            return;
-          }
-          finishLoad();
-        });
+  // ---------------------------------------------------------------- loading
+
+  private void loadPage(String afterKey) {
+    state.list(Keys.LIVE, afterKey, page -> onPage(afterKey, page));
+  }
+
+  private void onPage(String afterKey, Optional<KeyPage> result) {
+    if (result.isEmpty()) {
+      retryLater(() -> loadPage(afterKey));
+      return;
+    }
+    KeyPage page = result.get();
+    if (loadRevision == 0) {
+      loadRevision = page.revision();
+    }
+    for (KeyValue entry : page.items()) {
+      // Applied page by page: all values at once are a large part of a small heap.
+      loadedKeys.add(entry.key());
+      put(entry.key(), entry.value(), entry.revision());
+    }
+    if (page.more() && !page.items().isEmpty()) {
+      loadPage(page.items().get(page.items().size() - 1).key());
+      return;
+    }
+    finishLoad();
   }
 
   private void finishLoad() {
     for (String key : new ArrayList<>(entries.keySet())) {
-      // Written by ourselves after the list was read: a newer revision than the list's stays.
-      if (!loaded.contains(key) && entries.get(key).revision <= loadRevision) {
+      // Entries that this controller wrote after the list was read have newer revisions, and stay.
+      if (!loadedKeys.contains(key) && entries.get(key).revision <= loadRevision) {
         remove(key, loadRevision);
       }
     }
-    loaded = null;
+    loadedKeys = Set.of();
     revision = Math.max(revision, loadRevision);
-    readAtMs = Math.max(readAtMs, loadedFromMs);
-    moveTo(Phase.FOLLOWING);
-    advanced();
-    follow(loadRevision);
+    currentAsOfMs = Math.max(currentAsOfMs, loadStartedAtMs);
+    transitionTo(Phase.FOLLOWING);
+    runAdvanceCallbacks();
+    watch(loadRevision);
   }
 
-  private void follow(long since) {
-    long openedAt = eventLoop.nowMs();
-    state.watch(
-        Keys.LIVE,
-        since,
-        changes -> {
-          if (changes == null) {
-            retry(() -> follow(since));
-            return;
-          }
-          if (changes.tooOld()) {
-            start();
-            return;
-          }
-          for (StateClient.Entry e : changes.log()) {
-            if (e.value() == null) {
-              remove(e.key(), e.revision());
-            } else {
-              put(e.key(), e.value(), e.revision());
-            }
-          }
-          long reached = Math.max(since, changes.revision());
-          revision = Math.max(revision, reached);
-          removed.values().removeIf(at -> at <= reached);
-          readAtMs = Math.max(readAtMs, openedAt);
-          advanced();
-          long gap = StateConstants.WATCH_GAP_MS - (eventLoop.nowMs() - openedAt);
-          if (gap > 0) {
-            eventLoop.after(gap, () -> follow(reached));
-          } else {
-            follow(reached);
-          }
-        });
+  // ---------------------------------------------------------------- watching
+
+  private void watch(long afterRevision) {
+    long sentAtMs = eventLoop.nowMs();
+    state.watch(Keys.LIVE, afterRevision, result -> onWatchResult(afterRevision, sentAtMs, result));
   }
 
-  private void advanced() {
-    List<Runnable> now = new ArrayList<>(waiters);
-    waiters.clear();
-    now.forEach(Runnable::run);
+  private void onWatchResult(long afterRevision, long sentAtMs, WatchResult result) {
+    if (result instanceof WatchResult.Changes batch) {
+      applyChanges(batch, Math.max(afterRevision, batch.revision()), sentAtMs);
+    } else if (result instanceof WatchResult.Compacted) {
+      start();
+    } else {
+      retryLater(() -> watch(afterRevision));
+    }
   }
 
-  private void retry(Runnable task) {
-    eventLoop.after(
-        (long)
-            (ProtocolConstants.RETRY_MS
-                * (1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble())),
-        task);
+  private void applyChanges(WatchResult.Changes batch, long reachedRevision, long sentAtMs) {
+    for (KeyChange change : batch.changes()) {
+      if (change instanceof KeyChange.Put put) {
+        put(put.key(), put.value(), put.revision());
+      } else {
+        remove(change.key(), change.revision());
+      }
+    }
+    revision = Math.max(revision, reachedRevision);
+    removalRevisions.values().removeIf(removedAt -> removedAt <= reachedRevision);
+    currentAsOfMs = Math.max(currentAsOfMs, sentAtMs);
+    runAdvanceCallbacks();
+    long pauseMs = StateConstants.MIN_WATCH_INTERVAL_MS - (eventLoop.nowMs() - sentAtMs);
+    if (pauseMs > 0) {
+      eventLoop.after(pauseMs, () -> watch(reachedRevision));
+    } else {
+      watch(reachedRevision);
+    }
   }
 
-  private void put(String key, Fields value, long at) {
+  private void runAdvanceCallbacks() {
+    List<Runnable> callbacks = new ArrayList<>(advanceCallbacks);
+    advanceCallbacks.clear();
+    callbacks.forEach(Runnable::run);
+  }
+
+  private void retryLater(Runnable request) {
+    double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
+    eventLoop.after((long) (ProtocolConstants.RETRY_MS * jitter), request);
+  }
+
+  // ---------------------------------------------------------------- entries
+
+  private void put(String key, Fields value, long putRevision) {
     if (!key.startsWith(Keys.LIVE)) {
       return;
     }
     Versioned known = entries.get(key);
-    Long gone = removed.get(key);
-    if ((known != null && known.revision >= at) || (gone != null && gone >= at)) {
+    Long removedAt = removalRevisions.get(key);
+    if ((known != null && known.revision >= putRevision)
+        || (removedAt != null && removedAt >= putRevision)) {
       return;
     }
-    entries.put(key, new Versioned(Keys.isDecoded(key) ? null : value, at));
-    listeners.forEach(l -> l.changed(key, value, at));
+    entries.put(key, new Versioned(Keys.isDecoded(key) ? null : value, putRevision));
+    listeners.forEach(listener -> listener.onChange(key, value, putRevision));
   }
 
-  private void remove(String key, long at) {
+  private void remove(String key, long removeRevision) {
     if (!key.startsWith(Keys.LIVE)) {
       return;
     }
     Versioned known = entries.get(key);
-    if (known != null && known.revision > at) {
+    if (known != null && known.revision > removeRevision) {
       return;
     }
-    removed.merge(key, at, Math::max);
+    removalRevisions.merge(key, removeRevision, Math::max);
     if (known != null) {
       entries.remove(key);
-      listeners.forEach(l -> l.changed(key, null, at));
+      listeners.forEach(listener -> listener.onChange(key, null, removeRevision));
     }
   }
 }
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -5,146 +5,135 @@
 import java.util.Map;
 
 /**
- * Judges from requests and their answers whether the state service serves. One lost answer says
- * little: it counts against the service only if nothing was answered since that request was sent,
- * and only together with a second one. An answer of any status ends the suspicion. Pure: the time
- * is handed in.
+ * Judges from requests and their answers whether the state service responds. A lost answer is weak
+ * evidence: it counts only if nothing was answered since its request was sent, and only together
+ * with a second one. An answer of any status clears the evidence. Reads no clock: times are handed
+ * in, in milliseconds. Not thread-safe.
  */
 public final class ServiceHealth {
-  /** What is thought of the service. */
-  public enum Verdict {
+  /** What the evidence says of the service. */
+  public enum Status {
     /** It answers, or has had no time to. */
-    SERVING,
-    /** One request is overdue and nothing was answered since it was sent: a second one tells. */
-    DOUBTFUL,
-    /** Several requests are overdue and nothing was answered since they were sent. */
-    SILENT
-  }
-
-  private final Map<Long, Long> outstanding = new LinkedHashMap<>();
-  private long lastTicket;
-  private long answeredAtMs;
-  private long servedAtMs;
-  private long failedAtMs = -1;
-  private int unansweredSinceAnswer;
-  private double typicalMs;
-  private long answered;
-  private long unanswered;
-  private long refused;
-
-  /** Creates the judgement of a service that has not been asked yet. */
+    RESPONSIVE,
+    /** One request is overdue, and nothing was answered since it was sent: a probe will tell. */
+    SUSPECT,
+    /** Several requests are overdue, and nothing was answered since they were sent. */
+    UNRESPONSIVE
+  }
+
+  private final Map<Long, Long> sentAtMsById = new LinkedHashMap<>();
+  private long lastRequestId;
+  private long lastAnswerAtMs;
+  private long lastServedAtMs;
+  private long lastFailureAtMs = -1;
+  private int timeoutsSinceAnswer;
+  private double averageLatencyMs;
+
+  /** Creates the health of a service that was not asked yet and counts as serving until now. */
   public ServiceHealth(long nowMs) {
-    this.answeredAtMs = nowMs;
-    this.servedAtMs = nowMs;
+    this.lastAnswerAtMs = nowMs;
+    this.lastServedAtMs = nowMs;
   }
 
-  /** A request leaves; gives the ticket by which its end is reported. */
-  public long sent(long nowMs) {
-    outstanding.put(++lastTicket, nowMs);
-    return lastTicket;
+  /** Records that a request was sent, and gives the id by which its outcome is recorded. */
+  public long recordSent(long nowMs) {
+    sentAtMsById.put(++lastRequestId, nowMs);
+    return lastRequestId;
   }
 
-  /** A request was answered well, whatever its conditions came to. */
-  public void served(long ticket, long nowMs) {
-    end(ticket, nowMs);
-    servedAtMs = nowMs;
+  /** Records that a request was served, whether its conditions held or not. */
+  public void recordSuccess(long requestId, long nowMs) {
+    recordTimedAnswer(requestId, nowMs);
+    lastServedAtMs = nowMs;
   }
 
-  /** A request was answered with 503: not executed. */
-  public void refused(long ticket, long nowMs) {
-    end(ticket, nowMs);
-    failedAtMs = nowMs;
-    refused++;
+  /** Records an answer with 503: the request was not executed. */
+  public void recordRefusal(long requestId, long nowMs) {
+    recordTimedAnswer(requestId, nowMs);
+    lastFailureAtMs = nowMs;
   }
 
-  /** A request was answered with 429: the service is there and was asked too much. */
-  public void busy(long ticket, long nowMs) {
-    end(ticket, nowMs);
+  /** Records an answer with 429: neither a failure of the service nor a request served. */
+  public void recordRateLimited(long requestId, long nowMs) {
+    recordTimedAnswer(requestId, nowMs);
   }
 
-  /** A request got no answer in its time. */
-  public void unanswered(long ticket, long nowMs) {
-    Long sentAt = outstanding.remove(ticket);
-    unanswered++;
-    failedAtMs = nowMs;
-    if (sentAt != null && sentAt >= answeredAtMs) {
-      unansweredSinceAnswer++;
+  /** Records that a request had no answer in its time. */
+  public void recordTimeout(long requestId, long nowMs) {
+    Long sentAtMs = sentAtMsById.remove(requestId);
+    lastFailureAtMs = nowMs;
+    if (sentAtMs != null && sentAtMs >= lastAnswerAtMs) {
+      timeoutsSinceAnswer++;
     }
   }
 
-  /** A request that is not timed, such as a watch, was answered well. */
-  public void servedUntimed(long nowMs) {
-    heard(nowMs);
-    servedAtMs = nowMs;
+  /** Records that a long poll was served: it was never recorded as sent, and has no latency. */
+  public void recordLongPollSuccess(long nowMs) {
+    recordAnswer(nowMs);
+    lastServedAtMs = nowMs;
   }
 
-  private void heard(long nowMs) {
-    answeredAtMs = nowMs;
-    unansweredSinceAnswer = 0;
+  private void recordAnswer(long nowMs) {
+    lastAnswerAtMs = nowMs;
+    timeoutsSinceAnswer = 0;
   }
 
-  private void end(long ticket, long nowMs) {
-    Long sentAt = outstanding.remove(ticket);
-    answered++;
-    heard(nowMs);
-    if (sentAt != null) {
-      double took = nowMs - sentAt;
-      typicalMs += (took - typicalMs) * StateConstants.STATE_TYPICAL_WEIGHT;
+  private void recordTimedAnswer(long requestId, long nowMs) {
+    Long sentAtMs = sentAtMsById.remove(requestId);
+    recordAnswer(nowMs);
+    if (sentAtMs != null) {
+      double latencyMs = nowMs - sentAtMs;
+      averageLatencyMs += (latencyMs - averageLatencyMs) * StateConstants.LATENCY_AVERAGE_WEIGHT;
     }
   }
 
-  /** What is thought of the service now. */
-  public Verdict verdict(long nowMs) {
-    int evidence = unansweredSinceAnswer;
-    for (long sentAt : outstanding.values()) {
-      if (sentAt >= answeredAtMs && nowMs - sentAt >= StateConstants.STATE_OVERDUE_MS) {
+  /** What the evidence says of the service now. */
+  public Status status(long nowMs) {
+    int evidence = timeoutsSinceAnswer;
+    for (long sentAtMs : sentAtMsById.values()) {
+      if (sentAtMs >= lastAnswerAtMs && nowMs - sentAtMs >= StateConstants.REQUEST_OVERDUE_MS) {
         evidence++;
       }
     }
     if (evidence == 0) {
-      return Verdict.SERVING;
+      return Status.RESPONSIVE;
     }
-    return evidence < StateConstants.STATE_SILENT_REQUESTS ? Verdict.DOUBTFUL : Verdict.SILENT;
+    return evidence < StateConstants.UNRESPONSIVE_EVIDENCE ? Status.SUSPECT : Status.UNRESPONSIVE;
   }
 
-  /** How long until a request may become overdue, ms. */
-  public long untilOverdueMs(long nowMs) {
-    for (long sentAt : outstanding.values()) {
-      long left = sentAt + StateConstants.STATE_OVERDUE_MS - nowMs;
-      if (sentAt >= answeredAtMs && left > 0) {
-        return left;
+  /** The time until a request may become overdue, ms. */
+  public long msUntilOverdue(long nowMs) {
+    for (long sentAtMs : sentAtMsById.values()) {
+      long leftMs = sentAtMs + StateConstants.REQUEST_OVERDUE_MS - nowMs;
+      if (sentAtMs >= lastAnswerAtMs && leftMs > 0) {
+        return leftMs;
       }
     }
-    return StateConstants.STATE_OVERDUE_MS;
+    return StateConstants.REQUEST_OVERDUE_MS;
   }
 
   /** True while requests wait for their answers. */
-  public boolean isWaiting() {
-    return !outstanding.isEmpty();
+  public boolean hasOutstandingRequests() {
+    return !sentAtMsById.isEmpty();
   }
 
   /**
-   * After how long an answer is worth asking for again, ms: several times what answers take, so
-   * that a slow service is not asked three times for everything.
+   * The time after which a transaction without an answer is worth sending again, ms: several times
+   * the average latency, so that a slow service is not sent everything three times.
    */
-  public long overdueMs() {
+  public long overdueAfterMs() {
     return Math.max(
-        StateConstants.ANSWER_OVERDUE_MS,
-        (long) (typicalMs * StateConstants.STATE_OVERDUE_TYPICAL));
+        StateConstants.MIN_TXN_OVERDUE_MS,
+        (long) (averageLatencyMs * StateConstants.TXN_OVERDUE_LATENCIES));
   }
 
-  /** When the service last answered well, ms. */
-  public long servedAtMs() {
-    return servedAtMs;
+  /** When the service last served a request, ms. */
+  public long lastServedAtMs() {
+    return lastServedAtMs;
   }
 
-  /** How long it has not answered well, ms; 0 if its last answer was good. */
+  /** How long the service has not served a request, ms; 0 if it served the last one. */
   public long failingForMs(long nowMs) {
-    return failedAtMs > servedAtMs ? nowMs - servedAtMs : 0;
-  }
-
-  /** The counts, for a line of the log. */
-  public String memoryUsage() {
-    return answered + " answers, " + refused + " of them 503, " + unanswered + " missing";
+    return lastFailureAtMs > lastServedAtMs ? nowMs - lastServedAtMs : 0;
   }
 }
--- /dev/null
+++ b/src/main/java/fennelthread/state/SizeLimits.java
@@ -0,0 +1,80 @@
+package fennelthread.state;
+
+import fennelthread.constants.StateConstants;
+import fennelthread.settings.Settings;
+import fennelthread.wire.Codec;
+import fennelthread.wire.Fields;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The limits on the sizes of values and transactions that every writer asks. They start at the
+ * lower of the limits that the settings hold for now and for later, since the later ones come
+ * without notice. If the service turns out to accept even less, they shrink, so that what was
+ * rejected is rebuilt in smaller pieces and is not sent unchanged for ever. Used on the event
+ * loop's thread only.
+ */
+public final class SizeLimits {
+  private static final Logger log = LoggerFactory.getLogger(SizeLimits.class);
+
+  private int valueBytes;
+  private int txnChanges;
+
+  /** Creates the limits that the settings promise. */
+  public SizeLimits(Settings.State settings) {
+    this.valueBytes = settings.valueBytes();
+    this.txnChanges = settings.txnOps();
+  }
+
+  /** The largest value to write, bytes as {@link #encodedBytes} counts them. */
+  public int valueBytes() {
+    return valueBytes - StateConstants.VALUE_OVERHEAD_BYTES;
+  }
+
+  /** The largest number of changes, puts and deletes, in a transaction. */
+  public int txnChanges() {
+    return txnChanges;
+  }
+
+  /** The largest number of conditions in a transaction. */
+  public int txnConditions() {
+    return StateConstants.CONDITIONS_PER_CHANGE * txnChanges;
+  }
+
+  /** The largest sum of the sizes of all values in a transaction, bytes. */
+  public int txnBytes() {
+    return StateConstants.MAX_TXN_BYTES;
+  }
+
+  /** The size of a value as the service counts it, bytes. */
+  public static int encodedBytes(Fields value) {
+    return Codec.JSON.encode(value).length;
+  }
+
+  /**
+   * Shrinks the limits after the service has rejected a transaction as malformed, which is how it
+   * rejects one that is too large: first the number of changes, then the size of values.
+   */
+  void shrinkAfterRejection(Txn txn) {
+    int largestBytes = 0;
+    for (Fields value : txn.writesByKey().values()) {
+      largestBytes = Math.max(largestBytes, encodedBytes(value));
+    }
+    int perChange = StateConstants.CONDITIONS_PER_CHANGE;
+    int usedChanges = Math.max(txn.changes(), (txn.conditions() + perChange - 1) / perChange);
+    if (usedChanges > StateConstants.MIN_TXN_CHANGES) {
+      txnChanges = Math.min(txnChanges, Math.max(StateConstants.MIN_TXN_CHANGES, usedChanges / 2));
+    } else {
+      int halfOfLargest = largestBytes / 2 + StateConstants.VALUE_OVERHEAD_BYTES;
+      valueBytes = Math.min(valueBytes, Math.max(StateConstants.MIN_VALUE_BYTES, halfOfLargest));
+    }
+    log.error(
+        "transaction rejected as too large changes={} conditions={} largestValueBytes={} "
+            + "newMaxChanges={} newMaxValueBytes={}",
+        txn.changes(),
+        txn.conditions(),
+        largestBytes,
+        txnChanges,
+        valueBytes());
+  }
+}
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -6,400 +6,213 @@
 import fennelthread.net.Call;
 import fennelthread.net.EventLoop;
 import fennelthread.settings.Settings;
+import fennelthread.state.StateTransport.StateRequest;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
-import fennelthread.wire.WireException;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
-import java.util.function.LongConsumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** Speaks to the state service within its request budget. Renewals never wait behind others. */
+/**
+ * The client of the state service, a consensus-backed key-value store with revisions,
+ * compare-and-swap transactions, leases and watches. Reads, watches and transactions are
+ * rate-limited by {@link RequestQueue}; requests about leases are sent at once. All methods and
+ * callbacks run on the event loop's thread; a request's callback runs exactly once.
+ */
 public final class StateClient {
-  private static final Logger log = LoggerFactory.getLogger(StateClient.class);
-
-  /**
-   * A key's value and revision; {@code value} is null if the key does not exist, and the revision
-   * that of the latest change of any key then.
-   */
-  public record Entry(String key, Fields value, long revision, long leaseId) {}
-
-  /** One page of a list. */
-  public record Page(List<Entry> items, boolean more, long revision) {}
-
-  /** Changes since a revision; {@code tooOld} means that the keys must be read again. */
-  public record Changes(List<Entry> log, long revision, boolean tooOld) {}
-
-  /** Whose turn comes first when the budget is short; lease renewals wait for nothing. */
-  public enum Lane {
-    /** Someone waits for the answer: a user, or a copy that answers are confirmed against. */
-    ANSWER(0),
-    /** Round records: tasks wait for them. */
-    ROUND(1),
-    /** Finished tasks and removals: they can wait for quieter moments. */
-    UPKEEP(2);
-
-    private final int rank;
-
-    Lane(int rank) {
-      this.rank = rank;
-    }
-
-    /** How many lanes come before this one. */
-    int rank() {
-      return rank;
-    }
-  }
-
   private final EventLoop eventLoop;
-  private final String address;
-  private final Limits limits;
-  private final Budget budget;
+  private final SizeLimits limits;
+  private final RequestQueue queue;
   private final ServiceHealth health;
-  private boolean looking;
-  private long malformed;
+  private final StateTransport transport;
 
-  /** Creates a client. */
+  /** Creates a client of the service that the settings name; sends nothing yet. */
   public StateClient(EventLoop eventLoop, Settings settings) {
     this.eventLoop = eventLoop;
-    this.address = settings.stateAddr();
-    this.limits = new Limits(settings.state());
-    this.budget = new Budget(eventLoop, settings.state().rps(), settings.state().writeRps());
+    this.limits = new SizeLimits(settings.state());
+    this.queue = new RequestQueue(eventLoop, settings.state().rps(), settings.state().writeRps());
     this.health = new ServiceHealth(eventLoop.nowMs());
+    this.transport =
+        new StateTransport(
+            eventLoop,
+            settings.stateAddr(),
+            queue,
+            health,
+            () -> readStoreRevision(revision -> {}));
   }
 
-  /**
-   * True if a request made now, with so many changes, would be answered in the time aimed at. Not
-   * if the service is silent, or if too many wait already: then whoever asks is better told at once
-   * when to come back.
-   */
-  public boolean answersSoon(int writes) {
-    return whyNotSoon(writes) == null;
-  }
+  // ---------------------------------------------------------------- health
 
-  /** Why a request made now would not be answered soon, or null if it would. */
-  public Unavailability whyNotSoon(int writes) {
-    if (health.verdict(eventLoop.nowMs()) == ServiceHealth.Verdict.SILENT) {
-      return Unavailability.SILENT;
-    }
-    return budget.sendsSoon(writes) ? null : Unavailability.BUSY;
+  /** True if {@link #unavailability} finds nothing that keeps a request from a prompt answer. */
+  public boolean canAnswerInTime(int changes) {
+    return unavailability(changes).isEmpty();
   }
 
-  /** After how long an answer that someone waits for is worth asking for again, ms. */
-  public long overdueMs() {
-    return health.overdueMs();
+  /**
+   * Why an interactive request with so many changes, sent now, would not be answered in time: the
+   * service is unresponsive, or too many requests are queued. Whoever waits for it is better
+   * refused at once. Empty if nothing is in the way.
+   */
+  public Optional<Unavailability> unavailability(int changes) {
+    if (health.status(eventLoop.nowMs()) == ServiceHealth.Status.UNRESPONSIVE) {
+      return Optional.of(Unavailability.SILENT);
+    }
+    return queue.canSendInTime(changes) ? Optional.empty() : Optional.of(Unavailability.BUSY);
   }
 
-  /** How long the state service has refused us, ms; 0 if its last answer was good. */
-  public long refusedForMs() {
+  /**
+   * How long the service has failed to serve this controller, ms; 0 if its last answer was good.
+   */
+  public long failingForMs() {
     return health.failingForMs(eventLoop.nowMs());
   }
 
-  /** When the service last answered well. */
-  public long servedAtMs() {
-    return health.servedAtMs();
+  /** When the service last served a request of this controller, ms of the event loop's clock. */
+  public long lastServedAtMs() {
+    return health.lastServedAtMs();
   }
 
-  /** What became of the requests so far, for a line of the log. */
-  public String memoryUsage() {
-    return health.memoryUsage();
-  }
-
-  /** How large values and transactions may be. */
-  public Limits limits() {
+  /** The limits on the sizes of values and transactions. */
+  public SizeLimits limits() {
     return limits;
   }
 
-  /** Malformed answers seen so far. */
-  public long malformed() {
-    return malformed;
+  // ---------------------------------------------------------------- reads and watches
+
+  /** Reads one key. */
+  public void get(String key, Consumer<ReadResult> done) {
+    submitRead(
+        StateRequest.of(Call.get("/keys/" + key), StateConstants.REQUEST_TIMEOUT_MS),
+        answer -> done.accept(ResponseDecoder.readResult(key, answer)));
   }
 
-  /** Reads one key; null means that nothing is known. */
-  public void get(String key, Consumer<Entry> done) {
-    budget.submit(
-        Lane.ANSWER,
-        0,
-        () ->
-            call(
-                Call.get("/keys/" + key),
-                StateConstants.STATE_TIMEOUT_MS,
-                answer -> {
-                  if (answer == null) {
-                    done.accept(null);
-                  } else if (answer.status() == 404) {
-                    done.accept(parse(answer, f -> new Entry(key, null, f.count("asiento", 0), 0)));
-                  } else {
-                    done.accept(
-                        parse(
-                            answer,
-                            f ->
-                                new Entry(
-                                    key, f.inner("v"), f.count("edicion"), f.count("permiso", 0))));
-                  }
-                }),
-        () -> done.accept(null));
+  /** Reads the revision that the store has reached; empty if nothing is known. */
+  public void readStoreRevision(Consumer<OptionalLong> done) {
+    get(Keys.NONEXISTENT, result -> done.accept(storeRevisionOf(result)));
   }
 
-  /** Reads how many changes there were; -1 means that nothing is known. */
-  public void changes(LongConsumer done) {
-    get(Keys.NONE, entry -> done.accept(entry == null ? -1 : entry.revision()));
+  private static OptionalLong storeRevisionOf(ReadResult result) {
+    if (result instanceof ReadResult.Absent absent) {
+      return OptionalLong.of(absent.storeRevision());
+    }
+    if (result instanceof ReadResult.Found found) {
+      return OptionalLong.of(found.entry().revision());
+    }
+    return OptionalLong.empty();
   }
 
-  /** Reads one page of keys; null means that nothing is known. */
-  public void list(String prefix, String since, Consumer<Page> done) {
+  /**
+   * Reads one page of the keys with a prefix; empty if nothing is known.
+   *
+   * @param afterKey the last key of the page before, null for the first page
+   */
+  public void list(String prefix, String afterKey, Consumer<Optional<KeyPage>> done) {
     String path =
         "/keys?under="
             + prefix
-            + (since == null ? "" : "&since=" + since)
+            + (afterKey == null ? "" : "&since=" + afterKey)
             + "&most="
             + EmulationConstants.PAGE;
-    budget.submit(
-        Lane.ANSWER,
-        0,
-        () ->
-            call(
-                Call.get(path),
-                StateConstants.STATE_TIMEOUT_MS * 2,
-                answer ->
-                    done.accept(
-                        answer == null
-                            ? null
-                            : parse(
-                                answer,
-                                f -> {
-                                  List<Entry> items = new ArrayList<>();
-                                  for (Fields i : f.maps("items")) {
-                                    items.add(
-                                        new Entry(
-                                            i.text("key"),
-                                            i.inner("v"),
-                                            i.count("edicion"),
-                                            i.count("permiso", 0)));
-                                  }
-                                  return new Page(items, f.optFlag("more"), f.count("asiento"));
-                                }))),
-        () -> done.accept(null));
-  }
-
-  /** Sends a transaction. */
-  public void txn(Lane lane, Txn txn, Consumer<TxnResult> done) {
-    txn(lane, txn, () -> {}, done);
+    submitRead(
+        StateRequest.of(Call.get(path), StateConstants.REQUEST_TIMEOUT_MS * 2),
+        answer -> done.accept(ResponseDecoder.keyPage(answer)));
   }
 
   /**
-   * Sends a transaction; {@code overdue} is run if it has had no answer for longer than answers
-   * take, while it may still come: whoever waits for it may find out by other means.
+   * Waits for changes of keys with a prefix that follow a revision, for {@link
+   * StateConstants#WATCH_HOLD_MS} at most.
    */
-  public void txn(Lane lane, Txn txn, Runnable overdue, Consumer<TxnResult> done) {
-    budget.submit(
-        lane,
-        txn.ops(),
-        () -> {
-          EventLoop.Cancellable timer = eventLoop.after(health.overdueMs(), overdue);
-          call(
-              Call.post("/multi", Codec.CBOR, txn.body()),
-              StateConstants.STATE_TIMEOUT_MS,
-              StateConstants.STATE_TRIES_WHEN_BUSY,
-              // It speaks, and asks to be left alone: the last one to send things twice.
-              timer::cancel,
-              answer -> {
-                timer.cancel();
-                done.accept(result(txn, answer));
-              });
-        },
-        () -> done.accept(new TxnResult.Refused("too many requests wait")));
-  }
-
-  private TxnResult result(Txn txn, Answer answer) {
-    if (answer == null) {
-      return new TxnResult.Unknown();
-    }
-    switch (answer.status()) {
-      case 200 -> {
-        TxnResult applied = parse(answer, f -> new TxnResult.Applied(f.count("asiento")));
-        return applied == null ? new TxnResult.Unknown() : applied;
-      }
-      case 409 -> {
-        TxnResult conflict =
-            parse(
-                answer,
-                f ->
-                    new TxnResult.Conflict(
-                        f.optTexts("failed") == null ? List.of() : f.optTexts("failed")));
-        return conflict == null ? new TxnResult.Refused("conflict") : conflict;
-      }
-      case 400 -> {
-        if (!txn.isBound()) {
-          // With a grant, the reason is that it has ended.
-          limits.refused(txn);
-        }
-        return new TxnResult.TooLarge();
-      }
-      case 429, 503 -> {
-        return new TxnResult.Refused("status " + answer.status());
-      }
-      default -> {
-        return new TxnResult.Unknown();
-      }
-    }
-  }
-
-  /** Creates a grant; 0 means that it failed. */
-  public void createLease(long ttlMs, Consumer<Long> done) {
-    call(
-        Call.post("/grants", Codec.CBOR, Fields.create().with("ttl_ms", ttlMs)),
-        StateConstants.STATE_TIMEOUT_MS,
-        answer -> {
-          Long id = answer == null ? null : parse(answer, f -> f.count("permiso"));
-          done.accept(id == null ? 0L : id);
-        });
-  }
-
-  /** Renews a grant: gets the status, or 0 for no answer. */
-  public void renewLease(long leaseId, Consumer<Integer> done) {
-    call(
-        Call.post("/grants/" + leaseId + "/extend", Codec.CBOR, Fields.create()),
-        StateConstants.RENEW_TIMEOUT_MS,
-        answer -> done.accept(answer == null ? 0 : answer.status()));
-  }
-
-  /** Ends a grant at once: gets the status, or 0 for no answer. */
-  public void revokeLease(long leaseId, Consumer<Integer> done) {
-    call(
-        new Call("DELETE", "/grants/" + leaseId, null, Codec.CBOR),
-        StateConstants.STATE_TIMEOUT_MS,
-        answer -> done.accept(answer == null ? 0 : answer.status()));
-  }
-
-  /** Waits for changes; null means that nothing is known. */
-  public void watch(String prefix, long since, Consumer<Changes> done) {
+  void watch(String prefix, long afterRevision, Consumer<WatchResult> done) {
     String path =
-        "/watch?under=" + prefix + "&since=" + since + "&hold_ms=" + StateConstants.WATCH_HOLD_MS;
-    budget.submit(
-        Lane.ANSWER,
+        "/watch?under="
+            + prefix
+            + "&since="
+            + afterRevision
+            + "&hold_ms="
+            + StateConstants.WATCH_HOLD_MS;
+    submitRead(
+        StateRequest.longPoll(
+            Call.get(path), StateConstants.WATCH_HOLD_MS + StateConstants.REQUEST_TIMEOUT_MS),
+        answer -> done.accept(ResponseDecoder.watchResult(answer)));
+  }
+
+  private void submitRead(StateRequest request, Consumer<Answer> done) {
+    queue.submit(
+        RequestPriority.INTERACTIVE,
         0,
-        () ->
-            call(
-                Call.get(path),
-                StateConstants.WATCH_HOLD_MS + StateConstants.STATE_TIMEOUT_MS,
-                answer -> {
-                  if (answer != null && answer.status() == 410) {
-                    done.accept(new Changes(List.of(), 0, true));
-                    return;
-                  }
-                  done.accept(
-                      answer == null
-                          ? null
-                          : parse(
-                              answer,
-                              f -> {
-                                List<Entry> items = new ArrayList<>();
-                                for (Fields i : f.maps("log")) {
-                                  items.add(
-                                      i.has("remove")
-                                          ? new Entry(i.text("remove"), null, i.count("edicion"), 0)
-                                          : new Entry(
-                                              i.text("write"),
-                                              i.inner("v"),
-                                              i.count("edicion"),
-                                              i.count("permiso", 0)));
-                                }
-                                return new Changes(items, f.count("asiento"), false);
-                              }));
-                }),
+        () -> transport.send(request, done),
         () -> done.accept(null));
   }
 
-  private interface Parser<T> {
-    T parse(Fields fields) throws WireException;
-  }
+  // ---------------------------------------------------------------- transactions
 
-  /** A malformed answer is logged, counted and treated as no answer. */
-  private <T> T parse(Answer answer, Parser<T> parser) {
-    if (answer.status() != 200
-        && answer.status() != 201
-        && answer.status() != 404
-        && answer.status() != 409) {
-      return null;
-    }
-    try {
-      return parser.parse(answer.fields());
-    } catch (WireException e) {
-      malformed++;
-      log.info("malformed answer of the state service: {}", e.getMessage());
-      return null;
-    }
+  /** Sends a transaction. */
+  public void txn(RequestPriority priority, Txn txn, Consumer<TxnResult> done) {
+    txn(priority, txn, () -> {}, done);
   }
 
-  private void call(Call call, long timeoutMs, Consumer<Answer> done) {
-    call(call, timeoutMs, StateConstants.STATE_TRIES_WHEN_BUSY, () -> {}, done);
+  /**
+   * Sends a transaction.
+   *
+   * @param overdue run if there is no answer for several times as long as answers take of late. The
+   *     answer may still arrive; meanwhile the caller may find out by other means.
+   */
+  public void txn(RequestPriority priority, Txn txn, Runnable overdue, Consumer<TxnResult> done) {
+    queue.submit(
+        priority,
+        txn.changes(),
+        () -> sendTxn(txn, overdue, done),
+        () -> done.accept(new TxnResult.Refused("too many requests wait")));
   }
 
-  private void call(
-      Call call, long timeoutMs, int tries, Runnable whenBusy, Consumer<Answer> done) {
-    // A watch is answered when something changes: how long that takes says nothing.
-    boolean timed = timeoutMs <= StateConstants.WATCH_HOLD_MS;
-    long ticket = timed ? health.sent(eventLoop.nowMs()) : 0;
-    if (timed) {
-      look();
-    }
-    eventLoop.call(
-        address,
-        call,
-        timeoutMs,
+  private void sendTxn(Txn txn, Runnable overdue, Consumer<TxnResult> done) {
+    EventLoop.Cancellable timer = eventLoop.after(health.overdueAfterMs(), overdue);
+    StateRequest request =
+        new StateRequest(
+            Call.post("/multi", Codec.CBOR, txn.body()),
+            StateConstants.REQUEST_TIMEOUT_MS,
+            false,
+            // The service answers and is overloaded: no time to send anything twice.
+            timer::cancel);
+    transport.send(
+        request,
         answer -> {
-          note(ticket, timed, answer);
-          if (answer != null && answer.status() == 429) {
-            // Not executed, since all controllers together ask for too much: we hold back, and try
-            // again before whoever waits has to.
-            budget.exceeded();
-            whenBusy.run();
-            if (tries > 0) {
-              eventLoop.after(
-                  (long) (StateConstants.STATE_BUSY_MS * (1 + eventLoop.random().nextDouble())),
-                  () -> call(call, timeoutMs, tries - 1, whenBusy, done));
-              return;
-            }
+          timer.cancel();
+          TxnResult result = ResponseDecoder.txnResult(answer);
+          if (result instanceof TxnResult.TooLarge && !txn.isLeaseBound()) {
+            // One that is bound to a lease is refused like this when the lease has expired.
+            limits.shrinkAfterRejection(txn);
           }
-          done.accept(answer);
+          done.accept(result);
         });
   }
 
-  private void note(long ticket, boolean timed, Answer answer) {
-    long now = eventLoop.nowMs();
-    if (answer == null) {
-      health.unanswered(ticket, now);
-    } else if (answer.status() == 429) {
-      health.busy(ticket, now);
-    } else if (answer.status() >= 500) {
-      health.refused(ticket, now);
-    } else if (timed) {
-      health.served(ticket, now);
-    } else {
-      health.servedUntimed(now);
-    }
+  // ---------------------------------------------------------------- leases
+
+  /** Requests a new lease with a time to live, ms. */
+  public void createLease(long ttlMs, Consumer<LeaseGrant> done) {
+    transport.send(
+        StateRequest.of(
+            Call.post("/grants", Codec.CBOR, Fields.create().with("ttl_ms", ttlMs)),
+            StateConstants.REQUEST_TIMEOUT_MS),
+        answer -> done.accept(ResponseDecoder.leaseGrant(answer)));
   }
 
-  /** While requests wait, looks whether they are overdue, and asks for a sign of life if so. */
-  private void look() {
-    if (looking) {
-      return;
-    }
-    looking = true;
-    eventLoop.after(
-        health.untilOverdueMs(eventLoop.nowMs()),
-        () -> {
-          looking = false;
-          if (health.verdict(eventLoop.nowMs()) == ServiceHealth.Verdict.DOUBTFUL) {
-            // One question more tells a lost answer from a service that is silent.
-            changes(count -> {});
-          }
-          if (health.isWaiting()) {
-            look();
-          }
-        });
+  /** Renews a lease. */
+  public void renewLease(long leaseId, Consumer<LeaseRenewal> done) {
+    transport.send(
+        StateRequest.of(
+            Call.post("/grants/" + leaseId + "/extend", Codec.CBOR, Fields.create()),
+            StateConstants.LEASE_RENEWAL_TIMEOUT_MS),
+        answer -> done.accept(ResponseDecoder.leaseRenewal(answer)));
+  }
+
+  /** Revokes a lease: all keys that are bound to it are removed at once. */
+  public void revokeLease(long leaseId, Consumer<LeaseRevocation> done) {
+    transport.send(
+        StateRequest.of(
+            new Call("DELETE", "/grants/" + leaseId, null, Codec.CBOR),
+            StateConstants.REQUEST_TIMEOUT_MS),
+        answer -> done.accept(ResponseDecoder.leaseRevocation(answer)));
   }
 }
--- a/src/main/java/fennelthread/state/Txn.java
+++ b/src/main/java/fennelthread/state/Txn.java
@@ -6,81 +6,79 @@
 import java.util.List;
 import java.util.Map;
 
-/** A transaction being put together. */
+/**
+ * A compare-and-swap transaction under construction: changes that the service applies together, and
+ * only if all keys of its conditions have the revisions given. Not thread-safe.
+ */
 public final class Txn {
-  private final Map<String, Long> when = new LinkedHashMap<>();
-  private final Map<String, Fields> writes = new LinkedHashMap<>();
-  private final List<String> removes = new ArrayList<>();
-  private String boundKey;
-  private long grant;
+  private final Map<String, Long> revisionsByKey = new LinkedHashMap<>();
+  private final Map<String, Fields> writesByKey = new LinkedHashMap<>();
+  private final List<String> removedKeys = new ArrayList<>();
+  private String leaseBoundKey;
+  private long leaseId;
 
-  /** Requires that {@code key} has this revision; 0 means that it must not exist. */
+  /** Adds the condition that {@code key} has this revision; 0 means that it must not exist. */
   public Txn when(String key, long revision) {
-    when.put(key, revision);
+    revisionsByKey.put(key, revision);
     return this;
   }
 
-  /** Writes a key. */
+  /** Adds the write of a key. */
   public Txn write(String key, Fields value) {
-    writes.put(key, value);
+    writesByKey.put(key, value);
     return this;
   }
 
-  /** Writes a key that vanishes with a grant. */
-  public Txn writeBound(String key, Fields value, long grant) {
-    this.boundKey = key;
-    this.grant = grant;
+  /** Adds the write of a key that is bound to a lease; a transaction holds at most one such. */
+  public Txn writeWithLease(String key, Fields value, long boundTo) {
+    this.leaseBoundKey = key;
+    this.leaseId = boundTo;
     return write(key, value);
   }
 
-  /** Removes a key. */
+  /** Adds the removal of a key. */
   public Txn remove(String key) {
-    removes.add(key);
+    removedKeys.add(key);
     return this;
   }
 
-  /** True if it writes a key that vanishes with a grant. */
-  boolean isBound() {
-    return boundKey != null;
+  /** True if it writes a key that is bound to a lease. */
+  boolean isLeaseBound() {
+    return leaseBoundKey != null;
   }
 
-  /** How many puts and deletes it holds. */
-  public int ops() {
-    return writes.size() + removes.size();
+  /** The number of changes, puts and deletes. */
+  public int changes() {
+    return writesByKey.size() + removedKeys.size();
   }
 
-  /** How many conditions it holds. */
+  /** The number of conditions. */
   public int conditions() {
-    return when.size();
+    return revisionsByKey.size();
   }
 
-  Map<String, Long> conditionMap() {
-    return when;
+  Map<String, Fields> writesByKey() {
+    return writesByKey;
   }
 
-  Map<String, Fields> writeMap() {
-    return writes;
-  }
-
-  List<String> removeList() {
-    return removes;
+  List<String> removedKeys() {
+    return removedKeys;
   }
 
+  /** Encodes the body of the request. */
   Fields body() {
     List<Object> conditions = new ArrayList<>();
-    when.forEach(
+    revisionsByKey.forEach(
         (key, revision) ->
             conditions.add(Fields.create().with("key", key).with("edicion", revision).map()));
-    List<Object> then = new ArrayList<>();
-    writes.forEach(
-        (key, value) -> {
-          Fields f = Fields.create().with("write", key).with("v", value.map());
-          if (key.equals(boundKey)) {
-            f.with("permiso", grant);
-          }
-          then.add(f.map());
-        });
-    removes.forEach(key -> then.add(Fields.create().with("remove", key).map()));
-    return Fields.create().with("when", conditions).with("then", then);
+    List<Object> changes = new ArrayList<>();
+    writesByKey.forEach((key, value) -> changes.add(encodeWrite(key, value).map()));
+    removedKeys.forEach(key -> changes.add(Fields.create().with("remove", key).map()));
+    return Fields.create().with("when", conditions).with("then", changes);
+  }
+
+  private Fields encodeWrite(String key, Fields value) {
+    Fields write = Fields.create().with("write", key).with("v", value.map());
+    return key.equals(leaseBoundKey) ? write.with("permiso", leaseId) : write;
   }
 }
--- a/src/main/java/fennelthread/state/TxnResult.java
+++ b/src/main/java/fennelthread/state/TxnResult.java
@@ -2,20 +2,23 @@
 
 import java.util.List;
 
-/** What is known of a transaction after it was sent. */
+/** The result of a transaction, as far as it is known after it was sent. */
 public sealed interface TxnResult {
   /** Applied, at this revision. */
   record Applied(long revision) implements TxnResult {}
 
-  /** Not applied: these keys have another revision. */
+  /** Not applied: these keys have other revisions than its conditions require. */
   record Conflict(List<String> failed) implements TxnResult {}
 
-  /** Not applied, for another reason: an outage, the rate, a lost grant. */
+  /** Not applied: an outage, a rate limit, or too many requests queued here. */
   record Refused(String why) implements TxnResult {}
 
-  /** Not applied and never will be as it is: malformed, which means too large. */
+  /**
+   * Not applied, and never will be as it is: rejected as malformed, which means too large, or bound
+   * to a lease that has expired.
+   */
   record TooLarge() implements TxnResult {}
 
-  /** May have been applied, or may still be. */
+  /** No answer, or none that can be read: it may have been applied, or may still be. */
   record Unknown() implements TxnResult {}
 }
--- a/src/main/java/fennelthread/state/Unavailability.java
+++ b/src/main/java/fennelthread/state/Unavailability.java
@@ -1,18 +1,18 @@
 package fennelthread.state;
 
-/** Why the state service can't tell something now. */
+/** The reason why the state service can't serve a request now. */
 public enum Unavailability {
-  /** It gives no answer to anyone here. */
+  /** The service answers no request of this controller. */
   SILENT("the state service does not answer"),
-  /** Too many requests wait for their turn within its limits. */
+  /** Too many requests are queued within the rate limits. */
   BUSY("too many requests wait for the state service"),
-  /** It refused the request: an outage, or a limit that all controllers together exceed. */
+  /** The service refused the request: an outage, or a limit that all controllers exceed. */
   REFUSED("the state service refuses requests"),
-  /** This request got no answer in its time. */
+  /** The request got no answer in its time. */
   UNANSWERED("the state service has not answered"),
-  /** The job was changed by others each time it was tried. */
+  /** Each attempt at a compare-and-swap met a change by others. */
   CONTENDED("the job changes too often"),
-  /** What is stored can't be read. */
+  /** The stored record can't be decoded. */
   UNREADABLE("the job's record can't be read");
 
   private final String text;
@@ -26,7 +26,7 @@
     return text;
   }
 
-  /** The reason that lies in a transaction's result. */
+  /** The reason why a transaction with this result, other than applied, was not carried out. */
   public static Unavailability of(TxnResult result) {
     return result instanceof TxnResult.Unknown ? UNANSWERED : REFUSED;
   }
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -65,12 +65,14 @@
         Duration.ofSeconds(10),
         () -> {
           for (int i = 0; i < TASKS / PER_RECORD; i++) {
-            table.changed(
-                Keys.round(1, i), record(i * PER_RECORD, (i + 1) * PER_RECORD).write(), 1 + i);
+            table.onChange(
+                Keys.startRecord(1, i),
+                record(i * PER_RECORD, (i + 1) * PER_RECORD).write(),
+                1 + i);
           }
           assertEquals(TASKS, started());
           for (int i = TASKS / PER_RECORD - 1; i >= 0; i--) {
-            table.changed(Keys.round(1, i), null, TASKS);
+            table.onChange(Keys.startRecord(1, i), null, TASKS);
           }
         });
     assertEquals(0, started());
@@ -81,16 +83,16 @@
    */
   @Test
   void aStartInTwoRecordsIsThereUntilBothAreGone() {
-    table.changed(Keys.round(1, 1), record(0, 3).write(), 1);
-    table.changed(Keys.round(1, 2), record(2, 4).write(), 2);
+    table.onChange(Keys.startRecord(1, 1), record(0, 3).write(), 1);
+    table.onChange(Keys.startRecord(1, 2), record(2, 4).write(), 2);
     assertEquals(4, started());
-    table.changed(Keys.round(1, 1), null, 3);
+    table.onChange(Keys.startRecord(1, 1), null, 3);
     assertEquals(2, started());
     TaskRef second = new TaskRef(HUGE.id(), 2);
     assertEquals("n-2", table.startOf(second, 1_002, "n-2").machine());
     assertNull(table.startOf(second, 1_002, "n-3"));
     assertNull(table.startOf(new TaskRef(HUGE.id(), 0), 1_000, "n-0"));
-    table.changed(Keys.round(1, 2), record(5, 6).write(), 4);
+    table.onChange(Keys.startRecord(1, 2), record(5, 6).write(), 4);
     assertEquals(1, started());
   }
 }
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -6,7 +6,7 @@
 
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
+import fennelthread.state.SizeLimits;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
@@ -31,7 +31,7 @@
  * tests, and then needs a way for both versions to live with it.
  */
 class RecordsTest {
-  private static final Limits WIDE = limits(16 * 1024, 12);
+  private static final SizeLimits WIDE = limits(16 * 1024, 12);
   private static final String JOB =
       "{\"name_id\":\"job-000412\",\"clase\":\"lote\",\"dueno\":\"roja\",\"tipo\":\"sweep\","
           + "\"prioridad\":\"urgent\",\"tareas\":3,\"cpus\":1.5,\"cards\":0.0,\"mem_gb\":2.0,"
@@ -39,8 +39,8 @@
           + "\"same_place\":false,\"apart\":true,\"prestadas\":true,\"estimado_s\":9.0,"
           + "\"resguardo_s\":0.0,\"guardado_s\":0.0,\"plazo_s\":60.0,\"at_ms\":1234";
 
-  private static Limits limits(int valueBytes, int ops) {
-    return new Limits(new Settings.State(100, 50, valueBytes, ops));
+  private static SizeLimits limits(int valueBytes, int ops) {
+    return new SizeLimits(new Settings.State(100, 50, valueBytes, ops));
   }
 
   private static JobSpec spec(String id, String team, List<String> dependencies) {
@@ -129,7 +129,7 @@
   @ParameterizedTest
   @CsvSource({"2048,4", "2048,5", "1024,2", "16384,12"})
   void nothingIsLargerThanTheLimits(int valueBytes, int ops) throws WireException {
-    Limits limits = limits(valueBytes, ops);
+    SizeLimits limits = limits(valueBytes, ops);
     SplittableRandom r = new SplittableRandom(valueBytes + ops);
     int largest = 0;
     for (int n = 0; n < 600; n += 7) {
@@ -182,7 +182,7 @@
     }
   }
 
-  private static void rounds(SplittableRandom r, Limits limits, int valueBytes, int ops)
+  private static void rounds(SplittableRandom r, SizeLimits limits, int valueBytes, int ops)
       throws WireException {
     StartRecord.Packer packer = new StartRecord.Packer(limits.valueBytes(), ops);
     List<StartRecord.Start> starts = new ArrayList<>();
--- a/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
+++ b/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
@@ -133,7 +133,7 @@
       }
       for (Fields f : body.maps("then")) {
         String key = f.has("write") ? f.text("write") : f.text("remove");
-        boolean ours = key.startsWith(Keys.rounds(c.state.epoch()));
+        boolean ours = key.startsWith(Keys.startRecordPrefix(c.state.epoch()));
         assertTrue(
             !ours || meant.contains(key) || c.state.count(key) == 0, "unconditional: " + key);
       }
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -174,7 +174,7 @@
     Answer[] got = new Answer[2];
     // A read, which is not sent again by itself.
     handle(follower, "GET", "/v1/jobs/job-123456", null, got, 0);
-    c.world.runUntil(c.world.now() + 2 * StateConstants.STATE_OVERDUE_MS + 10);
+    c.world.runUntil(c.world.now() + 2 * StateConstants.REQUEST_OVERDUE_MS + 10);
     handle(follower, "GET", "/v1/jobs/job-123456", null, got, 1);
     assertNotNull(got[1], "not answered at once");
     assertEquals(503, got[1].status());
@@ -208,7 +208,7 @@
         (caller, text) -> {
           sent[0] += text.contains("at_ms") ? 1 : 0;
           // Not so long that the controller itself takes the answer for lost.
-          return text.contains("at_ms") ? StateConstants.ANSWER_OVERDUE_MS - 10 : 0;
+          return text.contains("at_ms") ? StateConstants.MIN_TXN_OVERDUE_MS - 10 : 0;
         };
     Answer[] got = new Answer[3];
     handle("nodo-0", "POST", "/v1/jobs", bytes, got, 0);
--- a/src/test/java/fennelthread/state/ServiceHealthTest.java
+++ b/src/test/java/fennelthread/state/ServiceHealthTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fennelthread.constants.StateConstants;
-import fennelthread.state.ServiceHealth.Verdict;
+import fennelthread.state.ServiceHealth.Status;
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -13,85 +13,85 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ServiceHealthTest {
-  private static final long OVERDUE = StateConstants.STATE_OVERDUE_MS;
-  private static final long TIMEOUT = StateConstants.STATE_TIMEOUT_MS;
+  private static final long OVERDUE = StateConstants.REQUEST_OVERDUE_MS;
+  private static final long TIMEOUT = StateConstants.REQUEST_TIMEOUT_MS;
 
   private final ServiceHealth health = new ServiceHealth(0);
 
   @Test
-  void oneLostAnswerAmongOthersSaysNothing() {
-    long lost = health.sent(100);
-    long other = health.sent(110);
-    health.served(other, 115);
-    assertEquals(Verdict.SERVING, health.verdict(100 + OVERDUE));
-    health.unanswered(lost, 100 + TIMEOUT);
-    assertEquals(Verdict.SERVING, health.verdict(100 + TIMEOUT));
+  void oneLostAnswerAmongOthersIsNoEvidence() {
+    long lost = health.recordSent(100);
+    long other = health.recordSent(110);
+    health.recordSuccess(other, 115);
+    assertEquals(Status.RESPONSIVE, health.status(100 + OVERDUE));
+    health.recordTimeout(lost, 100 + TIMEOUT);
+    assertEquals(Status.RESPONSIVE, health.status(100 + TIMEOUT));
   }
 
   @Test
-  void oneOverdueRequestAloneIsDoubtful() {
-    health.sent(100);
-    assertEquals(OVERDUE - 30, health.untilOverdueMs(130));
-    assertEquals(Verdict.SERVING, health.verdict(99 + OVERDUE));
-    assertEquals(Verdict.DOUBTFUL, health.verdict(100 + OVERDUE));
-    assertEquals(Verdict.DOUBTFUL, health.verdict(100 + 10 * OVERDUE));
+  void oneOverdueRequestAloneMakesTheServiceSuspect() {
+    health.recordSent(100);
+    assertEquals(OVERDUE - 30, health.msUntilOverdue(130));
+    assertEquals(Status.RESPONSIVE, health.status(99 + OVERDUE));
+    assertEquals(Status.SUSPECT, health.status(100 + OVERDUE));
+    assertEquals(Status.SUSPECT, health.status(100 + 10 * OVERDUE));
   }
 
   @Test
-  void severalOverdueRequestsWithoutAnyAnswerAreSilence() {
-    long first = health.sent(100);
-    health.sent(100 + OVERDUE);
-    assertEquals(Verdict.SILENT, health.verdict(100 + 2 * OVERDUE));
+  void severalOverdueRequestsWithoutAnyAnswerMakeTheServiceUnresponsive() {
+    long first = health.recordSent(100);
+    health.recordSent(100 + OVERDUE);
+    assertEquals(Status.UNRESPONSIVE, health.status(100 + 2 * OVERDUE));
     assertTrue(2 * OVERDUE <= TIMEOUT, "no later than the first request's time is over");
-    health.unanswered(first, 100 + TIMEOUT);
-    assertEquals(Verdict.SILENT, health.verdict(100 + TIMEOUT));
+    health.recordTimeout(first, 100 + TIMEOUT);
+    assertEquals(Status.UNRESPONSIVE, health.status(100 + TIMEOUT));
     assertEquals(100 + TIMEOUT, health.failingForMs(100 + TIMEOUT));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {200, 429, 503})
-  void anAnswerOfAnyStatusEndsTheSilence(int status) {
-    health.sent(0);
-    long second = health.sent(1);
-    assertEquals(Verdict.SILENT, health.verdict(1 + OVERDUE));
+  void anAnswerOfAnyStatusMakesTheServiceResponsive(int status) {
+    health.recordSent(0);
+    long second = health.recordSent(1);
+    assertEquals(Status.UNRESPONSIVE, health.status(1 + OVERDUE));
     switch (status) {
-      case 200 -> health.served(second, 2 + OVERDUE);
-      case 429 -> health.busy(second, 2 + OVERDUE);
-      default -> health.refused(second, 2 + OVERDUE);
+      case 200 -> health.recordSuccess(second, 2 + OVERDUE);
+      case 429 -> health.recordRateLimited(second, 2 + OVERDUE);
+      default -> health.recordRefusal(second, 2 + OVERDUE);
     }
-    assertEquals(Verdict.SERVING, health.verdict(1 + 3 * OVERDUE));
+    assertEquals(Status.RESPONSIVE, health.status(1 + 3 * OVERDUE));
     assertEquals(status == 503, health.failingForMs(2 + OVERDUE) > 0);
   }
 
   @Test
-  void aSlowServiceIsNotAskedAgainAtOnce() {
-    assertEquals(StateConstants.ANSWER_OVERDUE_MS, health.overdueMs());
+  void transactionsOfASlowServiceAreOverdueLater() {
+    assertEquals(StateConstants.MIN_TXN_OVERDUE_MS, health.overdueAfterMs());
     for (int i = 0; i < 100; i++) {
-      health.served(health.sent(i * 1_000L), i * 1_000L + 400);
+      health.recordSuccess(health.recordSent(i * 1_000L), i * 1_000L + 400);
     }
-    assertTrue(health.overdueMs() > 1_000, "overdue after " + health.overdueMs());
+    assertTrue(health.overdueAfterMs() > 1_000, "overdue after " + health.overdueAfterMs());
     for (int i = 100; i < 200; i++) {
-      health.served(health.sent(i * 1_000L), i * 1_000L + 8);
+      health.recordSuccess(health.recordSent(i * 1_000L), i * 1_000L + 8);
     }
-    assertEquals(StateConstants.ANSWER_OVERDUE_MS, health.overdueMs());
+    assertEquals(StateConstants.MIN_TXN_OVERDUE_MS, health.overdueAfterMs());
   }
 
-  /** A fifth of the answers lost, at forty requests a second: never taken for silence. */
+  /** A fifth of the answers lost, at forty requests a second: never taken for unresponsive. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void aFifthOfTheAnswersLostIsNoSilence(long seed) {
+  void aFifthOfTheAnswersLostIsNeverUnresponsive(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ArrayDeque<long[]> lost = new ArrayDeque<>();
     for (long at = 0; at < 300_000; at += 25) {
       while (!lost.isEmpty() && lost.peek()[1] + TIMEOUT <= at) {
-        health.unanswered(lost.poll()[0], at);
+        health.recordTimeout(lost.poll()[0], at);
       }
-      assertNotEquals(Verdict.SILENT, health.verdict(at), "at " + at);
-      long ticket = health.sent(at);
+      assertNotEquals(Status.UNRESPONSIVE, health.status(at), "at " + at);
+      long ticket = health.recordSent(at);
       if (random.nextDouble() < 0.2) {
         lost.add(new long[] {ticket, at});
       } else {
-        health.served(ticket, at + 8);
+        health.recordSuccess(ticket, at + 8);
       }
     }
   }
