--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -80,7 +80,7 @@
     replica.listen(table);
     Settings.Workers limits = settings.workers();
     this.cancellations = new CancellationLog(eventLoop, 2 * (limits.cancelMs() + limits.leaseMs()));
-    table.listen(new EndedJobs());
+    table.addListener(new EndedJobs());
     this.store = new JobStore(eventLoop, state, replica, table, settings, cancellations::mayTell);
     this.cloud = new Cloud(eventLoop, settings);
     this.lease =
@@ -236,10 +236,10 @@
   /** Remembers jobs whose records are gone as over. */
   private final class EndedJobs implements JobTable.Listener {
     @Override
-    public void added(Job job) {}
+    public void onJobAdded(Job job) {}
 
     @Override
-    public void removed(Job job) {
+    public void onJobRemoved(Job job) {
       cancellations.over(job.spec().id());
     }
   }
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -1,12 +1,13 @@
 package fennelthread.api;
 
 import fennelthread.constants.ApiConstants;
-import fennelthread.jobs.Acceptance;
-import fennelthread.jobs.DependencyCheck;
+import fennelthread.jobs.AcceptResult;
+import fennelthread.jobs.DependencyCheckResult;
+import fennelthread.jobs.FinalRecord;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
 import fennelthread.jobs.JobTable;
-import fennelthread.jobs.Lookup;
+import fennelthread.jobs.LookupResult;
 import fennelthread.jobs.Submission;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
@@ -200,11 +201,11 @@
     store.checkDependencies(
         job.spec(),
         dependencies -> {
-          if (dependencies instanceof DependencyCheck.Dependencies.Good good) {
+          if (dependencies instanceof DependencyCheckResult.Valid good) {
             accept(good.cancelled() ? store.cancelled(job) : job, reply);
-          } else if (dependencies instanceof DependencyCheck.Dependencies.Bad bad) {
+          } else if (dependencies instanceof DependencyCheckResult.Invalid bad) {
             refuse(id, Answer.error(422, JobSpec.DEPENDENCIES + ": " + bad.why()), reply);
-          } else if (dependencies instanceof DependencyCheck.Dependencies.Unavailable unavailable) {
+          } else if (dependencies instanceof DependencyCheckResult.Unavailable unavailable) {
             reply.accept(later(unavailable.why().text()));
           }
         });
@@ -215,7 +216,8 @@
    */
   private void refuse(String id, Answer refusal, Consumer<Answer> reply) {
     store.lookup(
-        id, found -> reply.accept(found instanceof Lookup.Unknown ? refusal : known(id, found)));
+        id,
+        found -> reply.accept(found instanceof LookupResult.Unknown ? refusal : known(id, found)));
   }
 
   private void accept(Submission job, Consumer<Answer> reply) {
@@ -223,14 +225,14 @@
     store.accept(
         job,
         outcome -> {
-          if (outcome instanceof Acceptance.New) {
+          if (outcome instanceof AcceptResult.Accepted) {
             JobState state = job.end() == null ? JobState.PENDING : job.end().state();
             reply.accept(Answer.of(201, Codec.CBOR, JobStatus.accepted(id, state)));
-          } else if (outcome instanceof Acceptance.Known) {
+          } else if (outcome instanceof AcceptResult.AlreadyAccepted) {
             store.lookup(id, found -> reply.accept(known(id, found)));
-          } else if (outcome instanceof Acceptance.TooLarge) {
+          } else if (outcome instanceof AcceptResult.TooLarge) {
             refuse(id, Answer.error(400, "body: is too large"), reply);
-          } else if (outcome instanceof Acceptance.Unavailable unavailable) {
+          } else if (outcome instanceof AcceptResult.Unavailable unavailable) {
             reply.accept(later(unavailable.why().text()));
           }
         });
@@ -279,7 +281,7 @@
     store.cancel(
         id,
         found -> {
-          if (found instanceof Lookup.Live) {
+          if (found instanceof LookupResult.Live) {
             reply.accept(later("try again"));
           } else {
             reply.accept(known(id, found));
@@ -287,22 +289,22 @@
         });
   }
 
-  private Answer known(String id, Lookup found) {
-    if (found instanceof Lookup.Live live) {
+  private Answer known(String id, LookupResult found) {
+    if (found instanceof LookupResult.Live live) {
       Job job = live.job();
       int started = table.startedTasks(job);
       JobState state = started > 0 ? JobState.RUNNING : JobState.PENDING;
-      List<String> unmet = store.waits().graph().unmet(id);
+      List<String> unmet = store.dependencies().graph().unmetDependencies(id);
       return answer(new JobStatus(id, state, job.finished().cardinality(), started, unmet));
     }
-    if (found instanceof Lookup.Final end) {
+    if (found instanceof FinalRecord end) {
       return answer(new JobStatus(id, end.state(), end.done(), 0, List.of()));
     }
-    if (found instanceof Lookup.Unknown) {
+    if (found instanceof LookupResult.Unknown) {
       return Answer.error(404, "unknown job");
     }
     return later(
-        found instanceof Lookup.Unavailable unavailable
+        found instanceof LookupResult.Unavailable unavailable
             ? unavailable.why().text()
             : "the job's state is not known");
   }
--- a/src/main/java/fennelthread/fleet/RentalPolicy.java
+++ b/src/main/java/fennelthread/fleet/RentalPolicy.java
@@ -82,7 +82,7 @@
     stock.coming.forEach(kind -> pool.add(kind, stock.types.get(kind.type())));
     for (Plan.Unplaced u : unplaced) {
       double uncovered = pool.cover(u);
-      if (uncovered > 0 && u.isChoosy()) {
+      if (uncovered > 0 && u.hasConstraints()) {
         Request request = first(kindsFor(u, stock), stock, uncovered, refused);
         if (request != null) {
           return request;
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -15,28 +15,16 @@
  * is asked.
  */
 public final class DependencyCheck {
-  /** What is known of the jobs that a submission names. */
-  public sealed interface Dependencies {
-    /** All were accepted, and none is a service; {@code cancelled} if one of them is. */
-    record Good(boolean cancelled) implements Dependencies {}
-
-    /** One was never accepted, or is a service. */
-    record Bad(String why) implements Dependencies {}
-
-    /** The state service can't be asked now. */
-    record Unavailable(Unavailability why) implements Dependencies {}
-  }
-
   private final StateClient state;
   private final JobTable table;
-  private final FinalStates finals;
+  private final FinalRecords finals;
   private final JobQueries queries;
   private final DependencyTracker waits;
 
   DependencyCheck(
       StateClient state,
       JobTable table,
-      FinalStates finals,
+      FinalRecords finals,
       JobQueries queries,
       DependencyTracker waits) {
     this.state = state;
@@ -47,16 +35,16 @@
   }
 
   /** Checks the needs of a submission. */
-  void check(JobSpec spec, Consumer<Dependencies> done) {
+  void check(JobSpec spec, Consumer<DependencyCheckResult> done) {
     List<String> toRead = new ArrayList<>();
     boolean cancelled = false;
     for (String dependency : spec.dependencies()) {
       Job job = table.get(dependency);
       if (job != null && job.spec().service()) {
-        done.accept(new Dependencies.Bad("names the service " + dependency));
+        done.accept(new DependencyCheckResult.Invalid("names the service " + dependency));
         return;
       }
-      Lookup.Final end = finals.known(dependency);
+      FinalRecord end = finals.known(dependency);
       if (job == null && end == null) {
         toRead.add(dependency);
       }
@@ -64,33 +52,35 @@
     }
     Unavailability why = toRead.isEmpty() ? null : state.whyNotSoon(0);
     if (why != null) {
-      done.accept(new Dependencies.Unavailable(why));
+      done.accept(new DependencyCheckResult.Unavailable(why));
     } else {
       read(toRead, 0, cancelled, done);
     }
   }
 
-  private boolean isCancelled(String id, Lookup found) {
+  private boolean isCancelled(String id, LookupResult found) {
     return waits.graph().isDoomed(id)
-        || (found instanceof Lookup.Final end && end.state() == JobState.CANCELLED);
+        || (found instanceof FinalRecord end && end.state() == JobState.CANCELLED);
   }
 
   private void read(
-      List<String> dependencies, int at, boolean cancelled, Consumer<Dependencies> done) {
+      List<String> dependencies, int at, boolean cancelled, Consumer<DependencyCheckResult> done) {
     if (at == dependencies.size()) {
-      done.accept(new Dependencies.Good(cancelled));
+      done.accept(new DependencyCheckResult.Valid(cancelled));
       return;
     }
     String dependency = dependencies.get(at);
     queries.read(
         dependency,
         found -> {
-          if (found instanceof Lookup.Unavailable unavailable) {
-            done.accept(new Dependencies.Unavailable(unavailable.why()));
-          } else if (found instanceof Lookup.Unknown) {
-            done.accept(new Dependencies.Bad("names " + dependency + ", which was never accepted"));
-          } else if (found instanceof Lookup.Live live && live.job().spec().service()) {
-            done.accept(new Dependencies.Bad("names the service " + dependency));
+          if (found instanceof LookupResult.Unavailable unavailable) {
+            done.accept(new DependencyCheckResult.Unavailable(unavailable.why()));
+          } else if (found instanceof LookupResult.Unknown) {
+            done.accept(
+                new DependencyCheckResult.Invalid(
+                    "names " + dependency + ", which was never accepted"));
+          } else if (found instanceof LookupResult.Live live && live.job().spec().service()) {
+            done.accept(new DependencyCheckResult.Invalid("names the service " + dependency));
           } else {
             read(dependencies, at + 1, cancelled || isCancelled(dependency, found), done);
           }
--- a/src/main/java/fennelthread/jobs/DependencyGraph.java
+++ b/src/main/java/fennelthread/jobs/DependencyGraph.java
@@ -34,23 +34,16 @@
     /** All needs are done: tasks may start. */
     RELEASED,
     /** A need, or a need of a need, was cancelled: this job is to be cancelled too. */
-    DOOMED
+    TO_CANCEL
   }
 
-  /**
-   * What a job has from those that need it: the most urgent priority among them, and the times of
-   * day by which it must be done so that they can be in time for their deadlines, 0 if there are
-   * none: the first and the last time that anybody set.
-   */
-  public record Loan(Priority priority, long dueMs, long lastDueMs) {}
-
   /** Told of every change. */
   public interface Listener {
     /** A job has moved to this phase. */
-    void moved(Job job, Phase to);
+    void onPhaseChanged(Job job, Phase to);
 
     /** What a job has from those that need it has changed. */
-    void lent(String id);
+    void onInheritedPriorityChanged(String id);
   }
 
   private static final class Node {
@@ -72,7 +65,7 @@
   private final Map<String, Set<String>> neededBy = new HashMap<>();
   private final Set<String> unknown = new LinkedHashSet<>();
   private final Map<String, Job> doomed = new LinkedHashMap<>();
-  private final Map<String, Loan> loans = new HashMap<>();
+  private final Map<String, InheritedPriority> loans = new HashMap<>();
 
   /** Creates an empty graph; {@code lastDeadlineS} is the last time set for a job, s. */
   public DependencyGraph(ToDoubleFunction<JobSpec> lastDeadlineS, Listener listener) {
@@ -84,7 +77,7 @@
    * A job is live. {@code live} tells whether a job is known to be live, {@code known} gives a
    * final record that was read or written already, or null.
    */
-  public void add(Job job, Predicate<String> live, Function<String, Lookup.Final> known) {
+  public void add(Job job, Predicate<String> live, Function<String, FinalRecord> known) {
     String id = job.spec().id();
     unknown.remove(id);
     if (job.spec().dependencies().isEmpty()) {
@@ -96,7 +89,7 @@
       neededBy.computeIfAbsent(dependency, k -> new LinkedHashSet<>()).add(id);
     }
     for (String dependency : job.spec().dependencies()) {
-      Lookup.Final end = known.apply(dependency);
+      FinalRecord end = known.apply(dependency);
       if (end != null) {
         learn(dependency, end);
       } else if (!live.test(dependency)) {
@@ -129,7 +122,7 @@
   }
 
   /** A job's final record is known. */
-  public void learn(String id, Lookup.Final end) {
+  public void learn(String id, FinalRecord end) {
     unknown.remove(id);
     Set<String> dependants = neededBy.get(id);
     if (dependants == null) {
@@ -177,19 +170,19 @@
   }
 
   /** The needs of a live job that are not proven to be done. */
-  public List<String> unmet(String id) {
+  public List<String> unmetDependencies(String id) {
     Node node = nodes.get(id);
     return node == null ? List.of() : List.copyOf(node.unmet);
   }
 
   /** The time of day from which a released job no longer waited for others. */
-  public long releasedMs(Job job) {
+  public long releasedAtMs(Job job) {
     Node node = nodes.get(job.spec().id());
     return node == null ? job.acceptedWallMs() : node.releasedMs;
   }
 
   /** What a job has from those that need it, or null. */
-  public Loan loan(String id) {
+  public InheritedPriority inheritedPriority(String id) {
     return loans.get(id);
   }
 
@@ -199,10 +192,10 @@
       throw new IllegalStateException(node.job.spec().id() + ": " + node.phase + " -> " + next);
     }
     node.phase = next;
-    if (next == Phase.DOOMED) {
+    if (next == Phase.TO_CANCEL) {
       doomed.put(node.job.spec().id(), node.job);
     }
-    listener.moved(node.job, next);
+    listener.onPhaseChanged(node.job, next);
   }
 
   private void doom(Collection<String> ids) {
@@ -214,7 +207,7 @@
       if (node.phase != Phase.WAITING) {
         continue;
       }
-      moveTo(node, Phase.DOOMED);
+      moveTo(node, Phase.TO_CANCEL);
       lessNeeded.addAll(node.unmet);
       open.addAll(neededBy.getOrDefault(id, Set.of()));
     }
@@ -226,12 +219,12 @@
     Deque<String> open = new ArrayDeque<>(ids);
     while (!open.isEmpty()) {
       String id = open.poll();
-      Loan loan = reckon(id);
-      Loan before = loan == null ? loans.remove(id) : loans.put(id, loan);
+      InheritedPriority loan = reckon(id);
+      InheritedPriority before = loan == null ? loans.remove(id) : loans.put(id, loan);
       if (loan == null ? before == null : loan.equals(before)) {
         continue;
       }
-      listener.lent(id);
+      listener.onInheritedPriorityChanged(id);
       Node node = nodes.get(id);
       if (node != null) {
         open.addAll(node.unmet);
@@ -239,7 +232,7 @@
     }
   }
 
-  private Loan reckon(String id) {
+  private InheritedPriority reckon(String id) {
     Priority priority = null;
     long due = 0;
     long lastDue = 0;
@@ -249,7 +242,7 @@
         continue;
       }
       JobSpec spec = node.job.spec();
-      Loan theirs = loans.get(dependant);
+      InheritedPriority theirs = loans.get(dependant);
       priority = moreUrgent(priority, spec.priority());
       long takes = (long) (spec.estimateS() * 1000);
       if (spec.deadlineS() > 0) {
@@ -259,14 +252,14 @@
             sooner(lastDue, accepted + (long) (lastDeadlineS.applyAsDouble(spec) * 1000) - takes);
       }
       if (theirs != null) {
-        priority = moreUrgent(priority, theirs.priority);
-        if (theirs.dueMs > 0) {
-          due = sooner(due, theirs.dueMs - takes);
-          lastDue = sooner(lastDue, theirs.lastDueMs - takes);
+        priority = moreUrgent(priority, theirs.priority());
+        if (theirs.dueMs() > 0) {
+          due = sooner(due, theirs.dueMs() - takes);
+          lastDue = sooner(lastDue, theirs.lastDueMs() - takes);
         }
       }
     }
-    return priority == null ? null : new Loan(priority, due, lastDue);
+    return priority == null ? null : new InheritedPriority(priority, due, lastDue);
   }
 
   private static Priority moreUrgent(Priority a, Priority b) {
--- a/src/main/java/fennelthread/jobs/DependencyTracker.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -23,10 +23,10 @@
   /** Where final records come from. */
   interface Ends {
     /** A final record that was read or written already, or null. */
-    Lookup.Final known(String id);
+    FinalRecord known(String id);
 
     /** Reads one; null if there is none or nothing is known. */
-    void read(String id, Consumer<Lookup.Final> done);
+    void read(String id, Consumer<FinalRecord> done);
   }
 
   private final EventLoop eventLoop;
@@ -42,7 +42,7 @@
     this.table = table;
     this.ends = ends;
     this.graph = new DependencyGraph(settings::lastDeadlineS, this);
-    table.listen(this);
+    table.addListener(this);
   }
 
   /** What is known, to be asked and not changed. */
@@ -51,26 +51,26 @@
   }
 
   /** Adds a listener. */
-  public void listen(DependencyGraph.Listener listener) {
+  public void addListener(DependencyGraph.Listener listener) {
     listeners.add(listener);
   }
 
   /** Removes a listener. */
-  public void ignore(DependencyGraph.Listener listener) {
+  public void removeListener(DependencyGraph.Listener listener) {
     listeners.remove(listener);
   }
 
   @Override
-  public void added(Job job) {
+  public void onJobAdded(Job job) {
     graph.add(job, id -> table.get(id) != null, ends::known);
     readUnknown();
   }
 
   @Override
-  public void removed(Job job) {
+  public void onJobRemoved(Job job) {
     String id = job.spec().id();
     graph.remove(id);
-    Lookup.Final end = ends.known(id);
+    FinalRecord end = ends.known(id);
     if (end != null) {
       graph.learn(id, end);
     }
@@ -78,7 +78,7 @@
   }
 
   /** A final record was read or written here. */
-  void learned(String id, Lookup.Final end) {
+  void learned(String id, FinalRecord end) {
     graph.learn(id, end);
   }
 
@@ -116,13 +116,13 @@
   }
 
   @Override
-  public void moved(Job job, DependencyGraph.Phase to) {
+  public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
     log.debug("{} is {}", job.spec().id(), to);
-    List.copyOf(listeners).forEach(l -> l.moved(job, to));
+    List.copyOf(listeners).forEach(l -> l.onPhaseChanged(job, to));
   }
 
   @Override
-  public void lent(String id) {
-    List.copyOf(listeners).forEach(l -> l.lent(id));
+  public void onInheritedPriorityChanged(String id) {
+    List.copyOf(listeners).forEach(l -> l.onInheritedPriorityChanged(id));
   }
 }
--- /dev/null
+++ b/src/main/java/fennelthread/jobs/FinalRecord.java
@@ -0,0 +1,34 @@
+package fennelthread.jobs;
+
+import fennelthread.wire.Fields;
+import fennelthread.wire.JobState;
+import fennelthread.wire.WireException;
+
+/**
+ * The final record of a job that is done or cancelled. It is kept in the state service for ever and
+ * never changes.
+ *
+ * @param state done or cancelled
+ * @param done how many of its tasks had finished
+ * @param endedWallMs the time of day when the record was written, ms; 0 in records of versions that
+ *     did not write it
+ */
+public record FinalRecord(JobState state, int done, long endedWallMs) implements LookupResult {
+  /** Returns the record in the state service's form. */
+  public Fields write() {
+    return Fields.create()
+        .with("estado", state.wire())
+        .with("done", (long) done)
+        .with("at_ms", endedWallMs);
+  }
+
+  /**
+   * Reads a record from the state service's form.
+   *
+   * @throws WireException naming the field that is missing or malformed
+   */
+  public static FinalRecord read(Fields value) throws WireException {
+    return new FinalRecord(
+        JobState.of(value.text("estado")), (int) value.count("done", 0), value.count("at_ms", 0));
+  }
+}
--- a/src/main/java/fennelthread/jobs/FinalStates.java
+++ b/src/main/java/fennelthread/jobs/FinalRecords.java
@@ -15,29 +15,29 @@
  * The final records of jobs, kept in the state service for ever and here in a bounded cache. A
  * final record never changes, so that one in the cache is as good as one just read.
  */
-final class FinalStates {
+final class FinalRecords {
   private final StateClient state;
   private final Consumer<String> onCancelled;
-  private final Cache<String, Lookup.Final> cache =
+  private final Cache<String, FinalRecord> cache =
       Caffeine.newBuilder().maximumSize(JobConstants.FINAL_CACHE).executor(Runnable::run).build();
-  private BiConsumer<String, Lookup.Final> listener = (id, end) -> {};
+  private BiConsumer<String, FinalRecord> listener = (id, end) -> {};
 
   /**
    * Creates an empty cache; {@code onCancelled} is told of each job before any user is told that it
    * is cancelled.
    */
-  FinalStates(StateClient state, Consumer<String> onCancelled) {
+  FinalRecords(StateClient state, Consumer<String> onCancelled) {
     this.state = state;
     this.onCancelled = onCancelled;
   }
 
   /** Sets who is told of each final record that becomes known. */
-  void listen(BiConsumer<String, Lookup.Final> learned) {
+  void listen(BiConsumer<String, FinalRecord> learned) {
     listener = learned;
   }
 
   /** A job's final state if it is known here, or null. */
-  Lookup.Final known(String id) {
+  FinalRecord known(String id) {
     return cache.getIfPresent(id);
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Takes note of a final record: the one place where it becomes known here. */
-  void learn(String id, Lookup.Final end) {
+  void learn(String id, FinalRecord end) {
     cache.put(id, end);
     if (end.state() == JobState.CANCELLED) {
       onCancelled.accept(id);
@@ -61,21 +61,21 @@
   }
 
   /** Reads a final record from the state service. */
-  void read(String id, Consumer<Lookup> done) {
+  void read(String id, Consumer<LookupResult> done) {
     state.get(
         Keys.finalJob(id),
         last -> {
           if (last == null) {
-            done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
+            done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
           } else if (last.value() == null) {
-            done.accept(new Lookup.Unknown());
+            done.accept(new LookupResult.Unknown());
           } else {
             try {
-              Lookup.Final end = Lookup.Final.read(last.value());
+              FinalRecord end = FinalRecord.read(last.value());
               learn(id, end);
               done.accept(end);
             } catch (WireException e) {
-              done.accept(new Lookup.Unavailable(Unavailability.UNREADABLE));
+              done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
             }
           }
         });
--- a/src/main/java/fennelthread/jobs/Acceptances.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -25,12 +25,12 @@
  * state shows the record by then, it was applied; if not, it is sent again. However often it is
  * sent, the conditions let it be applied once, and a late one never after the job's end.
  */
-final class Acceptances {
+final class JobAcceptor {
   /** Told of a transaction that was applied. */
   @FunctionalInterface
   interface Applied {
     /** It was applied at this revision and made these jobs final. */
-    void applied(Txn txn, long revision, Map<String, Lookup.Final> ends);
+    void applied(Txn txn, long revision, Map<String, FinalRecord> ends);
   }
 
   private enum Phase {
@@ -45,8 +45,8 @@
   private static final class Pending {
     final Submission job;
     final int bytes;
-    final List<Consumer<Acceptance>> callers = new ArrayList<>();
-    final List<Consumer<Acceptance>> lateCallers = new ArrayList<>();
+    final List<Consumer<AcceptResult>> callers = new ArrayList<>();
+    final List<Consumer<AcceptResult>> lateCallers = new ArrayList<>();
     Phase phase = Phase.QUEUED;
     int sends;
 
@@ -91,7 +91,7 @@
   private int underWay;
 
   /** Creates an empty queue; {@code isKnown} tells whether a job's record is known here. */
-  Acceptances(StateClient state, Predicate<String> isKnown, Applied onApplied) {
+  JobAcceptor(StateClient state, Predicate<String> isKnown, Applied onApplied) {
     this.state = state;
     this.limits = state.limits();
     this.isKnown = isKnown;
@@ -104,11 +104,11 @@
   }
 
   /** Accepts a job. */
-  void accept(Submission job, Consumer<Acceptance> done) {
+  void accept(Submission job, Consumer<AcceptResult> done) {
     String id = job.spec().id();
     if (isKnown.test(id)) {
       // A transaction would fail with all that share it, and count against the write limit too.
-      done.accept(new Acceptance.Known());
+      done.accept(new AcceptResult.AlreadyAccepted());
       return;
     }
     Pending known = pending.get(id);
@@ -123,7 +123,7 @@
             ? Unavailability.BUSY
             : state.whyNotSoon(1 + queue.size());
     if (why != null) {
-      done.accept(new Acceptance.Unavailable(why));
+      done.accept(new AcceptResult.Unavailable(why));
       return;
     }
     Pending next = new Pending(job);
@@ -191,7 +191,7 @@
         continue;
       }
       if (isKnown.test(p.id())) {
-        tell(p, new Acceptance.Known());
+        tell(p, new AcceptResult.AlreadyAccepted());
       } else if (p.sends < JobConstants.ANSWER_TRIES && state.answersSoon(p.job.records().size())) {
         again(p);
       }
@@ -201,14 +201,14 @@
 
   private void answered(Batch batch, TxnResult result) {
     if (result instanceof TxnResult.Applied applied) {
-      Map<String, Lookup.Final> ends = new HashMap<>();
+      Map<String, FinalRecord> ends = new HashMap<>();
       for (Pending p : batch.jobs.keySet()) {
         if (p.job.end() != null) {
           ends.put(p.id(), p.job.end());
         }
       }
       onApplied.applied(batch.txn, applied.revision(), ends);
-      batch.jobs.keySet().forEach(p -> tell(p, new Acceptance.New()));
+      batch.jobs.keySet().forEach(p -> tell(p, new AcceptResult.Accepted()));
     } else if (result instanceof TxnResult.Conflict conflict) {
       conflicted(batch, new HashSet<>(conflict.failed()));
     } else if (result instanceof TxnResult.TooLarge) {
@@ -225,7 +225,7 @@
     }
     for (Pending p : batch.jobs.keySet()) {
       if (failed.contains(Keys.job(p.id())) || failed.contains(Keys.finalJob(p.id()))) {
-        tell(p, new Acceptance.Known());
+        tell(p, new AcceptResult.AlreadyAccepted());
       } else if (batch.decides(p)) {
         again(p);
       }
@@ -238,7 +238,7 @@
         continue;
       }
       if (batch.jobs.size() == 1) {
-        tell(p, new Acceptance.TooLarge());
+        tell(p, new AcceptResult.TooLarge());
       } else {
         // Whichever is too large must not be refused together with the others for ever.
         p.alone = true;
@@ -250,7 +250,7 @@
   private void giveUp(Batch batch, Unavailability why) {
     for (Pending p : batch.jobs.keySet()) {
       if (batch.decides(p)) {
-        tell(p, new Acceptance.Unavailable(why));
+        tell(p, new AcceptResult.Unavailable(why));
       }
     }
   }
@@ -260,7 +260,7 @@
     queue.put(p.id(), p);
   }
 
-  private void tell(Pending p, Acceptance outcome) {
+  private void tell(Pending p, AcceptResult outcome) {
     if (p.phase == Phase.TOLD) {
       return;
     }
@@ -268,7 +268,8 @@
     pending.remove(p.id());
     queue.remove(p.id());
     p.callers.forEach(c -> c.accept(outcome));
-    Acceptance late = outcome instanceof Acceptance.New ? new Acceptance.Known() : outcome;
+    AcceptResult late =
+        outcome instanceof AcceptResult.Accepted ? new AcceptResult.AlreadyAccepted() : outcome;
     p.lateCallers.forEach(c -> c.accept(late));
   }
 }
--- a/src/main/java/fennelthread/jobs/Cancellations.java
+++ b/src/main/java/fennelthread/jobs/JobCanceller.java
@@ -15,21 +15,21 @@
 import java.util.function.Consumer;
 
 /** Moves jobs from their live to their final records: cancellations, and notes of completions. */
-final class Cancellations {
+final class JobCanceller {
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
-  private final FinalStates finals;
+  private final FinalRecords finals;
   private final JobQueries queries;
   private final DependencyTracker waits;
   private final Limits limits;
   private boolean cascading;
 
-  Cancellations(
+  JobCanceller(
       EventLoop eventLoop,
       StateClient state,
       Replica replica,
-      FinalStates finals,
+      FinalRecords finals,
       JobQueries queries,
       DependencyTracker waits) {
     this.eventLoop = eventLoop;
@@ -42,18 +42,18 @@
   }
 
   /** Cancels a job unless it is done: gets what the job is from now on. */
-  void cancel(String id, Consumer<Lookup> done) {
-    cancel(id, JobConstants.JOB_TRIES, new FirstAnswer<>(done));
+  void cancel(String id, Consumer<LookupResult> done) {
+    cancel(id, JobConstants.JOB_TRIES, new OnceConsumer<>(done));
   }
 
-  private void cancel(String id, int tries, FirstAnswer<Lookup> done) {
+  private void cancel(String id, int tries, OnceConsumer<LookupResult> done) {
     queries.ask(
         id,
         found -> {
-          if (!(found instanceof Lookup.Live live)) {
+          if (!(found instanceof LookupResult.Live live)) {
             done.accept(found);
           } else if (tries == 0) {
-            done.accept(new Lookup.Unavailable(Unavailability.CONTENDED));
+            done.accept(new LookupResult.Unavailable(Unavailability.CONTENDED));
           } else {
             write(live.job(), tries, done);
           }
@@ -65,11 +65,11 @@
    * finds the final record, or writes the same; of all tries one is applied, since each is
    * conditional on the live record.
    */
-  private void write(Job job, int tries, FirstAnswer<Lookup> done) {
+  private void write(Job job, int tries, OnceConsumer<LookupResult> done) {
     String id = job.spec().id();
-    Lookup.Final end = cancelled(job);
+    FinalRecord end = cancelled(job);
     Txn txn = new Txn();
-    addFinal(txn, job, end);
+    addFinalRecord(txn, job, end);
     boolean[] triedAgain = new boolean[1];
     Runnable again =
         () -> {
@@ -88,12 +88,12 @@
         },
         result -> {
           if (result instanceof TxnResult.Applied applied) {
-            madeFinal(txn, applied.revision(), Map.of(id, end));
+            onJobsFinal(txn, applied.revision(), Map.of(id, end));
             done.accept(end);
           } else if (triedAgain[0]) {
             return;
           } else if (result instanceof TxnResult.Refused || result instanceof TxnResult.TooLarge) {
-            done.accept(new Lookup.Unavailable(Unavailability.REFUSED));
+            done.accept(new LookupResult.Unavailable(Unavailability.REFUSED));
           } else {
             again.run();
           }
@@ -105,18 +105,18 @@
    * until none is left. Nothing is remembered between two calls: what is to be cancelled follows
    * from the records.
    */
-  void cascade() {
+  void cancelDependentJobs() {
     if (cascading || waits.graph().doomed().isEmpty()) {
       return;
     }
     Txn txn = new Txn();
-    Map<String, Lookup.Final> ends = new LinkedHashMap<>();
+    Map<String, FinalRecord> ends = new LinkedHashMap<>();
     for (Job job : waits.graph().doomed()) {
       if (txn.ops() + JobConstants.CHANGES_PER_END > limits.txnOps()) {
         break;
       }
-      Lookup.Final end = cancelled(job);
-      addFinal(txn, job, end);
+      FinalRecord end = cancelled(job);
+      addFinalRecord(txn, job, end);
       ends.put(job.spec().id(), end);
     }
     cascading = true;
@@ -126,18 +126,18 @@
         result -> {
           cascading = false;
           if (result instanceof TxnResult.Applied applied) {
-            madeFinal(txn, applied.revision(), ends);
-            cascade();
+            onJobsFinal(txn, applied.revision(), ends);
+            cancelDependentJobs();
           }
         });
   }
 
-  private Lookup.Final cancelled(Job job) {
-    return new Lookup.Final(JobState.CANCELLED, job.finished().cardinality(), eventLoop.wallMs());
+  private FinalRecord cancelled(Job job) {
+    return new FinalRecord(JobState.CANCELLED, job.finished().cardinality(), eventLoop.wallMs());
   }
 
   /** Adds the changes that make a live job final, on condition that it still is what is known. */
-  static void addFinal(Txn txn, Job job, Lookup.Final end) {
+  static void addFinalRecord(Txn txn, Job job, FinalRecord end) {
     String id = job.spec().id();
     txn.when(Keys.job(id), job.revision())
         .remove(Keys.job(id))
@@ -145,7 +145,7 @@
   }
 
   /** Takes note of a transaction that made jobs final. */
-  void madeFinal(Txn txn, long revision, Map<String, Lookup.Final> ends) {
+  void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> ends) {
     // First all of them: whoever is told of a removal asks why.
     ends.forEach(finals::learn);
     replica.applied(txn, revision);
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -27,19 +27,19 @@
   /** Those who ask about one job, and how often that was sent already. */
   private static final class Question {
     final String id;
-    final List<FirstAnswer<Lookup>> askers = new ArrayList<>();
+    final List<OnceConsumer<LookupResult>> askers = new ArrayList<>();
     int sends;
 
     Question(String id) {
       this.id = id;
     }
 
-    void tell(Lookup found) {
+    void tell(LookupResult found) {
       askers.forEach(a -> a.accept(found));
     }
 
     boolean isAnswered() {
-      return askers.stream().allMatch(FirstAnswer::isGiven);
+      return askers.stream().allMatch(OnceConsumer::isGiven);
     }
   }
 
@@ -54,20 +54,20 @@
   private final StateClient state;
   private final Replica replica;
   private final JobTable table;
-  private final FinalStates finals;
+  private final FinalRecords finals;
   private final Limits limits;
-  private final RecordReader reader;
+  private final JobRecordReader reader;
   private final Map<String, Question> queue = new LinkedHashMap<>();
   private int underWay;
 
   /** Creates queries over a copy of the state. */
-  JobQueries(StateClient state, Replica replica, JobTable table, FinalStates finals) {
+  JobQueries(StateClient state, Replica replica, JobTable table, FinalRecords finals) {
     this.state = state;
     this.replica = replica;
     this.table = table;
     this.finals = finals;
     this.limits = state.limits();
-    this.reader = new RecordReader(state, replica, table, finals);
+    this.reader = new JobRecordReader(state, replica, table, finals);
   }
 
   /** How many jobs are asked about and wait for their turn. */
@@ -76,20 +76,20 @@
   }
 
   /** Reads a job's records, whatever the copy holds. */
-  void read(String id, Consumer<Lookup> done) {
+  void read(String id, Consumer<LookupResult> done) {
     reader.read(id, done);
   }
 
   /** Finds out what a job is now. */
-  void ask(String id, Consumer<Lookup> done) {
-    Lookup.Final known = finals.known(id);
+  void ask(String id, Consumer<LookupResult> done) {
+    FinalRecord known = finals.known(id);
     if (known != null) {
       done.accept(known);
       return;
     }
     Unavailability why = state.whyNotSoon(0);
     if (why != null) {
-      done.accept(new Lookup.Unavailable(why));
+      done.accept(new LookupResult.Unavailable(why));
       return;
     }
     Job job = table.get(id);
@@ -98,7 +98,7 @@
     } else if (job.chunks() >= limits.conditions()) {
       reader.readProgress(id, done);
     } else {
-      queue.computeIfAbsent(id, Question::new).askers.add(new FirstAnswer<>(done));
+      queue.computeIfAbsent(id, Question::new).askers.add(new OnceConsumer<>(done));
       sendNext();
     }
   }
@@ -180,9 +180,9 @@
             reader.readProgress(question.id, question::tell);
           } else if (result instanceof TxnResult.Applied || !failed.isEmpty()) {
             // Also if another's condition failed: all were compared at the same moment.
-            question.tell(new Lookup.Live(job));
+            question.tell(new LookupResult.Live(job));
           } else if (!batch.sentAgain.contains(question)) {
-            question.tell(new Lookup.Unavailable(Unavailability.of(result)));
+            question.tell(new LookupResult.Unavailable(Unavailability.of(result)));
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/RecordReader.java
+++ b/src/main/java/fennelthread/jobs/JobRecordReader.java
@@ -10,13 +10,13 @@
 /**
  * Reads a job's records from the state service when the copy of the state has none, or older ones.
  */
-final class RecordReader {
+final class JobRecordReader {
   private final StateClient state;
   private final Replica replica;
   private final JobTable table;
-  private final FinalStates finals;
+  private final FinalRecords finals;
 
-  RecordReader(StateClient state, Replica replica, JobTable table, FinalStates finals) {
+  JobRecordReader(StateClient state, Replica replica, JobTable table, FinalRecords finals) {
     this.state = state;
     this.replica = replica;
     this.table = table;
@@ -27,12 +27,12 @@
    * Reads the live record, then the final one. The order matters: a record moves from live to final
    * in one transaction, so that a job found in neither was unknown when the first was read.
    */
-  void read(String id, Consumer<Lookup> done) {
+  void read(String id, Consumer<LookupResult> done) {
     state.get(
         Keys.job(id),
         live -> {
           if (live == null) {
-            done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
+            done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
           } else if (live.value() == null) {
             finals.read(id, done);
           } else {
@@ -41,21 +41,21 @@
         });
   }
 
-  private void found(String id, StateClient.Entry live, Consumer<Lookup> done) {
+  private void found(String id, StateClient.Entry live, Consumer<LookupResult> done) {
     try {
       Job job = table.get(id) != null ? table.get(id) : Job.read(live.value(), live.revision());
       if (job.chunks() == 0) {
-        done.accept(new Lookup.Live(job));
+        done.accept(new LookupResult.Live(job));
       } else {
         readChunks(job, null, done);
       }
     } catch (WireException e) {
-      done.accept(new Lookup.Unavailable(Unavailability.UNREADABLE));
+      done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
     }
   }
 
   /** Reads what has finished of a job that the copy knows as live, and then whether it still is. */
-  void readProgress(String id, Consumer<Lookup> done) {
+  void readProgress(String id, Consumer<LookupResult> done) {
     Job job = table.get(id);
     if (job == null) {
       read(id, done);
@@ -64,14 +64,14 @@
     }
   }
 
-  private void readChunks(Job job, String since, Consumer<Lookup> done) {
+  private void readChunks(Job job, String since, Consumer<LookupResult> done) {
     String id = job.spec().id();
     state.list(
         Keys.finishedOf(id),
         since,
         page -> {
           if (page == null) {
-            done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
+            done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
             return;
           }
           try {
@@ -80,7 +80,7 @@
               job.readChunk(Keys.partOf(chunk.key()), chunk.value());
             }
           } catch (WireException e) {
-            done.accept(new Lookup.Unavailable(Unavailability.UNREADABLE));
+            done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
             return;
           }
           if (page.more() && !page.items().isEmpty()) {
@@ -92,17 +92,17 @@
   }
 
   /** Of a job that is over the finished tasks may be removed already: its final record counts. */
-  private void confirmLive(Job job, Consumer<Lookup> done) {
+  private void confirmLive(Job job, Consumer<LookupResult> done) {
     String id = job.spec().id();
     state.get(
         Keys.job(id),
         live -> {
           if (live == null) {
-            done.accept(new Lookup.Unavailable(Unavailability.UNANSWERED));
+            done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
           } else if (live.value() == null) {
             finals.read(id, done);
           } else {
-            done.accept(new Lookup.Live(job));
+            done.accept(new LookupResult.Live(job));
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -22,12 +22,12 @@
   private final EventLoop eventLoop;
   private final JobTable table;
   private final Limits limits;
-  private final FinalStates finals;
+  private final FinalRecords finals;
   private final JobQueries queries;
   private final DependencyTracker waits;
   private final DependencyCheck needsCheck;
-  private final Cancellations cancellations;
-  private final Acceptances acceptances;
+  private final JobCanceller cancellations;
+  private final JobAcceptor acceptances;
 
   /**
    * Creates a store over the given replica; {@code onCancelled} is told of each job before any user
@@ -43,31 +43,31 @@
     this.eventLoop = eventLoop;
     this.table = table;
     this.limits = state.limits();
-    this.finals = new FinalStates(state, onCancelled);
+    this.finals = new FinalRecords(state, onCancelled);
     this.queries = new JobQueries(state, replica, table, finals);
     this.waits = new DependencyTracker(eventLoop, table, settings, ends());
     finals.listen(waits::learned);
     this.needsCheck = new DependencyCheck(state, table, finals, queries, waits);
-    this.cancellations = new Cancellations(eventLoop, state, replica, finals, queries, waits);
-    this.acceptances = new Acceptances(state, this::isKnown, cancellations::madeFinal);
+    this.cancellations = new JobCanceller(eventLoop, state, replica, finals, queries, waits);
+    this.acceptances = new JobAcceptor(state, this::isKnown, cancellations::onJobsFinal);
   }
 
   private DependencyTracker.Ends ends() {
     return new DependencyTracker.Ends() {
       @Override
-      public Lookup.Final known(String id) {
+      public FinalRecord known(String id) {
         return finals.known(id);
       }
 
       @Override
-      public void read(String id, Consumer<Lookup.Final> done) {
-        finals.read(id, found -> done.accept(found instanceof Lookup.Final f ? f : null));
+      public void read(String id, Consumer<FinalRecord> done) {
+        finals.read(id, found -> done.accept(found instanceof FinalRecord f ? f : null));
       }
     };
   }
 
   /** Which jobs wait for which. */
-  public DependencyTracker waits() {
+  public DependencyTracker dependencies() {
     return waits;
   }
 
@@ -85,7 +85,7 @@
    * first, it would be called so long after its user was told of the cancellation.
    */
   public Submission cancelled(Submission job) {
-    Lookup.Final end = new Lookup.Final(JobState.CANCELLED, 0, eventLoop.wallMs());
+    FinalRecord end = new FinalRecord(JobState.CANCELLED, 0, eventLoop.wallMs());
     return new Submission(job.spec(), Map.of(Keys.finalJob(job.spec().id()), end.write()), end);
   }
 
@@ -110,12 +110,12 @@
   }
 
   /** Checks that every job that a submission needs was accepted. */
-  public void checkDependencies(JobSpec spec, Consumer<DependencyCheck.Dependencies> done) {
+  public void checkDependencies(JobSpec spec, Consumer<DependencyCheckResult> done) {
     needsCheck.check(spec, done);
   }
 
   /** Accepts a checked job with one durable write. */
-  public void accept(Submission job, Consumer<Acceptance> done) {
+  public void accept(Submission job, Consumer<AcceptResult> done) {
     acceptances.accept(job, done);
   }
 
@@ -123,11 +123,11 @@
    * Asks for a job's current state. A job that is to be cancelled with one that it needs is
    * cancelled before the answer, so that this does not depend on a leader being there.
    */
-  public void lookup(String id, Consumer<Lookup> done) {
+  public void lookup(String id, Consumer<LookupResult> done) {
     queries.ask(
         id,
         found -> {
-          if (found instanceof Lookup.Live && waits.graph().isDoomed(id)) {
+          if (found instanceof LookupResult.Live && waits.graph().isDoomed(id)) {
             cancel(id, done);
           } else {
             done.accept(found);
@@ -136,22 +136,22 @@
   }
 
   /** Cancels a job unless it is done: gets what the job is from now on. */
-  public void cancel(String id, Consumer<Lookup> done) {
+  public void cancel(String id, Consumer<LookupResult> done) {
     cancellations.cancel(id, done);
   }
 
   /** Cancels the jobs that are to be cancelled with others, some at a time. */
-  public void cascade() {
-    cancellations.cascade();
+  public void cancelDependentJobs() {
+    cancellations.cancelDependentJobs();
   }
 
   /** Adds the changes that make a live job final, on condition that it still is what is known. */
-  public static void addFinal(Txn txn, Job job, Lookup.Final end) {
-    Cancellations.addFinal(txn, job, end);
+  public static void addFinalRecord(Txn txn, Job job, FinalRecord end) {
+    JobCanceller.addFinalRecord(txn, job, end);
   }
 
   /** Takes note of a transaction that made jobs final. */
-  public void madeFinal(Txn txn, long revision, Map<String, Lookup.Final> ends) {
-    cancellations.madeFinal(txn, revision, ends);
+  public void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> ends) {
+    cancellations.onJobsFinal(txn, revision, ends);
   }
 }
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -25,10 +25,10 @@
   /** Told of jobs that come and go. */
   public interface Listener {
     /** A job was accepted somewhere. */
-    void added(Job job);
+    void onJobAdded(Job job);
 
     /** A job is done or was cancelled. */
-    void removed(Job job);
+    void onJobRemoved(Job job);
   }
 
   /** A job whose needs have not all arrived: nothing may be done about it yet. */
@@ -50,12 +50,12 @@
   private final List<Listener> listeners = new ArrayList<>();
 
   /** Adds a listener. */
-  public void listen(Listener listener) {
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
   /** Removes a listener. */
-  public void ignore(Listener listener) {
+  public void removeListener(Listener listener) {
     listeners.remove(listener);
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** The round records, by key. */
-  public Map<String, StartRecord> rounds() {
+  public Map<String, StartRecord> startRecords() {
     return rounds;
   }
 
@@ -152,7 +152,7 @@
       incomplete.remove(id);
       Job job = jobs.remove(id);
       if (job != null) {
-        List.copyOf(listeners).forEach(l -> l.removed(job));
+        List.copyOf(listeners).forEach(l -> l.onJobRemoved(job));
       }
       return;
     }
@@ -203,7 +203,7 @@
         changedChunk(chunk.getKey(), chunk.getValue());
       }
     }
-    List.copyOf(listeners).forEach(l -> l.added(job));
+    List.copyOf(listeners).forEach(l -> l.onJobAdded(job));
   }
 
   private void changedChunk(String key, Fields value) throws WireException {
--- a/src/main/java/fennelthread/jobs/FirstAnswer.java
+++ b/src/main/java/fennelthread/jobs/OnceConsumer.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 
 /** Hands on the first answer only: a request that is sent again may be answered twice. */
-final class FirstAnswer<T> implements Consumer<T> {
+final class OnceConsumer<T> implements Consumer<T> {
   private final Consumer<T> done;
   private boolean given;
 
-  FirstAnswer(Consumer<T> done) {
+  OnceConsumer(Consumer<T> done) {
     this.done = done;
   }
 
--- a/src/main/java/fennelthread/jobs/Submission.java
+++ b/src/main/java/fennelthread/jobs/Submission.java
@@ -10,7 +10,7 @@
  * A checked submission with the records that will be written for it; {@code end} is not null if it
  * is over as soon as it is accepted.
  */
-public record Submission(JobSpec spec, Map<String, Fields> records, Lookup.Final end) {
+public record Submission(JobSpec spec, Map<String, Fields> records, FinalRecord end) {
   int bytes() {
     int bytes = 0;
     for (Fields record : records.values()) {
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -4,7 +4,7 @@
 import fennelthread.constants.LeaderConstants;
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.Attempt;
-import fennelthread.jobs.DependencyGraph;
+import fennelthread.jobs.InheritedPriority;
 import fennelthread.jobs.Job;
 import fennelthread.wire.Priority;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
@@ -41,7 +41,7 @@
   private Phase phase = Phase.WAITING;
   private long order;
   private long releasedWallMs;
-  private DependencyGraph.Loan loan;
+  private InheritedPriority loan;
   private int failures;
   private long lastTroubleMs = Long.MIN_VALUE / 2;
   private int unfinished;
@@ -83,11 +83,11 @@
   }
 
   /** Takes note of what the job has from those that need it; null if none does. */
-  void lend(DependencyGraph.Loan lent) {
+  void lend(InheritedPriority lent) {
     loan = lent;
   }
 
-  DependencyGraph.Loan loan() {
+  InheritedPriority loan() {
     return loan;
   }
 
--- a/src/main/java/fennelthread/leader/ActiveJobs.java
+++ b/src/main/java/fennelthread/leader/ActiveJobs.java
@@ -35,7 +35,7 @@
   void begin(Job job) {
     String id = job.spec().id();
     ActiveJob run = new ActiveJob(job);
-    run.lend(dependencies.loan(id));
+    run.lend(dependencies.inheritedPriority(id));
     runs.put(id, run);
     if (dependencies.isReleased(job)) {
       release(run);
@@ -47,12 +47,12 @@
     String id = run.job().spec().id();
     runs.remove(id);
     runs.put(id, run);
-    run.release(++releases, dependencies.releasedMs(run.job()));
+    run.release(++releases, dependencies.releasedAtMs(run.job()));
   }
 
   /** Takes note of what the jobs that need this one have lent it. */
   void lend(ActiveJob run) {
-    run.lend(dependencies.loan(run.job().spec().id()));
+    run.lend(dependencies.inheritedPriority(run.job().spec().id()));
   }
 
   /** Drops a job that is final; gives what was known of it, or null. */
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -6,9 +6,9 @@
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
+import fennelthread.jobs.FinalRecord;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
-import fennelthread.jobs.Lookup;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
@@ -172,12 +172,12 @@
   private void write() {
     Txn txn = lease.fenced();
     Map<ActiveJob, BitSet> written = new LinkedHashMap<>();
-    Map<String, Lookup.Final> ends = new LinkedHashMap<>();
+    Map<String, FinalRecord> ends = new LinkedHashMap<>();
     for (ActiveJob run : dirty) {
       if (run.unfinished() == 0 && txn.ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
-        Lookup.Final end =
-            new Lookup.Final(JobState.DONE, run.job().spec().tasks(), eventLoop.wallMs());
-        JobStore.addFinal(txn, run.job(), end);
+        FinalRecord end =
+            new FinalRecord(JobState.DONE, run.job().spec().tasks(), eventLoop.wallMs());
+        JobStore.addFinalRecord(txn, run.job(), end);
         ends.put(run.job().spec().id(), end);
       }
     }
@@ -223,7 +223,7 @@
       long number,
       Txn txn,
       Map<ActiveJob, BitSet> written,
-      Map<String, Lookup.Final> ends,
+      Map<String, FinalRecord> ends,
       TxnResult result) {
     if (phase == Phase.CLOSED) {
       return;
@@ -240,7 +240,7 @@
               dirty.remove(run);
             }
           });
-      store.madeFinal(txn, applied.revision(), ends);
+      store.onJobsFinal(txn, applied.revision(), ends);
       ends.keySet().forEach(id -> dirty.remove(runs.remove(id)));
       tick();
       changed.run();
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -6,9 +6,10 @@
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.jobs.DependencyGraph;
+import fennelthread.jobs.InheritedPriority;
 import fennelthread.net.EventLoop;
 import fennelthread.plan.Aging;
+import fennelthread.plan.AgingBoost;
 import fennelthread.plan.Snapshot;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
@@ -70,8 +71,8 @@
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(waiting.size());
     waiting.forEach(
         (run, tasks) -> {
-          Aging.Turn turn = turns.of(run.job().spec().id());
-          if (turn == Aging.Turn.USUAL) {
+          AgingBoost turn = turns.boostOf(run.job().spec().id());
+          if (turn == AgingBoost.NONE) {
             pendingJobs.add(pendingJob(run, tasks, guaranteed, turn));
             return;
           }
@@ -79,7 +80,7 @@
           // Where its tasks may be follows from where the first one is, which the next round knows.
           if (tasks.size() > 1 && !hasZoneRule(run.job().spec())) {
             pendingJobs.add(
-                pendingJob(run, tasks.subList(1, tasks.size()), guaranteed, Aging.Turn.USUAL));
+                pendingJob(run, tasks.subList(1, tasks.size()), guaranteed, AgingBoost.NONE));
           }
         });
     return pendingJobs;
@@ -100,7 +101,7 @@
       if (looked) {
         JobSpec spec = run.job().spec();
         Attempt furthest = run.furthest();
-        turns.look(
+        turns.consider(
             new Aging.Candidate(
                 spec.id(),
                 waitedMs,
@@ -121,7 +122,7 @@
   }
 
   private Snapshot.PendingJob pendingJob(
-      ActiveJob run, List<Integer> tasks, Set<String> guaranteed, Aging.Turn turn) {
+      ActiveJob run, List<Integer> tasks, Set<String> guaranteed, AgingBoost turn) {
     JobSpec spec = run.job().spec();
     double takes = runTimes.of(spec);
     double slack = slackS(run, takes);
@@ -162,7 +163,7 @@
 
   /** The priority with which a job may stop others: a lent one only once its time runs short. */
   private Priority stopsAs(ActiveJob run, double takesS) {
-    DependencyGraph.Loan loan = run.loan();
+    InheritedPriority loan = run.loan();
     if (loan == null || loan.dueMs() == 0) {
       return run.priority();
     }
@@ -187,7 +188,7 @@
     double ageS = (eventLoop.wallMs() - accepted) / 1000.0;
     double waitedS = (run.releasedWallMs() - accepted) / 1000.0;
     List<Double> times = settings.doneByS(spec.jobClass(), spec.deadlineS(), waitedS);
-    DependencyGraph.Loan loan = run.loan();
+    InheritedPriority loan = run.loan();
     if (loan != null && loan.dueMs() > 0) {
       times.add((loan.dueMs() - accepted) / 1000.0);
       times.add((loan.lastDueMs() - accepted) / 1000.0);
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -44,18 +44,18 @@
 
   /** Listens from now on. */
   void begin() {
-    table.listen(this);
-    store.waits().listen(this);
+    table.addListener(this);
+    store.dependencies().addListener(this);
   }
 
   /** Listens no more. */
   void end() {
-    table.ignore(this);
-    store.waits().ignore(this);
+    table.removeListener(this);
+    store.dependencies().removeListener(this);
   }
 
   @Override
-  public void added(Job job) {
+  public void onJobAdded(Job job) {
     jobs.begin(job);
     log.debug(
         "{} of {} is new: {} tasks of image {}",
@@ -67,10 +67,10 @@
   }
 
   @Override
-  public void moved(Job job, DependencyGraph.Phase to) {
+  public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
     ActiveJob active = jobs.get(job.spec().id());
-    if (to == DependencyGraph.Phase.DOOMED) {
-      store.cascade();
+    if (to == DependencyGraph.Phase.TO_CANCEL) {
+      store.cancelDependentJobs();
     } else if (active != null) {
       jobs.release(active);
       scheduling.changed();
@@ -78,7 +78,7 @@
   }
 
   @Override
-  public void lent(String id) {
+  public void onInheritedPriorityChanged(String id) {
     ActiveJob active = jobs.get(id);
     if (active == null) {
       return;
@@ -90,7 +90,7 @@
   }
 
   @Override
-  public void removed(Job job) {
+  public void onJobRemoved(Job job) {
     ActiveJob active = jobs.remove(job.spec().id());
     if (active != null) {
       completions.forget(active);
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -45,7 +45,7 @@
     double mem = type == null ? 0 : type.memGb();
     Set<String> fetching = new HashSet<>();
     Map<String, Integer> classes = new HashMap<>();
-    List<Snapshot.Running> running = new ArrayList<>();
+    List<Snapshot.RunningTask> running = new ArrayList<>();
     int reported = 0;
     for (Attempt a : m.attempts()) {
       reported++;
@@ -74,7 +74,7 @@
           && a.phase() != Attempt.Phase.CARRIED
           && a.phase() != Attempt.Phase.SENT) {
         running.add(
-            new Snapshot.Running(
+            new Snapshot.RunningTask(
                 spec,
                 run.priority(),
                 s.task().index(),
@@ -102,7 +102,6 @@
                 cards,
                 mem,
                 type.fetchGbPerS(),
-                type.cacheGb(),
                 Set.copyOf(m.images()),
                 fetching,
                 classes,
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -5,6 +5,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.jobs.JobTable;
 import fennelthread.jobs.StartRecord;
+import fennelthread.jobs.StartRecordPacker;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Limits;
@@ -106,7 +107,7 @@
             if (compacting) {
               log.debug(
                   "{} round records with {} starts, of which {} live, drawn together",
-                  table.rounds().size(),
+                  table.startRecords().size(),
                   census.starts,
                   census.live);
             }
@@ -125,7 +126,7 @@
     Census census = new Census();
     String ours = Keys.rounds(lease.epoch());
     int fewLive = recordCapacity() / LeaderConstants.SPARSE_RECORD_PARTS;
-    for (Map.Entry<String, StartRecord> e : table.rounds().entrySet()) {
+    for (Map.Entry<String, StartRecord> e : table.startRecords().entrySet()) {
       if (rounds.isWriting(e.getKey())) {
         // It may be in the replica before its attempts are.
         continue;
@@ -164,7 +165,7 @@
   /** True if the records are many times what their live starts would fill. */
   private boolean tooMany(Census census) {
     int needed = 1 + census.live / recordCapacity();
-    return table.rounds().size() - spare.size()
+    return table.startRecords().size() - spare.size()
             > LeaderConstants.RECORDS_PER_NEEDED * needed + LeaderConstants.RECORDS_SLACK
         || census.starts
             > LeaderConstants.RECORDS_PER_NEEDED * census.live + LeaderConstants.STARTS_SLACK;
@@ -177,7 +178,7 @@
    * were drawn together again and have ended since.
    */
   private boolean compact(Census census, Txn txn, int most) {
-    StartRecord.Packer packer = new StartRecord.Packer(limits.valueBytes(), 1);
+    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), 1);
     List<String> gone = new ArrayList<>();
     for (Map.Entry<String, List<StartRecord.Start>> e : census.sparse.entrySet()) {
       if (txn.ops() + gone.size() + 2 > most
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -6,6 +6,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.StartRecord;
+import fennelthread.jobs.StartRecordPacker;
 import fennelthread.net.EventLoop;
 import fennelthread.plan.Aging;
 import fennelthread.plan.Plan;
@@ -195,7 +196,7 @@
           plan.starts().size(),
           snapshot.teams());
     }
-    sendStops(plan.stops());
+    sendStops(plan.preemptions());
     if (plan.starts().isEmpty()) {
       moveTo(Phase.IDLE);
     } else {
@@ -203,9 +204,9 @@
     }
   }
 
-  private void sendStops(List<Snapshot.Running> stops) {
+  private void sendStops(List<Snapshot.RunningTask> stops) {
     Set<Machine> on = new LinkedHashSet<>();
-    for (Snapshot.Running r : stops) {
+    for (Snapshot.RunningTask r : stops) {
       Attempt a = fleet.find(r.machine(), new TaskRef(r.spec().id(), r.task()), r.attempt());
       if (a != null) {
         a.stopping();
@@ -218,14 +219,14 @@
   private void write(List<Plan.Start> starts) {
     Txn txn = lease.fenced();
     Map<Machine, List<Attempt>> byMachine = new LinkedHashMap<>();
-    StartRecord.Packer records = new StartRecord.Packer(limits.valueBytes(), limits.txnOps());
+    StartRecordPacker records = new StartRecordPacker(limits.valueBytes(), limits.txnOps());
     Set<String> jobs = new HashSet<>();
     for (Plan.Start s : starts) {
       String id = s.spec().id();
       ActiveJob run = runs.get(id);
       Machine m = fleet.get(s.machine());
       if ((!jobs.contains(id) && txn.conditions() + limits.txnOps() >= limits.conditions())
-          || !records.makeRoom(s.spec(), s.task(), m.name(), m.session())) {
+          || !records.tryReserve(s.spec(), s.task(), m.name(), m.session())) {
         // The next round's turn.
         continue;
       }
@@ -327,11 +328,12 @@
         machines.add(load.snapshot());
       }
     }
-    Map<String, Snapshot.Use> teams = new HashMap<>();
+    Map<String, Snapshot.TeamUsage> teams = new HashMap<>();
     for (Settings.Team t : settings.teams().values()) {
       double[] u = used.getOrDefault(t.name(), new double[2]);
       teams.put(
-          t.name(), new Snapshot.Use(u[0], u[1], t.cpusMax(), t.cardsMax(), t.cpus(), t.cards()));
+          t.name(),
+          new Snapshot.TeamUsage(u[0], u[1], t.cpusMax(), t.cardsMax(), t.cpus(), t.cards()));
     }
     Set<String> guaranteed = demand.guaranteed();
     double cpus = 0;
@@ -343,12 +345,12 @@
         machines,
         demand.pendingJobs(waiting, guaranteed, turns),
         guaranteed,
-        turns.kept(),
+        turns.nonPreemptible(),
         teams,
         eventLoop.nowMs(),
         mostStarts,
         passedOver.overdue(eventLoop.nowMs()),
-        turns.spared());
+        turns.preemptibleOnlyByMoreUrgent());
   }
 
   private int mostStarts() {
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -123,7 +123,7 @@
             machineTypes.get(),
             onMachineTypes);
     RunTimes runTimes = new RunTimes();
-    this.activeJobs = new ActiveJobs(store.waits().graph());
+    this.activeJobs = new ActiveJobs(store.dependencies().graph());
     Demand demand = new Demand(eventLoop, settings, fleet, activeJobs, runTimes);
     this.commands = new WorkerCommands(eventLoop, fleet, activeJobs, runTimes, isJobOver);
     SpareKeys spare = new SpareKeys();
@@ -240,7 +240,7 @@
       replica.onAdvance(this::awaitReplica);
       return;
     }
-    for (StartRecord record : table.rounds().values()) {
+    for (StartRecord record : table.startRecords().values()) {
       record.starts().forEach(fleet::inherit);
     }
     table.all().forEach(activeJobs::begin);
@@ -270,7 +270,7 @@
     if (phase == Phase.ACTIVE) {
       commands.stopBeforeNotices();
       completions.tick();
-      store.cascade();
+      store.cancelDependentJobs();
       scheduling.tick();
       collector.tick();
     }
--- a/src/main/java/fennelthread/plan/Aging.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -15,16 +15,6 @@
  */
 public final class Aging {
 
-  /** When a job's task is looked at. */
-  public enum Turn {
-    /** Before all other work: its first task, on the part of the fleet that is kept for such. */
-    FIRST,
-    /** Before other work of its priority: its first task, that part being taken. */
-    EARLY,
-    /** As the order has it. */
-    USUAL
-  }
-
   /**
    * A job that may be given tasks now.
    *
@@ -46,8 +36,8 @@
 
   private final Set<String> first = new HashSet<>();
   private final Set<String> early = new HashSet<>();
-  private final Set<Long> kept = new HashSet<>();
-  private final Set<Long> spared = new HashSet<>();
+  private final Set<Long> nonPreemptible = new HashSet<>();
+  private final Set<Long> preemptibleOnlyByMoreUrgent = new HashSet<>();
   private final double mostCpus;
   private double cpus;
 
@@ -57,7 +47,7 @@
   }
 
   /** Looks at the next job; the oldest come first. */
-  public void look(Candidate job) {
+  public void consider(Candidate job) {
     if (job.begun || job.waitedMs <= PlanConstants.BEGIN_AFTER_MS) {
       return;
     }
@@ -66,7 +56,7 @@
       (room ? first : early).add(job.id);
     } else if (job.ranS
         <= Math.max(PlanConstants.KEPT_LEAST_S, PlanConstants.KEPT_TIMES * job.takesS)) {
-      (room ? kept : spared).add(job.attempt);
+      (room ? nonPreemptible : preemptibleOnlyByMoreUrgent).add(job.attempt);
     } else {
       // It has run for so long that others need not stand back for it any more.
       return;
@@ -77,20 +67,22 @@
   }
 
   /** When the job's first task is looked at. */
-  public Turn of(String id) {
-    return first.contains(id) ? Turn.FIRST : early.contains(id) ? Turn.EARLY : Turn.USUAL;
+  public AgingBoost boostOf(String id) {
+    return first.contains(id)
+        ? AgingBoost.ABOVE_ALL
+        : early.contains(id) ? AgingBoost.WITHIN_PRIORITY : AgingBoost.NONE;
   }
 
   /** The attempts that are stopped for nobody. */
-  public Set<Long> kept() {
-    return kept;
+  public Set<Long> nonPreemptible() {
+    return nonPreemptible;
   }
 
   /**
    * The attempts that are stopped for more urgent work alone: they began before other work of their
    * priority, which would stop them, and they would begin before it again.
    */
-  public Set<Long> spared() {
-    return spared;
+  public Set<Long> preemptibleOnlyByMoreUrgent() {
+    return preemptibleOnlyByMoreUrgent;
   }
 }
--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -28,7 +28,7 @@
   private double comingMemGb;
   private Set<String> fetching;
   private Map<String, Integer> classes;
-  private List<Snapshot.Running> byEnd;
+  private List<Snapshot.RunningTask> byEnd;
   private double soonestS = -1;
 
   /** Creates the room of a machine; {@code index} is its place among the machines of the round. */
@@ -104,9 +104,9 @@
   double soonestS(long nowMs) {
     if (soonestS < 0) {
       soonestS = Double.POSITIVE_INFINITY;
-      for (Snapshot.Running r : machine.running()) {
+      for (Snapshot.RunningTask r : machine.running()) {
         if (!r.stopping()) {
-          soonestS = Math.min(soonestS, r.leftS(nowMs));
+          soonestS = Math.min(soonestS, r.remainingS(nowMs));
         }
       }
     }
@@ -114,11 +114,11 @@
   }
 
   /** Its tasks in the order in which they end by themselves. */
-  List<Snapshot.Running> byEnd(long nowMs) {
+  List<Snapshot.RunningTask> byEnd(long nowMs) {
     if (byEnd == null) {
       byEnd = new ArrayList<>(machine.running());
-      byEnd.removeIf(Snapshot.Running::stopping);
-      byEnd.sort(Comparator.comparingDouble(r -> r.leftS(nowMs)));
+      byEnd.removeIf(Snapshot.RunningTask::stopping);
+      byEnd.sort(Comparator.comparingDouble(r -> r.remainingS(nowMs)));
     }
     return byEnd;
   }
@@ -152,7 +152,7 @@
   }
 
   /** A task is being stopped: its room comes free. */
-  void release(Snapshot.Running r) {
+  void release(Snapshot.RunningTask r) {
     comingCpus += r.cpus();
     comingCards += r.cards();
     comingMemGb += r.memGb();
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -14,7 +14,7 @@
    *
    * @param victims the tasks that have to be stopped there first, or null
    */
-  record Candidate(double cost, FreeCapacity room, int version, List<Snapshot.Running> victims)
+  record Candidate(double cost, FreeCapacity room, int version, List<Snapshot.RunningTask> victims)
       implements Comparable<Candidate> {
 
     /** A machine as it is now, on which nothing has to be stopped. */
@@ -64,6 +64,6 @@
           : PlanConstants.NOT_CACHED + fetch + crowd + left;
     }
     double spot = room.machine.spot() ? -0.5 : 0;
-    return fetch * (pendingJob.waitMatters() ? 10 : 1) + left + spot;
+    return fetch * (pendingJob.latencySensitive() ? 10 : 1) + left + spot;
   }
 }
--- a/src/main/java/fennelthread/plan/PlacementRules.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /** Which machines a job's own rules allow its tasks: type, zone, kind, and where the others are. */
-final class PlacementRules {
-  private PlacementRules() {}
+final class PlacementConstraints {
+  private PlacementConstraints() {}
 
   /** What a task asks of a machine; tasks with equal shapes fit the same machines. */
-  record Shape(
+  record TaskShape(
       double cpus, double cards, double memGb, List<String> types, String zone, boolean spot) {
-    static Shape of(JobSpec spec) {
-      return new Shape(
+    static TaskShape of(JobSpec spec) {
+      return new TaskShape(
           spec.cpus(), spec.cards(), spec.memGb(), spec.types(), spec.zone(), spec.spotAllowed());
     }
   }
--- a/src/main/java/fennelthread/plan/TaskSearch.java
+++ b/src/main/java/fennelthread/plan/PlacementSearch.java
@@ -1,7 +1,7 @@
 package fennelthread.plan;
 
 import fennelthread.plan.MachineRanking.Candidate;
-import fennelthread.plan.PlacementRules.Shape;
+import fennelthread.plan.PlacementConstraints.TaskShape;
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,31 +13,31 @@
  * The search for places for one job's tasks in a round. Tasks of one job are alike, so that
  * machines are ranked once per job and not per task.
  */
-final class TaskSearch {
+final class PlacementSearch {
   private final RoundState round;
   private final Snapshot.PendingJob pendingJob;
   private final JobSpec spec;
   private final boolean overdue;
   private final boolean zoned;
   private final Map<String, Integer> zones;
-  private final Shape shape;
+  private final TaskShape shape;
   private PriorityQueue<Candidate> places;
   private PriorityQueue<Candidate> stopsCached;
   private PriorityQueue<Candidate> stopsAny;
   private PriorityQueue<Candidate> awaited;
 
-  TaskSearch(RoundState round, Snapshot.PendingJob pendingJob) {
+  PlacementSearch(RoundState round, Snapshot.PendingJob pendingJob) {
     this.round = round;
     this.pendingJob = pendingJob;
     this.spec = pendingJob.spec();
-    this.overdue = round.snapshot.overdue().contains(spec.id());
-    this.zoned = PlacementRules.dependOnOtherTasks(spec);
+    this.overdue = round.snapshot.starvedJobs().contains(spec.id());
+    this.zoned = PlacementConstraints.dependOnOtherTasks(spec);
     this.zones = zoned ? new HashMap<>(pendingJob.zones()) : Map.of();
-    this.shape = Shape.of(spec);
+    this.shape = TaskShape.of(spec);
   }
 
   private boolean isAllowed(FreeCapacity room) {
-    return PlacementRules.allow(spec, zones, room.machine);
+    return PlacementConstraints.allow(spec, zones, room.machine);
   }
 
   /** A job that was passed over for long takes room that is reserved for others. */
@@ -126,7 +126,7 @@
     return takeComing(false)
         || awaitEnds()
         || stopOthers(false)
-        || (pendingJob.turn() == Aging.Turn.FIRST && round.mayHold() && hold());
+        || (pendingJob.agingBoost() == AgingBoost.ABOVE_ALL && round.mayHold() && hold());
   }
 
   /** The same on machines that have the image, by stopping others alone. */
@@ -156,8 +156,8 @@
    * way.
    */
   private boolean awaitEnds() {
-    RoundState.Patience patience = new RoundState.Patience(shape, pendingJob.patienceS());
-    if (pendingJob.patienceS() <= 0 || (!zoned && round.inVain.contains(patience))) {
+    RoundState.Patience patience = new RoundState.Patience(shape, pendingJob.maxWaitS());
+    if (pendingJob.maxWaitS() <= 0 || (!zoned && round.inVain.contains(patience))) {
       return false;
     }
     if (awaited == null || zoned) {
@@ -176,9 +176,9 @@
   }
 
   private void offerAwaited(FreeCapacity room) {
-    if (room.soonestS(round.snapshot.nowMs()) <= pendingJob.patienceS() && isAllowed(room)) {
-      double inS = freeInS(room, pendingJob.patienceS());
-      if (inS <= pendingJob.patienceS()) {
+    if (room.soonestS(round.snapshot.nowMs()) <= pendingJob.maxWaitS() && isAllowed(room)) {
+      double inS = freeInS(room, pendingJob.maxWaitS());
+      if (inS <= pendingJob.maxWaitS()) {
         awaited.add(Candidate.of(inS, room));
       }
     }
@@ -215,14 +215,14 @@
     double cards = 0;
     double memGb = 0;
     double inS = 0;
-    for (Snapshot.Running r : room.byEnd(nowMs)) {
+    for (Snapshot.RunningTask r : room.byEnd(nowMs)) {
       if (room.fitsWith(spec, cpus, cards, memGb)) {
         return inS;
       }
       if (round.preemption.isStopped(r)) {
         continue;
       }
-      inS = r.leftS(nowMs);
+      inS = r.remainingS(nowMs);
       if (inS > mostS) {
         return Double.POSITIVE_INFINITY;
       }
@@ -241,7 +241,7 @@
     RoundState.Claim claim =
         new RoundState.Claim(
             shape,
-            pendingJob.stopsAs(),
+            pendingJob.preemptsAs(),
             pendingJob.withinGuarantee() ? spec.team() : null,
             cachedOnly ? spec.image() : null);
     if (!round.preemption.isPossible(pendingJob) || (!zoned && round.hopeless.contains(claim))) {
@@ -285,13 +285,13 @@
     if ((cachedOnly && !room.hasImage(spec)) || !isAllowed(room)) {
       return null;
     }
-    List<Snapshot.Running> victims = round.preemption.victims(pendingJob, room);
+    List<Snapshot.RunningTask> victims = round.preemption.victims(pendingJob, room);
     if (victims == null) {
       return null;
     }
     double lost = 0;
-    for (Snapshot.Running v : victims) {
-      lost += v.runS(round.snapshot.nowMs()) * Math.max(1, v.cpus());
+    for (Snapshot.RunningTask v : victims) {
+      lost += v.elapsedS(round.snapshot.nowMs()) * Math.max(1, v.cpus());
     }
     double cost = lost + 100 * MachineRanking.score(pendingJob, room);
     return new Candidate(cost, room, room.version(), victims);
--- a/src/main/java/fennelthread/plan/Plan.java
+++ b/src/main/java/fennelthread/plan/Plan.java
@@ -11,7 +11,7 @@
  */
 public record Plan(
     List<Start> starts,
-    List<Snapshot.Running> stops,
+    List<Snapshot.RunningTask> preemptions,
     List<Unplaced> unplaced,
     Set<String> passedOver) {
 
@@ -27,13 +27,15 @@
     /** True if the job's rules let its next task start in this zone. */
     public boolean mayUseZone(String zone) {
       return (spec.zone() == null || spec.zone().equals(zone))
-          && (!PlacementRules.dependOnOtherTasks(spec)
-              || PlacementRules.allowZone(spec, zones, zone));
+          && (!PlacementConstraints.dependOnOtherTasks(spec)
+              || PlacementConstraints.allowZone(spec, zones, zone));
     }
 
     /** True if the job does not take just any machine that is large enough. */
-    public boolean isChoosy() {
-      return spec.types() != null || spec.zone() != null || PlacementRules.dependOnOtherTasks(spec);
+    public boolean hasConstraints() {
+      return spec.types() != null
+          || spec.zone() != null
+          || PlacementConstraints.dependOnOtherTasks(spec);
     }
   }
 }
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -1,6 +1,6 @@
 package fennelthread.plan;
 
-import fennelthread.plan.PlacementRules.Shape;
+import fennelthread.plan.PlacementConstraints.TaskShape;
 import fennelthread.wire.JobSpec;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,10 +14,10 @@
  * Decides which task goes where: a function of the snapshot alone. A machine that has the image
  * comes before one that must fetch it; among equals the one left fullest is taken.
  *
- * <p>Machines are ranked once per job and not per task ({@link TaskSearch}), and what found no room
- * once is not looked for again ({@link RoundState}). On a fleet of hundreds a burst beyond capacity
- * otherwise costs tasks times machines times running work, on the one thread that also renews the
- * lease. The tests hold the plain version, which must choose the same.
+ * <p>Machines are ranked once per job and not per task ({@link PlacementSearch}), and what found no
+ * room once is not looked for again ({@link RoundState}). On a fleet of hundreds a burst beyond
+ * capacity otherwise costs tasks times machines times running work, on the one thread that also
+ * renews the lease. The tests hold the plain version, which must choose the same.
  */
 public final class Planner {
   /**
@@ -30,16 +30,16 @@
    */
   public static final Comparator<Snapshot.PendingJob> ORDER =
       Comparator.<Snapshot.PendingJob>comparingLong(
-              n -> n.turn() == Aging.Turn.FIRST ? n.order() : Long.MAX_VALUE)
+              n -> n.agingBoost() == AgingBoost.ABOVE_ALL ? n.order() : Long.MAX_VALUE)
           .thenComparing(Snapshot.PendingJob::priority)
-          .thenComparing(n -> n.turn() != Aging.Turn.EARLY)
+          .thenComparing(n -> n.agingBoost() != AgingBoost.WITHIN_PRIORITY)
           .thenComparing(Snapshot.PendingJob::late)
           .thenComparing(n -> !n.withinGuarantee())
           .thenComparingDouble(Snapshot.PendingJob::work)
           .thenComparingLong(Snapshot.PendingJob::order);
 
   /** A job that has tasks left without a place. */
-  private record Left(Snapshot.PendingJob pendingJob, TaskSearch search) {}
+  private record Left(Snapshot.PendingJob pendingJob, PlacementSearch search) {}
 
   private final Snapshot snapshot;
   private final RoundState round;
@@ -61,13 +61,16 @@
     pendingJobs.sort(ORDER);
     pendingJobs.forEach(planner::place);
     return new Plan(
-        planner.starts, planner.round.preemption.stops(), planner.unplaced, planner.passedOver());
+        planner.starts,
+        planner.round.preemption.preemptions(),
+        planner.unplaced,
+        planner.passedOver());
   }
 
   private void place(Snapshot.PendingJob pendingJob) {
-    TaskSearch search = new TaskSearch(round, pendingJob);
+    PlacementSearch search = new PlacementSearch(round, pendingJob);
     JobSpec spec = pendingJob.spec();
-    boolean overdue = snapshot.overdue().contains(spec.id());
+    boolean overdue = snapshot.starvedJobs().contains(spec.id());
     boolean mayAwaitImage = spec.service() && !overdue;
     boolean hopeful = true;
     int before = starts.size();
@@ -75,7 +78,7 @@
     for (int task : pendingJob.tasks()) {
       boolean mayAsk = budgets.allowsRequest(spec);
       boolean mayStart = mayAsk || (overdue && budgets.allowsStart(spec));
-      boolean mayLook = mayStart && missing == 0 && starts.size() < snapshot.mostStarts();
+      boolean mayLook = mayStart && missing == 0 && starts.size() < snapshot.maxStarts();
       FreeCapacity best = mayLook ? search.best() : null;
       if (best != null && mayAwaitImage && MachineRanking.fetchSeconds(spec, best) > 1) {
         mayAwaitImage = search.makeCachedRoom();
@@ -92,7 +95,7 @@
       } else if (mayAsk) {
         missing++;
         budgets.request(spec);
-        if (hopeful && starts.size() < snapshot.mostStarts()) {
+        if (hopeful && starts.size() < snapshot.maxStarts()) {
           hopeful = search.awaitRoom();
         }
       } else {
@@ -104,7 +107,7 @@
 
   /** Keeps in mind what has no place: {@code missing} tasks asked for one, of all that are left. */
   private void noteLeft(
-      Snapshot.PendingJob pendingJob, TaskSearch search, int missing, int notStarted) {
+      Snapshot.PendingJob pendingJob, PlacementSearch search, int missing, int notStarted) {
     if (missing > 0) {
       unplaced.add(new Plan.Unplaced(pendingJob.spec(), missing, search.zones()));
     }
@@ -119,16 +122,16 @@
    */
   private Set<String> passedOver() {
     Set<String> passedOver = new HashSet<>();
-    Map<Shape, Boolean> known = new HashMap<>();
+    Map<TaskShape, Boolean> known = new HashMap<>();
     for (Left l : left) {
       JobSpec spec = l.pendingJob.spec();
       if (!budgets.allowsStart(spec)) {
         continue;
       }
       boolean room =
-          PlacementRules.dependOnOtherTasks(spec)
+          PlacementConstraints.dependOnOtherTasks(spec)
               ? l.search.hasUnreservedRoom()
-              : known.computeIfAbsent(Shape.of(spec), shape -> l.search.hasUnreservedRoom());
+              : known.computeIfAbsent(TaskShape.of(spec), shape -> l.search.hasUnreservedRoom());
       if (room) {
         passedOver.add(spec.id());
       }
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -16,19 +16,20 @@
  */
 final class Preemption {
   private final Snapshot snapshot;
-  private final Set<Snapshot.Running> stopped = Collections.newSetFromMap(new IdentityHashMap<>());
-  private final List<Snapshot.Running> stops = new ArrayList<>();
-  private final Map<String, Snapshot.Use> teams;
+  private final Set<Snapshot.RunningTask> stopped =
+      Collections.newSetFromMap(new IdentityHashMap<>());
+  private final List<Snapshot.RunningTask> stops = new ArrayList<>();
+  private final Map<String, Snapshot.TeamUsage> teams;
   private final int[] runningByPriority = new int[Priority.values().length];
 
   Preemption(Snapshot snapshot) {
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
     for (Snapshot.Machine machine : snapshot.machines()) {
-      machine.running().stream().filter(Snapshot.Running::stopping).forEach(this::discount);
+      machine.running().stream().filter(Snapshot.RunningTask::stopping).forEach(this::discount);
     }
     for (Snapshot.Machine machine : snapshot.machines()) {
-      for (Snapshot.Running r : machine.running()) {
+      for (Snapshot.RunningTask r : machine.running()) {
         if (!r.stopping()) {
           runningByPriority[r.priority().rank()]++;
         }
@@ -37,22 +38,22 @@
   }
 
   /** What is being stopped is no longer what its team uses. */
-  private void discount(Snapshot.Running r) {
+  private void discount(Snapshot.RunningTask r) {
     teams.computeIfPresent(r.spec().team(), (team, use) -> without(use, r));
   }
 
   /** The tasks that this round stops, in the order in which it was decided. */
-  List<Snapshot.Running> stops() {
+  List<Snapshot.RunningTask> preemptions() {
     return stops;
   }
 
-  boolean isStopped(Snapshot.Running r) {
+  boolean isStopped(Snapshot.RunningTask r) {
     return stopped.contains(r);
   }
 
   /** Stops tasks; their machine's room comes free. */
-  void stop(List<Snapshot.Running> victims, FreeCapacity room) {
-    for (Snapshot.Running v : victims) {
+  void stop(List<Snapshot.RunningTask> victims, FreeCapacity room) {
+    for (Snapshot.RunningTask v : victims) {
       stopped.add(v);
       stops.add(v);
       room.release(v);
@@ -62,7 +63,7 @@
 
   /** False if no running work anywhere comes later than the need. */
   boolean isPossible(Snapshot.PendingJob pendingJob) {
-    int rank = pendingJob.stopsAs().rank();
+    int rank = pendingJob.preemptsAs().rank();
     for (int i = pendingJob.withinGuarantee() ? rank : rank + 1;
         i < runningByPriority.length;
         i++) {
@@ -74,22 +75,22 @@
   }
 
   /** The tasks to stop on a machine so that one of the job's fits, or null if that can't be. */
-  List<Snapshot.Running> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
-    List<Snapshot.Running> candidates = candidates(pendingJob, room);
+  List<Snapshot.RunningTask> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+    List<Snapshot.RunningTask> candidates = candidates(pendingJob, room);
     if (candidates.isEmpty()) {
       return null;
     }
     double cpus = 0;
     double cards = 0;
     double memGb = 0;
-    Map<String, Snapshot.Use> left = new HashMap<>();
-    List<Snapshot.Running> victims = new ArrayList<>();
-    for (Snapshot.Running r : candidates) {
+    Map<String, Snapshot.TeamUsage> left = new HashMap<>();
+    List<Snapshot.RunningTask> victims = new ArrayList<>();
+    for (Snapshot.RunningTask r : candidates) {
       if (room.fitsWith(pendingJob.spec(), cpus, cards, memGb)) {
         break;
       }
       String team = r.spec().team();
-      Snapshot.Use use = left.getOrDefault(team, teams.get(team));
+      Snapshot.TeamUsage use = left.getOrDefault(team, teams.get(team));
       if (isLessUrgent(pendingJob, r) || isBorrowed(use, r)) {
         victims.add(r);
         cpus += r.cpus();
@@ -103,25 +104,25 @@
         : null;
   }
 
-  private List<Snapshot.Running> candidates(Snapshot.PendingJob pendingJob, FreeCapacity room) {
-    List<Snapshot.Running> candidates = new ArrayList<>();
-    for (Snapshot.Running r : room.machine.running()) {
+  private List<Snapshot.RunningTask> candidates(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+    List<Snapshot.RunningTask> candidates = new ArrayList<>();
+    for (Snapshot.RunningTask r : room.machine.running()) {
       if (!r.stopping()
           && (isLessUrgent(pendingJob, r) || mayGiveBack(pendingJob, r))
           && !stopped.contains(r)
-          && !snapshot.kept().contains(r.attempt())) {
+          && !snapshot.nonPreemptible().contains(r.attempt())) {
         candidates.add(r);
       }
     }
     candidates.sort(
-        Comparator.comparing(Snapshot.Running::priority)
+        Comparator.comparing(Snapshot.RunningTask::priority)
             .reversed()
-            .thenComparingDouble(r -> r.runS(snapshot.nowMs())));
+            .thenComparingDouble(r -> r.elapsedS(snapshot.nowMs())));
     return candidates;
   }
 
-  private static boolean isLessUrgent(Snapshot.PendingJob pendingJob, Snapshot.Running r) {
-    return r.priority().compareTo(pendingJob.stopsAs()) > 0;
+  private static boolean isLessUrgent(Snapshot.PendingJob pendingJob, Snapshot.RunningTask r) {
+    return r.priority().compareTo(pendingJob.preemptsAs()) > 0;
   }
 
   /**
@@ -129,11 +130,11 @@
    * Only work that comes later in the order of placement is: a guarantee once stopped borrowed work
    * of higher priority, which took the room back in the next round, over and over.
    */
-  private boolean mayGiveBack(Snapshot.PendingJob pendingJob, Snapshot.Running r) {
-    return r.priority() == pendingJob.stopsAs()
+  private boolean mayGiveBack(Snapshot.PendingJob pendingJob, Snapshot.RunningTask r) {
+    return r.priority() == pendingJob.preemptsAs()
         && pendingJob.withinGuarantee()
-        && !snapshot.spared().contains(r.attempt())
-        && !snapshot.guaranteed().contains(r.spec().id())
+        && !snapshot.preemptibleOnlyByMoreUrgent().contains(r.attempt())
+        && !snapshot.guaranteedJobs().contains(r.spec().id())
         && !r.spec().team().equals(pendingJob.spec().team());
   }
 
@@ -142,11 +143,11 @@
    * it is not enough: a job that waits counts there too, and a team with a long queue had tasks
    * stopped while it used next to nothing.
    */
-  private static boolean isBorrowed(Snapshot.Use use, Snapshot.Running r) {
+  private static boolean isBorrowed(Snapshot.TeamUsage use, Snapshot.RunningTask r) {
     return use == null || use.isBeyondGuarantee(r.cpus(), r.cards());
   }
 
-  private static Snapshot.Use without(Snapshot.Use use, Snapshot.Running r) {
+  private static Snapshot.TeamUsage without(Snapshot.TeamUsage use, Snapshot.RunningTask r) {
     return use == null ? null : use.plus(-r.cpus(), -r.cards());
   }
 }
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -1,7 +1,7 @@
 package fennelthread.plan;
 
 import fennelthread.constants.PlanConstants;
-import fennelthread.plan.PlacementRules.Shape;
+import fennelthread.plan.PlacementConstraints.TaskShape;
 import fennelthread.wire.Priority;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -16,12 +16,12 @@
  */
 final class RoundState {
   /** A shape, and how long it waits for room by itself, s. */
-  record Patience(Shape shape, double mostS) {}
+  record Patience(TaskShape shape, double mostS) {}
 
   /**
    * A shape, and whose work may be stopped for it; {@code image} is null if any machine will do.
    */
-  record Claim(Shape shape, Priority priority, String guaranteedTeam, String image) {}
+  record Claim(TaskShape shape, Priority priority, String guaranteedTeam, String image) {}
 
   final Snapshot snapshot;
   final List<FreeCapacity> rooms;
@@ -31,7 +31,7 @@
   final BitSet coming = new BitSet();
 
   /** Shapes for which no machine has room. */
-  final Set<Shape> full = new HashSet<>();
+  final Set<TaskShape> full = new HashSet<>();
 
   /** Claims for which nothing may be stopped. */
   final Set<Claim> hopeless = new HashSet<>();
@@ -50,7 +50,7 @@
     for (Snapshot.Machine machine : snapshot.machines()) {
       FreeCapacity room = new FreeCapacity(machine, rooms.size());
       rooms.add(room);
-      machine.running().stream().filter(Snapshot.Running::stopping).forEach(room::release);
+      machine.running().stream().filter(Snapshot.RunningTask::stopping).forEach(room::release);
       coming.set(room.index, room.isComing());
     }
   }
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -19,24 +19,33 @@
 public record Snapshot(
     List<Machine> machines,
     List<PendingJob> pendingJobs,
-    Set<String> guaranteed,
-    Set<Long> kept,
-    Map<String, Use> teams,
+    Set<String> guaranteedJobs,
+    Set<Long> nonPreemptible,
+    Map<String, TeamUsage> teams,
     long nowMs,
-    int mostStarts,
-    Set<String> overdue,
-    Set<Long> spared) {
+    int maxStarts,
+    Set<String> starvedJobs,
+    Set<Long> preemptibleOnlyByMoreUrgent) {
 
   /** A snapshot in which no job was passed over, and no attempt is spared. */
   public Snapshot(
       List<Machine> machines,
       List<PendingJob> pendingJobs,
-      Set<String> guaranteed,
-      Set<Long> kept,
-      Map<String, Use> teams,
+      Set<String> guaranteedJobs,
+      Set<Long> nonPreemptible,
+      Map<String, TeamUsage> teams,
       long nowMs,
-      int mostStarts) {
-    this(machines, pendingJobs, guaranteed, kept, teams, nowMs, mostStarts, Set.of(), Set.of());
+      int maxStarts) {
+    this(
+        machines,
+        pendingJobs,
+        guaranteedJobs,
+        nonPreemptible,
+        teams,
+        nowMs,
+        maxStarts,
+        Set.of(),
+        Set.of());
   }
 
   /** Where tasks are that a predecessor started on a machine nobody has described yet. */
@@ -56,11 +65,10 @@
       double cards,
       double memGb,
       double fetchGbPerS,
-      double cacheGb,
       Set<String> images,
       Set<String> fetching,
       Map<String, Integer> classes,
-      List<Running> running,
+      List<RunningTask> running,
       int slots) {
 
     /** A machine whose worker's reports have room for any number of tasks. */
@@ -74,11 +82,10 @@
         double cards,
         double memGb,
         double fetchGbPerS,
-        double cacheGb,
         Set<String> images,
         Set<String> fetching,
         Map<String, Integer> classes,
-        List<Running> running) {
+        List<RunningTask> running) {
       this(
           name,
           type,
@@ -89,7 +96,6 @@
           cards,
           memGb,
           fetchGbPerS,
-          cacheGb,
           images,
           fetching,
           classes,
@@ -110,15 +116,15 @@
   public record PendingJob(
       JobSpec spec,
       Priority priority,
-      Priority stopsAs,
+      Priority preemptsAs,
       List<Integer> tasks,
       Map<String, Integer> zones,
       boolean withinGuarantee,
-      boolean waitMatters,
+      boolean latencySensitive,
       boolean late,
       double work,
-      double patienceS,
-      Aging.Turn turn,
+      double maxWaitS,
+      AgingBoost agingBoost,
       long order) {}
 
   /**
@@ -126,7 +132,7 @@
    * its job's own or that of a job that needs it, {@code takesS} how long it is expected to run, s,
    * 0 if for ever.
    */
-  public record Running(
+  public record RunningTask(
       JobSpec spec,
       Priority priority,
       int task,
@@ -136,19 +142,19 @@
       double cpus,
       double cards,
       double memGb,
-      long sinceMs,
-      double takesS) {
+      long runningSinceMs,
+      double expectedRunS) {
 
     /** The work that would be lost, seconds. */
-    double runS(long nowMs) {
-      return sinceMs < 0 ? 0 : (nowMs - sinceMs) / 1000.0;
+    double elapsedS(long nowMs) {
+      return runningSinceMs < 0 ? 0 : (nowMs - runningSinceMs) / 1000.0;
     }
 
     /** How long it still runs, as far as anyone can tell, seconds. */
-    double leftS(long nowMs) {
-      return takesS <= 0
+    double remainingS(long nowMs) {
+      return expectedRunS <= 0
           ? Double.POSITIVE_INFINITY
-          : Math.max(takesS * PlanConstants.RUN_LEFT_LEAST, takesS - runS(nowMs));
+          : Math.max(expectedRunS * PlanConstants.RUN_LEFT_LEAST, expectedRunS - elapsedS(nowMs));
     }
   }
 
@@ -156,7 +162,7 @@
    * What a team's tasks use at the most, its limits, and its guarantee; a cap of 0 means that there
    * is none.
    */
-  public record Use(
+  public record TeamUsage(
       double cpus,
       double cards,
       double cpusMax,
@@ -165,7 +171,7 @@
       double cardsGuaranteed) {
 
     /** A team without a guarantee. */
-    public Use(double cpus, double cards, double cpusMax, double cardsMax) {
+    public TeamUsage(double cpus, double cards, double cpusMax, double cardsMax) {
       this(cpus, cards, cpusMax, cardsMax, 0, 0);
     }
 
@@ -185,8 +191,8 @@
       return guaranteed <= 0 || used > guaranteed + ProtocolConstants.EPSILON;
     }
 
-    Use plus(double moreCpus, double moreCards) {
-      return new Use(
+    TeamUsage plus(double moreCpus, double moreCards) {
+      return new TeamUsage(
           cpus + moreCpus, cards + moreCards, cpusMax, cardsMax, cpusGuaranteed, cardsGuaranteed);
     }
   }
--- a/src/main/java/fennelthread/plan/TeamBudgets.java
+++ b/src/main/java/fennelthread/plan/TeamBudgets.java
@@ -10,10 +10,10 @@
  * no room yet, so that neither room nor machines are asked for beyond it.
  */
 final class TeamBudgets {
-  private final Map<String, Snapshot.Use> started;
-  private final Map<String, Snapshot.Use> requested;
+  private final Map<String, Snapshot.TeamUsage> started;
+  private final Map<String, Snapshot.TeamUsage> requested;
 
-  TeamBudgets(Map<String, Snapshot.Use> used) {
+  TeamBudgets(Map<String, Snapshot.TeamUsage> used) {
     started = new HashMap<>(used);
     requested = new HashMap<>(used);
   }
@@ -28,8 +28,8 @@
     return allows(requested, spec);
   }
 
-  private static boolean allows(Map<String, Snapshot.Use> teams, JobSpec spec) {
-    Snapshot.Use use = teams.get(spec.team());
+  private static boolean allows(Map<String, Snapshot.TeamUsage> teams, JobSpec spec) {
+    Snapshot.TeamUsage use = teams.get(spec.team());
     return use != null && use.allows(spec.cpus(), spec.cards());
   }
 
--- a/src/test/java/fennelthread/jobs/DependencyGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -24,20 +24,20 @@
 class DependencyGraphTest {
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
   private final Map<String, Job> live = new LinkedHashMap<>();
-  private final Map<String, Lookup.Final> finals = new HashMap<>();
-  private final Map<String, Lookup.Final> known = new HashMap<>();
+  private final Map<String, FinalRecord> finals = new HashMap<>();
+  private final Map<String, FinalRecord> known = new HashMap<>();
   private int told;
   private final DependencyGraph graph =
       new DependencyGraph(
           spec -> spec.deadlineS() * 1.5,
           new DependencyGraph.Listener() {
             @Override
-            public void moved(Job job, DependencyGraph.Phase to) {
+            public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
               told++;
             }
 
             @Override
-            public void lent(String id) {
+            public void onInheritedPriorityChanged(String id) {
               told++;
             }
           });
@@ -77,7 +77,7 @@
 
   private void end(String id, JobState state) {
     live.remove(id);
-    finals.put(id, new Lookup.Final(state, 1, 5_000_000 + id.hashCode() % 1_000));
+    finals.put(id, new FinalRecord(state, 1, 5_000_000 + id.hashCode() % 1_000));
     graph.remove(id);
   }
 
@@ -100,33 +100,35 @@
     assertEquals(Set.of("job-1"), Set.copyOf(graph.unknown()));
     read("job-1");
     assertTrue(graph.isReleased(second));
-    assertEquals(finals.get("job-1").endedWallMs(), graph.releasedMs(second));
+    assertEquals(finals.get("job-1").endedWallMs(), graph.releasedAtMs(second));
     assertTrue(graph.unknown().isEmpty());
   }
 
   /** Production's final records do not say when: then the job was released when it was accepted. */
   @Test
   void anEndWithoutTime() {
-    known.put("job-1", new Lookup.Final(JobState.DONE, 1, 0));
+    known.put("job-1", new FinalRecord(JobState.DONE, 1, 0));
     Job second = job(2, Priority.STANDARD, -1, List.of("job-1"));
     accept(second);
     assertTrue(graph.isReleased(second));
-    assertEquals(2_000, graph.releasedMs(second));
+    assertEquals(2_000, graph.releasedAtMs(second));
   }
 
   @Test
   void priorityAndDeadlineComeFromTheLastJob() {
     accept(job(1, Priority.BEST_EFFORT, -1, List.of()));
     accept(job(2, Priority.BEST_EFFORT, -1, List.of("job-1")));
-    assertEquals(Priority.BEST_EFFORT, graph.loan("job-1").priority());
+    assertEquals(Priority.BEST_EFFORT, graph.inheritedPriority("job-1").priority());
     accept(job(3, Priority.URGENT, 100, List.of("job-2")));
     // Due at 103 s, less 10 s for the last and 10 s for the one in the middle; 1.5 times as late.
-    assertEquals(new DependencyGraph.Loan(Priority.URGENT, 93_000, 143_000), graph.loan("job-2"));
-    assertEquals(new DependencyGraph.Loan(Priority.URGENT, 83_000, 133_000), graph.loan("job-1"));
+    assertEquals(
+        new InheritedPriority(Priority.URGENT, 93_000, 143_000), graph.inheritedPriority("job-2"));
+    assertEquals(
+        new InheritedPriority(Priority.URGENT, 83_000, 133_000), graph.inheritedPriority("job-1"));
     end("job-3", JobState.CANCELLED);
-    assertEquals(Priority.BEST_EFFORT, graph.loan("job-1").priority());
+    assertEquals(Priority.BEST_EFFORT, graph.inheritedPriority("job-1").priority());
     end("job-2", JobState.CANCELLED);
-    assertNull(graph.loan("job-1"), "a withdrawn job lends nothing");
+    assertNull(graph.inheritedPriority("job-1"), "a withdrawn job lends nothing");
   }
 
   /** Random graphs, in any order of news: the same as the model says at each step. */
@@ -172,7 +174,7 @@
     String id = job.spec().id();
     boolean met = true;
     for (String dependency : job.spec().dependencies()) {
-      Lookup.Final end = known.get(dependency);
+      FinalRecord end = known.get(dependency);
       met &= end != null && end.state() == JobState.DONE;
       assertEquals(
           !live.containsKey(dependency) && end == null,
@@ -186,7 +188,7 @@
     if (graph.isDoomed(id)) {
       assertTrue(doomed(id, all, true), id);
     }
-    DependencyGraph.Loan loan = graph.loan(id);
+    InheritedPriority loan = graph.inheritedPriority(id);
     assertEquals(urgency(id, all), loan == null ? 4 : PRIORITIES.indexOf(loan.priority()), id);
   }
 
@@ -223,7 +225,7 @@
     assertEquals(1_000 - 1, told, "one loan a job");
     accept(job(1_000, Priority.URGENT, 60, List.of("job-999")));
     assertEquals(2 * 1_000 - 1, told);
-    assertEquals(Priority.URGENT, graph.loan("job-0").priority());
+    assertEquals(Priority.URGENT, graph.inheritedPriority("job-0").priority());
     told = 0;
     end("job-0", JobState.CANCELLED);
     read("job-0");
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -92,12 +92,12 @@
 
   @Test
   void finalJob() throws WireException {
-    Lookup.Final end = new Lookup.Final(JobState.DONE, 3, 77);
+    FinalRecord end = new FinalRecord(JobState.DONE, 3, 77);
     assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", json(end.write()));
-    assertEquals(end, Lookup.Final.read(end.write()));
+    assertEquals(end, FinalRecord.read(end.write()));
     assertEquals(
-        new Lookup.Final(JobState.CANCELLED, 2, 0),
-        Lookup.Final.read(parsed("{\"estado\":\"withdrawn\",\"done\":2}")),
+        new FinalRecord(JobState.CANCELLED, 2, 0),
+        FinalRecord.read(parsed("{\"estado\":\"withdrawn\",\"done\":2}")),
         "as production writes it");
   }
 
@@ -184,14 +184,14 @@
 
   private static void rounds(SplittableRandom r, Limits limits, int valueBytes, int ops)
       throws WireException {
-    StartRecord.Packer packer = new StartRecord.Packer(limits.valueBytes(), ops);
+    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), ops);
     List<StartRecord.Start> starts = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
       int length = 1 + r.nextInt(32);
       JobSpec spec = spec("job-" + "7".repeat(length), "é".repeat(length), List.of());
       String machine = "n-" + "0".repeat(r.nextInt(20));
       long session = r.nextLong(Long.MAX_VALUE);
-      if (packer.makeRoom(spec, i * 1_000, machine, session)) {
+      if (packer.tryReserve(spec, i * 1_000, machine, session)) {
         StartRecord.Start start =
             StartRecord.Start.of(spec, i * 1_000, Long.MAX_VALUE, machine, session);
         packer.add(start);
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -67,7 +67,7 @@
       boolean late,
       boolean guaranteed,
       double work,
-      Aging.Turn turn) {
+      AgingBoost turn) {
     return new Snapshot.PendingJob(
         spec(order, priority, cpus),
         priority,
@@ -91,7 +91,7 @@
                 Arbitraries.of(true, false),
                 Arbitraries.of(true, false),
                 Arbitraries.of(0.1, 1.0, 1.0, 400.0),
-                Arbitraries.of(Aging.Turn.class))
+                Arbitraries.of(AgingBoost.class))
             .as(
                 (p, late, guaranteed, work, turn) ->
                     pendingJob(0, p, 1, late, guaranteed, work, turn));
@@ -109,14 +109,14 @@
                         n.late(),
                         n.withinGuarantee(),
                         n.work(),
-                        n.turn()));
+                        n.agingBoost()));
               }
               return numbered;
             });
   }
 
   @Property(tries = TRIES, seed = "20261202")
-  void theOrderIsTotal(@ForAll("needs") List<Snapshot.PendingJob> three) {
+  void theOrderIsTotal(@ForAll("pendingJobs") List<Snapshot.PendingJob> three) {
     Comparator<Snapshot.PendingJob> order = Planner.ORDER;
     for (Snapshot.PendingJob a : three) {
       for (Snapshot.PendingJob b : three) {
@@ -210,7 +210,7 @@
     Map<String, Job> byId = new HashMap<>();
     for (Job j : jobs) {
       boolean runs = j.startedAt >= 0;
-      turns.look(
+      turns.consider(
           new Aging.Candidate(
               "job-" + j.order,
               now - j.at,
@@ -232,19 +232,19 @@
                 false,
                 j.what.guaranteed,
                 work,
-                turns.of("job-" + j.order)));
+                turns.boostOf("job-" + j.order)));
       }
     }
     List<Snapshot.Machine> machines = new ArrayList<>();
     for (int h = 0; h < 4; h++) {
       String name = "m" + h;
       double free = 16;
-      List<Snapshot.Running> running = new ArrayList<>();
+      List<Snapshot.RunningTask> running = new ArrayList<>();
       for (Job j : on) {
         if (where.get(j).equals(name)) {
           free -= j.what.cpus;
           running.add(
-              new Snapshot.Running(
+              new Snapshot.RunningTask(
                   spec(j.order, j.what.priority, j.what.cpus),
                   j.what.priority,
                   0,
@@ -269,17 +269,17 @@
               0,
               64,
               1,
-              20,
               Set.of("img"),
               Set.of(),
               Map.of(),
               running));
     }
-    Map<String, Snapshot.Use> teams = Map.of("roja", new Snapshot.Use(0, 0, 0, 0));
+    Map<String, Snapshot.TeamUsage> teams = Map.of("roja", new Snapshot.TeamUsage(0, 0, 0, 0));
     Plan plan =
         Planner.plan(
-            new Snapshot(machines, pendingJobs, Set.of(), turns.kept(), teams, now, 1_000));
-    for (Snapshot.Running stopped : plan.stops()) {
+            new Snapshot(
+                machines, pendingJobs, Set.of(), turns.nonPreemptible(), teams, now, 1_000));
+    for (Snapshot.RunningTask stopped : plan.preemptions()) {
       Job j = byId.get(stopped.spec().id());
       on.remove(j);
       j.startedAt = -1;
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -83,12 +83,12 @@
 
   private final Snapshot snapshot;
   private final List<FreeCapacity> rooms = new ArrayList<>();
-  private final Map<String, Snapshot.Use> teams;
+  private final Map<String, Snapshot.TeamUsage> teams;
   private final List<Plan.Start> starts = new ArrayList<>();
-  private final List<Snapshot.Running> stops = new ArrayList<>();
+  private final List<Snapshot.RunningTask> stops = new ArrayList<>();
   private final List<Plan.Unplaced> unplaced = new ArrayList<>();
-  private final Set<Snapshot.Running> stopped = new HashSet<>();
-  private final Map<String, Snapshot.Use> started;
+  private final Set<Snapshot.RunningTask> stopped = new HashSet<>();
+  private final Map<String, Snapshot.TeamUsage> started;
   private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> zonesOf =
       new IdentityHashMap<>();
   private final IdentityHashMap<Snapshot.PendingJob, Integer> startsOf = new IdentityHashMap<>();
@@ -102,7 +102,7 @@
       rooms.add(new FreeCapacity(machine));
     }
     for (FreeCapacity room : rooms) {
-      for (Snapshot.Running r : room.machine.running()) {
+      for (Snapshot.RunningTask r : room.machine.running()) {
         if (r.stopping()) {
           room.comingCpus += r.cpus();
           room.comingCards += r.cards();
@@ -129,19 +129,19 @@
 
   private void place(Snapshot.PendingJob pendingJob) {
     JobSpec spec = pendingJob.spec();
-    boolean overdue = snapshot.overdue().contains(spec.id());
+    boolean overdue = snapshot.starvedJobs().contains(spec.id());
     Map<String, Integer> zones = new HashMap<>(pendingJob.zones());
     zonesOf.put(pendingJob, zones);
     int missing = 0;
     for (int task : pendingJob.tasks()) {
-      Snapshot.Use use = teams.get(spec.team());
-      Snapshot.Use real = started.get(spec.team());
+      Snapshot.TeamUsage use = teams.get(spec.team());
+      Snapshot.TeamUsage real = started.get(spec.team());
       boolean mayAsk = use != null && use.allows(spec.cpus(), spec.cards());
       if (!mayAsk && !(overdue && real != null && real.allows(spec.cpus(), spec.cards()))) {
         break;
       }
       FreeCapacity best = null;
-      if (missing == 0 && starts.size() < snapshot.mostStarts()) {
+      if (missing == 0 && starts.size() < snapshot.maxStarts()) {
         best = bestRoom(pendingJob, zones);
         if (best != null
             && spec.service()
@@ -163,7 +163,7 @@
         break;
       } else {
         missing++;
-        if (starts.size() < snapshot.mostStarts()) {
+        if (starts.size() < snapshot.maxStarts()) {
           awaitRoom(pendingJob, zones);
         }
       }
@@ -184,7 +184,7 @@
     Set<String> passedOver = new HashSet<>();
     for (Snapshot.PendingJob pendingJob : snapshot.pendingJobs()) {
       JobSpec spec = pendingJob.spec();
-      Snapshot.Use real = started.get(spec.team());
+      Snapshot.TeamUsage real = started.get(spec.team());
       if (startsOf.getOrDefault(pendingJob, 0) < pendingJob.tasks().size()
           && real != null
           && real.allows(spec.cpus(), spec.cards())
@@ -226,7 +226,7 @@
     FreeCapacity best = null;
     double bestScore = 0;
     for (FreeCapacity room : rooms) {
-      boolean overdue = snapshot.overdue().contains(pendingJob.spec().id());
+      boolean overdue = snapshot.starvedJobs().contains(pendingJob.spec().id());
       boolean free = overdue ? room.hasFree(pendingJob.spec()) : room.fits(pendingJob.spec());
       if (!free || !allowed(pendingJob.spec(), zones, room.machine)) {
         continue;
@@ -266,7 +266,7 @@
           : NOT_CACHED + fetch + crowd + left;
     }
     double spot = room.machine.spot() ? -0.5 : 0;
-    return fetch * (pendingJob.waitMatters() ? 10 : 1) + left + spot;
+    return fetch * (pendingJob.latencySensitive() ? 10 : 1) + left + spot;
   }
 
   /**
@@ -276,11 +276,10 @@
   private void awaitRoom(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
     boolean found =
         takeComing(pendingJob, zones, false)
-            || (pendingJob.patienceS() > 0
-                && reserveFirst(pendingJob, zones, pendingJob.patienceS()))
+            || (pendingJob.maxWaitS() > 0 && reserveFirst(pendingJob, zones, pendingJob.maxWaitS()))
             || stopOthers(pendingJob, zones, false);
     if (!found
-        && pendingJob.turn() == Aging.Turn.FIRST
+        && pendingJob.agingBoost() == AgingBoost.ABOVE_ALL
         && holds < RoundState.mostHolds(snapshot)
         && reserveFirst(pendingJob, zones, Double.MAX_VALUE)) {
       holds++;
@@ -315,9 +314,9 @@
   }
 
   private double freeInS(JobSpec spec, FreeCapacity room) {
-    List<Snapshot.Running> ending = new ArrayList<>(room.machine.running());
+    List<Snapshot.RunningTask> ending = new ArrayList<>(room.machine.running());
     ending.removeIf(r -> r.stopping() || stopped.contains(r));
-    ending.sort(Comparator.comparingDouble(r -> r.leftS(snapshot.nowMs())));
+    ending.sort(Comparator.comparingDouble(r -> r.remainingS(snapshot.nowMs())));
     double cpus = room.cpus + room.comingCpus;
     double cards = room.cards + room.comingCards;
     double mem = room.memGb + room.comingMemGb;
@@ -330,8 +329,8 @@
         return inS;
       }
       if (i < ending.size()) {
-        Snapshot.Running r = ending.get(i);
-        inS = r.leftS(snapshot.nowMs());
+        Snapshot.RunningTask r = ending.get(i);
+        inS = r.remainingS(snapshot.nowMs());
         cpus += r.cpus();
         cards += r.cards();
         mem += r.memGb();
@@ -363,19 +362,21 @@
       Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean cachedOnly) {
     JobSpec spec = pendingJob.spec();
     FreeCapacity best = null;
-    List<Snapshot.Running> bestVictims = null;
+    List<Snapshot.RunningTask> bestVictims = null;
     double bestCost = Double.MAX_VALUE;
     for (FreeCapacity room : rooms) {
       if (!allowed(spec, zones, room.machine)
           || (cachedOnly && !room.machine.images().contains(spec.image()))) {
         continue;
       }
-      List<Snapshot.Running> victims = victims(pendingJob, room);
+      List<Snapshot.RunningTask> victims = victims(pendingJob, room);
       if (victims == null) {
         continue;
       }
       double lost =
-          victims.stream().mapToDouble(v -> v.runS(snapshot.nowMs()) * Math.max(1, v.cpus())).sum();
+          victims.stream()
+              .mapToDouble(v -> v.elapsedS(snapshot.nowMs()) * Math.max(1, v.cpus()))
+              .sum();
       double cost = lost + 100 * score(pendingJob, room);
       if (cost < bestCost) {
         best = room;
@@ -384,7 +385,7 @@
       }
     }
     if (best != null) {
-      for (Snapshot.Running v : bestVictims) {
+      for (Snapshot.RunningTask v : bestVictims) {
         stopped.add(v);
         stops.add(v);
         best.comingCpus += v.cpus();
@@ -402,17 +403,18 @@
     room.comingMemGb -= spec.memGb();
   }
 
-  private List<Snapshot.Running> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+  private List<Snapshot.RunningTask> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
     JobSpec spec = pendingJob.spec();
-    List<Snapshot.Running> candidates = new ArrayList<>(room.machine.running());
+    List<Snapshot.RunningTask> candidates = new ArrayList<>(room.machine.running());
     candidates.removeIf(
-        r -> r.stopping() || stopped.contains(r) || snapshot.kept().contains(r.attempt()));
+        r ->
+            r.stopping() || stopped.contains(r) || snapshot.nonPreemptible().contains(r.attempt()));
     candidates.sort(
-        Comparator.comparing(Snapshot.Running::priority)
+        Comparator.comparing(Snapshot.RunningTask::priority)
             .reversed()
-            .thenComparingDouble(r -> r.runS(snapshot.nowMs())));
-    List<Snapshot.Running> victims = new ArrayList<>();
-    for (Snapshot.Running r : candidates) {
+            .thenComparingDouble(r -> r.elapsedS(snapshot.nowMs())));
+    List<Snapshot.RunningTask> victims = new ArrayList<>();
+    for (Snapshot.RunningTask r : candidates) {
       if (!isEnough(spec, room, victims) && mayStop(pendingJob, r, victims)) {
         victims.add(r);
       }
@@ -420,11 +422,12 @@
     return isEnough(spec, room, victims) && !victims.isEmpty() ? victims : null;
   }
 
-  private static boolean isEnough(JobSpec spec, FreeCapacity room, List<Snapshot.Running> victims) {
+  private static boolean isEnough(
+      JobSpec spec, FreeCapacity room, List<Snapshot.RunningTask> victims) {
     double cpus = room.cpus + room.comingCpus;
     double cards = room.cards + room.comingCards;
     double mem = room.memGb + room.comingMemGb;
-    for (Snapshot.Running r : victims) {
+    for (Snapshot.RunningTask r : victims) {
       cpus += r.cpus();
       cards += r.cards();
       mem += r.memGb();
@@ -441,24 +444,27 @@
    * stopped.
    */
   private boolean mayStop(
-      Snapshot.PendingJob pendingJob, Snapshot.Running r, List<Snapshot.Running> stoppedBefore) {
-    if (r.priority() != pendingJob.stopsAs()) {
-      return r.priority().compareTo(pendingJob.stopsAs()) > 0;
+      Snapshot.PendingJob pendingJob,
+      Snapshot.RunningTask r,
+      List<Snapshot.RunningTask> stoppedBefore) {
+    if (r.priority() != pendingJob.preemptsAs()) {
+      return r.priority().compareTo(pendingJob.preemptsAs()) > 0;
     }
     String team = r.spec().team();
     return pendingJob.withinGuarantee()
-        && !snapshot.spared().contains(r.attempt())
-        && !snapshot.guaranteed().contains(r.spec().id())
+        && !snapshot.preemptibleOnlyByMoreUrgent().contains(r.attempt())
+        && !snapshot.guaranteedJobs().contains(r.spec().id())
         && !team.equals(pendingJob.spec().team())
         && (snapshot.teams().get(team) == null || isBeyond(team, r, stoppedBefore));
   }
 
-  private boolean isBeyond(String team, Snapshot.Running r, List<Snapshot.Running> stoppedBefore) {
-    Snapshot.Use use = snapshot.teams().get(team);
+  private boolean isBeyond(
+      String team, Snapshot.RunningTask r, List<Snapshot.RunningTask> stoppedBefore) {
+    Snapshot.TeamUsage use = snapshot.teams().get(team);
     double cpus = use.cpus();
     double cards = use.cards();
     for (Snapshot.Machine machine : snapshot.machines()) {
-      for (Snapshot.Running other : machine.running()) {
+      for (Snapshot.RunningTask other : machine.running()) {
         boolean ends = other.stopping() || stopped.contains(other) || stoppedBefore.contains(other);
         if (ends && other.spec().team().equals(team)) {
           cpus -= other.cpus();
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class PlannerTest {
-  private static final List<Aging.Turn> TURNS = List.of(Aging.Turn.values());
+  private static final List<AgingBoost> TURNS = List.of(AgingBoost.values());
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
   private static final long NOW_MS = 1_000_000;
 
@@ -44,7 +44,7 @@
   }
 
   private static Snapshot.Machine machine(
-      String name, double total, double free, String image, Snapshot.Running... running) {
+      String name, double total, double free, String image, Snapshot.RunningTask... running) {
     return new Snapshot.Machine(
         name,
         "mesa",
@@ -55,7 +55,6 @@
         0,
         64,
         1,
-        20,
         image == null ? Set.of() : Set.of(image),
         Set.of(),
         Map.of(),
@@ -63,8 +62,9 @@
   }
 
   /** A task of 4 CPUs that runs on machine a since {@code runS} seconds. */
-  private static Snapshot.Running running(String id, String team, Priority priority, long runS) {
-    return new Snapshot.Running(
+  private static Snapshot.RunningTask running(
+      String id, String team, Priority priority, long runS) {
+    return new Snapshot.RunningTask(
         job(id, team, priority, 1, 4),
         priority,
         0,
@@ -99,12 +99,13 @@
         false,
         1,
         0,
-        Aging.Turn.USUAL,
+        AgingBoost.NONE,
         1);
   }
 
-  private static Map<String, Snapshot.Use> teams(double cap) {
-    return Map.of("roja", new Snapshot.Use(0, 0, cap, 0), "azul", new Snapshot.Use(0, 0, cap, 0));
+  private static Map<String, Snapshot.TeamUsage> teams(double cap) {
+    return Map.of(
+        "roja", new Snapshot.TeamUsage(0, 0, cap, 0), "azul", new Snapshot.TeamUsage(0, 0, cap, 0));
   }
 
   @Test
@@ -129,15 +130,15 @@
 
   @Test
   void lessUrgentWorkMakesRoom() {
-    Snapshot.Running low = running("job-8", "azul", Priority.BEST_EFFORT, 5);
-    Snapshot.Running same = running("job-9", "azul", Priority.CRITICAL, 1);
+    Snapshot.RunningTask low = running("job-8", "azul", Priority.BEST_EFFORT, 5);
+    Snapshot.RunningTask same = running("job-9", "azul", Priority.CRITICAL, 1);
     Snapshot s =
         snapshot(
             List.of(machine("a", 8, 0, null, same, low)),
             pendingJob(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
             Set.of("job-8", "job-9"));
     Plan plan = Planner.plan(s);
-    assertEquals(List.of(low), plan.stops());
+    assertEquals(List.of(low), plan.preemptions());
     assertTrue(plan.starts().isEmpty());
   }
 
@@ -147,8 +148,8 @@
    */
   @Test
   void roomBeingMadeIsNotGivenAway() {
-    Snapshot.Running leaving =
-        new Snapshot.Running(
+    Snapshot.RunningTask leaving =
+        new Snapshot.RunningTask(
             job("job-8", "azul", Priority.BEST_EFFORT, 1, 2),
             Priority.BEST_EFFORT,
             0,
@@ -175,14 +176,14 @@
                 NOW_MS,
                 10));
     assertTrue(plan.starts().isEmpty(), plan.starts().toString());
-    assertTrue(plan.stops().isEmpty());
+    assertTrue(plan.preemptions().isEmpty());
   }
 
   /** Work that an urgent job needs is as urgent: it makes room, and is not stopped for less. */
   @Test
   void priorityOfThoseThatNeedIt() {
     JobSpec pendingJob = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
-    Snapshot.Running other = running("job-9", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask other = running("job-9", "azul", Priority.STANDARD, 1);
     Snapshot.PendingJob lent =
         new Snapshot.PendingJob(
             pendingJob,
@@ -195,10 +196,10 @@
             false,
             1,
             0,
-            Aging.Turn.USUAL,
+            AgingBoost.NONE,
             1);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, other));
-    assertEquals(List.of(other), Planner.plan(snapshot(machines, lent, Set.of())).stops());
+    assertEquals(List.of(other), Planner.plan(snapshot(machines, lent, Set.of())).preemptions());
     Snapshot.PendingJob patient =
         new Snapshot.PendingJob(
             pendingJob,
@@ -211,18 +212,19 @@
             false,
             1,
             0,
-            Aging.Turn.USUAL,
+            AgingBoost.NONE,
             1);
-    assertTrue(Planner.plan(snapshot(machines, patient, Set.of())).stops().isEmpty());
-    Snapshot.Running needed =
-        new Snapshot.Running(pendingJob, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
+    assertTrue(Planner.plan(snapshot(machines, patient, Set.of())).preemptions().isEmpty());
+    Snapshot.RunningTask needed =
+        new Snapshot.RunningTask(
+            pendingJob, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
     assertTrue(
         Planner.plan(
                 snapshot(
                     List.of(machine("a", 4, 0, null, needed)),
                     pendingJob(job("job-2", "azul", Priority.STANDARD, 1, 4), true, 1),
                     Set.of()))
-            .stops()
+            .preemptions()
             .isEmpty());
   }
 
@@ -245,7 +247,7 @@
                 true,
                 10,
                 0,
-                Aging.Turn.USUAL,
+                AgingBoost.NONE,
                 1),
             new Snapshot.PendingJob(
                 large,
@@ -258,7 +260,7 @@
                 false,
                 900,
                 0,
-                Aging.Turn.USUAL,
+                AgingBoost.NONE,
                 2),
             new Snapshot.PendingJob(
                 small,
@@ -271,7 +273,7 @@
                 false,
                 90,
                 0,
-                Aging.Turn.USUAL,
+                AgingBoost.NONE,
                 3));
     Plan plan =
         Planner.plan(
@@ -287,8 +289,9 @@
         List.of("job-3", "job-2"), plan.starts().stream().map(s -> s.spec().id()).toList());
   }
 
-  private static Snapshot.Running small(int attempt, String machine, double ranS, double takesS) {
-    return new Snapshot.Running(
+  private static Snapshot.RunningTask small(
+      int attempt, String machine, double ranS, double takesS) {
+    return new Snapshot.RunningTask(
         job("job-9", "azul", Priority.BEST_EFFORT, 64, 0.5),
         Priority.BEST_EFFORT,
         attempt,
@@ -302,7 +305,7 @@
         takesS);
   }
 
-  private static Snapshot.PendingJob patient(JobSpec spec, double patienceS, Aging.Turn turn) {
+  private static Snapshot.PendingJob patient(JobSpec spec, double patienceS, AgingBoost turn) {
     return new Snapshot.PendingJob(
         spec,
         spec.priority(),
@@ -325,37 +328,38 @@
    */
   @Test
   void roomThatComesFreeByItselfIsWaitedFor() {
-    List<Snapshot.Running> soon = new ArrayList<>();
-    List<Snapshot.Running> later = new ArrayList<>();
+    List<Snapshot.RunningTask> soon = new ArrayList<>();
+    List<Snapshot.RunningTask> later = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       soon.add(small(i, "a", 1, 4));
       later.add(small(10 + i, "b", 1, 40));
     }
     List<Snapshot.Machine> machines =
         List.of(
-            machine("b", 4, 0, null, later.toArray(new Snapshot.Running[0])),
-            machine("a", 4, 0, null, soon.toArray(new Snapshot.Running[0])));
+            machine("b", 4, 0, null, later.toArray(new Snapshot.RunningTask[0])),
+            machine("a", 4, 0, null, soon.toArray(new Snapshot.RunningTask[0])));
     JobSpec four = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec guest = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
-    Plan plan = Planner.plan(snapshot(machines, patient(four, 5, Aging.Turn.USUAL), Set.of()));
-    assertTrue(plan.stops().isEmpty(), plan.stops().toString());
+    Plan plan = Planner.plan(snapshot(machines, patient(four, 5, AgingBoost.NONE), Set.of()));
+    assertTrue(plan.preemptions().isEmpty(), plan.preemptions().toString());
     // Half of them have ended since: the rest must not be given away again.
     Plan next =
         Planner.plan(
             new Snapshot(
                 List.of(
-                    machine("a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.Running[0]))),
-                List.of(patient(four, 5, Aging.Turn.USUAL), patient(guest, 5, Aging.Turn.USUAL)),
+                    machine(
+                        "a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.RunningTask[0]))),
+                List.of(patient(four, 5, AgingBoost.NONE), patient(guest, 5, AgingBoost.NONE)),
                 Set.of(),
                 Set.of(),
                 teams(0),
                 NOW_MS,
                 10));
-    assertTrue(next.starts().isEmpty() && next.stops().isEmpty(), next.toString());
+    assertTrue(next.starts().isEmpty() && next.preemptions().isEmpty(), next.toString());
     assertEquals(
         8,
-        Planner.plan(snapshot(machines, patient(four, 0, Aging.Turn.USUAL), Set.of()))
-            .stops()
+        Planner.plan(snapshot(machines, patient(four, 0, AgingBoost.NONE), Set.of()))
+            .preemptions()
             .size());
   }
 
@@ -367,26 +371,26 @@
   void aMachineIsKeptFreeForTheLargest() {
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
-    Snapshot.Running long1 = running("job-8", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask long1 = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.Machine> machines =
         List.of(
             machine("a", 16, 12, null, long1),
             machine("b", 16, 0, null, long1, long1, long1, long1));
-    for (Aging.Turn turn : Aging.Turn.values()) {
+    for (AgingBoost turn : AgingBoost.values()) {
       Plan plan =
           Planner.plan(
               new Snapshot(
                   machines,
-                  List.of(patient(small, 0, Aging.Turn.USUAL), patient(whole, 0, turn)),
+                  List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, turn)),
                   Set.of(),
                   Set.of(),
                   teams(0),
                   NOW_MS,
                   10));
       assertEquals(
-          turn == Aging.Turn.FIRST ? List.of() : List.of(new Plan.Start(small, 0, "a")),
+          turn == AgingBoost.ABOVE_ALL ? List.of() : List.of(new Plan.Start(small, 0, "a")),
           plan.starts());
-      assertTrue(plan.stops().isEmpty());
+      assertTrue(plan.preemptions().isEmpty());
     }
   }
 
@@ -396,19 +400,19 @@
    */
   @Test
   void onlyWhatATeamUsesBeyondItsGuaranteeIsGivenBack() {
-    Snapshot.Running a = running("job-7", "azul", Priority.STANDARD, 1);
-    Snapshot.Running b = running("job-8", "azul", Priority.STANDARD, 2);
-    Snapshot.Running c = running("job-9", "azul", Priority.STANDARD, 3);
+    Snapshot.RunningTask a = running("job-7", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask b = running("job-8", "azul", Priority.STANDARD, 2);
+    Snapshot.RunningTask c = running("job-9", "azul", Priority.STANDARD, 3);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 3, 4);
     List<Snapshot.Machine> machines = List.of(machine("a", 12, 0, null, a, b, c));
-    Map<Integer, List<Snapshot.Running>> expected =
+    Map<Integer, List<Snapshot.RunningTask>> expected =
         Map.of(12, List.of(), 11, List.of(a), 8, List.of(a), 7, List.of(a, b), 0, List.of(a, b, c));
     expected.forEach(
         (guarantee, stops) -> {
-          Map<String, Snapshot.Use> teams =
+          Map<String, Snapshot.TeamUsage> teams =
               Map.of(
-                  "roja", new Snapshot.Use(0, 0, 0, 0, 12, 0),
-                  "azul", new Snapshot.Use(12, 0, 0, 0, guarantee, 0));
+                  "roja", new Snapshot.TeamUsage(0, 0, 0, 0, 12, 0),
+                  "azul", new Snapshot.TeamUsage(12, 0, 0, 0, guarantee, 0));
           Snapshot s =
               new Snapshot(
                   machines,
@@ -418,7 +422,7 @@
                   teams,
                   NOW_MS,
                   10);
-          assertEquals(stops, Planner.plan(s).stops(), "guarantee " + guarantee);
+          assertEquals(stops, Planner.plan(s).preemptions(), "guarantee " + guarantee);
         });
   }
 
@@ -487,7 +491,7 @@
                 pendingJobs,
                 Set.of(),
                 Set.of(),
-                Map.of("roja", new Snapshot.Use(9, 0, 10, 0)),
+                Map.of("roja", new Snapshot.TeamUsage(9, 0, 10, 0)),
                 NOW_MS,
                 10,
                 Set.of("job-2"),
@@ -500,10 +504,10 @@
   void aMachineIsKeptFreeForAWhileOnly() {
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
-    Snapshot.Running endless = running("job-8", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask endless = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.Machine> machines = List.of(machine("a", 16, 12, null, endless));
     List<Snapshot.PendingJob> pendingJobs =
-        List.of(patient(small, 0, Aging.Turn.USUAL), patient(whole, 0, Aging.Turn.FIRST));
+        List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, AgingBoost.ABOVE_ALL));
     Snapshot kept = new Snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
     assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
     assertEquals(List.of(), Planner.plan(kept).starts());
@@ -527,7 +531,7 @@
    */
   @Test
   void whatComesFirstAmongEqualsIsNotStoppedForThem() {
-    Snapshot.Running first = running("job-8", "azul", Priority.STANDARD, 5);
+    Snapshot.RunningTask first = running("job-8", "azul", Priority.STANDARD, 5);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, first));
     for (Priority p : Priority.values()) {
       Snapshot.PendingJob owed = pendingJob(job("job-1", "roja", p, 1, 4), true, 1);
@@ -543,17 +547,17 @@
               Set.of(),
               Set.of(first.attempt()));
       boolean isMoreUrgent = p.compareTo(Priority.STANDARD) < 0;
-      assertEquals(isMoreUrgent ? List.of(first) : List.of(), Planner.plan(s).stops());
+      assertEquals(isMoreUrgent ? List.of(first) : List.of(), Planner.plan(s).preemptions());
     }
   }
 
   /** What is all that a job has after long waiting is stopped for nobody. */
   @Test
   void aFirstTaskOutOfTurnIsNotStopped() {
-    Snapshot.Running only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
+    Snapshot.RunningTask only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
     Snapshot.PendingJob urgent = pendingJob(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, only));
-    assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).stops());
+    assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).preemptions());
     assertTrue(
         Planner.plan(
                 new Snapshot(
@@ -564,7 +568,7 @@
                     teams(0),
                     NOW_MS,
                     10))
-            .stops()
+            .preemptions()
             .isEmpty());
   }
 
@@ -593,34 +597,38 @@
             0,
             0,
             JobSpec.NO_DEADLINE);
-    Snapshot.Running low = running("job-8", "azul", Priority.STANDARD, 5);
+    Snapshot.RunningTask low = running("job-8", "azul", Priority.STANDARD, 5);
     Plan plan =
         Planner.plan(
             snapshot(
                 List.of(machine("a", 8, 8, null), machine("b", 4, 0, "img", low)),
                 pendingJob(service, true, 1),
                 Set.of("job-8")));
-    assertEquals(List.of(low), plan.stops());
+    assertEquals(List.of(low), plan.preemptions());
     assertTrue(plan.starts().isEmpty());
   }
 
   @Test
   void borrowedWorkMakesRoomForAGuarantee() {
-    Snapshot.Running borrowed = running("job-8", "azul", Priority.STANDARD, 5);
-    Snapshot.Running urgent = running("job-9", "azul", Priority.URGENT, 5);
+    Snapshot.RunningTask borrowed = running("job-8", "azul", Priority.STANDARD, 5);
+    Snapshot.RunningTask urgent = running("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, borrowed));
     assertEquals(
-        1, Planner.plan(snapshot(machines, pendingJob(spec, true, 1), Set.of())).stops().size());
+        1,
+        Planner.plan(snapshot(machines, pendingJob(spec, true, 1), Set.of())).preemptions().size());
     assertEquals(
-        0, Planner.plan(snapshot(machines, pendingJob(spec, false, 1), Set.of())).stops().size());
+        0,
+        Planner.plan(snapshot(machines, pendingJob(spec, false, 1), Set.of()))
+            .preemptions()
+            .size());
     // Borrowed work of higher priority would be placed first and take the room back.
     assertEquals(
         0,
         Planner.plan(
                 snapshot(
                     List.of(machine("a", 4, 0, null, urgent)), pendingJob(spec, true, 1), Set.of()))
-            .stops()
+            .preemptions()
             .size());
   }
 
@@ -635,11 +643,11 @@
       Snapshot s = randomSnapshot(seed, 1 + seed % 30);
       Plan plan = Planner.plan(s);
       assertEquals(PlainPlanner.plan(s), plan, "seed " + seed);
-      stops += plan.stops().size();
+      stops += plan.preemptions().size();
       starts += plan.starts().size();
       passedOver += plan.passedOver().size();
       for (Plan.Start start : plan.starts()) {
-        overdueStarts += s.overdue().contains(start.spec().id()) ? 1 : 0;
+        overdueStarts += s.starvedJobs().contains(start.spec().id()) ? 1 : 0;
       }
     }
     assertTrue(stops > 1_000 && starts > 5_000, stops + " stops, " + starts + " starts");
@@ -661,7 +669,7 @@
     List<Snapshot.Machine> machines = new ArrayList<>();
     Set<String> guaranteed = new HashSet<>();
     for (int i = 0; i < machineCount; i++) {
-      List<Snapshot.Running> running = new ArrayList<>();
+      List<Snapshot.RunningTask> running = new ArrayList<>();
       for (int k = r.nextInt(5); k > 0; k--) {
         JobSpec spec =
             job(
@@ -674,7 +682,7 @@
           guaranteed.add(spec.id());
         }
         running.add(
-            new Snapshot.Running(
+            new Snapshot.RunningTask(
                 spec,
                 lent(r, spec),
                 0,
@@ -698,7 +706,6 @@
               r.nextInt(3),
               r.nextInt(40),
               1,
-              20,
               Set.of("img" + r.nextInt(3)),
               Set.of(),
               Map.of("lote", r.nextInt(3)),
@@ -751,10 +758,10 @@
               TURNS.get(r.nextInt(3)),
               i));
     }
-    Map<String, Snapshot.Use> teams =
+    Map<String, Snapshot.TeamUsage> teams =
         Map.of(
-            "roja", new Snapshot.Use(3, 0, 5 + r.nextInt(40), 2),
-            "azul", new Snapshot.Use(0, 0, 5 + r.nextInt(40), 2));
+            "roja", new Snapshot.TeamUsage(3, 0, 5 + r.nextInt(40), 2),
+            "azul", new Snapshot.TeamUsage(0, 0, 5 + r.nextInt(40), 2));
     Set<Long> kept = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
     int mostStarts = 1 + r.nextInt(30);
     machines.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
@@ -768,15 +775,15 @@
   }
 
   /** What a team's running tasks use, with a limit above and a guarantee that may be below. */
-  private static Snapshot.Use use(
+  private static Snapshot.TeamUsage use(
       SplittableRandom r, List<Snapshot.Machine> machines, String team) {
     double used =
         machines.stream()
             .flatMap(h -> h.running().stream())
             .filter(running -> running.spec().team().equals(team))
-            .mapToDouble(Snapshot.Running::cpus)
+            .mapToDouble(Snapshot.RunningTask::cpus)
             .sum();
-    return new Snapshot.Use(used, 0, used + 2 + r.nextInt(40), 2, 1 + r.nextInt(30), 0);
+    return new Snapshot.TeamUsage(used, 0, used + 2 + r.nextInt(40), 2, 1 + r.nextInt(30), 0);
   }
 
   private static Snapshot.Machine withSlots(Snapshot.Machine h, int slots) {
@@ -790,7 +797,6 @@
         h.cards(),
         h.memGb(),
         h.fetchGbPerS(),
-        h.cacheGb(),
         h.images(),
         h.fetching(),
         h.classes(),
@@ -806,7 +812,7 @@
 
   private static void check(Snapshot s, int seed) {
     Plan plan = Planner.plan(s);
-    assertTrue(plan.starts().size() <= s.mostStarts());
+    assertTrue(plan.starts().size() <= s.maxStarts());
     Map<String, double[]> byMachine = new HashMap<>();
     Map<String, double[]> byTeam = new HashMap<>();
     Map<String, Map<String, Integer>> zones = new HashMap<>();
@@ -832,7 +838,7 @@
       double[] team = byTeam.computeIfAbsent(spec.team(), k -> new double[2]);
       team[0] += spec.cpus();
       team[1] += spec.cards();
-      Snapshot.Use use = s.teams().get(spec.team());
+      Snapshot.TeamUsage use = s.teams().get(spec.team());
       assertTrue(use.cpus() + team[0] <= use.cpusMax() && use.cards() + team[1] <= use.cardsMax());
       assertTrue(spec.types() == null || spec.types().contains(machine.type()));
       assertTrue(spec.zone() == null || spec.zone().equals(machine.zone()));
