--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -12,12 +12,8 @@
 import fennelthread.fleet.Cloud;
 import fennelthread.handover.Handover;
 import fennelthread.health.HeapGuard;
-import fennelthread.jobs.Job;
-import fennelthread.jobs.JobStore;
-import fennelthread.jobs.JobTable;
 import fennelthread.leader.Lease;
 import fennelthread.leader.Term;
-import fennelthread.leaserenewal.CancellationLog;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
 import fennelthread.leaserenewal.RenewalBounds;
 import fennelthread.net.EventLoop;
@@ -31,14 +27,15 @@
 import fennelthread.relay.UnreachableLeaderNotice;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
-import fennelthread.state.Replica;
-import fennelthread.state.StateClient;
 import fennelthread.zones.Zones;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: puts the parts together. Everything here runs on the event loop's thread. */
+/**
+ * One controller process: creates the subsystems, connects them to one another and starts them. It
+ * holds no logic of its own beyond that. Everything runs on the event loop's thread.
+ */
 public final class Controller {
   private static final Logger log = LoggerFactory.getLogger(Controller.class);
 
@@ -46,11 +43,7 @@
   private final Settings settings;
   private final Options options;
   private final String incarnation;
-  private final StateClient state;
-  private final Replica replica;
-  private final JobTable table = new JobTable();
-  private final CancellationLog cancellations;
-  private final JobStore store;
+  private final ReplicatedRecords records;
   private final Cloud cloud;
   private final MachineTypes machineTypes;
   private final Lease lease;
@@ -69,181 +62,197 @@
   private final ReportHandler reports;
   private final Api api;
 
-  /** Creates a controller; {@link #start} sets it going. */
+  /**
+   * Creates the controller's subsystems; nothing is sent before {@link #start}. The order of the
+   * statements is part of the behaviour: subsystems register listeners as they are created, and are
+   * notified in that order.
+   */
   public Controller(EventLoop eventLoop, Settings settings, Options options) {
     this.eventLoop = eventLoop;
     this.settings = settings;
     this.options = options;
     this.incarnation = Long.toHexString(eventLoop.random().nextLong());
-    this.state = new StateClient(eventLoop, settings);
-    this.replica = new Replica(eventLoop, state);
-    replica.listen(table);
-    Settings.Workers limits = settings.workers();
-    this.cancellations = new CancellationLog(eventLoop, 2 * (limits.cancelMs() + limits.leaseMs()));
-    table.listen(new EndedJobs());
-    this.store = new JobStore(eventLoop, state, replica, table, settings, cancellations::mayTell);
+    this.records = new ReplicatedRecords(eventLoop, settings);
     this.cloud = new Cloud(eventLoop, settings);
-    this.lease =
-        new Lease(
-            eventLoop,
-            state,
-            replica,
-            settings,
-            options,
-            incarnation,
-            this::isBacked,
-            this::stillUnbounded,
-            new Elections());
-    this.machineTypes = new MachineTypes(eventLoop, cloud, state, replica, lease);
-    replica.listen((key, value, revision) -> machineTypes.changed(key, value));
+    this.lease = createLease();
+    this.machineTypes = createMachineTypes();
     this.currentTerm = new CurrentTerm(lease);
     this.directory = new LeaderDirectory(lease);
     this.peers =
-        new PeerHeartbeats(eventLoop, settings, this::heartbeat, this::workers, this::heard);
-    this.reachability = new LeaderReachability(limits.reportMs());
+        new PeerHeartbeats(
+            eventLoop, settings, this::heartbeat, this::workerAddresses, this::onPeerHeartbeat);
+    this.reachability = new LeaderReachability(settings.workers().reportMs());
     Relay relay = new Relay(eventLoop, settings, peers);
     this.commands =
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
-    UnreachableLeaderNotice notice =
-        new UnreachableLeaderNotice(eventLoop, state, replica, settings.member(), this::noticed);
-    this.heap = new HeapGuard(eventLoop, this::memoryUsage, store::shed);
-    this.membership = new Membership(eventLoop, settings, peers, state, replica, lease);
-    Handover handover = new Handover(state, peers);
-    this.renewer =
-        new FollowerLeaseRenewer(
-            eventLoop,
-            settings,
-            peers,
-            cancellations,
-            replica,
-            lease::isLeading,
-            lease::epoch,
-            lease::highestEpoch);
+    UnreachableLeaderNotice notice = createUnreachableLeaderNotice();
+    this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::shed);
+    this.membership =
+        new Membership(eventLoop, settings, peers, records.state(), records.replica(), lease);
+    Handover handover = new Handover(records.state(), peers);
+    this.renewer = createLeaseRenewer();
     this.zones = new Zones(settings);
     this.stalls = new StallDetector(eventLoop);
-    this.supervisor =
-        new LeaderSupervisor(
-            eventLoop,
-            settings,
-            state,
-            replica,
-            lease,
-            currentTerm,
-            directory,
-            workers,
-            peers,
-            handover,
-            reachability,
-            notice);
-    this.reports =
-        new ReportHandler(
-            eventLoop,
-            settings.member(),
-            lease,
-            currentTerm,
-            directory,
-            workers,
-            peers,
-            renewer,
-            relay,
-            commands,
-            reachability,
-            notice,
-            supervisor::considerNotice);
+    this.supervisor = createSupervisor(handover, notice);
+    this.reports = createReportHandler(relay, notice);
     peers.serve("/relay/", commands.service(reports::handleRelayed));
-    this.api =
-        new Api(
-            eventLoop,
-            settings,
-            store,
-            table,
-            machineTypes::byName,
-            this::isUp,
-            peers::hasHeardOutdatedPeer,
-            heap::isTight,
-            reports::handle);
+    this.api = createApi();
   }
 
-  /** Sets it going. */
+  private Lease createLease() {
+    return new Lease(
+        eventLoop,
+        records.state(),
+        records.replica(),
+        settings,
+        options,
+        incarnation,
+        this::isBacked,
+        this::stillUnbounded,
+        new LeadershipListener());
+  }
+
+  private MachineTypes createMachineTypes() {
+    MachineTypes types =
+        new MachineTypes(eventLoop, cloud, records.state(), records.replica(), lease);
+    records.replica().listen((key, value, revision) -> types.changed(key, value));
+    return types;
+  }
+
+  private UnreachableLeaderNotice createUnreachableLeaderNotice() {
+    return new UnreachableLeaderNotice(
+        eventLoop,
+        records.state(),
+        records.replica(),
+        settings.member(),
+        this::onUnreachableLeaderNotice);
+  }
+
+  private FollowerLeaseRenewer createLeaseRenewer() {
+    return new FollowerLeaseRenewer(
+        eventLoop,
+        settings,
+        peers,
+        records.cancellations(),
+        records.replica(),
+        lease::isLeading,
+        lease::epoch,
+        lease::highestEpoch);
+  }
+
+  private LeaderSupervisor createSupervisor(Handover handover, UnreachableLeaderNotice notice) {
+    return new LeaderSupervisor(
+        eventLoop,
+        settings,
+        records.state(),
+        records.replica(),
+        lease,
+        currentTerm,
+        directory,
+        workers,
+        peers,
+        handover,
+        reachability,
+        notice);
+  }
+
+  private ReportHandler createReportHandler(Relay relay, UnreachableLeaderNotice notice) {
+    return new ReportHandler(
+        eventLoop,
+        settings.member(),
+        lease,
+        currentTerm,
+        directory,
+        workers,
+        peers,
+        renewer,
+        relay,
+        commands,
+        reachability,
+        notice,
+        supervisor::considerNotice);
+  }
+
+  private Api createApi() {
+    return new Api(
+        eventLoop,
+        settings,
+        records.store(),
+        records.table(),
+        machineTypes::byName,
+        this::isUp,
+        peers::hasHeardOutdatedPeer,
+        heap::isTight,
+        reports::handle);
+  }
+
+  /** Starts reading the state, sending heartbeats and the periodic checks; call it once. */
   public void start() {
-    log.info("{} starts, incarnation {}", settings.member(), incarnation);
-    warnOfShortfall();
-    replica.start();
-    replica.onAdvance(this::loaded);
+    log.info("controller started member={} incarnation={}", settings.member(), incarnation);
+    warnIfCancelTimeoutTooShort();
+    records.replica().start();
+    records.replica().onAdvance(this::onReplicaLoaded);
     stalls.start();
     peers.start();
     membership.start();
     machineTypes.read();
-    supervise();
+    runPeriodicChecks();
   }
 
-  private void warnOfShortfall() {
+  private void warnIfCancelTimeoutTooShort() {
     long shortfallMs = RenewalBounds.shortfallMs(settings.workers());
     if (shortfallMs > 0) {
       log.warn(
-          "cancel_s of {} ms leaves too little room beside lease_s of {} ms: a cut-off task may outlive its"
-              + " withdrawal by {} ms",
+          "cancel timeout too short, an unreachable task may outlive its cancellation cancelMs={}"
+              + " leaseMs={} shortfallMs={}",
           settings.workers().cancelMs(),
           settings.workers().leaseMs(),
           shortfallMs);
     }
   }
 
-  private void supervise() {
-    eventLoop.after(RelayConstants.SUPERVISE_MS, this::supervise);
+  private void runPeriodicChecks() {
+    eventLoop.after(RelayConstants.SUPERVISE_MS, this::runPeriodicChecks);
     heap.look();
     supervisor.look();
   }
 
-  /** What users, workers and health checks talk to. */
+  /** The HTTP service for users, workers and health checks. */
   public Service api() {
     return api;
   }
 
-  /** What peers talk to. */
+  /** The HTTP service for the other controllers. */
   public Service peerService() {
     return peers;
   }
 
-  /** True while this controller leads; for tests and logs. */
+  /** True while this controller is the leader. */
   public boolean isLeading() {
     return lease.isLeading();
   }
 
   private boolean isUp() {
-    return replica.isReady() && !supervisor.isRefusedAlone();
+    return records.replica().isReady() && !supervisor.isRefusedAlone();
   }
 
-  private void noticed() {
+  private void onUnreachableLeaderNotice() {
     supervisor.yieldIfNoticed();
   }
 
   private String memoryUsage() {
-    return table.memoryUsage()
-        + ", "
-        + store.memoryUsage()
+    return records.memoryUsage()
         + ", "
         + workers.size()
         + " addresses, "
         + currentTerm.memoryUsage();
   }
 
-  private void loaded() {
-    log.info("{} has read the state, revision {}", settings.member(), replica.revision());
+  private void onReplicaLoaded() {
+    log.info("state loaded member={} revision={}", settings.member(), records.replica().revision());
     lease.consider();
   }
 
-  /** Remembers jobs whose records are gone as over. */
-  private final class EndedJobs implements JobTable.Listener {
-    @Override
-    public void added(Job job) {}
-
-    @Override
-    public void removed(Job job) {
-      cancellations.over(job.spec().id());
-    }
-  }
-
   // ---------------------------------------------------------------- leading
 
   private boolean isBacked() {
@@ -254,11 +263,11 @@
     return peers.allBound(epoch) ? 0 : epoch;
   }
 
-  /** Begins and ends terms as the lease is won and lost. */
-  private final class Elections implements Lease.Listener {
+  /** Begins a term when this controller is elected, and resigns it when it steps down. */
+  private final class LeadershipListener implements Lease.Listener {
     @Override
     public void elected(long epoch, long epochRevision) {
-      log.info("{} leads, epoch {}", settings.member(), epoch);
+      log.info("leader elected epoch={} member={}", epoch, settings.member());
       long now = eventLoop.nowMs();
       reachability.begin(now);
       commands.begin(epoch);
@@ -271,37 +280,40 @@
 
     @Override
     public void deposed(String why) {
-      log.info("{} no longer leads", settings.member());
+      log.info("leader stepped down member={} reason={}", settings.member(), why);
       currentTerm.resign();
     }
   }
 
-  private Term newTerm(long epoch, long ledSinceMs) {
+  private Term newTerm(long epoch, long electedAtMs) {
     return new Term(
         eventLoop,
         settings,
         options,
-        state,
-        replica,
-        table,
-        store,
+        records.state(),
+        records.replica(),
+        records.table(),
+        records.store(),
         lease,
         cloud,
         machineTypes::byName,
         machineTypes::update,
-        () -> othersSilentSinceMs(epoch, ledSinceMs),
+        () -> othersSilentSinceMs(epoch, electedAtMs),
         commands,
         zones,
         stalls,
-        cancellations::isOver,
+        records.cancellations()::isOver,
         renewer.gate(),
         workers.addresses());
   }
 
-  /** Since when nobody but us can have answered a report, as far as that is known, ms. */
-  private long othersSilentSinceMs(long epoch, long ledSinceMs) {
+  /**
+   * The time since when no other controller can have answered a report, ms of the local clock;
+   * {@code Long.MAX_VALUE} while one may still do so.
+   */
+  private long othersSilentSinceMs(long epoch, long electedAtMs) {
     return Math.max(
-        renewer.othersSilentSinceMs(epoch, ledSinceMs, lease.unboundedEpoch()),
+        renewer.othersSilentSinceMs(epoch, electedAtMs, lease.unboundedEpoch()),
         renewer.lastKeptMs());
   }
 
@@ -313,17 +325,17 @@
         incarnation,
         lease.highestEpoch(),
         lease.isLeading(),
-        eventLoop.nowMs() - state.servedAtMs(),
+        eventLoop.nowMs() - records.state().servedAtMs(),
         workers.reporting(),
         lease.isLeading() && reachability.isDeaf());
   }
 
-  /** The workers' addresses that peers should know in case they have to lead. */
-  private Map<String, String> workers() {
+  /** The workers' addresses that followers keep in case they become leader. */
+  private Map<String, String> workerAddresses() {
     return currentTerm.workers();
   }
 
-  private void heard(PeerHeartbeat heartbeat) {
+  private void onPeerHeartbeat(PeerHeartbeat heartbeat) {
     lease.observeEpoch(heartbeat.epoch());
     directory.heard(heartbeat);
     if (heartbeat.leading() && heartbeat.epoch() >= lease.highestEpoch()) {
