--- a/src/main/java/fennelthread/fleet/CommandQueue.java
+++ b/src/main/java/fennelthread/fleet/CommandQueue.java
@@ -36,7 +36,7 @@
    * what they clear, and so are gathered: each rise has the worker report once more.
    */
   List<WorkerCommand> due(Machine m) {
-    List<WorkerCommand> commands = context.listener().ordersFor(m);
+    List<WorkerCommand> commands = context.listener().commandsFor(m);
     int waiting = 0;
     for (WorkerCommand command : commands) {
       waiting += needsHigherToken(m, command) ? 1 : 0;
@@ -74,7 +74,7 @@
     }
     KnownReport known = KnownReport.of(m);
     context
-        .paths()
+        .transport()
         .send(
             m,
             m.address(),
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -4,20 +4,16 @@
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
-import fennelthread.net.Call;
 import fennelthread.net.EventLoop;
-import fennelthread.net.StallDetector;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.MachineType;
 import fennelthread.wire.TaskRef;
-import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
@@ -31,52 +27,6 @@
 public final class Fleet {
   private static final Logger log = LoggerFactory.getLogger(Fleet.class);
 
-  /** What the leader does with the fleet's news. */
-  public interface Listener {
-    /** An attempt is over or proven gone. */
-    void ended(Machine machine, Attempt attempt);
-
-    /** A worker has seen a token above ours: another controller leads. */
-    void higherToken(long epoch);
-
-    /** A report shows a task that we did not start. */
-    void adopted(Attempt attempt);
-
-    /** Something changed that a round may want to know. */
-    void changed();
-
-    /** What a reported task that we did not start is; its amounts are needed for caps. */
-    StartRecord.Start describe(Machine machine, WorkerReport.Task task);
-
-    /** Clears and stops that the machine's attempts call for now. */
-    List<WorkerCommand> ordersFor(Machine machine);
-
-    /** True if this very moment starts may be sent, and this one is still wanted. */
-    boolean mayStart(Attempt attempt);
-  }
-
-  /** How requests of ours reach workers. */
-  @FunctionalInterface
-  public interface Paths {
-    /** Sends a request to a worker, as {@link EventLoop#call} says. */
-    void send(
-        Machine machine,
-        String address,
-        Call call,
-        long timeoutMs,
-        Consumer<Answer> done,
-        EventLoop.Unsent unsent);
-  }
-
-  /** What lets answers to reports out. */
-  public interface Gate {
-    /** True if reports may be answered at this moment. */
-    boolean isOpen();
-
-    /** The answer to a report: what its sender is told, under which token. */
-    Answer answer(WorkerReport report, long token, List<WorkerCommand> orders);
-  }
-
   private final FleetContext context;
   private final LongSupplier othersSilentSince;
   private final Supplier<Map<String, MachineType>> machineTypes;
@@ -85,7 +35,7 @@
   private final MachineProbes probes;
   private final StartSender starts;
   private final CommandQueue commands;
-  private final ReportHandler reports;
+  private final ReportProcessor reports;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private long attemptSeq;
 
@@ -94,25 +44,20 @@
    *
    * @param othersSilentSince the time since when no other controller can have answered a report, or
    *     {@code Long.MAX_VALUE} while one still could
-   * @param paths how workers are reached
    * @param zones what is thought of the zones
-   * @param stalls whether we heard what was said
-   * @param gate lets answers to reports out
+   * @param link the ways to communicate with workers
    */
   public Fleet(
       EventLoop eventLoop,
       Settings settings,
       long epoch,
-      Listener listener,
+      FleetListener listener,
       LongSupplier othersSilentSince,
       Supplier<Map<String, MachineType>> machineTypes,
-      Paths paths,
       ZoneHealth zones,
-      StallDetector stalls,
-      Gate gate) {
+      WorkerLink link) {
     AggregatedLog aggregatedLog = new AggregatedLog(eventLoop, log::info);
-    this.context =
-        new FleetContext(eventLoop, settings, epoch, listener, paths, stalls, aggregatedLog);
+    this.context = new FleetContext(eventLoop, settings, epoch, listener, link, aggregatedLog);
     this.othersSilentSince = othersSilentSince;
     this.machineTypes = machineTypes;
     this.zones = zones;
@@ -121,7 +66,8 @@
     this.starts = new StartSender(context, probes, this::answered);
     this.commands = new CommandQueue(context, this::answered);
     this.reports =
-        new ReportHandler(context, gate, name -> learn(name, null), probes, starts, commands);
+        new ReportProcessor(
+            context, link.responder(), name -> getOrAdd(name, null), probes, starts, commands);
   }
 
   /** Ends the term: late answers change nothing any more. */
@@ -135,19 +81,19 @@
   }
 
   /** A machine, or null. */
-  public Machine get(String name) {
+  public Machine machine(String name) {
     return machines.get(name);
   }
 
   /** A machine, known from now on. */
-  public Machine learn(String name, String address) {
+  public Machine getOrAdd(String name, String address) {
     Machine m = machines.computeIfAbsent(name, n -> new Machine(n, context.nowMs()));
     m.setAddress(address);
     return m;
   }
 
   /** Describes a machine that its worker may not have described yet. */
-  public void describe(Machine m, String type, String zone, boolean spot) {
+  public void describeIfUnknown(Machine m, String type, String zone, boolean spot) {
     if (!m.isDescribed()) {
       m.describe(type, zone, spot);
     }
@@ -159,8 +105,8 @@
   }
 
   /** Takes up a start from a predecessor's round record: it may be there. */
-  public void inherit(StartRecord.Start start) {
-    Machine m = learn(start.machine(), null);
+  public void restoreAttempt(StartRecord.Start start) {
+    Machine m = getOrAdd(start.machine(), null);
     Attempt known = m.find(start.task(), start.attempt());
     if (known != null) {
       known.describedBy(start);
@@ -172,7 +118,7 @@
   }
 
   /** A new attempt, whose record is about to be written. */
-  public Attempt create(Machine m, JobSpec spec, int index) {
+  public Attempt createAttempt(Machine m, JobSpec spec, int index) {
     long number = (context.epoch() << ProtocolConstants.ATTEMPT_BITS) + ++attemptSeq;
     StartRecord.Start start = StartRecord.Start.of(spec, index, number, m.name(), m.session());
     Attempt a =
@@ -182,7 +128,7 @@
   }
 
   /** Drops an attempt whose start was never sent. */
-  public void abandon(Machine m, Attempt a) {
+  public void discardUnsent(Machine m, Attempt a) {
     if (a.phase() == Attempt.Phase.RECORDED) {
       a.moveTo(Attempt.Phase.GONE);
       m.remove(a);
@@ -222,7 +168,7 @@
   /**
    * Sends the stops and clears that are due right away instead of with the next report's answer.
    */
-  public void sendOrders(Machine m) {
+  public void sendCommands(Machine m) {
     commands.send(m);
   }
 
@@ -240,7 +186,7 @@
     if (context.isOverdue(m.reportAnsweredAtMs())) {
       // No report of its own will fetch them: its cancelled tasks held their team's limit until
       // their lease was over.
-      sendOrders(m);
+      sendCommands(m);
     }
   }
 
@@ -272,7 +218,7 @@
         && context.nowMs() - m.failures().lastAtMs() > FleetConstants.DRAIN_MS) {
       log.info("{} has failed nothing for long, it gets tasks again", m.name());
       m.undrain();
-      context.listener().changed();
+      context.listener().onFleetChanged();
     }
   }
 
@@ -294,21 +240,21 @@
     List<Attempt> gone = m.dropAll();
     gone.forEach(a -> log.debug("{} is over, by its lease", a));
     for (Attempt a : gone) {
-      context.listener().ended(m, a);
+      context.listener().onAttemptEnded(m, a);
     }
     if (!gone.isEmpty()) {
-      context.listener().changed();
+      context.listener().onFleetChanged();
     }
   }
 
   /** The machine is about to be returned: it gets no answers and no tasks any more. */
-  public void returning(Machine m) {
+  public void beginReturn(Machine m) {
     m.drain();
     m.moveTo(Machine.Phase.RETURNING);
   }
 
   /** The cloud has refused to take the machine: it serves on. */
-  public void keep(Machine m) {
+  public void cancelReturn(Machine m) {
     if (m.phase() == Machine.Phase.RETURNING) {
       m.undrain();
       m.moveTo(m.contactAtMs() < 0 ? Machine.Phase.UNHEARD : Machine.Phase.REPORTING);
@@ -316,40 +262,40 @@
   }
 
   /** The cloud has confirmed that the machine and everything on it are gone. */
-  public void returned(Machine m) {
+  public void completeReturn(Machine m) {
     if (m.phase() == Machine.Phase.GONE) {
       return;
     }
     m.moveTo(Machine.Phase.GONE);
     for (Attempt a : m.dropAll()) {
-      context.listener().ended(m, a);
+      context.listener().onAttemptEnded(m, a);
     }
-    context.listener().changed();
+    context.listener().onFleetChanged();
   }
 
   /** Notes that an image is on a machine. */
-  public void cached(Machine m, String image, double gb) {
+  public void recordCachedImage(Machine m, String image, double gb) {
     m.cached(image, gb, machineTypes.get().get(m.type()));
   }
 
   /** The attempt of a task on a machine, or null. */
-  public Attempt find(String machine, TaskRef task, long attempt) {
+  public Attempt findAttempt(String machine, TaskRef task, long attempt) {
     Machine m = machines.get(machine);
     return m == null ? null : m.find(task, attempt);
   }
 
   /** Notes a failed task; true if the machine should be drained. */
-  public boolean failed(Machine m, String job) {
+  public boolean recordTaskFailure(Machine m, String job) {
     return m.failures().failed(job, context.nowMs());
   }
 
   /** Notes a task that completed. */
-  public void succeeded(Machine m) {
+  public void recordTaskSuccess(Machine m) {
     m.failures().succeeded();
   }
 
   /** Gives a machine no more tasks. */
-  public void drain(Machine m) {
+  public void cordon(Machine m) {
     m.drain();
   }
 }
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -3,7 +3,6 @@
 import fennelthread.constants.FleetConstants;
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.EventLoop;
-import fennelthread.net.StallDetector;
 import fennelthread.settings.Settings;
 import fennelthread.wire.WorkerReport;
 
@@ -12,9 +11,8 @@
   private final EventLoop eventLoop;
   private final Settings settings;
   private final long epoch;
-  private final Fleet.Listener listener;
-  private final Fleet.Paths paths;
-  private final StallDetector stalls;
+  private final FleetListener listener;
+  private final WorkerLink link;
   private final AggregatedLog aggregatedLog;
   private boolean closed;
 
@@ -22,16 +20,14 @@
       EventLoop eventLoop,
       Settings settings,
       long epoch,
-      Fleet.Listener listener,
-      Fleet.Paths paths,
-      StallDetector stalls,
+      FleetListener listener,
+      WorkerLink link,
       AggregatedLog aggregatedLog) {
     this.eventLoop = eventLoop;
     this.settings = settings;
     this.epoch = epoch;
     this.listener = listener;
-    this.paths = paths;
-    this.stalls = stalls;
+    this.link = link;
     this.aggregatedLog = aggregatedLog;
   }
 
@@ -67,12 +63,12 @@
     return MachineTokens.epochOf(report) == epoch;
   }
 
-  Fleet.Listener listener() {
+  FleetListener listener() {
     return listener;
   }
 
-  Fleet.Paths paths() {
-    return paths;
+  CommandTransport transport() {
+    return link.transport();
   }
 
   AggregatedLog aggregatedLog() {
@@ -81,7 +77,7 @@
 
   /** True if the process has just stood still: what was sent to it waits to be read. */
   boolean isCatchingUp() {
-    return stalls.isListening();
+    return link.stalls().isListening();
   }
 
   /** True if something that comes with every report should have come again since that time. */
--- a/src/main/java/fennelthread/fleet/MachineProbes.java
+++ b/src/main/java/fennelthread/fleet/MachineProbes.java
@@ -80,7 +80,7 @@
     long sentAtMs = context.nowMs();
     KnownReport known = KnownReport.of(m);
     context
-        .paths()
+        .transport()
         .send(
             m,
             address,
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -136,12 +136,12 @@
   }
 
   private void listed(MachineEntry e) {
-    Machine known = fleet.get(e.name());
+    Machine known = fleet.machine(e.name());
     if (known != null && known.phase() == Machine.Phase.GONE) {
       return;
     }
-    Machine m = fleet.learn(e.name(), e.address());
-    fleet.describe(m, e.type(), e.zone(), e.spot());
+    Machine m = fleet.getOrAdd(e.name(), e.address());
+    fleet.describeIfUnknown(m, e.type(), e.zone(), e.spot());
     if (e.state().equals(MachineEntry.FAILED)) {
       m.setListedFailed();
     } else if (m.phase() == Machine.Phase.UNHEARD && !booting.containsKey(e.name())) {
@@ -202,7 +202,7 @@
     long heardMs = (long) (settings.workers().leaseMs() * FleetConstants.BOOT_HEARD_LEASES);
     booting.forEach(
         (name, b) -> {
-          Machine m = fleet.learn(name, null);
+          Machine m = fleet.getOrAdd(name, null);
           boolean waits = m.phase() == Machine.Phase.UNHEARD && now - b.knownMs > heardMs;
           if (waits
               && boots.isDud(
@@ -230,7 +230,7 @@
     int late = 0;
     for (Map.Entry<String, Booting> e : booting.entrySet()) {
       Booting b = e.getValue();
-      Machine m = fleet.get(e.getKey());
+      Machine m = fleet.machine(e.getKey());
       if (m != null && m.phase() != Machine.Phase.UNHEARD) {
         continue;
       }
@@ -311,8 +311,8 @@
                 kind.spot(),
                 many);
             for (String name : rented.names()) {
-              Machine m = fleet.learn(name, null);
-              fleet.describe(m, kind.type(), kind.zone(), kind.spot());
+              Machine m = fleet.getOrAdd(name, null);
+              fleet.describeIfUnknown(m, kind.type(), kind.zone(), kind.spot());
               if (m.phase() == Machine.Phase.UNHEARD) {
                 booting.put(name, new Booting(kind, now, now, true));
               }
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -197,7 +197,7 @@
   /** The machine is returned whatever the cloud answers: requests are repeated. */
   void giveBack(Machine m, String why) {
     aggregatedLog.add("returning, " + why, m.name(), 1);
-    fleet.returning(m);
+    fleet.beginReturn(m);
     returning.add(m.name());
   }
 
@@ -232,9 +232,9 @@
   private void confirmed(List<String> names) {
     revocable.removeAll(names);
     for (String name : names) {
-      Machine m = fleet.get(name);
+      Machine m = fleet.machine(name);
       returning.remove(name);
-      fleet.returned(m);
+      fleet.completeReturn(m);
       onReturned.accept(m);
     }
   }
@@ -243,7 +243,7 @@
     for (String name : names) {
       if (revocable.remove(name)) {
         returning.remove(name);
-        fleet.keep(fleet.get(name));
+        fleet.cancelReturn(fleet.machine(name));
       }
     }
   }
--- a/src/main/java/fennelthread/fleet/ReportHandler.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -15,11 +15,11 @@
  * Takes what workers say: answers the reports that they send by themselves, and applies those and
  * the reports that answer commands.
  */
-final class ReportHandler {
-  private static final Logger log = LoggerFactory.getLogger(ReportHandler.class);
+final class ReportProcessor {
+  private static final Logger log = LoggerFactory.getLogger(ReportProcessor.class);
 
   private final FleetContext context;
-  private final Fleet.Gate gate;
+  private final HeartbeatResponder responder;
   private final Function<String, Machine> machines;
   private final MachineProbes probes;
   private final StartSender starts;
@@ -31,15 +31,15 @@
    *
    * @param machines gives the machine of a name, which is known from then on
    */
-  ReportHandler(
+  ReportProcessor(
       FleetContext context,
-      Fleet.Gate gate,
+      HeartbeatResponder responder,
       Function<String, Machine> machines,
       MachineProbes probes,
       StartSender starts,
       CommandQueue commands) {
     this.context = context;
-    this.gate = gate;
+    this.responder = responder;
     this.machines = machines;
     this.probes = probes;
     this.starts = starts;
@@ -58,14 +58,14 @@
    * @param by whom it came: a peer's name, or ours
    */
   Answer answer(WorkerReport report, String by) {
-    if (!gate.isOpen()) {
+    if (!responder.mayRespond()) {
       // Users may have been told of cancellations that we know nothing of: those tasks must not
       // live on. A leader in a zone that was cut off for 75 s once kept them for all of it.
       return null;
     }
     Machine m = machines.apply(report.machine());
     if (MachineTokens.epochOf(report) > context.epoch()) {
-      context.listener().higherToken(MachineTokens.epochOf(report));
+      context.listener().onHigherEpochObserved(MachineTokens.epochOf(report));
       return null;
     }
     if (m.phase() == Machine.Phase.GONE || m.phase() == Machine.Phase.RETURNING) {
@@ -112,7 +112,7 @@
       all.addAll(commands.due(m));
     }
     all.addAll(starts.withAnswer(m, newest));
-    return gate.answer(report, m.token(context.epoch()), all);
+    return responder.respond(report, m.token(context.epoch()), all);
   }
 
   /**
@@ -162,7 +162,7 @@
       return;
     }
     if (MachineTokens.epochOf(report) > context.epoch()) {
-      context.listener().higherToken(MachineTokens.epochOf(report));
+      context.listener().onHigherEpochObserved(MachineTokens.epochOf(report));
       return;
     }
     m.describe(report.type(), report.zone(), report.spot());
@@ -194,7 +194,7 @@
     boolean confirmedBefore = m.isConfirmed(context.epoch());
     List<Attempt> ended = applyEvidence(m, report);
     if (!ended.isEmpty() || laterSession || !confirmedBefore) {
-      context.listener().changed();
+      context.listener().onFleetChanged();
     }
     if (!m.isConfirmed(context.epoch())) {
       probes.probe(m);
@@ -205,7 +205,7 @@
     boolean comesBack = m.phase() == Machine.Phase.LOST && ownReport;
     if (m.phase() == Machine.Phase.UNHEARD || comesBack) {
       m.moveTo(Machine.Phase.REPORTING);
-      context.listener().changed();
+      context.listener().onFleetChanged();
     }
   }
 
@@ -229,8 +229,8 @@
             report,
             context.epoch(),
             context.nowMs(),
-            task -> context.listener().describe(m, task));
-    outcome.adopted().forEach(context.listener()::adopted);
+            task -> context.listener().startOfDiscoveredTask(m, task));
+    outcome.adopted().forEach(context.listener()::onAttemptDiscovered);
     for (Attempt a : outcome.ended()) {
       log.debug(
           "{} is over ({}), by report {}/{} token {}",
@@ -239,7 +239,7 @@
           report.session(),
           report.seq(),
           report.token());
-      context.listener().ended(m, a);
+      context.listener().onAttemptEnded(m, a);
     }
     return outcome.ended();
   }
--- a/src/main/java/fennelthread/fleet/StartSender.java
+++ b/src/main/java/fennelthread/fleet/StartSender.java
@@ -49,7 +49,7 @@
         .startLeaves(
             context.nowMs() + FleetConstants.COMMAND_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS);
     context
-        .paths()
+        .transport()
         .send(
             m,
             m.address(),
@@ -76,7 +76,7 @@
     if (report != null) {
       onAnswer.answered(m, report, known);
     }
-    context.listener().changed();
+    context.listener().onFleetChanged();
   }
 
   private void unanswered(Machine m, List<Attempt> attempts) {
@@ -115,7 +115,7 @@
       moveSent(attempts, Attempt.Phase.CARRIED);
       carriers.add(m);
     }
-    context.listener().changed();
+    context.listener().onFleetChanged();
   }
 
   /** The starts that go out with the answer to a report, checked as if they were sent directly. */
@@ -177,7 +177,7 @@
       }
     }
     if (dropped) {
-      context.listener().changed();
+      context.listener().onFleetChanged();
     }
   }
 
@@ -195,7 +195,7 @@
     if (a.phase() == Attempt.Phase.SENT || a.phase() == Attempt.Phase.CARRIED) {
       a.moveTo(Attempt.Phase.GONE);
       m.remove(a);
-      context.listener().ended(m, a);
+      context.listener().onAttemptEnded(m, a);
     }
   }
 }
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -126,9 +126,9 @@
       case DONE -> done(m, a, run);
       case ERROR -> {
         boolean known = run.failedOn(index, m.name(), now, eventLoop.random().nextDouble());
-        if (!known && fleet.failed(m, spec.id())) {
+        if (!known && fleet.recordTaskFailure(m, spec.id())) {
           log.info("{} fails its tasks, draining it", m.name());
-          fleet.drain(m);
+          fleet.cordon(m);
         }
       }
       case HALTED -> run.pause(index, 0);
@@ -139,8 +139,8 @@
 
   private void done(Machine m, Attempt a, ActiveJob run) {
     JobSpec spec = run.job().spec();
-    fleet.succeeded(m);
-    fleet.cached(m, spec.image(), spec.imageGb());
+    fleet.recordTaskSuccess(m);
+    fleet.recordCachedImage(m, spec.image(), spec.imageGb());
     if (a.runningSinceMs() >= 0 && spec.estimateS() > 0) {
       runTimes.learn(spec, (eventLoop.nowMs() - a.runningSinceMs()) / 1000.0);
     }
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -233,7 +233,7 @@
     Map<String, Integer> zones = new HashMap<>();
     for (List<Attempt> attempts : run.attempts().values()) {
       for (Attempt a : attempts) {
-        Machine m = fleet.get(a.start().machine());
+        Machine m = fleet.machine(a.start().machine());
         if (m != null && a.mayBePresent()) {
           zones.merge(m.zone() == null ? Snapshot.UNKNOWN_ZONE : m.zone(), 1, Integer::sum);
         }
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -97,7 +97,7 @@
       for (Machine machine : machinesOf(active)) {
         machine.touch();
         if (machine.phase() == Machine.Phase.REPORTING) {
-          fleet.sendOrders(machine);
+          fleet.sendCommands(machine);
         }
       }
     }
@@ -109,7 +109,7 @@
     Set<Machine> machines = new LinkedHashSet<>();
     for (List<Attempt> attempts : active.attempts().values()) {
       for (Attempt attempt : attempts) {
-        Machine machine = fleet.get(attempt.start().machine());
+        Machine machine = fleet.machine(attempt.start().machine());
         if (machine != null) {
           machines.add(machine);
         }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -66,7 +66,7 @@
       JobSpec spec = run.job().spec();
       classes.merge(spec.jobClass(), 1, Integer::sum);
       if (a.phase() == Attempt.Phase.RUNNING || a.phase() == Attempt.Phase.FLUSHING) {
-        fleet.cached(m, spec.image(), spec.imageGb());
+        fleet.recordCachedImage(m, spec.image(), spec.imageGb());
       } else {
         fetching.add(spec.image());
       }
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -133,7 +133,7 @@
       List<StartRecord.Start> starts = e.getValue().starts();
       List<StartRecord.Start> live = null;
       for (StartRecord.Start s : starts) {
-        Attempt a = fleet.find(s.machine(), s.task(), s.attempt());
+        Attempt a = fleet.findAttempt(s.machine(), s.task(), s.attempt());
         if (a != null && a.mayBePresent()) {
           live = live == null ? new ArrayList<>(2) : live;
           live.add(s);
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -206,13 +206,13 @@
   private void sendStops(List<Snapshot.Running> stops) {
     Set<Machine> on = new LinkedHashSet<>();
     for (Snapshot.Running r : stops) {
-      Attempt a = fleet.find(r.machine(), new TaskRef(r.spec().id(), r.task()), r.attempt());
+      Attempt a = fleet.findAttempt(r.machine(), new TaskRef(r.spec().id(), r.task()), r.attempt());
       if (a != null) {
         a.stopping();
-        on.add(fleet.get(r.machine()));
+        on.add(fleet.machine(r.machine()));
       }
     }
-    on.forEach(fleet::sendOrders);
+    on.forEach(fleet::sendCommands);
   }
 
   private void write(List<Plan.Start> starts) {
@@ -223,7 +223,7 @@
     for (Plan.Start s : starts) {
       String id = s.spec().id();
       ActiveJob run = runs.get(id);
-      Machine m = fleet.get(s.machine());
+      Machine m = fleet.machine(s.machine());
       if ((!jobs.contains(id) && txn.conditions() + limits.txnOps() >= limits.conditions())
           || !records.makeRoom(s.spec(), s.task(), m.name(), m.session())) {
         // The next round's turn.
@@ -233,7 +233,7 @@
         // A job that was cancelled meanwhile fails the whole record.
         txn.when(Keys.job(id), run.job().revision());
       }
-      Attempt a = fleet.create(m, s.spec(), s.task());
+      Attempt a = fleet.createAttempt(m, s.spec(), s.task());
       run.attach(a);
       byMachine.computeIfAbsent(m, k -> new ArrayList<>()).add(a);
       records.add(a.start());
@@ -284,7 +284,7 @@
           attempts.removeIf(a -> a.phase() != Attempt.Phase.RECORDED);
           for (Attempt a : List.copyOf(attempts)) {
             if (runs.of(a) == null) {
-              fleet.abandon(m, a);
+              fleet.discardUnsent(m, a);
               attempts.remove(a);
             }
           }
@@ -300,7 +300,7 @@
 
   private void drop(Machine m, List<Attempt> attempts) {
     for (Attempt a : attempts) {
-      fleet.abandon(m, a);
+      fleet.discardUnsent(m, a);
       ActiveJob run = runs.of(a);
       if (run != null) {
         run.detach(a);
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -3,9 +3,13 @@
 import fennelthread.constants.LeaderConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Cloud;
+import fennelthread.fleet.CommandTransport;
 import fennelthread.fleet.Fleet;
+import fennelthread.fleet.FleetListener;
+import fennelthread.fleet.HeartbeatResponder;
 import fennelthread.fleet.Machine;
 import fennelthread.fleet.MachineProvisioner;
+import fennelthread.fleet.WorkerLink;
 import fennelthread.fleet.ZoneHealth;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
@@ -35,7 +39,7 @@
  * One leader's term: everything the leader knows beyond the state service, made anew at each claim
  * and thrown away when leading ends.
  */
-public final class Term implements Fleet.Listener {
+public final class Term implements FleetListener {
   private static final Logger log = LoggerFactory.getLogger(Term.class);
 
   /** How far the term is. */
@@ -69,8 +73,8 @@
 
   /**
    * Begins a term; {@code addresses} are workers that peers or predecessors knew, {@code isJobOver}
-   * says which jobs are known to be over although no record says so yet, {@code gate} lets answers
-   * to reports out.
+   * says which jobs are known to be over although no record says so yet, {@code responder} lets
+   * answers to reports out.
    */
   public Term(
       EventLoop eventLoop,
@@ -85,11 +89,11 @@
       Supplier<Map<String, MachineType>> machineTypes,
       Consumer<List<MachineType>> onMachineTypes,
       LongSupplier othersSilentSince,
-      Fleet.Paths paths,
+      CommandTransport transport,
       ZoneHealth zones,
       StallDetector stalls,
       Predicate<String> isJobOver,
-      Fleet.Gate gate,
+      HeartbeatResponder responder,
       Map<String, String> addresses) {
     this.eventLoop = eventLoop;
     this.replica = replica;
@@ -106,10 +110,8 @@
             this,
             othersSilentSince,
             machineTypes,
-            paths,
             zones,
-            stalls,
-            gate);
+            new WorkerLink(transport, responder, stalls));
     this.provisioner =
         new MachineProvisioner(
             eventLoop,
@@ -156,7 +158,7 @@
     this.collector =
         new RecordCollector(eventLoop, state, replica, table, lease, fleet, scheduling, spare);
     this.jobUpdates = new JobUpdates(table, store, fleet, activeJobs, completions, scheduling);
-    addresses.forEach((name, address) -> fleet.probe(fleet.learn(name, address)));
+    addresses.forEach((name, address) -> fleet.probe(fleet.getOrAdd(name, address)));
     awaitReplica();
     provisioner.start();
     tick();
@@ -241,7 +243,7 @@
       return;
     }
     for (StartRecord record : table.rounds().values()) {
-      record.starts().forEach(fleet::inherit);
+      record.starts().forEach(fleet::restoreAttempt);
     }
     table.all().forEach(activeJobs::begin);
     for (Machine m : fleet.machines()) {
@@ -300,17 +302,17 @@
   // ---------------------------------------------------------------- fleet
 
   @Override
-  public void changed() {
+  public void onFleetChanged() {
     scheduling.changed();
   }
 
   @Override
-  public void higherToken(long other) {
+  public void onHigherEpochObserved(long other) {
     lease.observeEpoch(other);
   }
 
   @Override
-  public StartRecord.Start describe(Machine m, WorkerReport.Task task) {
+  public StartRecord.Start startOfDiscoveredTask(Machine m, WorkerReport.Task task) {
     Job job = table.get(task.ref().job());
     if (job != null && task.ref().index() < job.spec().tasks()) {
       return StartRecord.Start.of(
@@ -324,12 +326,12 @@
   }
 
   @Override
-  public void adopted(Attempt a) {
+  public void onAttemptDiscovered(Attempt a) {
     activeJobs.attach(a);
   }
 
   @Override
-  public void ended(Machine m, Attempt a) {
+  public void onAttemptEnded(Machine m, Attempt a) {
     if (phase == Phase.ACTIVE) {
       completions.ended(m, a);
     }
@@ -344,7 +346,7 @@
   }
 
   @Override
-  public List<WorkerCommand> ordersFor(Machine m) {
+  public List<WorkerCommand> commandsFor(Machine m) {
     return switch (phase) {
       case ACTIVE -> commands.of(m);
       // What is known to be over is stopped all the same: by whatever lets the answers out.
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -99,7 +99,7 @@
         }
       }
       if (stopped) {
-        fleet.sendOrders(m);
+        fleet.sendCommands(m);
       }
     }
   }
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -208,7 +208,7 @@
         || now <= stillUntilMs) {
       return null;
     }
-    if (now >= exchangedAtMs + keepMs || !gate.isOpen()) {
+    if (now >= exchangedAtMs + keepMs || !gate.mayRespond()) {
       moveTo(Phase.STANDING_BY);
       return null;
     }
@@ -216,7 +216,7 @@
     keptAtMs = now;
     everKept = true;
     kept++;
-    return gate.answer(report, report.token(), List.of());
+    return gate.respond(report, report.token(), List.of());
   }
 
   /** The only place where the phase changes. */
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -1,7 +1,7 @@
 package fennelthread.leaserenewal;
 
 import fennelthread.constants.LeaseRenewalConstants;
-import fennelthread.fleet.Fleet;
+import fennelthread.fleet.HeartbeatResponder;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
 import fennelthread.wire.Codec;
@@ -22,7 +22,7 @@
  * <p>A leader that was refused by the state service right after its claim, and then with everybody,
  * once answered reports for the whole of an outage without a single stop.
  */
-public final class HeartbeatResponseGate implements Fleet.Gate {
+public final class HeartbeatResponseGate implements HeartbeatResponder {
   private final EventLoop eventLoop;
   private final CancellationWatermark currency;
   private final CancellationLog cancellations;
@@ -41,7 +41,7 @@
 
   /** True if reports may be answered at this moment by whoever is entitled to otherwise. */
   @Override
-  public boolean isOpen() {
+  public boolean mayRespond() {
     return eventLoop.nowMs() < currency.knownUntilMs() + keepMs;
   }
 
@@ -53,8 +53,8 @@
    * @param token what the worker is to obey
    */
   @Override
-  public Answer answer(WorkerReport report, long token, List<WorkerCommand> orders) {
-    if (!isOpen()) {
+  public Answer respond(WorkerReport report, long token, List<WorkerCommand> orders) {
+    if (!mayRespond()) {
       throw new IllegalStateException("nobody may be answered now");
     }
     Set<WorkerCommand> all = new LinkedHashSet<>();
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.FleetConstants;
 import fennelthread.constants.RelayConstants;
-import fennelthread.fleet.Fleet;
+import fennelthread.fleet.CommandTransport;
 import fennelthread.fleet.Machine;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
@@ -25,7 +25,7 @@
  * command through a peer is a command that takes longer: without an answer it counts as one that
  * may still be executed, and it is the worker that refuses what comes under an old token.
  */
-public final class CommandSender implements Fleet.Paths {
+public final class CommandSender implements CommandTransport {
 
   /** Answers reports that peers pass on. */
   @FunctionalInterface
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -7,6 +7,7 @@
 import fennelthread.constants.RelayConstants;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
+import fennelthread.fleet.WorkerLink;
 import fennelthread.fleet.ZoneHealth;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
@@ -100,11 +101,9 @@
               null,
               () -> 0,
               Map::of,
-              courier,
               ZoneHealth.NONE,
-              new StallDetector(eventLoop),
-              null)
-          .learn("n-1", "10.1.0.1:9000");
+              new WorkerLink(courier, null, new StallDetector(eventLoop)))
+          .getOrAdd("n-1", "10.1.0.1:9000");
   private final List<Object> outcomes = new ArrayList<>();
 
   @BeforeEach
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -5,7 +5,10 @@
 
 import fennelthread.fleet.Attempt;
 import fennelthread.fleet.Fleet;
+import fennelthread.fleet.FleetListener;
+import fennelthread.fleet.HeartbeatResponder;
 import fennelthread.fleet.Machine;
+import fennelthread.fleet.WorkerLink;
 import fennelthread.fleet.ZoneHealth;
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
@@ -32,28 +35,29 @@
           eventLoop,
           SimulatedCluster.large(1, 20).settings,
           1,
-          new Fleet.Listener() {
+          new FleetListener() {
             @Override
-            public void ended(Machine machine, Attempt attempt) {
+            public void onAttemptEnded(Machine machine, Attempt attempt) {
               ended.add(attempt);
             }
 
             @Override
-            public void higherToken(long epoch) {}
+            public void onHigherEpochObserved(long epoch) {}
 
             @Override
-            public void adopted(Attempt attempt) {}
+            public void onAttemptDiscovered(Attempt attempt) {}
 
             @Override
-            public void changed() {}
+            public void onFleetChanged() {}
 
             @Override
-            public StartRecord.Start describe(Machine machine, WorkerReport.Task task) {
+            public StartRecord.Start startOfDiscoveredTask(
+                Machine machine, WorkerReport.Task task) {
               return new StartRecord.Start(task.ref(), task.attempt(), "n-1", 1, "roja", 1, 0, 1);
             }
 
             @Override
-            public List<WorkerCommand> ordersFor(Machine machine) {
+            public List<WorkerCommand> commandsFor(Machine machine) {
               return List.of();
             }
 
@@ -64,20 +68,21 @@
           },
           () -> Long.MAX_VALUE,
           Map::of,
-          (machine, address, call, timeoutMs, done, unsent) -> unsent.over(false),
           ZoneHealth.NONE,
-          new StallDetector(eventLoop),
-          new Fleet.Gate() {
-            @Override
-            public boolean isOpen() {
-              return true;
-            }
-
-            @Override
-            public Answer answer(WorkerReport report, long token, List<WorkerCommand> orders) {
-              return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, orders));
-            }
-          });
+          new WorkerLink(
+              (machine, address, call, timeoutMs, done, unsent) -> unsent.over(false),
+              new HeartbeatResponder() {
+                @Override
+                public boolean mayRespond() {
+                  return true;
+                }
+
+                @Override
+                public Answer respond(WorkerReport report, long token, List<WorkerCommand> orders) {
+                  return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, orders));
+                }
+              },
+              new StallDetector(eventLoop)));
 
   private long seq;
 
@@ -121,8 +126,8 @@
             0,
             0,
             JobSpec.NO_DEADLINE);
-    Attempt a = fleet.create(fleet.get("n-1"), spec, 0);
-    fleet.sendStarts(fleet.get("n-1"), new ArrayList<>(List.of(a)));
+    Attempt a = fleet.createAttempt(fleet.machine("n-1"), spec, 0);
+    fleet.sendStarts(fleet.machine("n-1"), new ArrayList<>(List.of(a)));
     assertEquals(Attempt.Phase.CARRIED, a.phase());
     return a;
   }
