--- a/src/main/java/fennelthread/constants/StateConstants.java
+++ b/src/main/java/fennelthread/constants/StateConstants.java
@@ -35,6 +35,11 @@
   /** Longest wait for the renewal of a lease, ms: short, since a retry may still save the lease. */
   public static final long LEASE_RENEWAL_TIMEOUT_MS = 900;
 
+  /**
+   * What stands for the HTTP status of a request without an answer: peers report it to one another.
+   */
+  public static final int NO_ANSWER_STATUS = 0;
+
   /** How long the service holds a watch open, ms: bounds what a lost answer costs. */
   public static final long WATCH_HOLD_MS = 5_000;
 
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -6,6 +6,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.StartRecord;
+import fennelthread.jobs.StartRecordPacker;
 import fennelthread.net.EventLoop;
 import fennelthread.plan.Aging;
 import fennelthread.plan.Plan;
@@ -196,7 +197,7 @@
           plan.starts().size(),
           snapshot.teams());
     }
-    sendStops(plan.stops());
+    sendStops(plan.preemptions());
     if (plan.starts().isEmpty()) {
       moveTo(Phase.IDLE);
     } else {
@@ -204,29 +205,29 @@
     }
   }
 
-  private void sendStops(List<Snapshot.Running> stops) {
+  private void sendStops(List<Snapshot.RunningTask> stops) {
     Set<Machine> on = new LinkedHashSet<>();
-    for (Snapshot.Running r : stops) {
-      Attempt a = fleet.find(r.machine(), new TaskRef(r.spec().id(), r.task()), r.attempt());
+    for (Snapshot.RunningTask r : stops) {
+      Attempt a = fleet.findAttempt(r.machine(), new TaskRef(r.spec().id(), r.task()), r.attempt());
       if (a != null) {
         a.stopping();
-        on.add(fleet.get(r.machine()));
+        on.add(fleet.machine(r.machine()));
       }
     }
-    on.forEach(fleet::sendOrders);
+    on.forEach(fleet::sendCommands);
   }
 
   private void write(List<Plan.Start> starts) {
     Txn txn = lease.fenced();
     Map<Machine, List<Attempt>> byMachine = new LinkedHashMap<>();
-    StartRecord.Packer records = new StartRecord.Packer(limits.valueBytes(), limits.txnChanges());
+    StartRecordPacker records = new StartRecordPacker(limits.valueBytes(), limits.txnChanges());
     Set<String> jobs = new HashSet<>();
     for (Plan.Start s : starts) {
       String id = s.spec().id();
       ActiveJob run = runs.get(id);
-      Machine m = fleet.get(s.machine());
+      Machine m = fleet.machine(s.machine());
       if ((!jobs.contains(id) && txn.conditions() + limits.txnChanges() >= limits.txnConditions())
-          || !records.makeRoom(s.spec(), s.task(), m.name(), m.session())) {
+          || !records.tryReserve(s.spec(), s.task(), m.name(), m.session())) {
         // The next round's turn.
         continue;
       }
@@ -234,7 +235,7 @@
         // A job that was cancelled meanwhile fails the whole record.
         txn.when(Keys.job(id), run.job().revision());
       }
-      Attempt a = fleet.create(m, s.spec(), s.task());
+      Attempt a = fleet.createAttempt(m, s.spec(), s.task());
       run.attach(a);
       byMachine.computeIfAbsent(m, k -> new ArrayList<>()).add(a);
       records.add(a.start());
@@ -285,7 +286,7 @@
           attempts.removeIf(a -> a.phase() != Attempt.Phase.RECORDED);
           for (Attempt a : List.copyOf(attempts)) {
             if (runs.of(a) == null) {
-              fleet.abandon(m, a);
+              fleet.discardUnsent(m, a);
               attempts.remove(a);
             }
           }
@@ -301,7 +302,7 @@
 
   private void drop(Machine m, List<Attempt> attempts) {
     for (Attempt a : attempts) {
-      fleet.abandon(m, a);
+      fleet.discardUnsent(m, a);
       ActiveJob run = runs.of(a);
       if (run != null) {
         run.detach(a);
@@ -328,11 +329,12 @@
         machines.add(load.snapshot());
       }
     }
-    Map<String, Snapshot.Use> teams = new HashMap<>();
+    Map<String, Snapshot.TeamUsage> teams = new HashMap<>();
     for (Settings.Team t : settings.teams().values()) {
       double[] u = used.getOrDefault(t.name(), new double[2]);
       teams.put(
-          t.name(), new Snapshot.Use(u[0], u[1], t.cpusMax(), t.cardsMax(), t.cpus(), t.cards()));
+          t.name(),
+          new Snapshot.TeamUsage(u[0], u[1], t.cpusMax(), t.cardsMax(), t.cpus(), t.cards()));
     }
     Set<String> guaranteed = demand.guaranteed();
     double cpus = 0;
@@ -344,12 +346,12 @@
         machines,
         demand.pendingJobs(waiting, guaranteed, turns),
         guaranteed,
-        turns.kept(),
+        turns.nonPreemptible(),
         teams,
         eventLoop.nowMs(),
         mostStarts,
         passedOver.overdue(eventLoop.nowMs()),
-        turns.spared());
+        turns.preemptibleOnlyByMoreUrgent());
   }
 
   private int mostStarts() {
--- a/src/main/java/fennelthread/state/ResponseDecoder.java
+++ b/src/main/java/fennelthread/state/ResponseDecoder.java
@@ -1,5 +1,6 @@
 package fennelthread.state;
 
+import fennelthread.constants.StateConstants;
 import fennelthread.net.Answer;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
@@ -105,7 +106,7 @@
 
   /** Decodes the answer to the revocation of a lease. */
   static LeaseRevocation leaseRevocation(Answer answer) {
-    return new LeaseRevocation(answer == null ? LeaseRevocation.NO_ANSWER : answer.status());
+    return new LeaseRevocation(answer == null ? StateConstants.NO_ANSWER_STATUS : answer.status());
   }
 
   private static KeyValue keyValue(String key, Fields item) throws WireException {
