--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -3,11 +3,15 @@
 import fennelthread.api.Api;
 import fennelthread.constants.RelayConstants;
 import fennelthread.control.CurrentTerm;
+import fennelthread.control.FollowerReports;
 import fennelthread.control.KnownWorkers;
 import fennelthread.control.LeaderDirectory;
 import fennelthread.control.LeaderSupervisor;
 import fennelthread.control.MachineTypes;
-import fennelthread.control.ReportHandler;
+import fennelthread.control.ReportRouter;
+import fennelthread.control.StateServiceCheck;
+import fennelthread.control.UnreachableLeaderPublisher;
+import fennelthread.control.WorkerReachabilityCheck;
 import fennelthread.election.Membership;
 import fennelthread.fleet.Cloud;
 import fennelthread.handover.Handover;
@@ -58,8 +62,11 @@
   private final FollowerLeaseRenewer renewer;
   private final Zones zones;
   private final StallDetector stalls;
+  private final StateServiceCheck stateServiceCheck;
+  private final WorkerReachabilityCheck reachabilityCheck;
+  private final UnreachableLeaderPublisher unreachableLeader;
   private final LeaderSupervisor supervisor;
-  private final ReportHandler reports;
+  private final ReportRouter reports;
   private final Api api;
 
   /**
@@ -93,8 +100,13 @@
     this.renewer = createLeaseRenewer();
     this.zones = new Zones(settings);
     this.stalls = new StallDetector(eventLoop);
-    this.supervisor = createSupervisor(handover, notice);
-    this.reports = createReportHandler(relay, notice);
+    this.stateServiceCheck =
+        new StateServiceCheck(eventLoop, records.state(), records.replica(), peers);
+    this.reachabilityCheck = createReachabilityCheck(notice);
+    this.unreachableLeader =
+        new UnreachableLeaderPublisher(settings.member(), directory, workers, peers, notice);
+    this.supervisor = createSupervisor(handover);
+    this.reports = createReportRouter(relay);
     peers.serve("/relay/", commands.service(reports::handleRelayed));
     this.api = createApi();
   }
@@ -115,7 +127,7 @@
   private MachineTypes createMachineTypes() {
     MachineTypes types =
         new MachineTypes(eventLoop, cloud, records.state(), records.replica(), lease);
-    records.replica().listen((key, value, revision) -> types.changed(key, value));
+    records.replica().listen((key, value, revision) -> types.onRecordChanged(key, value));
     return types;
   }
 
@@ -140,37 +152,35 @@
         lease::highestEpoch);
   }
 
-  private LeaderSupervisor createSupervisor(Handover handover, UnreachableLeaderNotice notice) {
+  private WorkerReachabilityCheck createReachabilityCheck(UnreachableLeaderNotice notice) {
+    return new WorkerReachabilityCheck(
+        eventLoop, lease, currentTerm, peers, reachability, notice, settings.workers().reportMs());
+  }
+
+  private LeaderSupervisor createSupervisor(Handover handover) {
     return new LeaderSupervisor(
         eventLoop,
-        settings,
-        records.state(),
-        records.replica(),
         lease,
-        currentTerm,
-        directory,
         workers,
-        peers,
         handover,
-        reachability,
-        notice);
+        stateServiceCheck,
+        reachabilityCheck,
+        unreachableLeader);
   }
 
-  private ReportHandler createReportHandler(Relay relay, UnreachableLeaderNotice notice) {
-    return new ReportHandler(
-        eventLoop,
-        settings.member(),
-        lease,
-        currentTerm,
-        directory,
-        workers,
-        peers,
-        renewer,
-        relay,
-        commands,
-        reachability,
-        notice,
-        supervisor::considerNotice);
+  private ReportRouter createReportRouter(Relay relay) {
+    FollowerReports follower =
+        new FollowerReports(
+            eventLoop,
+            settings.member(),
+            directory,
+            workers,
+            peers,
+            renewer,
+            relay,
+            unreachableLeader);
+    return new ReportRouter(
+        eventLoop, settings.member(), lease, currentTerm, reachability, commands, follower);
   }
 
   private Api createApi() {
@@ -195,7 +205,7 @@
     stalls.start();
     peers.start();
     membership.start();
-    machineTypes.read();
+    machineTypes.fetchFromCloud();
     runPeriodicChecks();
   }
 
@@ -214,7 +224,7 @@
   private void runPeriodicChecks() {
     eventLoop.after(RelayConstants.SUPERVISE_MS, this::runPeriodicChecks);
     heap.look();
-    supervisor.look();
+    supervisor.runChecks();
   }
 
   /** The HTTP service for users, workers and health checks. */
@@ -233,17 +243,17 @@
   }
 
   private boolean isUp() {
-    return records.replica().isReady() && !supervisor.isRefusedAlone();
+    return records.replica().isReady() && !stateServiceCheck.isRefusedOnlyHere();
   }
 
   private void onUnreachableLeaderNotice() {
-    supervisor.yieldIfNoticed();
+    reachabilityCheck.stepDownOnNotice();
   }
 
   private String memoryUsage() {
     return records.memoryUsage()
         + ", "
-        + workers.size()
+        + workers.addressCount()
         + " addresses, "
         + currentTerm.memoryUsage();
   }
@@ -297,7 +307,7 @@
         lease,
         cloud,
         machineTypes::byName,
-        machineTypes::update,
+        machineTypes::replaceAndStore,
         () -> othersSilentSinceMs(epoch, electedAtMs),
         commands,
         zones,
@@ -326,20 +336,20 @@
         lease.highestEpoch(),
         lease.isLeading(),
         eventLoop.nowMs() - records.state().servedAtMs(),
-        workers.reporting(),
+        workers.recentReporters(),
         lease.isLeading() && reachability.isDeaf());
   }
 
   /** The workers' addresses that followers keep in case they become leader. */
   private Map<String, String> workerAddresses() {
-    return currentTerm.workers();
+    return currentTerm.workerAddresses();
   }
 
   private void onPeerHeartbeat(PeerHeartbeat heartbeat) {
     lease.observeEpoch(heartbeat.epoch());
-    directory.heard(heartbeat);
+    directory.observeHeartbeat(heartbeat);
     if (heartbeat.leading() && heartbeat.epoch() >= lease.highestEpoch()) {
-      workers.update(heartbeat.workers(), heartbeat.gone());
+      workers.updateFromLeader(heartbeat.workers(), heartbeat.gone());
     }
   }
 }
--- a/src/main/java/fennelthread/constants/ControlConstants.java
+++ b/src/main/java/fennelthread/constants/ControlConstants.java
@@ -5,34 +5,32 @@
  * reason.
  */
 public final class ControlConstants {
-  /** Longest wait for a worker's answer to a question, ms: no more than a hint depends on it. */
+  /** Longest wait for a worker's answer to a probe, ms: no more than a hint depends on it. */
   public static final long PROBE_TIMEOUT_MS = 1_200;
 
-  /** A leader refused by the state service for this long yields if a peer is served, ms. */
-  public static final long REFUSED_ALONE_MS = 2_500;
+  /** A leader refused by the state service for this long steps down if a peer is served, ms. */
+  public static final long REFUSED_ONLY_HERE_MS = 2_500;
 
-  /** After this long without an answer of the state service one is asked for, ms. */
-  public static final long SERVED_CHECK_MS = 800;
+  /** After this long without an answer of the state service one is requested, ms. */
+  public static final long STATE_SILENCE_CHECK_MS = 800;
 
-  /** A leader that has heard no worker for this many report intervals yields if peers do. */
-  public static final double UNHEARD_REPORTS = 3;
+  /** A leader without a report for this many report intervals steps down if peers get reports. */
+  public static final double NO_REPORTS_INTERVALS = 3;
 
-  /** It waits this long at least before it yields for that reason, ms. */
-  public static final long UNHEARD_LEAST_MS = 3_000;
+  /** It waits this long at least before it steps down for that reason, ms. */
+  public static final long NO_REPORTS_MIN_MS = 3_000;
 
-  /** Pause before the machine types are read again from a cloud that did not say them, ms. */
+  /** Pause before machine types are fetched again after the cloud did not answer with any, ms. */
   public static final long MACHINE_TYPES_RETRY_MS = 1_000;
 
-  /**
-   * Direct questions a deaf leader asks at each look, to find out whether the way is open again.
-   */
-  public static final int DEAF_QUESTIONS = 2;
+  /** Workers that a leader without reports probes at each check, to find out if it is over. */
+  public static final int PROBES_PER_CHECK = 2;
 
-  /** A leader not heard over the peer network for this long can't be reached that way, ms. */
-  public static final long PETITION_SILENT_MS = 2_000;
+  /** A leader silent on the peer network for this long can't be reached that way, ms. */
+  public static final long LEADER_UNREACHABLE_MS = 2_000;
 
-  /** How long a controller that yielded leaves the claim to others, ms. */
-  public static final long YIELD_PAUSE_MS = 8_000;
+  /** How long a controller that stepped down leaves the claim to others, ms. */
+  public static final long STEP_DOWN_PAUSE_MS = 8_000;
 
   private ControlConstants() {}
 }
--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -5,31 +5,39 @@
 import fennelthread.net.Answer;
 import fennelthread.wire.WorkerReport;
 import java.util.Map;
-import java.util.function.Supplier;
 
 /**
- * The term of this controller while it leads, and its last one until another controller leads: a
- * resigned term decides nothing, but goes on answering reports so that tasks live.
+ * The term of this controller while it leads, and its last one until another controller leads. A
+ * resigned term takes no decisions, but goes on answering reports so that the workers' leases do
+ * not expire and their tasks go on.
  */
 public final class CurrentTerm {
+
+  /** Creates the term that begins with an election. */
+  @FunctionalInterface
+  public interface TermFactory {
+    /** Creates a term and starts it. */
+    Term createTerm();
+  }
+
   private final Lease lease;
   private Term active;
   private Term resigned;
-  private long ledSinceMs;
+  private long electedAtMs;
 
-  /** Creates it before the first term. */
+  /** Creates a holder without a term; {@code lease} says whether this controller leads. */
   public CurrentTerm(Lease lease) {
     this.lease = lease;
   }
 
-  /** Begins a term in place of a resigned one. */
-  public void begin(long nowMs, Supplier<Term> newTerm) {
-    ledSinceMs = nowMs;
+  /** Begins a term, after closing the resigned one if there is one. */
+  public void begin(long nowMs, TermFactory factory) {
+    electedAtMs = nowMs;
     closeResigned();
-    active = newTerm.get();
+    active = factory.createTerm();
   }
 
-  /** The active term resigns; does nothing without one. */
+  /** Resigns the active term; does nothing without one. */
   public void resign() {
     if (active != null) {
       active.resign();
@@ -46,19 +54,19 @@
   }
 
   /**
-   * Answers a report if this controller leads, or led and nobody else has since, as far as anyone
-   * has told us; null otherwise.
+   * Answers a report if this controller leads, or led last and has observed no later epoch.
    *
-   * @param by the controller that the report came to
+   * @param receivedBy the controller that received the report
+   * @return null if this controller must not answer; not an Optional, as every report passes here
    */
-  Answer answer(WorkerReport report, String by) {
+  Answer answer(WorkerReport report, String receivedBy) {
     if (active != null && lease.isLeading() && lease.epoch() >= lease.highestEpoch()) {
-      return active.handleReport(report, by);
+      return active.handleReport(report, receivedBy);
     }
     if (resigned != null && resigned.epoch() < lease.highestEpoch()) {
       closeResigned();
     }
-    return resigned == null ? null : resigned.handleReport(report, by);
+    return resigned == null ? null : resigned.handleReport(report, receivedBy);
   }
 
   /** True while a term is active. */
@@ -67,21 +75,23 @@
   }
 
   /** The number of workers that report to the active term, 0 without one. */
-  int reporting() {
+  int reportingWorkers() {
     return active == null ? 0 : active.reporting();
   }
 
-  /** When a worker last reported to the active term, or when it began if none has, ms. */
+  /**
+   * When a worker last reported to the active term, or when the last term began if none has, ms.
+   */
   long lastReportAtMs() {
-    return Math.max(ledSinceMs, active == null ? 0 : active.lastReportAtMs());
+    return Math.max(electedAtMs, active == null ? 0 : active.lastReportAtMs());
   }
 
-  /** The addresses of the active term's workers by machine, empty without a term. */
-  public Map<String, String> workers() {
+  /** The addresses of the active term's workers by machine name, empty without a term. */
+  public Map<String, String> workerAddresses() {
     return active == null ? Map.of() : active.addresses();
   }
 
-  /** Describes what is held in memory, for a line of the log. */
+  /** Describes what is held in memory, for one line of the log. */
   public String memoryUsage() {
     return active == null ? "not leading" : active.memoryUsage();
   }
--- /dev/null
+++ b/src/main/java/fennelthread/control/FollowerReports.java
@@ -0,0 +1,93 @@
+package fennelthread.control;
+
+import fennelthread.constants.LeaseRenewalConstants;
+import fennelthread.constants.ProtocolConstants;
+import fennelthread.leaserenewal.FollowerLeaseRenewer;
+import fennelthread.net.Answer;
+import fennelthread.net.EventLoop;
+import fennelthread.peers.PeerHeartbeats;
+import fennelthread.relay.Leader;
+import fennelthread.relay.Relay;
+import fennelthread.wire.Codec;
+import fennelthread.wire.Redirect;
+import fennelthread.wire.WorkerReport;
+import java.util.function.Consumer;
+
+/**
+ * What a follower does with a worker's report: renews the worker's lease in the place of a silent
+ * leader, relays the report to the leader, or redirects the worker to another controller.
+ */
+public final class FollowerReports {
+  private final EventLoop eventLoop;
+  private final String member;
+  private final LeaderDirectory directory;
+  private final KnownWorkers workers;
+  private final PeerHeartbeats peers;
+  private final FollowerLeaseRenewer renewer;
+  private final Relay relay;
+  private final UnreachableLeaderPublisher unreachableLeader;
+
+  /**
+   * Creates the handler of one follower.
+   *
+   * @param member the name of this controller
+   */
+  public FollowerReports(
+      EventLoop eventLoop,
+      String member,
+      LeaderDirectory directory,
+      KnownWorkers workers,
+      PeerHeartbeats peers,
+      FollowerLeaseRenewer renewer,
+      Relay relay,
+      UnreachableLeaderPublisher unreachableLeader) {
+    this.eventLoop = eventLoop;
+    this.member = member;
+    this.directory = directory;
+    this.workers = workers;
+    this.peers = peers;
+    this.renewer = renewer;
+    this.relay = relay;
+    this.unreachableLeader = unreachableLeader;
+  }
+
+  /** Handles one report; a relayed one is answered once the leader has answered. */
+  void handle(WorkerReport report, Consumer<Answer> reply) {
+    workers.recordReport(report, eventLoop.nowMs());
+    Leader leader = directory.currentLeader();
+    boolean peerLeads = leader.member() != null && !member.equals(leader.member());
+    if (peerLeads && report.token() >> ProtocolConstants.TOKEN_BITS == leader.epoch()) {
+      unreachableLeader.recordLeadersWorker(report.machine());
+    }
+    Answer renewed = renewer.keep(report);
+    if (renewed != null) {
+      reply.accept(renewed);
+      return;
+    }
+    Relay.Decision decision =
+        peerLeads ? relay.take(report, leader, reply) : Relay.Decision.TO_NEXT;
+    if (decision != Relay.Decision.PASSED_ON) {
+      reply.accept(redirectTo(redirectTarget(leader, peerLeads, decision)));
+    }
+  }
+
+  /** The controller to redirect a worker to, null for the next one in the worker's own order. */
+  private String redirectTarget(Leader leader, boolean peerLeads, Relay.Decision decision) {
+    boolean leaderSilent =
+        !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.KEEP_STILL_MS;
+    String renewingPeer = leaderSilent ? peers.anyKeeping() : null;
+    if (renewingPeer != null) {
+      return renewingPeer;
+    }
+    return decision == Relay.Decision.TO_LEADER ? leader.member() : null;
+  }
+
+  /** The answer that redirects to the next controller in the worker's own order. */
+  static Answer redirectToNext() {
+    return redirectTo(null);
+  }
+
+  private static Answer redirectTo(String controller) {
+    return Answer.of(421, Codec.CBOR, new Redirect(controller).write());
+  }
+}
--- a/src/main/java/fennelthread/control/LeaderDirectory.java
+++ b/src/main/java/fennelthread/control/LeaderDirectory.java
@@ -4,27 +4,30 @@
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.relay.Leader;
 
-/** Who leads: the state service says so, or a peer whose claim our copy has not reached yet. */
+/**
+ * Which controller leads, by the latest of two sources: the leader's record in the replica, and the
+ * heartbeats of a peer whose claim the replica has not reached yet.
+ */
 public final class LeaderDirectory {
   private final Lease lease;
-  private Leader heard = new Leader(null, 0);
+  private Leader fromHeartbeats = new Leader(null, 0);
 
-  /** Creates it before any heartbeat has come in. */
+  /** Creates a directory that has observed no heartbeat; {@code lease} reads the replica. */
   public LeaderDirectory(Lease lease) {
     this.lease = lease;
   }
 
-  /** Takes note of a peer's heartbeat. */
-  public void heard(PeerHeartbeat heartbeat) {
-    if (heartbeat.leading() && heartbeat.epoch() >= heard.epoch()) {
-      heard = new Leader(heartbeat.member(), heartbeat.epoch());
+  /** Records the sender of a heartbeat as leader if it leads under the highest epoch so far. */
+  public void observeHeartbeat(PeerHeartbeat heartbeat) {
+    if (heartbeat.leading() && heartbeat.epoch() >= fromHeartbeats.epoch()) {
+      fromHeartbeats = new Leader(heartbeat.member(), heartbeat.epoch());
     }
   }
 
-  /** The leader of the highest epoch that is known to be claimed; its member may be null. */
-  Leader leader() {
-    return heard.epoch() > lease.recordedEpoch()
-        ? heard
+  /** The leader of the highest epoch known; its member is null while nobody leads. */
+  Leader currentLeader() {
+    return fromHeartbeats.epoch() > lease.recordedEpoch()
+        ? fromHeartbeats
         : new Leader(lease.leaderMember(), lease.leaderEpoch());
   }
 }
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -20,8 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types, which every controller must know to judge submissions. They are read from the
- * cloud; a leader keeps them in the state service for starts during an outage of the cloud.
+ * The cloud's machine types, which every controller needs to validate submissions. They are fetched
+ * from the cloud; the leader also stores them in the state service, so that a controller that
+ * starts during an outage of the cloud has them.
  */
 public final class MachineTypes {
   private static final Logger log = LoggerFactory.getLogger(MachineTypes.class);
@@ -32,9 +33,9 @@
   private final Replica replica;
   private final Lease lease;
   private Map<String, MachineType> byName = new LinkedHashMap<>();
-  private boolean reading;
+  private boolean fetching;
 
-  /** Creates it without any types. */
+  /** Creates an empty set of types; {@link #fetchFromCloud} and the replica fill it. */
   public MachineTypes(
       EventLoop eventLoop, Cloud cloud, StateClient state, Replica replica, Lease lease) {
     this.eventLoop = eventLoop;
@@ -44,53 +45,59 @@
     this.lease = lease;
   }
 
-  /** The types by name; empty while none are known. */
+  /** The types by name; empty until they are known. */
   public Map<String, MachineType> byName() {
     return byName;
   }
 
-  /** Reads the types from the cloud, as often as it takes. */
-  public void read() {
-    if (reading || !byName.isEmpty()) {
+  /** Fetches the types from the cloud, and retries until it answers; does nothing once known. */
+  public void fetchFromCloud() {
+    if (fetching || !byName.isEmpty()) {
       return;
     }
-    reading = true;
+    fetching = true;
     cloud.machineTypes(
         types -> {
-          reading = false;
+          fetching = false;
           if (types != null && !types.isEmpty()) {
             replace(types);
           } else {
-            eventLoop.after(ControlConstants.MACHINE_TYPES_RETRY_MS, this::read);
+            eventLoop.after(ControlConstants.MACHINE_TYPES_RETRY_MS, this::fetchFromCloud);
           }
         });
   }
 
-  /** Takes over the types that the state service holds, unless some are known already. */
-  public void changed(String key, Fields value) {
+  /** Takes over the types from the state service, unless the types are known already. */
+  public void onRecordChanged(String key, Fields value) {
     if (!key.equals(Keys.MACHINE_TYPES) || value == null || !byName.isEmpty()) {
       return;
     }
     try {
       replace(MachineType.readAll(value));
     } catch (WireException e) {
-      log.error("unreadable {}: {}", key, e.getMessage());
+      log.error("record unreadable key={} reason={}", key, e.getMessage());
     }
   }
 
   private void replace(List<MachineType> types) {
-    Map<String, MachineType> map = new LinkedHashMap<>();
-    types.forEach(type -> map.put(type.name(), type));
-    byName = map;
+    Map<String, MachineType> replacement = new LinkedHashMap<>();
+    types.forEach(type -> replacement.put(type.name(), type));
+    byName = replacement;
   }
 
-  /** Takes over what the leader has read from the cloud, and stores it if it has changed. */
-  public void update(List<MachineType> types) {
+  /**
+   * Takes over the types that this controller, as leader, has fetched from the cloud, and stores
+   * them if they differ from what is stored.
+   */
+  public void replaceAndStore(List<MachineType> types) {
     replace(types);
     Fields value = MachineType.writeAll(types.stream().map(MachineTypes::withoutPrices).toList());
     byte[] encoded = Codec.JSON.encode(value);
     if (encoded.length > state.limits().valueBytes()) {
-      log.info("machine types need {} bytes and are not kept for an outage", encoded.length);
+      log.info(
+          "machine types too large to store bytes={} limitBytes={}",
+          encoded.length,
+          state.limits().valueBytes());
       return;
     }
     Fields stored = replica.get(Keys.MACHINE_TYPES);
@@ -101,7 +108,7 @@
     state.txn(StateClient.Lane.UPKEEP, txn, result -> {});
   }
 
-  /** Prices move all the time; what is stored for starts need not follow them. */
+  /** Leaves out the prices: they change all the time, and would be stored each time. */
   private static MachineType withoutPrices(MachineType type) {
     return new MachineType(
         type.name(),
--- /dev/null
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -0,0 +1,77 @@
+package fennelthread.control;
+
+import fennelthread.fleet.ReportOrder;
+import fennelthread.leader.Lease;
+import fennelthread.net.Answer;
+import fennelthread.net.EventLoop;
+import fennelthread.relay.CommandSender;
+import fennelthread.relay.LeaderReachability;
+import fennelthread.wire.WorkerReport;
+import java.util.function.Consumer;
+
+/**
+ * Routes workers' reports: to the term of this controller if it leads, and to {@link
+ * FollowerReports} otherwise. A report that is a copy of an earlier one is redirected and changes
+ * nothing.
+ */
+public final class ReportRouter {
+  private final EventLoop eventLoop;
+  private final String member;
+  private final Lease lease;
+  private final CurrentTerm term;
+  private final LeaderReachability reachability;
+  private final CommandSender commands;
+  private final FollowerReports follower;
+  private final ReportOrder order = new ReportOrder();
+
+  /**
+   * Creates the router of one controller.
+   *
+   * @param member the name of this controller
+   * @param follower handles the reports that the term does not answer
+   */
+  public ReportRouter(
+      EventLoop eventLoop,
+      String member,
+      Lease lease,
+      CurrentTerm term,
+      LeaderReachability reachability,
+      CommandSender commands,
+      FollowerReports follower) {
+    this.eventLoop = eventLoop;
+    this.member = member;
+    this.lease = lease;
+    this.term = term;
+    this.reachability = reachability;
+    this.commands = commands;
+    this.follower = follower;
+  }
+
+  /** Answers a report that a worker sent to this controller; {@code reply} may be called later. */
+  public void handle(WorkerReport report, Consumer<Answer> reply) {
+    if (order.isCopy(report)) {
+      // Its sender no longer waits for an answer, and its content is out of date.
+      reply.accept(FollowerReports.redirectToNext());
+      return;
+    }
+    Answer answer = term.answer(report, member);
+    if (answer != null) {
+      reachability.heard(eventLoop.nowMs());
+      commands.direct(report.machine());
+      reply.accept(answer);
+    } else {
+      follower.handle(report, reply);
+    }
+  }
+
+  /**
+   * Answers a report that a peer relays to this controller as the leader of {@code epoch}.
+   *
+   * @return null if this controller must not answer; not an Optional, as every report passes here
+   */
+  public Answer handleRelayed(WorkerReport report, long epoch, String peer) {
+    lease.observeEpoch(epoch);
+    boolean accepted = epoch == lease.epoch() && !order.isCopy(report);
+    return accepted ? term.answer(report, peer) : null;
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
@@ -0,0 +1,53 @@
+package fennelthread.control;
+
+import fennelthread.constants.ControlConstants;
+import fennelthread.peers.PeerHeartbeats;
+import fennelthread.relay.Leader;
+import fennelthread.relay.UnreachableLeaderNotice;
+
+/**
+ * Publishes, through the state service, that workers of the leader report to this follower. It does
+ * so while the leader is silent on the peer network; through heartbeats the leader would know.
+ */
+public final class UnreachableLeaderPublisher {
+  private final String member;
+  private final LeaderDirectory directory;
+  private final KnownWorkers workers;
+  private final PeerHeartbeats peers;
+  private final UnreachableLeaderNotice notice;
+
+  /**
+   * Creates a publisher of one follower.
+   *
+   * @param member the name of this controller
+   */
+  public UnreachableLeaderPublisher(
+      String member,
+      LeaderDirectory directory,
+      KnownWorkers workers,
+      PeerHeartbeats peers,
+      UnreachableLeaderNotice notice) {
+    this.member = member;
+    this.directory = directory;
+    this.workers = workers;
+    this.peers = peers;
+    this.notice = notice;
+  }
+
+  /** Records that a worker under the current leader's token reported here, and publishes if due. */
+  void recordLeadersWorker(String machine) {
+    notice.came(machine);
+    publishIfDue();
+  }
+
+  /** Publishes if a peer leads and can't be reached; otherwise forgets what was recorded. */
+  void publishIfDue() {
+    Leader leader = directory.currentLeader();
+    boolean peerLeads = leader.member() != null && !leader.member().equals(member);
+    if (peerLeads && peers.silentMs(leader.member()) >= ControlConstants.LEADER_UNREACHABLE_MS) {
+      notice.consider(leader.epoch(), workers.addressCount());
+    } else {
+      notice.clear();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -0,0 +1,108 @@
+package fennelthread.control;
+
+import fennelthread.constants.ControlConstants;
+import fennelthread.leader.Lease;
+import fennelthread.net.Call;
+import fennelthread.net.EventLoop;
+import fennelthread.peers.PeerHeartbeats;
+import fennelthread.relay.LeaderReachability;
+import fennelthread.relay.UnreachableLeaderNotice;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Whether the workers' reports still reach this leader. While they do not, it probes some workers
+ * directly, and steps down if a peer says that the workers report to the peer.
+ */
+public final class WorkerReachabilityCheck {
+  private static final Logger log = LoggerFactory.getLogger(WorkerReachabilityCheck.class);
+
+  private final EventLoop eventLoop;
+  private final Lease lease;
+  private final CurrentTerm term;
+  private final PeerHeartbeats peers;
+  private final LeaderReachability reachability;
+  private final UnreachableLeaderNotice notice;
+  private final long noReportsLimitMs;
+
+  /**
+   * Creates a check of one leader.
+   *
+   * @param reportMs the interval of the workers' reports, ms
+   */
+  public WorkerReachabilityCheck(
+      EventLoop eventLoop,
+      Lease lease,
+      CurrentTerm term,
+      PeerHeartbeats peers,
+      LeaderReachability reachability,
+      UnreachableLeaderNotice notice,
+      long reportMs) {
+    this.eventLoop = eventLoop;
+    this.lease = lease;
+    this.term = term;
+    this.peers = peers;
+    this.reachability = reachability;
+    this.notice = notice;
+    this.noReportsLimitMs =
+        (long)
+            Math.max(
+                ControlConstants.NO_REPORTS_MIN_MS,
+                reportMs * ControlConstants.NO_REPORTS_INTERVALS);
+  }
+
+  /** Checks whether reports still reach this leader, and probes some workers if none does. */
+  void probeIfUnreachable() {
+    if (!term.isActive()) {
+      return;
+    }
+    if (reachability.look(eventLoop.nowMs(), term.reportingWorkers())) {
+      log.info(
+          "no report reaches the leader, workers are reached through peers epoch={}",
+          lease.epoch());
+      peers.sendHeartbeats();
+    }
+    if (!reachability.isDeaf()) {
+      return;
+    }
+    stepDownOnNotice();
+    if (term.isActive()) {
+      probeSomeWorkers();
+    }
+  }
+
+  private void probeSomeWorkers() {
+    List<String> addresses = List.copyOf(term.workerAddresses().values());
+    int probes = Math.min(addresses.size(), ControlConstants.PROBES_PER_CHECK);
+    for (int i = 0; i < probes; i++) {
+      eventLoop.call(
+          addresses.get(eventLoop.random().nextInt(addresses.size())),
+          Call.get("/show").asSpare(),
+          ControlConstants.PROBE_TIMEOUT_MS,
+          answer -> {
+            if (answer != null) {
+              reachability.reached(eventLoop.nowMs());
+            }
+          });
+    }
+  }
+
+  /**
+   * Steps down if no report reaches this leader, and a peer that can't reach it either says through
+   * the state service that the workers report to the peer.
+   */
+  public void stepDownOnNotice() {
+    if (lease.isLeading() && reachability.isDeaf() && notice.wasRead(lease.epoch())) {
+      lease.stepDown(
+          "workers reach only peers, by a notice in the state service",
+          ControlConstants.STEP_DOWN_PAUSE_MS);
+    }
+  }
+
+  /** True if workers have reported to peers, and none for long to this leader. */
+  boolean workersReachOnlyPeers() {
+    return eventLoop.nowMs() - term.lastReportAtMs() > noReportsLimitMs
+        && peers.peersHearWorkers() > 0;
+  }
+}
