--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -15,11 +15,11 @@
     /** Its round record is being written; no start was sent. */
     RECORDED,
     /** No connection could be had for the start: it goes out with the next report's answer. */
-    CARRIED,
+    DEFERRED,
     /** The start was sent and its answer is awaited. */
     SENT,
     /** A start may have been sent, or may still arrive: only a report under a later token tells. */
-    UNSURE,
+    UNCONFIRMED,
     /** On the machine, waiting for its image. */
     FETCHING,
     /** On the machine, running. */
@@ -49,10 +49,10 @@
   private WorkerReport.Motive motive;
   private long token;
   private long runningSinceMs = -1;
-  private boolean stopSent;
-  private boolean handled;
-  private boolean inAnswer;
-  private long reportMark;
+  private boolean stopRequested;
+  private boolean markEndHandled;
+  private boolean sentInResponse;
+  private long lastSeenInReport;
 
   Attempt(Machine machine, StartRecord.Start start, Phase phase, long token, long nowMs) {
     this.machine = machine;
@@ -64,54 +64,54 @@
   }
 
   /** The only place where the phase changes. */
-  void moveTo(Phase next) {
+  void transitionTo(Phase next) {
     boolean allowed =
         switch (phase) {
           case RECORDED -> next == Phase.SENT || next == Phase.GONE;
-          case CARRIED -> next == Phase.SENT || next == Phase.GONE;
+          case DEFERRED -> next == Phase.SENT || next == Phase.GONE;
           case SENT -> next != Phase.RECORDED && next != Phase.SENT;
           case GONE -> false;
           case ENDED -> next == Phase.ENDED || next == Phase.GONE;
-          default -> next != Phase.RECORDED && next != Phase.CARRIED && next != Phase.SENT;
+          default -> next != Phase.RECORDED && next != Phase.DEFERRED && next != Phase.SENT;
         };
     if (!allowed) {
       throw new IllegalStateException(this + " -> " + next);
     }
     if (phase != next) {
       phase = next;
-      machine.touch();
+      machine.markChanged();
     }
   }
 
-  void sent(long underToken) {
-    moveTo(Phase.SENT);
+  void onStartSent(long underToken) {
+    transitionTo(Phase.SENT);
     token = underToken;
   }
 
   /** The start goes out with a report's answer, which nobody confirms but the next report. */
-  void sentInAnswer(long underToken) {
-    sent(underToken);
-    inAnswer = true;
+  void onStartSentInResponse(long underToken) {
+    onStartSent(underToken);
+    sentInResponse = true;
   }
 
   /** True if the answer to an earlier report held the start, and nothing has shown it since. */
-  boolean isSentInAnswer() {
-    return inAnswer && phase == Phase.SENT;
+  boolean isSentInResponse() {
+    return sentInResponse && phase == Phase.SENT;
   }
 
   void reported(WorkerReport.Task task, long nowMs) {
     switch (task.phase()) {
-      case FETCHING -> moveTo(Phase.FETCHING);
+      case FETCHING -> transitionTo(Phase.FETCHING);
       case RUNNING -> {
         if (runningSinceMs < 0) {
           runningSinceMs = nowMs;
           log.debug("{} runs, {} ms after its record", this, nowMs - createdAtMs);
         }
-        moveTo(Phase.RUNNING);
+        transitionTo(Phase.RUNNING);
       }
-      case FLUSHING -> moveTo(Phase.FLUSHING);
+      case FLUSHING -> transitionTo(Phase.FLUSHING);
       case ENDED -> {
-        moveTo(Phase.ENDED);
+        transitionTo(Phase.ENDED);
         motive = task.motive();
       }
       default -> throw new IllegalStateException();
@@ -122,9 +122,9 @@
    * Takes over what a round record says of an attempt that a report showed first: the job may be
    * cancelled and unknown by now, yet its tasks still count against their team's cap.
    */
-  void describedBy(StartRecord.Start recorded) {
+  void replaceStart(StartRecord.Start recorded) {
     start = recorded;
-    machine.touch();
+    machine.markChanged();
   }
 
   /** The key under which a machine keeps it. */
@@ -133,12 +133,12 @@
   }
 
   /** Notes the report that shows it. */
-  void mark(long report) {
-    reportMark = report;
+  void markSeenIn(long report) {
+    lastSeenInReport = report;
   }
 
-  boolean isMarked(long report) {
-    return reportMark == report;
+  boolean wasSeenIn(long report) {
+    return lastSeenInReport == report;
   }
 
   /** What was recorded of it. */
@@ -177,26 +177,26 @@
   }
 
   /** True once a stop was asked for. */
-  public boolean isStopping() {
-    return stopSent;
+  public boolean isStopRequested() {
+    return stopRequested;
   }
 
   /** Notes that a stop was asked for. */
-  public void stopping() {
-    if (!stopSent) {
-      stopSent = true;
-      machine.touch();
+  public void requestStop() {
+    if (!stopRequested) {
+      stopRequested = true;
+      machine.markChanged();
     }
   }
 
   /** True once its end was taken note of. */
-  public boolean isHandled() {
-    return handled;
+  public boolean isEndHandled() {
+    return markEndHandled;
   }
 
   /** Notes that its end was taken note of. */
-  public void handled() {
-    handled = true;
+  public void markEndHandled() {
+    markEndHandled = true;
   }
 
   @Override
--- a/src/main/java/fennelthread/fleet/BootingPool.java
+++ b/src/main/java/fennelthread/fleet/BootingPool.java
@@ -37,7 +37,7 @@
   }
 
   private boolean mayUse(MachineKind kind, Plan.Unplaced job) {
-    return RentalPolicy.fits(types.get(kind.type()), job)
+    return ScaleOutPolicy.fits(types.get(kind.type()), job)
         && (!kind.spot() || job.spec().spotAllowed())
         && job.mayUseZone(kind.zone());
   }
--- a/src/main/java/fennelthread/fleet/ImageCache.java
+++ b/src/main/java/fennelthread/fleet/CachedImages.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** The images that a machine has cached as far as we know, the least recently used first. */
-final class ImageCache {
+final class CachedImages {
   private final LinkedHashMap<String, Double> sizesGb = new LinkedHashMap<>(16, 0.75f, true);
 
   /**
--- a/src/main/java/fennelthread/fleet/Cloud.java
+++ b/src/main/java/fennelthread/fleet/Cloud.java
@@ -35,7 +35,7 @@
 
   private final EventLoop eventLoop;
   private final String address;
-  private long quietUntil;
+  private long backOffUntilMs;
 
   /** Creates a client. */
   public Cloud(EventLoop eventLoop, Settings settings) {
@@ -44,8 +44,8 @@
   }
 
   /** True while the cloud has asked us to slow down or is in trouble. */
-  public boolean isQuiet() {
-    return eventLoop.nowMs() < quietUntil;
+  public boolean isBackingOff() {
+    return eventLoop.nowMs() < backOffUntilMs;
   }
 
   /** Reads types and prices. */
@@ -104,7 +104,7 @@
             if (answer != null
                 && answer.status() == 503
                 && "no capacity".equals(answer.fields().optText("error"))) {
-              quietUntil = 0;
+              backOffUntilMs = 0;
               done.accept(new Rented.NoCapacity());
               return;
             }
@@ -126,7 +126,7 @@
   }
 
   /** Returns machines. */
-  public void giveBack(List<String> names, Consumer<Returned> done) {
+  public void returnMachines(List<String> names, Consumer<Returned> done) {
     call(
         Call.post("/hosts/return", Codec.CBOR, Rental.writeNames(names)),
         answer ->
@@ -149,7 +149,7 @@
         FleetConstants.CLOUD_TIMEOUT_MS,
         answer -> {
           if (answer != null && (answer.status() == 429 || answer.status() == 503)) {
-            quietUntil = eventLoop.nowMs() + 1_000;
+            backOffUntilMs = eventLoop.nowMs() + 1_000;
           }
           done.accept(answer);
         });
--- a/src/main/java/fennelthread/fleet/CommandQueue.java
+++ b/src/main/java/fennelthread/fleet/CommandQueue.java
@@ -20,7 +20,7 @@
   @FunctionalInterface
   interface AnswerListener {
     /** A worker has answered what was sent when it was known as in {@code known}. */
-    void answered(Machine machine, WorkerReport report, KnownReport known);
+    void answered(Machine machine, WorkerReport report, ReportPosition known);
   }
 
   private final FleetContext context;
@@ -35,55 +35,56 @@
    * What a worker is told of its tasks now. Clears go out under a higher token than the starts of
    * what they clear, and so are gathered: each rise has the worker report once more.
    */
-  List<WorkerCommand> due(Machine m) {
-    List<WorkerCommand> commands = context.listener().commandsFor(m);
+  List<WorkerCommand> due(Machine machine) {
+    List<WorkerCommand> commands = context.listener().commandsFor(machine);
     int waiting = 0;
     for (WorkerCommand command : commands) {
-      waiting += needsHigherToken(m, command) ? 1 : 0;
+      waiting += needsHigherToken(machine, command) ? 1 : 0;
     }
     if (waiting == 0) {
       return commands;
     }
     long now = context.nowMs();
     double pauseMs = context.leaseMs() * FleetConstants.CLEARS_LEASE_SHARE;
-    if (waiting >= FleetConstants.CLEARS_GATHERED || now - m.tokens().clearedAtMs() >= pauseMs) {
-      m.tokens().raiseForClears(now);
+    if (waiting >= FleetConstants.CLEARS_GATHERED
+        || now - machine.tokens().clearedAtMs() >= pauseMs) {
+      machine.tokens().raiseForClears(now);
       return commands;
     }
     List<WorkerCommand> atOnce = new ArrayList<>(commands);
-    atOnce.removeIf(command -> needsHigherToken(m, command));
+    atOnce.removeIf(command -> needsHigherToken(machine, command));
     return atOnce;
   }
 
-  private boolean needsHigherToken(Machine m, WorkerCommand command) {
+  private boolean needsHigherToken(Machine machine, WorkerCommand command) {
     if (!(command instanceof WorkerCommand.Clear clear)) {
       return false;
     }
-    Attempt a = m.find(clear.task(), clear.attempt());
-    return a != null && a.token() >= m.token(context.epoch());
+    Attempt attempt = machine.find(clear.task(), clear.attempt());
+    return attempt != null && attempt.token() >= machine.token(context.epoch());
   }
 
   /** Sends what is due right away instead of with the next report's answer. */
-  void send(Machine m) {
-    if (m.address() == null || m.session() == 0) {
+  void send(Machine machine) {
+    if (machine.address() == null || machine.session() == 0) {
       return;
     }
-    List<WorkerCommand> commands = due(m);
+    List<WorkerCommand> commands = due(machine);
     if (commands.isEmpty()) {
       return;
     }
-    KnownReport known = KnownReport.of(m);
+    ReportPosition known = ReportPosition.of(machine);
     context
         .transport()
         .send(
-            m,
-            m.address(),
-            call(m.token(context.epoch()), m.session(), commands),
+            machine,
+            machine.address(),
+            call(machine.token(context.epoch()), machine.session(), commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
             answer -> {
               WorkerReport report = reportOf(answer);
               if (!context.isClosed() && report != null) {
-                onAnswer.answered(m, report, known);
+                onAnswer.answered(machine, report, known);
               }
             },
             tried -> {});
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -62,7 +62,7 @@
     this.machineTypes = machineTypes;
     this.zones = zones;
     this.readiness = new MachineReadiness(context, zones);
-    this.probes = new MachineProbes(context, this::probed);
+    this.probes = new MachineProbes(context, this::onProbeAnswered);
     this.starts = new StartSender(context, probes, this::answered);
     this.commands = new CommandQueue(context, this::answered);
     this.reports =
@@ -87,15 +87,15 @@
 
   /** A machine, known from now on. */
   public Machine getOrAdd(String name, String address) {
-    Machine m = machines.computeIfAbsent(name, n -> new Machine(n, context.nowMs()));
-    m.setAddress(address);
-    return m;
+    Machine machine = machines.computeIfAbsent(name, n -> new Machine(n, context.nowMs()));
+    machine.setAddress(address);
+    return machine;
   }
 
   /** Describes a machine that its worker may not have described yet. */
-  public void describeIfUnknown(Machine m, String type, String zone, boolean spot) {
-    if (!m.isDescribed()) {
-      m.describe(type, zone, spot);
+  public void describeIfUnknown(Machine machine, String type, String zone, boolean spot) {
+    if (!machine.isDescribed()) {
+      machine.describe(type, zone, spot);
     }
   }
 
@@ -106,48 +106,54 @@
 
   /** Takes up a start from a predecessor's round record: it may be there. */
   public void restoreAttempt(StartRecord.Start start) {
-    Machine m = getOrAdd(start.machine(), null);
-    Attempt known = m.find(start.task(), start.attempt());
+    Machine machine = getOrAdd(start.machine(), null);
+    Attempt known = machine.find(start.task(), start.attempt());
     if (known != null) {
-      known.describedBy(start);
-    } else if (!m.isPast(start.session(), context.epoch())) {
+      known.replaceStart(start);
+    } else if (!machine.hasEndedSession(start.session(), context.epoch())) {
       // Sent under a predecessor's token, whichever: only a report under ours tells.
       long token = (context.epoch() << ProtocolConstants.TOKEN_BITS) - 1;
-      m.add(new Attempt(m, start, Attempt.Phase.UNSURE, token, context.nowMs()));
+      machine.add(new Attempt(machine, start, Attempt.Phase.UNCONFIRMED, token, context.nowMs()));
     }
   }
 
   /** A new attempt, whose record is about to be written. */
-  public Attempt createAttempt(Machine m, JobSpec spec, int index) {
+  public Attempt createAttempt(Machine machine, JobSpec spec, int index) {
     long number = (context.epoch() << ProtocolConstants.ATTEMPT_BITS) + ++attemptSeq;
-    StartRecord.Start start = StartRecord.Start.of(spec, index, number, m.name(), m.session());
-    Attempt a =
-        new Attempt(m, start, Attempt.Phase.RECORDED, m.token(context.epoch()), context.nowMs());
-    m.add(a);
-    return a;
+    StartRecord.Start start =
+        StartRecord.Start.of(spec, index, number, machine.name(), machine.session());
+    Attempt attempt =
+        new Attempt(
+            machine,
+            start,
+            Attempt.Phase.RECORDED,
+            machine.token(context.epoch()),
+            context.nowMs());
+    machine.add(attempt);
+    return attempt;
   }
 
   /** Drops an attempt whose start was never sent. */
-  public void discardUnsent(Machine m, Attempt a) {
-    if (a.phase() == Attempt.Phase.RECORDED) {
-      a.moveTo(Attempt.Phase.GONE);
-      m.remove(a);
+  public void discardUnsent(Machine machine, Attempt attempt) {
+    if (attempt.phase() == Attempt.Phase.RECORDED) {
+      attempt.transitionTo(Attempt.Phase.GONE);
+      machine.remove(attempt);
     }
   }
 
   /** True if the machine can be given tasks: in contact lately, and obeying nobody but us. */
-  public boolean isReady(Machine m) {
-    return readiness.isReady(m);
+  public boolean isReady(Machine machine) {
+    return readiness.isReady(machine);
   }
 
   /** True if its lease must be over although it may carry out commands. */
-  boolean isMute(Machine m) {
-    return readiness.isMute(m);
+  boolean isUnanswered(Machine machine) {
+    return readiness.isUnanswered(machine);
   }
 
   /** True if its leases end again and again although it reports. */
-  boolean hearsNothing(Machine m) {
-    return readiness.hearsNothing(m);
+  boolean isLosingLeases(Machine machine) {
+    return readiness.isLosingLeases(machine);
   }
 
   /**
@@ -161,49 +167,49 @@
   }
 
   /** Sends starts, whose record is written. The caller has just checked the local lease. */
-  public void sendStarts(Machine m, List<Attempt> attempts) {
-    starts.send(m, attempts);
+  public void sendStarts(Machine machine, List<Attempt> attempts) {
+    starts.send(machine, attempts);
   }
 
   /**
    * Sends the stops and clears that are due right away instead of with the next report's answer.
    */
-  public void sendCommands(Machine m) {
-    commands.send(m);
+  public void sendCommands(Machine machine) {
+    commands.send(machine);
   }
 
   /** Tells a worker our token, and learns from its answer what is on its machine. */
-  public void probe(Machine m) {
-    probes.probe(m);
+  public void probe(Machine machine) {
+    probes.probe(machine);
   }
 
-  private void answered(Machine m, WorkerReport report, KnownReport known) {
-    reports.answeredDirectly(m, report, known);
+  private void answered(Machine machine, WorkerReport report, ReportPosition known) {
+    reports.answeredDirectly(machine, report, known);
   }
 
-  private void probed(Machine m, WorkerReport report, KnownReport known) {
-    answered(m, report, known);
-    if (context.isOverdue(m.reportAnsweredAtMs())) {
+  private void onProbeAnswered(Machine machine, WorkerReport report, ReportPosition known) {
+    answered(machine, report, known);
+    if (context.isOverdue(machine.reportAnsweredAtMs())) {
       // No report of its own will fetch them: its cancelled tasks held their team's limit until
       // their lease was over.
-      sendCommands(m);
+      sendCommands(machine);
     }
   }
 
   /** Looks for leases that are over and workers that have not confirmed their token. */
   public void tick() {
-    starts.dropLate();
+    starts.dropOverdueStarts();
     zones.look(machines.values(), context.nowMs());
     long othersSilentMs = othersSilentSince.getAsLong();
-    for (Machine m : List.copyOf(machines.values())) {
-      if (m.phase() == Machine.Phase.GONE) {
+    for (Machine machine : List.copyOf(machines.values())) {
+      if (machine.phase() == Machine.Phase.GONE) {
         continue;
       }
-      if (m.phase() != Machine.Phase.LOST && isLeaseOver(m, othersSilentMs)) {
-        expire(m);
+      if (machine.phase() != Machine.Phase.LOST && isLeaseOver(machine, othersSilentMs)) {
+        expireLease(machine);
       }
-      endDraining(m);
-      probes.probeIfNeeded(m);
+      uncordonIfHealthy(machine);
+      probes.probeIfNeeded(machine);
     }
   }
 
@@ -211,36 +217,36 @@
    * Gives a drained machine tasks again once none has failed there for long. One that keeps running
    * what it has would otherwise never be empty, so never be returned, and its room be lost.
    */
-  private void endDraining(Machine m) {
-    if (m.isDraining()
-        && m.phase() == Machine.Phase.REPORTING
-        && !m.isEmpty()
-        && context.nowMs() - m.failures().lastAtMs() > FleetConstants.DRAIN_MS) {
-      log.info("{} has failed nothing for long, it gets tasks again", m.name());
-      m.undrain();
+  private void uncordonIfHealthy(Machine machine) {
+    if (machine.isCordoned()
+        && machine.phase() == Machine.Phase.REPORTING
+        && !machine.isEmpty()
+        && context.nowMs() - machine.failures().lastAtMs() > FleetConstants.DRAIN_MS) {
+      log.info("{} has failed nothing for long, it gets tasks again", machine.name());
+      machine.uncordon();
       context.listener().onFleetChanged();
     }
   }
 
   /** True if its lease is over, counted from the last answer that any controller can have given. */
-  private boolean isLeaseOver(Machine m, long othersSilentMs) {
-    long from = Math.max(m.contact().leaseFromMs(), othersSilentMs);
+  private boolean isLeaseOver(Machine machine, long othersSilentMs) {
+    long from = Math.max(machine.contact().leaseStartMs(), othersSilentMs);
     return othersSilentMs != Long.MAX_VALUE && context.nowMs() - from > context.leaseAtMostMs();
   }
 
-  private void expire(Machine m) {
-    boolean heard = m.phase() == Machine.Phase.REPORTING;
+  private void expireLease(Machine machine) {
+    boolean heard = machine.phase() == Machine.Phase.REPORTING;
     if (heard) {
-      m.moveTo(Machine.Phase.LOST);
-      m.tokens().raise();
-      context.aggregatedLog().add("leases over", m.name(), 1);
+      machine.transitionTo(Machine.Phase.LOST);
+      machine.tokens().raise();
+      context.aggregatedLog().add("leases over", machine.name(), 1);
     }
-    m.forgetImages();
+    machine.clearImages();
     // A start sent within the lease can't be executed in the session that has ended.
-    List<Attempt> gone = m.dropAll();
-    gone.forEach(a -> log.debug("{} is over, by its lease", a));
-    for (Attempt a : gone) {
-      context.listener().onAttemptEnded(m, a);
+    List<Attempt> gone = machine.dropAll();
+    gone.forEach(attempt -> log.debug("{} is over, by its lease", attempt));
+    for (Attempt attempt : gone) {
+      context.listener().onAttemptEnded(machine, attempt);
     }
     if (!gone.isEmpty()) {
       context.listener().onFleetChanged();
@@ -248,54 +254,59 @@
   }
 
   /** The machine is about to be returned: it gets no answers and no tasks any more. */
-  public void beginReturn(Machine m) {
-    m.drain();
-    m.moveTo(Machine.Phase.RETURNING);
+  public void beginReturn(Machine machine) {
+    machine.cordon();
+    machine.transitionTo(Machine.Phase.RETURNING);
   }
 
   /** The cloud has refused to take the machine: it serves on. */
-  public void cancelReturn(Machine m) {
-    if (m.phase() == Machine.Phase.RETURNING) {
-      m.undrain();
-      m.moveTo(m.contactAtMs() < 0 ? Machine.Phase.UNHEARD : Machine.Phase.REPORTING);
+  public void cancelReturn(Machine machine) {
+    if (machine.phase() == Machine.Phase.RETURNING) {
+      machine.uncordon();
+      machine.transitionTo(
+          machine.lastContactAtMs() < 0 ? Machine.Phase.AWAITING_REPORT : Machine.Phase.REPORTING);
     }
   }
 
   /** The cloud has confirmed that the machine and everything on it are gone. */
-  public void completeReturn(Machine m) {
-    if (m.phase() == Machine.Phase.GONE) {
+  public void completeReturn(Machine machine) {
+    if (machine.phase() == Machine.Phase.GONE) {
       return;
     }
-    m.moveTo(Machine.Phase.GONE);
-    for (Attempt a : m.dropAll()) {
-      context.listener().onAttemptEnded(m, a);
+    machine.transitionTo(Machine.Phase.GONE);
+    for (Attempt attempt : machine.dropAll()) {
+      context.listener().onAttemptEnded(machine, attempt);
     }
     context.listener().onFleetChanged();
   }
 
   /** Notes that an image is on a machine. */
-  public void recordCachedImage(Machine m, String image, double gb) {
-    m.cached(image, gb, machineTypes.get().get(m.type()));
+  public void recordCachedImage(Machine machine, String image, double gb) {
+    machine.recordCachedImage(image, gb, machineTypes.get().get(machine.type()));
   }
 
-  /** The attempt of a task on a machine, or null. */
-  public Attempt findAttempt(String machine, TaskRef task, long attempt) {
-    Machine m = machines.get(machine);
-    return m == null ? null : m.find(task, attempt);
+  /**
+   * Returns an attempt at a task on a machine.
+   *
+   * @return the attempt, or null if this leader knows of none
+   */
+  public Attempt findAttempt(String machineName, TaskRef task, long attemptNumber) {
+    Machine machine = machines.get(machineName);
+    return machine == null ? null : machine.find(task, attemptNumber);
   }
 
   /** Notes a failed task; true if the machine should be drained. */
-  public boolean recordTaskFailure(Machine m, String job) {
-    return m.failures().failed(job, context.nowMs());
+  public boolean recordTaskFailure(Machine machine, String job) {
+    return machine.failures().failed(job, context.nowMs());
   }
 
   /** Notes a task that completed. */
-  public void recordTaskSuccess(Machine m) {
-    m.failures().succeeded();
+  public void recordTaskSuccess(Machine machine) {
+    machine.failures().succeeded();
   }
 
   /** Gives a machine no more tasks. */
-  public void cordon(Machine m) {
-    m.drain();
+  public void cordon(Machine machine) {
+    machine.cordon();
   }
 }
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -60,7 +60,7 @@
 
   /** True if a report shows a token of this term's epoch. */
   boolean isOurs(WorkerReport report) {
-    return MachineTokens.epochOf(report) == epoch;
+    return MachineFencingTokens.epochOf(report) == epoch;
   }
 
   FleetListener listener() {
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -16,7 +16,7 @@
   /** Where a machine stands. */
   public enum Phase {
     /** Rented or recorded, but its worker was not heard by this leader. */
-    UNHEARD,
+    AWAITING_REPORT,
     /** Its worker reports. */
     REPORTING,
     /** Its worker's lease is over and it has not reported since. */
@@ -29,12 +29,12 @@
 
   private final String name;
   private final long createdAtMs;
-  private final MachineTokens tokens = new MachineTokens();
+  private final MachineFencingTokens tokens = new MachineFencingTokens();
   private final MachineContact contact;
-  private final ImageCache images = new ImageCache();
+  private final CachedImages images = new CachedImages();
   private final FailureHistory failures = new FailureHistory();
   private final Map<Attempt.Key, Attempt> attempts = new LinkedHashMap<>();
-  private Phase phase = Phase.UNHEARD;
+  private Phase phase = Phase.AWAITING_REPORT;
   private String address;
   private String type;
   private String zone;
@@ -42,8 +42,8 @@
   private boolean typeKnown;
   private long session;
   private long seq;
-  private long noticeUntilMs = -1;
-  private boolean draining;
+  private long interruptionAtMs = -1;
+  private boolean cordoned;
   private boolean listedFailed;
   private long idleSinceMs;
   private long version;
@@ -57,7 +57,7 @@
   }
 
   /** The only place where the phase changes. */
-  void moveTo(Phase next) {
+  void transitionTo(Phase next) {
     if (phase == Phase.GONE && next != Phase.GONE) {
       throw new IllegalStateException(name + ": " + phase + " -> " + next);
     }
@@ -74,11 +74,11 @@
     zone = newZone;
     spot = newSpot;
     typeKnown = true;
-    touch();
+    markChanged();
   }
 
   /** Notes that something changed that placement looks at. */
-  public void touch() {
+  public void markChanged() {
     version++;
   }
 
@@ -135,7 +135,7 @@
 
   // ---------------------------------------------------------------- tokens and contact
 
-  MachineTokens tokens() {
+  MachineFencingTokens tokens() {
     return tokens;
   }
 
@@ -154,28 +154,28 @@
   }
 
   /** Notes that an answer to its report is about to leave. */
-  void answeredUnshown(long epoch, long nowMs) {
+  void onUnacknowledgedAnswer(long epoch, long nowMs) {
     if (!isConfirmed(epoch)) {
-      contact.answeredUnshown(nowMs);
+      contact.onUnacknowledgedAnswer(nowMs);
     }
   }
 
   /** When it was last heard, ms, or -1. */
-  public long heardAtMs() {
-    return contact.heardAtMs();
+  public long lastReportAtMs() {
+    return contact.lastReportAtMs();
   }
 
   /**
    * When we were last in contact, ms, or -1: its report showed that what we said before had
    * arrived. That reports come in shows only that the way from it is open.
    */
-  public long contactAtMs() {
-    return contact.contactAtMs();
+  public long lastContactAtMs() {
+    return contact.lastContactAtMs();
   }
 
   /** Since when we are out of contact, ms: never before this leader knew it. */
-  public long quietSinceMs() {
-    return Math.max(contact.contactAtMs(), createdAtMs);
+  public long outOfContactSinceMs() {
+    return Math.max(contact.lastContactAtMs(), createdAtMs);
   }
 
   /**
@@ -204,14 +204,14 @@
    * token is of an earlier life.
    */
   boolean isNewer(WorkerReport report) {
-    return new KnownReport(session, seq).isBefore(report) && report.token() >= tokens.shown();
+    return new ReportPosition(session, seq).isBefore(report) && report.token() >= tokens.shown();
   }
 
   /**
    * True if a report can't be of the life that we know: it is an old copy, or the first of the next
    * life.
    */
-  boolean isOfAnotherLife(WorkerReport report) {
+  boolean isOfOtherIncarnation(WorkerReport report) {
     return report.token() < tokens.shown();
   }
 
@@ -223,14 +223,14 @@
    */
   long reported(WorkerReport report, long epoch, long nowMs) {
     if (session > 0 && report.session() > session) {
-      contact.sessionRose(nowMs);
+      contact.onIncarnationChange(nowMs);
     }
     session = report.session();
     seq = report.seq();
     tokens.shown(report.token());
     contact.heard(nowMs, isConfirmed(epoch));
     boolean noticed = report.noticeS() != WorkerReport.NO_NOTICE;
-    noticeUntilMs = noticed ? nowMs + (long) (report.noticeS() * 1000) : -1;
+    interruptionAtMs = noticed ? nowMs + (long) (report.noticeS() * 1000) : -1;
     return ++reports;
   }
 
@@ -239,42 +239,42 @@
    * was known when the question was put to it. What it reports now is all there is on it; its
    * sessions begin again.
    */
-  void startedAnew() {
+  void onRestarted() {
     session = 0;
     seq = 0;
     tokens.shown(-1);
-    contact.forgetSessions();
-    forgetImages();
+    contact.clearIncarnationChanges();
+    clearImages();
   }
 
   // ---------------------------------------------------------------- attempts
 
-  void add(Attempt a) {
-    attempts.put(a.key(), a);
+  void add(Attempt attempt) {
+    attempts.put(attempt.key(), attempt);
     idleSinceMs = -1;
-    touch();
+    markChanged();
   }
 
-  void remove(Attempt a) {
-    attempts.remove(a.key());
-    touch();
+  void remove(Attempt attempt) {
+    attempts.remove(attempt.key());
+    markChanged();
   }
 
   /** An attempt is proven gone; it is added to {@code ended} if it counted as present. */
-  void drop(Attempt a, List<Attempt> ended) {
-    boolean wasPresent = a.mayBePresent();
-    a.moveTo(Attempt.Phase.GONE);
-    remove(a);
+  void drop(Attempt attempt, List<Attempt> ended) {
+    boolean wasPresent = attempt.mayBePresent();
+    attempt.transitionTo(Attempt.Phase.GONE);
+    remove(attempt);
     if (wasPresent) {
-      ended.add(a);
+      ended.add(attempt);
     }
   }
 
   /** Everything on it is proven gone; returns what was. */
   List<Attempt> dropAll() {
     List<Attempt> ended = new ArrayList<>();
-    for (Attempt a : List.copyOf(attempts.values())) {
-      drop(a, ended);
+    for (Attempt attempt : List.copyOf(attempts.values())) {
+      drop(attempt, ended);
     }
     return ended;
   }
@@ -288,14 +288,14 @@
    * True if one of its sessions is over: it has shown a later one under a token of our epoch. A
    * later one in any other report proves nothing, which may be of a life before this one.
    */
-  boolean isPast(long ofSession, long epoch) {
+  boolean hasEndedSession(long ofSession, long epoch) {
     return session > ofSession && tokens.areOf(epoch);
   }
 
   /** True if some attempt may be on it of which only its worker's answer tells. */
-  boolean awaitsProof() {
-    for (Attempt a : attempts.values()) {
-      if (a.phase() == Attempt.Phase.UNSURE) {
+  boolean hasUnconfirmedAttempts() {
+    for (Attempt attempt : attempts.values()) {
+      if (attempt.phase() == Attempt.Phase.UNCONFIRMED) {
         return true;
       }
     }
@@ -313,8 +313,8 @@
 
   /** True if no attempt may be on it. */
   public boolean isEmpty() {
-    for (Attempt a : attempts.values()) {
-      if (a.mayBePresent()) {
+    for (Attempt attempt : attempts.values()) {
+      if (attempt.mayBePresent()) {
         return false;
       }
     }
@@ -337,15 +337,15 @@
 
   // ---------------------------------------------------------------- use
 
-  void cached(String image, double gb, MachineType machineType) {
+  void recordCachedImage(String image, double gb, MachineType machineType) {
     if (images.use(image, gb, machineType)) {
-      touch();
+      markChanged();
     }
   }
 
-  void forgetImages() {
+  void clearImages() {
     images.clear();
-    touch();
+    markChanged();
   }
 
   /** Images that it has cached, as far as we know. */
@@ -357,22 +357,22 @@
     return failures;
   }
 
-  void drain() {
-    draining = true;
+  void cordon() {
+    cordoned = true;
   }
 
-  void undrain() {
-    draining = false;
+  void uncordon() {
+    cordoned = false;
   }
 
   /** True if it gets no new tasks. */
-  public boolean isDraining() {
-    return draining;
+  public boolean isCordoned() {
+    return cordoned;
   }
 
   /** When its notice runs out, ms, or -1. */
-  public long noticeUntilMs() {
-    return noticeUntilMs;
+  public long interruptionAtMs() {
+    return interruptionAtMs;
   }
 
   void setListedFailed() {
--- a/src/main/java/fennelthread/fleet/MachineContact.java
+++ b/src/main/java/fennelthread/fleet/MachineContact.java
@@ -7,81 +7,81 @@
 /** When and how one leader and a machine last heard from one another. Times are in ms. */
 final class MachineContact {
 
-  private final Deque<Long> sessionRises = new ArrayDeque<>();
-  private long heardAtMs = -1;
-  private long contactAtMs = -1;
-  private long unshownSinceMs = -1;
-  private long leaseFromMs;
+  private final Deque<Long> incarnationChanges = new ArrayDeque<>();
+  private long lastReportAtMs = -1;
+  private long lastContactAtMs = -1;
+  private long unacknowledgedSinceMs = -1;
+  private long leaseStartMs;
   private long reportAnsweredAtMs;
-  private long askedWhichLifeAtMs = Long.MIN_VALUE / 2;
+  private long restartQueriedAtMs = Long.MIN_VALUE / 2;
   private String path;
   private boolean probing;
   private long failedProbeSentAtMs = -1;
-  private long askAgainAtMs = Long.MIN_VALUE;
+  private long nextProbeAtMs = Long.MIN_VALUE;
   private long unreachableAtMs = Long.MIN_VALUE / 2;
 
   /** Creates the contact to a machine that is known from now on. */
   MachineContact(long nowMs) {
-    this.leaseFromMs = nowMs;
+    this.leaseStartMs = nowMs;
     this.reportAnsweredAtMs = nowMs;
   }
 
   /** Notes a report; {@code confirmed} tells whether it shows that what was said has arrived. */
   void heard(long nowMs, boolean confirmed) {
-    heardAtMs = nowMs;
+    lastReportAtMs = nowMs;
     if (confirmed) {
-      contactAtMs = nowMs;
-      unshownSinceMs = -1;
+      lastContactAtMs = nowMs;
+      unacknowledgedSinceMs = -1;
     }
   }
 
   /** When it was last heard, or -1. */
-  long heardAtMs() {
-    return heardAtMs;
+  long lastReportAtMs() {
+    return lastReportAtMs;
   }
 
   /** When a report last showed that what was said before had arrived, or -1. */
-  long contactAtMs() {
-    return contactAtMs;
+  long lastContactAtMs() {
+    return lastContactAtMs;
   }
 
   /** Notes that the session of its reports has risen: no answer had arrived for a lease. */
-  void sessionRose(long nowMs) {
-    sessionRises.add(nowMs);
-    if (sessionRises.size() > FleetConstants.RISES_REMEMBERED) {
-      sessionRises.poll();
+  void onIncarnationChange(long nowMs) {
+    incarnationChanges.add(nowMs);
+    if (incarnationChanges.size() > FleetConstants.RISES_REMEMBERED) {
+      incarnationChanges.poll();
     }
   }
 
   /** How often its session has risen since then. */
-  int sessionRisesSince(long sinceMs) {
+  int incarnationChangesSince(long sinceMs) {
     int count = 0;
-    for (long at : sessionRises) {
+    for (long at : incarnationChanges) {
       count += at >= sinceMs ? 1 : 0;
     }
     return count;
   }
 
   /** The machine was started anew: its sessions begin again. */
-  void forgetSessions() {
-    sessionRises.clear();
+  void clearIncarnationChanges() {
+    incarnationChanges.clear();
   }
 
   /** Notes that an answer is about to leave which holds a token that the machine has not shown. */
-  void answeredUnshown(long nowMs) {
-    if (unshownSinceMs < 0) {
-      unshownSinceMs = nowMs;
+  void onUnacknowledgedAnswer(long nowMs) {
+    if (unacknowledgedSinceMs < 0) {
+      unacknowledgedSinceMs = nowMs;
     }
   }
 
   /** Since when answers have left without any sign that one has arrived, or -1. */
-  long unshownSinceMs() {
-    return unshownSinceMs;
+  long unacknowledgedSinceMs() {
+    return unacknowledgedSinceMs;
   }
 
   /** Notes that a report which the machine sent by itself is about to be answered with 200. */
-  void reportAnswered(long nowMs) {
-    leaseFromMs = Math.max(leaseFromMs, nowMs);
+  void onReportAnswered(long nowMs) {
+    leaseStartMs = Math.max(leaseStartMs, nowMs);
     reportAnsweredAtMs = nowMs;
   }
 
@@ -95,8 +95,8 @@
   }
 
   /** Notes that a lease may have begun just now, by a new session. */
-  void leaseBegan(long nowMs) {
-    leaseFromMs = Math.max(leaseFromMs, nowMs);
+  void onLeaseBegan(long nowMs) {
+    leaseStartMs = Math.max(leaseStartMs, nowMs);
   }
 
   /**
@@ -104,13 +104,13 @@
    * reach a life of the machine that began a moment before, of which nothing was heard and whose
    * lease counts from there: what runs in it must not be taken for ended with the life before.
    */
-  void startLeaves(long connectedUntilMs) {
-    leaseFromMs = Math.max(leaseFromMs, connectedUntilMs);
+  void onStartSent(long connectedUntilMs) {
+    leaseStartMs = Math.max(leaseStartMs, connectedUntilMs);
   }
 
   /** The latest time, as far as this leader's own doing goes, that its lease counts from. */
-  long leaseFromMs() {
-    return leaseFromMs;
+  long leaseStartMs() {
+    return leaseStartMs;
   }
 
   /**
@@ -119,19 +119,19 @@
    *
    * @return true if by somebody else than the one before
    */
-  boolean cameBy(String newPath) {
+  boolean observeReportPath(String newPath) {
     boolean changed = path != null && !path.equals(newPath);
     path = newPath;
     return changed;
   }
 
   /** Notes when it was asked whether it was started anew. */
-  void askedWhichLife(long nowMs) {
-    askedWhichLifeAtMs = nowMs;
+  void onRestartQuery(long nowMs) {
+    restartQueriedAtMs = nowMs;
   }
 
-  long askedWhichLifeAtMs() {
-    return askedWhichLifeAtMs;
+  long restartQueriedAtMs() {
+    return restartQueriedAtMs;
   }
 
   void setProbing(boolean on) {
@@ -144,26 +144,26 @@
   }
 
   /** Notes that a question which left then was not answered. */
-  void probeFailedSince(long sentAtMs) {
+  void onProbeFailed(long sentAtMs) {
     failedProbeSentAtMs = sentAtMs;
   }
 
   /** True if it did not answer a question that was sent after we last were in contact. */
   boolean probeFailed() {
-    return failedProbeSentAtMs > contactAtMs;
+    return failedProbeSentAtMs > lastContactAtMs;
   }
 
   /** No question to it is worth a connection before then. */
-  void askAgainAt(long atMs) {
-    askAgainAtMs = atMs;
+  void suppressProbesUntil(long atMs) {
+    nextProbeAtMs = atMs;
   }
 
-  long askAgainAtMs() {
-    return askAgainAtMs;
+  long nextProbeAtMs() {
+    return nextProbeAtMs;
   }
 
   /** Notes that no connection to it could be had. */
-  void unreachable(long nowMs) {
+  void onUnreachable(long nowMs) {
     unreachableAtMs = nowMs;
   }
 
--- a/src/main/java/fennelthread/fleet/MachineTokens.java
+++ b/src/main/java/fennelthread/fleet/MachineFencingTokens.java
@@ -7,7 +7,7 @@
  * The tokens of one machine: the epoch in the high bits, below it a counter that rises when it is
  * not known whether what was sent before has arrived.
  */
-final class MachineTokens {
+final class MachineFencingTokens {
   private long counter;
   private long neededCounter;
   private long clearedAtMs = Long.MIN_VALUE / 2;
--- a/src/main/java/fennelthread/fleet/MachineProbes.java
+++ b/src/main/java/fennelthread/fleet/MachineProbes.java
@@ -24,32 +24,33 @@
   }
 
   /** Asks a machine as soon as it is its turn. */
-  void probe(Machine m) {
-    if (canBeProbed(m) && waiting.add(m)) {
+  void probe(Machine machine) {
+    if (canBeProbed(machine) && waiting.add(machine)) {
       probeNext();
     }
   }
 
   /** Asks a machine from which something is missing, if its answer is worth a connection. */
-  void probeIfNeeded(Machine m) {
+  void probeIfNeeded(Machine machine) {
     // A machine that has never reported is mostly still booting: asking it only ties up sockets,
     // hundreds of them once, so that starts found no connection. Its worker reports by itself.
-    boolean worthAsking = m.phase() == Machine.Phase.REPORTING || m.awaitsProof();
-    if (worthAsking && isStale(m)) {
-      probe(m);
+    boolean worthAsking =
+        machine.phase() == Machine.Phase.REPORTING || machine.hasUnconfirmedAttempts();
+    if (worthAsking && isStale(machine)) {
+      probe(machine);
     }
   }
 
-  private boolean isStale(Machine m) {
-    return !m.isConfirmed(context.epoch()) || context.isOverdue(m.contactAtMs());
+  private boolean isStale(Machine machine) {
+    return !machine.isConfirmed(context.epoch()) || context.isOverdue(machine.lastContactAtMs());
   }
 
-  private boolean canBeProbed(Machine m) {
-    return !m.contact().isProbing()
-        && context.nowMs() >= m.contact().askAgainAtMs()
-        && m.address() != null
-        && m.phase() != Machine.Phase.GONE
-        && m.phase() != Machine.Phase.RETURNING;
+  private boolean canBeProbed(Machine machine) {
+    return !machine.contact().isProbing()
+        && context.nowMs() >= machine.contact().nextProbeAtMs()
+        && machine.address() != null
+        && machine.phase() != Machine.Phase.GONE
+        && machine.phase() != Machine.Phase.RETURNING;
   }
 
   private void probeNext() {
@@ -65,46 +66,47 @@
   }
 
   private Machine mostUrgent() {
-    for (Machine m : waiting) {
-      if (m.awaitsProof()) {
-        return m;
+    for (Machine machine : waiting) {
+      if (machine.hasUnconfirmedAttempts()) {
+        return machine;
       }
     }
     return waiting.iterator().next();
   }
 
   /** Asks a machine at once, at that address and as if it were in that session. */
-  void send(Machine m, String address, long inSession) {
-    m.contact().setProbing(true);
+  void send(Machine machine, String address, long inSession) {
+    machine.contact().setProbing(true);
     underWay++;
     long sentAtMs = context.nowMs();
-    KnownReport known = KnownReport.of(m);
+    ReportPosition known = ReportPosition.of(machine);
     context
         .transport()
         .send(
-            m,
+            machine,
             address,
-            CommandQueue.call(m.token(context.epoch()), Math.max(1, inSession), List.of())
+            CommandQueue.call(machine.token(context.epoch()), Math.max(1, inSession), List.of())
                 .asSpare(),
             ControlConstants.PROBE_TIMEOUT_MS,
-            answer -> answered(m, sentAtMs, known, answer, true),
-            tried -> answered(m, sentAtMs, known, null, tried));
+            answer -> answered(machine, sentAtMs, known, answer, true),
+            tried -> answered(machine, sentAtMs, known, null, tried));
   }
 
-  private void answered(Machine m, long sentAtMs, KnownReport known, Answer answer, boolean tried) {
-    m.contact().setProbing(false);
+  private void answered(
+      Machine machine, long sentAtMs, ReportPosition known, Answer answer, boolean tried) {
+    machine.contact().setProbing(false);
     underWay--;
     if (answer == null && tried) {
       // Being short of sockets ourselves says nothing of the machine, which would be returned.
-      m.contact().probeFailedSince(sentAtMs);
+      machine.contact().onProbeFailed(sentAtMs);
     }
     if (answer == null) {
       // Its worker reports by itself as soon as it can: asking on and on only costs connections.
-      m.contact().askAgainAt(context.nowMs() + FleetConstants.PROBE_PAUSE_MS);
+      machine.contact().suppressProbesUntil(context.nowMs() + FleetConstants.PROBE_PAUSE_MS);
     }
     WorkerReport report = CommandQueue.reportOf(answer);
     if (!context.isClosed() && report != null) {
-      onAnswer.answered(m, report, known);
+      onAnswer.answered(machine, report, known);
     }
     probeNext();
   }
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -44,7 +44,7 @@
   private final StallDetector wake;
   private final MachineReturns returns;
   private final BootTimes boots = new BootTimes();
-  private final RentalPolicy policy;
+  private final ScaleOutPolicy policy;
   private final String prefix;
   private final Consumer<List<MachineType>> onMachineTypes;
   private final Map<String, Booting> booting = new LinkedHashMap<>();
@@ -81,7 +81,7 @@
     this.prefix = prefix;
     this.machineTypes = machineTypes;
     this.onMachineTypes = onMachineTypes;
-    this.policy = new RentalPolicy(settings.priceMatters(), options, zones);
+    this.policy = new ScaleOutPolicy(settings.priceMatters(), options, zones);
   }
 
   /** Begins to read lists and prices. */
@@ -140,11 +140,11 @@
     if (known != null && known.phase() == Machine.Phase.GONE) {
       return;
     }
-    Machine m = fleet.getOrAdd(e.name(), e.address());
-    fleet.describeIfUnknown(m, e.type(), e.zone(), e.spot());
+    Machine machine = fleet.getOrAdd(e.name(), e.address());
+    fleet.describeIfUnknown(machine, e.type(), e.zone(), e.spot());
     if (e.state().equals(MachineEntry.FAILED)) {
-      m.setListedFailed();
-    } else if (m.phase() == Machine.Phase.UNHEARD && !booting.containsKey(e.name())) {
+      machine.setListedFailed();
+    } else if (machine.phase() == Machine.Phase.AWAITING_REPORT && !booting.containsKey(e.name())) {
       // Rented by a predecessor, or by a request of ours that was executed late. What is listed as
       // up has
       // all the time to report to us: after a takeover most of an old fleet is listed before it is
@@ -179,9 +179,10 @@
       return;
     }
     long now = eventLoop.nowMs();
-    for (Machine m : fleet.machines()) {
-      boolean up = m.phase() == Machine.Phase.REPORTING || m.phase() == Machine.Phase.LOST;
-      Booting b = up ? booting.remove(m.name()) : null;
+    for (Machine machine : fleet.machines()) {
+      boolean up =
+          machine.phase() == Machine.Phase.REPORTING || machine.phase() == Machine.Phase.LOST;
+      Booting b = up ? booting.remove(machine.name()) : null;
       if (b != null && b.ours) {
         boots.came(b.kind.type(), b.askedMs, now);
       }
@@ -189,25 +190,26 @@
     returns.selectMachines(now);
     returnDuds(now);
     returns.send();
-    if (!cloud.isQuiet() && listedOnce && !machineTypes.isEmpty()) {
+    if (!cloud.isBackingOff() && listedOnce && !machineTypes.isEmpty()) {
       rent(unplaced, now);
     }
   }
 
   private void returnDuds(long now) {
-    if (cloud.isQuiet() || wake.isListening()) {
+    if (cloud.isBackingOff() || wake.isListening()) {
       // Machines may have come up while we stood still, and their reports wait to be read.
       return;
     }
     long heardMs = (long) (settings.workers().leaseMs() * FleetConstants.BOOT_HEARD_LEASES);
     booting.forEach(
         (name, b) -> {
-          Machine m = fleet.getOrAdd(name, null);
-          boolean waits = m.phase() == Machine.Phase.UNHEARD && now - b.knownMs > heardMs;
+          Machine machine = fleet.getOrAdd(name, null);
+          boolean waits =
+              machine.phase() == Machine.Phase.AWAITING_REPORT && now - b.knownMs > heardMs;
           if (waits
               && boots.isDud(
                   b.kind.type(), bootS(b.kind), b.askedMs, now, isRefused(b.kind, now))) {
-            returns.giveBackRevocably(m, "never came up");
+            returns.beginRevocableReturn(machine, "never came up");
           }
         });
   }
@@ -230,8 +232,8 @@
     int late = 0;
     for (Map.Entry<String, Booting> e : booting.entrySet()) {
       Booting b = e.getValue();
-      Machine m = fleet.machine(e.getKey());
-      if (m != null && m.phase() != Machine.Phase.UNHEARD) {
+      Machine machine = fleet.machine(e.getKey());
+      if (machine != null && machine.phase() != Machine.Phase.AWAITING_REPORT) {
         continue;
       }
       if (boots.isLate(b.kind.type(), bootS(b.kind), b.askedMs, now)) {
@@ -245,11 +247,11 @@
         : coming;
   }
 
-  private void returned(Machine m) {
-    booting.remove(m.name());
+  private void returned(Machine machine) {
+    booting.remove(machine.name());
     // What we gave up others may take, and we are those others: after a refusal we once waited for
     // 40 s while ten machines of a fleet of forty were to be had again.
-    refusedUntil.remove(new MachineKind(m.type(), m.zone(), m.spot()));
+    refusedUntil.remove(new MachineKind(machine.type(), machine.zone(), machine.spot()));
   }
 
   private void rent(List<Plan.Unplaced> unplaced, long now) {
@@ -260,7 +262,7 @@
     for (double[] d : demands) {
       peak = Math.max(peak, d[1]);
     }
-    RentalPolicy.Request next =
+    ScaleOutPolicy.Request next =
         policy.next(stock(now), unplaced, peak, kind -> isRefused(kind, now));
     if (next != null) {
       order(next.kind(), next.machines(), prefix + "-" + ++requestSeq, 0);
@@ -268,7 +270,7 @@
   }
 
   /** The machines that are there or may be counted on. */
-  private RentalPolicy.Stock stock(long now) {
+  private ScaleOutPolicy.Stock stock(long now) {
     Set<String> coming = coming(now);
     List<MachineKind> comingKinds = new ArrayList<>();
     for (String name : coming) {
@@ -276,21 +278,24 @@
     }
     int count = 0;
     Map<String, Double> byZone = new HashMap<>();
-    for (Machine m : fleet.machines()) {
+    for (Machine machine : fleet.machines()) {
       boolean counts =
-          m.phase() == Machine.Phase.REPORTING
-              && !m.isDraining()
-              && !fleet.isMute(m)
-              && m.noticeUntilMs() < 0;
-      if (m.phase() != Machine.Phase.GONE) {
+          machine.phase() == Machine.Phase.REPORTING
+              && !machine.isCordoned()
+              && !fleet.isUnanswered(machine)
+              && machine.interruptionAtMs() < 0;
+      if (machine.phase() != Machine.Phase.GONE) {
         count++;
       }
-      MachineType f = machineTypes.get(m.type());
-      if (f != null && (counts || coming.contains(m.name()))) {
-        byZone.merge(String.valueOf(m.zone()), f.cpus() * zones.presence(m, now), Double::sum);
+      MachineType f = machineTypes.get(machine.type());
+      if (f != null && (counts || coming.contains(machine.name()))) {
+        byZone.merge(
+            String.valueOf(machine.zone()),
+            f.cpus() * zones.countedShare(machine, now),
+            Double::sum);
       }
     }
-    return new RentalPolicy.Stock(machineTypes, count, byZone, comingKinds);
+    return new ScaleOutPolicy.Stock(machineTypes, count, byZone, comingKinds);
   }
 
   private void order(MachineKind kind, int many, String request, int tries) {
@@ -311,9 +316,9 @@
                 kind.spot(),
                 many);
             for (String name : rented.names()) {
-              Machine m = fleet.getOrAdd(name, null);
-              fleet.describeIfUnknown(m, kind.type(), kind.zone(), kind.spot());
-              if (m.phase() == Machine.Phase.UNHEARD) {
+              Machine machine = fleet.getOrAdd(name, null);
+              fleet.describeIfUnknown(machine, kind.type(), kind.zone(), kind.spot());
+              if (machine.phase() == Machine.Phase.AWAITING_REPORT) {
                 booting.put(name, new Booting(kind, now, now, true));
               }
             }
--- a/src/main/java/fennelthread/fleet/MachineReadiness.java
+++ b/src/main/java/fennelthread/fleet/MachineReadiness.java
@@ -17,36 +17,37 @@
    * True if the machine can be given tasks: in contact lately, obeying nobody but us, and renewing
    * its lease.
    */
-  boolean isReady(Machine m) {
+  boolean isReady(Machine machine) {
     long now = context.nowMs();
-    return m.phase() == Machine.Phase.REPORTING
-        && m.address() != null
-        && m.isConfirmed(context.epoch())
-        && !m.isDraining()
-        && m.noticeUntilMs() < 0
-        && now - m.contact().unreachableAtMs() > FleetConstants.UNREACHABLE_PAUSE_MS
-        && isHeard(m, now)
-        && !isLosingSessions(m, now)
-        && zones.mayPlace(m);
+    return machine.phase() == Machine.Phase.REPORTING
+        && machine.address() != null
+        && machine.isConfirmed(context.epoch())
+        && !machine.isCordoned()
+        && machine.interruptionAtMs() < 0
+        && now - machine.contact().unreachableAtMs() > FleetConstants.UNREACHABLE_PAUSE_MS
+        && isHeard(machine, now)
+        && !isLosingSessions(machine, now)
+        && zones.mayPlace(machine);
   }
 
   /**
    * True if it was in contact lately and renews its lease. A machine that only carries out commands
    * loses its tasks when its lease ends, whatever it is sent.
    */
-  private boolean isHeard(Machine m, long nowMs) {
+  private boolean isHeard(Machine machine, long nowMs) {
     double silentMs = context.reportMs() * RelayConstants.SILENT_REPORTS;
-    return nowMs - m.contactAtMs() <= silentMs && nowMs - m.reportAnsweredAtMs() <= silentMs;
+    return nowMs - machine.lastContactAtMs() <= silentMs
+        && nowMs - machine.reportAnsweredAtMs() <= silentMs;
   }
 
   /**
    * True if lease after lease ended there although it reports: what is started now would end like
    * the rest.
    */
-  private boolean isLosingSessions(Machine m, long nowMs) {
+  private boolean isLosingSessions(Machine machine, long nowMs) {
     long leaseMs = context.leaseMs();
-    return m.contact().sessionRisesSince(nowMs - leaseMs) > 0
-        && m.contact().sessionRisesSince(nowMs - leaseMs * FleetConstants.RISES_LEASES)
+    return machine.contact().incarnationChangesSince(nowMs - leaseMs) > 0
+        && machine.contact().incarnationChangesSince(nowMs - leaseMs * FleetConstants.RISES_LEASES)
             >= FleetConstants.RISES_NO_ROOM;
   }
 
@@ -54,15 +55,15 @@
    * True if the machine is mute: none of its own reports was answered for so long that its lease
    * must be over, though it may carry out commands.
    */
-  boolean isMute(Machine m) {
-    return context.nowMs() - m.reportAnsweredAtMs() > context.leaseAtMostMs();
+  boolean isUnanswered(Machine machine) {
+    return context.nowMs() - machine.reportAnsweredAtMs() > context.leaseAtMostMs();
   }
 
   /**
    * True if the machine's leases have ended again and again: it hears nothing, and is of no use.
    */
-  boolean hearsNothing(Machine m) {
+  boolean isLosingLeases(Machine machine) {
     long fromMs = context.nowMs() - context.leaseMs() * FleetConstants.RISES_LEASES;
-    return m.contact().sessionRisesSince(fromMs) >= FleetConstants.RISES_HOPELESS;
+    return machine.contact().incarnationChangesSince(fromMs) >= FleetConstants.RISES_HOPELESS;
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -67,16 +67,16 @@
   void selectMachines(long nowMs) {
     selectSilent(nowMs);
     selectMute(nowMs);
-    for (Machine m : fleet.machines()) {
-      String why = isUp(m) ? reasonToReturn(m, nowMs) : null;
+    for (Machine machine : fleet.machines()) {
+      String why = isUp(machine) ? reasonToReturn(machine, nowMs) : null;
       if (why != null) {
-        giveBack(m, why);
+        beginReturn(machine, why);
       }
     }
   }
 
-  private static boolean isUp(Machine m) {
-    return m.phase() != Machine.Phase.GONE && m.phase() != Machine.Phase.RETURNING;
+  private static boolean isUp(Machine machine) {
+    return machine.phase() != Machine.Phase.GONE && machine.phase() != Machine.Phase.RETURNING;
   }
 
   /**
@@ -86,20 +86,21 @@
    * alive.
    */
   private void selectSilent(long nowMs) {
-    if (cloud.isQuiet() || stalls.isListening()) {
+    if (cloud.isBackingOff() || stalls.isListening()) {
       return;
     }
     List<Machine> silent = new ArrayList<>();
     int known = 0;
-    for (Machine m : fleet.machines()) {
+    for (Machine machine : fleet.machines()) {
       // A machine that the predecessor used and that has not answered us may have died or been cut
       // off just before the takeover.
-      boolean inherited = m.phase() == Machine.Phase.UNHEARD && !m.isEmpty();
-      if ((m.phase() == Machine.Phase.REPORTING || inherited) && !zones.isAway(m)) {
+      boolean inherited = machine.phase() == Machine.Phase.AWAITING_REPORT && !machine.isEmpty();
+      if ((machine.phase() == Machine.Phase.REPORTING || inherited)
+          && !zones.isUnreachable(machine)) {
         known++;
-        if (nowMs - m.quietSinceMs()
+        if (nowMs - machine.outOfContactSinceMs()
             > settings.workers().reportMs() * FleetConstants.SILENT_REPORTS_ALARM) {
-          silent.add(m);
+          silent.add(machine);
         }
       }
     }
@@ -107,14 +108,17 @@
       manySilentAtMs = nowMs;
       return;
     }
-    for (Machine m : silent) {
+    for (Machine machine : silent) {
       // Once most are heard again, the others have as long as ever to be heard too.
-      long silentFromMs = Math.max(m.quietSinceMs(), Math.max(manySilentAtMs, zones.awayAtMs(m)));
-      if (m.contact().probeFailed()
-          && !m.isEmpty()
+      long silentFromMs =
+          Math.max(
+              machine.outOfContactSinceMs(),
+              Math.max(manySilentAtMs, zones.lastUnreachableAtMs(machine)));
+      if (machine.contact().probeFailed()
+          && !machine.isEmpty()
           && nowMs - silentFromMs
               > settings.workers().leaseMs() * FleetConstants.SILENT_LEASE_SHARE) {
-        giveBackRevocably(m, "silent");
+        beginRevocableReturn(machine, "silent");
       }
     }
   }
@@ -130,23 +134,24 @@
     }
     List<Machine> mute = new ArrayList<>();
     int known = 0;
-    for (Machine m : fleet.machines()) {
-      boolean up = m.phase() == Machine.Phase.REPORTING || m.phase() == Machine.Phase.LOST;
-      if (up && !zones.isAway(m)) {
+    for (Machine machine : fleet.machines()) {
+      boolean up =
+          machine.phase() == Machine.Phase.REPORTING || machine.phase() == Machine.Phase.LOST;
+      if (up && !zones.isUnreachable(machine)) {
         known++;
-        if (fleet.isMute(m)) {
-          mute.add(m);
+        if (fleet.isUnanswered(machine)) {
+          mute.add(machine);
         }
       }
     }
     if (isMany(mute, known)) {
       return;
     }
-    for (Machine m : mute) {
-      if (m.isEmpty()
-          && nowMs - m.reportAnsweredAtMs()
+    for (Machine machine : mute) {
+      if (machine.isEmpty()
+          && nowMs - machine.reportAnsweredAtMs()
               > settings.workers().leaseMs() * FleetConstants.MUTE_LEASES) {
-        giveBack(m, "mute");
+        beginReturn(machine, "mute");
       }
     }
   }
@@ -156,65 +161,66 @@
   }
 
   /** Why a single machine goes back, or null if it stays. */
-  private String reasonToReturn(Machine m, long nowMs) {
-    if (isLost(m, nowMs)) {
+  private String reasonToReturn(Machine machine, long nowMs) {
+    if (isLost(machine, nowMs)) {
       return "lost";
     }
-    if (m.isListedFailed()) {
+    if (machine.isListedFailed()) {
       return "failed";
     }
-    if (isTaken(m, nowMs)) {
+    if (isInterrupted(machine, nowMs)) {
       return "taken";
     }
-    if (m.isDraining() && m.isEmpty()) {
+    if (machine.isCordoned() && machine.isEmpty()) {
       return "drained";
     }
-    if (isIdle(m, nowMs)) {
+    if (isIdle(machine, nowMs)) {
       return "idle";
     }
-    return fleet.hearsNothing(m) && !zones.isAway(m) ? "hears nothing" : null;
+    return fleet.isLosingLeases(machine) && !zones.isUnreachable(machine) ? "hears nothing" : null;
   }
 
-  private boolean isLost(Machine m, long nowMs) {
+  private boolean isLost(Machine machine, long nowMs) {
     boolean silent =
-        nowMs - m.contactAtMs() > settings.workers().leaseMs() + FleetConstants.LOST_PATIENCE_MS;
-    return m.phase() == Machine.Phase.LOST && silent && zones.mayReturnLost(m, nowMs);
+        nowMs - machine.lastContactAtMs()
+            > settings.workers().leaseMs() + FleetConstants.LOST_PATIENCE_MS;
+    return machine.phase() == Machine.Phase.LOST && silent && zones.mayReclaimLost(machine, nowMs);
   }
 
   /** True if the cloud's notice has run out and the machine is silent since. */
-  private boolean isTaken(Machine m, long nowMs) {
-    return m.noticeUntilMs() >= 0
-        && nowMs > m.noticeUntilMs()
-        && nowMs - m.heardAtMs() > settings.workers().reportMs() * 2;
+  private boolean isInterrupted(Machine machine, long nowMs) {
+    return machine.interruptionAtMs() >= 0
+        && nowMs > machine.interruptionAtMs()
+        && nowMs - machine.lastReportAtMs() > settings.workers().reportMs() * 2;
   }
 
-  private boolean isIdle(Machine m, long nowMs) {
-    return m.phase() == Machine.Phase.REPORTING
-        && m.idleSinceMs() >= 0
-        && nowMs - m.idleSinceMs() > options.idleReturnMs();
+  private boolean isIdle(Machine machine, long nowMs) {
+    return machine.phase() == Machine.Phase.REPORTING
+        && machine.idleSinceMs() >= 0
+        && nowMs - machine.idleSinceMs() > options.idleReturnMs();
   }
 
   /** The machine is returned whatever the cloud answers: requests are repeated. */
-  void giveBack(Machine m, String why) {
-    aggregatedLog.add("returning, " + why, m.name(), 1);
-    fleet.beginReturn(m);
-    returning.add(m.name());
+  void beginReturn(Machine machine, String why) {
+    aggregatedLog.add("returning, " + why, machine.name(), 1);
+    fleet.beginReturn(machine);
+    returning.add(machine.name());
   }
 
   /** The machine is returned, but serves on if the cloud refuses to take it. */
-  void giveBackRevocably(Machine m, String why) {
-    revocable.add(m.name());
-    giveBack(m, why);
+  void beginRevocableReturn(Machine machine, String why) {
+    revocable.add(machine.name());
+    beginReturn(machine, why);
   }
 
   /** Sends what was selected, unless a request is under way. */
   void send() {
-    if (requestUnderWay || returning.isEmpty() || cloud.isQuiet()) {
+    if (requestUnderWay || returning.isEmpty() || cloud.isBackingOff()) {
       return;
     }
     List<String> names = returning.stream().limit(FleetConstants.MAX_PER_RETURN).toList();
     requestUnderWay = true;
-    cloud.giveBack(
+    cloud.returnMachines(
         names,
         result -> {
           requestUnderWay = false;
@@ -232,10 +238,10 @@
   private void confirmed(List<String> names) {
     revocable.removeAll(names);
     for (String name : names) {
-      Machine m = fleet.machine(name);
+      Machine machine = fleet.machine(name);
       returning.remove(name);
-      fleet.completeReturn(m);
-      onReturned.accept(m);
+      fleet.completeReturn(machine);
+      onReturned.accept(machine);
     }
   }
 
--- a/src/main/java/fennelthread/fleet/ReportEvidence.java
+++ b/src/main/java/fennelthread/fleet/ReportEvidence.java
@@ -31,7 +31,7 @@
   private ReportEvidence(Machine machine, WorkerReport report, long epoch, long nowMs) {
     this.machine = machine;
     this.report = report;
-    this.ours = MachineTokens.epochOf(report) == epoch;
+    this.ours = MachineFencingTokens.epochOf(report) == epoch;
     this.nowMs = nowMs;
   }
 
@@ -64,55 +64,55 @@
 
   /** In a later session the worker has killed and forgotten everything of earlier ones. */
   private void dropEarlierSessions() {
-    for (Attempt a : List.copyOf(machine.attemptList())) {
-      if (a.start().session() < report.session()) {
-        machine.drop(a, ended);
+    for (Attempt attempt : List.copyOf(machine.attemptList())) {
+      if (attempt.start().session() < report.session()) {
+        machine.drop(attempt, ended);
       }
     }
   }
 
   private void applyTask(
       WorkerReport.Task task, long mark, Function<WorkerReport.Task, StartRecord.Start> describe) {
-    Attempt a = machine.find(task.ref(), task.attempt());
-    if (a == null) {
-      a = new Attempt(machine, describe.apply(task), Attempt.Phase.UNSURE, 0, nowMs);
-      machine.add(a);
-      adopted.add(a);
+    Attempt attempt = machine.find(task.ref(), task.attempt());
+    if (attempt == null) {
+      attempt = new Attempt(machine, describe.apply(task), Attempt.Phase.UNCONFIRMED, 0, nowMs);
+      machine.add(attempt);
+      adopted.add(attempt);
     }
-    a.mark(mark);
-    if (a.phase() == Attempt.Phase.RECORDED || a.phase() == Attempt.Phase.CARRIED) {
+    attempt.markSeenIn(mark);
+    if (attempt.phase() == Attempt.Phase.RECORDED || attempt.phase() == Attempt.Phase.DEFERRED) {
       return;
     }
-    boolean wasEnded = a.phase() == Attempt.Phase.ENDED;
+    boolean wasEnded = attempt.phase() == Attempt.Phase.ENDED;
     boolean done =
         task.phase() == WorkerReport.Phase.ENDED && task.motive() == WorkerReport.Motive.DONE;
     boolean old = wasEnded && task.phase() != WorkerReport.Phase.ENDED;
     if (old || !(ours || done)) {
       return;
     }
-    a.reported(task, nowMs);
-    if (a.phase() == Attempt.Phase.ENDED && !wasEnded) {
-      ended.add(a);
+    attempt.reported(task, nowMs);
+    if (attempt.phase() == Attempt.Phase.ENDED && !wasEnded) {
+      ended.add(attempt);
     }
   }
 
   private void dropAbsent(long mark) {
     List<Attempt> absent = new ArrayList<>(0);
-    for (Attempt a : machine.attempts()) {
-      if (!a.isMarked(mark) && !mayStillCome(a)) {
-        absent.add(a);
+    for (Attempt attempt : machine.attempts()) {
+      if (!attempt.wasSeenIn(mark) && !mayStillCome(attempt)) {
+        absent.add(attempt);
       }
     }
-    absent.forEach(a -> machine.drop(a, ended));
+    absent.forEach(attempt -> machine.drop(attempt, ended));
   }
 
   /**
    * True if a start may still be carried out: one that is in flight, or comes a second time, is
    * refused only under a higher token than its own.
    */
-  private boolean mayStillCome(Attempt a) {
-    return a.phase() == Attempt.Phase.RECORDED
-        || a.phase() == Attempt.Phase.CARRIED
-        || report.token() <= a.token();
+  private boolean mayStillCome(Attempt attempt) {
+    return attempt.phase() == Attempt.Phase.RECORDED
+        || attempt.phase() == Attempt.Phase.DEFERRED
+        || report.token() <= attempt.token();
   }
 }
--- a/src/main/java/fennelthread/fleet/KnownReport.java
+++ b/src/main/java/fennelthread/fleet/ReportPosition.java
@@ -8,11 +8,11 @@
  * @param session its session, 0 if none was known
  * @param seq its number within the session
  */
-record KnownReport(long session, long seq) {
+record ReportPosition(long session, long seq) {
 
   /** What is known of a machine now. */
-  static KnownReport of(Machine m) {
-    return new KnownReport(m.session(), m.seq());
+  static ReportPosition of(Machine machine) {
+    return new ReportPosition(machine.session(), machine.seq());
   }
 
   /** True if a report of the same life of the machine is newer than this one. */
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -63,77 +63,81 @@
       // live on. A leader in a zone that was cut off for 75 s once kept them for all of it.
       return null;
     }
-    Machine m = machines.apply(report.machine());
-    if (MachineTokens.epochOf(report) > context.epoch()) {
-      context.listener().onHigherEpochObserved(MachineTokens.epochOf(report));
+    Machine machine = machines.apply(report.machine());
+    if (MachineFencingTokens.epochOf(report) > context.epoch()) {
+      context.listener().onHigherEpochObserved(MachineFencingTokens.epochOf(report));
       return null;
     }
-    if (m.phase() == Machine.Phase.GONE || m.phase() == Machine.Phase.RETURNING) {
+    if (machine.phase() == Machine.Phase.GONE || machine.phase() == Machine.Phase.RETURNING) {
       // Late packets of a machine that is gone, or about to be: not answered, so that its lease
       // isn't lengthened.
       return Answer.error(503, "machine is being returned");
     }
-    m.describe(report.type(), report.zone(), report.spot());
+    machine.describe(report.type(), report.zone(), report.spot());
     lastReportAtMs = context.nowMs();
-    return isOfAnotherLife(m, report) ? askWhichLife(m, report) : answerNext(m, report, by);
+    return isOfOtherIncarnation(machine, report)
+        ? queryRestart(machine, report)
+        : answerNext(machine, report, by);
   }
 
-  private boolean isOfAnotherLife(Machine m, WorkerReport report) {
+  private boolean isOfOtherIncarnation(Machine machine, WorkerReport report) {
     // A report may be overtaken by the answer to a question that was put to its machine a moment
     // later.
     boolean overtaken =
-        report.session() == m.session()
-            && context.nowMs() - m.heardAtMs() < ProtocolConstants.WORKER_WAITS_MS;
-    return m.isOfAnotherLife(report) && !overtaken;
+        report.session() == machine.session()
+            && context.nowMs() - machine.lastReportAtMs() < ProtocolConstants.WORKER_WAITS_MS;
+    return machine.isOfOtherIncarnation(report) && !overtaken;
   }
 
-  private Answer answerNext(Machine m, WorkerReport report, String by) {
-    boolean newest = m.isNewer(report);
+  private Answer answerNext(Machine machine, WorkerReport report, String by) {
+    boolean newest = machine.isNewer(report);
     if (newest) {
-      doubtAnswersArrive(m, report, by);
-    } else if (!m.isConfirmed(context.epoch())) {
+      raiseTokenIfAnswersMayBeLost(machine, report, by);
+    } else if (!machine.isConfirmed(context.epoch())) {
       // What we take for newer may be a copy from an earlier life of the machine: it tells itself.
-      probes.probe(m);
+      probes.probe(machine);
     }
-    apply(m, report, true);
-    if (isUnreachable(m)) {
+    apply(machine, report, true);
+    if (isUnreachable(machine)) {
       // All that could be said was said for more than a lease, and nothing of it was heard. An
       // answer could not renew the worker's lease, and must not renew what we count of it.
       return Answer.error(503, "answers do not arrive");
     }
     long now = context.nowMs();
-    m.contact().reportAnswered(now);
-    m.answeredUnshown(context.epoch(), now);
+    machine.contact().onReportAnswered(now);
+    machine.onUnacknowledgedAnswer(context.epoch(), now);
     if (newest) {
-      starts.doubtUnshown(m);
+      starts.markUnshownUnconfirmed(machine);
     }
     List<WorkerCommand> all = new ArrayList<>();
-    if (m.tokens().shown() >= 0) {
-      all.addAll(commands.due(m));
+    if (machine.tokens().shown() >= 0) {
+      all.addAll(commands.due(machine));
     }
-    all.addAll(starts.withAnswer(m, newest));
-    return responder.respond(report, m.token(context.epoch()), all);
+    all.addAll(starts.startsForResponse(machine, newest));
+    return responder.respond(report, machine.token(context.epoch()), all);
   }
 
   /**
    * A report that comes late, by another way, or in a later session tells that answers may not have
    * arrived. The token is raised, and only a report that shows it tells that they do.
    */
-  private void doubtAnswersArrive(Machine m, WorkerReport report, String by) {
-    boolean elsewhere = m.contact().cameBy(by);
+  private void raiseTokenIfAnswersMayBeLost(Machine machine, WorkerReport report, String by) {
+    boolean elsewhere = machine.contact().observeReportPath(by);
     double latestMs =
         context.reportMs() * FleetConstants.DOUBT_REPORTS + FleetConstants.DOUBT_SLACK_MS;
-    boolean late = context.nowMs() - m.heardAtMs() > latestMs && !context.isCatchingUp();
-    boolean risen = report.session() > m.session();
-    if (m.heardAtMs() >= 0 && m.isConfirmed(context.epoch()) && (elsewhere || risen || late)) {
-      m.tokens().raise();
+    boolean late = context.nowMs() - machine.lastReportAtMs() > latestMs && !context.isCatchingUp();
+    boolean risen = report.session() > machine.session();
+    if (machine.lastReportAtMs() >= 0
+        && machine.isConfirmed(context.epoch())
+        && (elsewhere || risen || late)) {
+      machine.tokens().raise();
     }
   }
 
   /** True if for more than a lease nothing has shown that an answer arrived there. */
-  private boolean isUnreachable(Machine m) {
-    long sinceMs = m.contact().unshownSinceMs();
-    return !m.isConfirmed(context.epoch())
+  private boolean isUnreachable(Machine machine) {
+    long sinceMs = machine.contact().unacknowledgedSinceMs();
+    return !machine.isConfirmed(context.epoch())
         && sinceMs >= 0
         && context.nowMs() - sinceMs > context.leaseAtMostMs();
   }
@@ -144,35 +148,35 @@
    * token that is raised before: a start that is still on its way, or comes a second time, must not
    * be carried out by the next life.
    */
-  private Answer askWhichLife(Machine m, WorkerReport report) {
+  private Answer queryRestart(Machine machine, WorkerReport report) {
     long now = context.nowMs();
-    if (!m.contact().isProbing()
-        && now - m.contact().askedWhichLifeAtMs() > FleetConstants.ASK_WHICH_MS) {
-      m.contact().askedWhichLife(now);
-      m.tokens().raise();
-      probes.send(m, report.address(), report.session());
+    if (!machine.contact().isProbing()
+        && now - machine.contact().restartQueriedAtMs() > FleetConstants.ASK_WHICH_MS) {
+      machine.contact().onRestartQuery(now);
+      machine.tokens().raise();
+      probes.send(machine, report.address(), report.session());
     }
     return Answer.error(503, "tokens were forgotten");
   }
 
   /** Applies a worker's answer to what we sent it when {@code known} was its newest report. */
-  void answeredDirectly(Machine m, WorkerReport report, KnownReport known) {
-    if (!report.machine().equals(m.name())) {
+  void answeredDirectly(Machine machine, WorkerReport report, ReportPosition known) {
+    if (!report.machine().equals(machine.name())) {
       // The address belongs to another machine by now.
       return;
     }
-    if (MachineTokens.epochOf(report) > context.epoch()) {
-      context.listener().onHigherEpochObserved(MachineTokens.epochOf(report));
+    if (MachineFencingTokens.epochOf(report) > context.epoch()) {
+      context.listener().onHigherEpochObserved(MachineFencingTokens.epochOf(report));
       return;
     }
-    m.describe(report.type(), report.zone(), report.spot());
-    if (!known.isBefore(report) && KnownReport.of(m).equals(known)) {
+    machine.describe(report.type(), report.zone(), report.spot());
+    if (!known.isBefore(report) && ReportPosition.of(machine).equals(known)) {
       // Answered after what we knew, it would be later in the same life.
-      log.info("{} was started anew", m.name());
-      m.startedAnew();
-      m.tokens().raise();
+      log.info("{} was started anew", machine.name());
+      machine.onRestarted();
+      machine.tokens().raise();
     }
-    apply(m, report, false);
+    apply(machine, report, false);
   }
 
   /**
@@ -181,30 +185,30 @@
    * @param ownReport whether the machine sent it by itself; false for the answer to a command,
    *     which does not bring back a machine whose lease is over
    */
-  private void apply(Machine m, WorkerReport report, boolean ownReport) {
-    if (!m.isNewer(report) || m.phase() == Machine.Phase.GONE) {
+  private void apply(Machine machine, WorkerReport report, boolean ownReport) {
+    if (!machine.isNewer(report) || machine.phase() == Machine.Phase.GONE) {
       return;
     }
-    m.setAddress(report.address());
-    boolean laterSession = report.session() > m.session() && m.session() > 0;
+    machine.setAddress(report.address());
+    boolean laterSession = report.session() > machine.session() && machine.session() > 0;
     if (context.isOurs(report)) {
-      noteReporting(m, ownReport);
-      noteLease(m, report);
+      noteReporting(machine, ownReport);
+      noteLease(machine, report);
     }
-    boolean confirmedBefore = m.isConfirmed(context.epoch());
-    List<Attempt> ended = applyEvidence(m, report);
+    boolean confirmedBefore = machine.isConfirmed(context.epoch());
+    List<Attempt> ended = applyEvidence(machine, report);
     if (!ended.isEmpty() || laterSession || !confirmedBefore) {
       context.listener().onFleetChanged();
     }
-    if (!m.isConfirmed(context.epoch())) {
-      probes.probe(m);
+    if (!machine.isConfirmed(context.epoch())) {
+      probes.probe(machine);
     }
   }
 
-  private void noteReporting(Machine m, boolean ownReport) {
-    boolean comesBack = m.phase() == Machine.Phase.LOST && ownReport;
-    if (m.phase() == Machine.Phase.UNHEARD || comesBack) {
-      m.moveTo(Machine.Phase.REPORTING);
+  private void noteReporting(Machine machine, boolean ownReport) {
+    boolean comesBack = machine.phase() == Machine.Phase.LOST && ownReport;
+    if (machine.phase() == Machine.Phase.AWAITING_REPORT || comesBack) {
+      machine.transitionTo(Machine.Phase.REPORTING);
       context.listener().onFleetChanged();
     }
   }
@@ -216,30 +220,30 @@
    * shows a later one each time that its lease ends, and each put the end of what a predecessor had
    * started there off for another lease.
    */
-  private void noteLease(Machine m, WorkerReport report) {
-    if (report.session() > m.session() || !m.tokens().areOf(context.epoch())) {
-      m.contact().leaseBegan(context.nowMs());
+  private void noteLease(Machine machine, WorkerReport report) {
+    if (report.session() > machine.session() || !machine.tokens().areOf(context.epoch())) {
+      machine.contact().onLeaseBegan(context.nowMs());
     }
   }
 
-  private List<Attempt> applyEvidence(Machine m, WorkerReport report) {
+  private List<Attempt> applyEvidence(Machine machine, WorkerReport report) {
     ReportEvidence.Outcome outcome =
         ReportEvidence.apply(
-            m,
+            machine,
             report,
             context.epoch(),
             context.nowMs(),
-            task -> context.listener().startOfDiscoveredTask(m, task));
+            task -> context.listener().startOfDiscoveredTask(machine, task));
     outcome.adopted().forEach(context.listener()::onAttemptDiscovered);
-    for (Attempt a : outcome.ended()) {
+    for (Attempt attempt : outcome.ended()) {
       log.debug(
           "{} is over ({}), by report {}/{} token {}",
-          a,
-          a.motive(),
+          attempt,
+          attempt.motive(),
           report.session(),
           report.seq(),
           report.token());
-      context.listener().onAttemptEnded(m, a);
+      context.listener().onAttemptEnded(machine, attempt);
     }
     return outcome.ended();
   }
--- a/src/main/java/fennelthread/fleet/RentalPolicy.java
+++ b/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 
 /** Decides what to rent next: a function of the machines there are and of what waits for room. */
-final class RentalPolicy {
+final class ScaleOutPolicy {
   /** Machines to ask for. */
   record Request(MachineKind kind, int machines) {}
 
@@ -49,7 +49,7 @@
   private final Options options;
   private final ZoneHealth zones;
 
-  RentalPolicy(boolean priceMatters, Options options, ZoneHealth zones) {
+  ScaleOutPolicy(boolean priceMatters, Options options, ZoneHealth zones) {
     this.priceMatters = priceMatters;
     this.options = options;
     this.zones = zones;
@@ -129,7 +129,7 @@
     types.sort(
         Comparator.<MachineType>comparingInt(
                 f -> wanted.isEmpty() || wanted.contains(f.name()) ? 0 : 1)
-            .thenComparingDouble(RentalPolicy::pricePerCpu));
+            .thenComparingDouble(ScaleOutPolicy::pricePerCpu));
     List<MachineKind> kinds = new ArrayList<>();
     addKinds(kinds, types, stock, false, zone -> true);
     addKinds(kinds, types, stock, true, zone -> true);
@@ -140,7 +140,7 @@
   private List<MachineKind> kindsFor(Plan.Unplaced u, Stock stock) {
     List<MachineType> types = new ArrayList<>(stock.types.values());
     types.removeIf(type -> !fits(type, u));
-    types.sort(Comparator.comparingDouble(RentalPolicy::pricePerCpu));
+    types.sort(Comparator.comparingDouble(ScaleOutPolicy::pricePerCpu));
     List<MachineKind> kinds = new ArrayList<>();
     addKinds(kinds, types, stock, false, u::mayUseZone);
     if (u.spec().spotAllowed()) {
@@ -162,7 +162,7 @@
     for (MachineType type : types) {
       List<String> usable = type.zones().stream().filter(mayUse).toList();
       if (!usable.isEmpty()) {
-        for (String zone : zones.rentIn(usable, stock.cpusByZone)) {
+        for (String zone : zones.zonesToProvision(usable, stock.cpusByZone)) {
           kinds.add(new MachineKind(type.name(), zone, spot));
         }
       }
--- a/src/main/java/fennelthread/fleet/StartSender.java
+++ b/src/main/java/fennelthread/fleet/StartSender.java
@@ -22,7 +22,7 @@
   private final FleetContext context;
   private final CommandQueue.AnswerListener onAnswer;
   private final MachineProbes probes;
-  private final Set<Machine> carriers = new LinkedHashSet<>();
+  private final Set<Machine> machinesWithDeferredStarts = new LinkedHashSet<>();
 
   StartSender(FleetContext context, MachineProbes probes, CommandQueue.AnswerListener onAnswer) {
     this.context = context;
@@ -35,63 +35,65 @@
    * means that the worker may act minutes later: the token is raised, and until a report under it
    * arrives, the attempts count as present.
    */
-  void send(Machine m, List<Attempt> attempts) {
-    long token = m.token(context.epoch());
+  void send(Machine machine, List<Attempt> attempts) {
+    long token = machine.token(context.epoch());
     List<WorkerCommand> commands = new ArrayList<>();
-    for (Attempt a : attempts) {
-      a.sent(token);
-      commands.add(new WorkerCommand.Run(a.start().task(), a.start().attempt()));
+    for (Attempt attempt : attempts) {
+      attempt.onStartSent(token);
+      commands.add(new WorkerCommand.Run(attempt.start().task(), attempt.start().attempt()));
     }
     long session = attempts.get(0).start().session();
-    KnownReport known = new KnownReport(session, m.seq());
-    log.debug("{}: starts {} under token {}", m.name(), commands, token);
-    m.contact()
-        .startLeaves(
+    ReportPosition known = new ReportPosition(session, machine.seq());
+    log.debug("{}: starts {} under token {}", machine.name(), commands, token);
+    machine
+        .contact()
+        .onStartSent(
             context.nowMs() + FleetConstants.COMMAND_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS);
     context
         .transport()
         .send(
-            m,
-            m.address(),
+            machine,
+            machine.address(),
             CommandQueue.call(token, session, commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
-            answer -> answered(m, attempts, known, answer),
-            tried -> notSent(m, attempts, tried));
+            answer -> answered(machine, attempts, known, answer),
+            tried -> onNotSent(machine, attempts, tried));
   }
 
-  private void answered(Machine m, List<Attempt> attempts, KnownReport known, Answer answer) {
+  private void answered(
+      Machine machine, List<Attempt> attempts, ReportPosition known, Answer answer) {
     if (context.isClosed()) {
       return;
     }
     WorkerReport report = CommandQueue.reportOf(answer);
     if (report == null) {
-      unanswered(m, attempts);
+      onUnanswered(machine, attempts);
     } else if (answer.status() == 409) {
       // Nothing was executed, and this was the only time these attempts were sent.
-      attempts.forEach(a -> neverStarted(m, a));
+      attempts.forEach(attempt -> onNeverStarted(machine, attempt));
     } else {
       // Executed: whether it is still there, this report or a newer one tells.
-      moveSent(attempts, Attempt.Phase.FETCHING);
+      transitionSent(attempts, Attempt.Phase.FETCHING);
     }
     if (report != null) {
-      onAnswer.answered(m, report, known);
+      onAnswer.answered(machine, report, known);
     }
     context.listener().onFleetChanged();
   }
 
-  private void unanswered(Machine m, List<Attempt> attempts) {
+  private void onUnanswered(Machine machine, List<Attempt> attempts) {
     context
         .aggregatedLog()
-        .add("starts without an answer, tokens raised", m.name(), attempts.size());
-    m.tokens().raise();
-    moveSent(attempts, Attempt.Phase.UNSURE);
-    probes.probe(m);
+        .add("starts without an answer, tokens raised", machine.name(), attempts.size());
+    machine.tokens().raise();
+    transitionSent(attempts, Attempt.Phase.UNCONFIRMED);
+    probes.probe(machine);
   }
 
-  private static void moveSent(List<Attempt> attempts, Attempt.Phase next) {
-    for (Attempt a : attempts) {
-      if (a.phase() == Attempt.Phase.SENT) {
-        a.moveTo(next);
+  private static void transitionSent(List<Attempt> attempts, Attempt.Phase next) {
+    for (Attempt attempt : attempts) {
+      if (attempt.phase() == Attempt.Phase.SENT) {
+        attempt.transitionTo(next);
       }
     }
   }
@@ -101,42 +103,44 @@
    * unsure once raised hundreds of tokens when connections were short, each of which then needed a
    * connection to be confirmed.
    */
-  private void notSent(Machine m, List<Attempt> attempts, boolean tried) {
+  private void onNotSent(Machine machine, List<Attempt> attempts, boolean tried) {
     if (context.isClosed()) {
       return;
     }
     if (tried) {
-      context.aggregatedLog().add("starts not sent", m.name(), attempts.size());
-      m.contact().unreachable(context.nowMs());
-      attempts.forEach(a -> neverStarted(m, a));
+      context.aggregatedLog().add("starts not sent", machine.name(), attempts.size());
+      machine.contact().onUnreachable(context.nowMs());
+      attempts.forEach(attempt -> onNeverStarted(machine, attempt));
     } else {
       // We are short of connections ourselves: the worker's next report brings one.
-      context.aggregatedLog().add("starts carried by the next report", m.name(), attempts.size());
-      moveSent(attempts, Attempt.Phase.CARRIED);
-      carriers.add(m);
+      context
+          .aggregatedLog()
+          .add("starts carried by the next report", machine.name(), attempts.size());
+      transitionSent(attempts, Attempt.Phase.DEFERRED);
+      machinesWithDeferredStarts.add(machine);
     }
     context.listener().onFleetChanged();
   }
 
   /** The starts that go out with the answer to a report, checked as if they were sent directly. */
-  List<WorkerCommand> withAnswer(Machine m, boolean newest) {
-    if (!carriers.contains(m)) {
+  List<WorkerCommand> startsForResponse(Machine machine, boolean newest) {
+    if (!machinesWithDeferredStarts.contains(machine)) {
       return List.of();
     }
     List<WorkerCommand> starts = new ArrayList<>();
     boolean left = false;
-    for (Attempt a : carried(m)) {
-      if (a.start().session() != m.session() || !context.listener().mayStart(a)) {
-        neverStarted(m, a);
+    for (Attempt attempt : deferredStarts(machine)) {
+      if (attempt.start().session() != machine.session() || !context.listener().mayStart(attempt)) {
+        onNeverStarted(machine, attempt);
       } else if (newest && starts.size() < FleetConstants.STARTS_PER_ANSWER) {
-        a.sentInAnswer(m.token(context.epoch()));
-        starts.add(new WorkerCommand.Run(a.start().task(), a.start().attempt()));
+        attempt.onStartSentInResponse(machine.token(context.epoch()));
+        starts.add(new WorkerCommand.Run(attempt.start().task(), attempt.start().attempt()));
       } else {
         left = true;
       }
     }
     if (!left) {
-      carriers.remove(m);
+      machinesWithDeferredStarts.remove(machine);
     }
     return starts;
   }
@@ -145,35 +149,35 @@
    * Starts that an earlier answer held and the newest report does not show: whether that answer
    * arrived, nobody says. The token is raised, and the next report under it tells.
    */
-  void doubtUnshown(Machine m) {
+  void markUnshownUnconfirmed(Machine machine) {
     boolean doubted = false;
-    for (Attempt a : m.attempts()) {
-      if (a.isSentInAnswer()) {
-        a.moveTo(Attempt.Phase.UNSURE);
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.isSentInResponse()) {
+        attempt.transitionTo(Attempt.Phase.UNCONFIRMED);
         doubted = true;
       }
     }
     if (doubted) {
-      m.tokens().raise();
+      machine.tokens().raise();
     }
   }
 
   /** Gives up starts whose machine does not report: they are better tried elsewhere. */
-  void dropLate() {
+  void dropOverdueStarts() {
     long patienceMs = (long) (context.reportMs() * FleetConstants.CARRY_REPORTS);
     boolean dropped = false;
-    for (Machine m : List.copyOf(carriers)) {
+    for (Machine machine : List.copyOf(machinesWithDeferredStarts)) {
       boolean left = false;
-      for (Attempt a : carried(m)) {
-        if (context.nowMs() - a.createdAtMs() > patienceMs) {
-          neverStarted(m, a);
+      for (Attempt attempt : deferredStarts(machine)) {
+        if (context.nowMs() - attempt.createdAtMs() > patienceMs) {
+          onNeverStarted(machine, attempt);
           dropped = true;
         } else {
           left = true;
         }
       }
       if (!left) {
-        carriers.remove(m);
+        machinesWithDeferredStarts.remove(machine);
       }
     }
     if (dropped) {
@@ -181,21 +185,21 @@
     }
   }
 
-  private static List<Attempt> carried(Machine m) {
-    List<Attempt> carried = new ArrayList<>();
-    for (Attempt a : m.attempts()) {
-      if (a.phase() == Attempt.Phase.CARRIED) {
-        carried.add(a);
+  private static List<Attempt> deferredStarts(Machine machine) {
+    List<Attempt> deferredStarts = new ArrayList<>();
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.phase() == Attempt.Phase.DEFERRED) {
+        deferredStarts.add(attempt);
       }
     }
-    return carried;
+    return deferredStarts;
   }
 
-  private void neverStarted(Machine m, Attempt a) {
-    if (a.phase() == Attempt.Phase.SENT || a.phase() == Attempt.Phase.CARRIED) {
-      a.moveTo(Attempt.Phase.GONE);
-      m.remove(a);
-      context.listener().onAttemptEnded(m, a);
+  private void onNeverStarted(Machine machine, Attempt attempt) {
+    if (attempt.phase() == Attempt.Phase.SENT || attempt.phase() == Attempt.Phase.DEFERRED) {
+      attempt.transitionTo(Attempt.Phase.GONE);
+      machine.remove(attempt);
+      context.listener().onAttemptEnded(machine, attempt);
     }
   }
 }
--- a/src/main/java/fennelthread/fleet/ZoneHealth.java
+++ b/src/main/java/fennelthread/fleet/ZoneHealth.java
@@ -16,32 +16,32 @@
         public void look(Collection<Machine> machines, long nowMs) {}
 
         @Override
-        public boolean mayPlace(Machine m) {
+        public boolean mayPlace(Machine machine) {
           return true;
         }
 
         @Override
-        public boolean isAway(Machine m) {
+        public boolean isUnreachable(Machine machine) {
           return false;
         }
 
         @Override
-        public long awayAtMs(Machine m) {
+        public long lastUnreachableAtMs(Machine machine) {
           return Long.MIN_VALUE / 2;
         }
 
         @Override
-        public boolean mayReturnLost(Machine m, long nowMs) {
+        public boolean mayReclaimLost(Machine machine, long nowMs) {
           return true;
         }
 
         @Override
-        public double presence(Machine m, long nowMs) {
+        public double countedShare(Machine machine, long nowMs) {
           return 1;
         }
 
         @Override
-        public List<String> rentIn(List<String> zones, Map<String, Double> cpus) {
+        public List<String> zonesToProvision(List<String> zones, Map<String, Double> cpus) {
           return zones;
         }
       };
@@ -50,21 +50,21 @@
   void look(Collection<Machine> machines, long nowMs);
 
   /** False if tasks given to this machine now would most likely not reach it. */
-  boolean mayPlace(Machine m);
+  boolean mayPlace(Machine machine);
 
   /** True if the machine's zone is away as a whole: its silence says nothing of the machine. */
-  boolean isAway(Machine m);
+  boolean isUnreachable(Machine machine);
 
   /**
    * When the machine's zone was last away, ms; its own silence counts from then at the earliest.
    */
-  long awayAtMs(Machine m);
+  long lastUnreachableAtMs(Machine machine);
 
   /** False if a machine whose lease is over should be kept, since its zone may bring it back. */
-  boolean mayReturnLost(Machine m, long nowMs);
+  boolean mayReclaimLost(Machine machine, long nowMs);
 
   /** How much of the machine counts as ours when deciding what to rent, as a share. */
-  double presence(Machine m, long nowMs);
+  double countedShare(Machine machine, long nowMs);
 
   /**
    * The zones to rent in, best first.
@@ -73,5 +73,5 @@
    * @param cpus what is ours or booting in each zone, CPUs
    * @return some of these, never none
    */
-  List<String> rentIn(List<String> zones, Map<String, Double> cpus);
+  List<String> zonesToProvision(List<String> zones, Map<String, Double> cpus);
 }
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -190,7 +190,7 @@
     Attempt furthest = null;
     for (List<Attempt> list : attempts.values()) {
       for (Attempt a : list) {
-        if (!a.isStopping() && (furthest == null || isFurther(a, furthest))) {
+        if (!a.isStopRequested() && (furthest == null || isFurther(a, furthest))) {
           furthest = a;
         }
       }
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -107,10 +107,10 @@
 
   /** An attempt is over or proven gone. */
   void ended(Machine m, Attempt a) {
-    if (a.isHandled()) {
+    if (a.isEndHandled()) {
       return;
     }
-    a.handled();
+    a.markEndHandled();
     ActiveJob run = runs.of(a);
     if (run == null) {
       return;
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -85,7 +85,7 @@
     }
     jobs.lend(active);
     // What a machine carries is added up anew only if the machine has changed.
-    machinesOf(active).forEach(Machine::touch);
+    machinesOf(active).forEach(Machine::markChanged);
     scheduling.changed();
   }
 
@@ -95,7 +95,7 @@
     if (active != null) {
       completions.forget(active);
       for (Machine machine : machinesOf(active)) {
-        machine.touch();
+        machine.markChanged();
         if (machine.phase() == Machine.Phase.REPORTING) {
           fleet.sendCommands(machine);
         }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -71,7 +71,7 @@
         fetching.add(spec.image());
       }
       if (a.phase() != Attempt.Phase.RECORDED
-          && a.phase() != Attempt.Phase.CARRIED
+          && a.phase() != Attempt.Phase.DEFERRED
           && a.phase() != Attempt.Phase.SENT) {
         running.add(
             new Snapshot.Running(
@@ -80,7 +80,7 @@
                 s.task().index(),
                 s.attempt(),
                 m.name(),
-                a.isStopping(),
+                a.isStopRequested(),
                 s.cpus(),
                 s.cards(),
                 s.memGb(),
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -208,7 +208,7 @@
     for (Snapshot.Running r : stops) {
       Attempt a = fleet.findAttempt(r.machine(), new TaskRef(r.spec().id(), r.task()), r.attempt());
       if (a != null) {
-        a.stopping();
+        a.requestStop();
         on.add(fleet.machine(r.machine()));
       }
     }
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -57,7 +57,7 @@
               run == null || run.isFinished(index) || over.test(run.job().spec().id());
           if (unwanted) {
             orders.add(new WorkerCommand.Stop(a.start().task(), a.start().attempt(), 0));
-          } else if (a.isStopping() && a.phase() != Attempt.Phase.FLUSHING) {
+          } else if (a.isStopRequested() && a.phase() != Attempt.Phase.FLUSHING) {
             double grace = run.job().spec().checkpointS() > 0 ? run.job().spec().saveS() + 1 : 0;
             orders.add(new WorkerCommand.Stop(a.start().task(), a.start().attempt(), grace));
           }
@@ -77,14 +77,14 @@
   void stopBeforeNotices() {
     long now = eventLoop.nowMs();
     for (Machine m : fleet.machines()) {
-      if (m.phase() != Machine.Phase.REPORTING || m.noticeUntilMs() < 0) {
+      if (m.phase() != Machine.Phase.REPORTING || m.interruptionAtMs() < 0) {
         continue;
       }
-      double leftS = (m.noticeUntilMs() - now) / 1000.0;
+      double leftS = (m.interruptionAtMs() - now) / 1000.0;
       boolean stopped = false;
       for (Attempt a : m.attempts()) {
         ActiveJob run = runs.of(a);
-        if (run == null || a.isStopping() || !a.mayBePresent()) {
+        if (run == null || a.isStopRequested() || !a.mayBePresent()) {
           continue;
         }
         JobSpec spec = run.job().spec();
@@ -94,7 +94,7 @@
                 && a.phase() == Attempt.Phase.RUNNING
                 && runTimes.of(spec) - ranS < leftS;
         if (!willFinish) {
-          a.stopping();
+          a.requestStop();
           stopped = true;
         }
       }
--- a/src/main/java/fennelthread/zones/Zone.java
+++ b/src/main/java/fennelthread/zones/Zone.java
@@ -38,7 +38,7 @@
   private Phase phase = Phase.WHOLE;
   private long sinceMs;
   private long silentSinceMs;
-  private long awayAtMs = Long.MIN_VALUE / 2;
+  private long lastUnreachableAtMs = Long.MIN_VALUE / 2;
   private long calmSinceMs = -1;
 
   /** Takes note of what is seen; true if the phase has changed. */
@@ -51,25 +51,25 @@
         if (silent) {
           silentSinceMs = nowMs - Math.max(0, e.silentForMs);
           losses.add(nowMs);
-          moveTo(Phase.SILENT, nowMs);
+          transitionTo(Phase.SILENT, nowMs);
         } else if (phase == Phase.RETURNING) {
           settle(e, nowMs);
         } else {
           boolean partly = judged && e.share() > ZoneConstants.PARTLY_SHARE;
-          moveTo(partly ? Phase.PARTLY : Phase.WHOLE, nowMs);
+          transitionTo(partly ? Phase.PARTLY : Phase.WHOLE, nowMs);
         }
       }
       case SILENT, LOST -> {
         if (e.share() < ZoneConstants.BACK_SHARE && e.silentForMs <= 0) {
           calmSinceMs = -1;
-          moveTo(Phase.RETURNING, nowMs);
+          transitionTo(Phase.RETURNING, nowMs);
         } else if (nowMs - silentSinceMs > leaseMs * ZoneConstants.LOST_LEASES) {
-          moveTo(Phase.LOST, nowMs);
+          transitionTo(Phase.LOST, nowMs);
         }
       }
     }
-    if (isAway()) {
-      awayAtMs = nowMs;
+    if (isUnreachable()) {
+      lastUnreachableAtMs = nowMs;
     }
     return before != phase;
   }
@@ -80,7 +80,7 @@
     } else if (calmSinceMs < 0) {
       calmSinceMs = nowMs;
     } else if (nowMs - calmSinceMs > trustMs(nowMs)) {
-      moveTo(Phase.WHOLE, nowMs);
+      transitionTo(Phase.WHOLE, nowMs);
     }
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** The only place where the phase changes. */
-  private void moveTo(Phase next, long nowMs) {
+  private void transitionTo(Phase next, long nowMs) {
     if (next != phase) {
       phase = next;
       sinceMs = nowMs;
@@ -107,13 +107,13 @@
   }
 
   /** True if its machines' silence is the zone's. */
-  boolean isAway() {
+  boolean isUnreachable() {
     return phase == Phase.SILENT || phase == Phase.LOST;
   }
 
   /** When it was last seen away, ms. */
-  long awayAtMs() {
-    return awayAtMs;
+  long lastUnreachableAtMs() {
+    return lastUnreachableAtMs;
   }
 
   /** Since when nothing is heard of it, ms; only meaningful while it is away. */
--- a/src/main/java/fennelthread/zones/Zones.java
+++ b/src/main/java/fennelthread/zones/Zones.java
@@ -64,22 +64,22 @@
     Map<String, Count> counts = new HashMap<>();
     int known = 0;
     int silent = 0;
-    for (Machine m : machines) {
-      boolean inherited = m.phase() == Machine.Phase.UNHEARD && !m.isEmpty();
-      if (m.zone() == null
-          || (m.phase() != Machine.Phase.REPORTING
-              && m.phase() != Machine.Phase.LOST
+    for (Machine machine : machines) {
+      boolean inherited = machine.phase() == Machine.Phase.AWAITING_REPORT && !machine.isEmpty();
+      if (machine.zone() == null
+          || (machine.phase() != Machine.Phase.REPORTING
+              && machine.phase() != Machine.Phase.LOST
               && !inherited)) {
         continue;
       }
-      Count c = counts.computeIfAbsent(m.zone(), k -> new Count());
+      Count c = counts.computeIfAbsent(machine.zone(), k -> new Count());
       c.known++;
       known++;
-      c.heardAtMs = Math.max(c.heardAtMs, m.contactAtMs());
-      if (m.phase() == Machine.Phase.REPORTING) {
+      c.heardAtMs = Math.max(c.heardAtMs, machine.lastContactAtMs());
+      if (machine.phase() == Machine.Phase.REPORTING) {
         c.reporting++;
       }
-      if (nowMs - Math.max(m.quietSinceMs(), awakeSinceMs)
+      if (nowMs - Math.max(machine.outOfContactSinceMs(), awakeSinceMs)
           > reportMs * FleetConstants.SILENT_REPORTS_ALARM) {
         c.silent++;
         silent++;
@@ -134,38 +134,38 @@
     return tooLong ? forMs : 0;
   }
 
-  private Zone of(Machine m) {
-    return several && m.zone() != null ? zones.get(m.zone()) : null;
+  private Zone of(Machine machine) {
+    return several && machine.zone() != null ? zones.get(machine.zone()) : null;
   }
 
   @Override
-  public boolean mayPlace(Machine m) {
-    Zone z = of(m);
-    return z == null || !z.isAway() || m.contactAtMs() > z.sinceMs();
+  public boolean mayPlace(Machine machine) {
+    Zone z = of(machine);
+    return z == null || !z.isUnreachable() || machine.lastContactAtMs() > z.sinceMs();
   }
 
   @Override
-  public boolean isAway(Machine m) {
-    Zone z = of(m);
-    return z != null && z.isAway();
+  public boolean isUnreachable(Machine machine) {
+    Zone z = of(machine);
+    return z != null && z.isUnreachable();
   }
 
   @Override
-  public long awayAtMs(Machine m) {
-    Zone z = of(m);
-    return z == null ? Long.MIN_VALUE / 2 : z.awayAtMs();
+  public long lastUnreachableAtMs(Machine machine) {
+    Zone z = of(machine);
+    return z == null ? Long.MIN_VALUE / 2 : z.lastUnreachableAtMs();
   }
 
   @Override
-  public boolean mayReturnLost(Machine m, long nowMs) {
-    Zone z = of(m);
-    return z == null || !z.isAway() || nowMs - z.silentSinceMs() > ZoneConstants.KEPT_MS;
+  public boolean mayReclaimLost(Machine machine, long nowMs) {
+    Zone z = of(machine);
+    return z == null || !z.isUnreachable() || nowMs - z.silentSinceMs() > ZoneConstants.KEPT_MS;
   }
 
   @Override
-  public double presence(Machine m, long nowMs) {
-    Zone z = of(m);
-    if (z == null || !z.isAway()) {
+  public double countedShare(Machine machine, long nowMs) {
+    Zone z = of(machine);
+    if (z == null || !z.isUnreachable()) {
       return 1;
     }
     // One that is back in ten seconds must not have cost a second fleet, one that stays away must
@@ -176,14 +176,14 @@
   }
 
   @Override
-  public List<String> rentIn(List<String> of, Map<String, Double> cpus) {
+  public List<String> zonesToProvision(List<String> of, Map<String, Double> cpus) {
     if (!several) {
       return of;
     }
     List<String> there = new ArrayList<>();
     for (String name : of) {
       Zone z = zones.get(name);
-      if (z == null || !z.isAway()) {
+      if (z == null || !z.isUnreachable()) {
         there.add(name);
       }
     }
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -128,7 +128,7 @@
             JobSpec.NO_DEADLINE);
     Attempt a = fleet.createAttempt(fleet.machine("n-1"), spec, 0);
     fleet.sendStarts(fleet.machine("n-1"), new ArrayList<>(List.of(a)));
-    assertEquals(Attempt.Phase.CARRIED, a.phase());
+    assertEquals(Attempt.Phase.DEFERRED, a.phase());
     return a;
   }
 
@@ -141,7 +141,7 @@
     assertEquals(1, report(1L << 20).size());
     assertEquals(Attempt.Phase.SENT, a.phase());
     assertTrue(report(1L << 20).isEmpty(), "sent twice");
-    assertEquals(Attempt.Phase.UNSURE, a.phase());
+    assertEquals(Attempt.Phase.UNCONFIRMED, a.phase());
     assertTrue(ended.isEmpty());
     report(1L << 20);
     assertTrue(ended.isEmpty(), "taken for gone under the old token");
@@ -175,7 +175,7 @@
     Attempt a = start();
     seq = 0;
     assertTrue(report(1L << 20).isEmpty());
-    assertEquals(Attempt.Phase.CARRIED, a.phase());
+    assertEquals(Attempt.Phase.DEFERRED, a.phase());
   }
 
   /** A worker that does not report: the task is tried elsewhere. */
