--- a/src/main/java/fennelthread/ReplicatedRecords.java
+++ b/src/main/java/fennelthread/ReplicatedRecords.java
@@ -28,7 +28,7 @@
     Settings.Workers workers = settings.workers();
     this.cancellations =
         new CancellationLog(eventLoop, 2 * (workers.cancelMs() + workers.leaseMs()));
-    table.listen(new RemovedJobs());
+    table.addListener(new RemovedJobs());
     this.store = new JobStore(eventLoop, state, replica, table, settings, cancellations::mayTell);
   }
 
@@ -65,10 +65,10 @@
   /** Records jobs as over once their records are removed. */
   private final class RemovedJobs implements JobTable.Listener {
     @Override
-    public void added(Job job) {}
+    public void onJobAdded(Job job) {}
 
     @Override
-    public void removed(Job job) {
+    public void onJobRemoved(Job job) {
       cancellations.over(job.spec().id());
     }
   }
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -125,7 +125,7 @@
             machineTypes.get(),
             onMachineTypes);
     RunTimes runTimes = new RunTimes();
-    this.activeJobs = new ActiveJobs(store.waits().graph());
+    this.activeJobs = new ActiveJobs(store.dependencies().graph());
     Demand demand = new Demand(eventLoop, settings, fleet, activeJobs, runTimes);
     this.commands = new WorkerCommands(eventLoop, fleet, activeJobs, runTimes, isJobOver);
     SpareKeys spare = new SpareKeys();
@@ -242,7 +242,7 @@
       replica.onAdvance(this::awaitReplica);
       return;
     }
-    for (StartRecord record : table.rounds().values()) {
+    for (StartRecord record : table.startRecords().values()) {
       record.starts().forEach(fleet::restoreAttempt);
     }
     table.all().forEach(activeJobs::begin);
@@ -272,7 +272,7 @@
     if (phase == Phase.ACTIVE) {
       commands.stopBeforeNotices();
       completions.tick();
-      store.cascade();
+      store.cancelDependentJobs();
       scheduling.tick();
       collector.tick();
     }
