--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -44,18 +44,18 @@
 
   /** Listens from now on. */
   void begin() {
-    table.listen(this);
-    store.waits().listen(this);
+    table.addListener(this);
+    store.dependencies().addListener(this);
   }
 
   /** Listens no more. */
   void end() {
-    table.ignore(this);
-    store.waits().ignore(this);
+    table.removeListener(this);
+    store.dependencies().removeListener(this);
   }
 
   @Override
-  public void added(Job job) {
+  public void onJobAdded(Job job) {
     jobs.begin(job);
     log.debug(
         "{} of {} is new: {} tasks of image {}",
@@ -67,10 +67,10 @@
   }
 
   @Override
-  public void moved(Job job, DependencyGraph.Phase to) {
+  public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
     ActiveJob active = jobs.get(job.spec().id());
-    if (to == DependencyGraph.Phase.DOOMED) {
-      store.cascade();
+    if (to == DependencyGraph.Phase.TO_CANCEL) {
+      store.cancelDependentJobs();
     } else if (active != null) {
       jobs.release(active);
       scheduling.changed();
@@ -78,26 +78,26 @@
   }
 
   @Override
-  public void lent(String id) {
+  public void onInheritedPriorityChanged(String id) {
     ActiveJob active = jobs.get(id);
     if (active == null) {
       return;
     }
     jobs.lend(active);
     // What a machine carries is added up anew only if the machine has changed.
-    machinesOf(active).forEach(Machine::touch);
+    machinesOf(active).forEach(Machine::markChanged);
     scheduling.changed();
   }
 
   @Override
-  public void removed(Job job) {
+  public void onJobRemoved(Job job) {
     ActiveJob active = jobs.remove(job.spec().id());
     if (active != null) {
       completions.forget(active);
       for (Machine machine : machinesOf(active)) {
-        machine.touch();
+        machine.markChanged();
         if (machine.phase() == Machine.Phase.REPORTING) {
-          fleet.sendOrders(machine);
+          fleet.sendCommands(machine);
         }
       }
     }
@@ -109,7 +109,7 @@
     Set<Machine> machines = new LinkedHashSet<>();
     for (List<Attempt> attempts : active.attempts().values()) {
       for (Attempt attempt : attempts) {
-        Machine machine = fleet.get(attempt.start().machine());
+        Machine machine = fleet.machine(attempt.start().machine());
         if (machine != null) {
           machines.add(machine);
         }
