--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -210,7 +210,7 @@
     for (Snapshot.RunningTask r : stops) {
       Attempt a = fleet.findAttempt(r.machine(), new TaskRef(r.spec().id(), r.task()), r.attempt());
       if (a != null) {
-        a.stopping();
+        a.requestStop();
         on.add(fleet.machine(r.machine()));
       }
     }
--- a/src/main/java/fennelthread/state/RequestPriority.java
+++ b/src/main/java/fennelthread/state/RequestPriority.java
@@ -7,14 +7,20 @@
  */
 public enum RequestPriority {
   /** A user waits for the answer, or a replica of the state that answers are confirmed against. */
-  INTERACTIVE,
+  INTERACTIVE(0),
   /** Start records of scheduling rounds: tasks wait for them. */
-  SCHEDULING,
+  SCHEDULING(1),
   /** Records of finished tasks and removals of records that are no longer needed. */
-  MAINTENANCE;
+  MAINTENANCE(2);
+
+  private final int rank;
+
+  RequestPriority(int rank) {
+    this.rank = rank;
+  }
 
   /** The number of lanes that are more urgent than this one. */
   int rank() {
-    return ordinal();
+    return rank;
   }
 }
