--- a/src/main/java/fennelthread/cli/Cancel.java
+++ b/src/main/java/fennelthread/cli/Cancel.java
@@ -7,11 +7,11 @@
 
 /** Cancels a job. */
 @Command(
-    name = "withdraw",
+    name = "cancel",
     mixinStandardHelpOptions = true,
     versionProvider = Version.class,
-    description = "Withdraws a job: its tasks are stopped and none is started any more.")
-final class Cancel implements Callable<Integer> {
+    description = "Cancels a job: its tasks are stopped and none is started any more.")
+class Cancel implements Callable<Integer> {
   @Mixin private Client client;
 
   @Parameters(paramLabel = "ID", description = "The job's id, such as job-000412.")
@@ -21,4 +21,8 @@
   public Integer call() throws Exception {
     return client.send("POST", Client.path(id) + "/withdraw", new byte[0]);
   }
+
+  /** The command under its former name, for scripts that use it. */
+  @Command(name = "withdraw", hidden = true)
+  static final class FormerName extends Cancel {}
 }
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -23,6 +23,7 @@
       Submit.class,
       Status.class,
       Cancel.class,
+      Cancel.FormerName.class,
       Train.class
     })
 final class Serve implements Callable<Integer> {
--- a/src/test/java/fennelthread/cli/MainTest.java
+++ b/src/test/java/fennelthread/cli/MainTest.java
@@ -68,6 +68,7 @@
   void badAddressesAndIdsAreNamed(String named, String to, String id) throws Exception {
     Path job = Files.writeString(folder.resolve("job.json"), "{}");
     List<String[]> commands = new ArrayList<>();
+    commands.add(new String[] {"cancel", "--to", to, id});
     commands.add(new String[] {"withdraw", "--to", to, id});
     commands.add(new String[] {"status", "--to", to, id});
     if (named.equals("--to")) {
