--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -40,6 +40,7 @@
   static int serve(SettingsFiles files) throws Exception {
     Settings settings = files.loadSettings();
     Options options = files.loadOptions();
+    LogOutput.install(settings.member());
     XnioEventLoop eventLoop = eventLoopFor(settings);
     eventLoop.run(() -> start(eventLoop, settings, options));
     return KEEP_RUNNING;
