--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -1,6 +1,7 @@
 package fennelthread;
 
 import fennelthread.api.Api;
+import fennelthread.api.ServingConditions;
 import fennelthread.constants.RelayConstants;
 import fennelthread.control.CurrentTerm;
 import fennelthread.control.KnownWorkers;
@@ -27,6 +28,7 @@
 import fennelthread.relay.UnreachableLeaderNotice;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
+import fennelthread.wire.MachineType;
 import fennelthread.zones.Zones;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -179,13 +181,33 @@
         settings,
         records.store(),
         records.table(),
-        machineTypes::byName,
-        this::isUp,
-        peers::hasHeardOutdatedPeer,
-        heap::isTight,
+        new ControllerConditions(),
         reports::handle);
   }
 
+  /** What the interface for users asks of the other subsystems. */
+  private final class ControllerConditions implements ServingConditions {
+    @Override
+    public boolean isUp() {
+      return Controller.this.isUp();
+    }
+
+    @Override
+    public boolean isOutdatedPeerServing() {
+      return peers.hasHeardOutdatedPeer();
+    }
+
+    @Override
+    public boolean isMemoryShort() {
+      return heap.isTight();
+    }
+
+    @Override
+    public Map<String, MachineType> machineTypes() {
+      return machineTypes.byName();
+    }
+  }
+
   /** Starts reading the state, sending heartbeats and the periodic checks; call it once. */
   public void start() {
     log.info("controller started member={} incarnation={}", settings.member(), incarnation);
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -147,7 +147,7 @@
     c.world.runUntil(c.world.now() + 100);
     Answer[] got = new Answer[4];
     handle("nodo-0", "POST", "/v1/jobs", Codec.CBOR.encode(good()), got, 0);
-    c.world.runUntil(c.world.now() + ApiConstants.ANSWER_MS + 10);
+    c.world.runUntil(c.world.now() + ApiConstants.ANSWER_DEADLINE_MS + 10);
     assertEquals(503, got[0].status());
     handle("nodo-0", "POST", "/v1/jobs", Codec.CBOR.encode(good()), got, 1);
     handle("nodo-0", "GET", "/v1/jobs/job-123456", null, got, 2);
@@ -188,7 +188,7 @@
     c.state.delay = (caller, text) -> text.contains("at_ms") ? 3_000 : 0;
     Answer[] got = new Answer[1];
     handle("nodo-0", "POST", "/v1/jobs", bytes, got, 0);
-    c.world.runUntil(c.world.now() + ApiConstants.ANSWER_MS + 10);
+    c.world.runUntil(c.world.now() + ApiConstants.ANSWER_DEADLINE_MS + 10);
     assertEquals(503, got[0].status());
     c.state.delay = (caller, text) -> 0;
     c.world.runUntil(c.world.now() + 3_000);
