--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -91,8 +91,7 @@
             settings,
             options,
             incarnation,
-            this::isBacked,
-            this::stillUnbounded,
+            new PeerState(),
             new Elections());
     this.machineTypes = new MachineTypes(eventLoop, cloud, state, replica, lease);
     replica.listen((key, value, revision) -> machineTypes.changed(key, value));
@@ -230,7 +229,7 @@
 
   private void loaded() {
     log.info("{} has read the state, revision {}", settings.member(), replica.revision());
-    lease.consider();
+    lease.claimIfVacant();
   }
 
   /** Remembers jobs whose records are gone as over. */
@@ -246,18 +245,23 @@
 
   // ---------------------------------------------------------------- leading
 
-  private boolean isBacked() {
-    return membership.backs();
-  }
+  /** Answers the lease's questions about the peers. */
+  private final class PeerState implements Lease.PeerAssurance {
+    @Override
+    public boolean excludesOtherLeader() {
+      return membership.backs();
+    }
 
-  private long stillUnbounded(long epoch) {
-    return peers.allBound(epoch) ? 0 : epoch;
+    @Override
+    public long stillUnbounded(long epoch) {
+      return peers.allBound(epoch) ? 0 : epoch;
+    }
   }
 
   /** Begins and ends terms as the lease is won and lost. */
   private final class Elections implements Lease.Listener {
     @Override
-    public void elected(long epoch, long epochRevision) {
+    public void onElected(long epoch) {
       log.info("{} leads, epoch {}", settings.member(), epoch);
       long now = eventLoop.nowMs();
       reachability.begin(now);
@@ -270,7 +274,7 @@
     }
 
     @Override
-    public void deposed(String why) {
+    public void onDeposed() {
       log.info("{} no longer leads", settings.member());
       currentTerm.resign();
     }
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -72,7 +72,7 @@
     workers.forgetOldReports(now);
     confirmReplica(now);
     if (!lease.isLeading()) {
-      lease.consider();
+      lease.claimIfVacant();
       considerNotice();
       return;
     }
--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -172,7 +172,7 @@
         on,
         lease.epoch(),
         replica.revisionOf(Keys.SOLO),
-        lease::fenced,
+        lease::fencedTxn,
         (txn, applied) -> replica.applied(txn, applied.revision()));
   }
 
@@ -214,7 +214,7 @@
    * alone.
    */
   private boolean isTakeable() {
-    return lease.mayBeTaken(view.epoch()) && soloEpoch() != view.epoch();
+    return lease.isTakeoverPossible(view.epoch()) && soloEpoch() != view.epoch();
   }
 
   private long soloEpoch() {
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -243,8 +243,10 @@
     failedMachines.add(machine);
     failures++;
     boolean jobsFault =
-        failedMachines.size() >= LeaderConstants.BAD_JOB_MACHINES && finished.isEmpty();
-    pause(index, now + (jobsFault ? pauseMs(failures, chance) : LeaderConstants.TASK_PAUSE_MS / 3));
+        failedMachines.size() >= LeaderConstants.FAULTY_JOB_MACHINES && finished.isEmpty();
+    pause(
+        index,
+        now + (jobsFault ? pauseMs(failures, chance) : LeaderConstants.MIN_TASK_BACKOFF_MS / 3));
     return jobsFault;
   }
 
@@ -262,9 +264,9 @@
   }
 
   private static long pauseMs(int times, double chance) {
-    long pause = LeaderConstants.TASK_PAUSE_MS << Math.min(times, 10);
+    long pause = LeaderConstants.MIN_TASK_BACKOFF_MS << Math.min(times, 10);
     return (long)
-        (Math.min(LeaderConstants.TASK_PAUSE_MOST_MS, pause)
+        (Math.min(LeaderConstants.MAX_TASK_BACKOFF_MS, pause)
             * (1 + ProtocolConstants.JITTER * chance));
   }
 }
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -153,7 +153,7 @@
       // Its user waits for this one; tasks of other jobs can wait for one another.
       moveTo(Phase.GATHERING);
       eventLoop.after(
-          LeaderConstants.FLUSH_DONE_MS,
+          LeaderConstants.DONE_JOB_FLUSH_DELAY_MS,
           () -> {
             if (phase == Phase.GATHERING) {
               write();
@@ -170,7 +170,7 @@
   }
 
   private void write() {
-    Txn txn = lease.fenced();
+    Txn txn = lease.fencedTxn();
     Map<ActiveJob, BitSet> written = new LinkedHashMap<>();
     Map<String, Lookup.Final> ends = new LinkedHashMap<>();
     for (ActiveJob run : dirty) {
@@ -181,7 +181,8 @@
         ends.put(run.job().spec().id(), end);
       }
     }
-    if (ends.isEmpty() && eventLoop.nowMs() - partsWrittenAt >= LeaderConstants.FLUSH_PARTS_MS) {
+    if (ends.isEmpty()
+        && eventLoop.nowMs() - partsWrittenAt >= LeaderConstants.FINISHED_TASKS_FLUSH_INTERVAL_MS) {
       boolean all = true;
       for (ActiveJob run : dirty) {
         all &= addParts(run, txn, written);
@@ -245,7 +246,7 @@
       tick();
       changed.run();
     } else {
-      lease.refused(result);
+      lease.onTxnRejected(result);
       if (result instanceof TxnResult.Conflict c) {
         // A job that was cancelled has no record any more: its tasks need not be kept.
         dirty.removeIf(run -> c.failed().contains(Keys.job(run.job().spec().id())));
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -147,8 +147,9 @@
   private double work(ActiveJob run, int tasks, double takesS) {
     double work = tasks * Math.max(0.1, run.job().spec().cpus()) * Math.max(1, takesS);
     long agedMs =
-        Math.max(0, eventLoop.wallMs() - run.releasedWallMs() - LeaderConstants.WORK_AGES_AFTER_MS);
-    return work * Math.pow(0.5, agedMs / LeaderConstants.WORK_HALVED_MS);
+        Math.max(
+            0, eventLoop.wallMs() - run.releasedWallMs() - LeaderConstants.WORK_DECAY_DELAY_MS);
+    return work * Math.pow(0.5, agedMs / LeaderConstants.WORK_HALF_LIFE_MS);
   }
 
   /** How long a task waits for room that comes by itself before others are stopped for it, s. */
@@ -156,8 +157,8 @@
     return spec.service()
         ? 0
         : settings.waitsMatter(spec.jobClass())
-            ? LeaderConstants.PATIENCE_SHORT_S
-            : LeaderConstants.PATIENCE_S;
+            ? LeaderConstants.OBJECTIVE_PREEMPTION_DELAY_S
+            : LeaderConstants.PREEMPTION_DELAY_S;
   }
 
   /** The priority with which a job may stop others: a lent one only once its time runs short. */
@@ -169,7 +170,8 @@
     double latestMs = loan.dueMs() - takesS * 1000;
     boolean patient =
         latestMs - eventLoop.wallMs()
-            > (latestMs - run.releasedWallMs()) * (1 - LeaderConstants.LENT_PATIENCE);
+            > (latestMs - run.releasedWallMs())
+                * (1 - LeaderConstants.INHERITED_PRIORITY_SLACK_SHARE);
     return patient ? run.job().spec().priority() : run.priority();
   }
 
@@ -203,7 +205,7 @@
     if (next != Double.MAX_VALUE) {
       return next - ageS - takesS;
     }
-    return last == 0 || ageS > last * LeaderConstants.LATE_PATIENCE
+    return last == 0 || ageS > last * LeaderConstants.MAX_LATENESS_FACTOR
         ? Double.MAX_VALUE
         : last - ageS - takesS;
   }
--- /dev/null
+++ b/src/main/java/fennelthread/leader/LeaderRecords.java
@@ -0,0 +1,59 @@
+package fennelthread.leader;
+
+import fennelthread.constants.LeaderConstants;
+import fennelthread.state.Keys;
+import fennelthread.state.Replica;
+import fennelthread.wire.Fields;
+import fennelthread.wire.WireException;
+import java.util.Optional;
+
+/**
+ * Reads who leads, and under which epoch, from this controller's copy of the state. The copy may be
+ * behind; a claim is conditional on the revisions that it was derived from. Used on the event
+ * loop's thread.
+ */
+final class LeaderRecords {
+  private final Replica replica;
+
+  LeaderRecords(Replica replica) {
+    this.replica = replica;
+  }
+
+  /** True if the copy holds a leader's record, readable or not. */
+  boolean hasLeader() {
+    return replica.get(Keys.LEAD) != null;
+  }
+
+  /** The current leader's record; empty if nobody leads or it can't be read. */
+  Optional<LeaderRecord> leader() {
+    Fields stored = replica.get(Keys.LEAD);
+    try {
+      return stored == null ? Optional.empty() : Optional.of(LeaderRecord.decode(stored));
+    } catch (WireException e) {
+      return Optional.empty();
+    }
+  }
+
+  /** The highest epoch that was ever claimed; 0 before the first or if it can't be read. */
+  long recordedEpoch() {
+    Fields stored = replica.get(Keys.EPOCH);
+    try {
+      return stored == null ? 0 : EpochRecord.decode(stored).epoch();
+    } catch (WireException e) {
+      return 0;
+    }
+  }
+
+  /**
+   * The last epoch so far whose leader may answer reports without bound; 0 if there is none, {@link
+   * LeaderConstants#UNKNOWN_EPOCH} if it can't be read.
+   */
+  long unboundedEpoch() {
+    Fields stored = replica.get(Keys.EPOCH);
+    try {
+      return stored == null ? 0 : EpochRecord.decode(stored).unboundedEpoch();
+    } catch (WireException e) {
+      return LeaderConstants.UNKNOWN_EPOCH;
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/leader/LeadershipClaim.java
@@ -0,0 +1,94 @@
+package fennelthread.leader;
+
+import fennelthread.net.EventLoop;
+import fennelthread.state.Keys;
+import fennelthread.state.Replica;
+import fennelthread.state.StateClient;
+import fennelthread.state.Txn;
+import fennelthread.state.TxnResult;
+import java.util.function.Consumer;
+
+/**
+ * Submits claims of the leadership. A claim is a lease at the state service, then a transaction
+ * that writes the leader's record, bound to that lease, and raises the epoch.
+ */
+final class LeadershipClaim {
+  /** How a claim ended. */
+  sealed interface Outcome {
+    /** The transaction was applied: the claimant leads. */
+    record Committed(
+        long epoch, long epochRevision, long storeLeaseId, long unboundedEpoch, Txn txn)
+        implements Outcome {}
+
+    /** Nothing was written, or what may have been written is undone by ending its lease. */
+    record Failed(String reason) implements Outcome {}
+  }
+
+  /** What a claim derives from the moment at which its lease was created. */
+  interface Terms {
+    /** The epoch to claim. */
+    long nextEpoch();
+
+    /** The last earlier epoch whose leader may answer reports without bound, 0 if none. */
+    long unboundedEpoch();
+  }
+
+  private final EventLoop eventLoop;
+  private final StateClient state;
+  private final Replica replica;
+  private final String member;
+  private final String incarnation;
+
+  LeadershipClaim(
+      EventLoop eventLoop, StateClient state, Replica replica, String member, String incarnation) {
+    this.eventLoop = eventLoop;
+    this.state = state;
+    this.replica = replica;
+    this.member = member;
+    this.incarnation = incarnation;
+  }
+
+  /**
+   * Claims the leadership.
+   *
+   * @param ttlMs the length of the lease at the state service, ms
+   * @param conditions under which the claim is valid; the epoch's revision is added to them
+   */
+  void submit(long ttlMs, Txn conditions, Terms terms, Consumer<Outcome> done) {
+    state.createLease(
+        ttlMs,
+        storeLeaseId -> {
+          if (storeLeaseId == 0) {
+            done.accept(new Outcome.Failed("no lease from the state service"));
+          } else {
+            commit(storeLeaseId, conditions, terms, done);
+          }
+        });
+  }
+
+  private void commit(long storeLeaseId, Txn conditions, Terms terms, Consumer<Outcome> done) {
+    EpochRecord epoch = new EpochRecord(terms.nextEpoch(), terms.unboundedEpoch());
+    LeaderRecord leader =
+        new LeaderRecord(
+            member, incarnation, epoch.epoch(), storeLeaseId, true, eventLoop.wallMs());
+    Txn txn =
+        conditions
+            .when(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
+            .writeBound(Keys.LEAD, leader.encode(), storeLeaseId)
+            .write(Keys.EPOCH, epoch.encode());
+    state.txn(
+        StateClient.Lane.ANSWER,
+        txn,
+        result -> {
+          if (result instanceof TxnResult.Applied applied) {
+            done.accept(
+                new Outcome.Committed(
+                    epoch.epoch(), applied.revision(), storeLeaseId, epoch.unboundedEpoch(), txn));
+          } else {
+            // Without an answer the claim may still be applied: ending its lease undoes it.
+            state.revokeLease(storeLeaseId, status -> {});
+            done.accept(new Outcome.Failed(result.toString()));
+          }
+        });
+  }
+}
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -12,66 +12,78 @@
 import fennelthread.state.TxnResult;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
-import java.util.function.BooleanSupplier;
-import java.util.function.LongUnaryOperator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The epoch lease. The leader's key is bound to a grant; the epoch's key is not, and rises at each
- * claim. The local lease is counted from a clock reading taken <em>before</em> the claim or renewal
- * was sent, so that it ends before the grant does, however long the request took.
+ * The right of this controller to lead: a state machine over a time-limited lease at the state
+ * service and the epoch, which rises at each claim and never expires.
+ *
+ * <p>The local lease is counted from a clock reading taken <em>before</em> the claim or renewal was
+ * sent, so that it expires before the lease at the state service does, however long the request
+ * took. Used on the event loop's thread.
  */
 public final class Lease {
   private static final Logger log = LoggerFactory.getLogger(Lease.class);
 
-  /** Where this controller stands. */
+  /** Whether this controller leads. */
   public enum Phase {
     /** Another controller leads, or nobody does yet. */
     FOLLOWING,
     /** A claim is under way. */
     CLAIMING,
-    /** The claim was applied. The local lease may be over all the same. */
+    /** The claim was applied. The local lease may have expired all the same. */
     LEADING
   }
 
-  /** Told when leading begins and ends. */
+  /** Is called when this controller begins and ceases to lead. */
   public interface Listener {
-    /** The claim was applied; nothing was read yet. */
-    void elected(long epoch, long epochRevision);
+    /** The claim of {@code epoch} was applied; nothing was read under it yet. */
+    void onElected(long epoch);
 
-    /** Leading is over. */
-    void deposed(String why);
+    /** This controller no longer leads. */
+    void onDeposed();
+  }
+
+  /** What the heartbeats of the peers say that the lease depends on. */
+  public interface PeerAssurance {
+    /** True if no peer can have become leader while the local lease is valid. */
+    boolean excludesOtherLeader();
+
+    /**
+     * Checks an epoch whose leader may answer reports until it learns of a later epoch.
+     *
+     * @return {@code epoch}, or 0 if every peer is known to have learned of a later one
+     */
+    long stillUnbounded(long epoch);
   }
 
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
+  private final LeaderRecords records;
+  private final LeadershipClaim claim;
+  private final PeerAssurance peers;
   private final Listener listener;
-  private final BooleanSupplier backed;
-  private final LongUnaryOperator stillUnbounded;
   private final String member;
   private final String incarnation;
-  private final long ttlMs;
-  private final long leaseMs;
+  private final long storeTtlMs;
+  private final long localTtlMs;
   private Phase phase = Phase.FOLLOWING;
   private long epoch;
   private long epochRevision;
   private long highestEpoch;
   private long unboundedEpoch;
   private long storeLeaseId;
-  private long leaseUntil = Long.MIN_VALUE;
-  private long notBefore;
-  private boolean claimPlanned;
-  private boolean endingOld;
+  private long localExpiryMs = Long.MIN_VALUE;
+  private long earliestClaimMs;
+  private boolean claimScheduled;
+  private boolean revokingPredecessor;
 
   /**
-   * Creates the lease of one process.
+   * Creates the lease of one process, which follows at first.
    *
-   * @param incarnation tells it from its predecessors
-   * @param backed whether nobody can have taken over before the grant's end
-   * @param stillUnbounded told the last epoch whose leader was of a version that answers reports
-   *     for as long as it hears of no later one, gives 0 if that one is known not to any more
+   * @param incarnation distinguishes the process from earlier ones of the same member
    */
   public Lease(
       EventLoop eventLoop,
@@ -80,140 +92,137 @@
       Settings settings,
       Options options,
       String incarnation,
-      BooleanSupplier backed,
-      LongUnaryOperator stillUnbounded,
+      PeerAssurance peers,
       Listener listener) {
     this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
+    this.records = new LeaderRecords(replica);
+    this.peers = peers;
     this.listener = listener;
-    this.backed = backed;
-    this.stillUnbounded = stillUnbounded;
     this.member = settings.member();
     this.incarnation = incarnation;
-    this.ttlMs =
-        options.grantMs() > 0
-            ? options.grantMs()
-            : Math.min(
-                10_000,
-                Math.max(
-                    2_000,
-                    (long) (settings.workers().leaseMs() * LeaderConstants.GRANT_SHARE_OF_LEASE)));
-    this.leaseMs =
-        (long) (ttlMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+    this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
+    this.storeTtlMs = storeTtlMs(settings, options);
+    this.localTtlMs =
+        (long) (storeTtlMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
-    replica.listen((key, value, revision) -> observe(key, value, revision));
+    replica.listen(this::onRecordChanged);
+  }
+
+  private static long storeTtlMs(Settings settings, Options options) {
+    if (options.grantMs() > 0) {
+      return options.grantMs();
+    }
+    long share =
+        (long) (settings.workers().leaseMs() * LeaderConstants.STORE_LEASE_SHARE_OF_WORKER_LEASE);
+    return Math.min(
+        LeaderConstants.MAX_STORE_LEASE_MS, Math.max(LeaderConstants.MIN_STORE_LEASE_MS, share));
   }
 
-  /** True between claim and step-down, even while the local lease is over. */
+  // ---------------------------------------------------------------- questions
+
+  /** True from a claim to the step-down, even while the local lease has expired. */
   public boolean isLeading() {
     return phase == Phase.LEADING;
   }
 
-  /** True if starts may be sent at this very moment. */
-  public boolean mayStart() {
-    return phase == Phase.LEADING && eventLoop.nowMs() < leaseUntil && backed.getAsBoolean();
+  /** True if tasks may be started at this very moment. */
+  public boolean mayStartTasks() {
+    return phase == Phase.LEADING
+        && eventLoop.nowMs() < localExpiryMs
+        && peers.excludesOtherLeader();
   }
 
-  /** Our epoch; only meaningful while leading. */
+  /** The epoch of this controller's own term; only meaningful while it leads. */
   public long epoch() {
     return epoch;
   }
 
-  /** The grant that we hold or held last. */
+  /** The lease at the state service that this controller holds or held last; 0 before the first. */
   public long storeLeaseId() {
     return storeLeaseId;
   }
 
-  /** The revision of the epoch's key that all our writes are conditional on. */
+  /** The revision of the epoch record that all of this leader's writes are conditional on. */
   public long epochRevision() {
     return epochRevision;
   }
 
   /**
-   * The last epoch before ours whose leader may answer reports without bound, 0 if there is none;
-   * only meaningful while leading.
+   * The last epoch before this controller's own whose leader may answer reports for an unbounded
+   * time, 0 if there is none; only meaningful while leading.
    */
   public long unboundedEpoch() {
     return unboundedEpoch;
   }
 
-  /** A transaction that is refused once another controller has claimed: all our writes are such. */
-  public Txn fenced() {
-    return new Txn().when(Keys.EPOCH, epochRevision);
-  }
-
-  /** Looks at why a fenced transaction failed: if the epoch has moved on, leading is over. */
-  void refused(TxnResult result) {
-    if (result instanceof TxnResult.Conflict c && c.failed().contains(Keys.EPOCH)) {
-      stepDown("the epoch has moved on", 0);
-    }
-  }
-
-  /** The highest epoch heard of from anyone. */
+  /** The highest epoch observed from anyone: the state service, peers or workers. */
   public long highestEpoch() {
     return highestEpoch;
   }
 
-  /** The member that leads as far as we know, or null. */
+  /** The member that leads as far as this controller knows, or null. */
   public String leaderMember() {
-    if (phase == Phase.LEADING) {
-      return member;
-    }
-    try {
-      Fields lead = replica.get(Keys.LEAD);
-      return lead == null ? null : lead.text("member");
-    } catch (WireException e) {
-      return null;
-    }
+    return phase == Phase.LEADING
+        ? member
+        : records.leader().map(LeaderRecord::member).orElse(null);
   }
 
-  /** The epoch of {@link #leaderMember}, 0 if nobody leads as far as we know. */
+  /** The epoch of {@link #leaderMember}, 0 if nobody leads as far as this controller knows. */
   public long leaderEpoch() {
-    if (phase == Phase.LEADING) {
-      return epoch;
-    }
-    try {
-      Fields lead = replica.get(Keys.LEAD);
-      return lead == null ? 0 : lead.count("epoch");
-    } catch (WireException e) {
-      return 0;
-    }
+    return phase == Phase.LEADING ? epoch : records.leader().map(LeaderRecord::epoch).orElse(0L);
   }
 
-  /** The highest epoch that our copy of the state has reached, 0 before the first. */
+  /** The highest epoch in this controller's copy of the state, 0 before the first. */
   public long recordedEpoch() {
-    try {
-      Fields known = replica.get(Keys.EPOCH);
-      return known == null ? 0 : known.count("epoch");
-    } catch (WireException e) {
-      return 0;
+    return records.recordedEpoch();
+  }
+
+  // ---------------------------------------------------------------- fencing
+
+  /**
+   * An empty transaction that is refused once another controller has claimed a higher epoch. All
+   * writes of a leader begin with it.
+   */
+  public Txn fencedTxn() {
+    return new Txn().when(Keys.EPOCH, epochRevision);
+  }
+
+  /** Steps down if a fenced transaction failed because the epoch has moved on. */
+  void onTxnRejected(TxnResult result) {
+    if (result instanceof TxnResult.Conflict conflict && conflict.failed().contains(Keys.EPOCH)) {
+      stepDown("transaction fenced off", 0);
     }
   }
 
-  /** Takes note of an epoch; a leader of an older one stops at once. */
-  public void observeEpoch(long other) {
-    highestEpoch = Math.max(highestEpoch, other);
-    if (phase == Phase.LEADING && other > epoch) {
-      stepDown("epoch " + other + " was claimed", 0);
+  /** Takes note of an epoch; a leader of a lower one steps down at once. */
+  public void observeEpoch(long observed) {
+    highestEpoch = Math.max(highestEpoch, observed);
+    if (phase == Phase.LEADING && observed > epoch) {
+      stepDown("higher epoch " + observed + " observed", 0);
     }
   }
 
-  /** Stops leading; claims again only after {@code pauseMs}. */
-  public void stepDown(String why, long pauseMs) {
-    if (phase != Phase.LEADING) {
-      return;
+  private void onRecordChanged(String key, Fields value, long revision) {
+    if (key.equals(Keys.EPOCH) && value != null) {
+      try {
+        observeEpoch(EpochRecord.decode(value).epoch());
+      } catch (WireException e) {
+        log.error("record unreadable key={} error={}", key, e.getMessage());
+      }
+    } else if (key.equals(Keys.LEAD)) {
+      if (phase == Phase.LEADING && value == null && revision > epochRevision) {
+        stepDown("lease at the state service expired", 0);
+      }
+      claimIfVacant();
     }
-    notBefore = eventLoop.nowMs() + pauseMs;
-    leaseUntil = Long.MIN_VALUE;
-    long old = storeLeaseId;
-    moveTo(Phase.FOLLOWING, why);
-    state.revokeLease(old, status -> {});
-    listener.deposed(why);
-    eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::consider);
   }
 
-  private void moveTo(Phase next, String why) {
+  // ---------------------------------------------------------------- changes of phase
+
+  /** The only place where the phase changes. */
+  private void transitionTo(Phase next, String reason) {
     boolean allowed =
         switch (phase) {
           case FOLLOWING -> next == Phase.CLAIMING;
@@ -221,218 +230,202 @@
           case LEADING -> next == Phase.FOLLOWING;
         };
     if (!allowed) {
-      throw new IllegalStateException(phase + " -> " + next);
+      throw new IllegalStateException("leadership: " + phase + " -> " + next);
     }
-    log.info("{} -> {} (epoch {}): {}", phase, next, epoch, why);
+    log.info("leadership changed from={} to={} epoch={} reason={}", phase, next, epoch, reason);
     phase = next;
   }
 
-  private void observe(String key, Fields value, long revision) {
-    try {
-      if (key.equals(Keys.EPOCH) && value != null) {
-        observeEpoch(value.count("epoch"));
-      } else if (key.equals(Keys.LEAD)) {
-        if (phase == Phase.LEADING && value == null && revision > epochRevision) {
-          stepDown("the grant has ended", 0);
-        }
-        consider();
-      }
-    } catch (WireException e) {
-      log.error("unreadable {}: {}", key, e.getMessage());
+  /** Stops leading, if it does; claims again no sooner than {@code pauseMs} from now. */
+  public void stepDown(String reason, long pauseMs) {
+    if (phase != Phase.LEADING) {
+      return;
     }
+    earliestClaimMs = eventLoop.nowMs() + pauseMs;
+    localExpiryMs = Long.MIN_VALUE;
+    long heldLeaseId = storeLeaseId;
+    transitionTo(Phase.FOLLOWING, reason);
+    state.revokeLease(heldLeaseId, status -> {});
+    listener.onDeposed();
+    eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::claimIfVacant);
   }
 
-  /** Claims if nobody leads; ends the grant of this controller's own dead predecessor. */
-  public void consider() {
+  /**
+   * Schedules a claim if nobody leads. If the recorded leader is an earlier process of this member,
+   * its lease is revoked instead of waited for.
+   */
+  public void claimIfVacant() {
     if (phase != Phase.FOLLOWING || !replica.isReady()) {
       return;
     }
-    Fields lead = replica.get(Keys.LEAD);
-    if (lead != null) {
-      endPredecessor(lead);
-      return;
-    }
-    if (claimPlanned) {
-      return;
+    if (records.hasLeader()) {
+      records
+          .leader()
+          .ifPresentOrElse(
+              this::revokeLeaseOfPredecessor,
+              () -> log.error("record unreadable key={}", Keys.LEAD));
+    } else if (!claimScheduled) {
+      scheduleClaim();
     }
-    claimPlanned = true;
-    long wait = Math.max(0, notBefore - eventLoop.nowMs());
+  }
+
+  private void scheduleClaim() {
+    claimScheduled = true;
+    long waitMs = Math.max(0, earliestClaimMs - eventLoop.nowMs());
     eventLoop.after(
-        wait + (long) (LeaderConstants.CLAIM_SPREAD_MS * eventLoop.random().nextDouble()),
+        waitMs + (long) (LeaderConstants.CLAIM_JITTER_MS * eventLoop.random().nextDouble()),
         () -> {
-          claimPlanned = false;
-          if (phase == Phase.FOLLOWING && replica.isReady() && replica.get(Keys.LEAD) == null) {
-            claim();
+          claimScheduled = false;
+          if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
+            startClaim("no leader", new Txn().when(Keys.LEAD, 0));
           }
         });
   }
 
-  private void endPredecessor(Fields lead) {
-    try {
-      if (endingOld
-          || !lead.text("member").equals(member)
-          || lead.text("incarnation").equals(incarnation)) {
-        return;
-      }
-      endingOld = true;
-      if (Math.abs(eventLoop.wallMs() - lead.count("at_ms", 0)) < LeaderConstants.FLAPPING_MS) {
-        // Our predecessor ended soon after its claim, and so may we: whoever runs well goes first.
-        // A process
-        // that ends at once each time would otherwise lead for ever, a moment at a time.
-        notBefore = Math.max(notBefore, eventLoop.nowMs() + LeaderConstants.FLAPPING_PAUSE_MS);
-      }
-      state.revokeLease(
-          lead.count("permiso"),
-          status -> {
-            endingOld = false;
-            if (status != 200 && status != 404) {
-              eventLoop.after(ProtocolConstants.RETRY_MS, this::consider);
-            }
-          });
-    } catch (WireException e) {
-      log.error("unreadable leader record: {}", e.getMessage());
+  private void revokeLeaseOfPredecessor(LeaderRecord leader) {
+    if (revokingPredecessor
+        || !leader.member().equals(member)
+        || leader.incarnation().equals(incarnation)) {
+      return;
     }
+    revokingPredecessor = true;
+    if (Math.abs(eventLoop.wallMs() - leader.claimedAtWallMs())
+        < LeaderConstants.CRASH_LOOP_WINDOW_MS) {
+      // The predecessor ended soon after its claim, and so may this process: a member that runs
+      // well goes first. A process that ends at once each time would otherwise lead for ever, a
+      // moment at a time.
+      earliestClaimMs =
+          Math.max(earliestClaimMs, eventLoop.nowMs() + LeaderConstants.CRASH_LOOP_PAUSE_MS);
+    }
+    state.revokeLease(
+        leader.storeLeaseId(),
+        status -> {
+          revokingPredecessor = false;
+          if (status != 200 && status != 404) {
+            eventLoop.after(ProtocolConstants.RETRY_MS, this::claimIfVacant);
+          }
+        });
   }
 
-  private void claim() {
-    claim("nobody leads", new Txn().when(Keys.LEAD, 0));
-  }
-
-  /** True if the leader of this epoch is another and says in its record that it minds promises. */
-  public boolean mayBeTaken(long ofEpoch) {
-    try {
-      Fields lead = replica.get(Keys.LEAD);
-      return phase == Phase.FOLLOWING
-          && replica.isReady()
-          && lead != null
-          && lead.count("epoch") == ofEpoch
-          && lead.optFlag("promises")
-          && !lead.text("member").equals(member);
-    } catch (WireException e) {
-      return false;
-    }
+  /**
+   * True if another member leads under this epoch, and its version starts tasks only while its
+   * peers' promises back it: then a majority of them may replace it while its lease still runs.
+   */
+  public boolean isTakeoverPossible(long ofEpoch) {
+    return phase == Phase.FOLLOWING
+        && replica.isReady()
+        && records
+            .leader()
+            .filter(leader -> leader.epoch() == ofEpoch)
+            .filter(leader -> leader.honorsPromises() && !leader.member().equals(member))
+            .isPresent();
   }
 
   /**
-   * Claims from a leader whose grant still runs: a majority has agreed to it while the leader's
-   * word about going alone had {@code soloRevision}.
+   * Claims from a silent leader whose lease still runs.
+   *
+   * @param fromEpoch the leader's epoch, which a majority has agreed to end
+   * @param unilateralRevision the revision that the leader's declaration of unilateral leadership
+   *     had when they agreed
    */
-  public void takeOver(long fromEpoch, long soloRevision) {
-    if (mayBeTaken(fromEpoch) && highestEpoch == fromEpoch) {
-      claim(
-          "the leader is silent",
-          new Txn().when(Keys.LEAD, replica.revisionOf(Keys.LEAD)).when(Keys.SOLO, soloRevision));
+  public void takeOver(long fromEpoch, long unilateralRevision) {
+    if (isTakeoverPossible(fromEpoch) && highestEpoch == fromEpoch) {
+      startClaim(
+          "leader silent",
+          new Txn()
+              .when(Keys.LEAD, replica.revisionOf(Keys.LEAD))
+              .when(Keys.SOLO, unilateralRevision));
     }
   }
 
-  private void claim(String why, Txn conditions) {
-    moveTo(Phase.CLAIMING, why);
-    long t0 = eventLoop.nowMs();
-    state.createLease(
-        ttlMs,
-        id -> {
-          if (id == 0) {
-            giveUp("no grant");
-            return;
+  // ---------------------------------------------------------------- claim and renewal
+
+  private void startClaim(String reason, Txn conditions) {
+    transitionTo(Phase.CLAIMING, reason);
+    long sentAtMs = eventLoop.nowMs();
+    claim.submit(
+        storeTtlMs,
+        conditions,
+        new NextTerm(),
+        outcome -> {
+          if (outcome instanceof LeadershipClaim.Outcome.Committed committed) {
+            onClaimCommitted(committed, sentAtMs);
+          } else if (outcome instanceof LeadershipClaim.Outcome.Failed failed) {
+            onClaimFailed(failed.reason());
           }
-          long next = Math.max(highestEpoch, 0) + 1;
-          long unbounded = unboundedBefore();
-          Txn txn =
-              conditions
-                  .when(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
-                  .writeBound(
-                      Keys.LEAD,
-                      Fields.create()
-                          .with("member", member)
-                          .with("incarnation", incarnation)
-                          .with("epoch", next)
-                          .with("permiso", id)
-                          .with("promises", true)
-                          .with("at_ms", eventLoop.wallMs()),
-                      id)
-                  .write(
-                      Keys.EPOCH,
-                      Fields.create()
-                          .with("epoch", next)
-                          .with("keeps", true)
-                          .with("unbounded", unbounded));
-          state.txn(
-              StateClient.Lane.ANSWER,
-              txn,
-              result -> {
-                if (result instanceof TxnResult.Applied applied) {
-                  unboundedEpoch = unbounded;
-                  won(next, applied.revision(), id, t0, txn);
-                } else {
-                  // Without an answer the claim may still be applied: ending its grant undoes it.
-                  state.revokeLease(id, status -> {});
-                  giveUp(result.toString());
-                }
-              });
         });
   }
 
-  /**
-   * The same for the epoch that is about to be claimed; the claim is conditional on what this
-   * reads.
-   */
-  private long unboundedBefore() {
-    try {
-      Fields known = replica.get(Keys.EPOCH);
-      if (known == null) {
-        return 0;
-      }
-      long last = known.optFlag("keeps") ? known.count("unbounded", 0) : known.count("epoch");
-      return last == 0 ? 0 : stillUnbounded.applyAsLong(last);
-    } catch (WireException e) {
-      return Long.MAX_VALUE;
+  private final class NextTerm implements LeadershipClaim.Terms {
+    @Override
+    public long nextEpoch() {
+      return highestEpoch + 1;
+    }
+
+    @Override
+    public long unboundedEpoch() {
+      long last = records.unboundedEpoch();
+      return last == 0 || last == LeaderConstants.UNKNOWN_EPOCH ? last : peers.stillUnbounded(last);
     }
   }
 
-  private void giveUp(String why) {
-    moveTo(Phase.FOLLOWING, why);
+  private void onClaimFailed(String reason) {
+    transitionTo(Phase.FOLLOWING, reason);
     eventLoop.after(
         (long) (ProtocolConstants.RETRY_MS * (0.5 + eventLoop.random().nextDouble())),
-        this::consider);
-  }
-
-  private void won(long next, long revision, long id, long t0, Txn txn) {
-    epoch = next;
-    epochRevision = revision;
-    storeLeaseId = id;
-    leaseUntil = t0 + leaseMs;
-    highestEpoch = Math.max(highestEpoch, next);
-    moveTo(Phase.LEADING, "claimed");
-    listener.elected(epoch, epochRevision);
-    replica.applied(txn, revision);
-    if (phase == Phase.LEADING && epoch == next) {
-      eventLoop.after(ttlMs / LeaderConstants.RENEWALS_PER_GRANT, () -> renew(next));
+        this::claimIfVacant);
+  }
+
+  private void onClaimCommitted(LeadershipClaim.Outcome.Committed committed, long sentAtMs) {
+    long claimedEpoch = committed.epoch();
+    epoch = claimedEpoch;
+    epochRevision = committed.epochRevision();
+    storeLeaseId = committed.storeLeaseId();
+    unboundedEpoch = committed.unboundedEpoch();
+    localExpiryMs = sentAtMs + localTtlMs;
+    highestEpoch = Math.max(highestEpoch, claimedEpoch);
+    transitionTo(Phase.LEADING, "claim committed");
+    listener.onElected(claimedEpoch);
+    replica.applied(committed.txn(), committed.epochRevision());
+    // What the listener or the copy of the state has brought may have ended it already.
+    if (isLeadingUnder(claimedEpoch)) {
+      scheduleRenewal(claimedEpoch, storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE);
     }
   }
 
-  private void renew(long of) {
-    if (phase != Phase.LEADING || epoch != of) {
+  private boolean isLeadingUnder(long ofEpoch) {
+    return phase == Phase.LEADING && epoch == ofEpoch;
+  }
+
+  private void scheduleRenewal(long ofEpoch, long delayMs) {
+    eventLoop.after(delayMs, () -> renew(ofEpoch));
+  }
+
+  private void renew(long ofEpoch) {
+    if (!isLeadingUnder(ofEpoch)) {
       return;
     }
-    long t0 = eventLoop.nowMs();
-    state.renewLease(
-        storeLeaseId,
-        status -> {
-          if (phase != Phase.LEADING || epoch != of) {
-            return;
-          }
-          if (status == 404) {
-            stepDown("the grant has ended", 0);
-            return;
-          }
-          boolean good = status == 200;
-          if (good) {
-            leaseUntil = Math.max(leaseUntil, t0 + leaseMs);
-          }
-          long spent = eventLoop.nowMs() - t0;
-          long pause =
-              good ? ttlMs / LeaderConstants.RENEWALS_PER_GRANT : ProtocolConstants.RETRY_MS / 2;
-          eventLoop.after(Math.max(20, pause - spent), () -> renew(of));
-        });
+    long sentAtMs = eventLoop.nowMs();
+    state.renewLease(storeLeaseId, status -> onRenewalAnswered(ofEpoch, sentAtMs, status));
+  }
+
+  private void onRenewalAnswered(long ofEpoch, long sentAtMs, int status) {
+    if (!isLeadingUnder(ofEpoch)) {
+      return;
+    }
+    if (status == 404) {
+      stepDown("lease at the state service expired", 0);
+      return;
+    }
+    boolean renewed = status == 200;
+    if (renewed) {
+      localExpiryMs = Math.max(localExpiryMs, sentAtMs + localTtlMs);
+    }
+    long intervalMs =
+        renewed
+            ? storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE
+            : ProtocolConstants.RETRY_MS / 2;
+    long spentMs = eventLoop.nowMs() - sentAtMs;
+    scheduleRenewal(ofEpoch, Math.max(LeaderConstants.MIN_RENEWAL_PAUSE_MS, intervalMs - spentMs));
   }
 }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -107,7 +107,7 @@
                 fetching,
                 classes,
                 running,
-                LeaderConstants.TASKS_PER_REPORT - reported);
+                LeaderConstants.MAX_TASKS_PER_MACHINE - reported);
     // Last: noting an image above may have changed the machine once more.
     version = m.version();
   }
--- a/src/main/java/fennelthread/leader/PassedOverJobs.java
+++ b/src/main/java/fennelthread/leader/PassedOverJobs.java
@@ -26,7 +26,7 @@
     Set<String> overdue = new HashSet<>();
     sinceMs.forEach(
         (id, since) -> {
-          if (nowMs - since > LeaderConstants.PASSED_OVER_MS) {
+          if (nowMs - since > LeaderConstants.MAX_PASSED_OVER_MS) {
             overdue.add(id);
           }
         });
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -69,20 +69,22 @@
 
   /** Removes some, if it is time to. */
   void tick() {
-    if (sweeping || !lease.mayStart() || eventLoop.nowMs() - sweptAt < LeaderConstants.SWEEP_MS) {
+    if (sweeping
+        || !lease.mayStartTasks()
+        || eventLoop.nowMs() - sweptAt < LeaderConstants.COLLECTION_INTERVAL_MS) {
       return;
     }
     sweptAt = eventLoop.nowMs();
     Census census = look();
     boolean tooMany = tooMany(census);
-    Txn txn = lease.fenced();
+    Txn txn = lease.fencedTxn();
     int most = limits.txnOps();
     for (String key : census.obsolete) {
       if (txn.ops() < most) {
         txn.remove(key);
       }
     }
-    while (spare.size() > LeaderConstants.SPARE_RECORDS && txn.ops() < most) {
+    while (spare.size() > LeaderConstants.MAX_FREE_RECORD_KEYS && txn.ops() < most) {
       // A removal that got no answer may be applied late: not to what a round has written there
       // since.
       String key = spare.take();
@@ -115,7 +117,7 @@
               sweptAt = Long.MIN_VALUE / 2;
             }
           } else {
-            lease.refused(result);
+            lease.onTxnRejected(result);
           }
         });
   }
@@ -124,7 +126,7 @@
   private Census look() {
     Census census = new Census();
     String ours = Keys.rounds(lease.epoch());
-    int fewLive = recordCapacity() / LeaderConstants.SPARSE_RECORD_PARTS;
+    int fewLive = recordCapacity() / LeaderConstants.SPARSE_RECORD_DIVISOR;
     for (Map.Entry<String, StartRecord> e : table.rounds().entrySet()) {
       if (rounds.isWriting(e.getKey())) {
         // It may be in the replica before its attempts are.
@@ -165,9 +167,10 @@
   private boolean tooMany(Census census) {
     int needed = 1 + census.live / recordCapacity();
     return table.rounds().size() - spare.size()
-            > LeaderConstants.RECORDS_PER_NEEDED * needed + LeaderConstants.RECORDS_SLACK
+            > LeaderConstants.MAX_RECORDS_PER_NEEDED * needed + LeaderConstants.RECORD_COUNT_SLACK
         || census.starts
-            > LeaderConstants.RECORDS_PER_NEEDED * census.live + LeaderConstants.STARTS_SLACK;
+            > LeaderConstants.MAX_RECORDS_PER_NEEDED * census.live
+                + LeaderConstants.START_COUNT_SLACK;
   }
 
   /**
--- a/src/main/java/fennelthread/leader/RunTimes.java
+++ b/src/main/java/fennelthread/leader/RunTimes.java
@@ -11,8 +11,8 @@
  */
 final class RunTimes {
   private static final class Ratio {
-    double sum = LeaderConstants.RUN_TIME_PRIOR;
-    double weight = LeaderConstants.RUN_TIME_PRIOR;
+    double sum = LeaderConstants.RUN_TIME_PRIOR_WEIGHT;
+    double weight = LeaderConstants.RUN_TIME_PRIOR_WEIGHT;
   }
 
   private final Map<String, Ratio> byClass = new HashMap<>();
@@ -21,9 +21,9 @@
   void learn(JobSpec spec, double tookS) {
     Ratio r = byClass.computeIfAbsent(spec.jobClass(), k -> new Ratio());
     r.sum =
-        r.sum * LeaderConstants.RUN_TIME_FADE
-            + Math.min(LeaderConstants.RUN_TIME_MOST, tookS / spec.estimateS());
-    r.weight = r.weight * LeaderConstants.RUN_TIME_FADE + 1;
+        r.sum * LeaderConstants.RUN_TIME_DECAY
+            + Math.min(LeaderConstants.MAX_RUN_TIME_RATIO, tookS / spec.estimateS());
+    r.weight = r.weight * LeaderConstants.RUN_TIME_DECAY + 1;
   }
 
   /** The time that a task of the job is expected to run, s; 0 for services. */
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -151,7 +151,7 @@
 
   /** Makes a round if none was made for long: for what no event announced. */
   void tick() {
-    if (eventLoop.nowMs() - lastAt >= LeaderConstants.ROUND_IDLE_MS) {
+    if (eventLoop.nowMs() - lastAt >= LeaderConstants.MAX_ROUND_INTERVAL_MS) {
       changed();
     }
   }
@@ -174,7 +174,7 @@
 
   private void make() {
     lastAt = eventLoop.nowMs();
-    if (!lease.mayStart()) {
+    if (!lease.mayStartTasks()) {
       moveTo(Phase.IDLE);
       return;
     }
@@ -216,7 +216,7 @@
   }
 
   private void write(List<Plan.Start> starts) {
-    Txn txn = lease.fenced();
+    Txn txn = lease.fencedTxn();
     Map<Machine, List<Attempt>> byMachine = new LinkedHashMap<>();
     StartRecord.Packer records = new StartRecord.Packer(limits.valueBytes(), limits.txnOps());
     Set<String> jobs = new HashSet<>();
@@ -265,7 +265,7 @@
     } else {
       log.info("round abandoned: {}", result);
       byMachine.forEach(this::drop);
-      lease.refused(result);
+      lease.onTxnRejected(result);
       pausedUntil = eventLoop.nowMs() + ProtocolConstants.RETRY_MS;
     }
     changed();
@@ -274,7 +274,7 @@
   private void sendStarts(Map<Machine, List<Attempt>> byMachine) {
     // The check that the paper's first counterexample is about: between the claim, or the last
     // renewal, and this moment the lease may have run out, however well the write went.
-    if (!lease.mayStart()) {
+    if (!lease.mayStartTasks()) {
       log.info("round abandoned: the local lease is over");
       byMachine.forEach(this::drop);
       return;
@@ -353,7 +353,7 @@
 
   private int mostStarts() {
     return Math.min(
-        LeaderConstants.STARTS_PER_ROUND,
+        LeaderConstants.MAX_STARTS_PER_ROUND,
         limits.txnOps() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 }
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -285,10 +285,10 @@
     if (isOver()) {
       return;
     }
-    if (phase == Phase.ACTIVE && lease.mayStart()) {
+    if (phase == Phase.ACTIVE && lease.mayStartTasks()) {
       provisioner.tick(scheduling.unplaced());
     }
-    eventLoop.after(LeaderConstants.RENT_EVERY_MS, this::rentTick);
+    eventLoop.after(LeaderConstants.PROVISIONING_INTERVAL_MS, this::rentTick);
   }
 
   /** Answers a report that came by a peer or directly; null if we are not entitled to. */
@@ -338,7 +338,7 @@
   @Override
   public boolean mayStart(Attempt a) {
     return phase == Phase.ACTIVE
-        && lease.mayStart()
+        && lease.mayStartTasks()
         && activeJobs.of(a) != null
         && !isJobOver.test(a.start().task().job());
   }
--- a/src/test/java/fennelthread/leader/PassedOverJobsTest.java
+++ b/src/test/java/fennelthread/leader/PassedOverJobsTest.java
@@ -13,11 +13,11 @@
   void countsOnlyWithoutAPause() {
     PassedOverJobs jobs = new PassedOverJobs();
     jobs.update(A, 0);
-    jobs.update(A, LeaderConstants.PASSED_OVER_MS);
-    assertEquals(Set.of(), jobs.overdue(LeaderConstants.PASSED_OVER_MS));
-    assertEquals(A, jobs.overdue(LeaderConstants.PASSED_OVER_MS + 1));
-    jobs.update(Set.of(), LeaderConstants.PASSED_OVER_MS + 2);
-    jobs.update(A, LeaderConstants.PASSED_OVER_MS + 3);
-    assertEquals(Set.of(), jobs.overdue(LeaderConstants.PASSED_OVER_MS + 4));
+    jobs.update(A, LeaderConstants.MAX_PASSED_OVER_MS);
+    assertEquals(Set.of(), jobs.overdue(LeaderConstants.MAX_PASSED_OVER_MS));
+    assertEquals(A, jobs.overdue(LeaderConstants.MAX_PASSED_OVER_MS + 1));
+    jobs.update(Set.of(), LeaderConstants.MAX_PASSED_OVER_MS + 2);
+    jobs.update(A, LeaderConstants.MAX_PASSED_OVER_MS + 3);
+    assertEquals(Set.of(), jobs.overdue(LeaderConstants.MAX_PASSED_OVER_MS + 4));
   }
 }
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -223,7 +223,7 @@
     for (Job j : jobs) {
       byId.put("job-" + j.order, j);
       if (j.startedAt < 0) {
-        double work = j.what.cpus * Math.pow(0.5, (now - j.at) / LeaderConstants.WORK_HALVED_MS);
+        double work = j.what.cpus * Math.pow(0.5, (now - j.at) / LeaderConstants.WORK_HALF_LIFE_MS);
         pendingJobs.add(
             pendingJob(
                 j.order,
