--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -41,8 +41,8 @@
     /** The claim of {@code epoch} was applied; nothing was read under it yet. */
     void onElected(long epoch);
 
-    /** This controller no longer leads. */
-    void onDeposed();
+    /** This controller no longer leads; {@code reason} is for the log. */
+    void onDeposed(String reason);
   }
 
   /** What the heartbeats of the peers say that the lease depends on. */
@@ -246,7 +246,7 @@
     long heldLeaseId = storeLeaseId;
     transitionTo(Phase.FOLLOWING, reason);
     state.revokeLease(heldLeaseId, status -> {});
-    listener.onDeposed();
+    listener.onDeposed(reason);
     eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::claimIfVacant);
   }
 
