--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -71,7 +71,7 @@
         fetching.add(spec.image());
       }
       if (a.phase() != Attempt.Phase.RECORDED
-          && a.phase() != Attempt.Phase.CARRIED
+          && a.phase() != Attempt.Phase.DEFERRED
           && a.phase() != Attempt.Phase.SENT) {
         running.add(
             new Snapshot.RunningTask(
@@ -80,7 +80,7 @@
                 s.task().index(),
                 s.attempt(),
                 m.name(),
-                a.isStopping(),
+                a.isStopRequested(),
                 s.cpus(),
                 s.cards(),
                 s.memGb(),
@@ -106,7 +106,7 @@
                 fetching,
                 classes,
                 running,
-                LeaderConstants.TASKS_PER_REPORT - reported);
+                LeaderConstants.MAX_TASKS_PER_MACHINE - reported);
     // Last: noting an image above may have changed the machine once more.
     version = m.version();
   }
