--- a/src/main/java/fennelthread/election/Membership.java
+++ b/src/main/java/fennelthread/election/Membership.java
@@ -172,7 +172,7 @@
         on,
         lease.epoch(),
         replica.revisionOf(Keys.UNILATERAL_LEADERSHIP),
-        lease::fenced,
+        lease::fencedTxn,
         (txn, applied) -> replica.applyCommitted(txn, applied.revision()));
   }
 
@@ -215,7 +215,7 @@
    * alone.
    */
   private boolean isTakeable() {
-    return lease.mayBeTaken(view.epoch()) && soloEpoch() != view.epoch();
+    return lease.isTakeoverPossible(view.epoch()) && soloEpoch() != view.epoch();
   }
 
   private long soloEpoch() {
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -153,7 +153,7 @@
 
   /** Makes a round if none was made for long: for what no event announced. */
   void tick() {
-    if (eventLoop.nowMs() - lastAt >= LeaderConstants.ROUND_IDLE_MS) {
+    if (eventLoop.nowMs() - lastAt >= LeaderConstants.MAX_ROUND_INTERVAL_MS) {
       changed();
     }
   }
@@ -176,7 +176,7 @@
 
   private void make() {
     lastAt = eventLoop.nowMs();
-    if (!lease.mayStart()) {
+    if (!lease.mayStartTasks()) {
       moveTo(Phase.IDLE);
       return;
     }
@@ -218,7 +218,7 @@
   }
 
   private void write(List<Plan.Start> starts) {
-    Txn txn = lease.fenced();
+    Txn txn = lease.fencedTxn();
     Map<Machine, List<Attempt>> byMachine = new LinkedHashMap<>();
     StartRecordPacker records = new StartRecordPacker(limits.valueBytes(), limits.txnChanges());
     Set<String> jobs = new HashSet<>();
@@ -267,7 +267,7 @@
     } else {
       log.info("round abandoned: {}", result);
       byMachine.forEach(this::drop);
-      lease.refused(result);
+      lease.onTxnRejected(result);
       pausedUntil = eventLoop.nowMs() + ProtocolConstants.RETRY_MS;
     }
     changed();
@@ -276,7 +276,7 @@
   private void sendStarts(Map<Machine, List<Attempt>> byMachine) {
     // The check that the paper's first counterexample is about: between the claim, or the last
     // renewal, and this moment the lease may have run out, however well the write went.
-    if (!lease.mayStart()) {
+    if (!lease.mayStartTasks()) {
       log.info("round abandoned: the local lease is over");
       byMachine.forEach(this::drop);
       return;
@@ -356,7 +356,7 @@
 
   private int mostStarts() {
     return Math.min(
-        LeaderConstants.STARTS_PER_ROUND,
+        LeaderConstants.MAX_STARTS_PER_ROUND,
         limits.txnChanges() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 }
