--- a/src/main/java/fennelthread/leader/LeadershipClaim.java
+++ b/src/main/java/fennelthread/leader/LeadershipClaim.java
@@ -76,7 +76,7 @@
     Txn txn =
         conditions
             .when(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
-            .writeBound(Keys.LEADER, leader.encode(), storeLeaseId)
+            .writeWithLease(Keys.LEADER, leader.encode(), storeLeaseId)
             .write(Keys.EPOCH, epoch.encode());
     state.txn(
         RequestPriority.INTERACTIVE,
