--- a/src/main/java/fennelthread/fleet/AggregatedLog.java
+++ b/src/main/java/fennelthread/fleet/AggregatedLog.java
@@ -6,58 +6,67 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 
 /**
- * What happens to many machines at once, as one line a second. A line for each once came to 150 a
- * second, and writing them took processor time that the leader needed.
+ * A log of events that happen to many machines at once, with one line a second for each kind. A
+ * line for each event once came to 150 a second, and writing them took processor time that the
+ * leader needed.
  */
 final class AggregatedLog {
-  private static final class Count {
+
+  /** Writes one line of the log. */
+  @FunctionalInterface
+  interface LineWriter {
+    void write(String line);
+  }
+
+  private static final class EventCount {
     final Set<String> machines = new LinkedHashSet<>();
     int events;
   }
 
   private final EventLoop eventLoop;
-  private final Consumer<String> log;
-  private final Map<String, Count> counts = new LinkedHashMap<>();
+  private final LineWriter writer;
+  private final Map<String, EventCount> counts = new LinkedHashMap<>();
 
-  /** Creates a tally; {@code log} gets its lines. */
-  AggregatedLog(EventLoop eventLoop, Consumer<String> log) {
+  AggregatedLog(EventLoop eventLoop, LineWriter writer) {
     this.eventLoop = eventLoop;
-    this.log = log;
+    this.writer = writer;
   }
 
-  /** Something happened to a machine, so many times. */
-  void add(String what, String machine, int times) {
+  /**
+   * Records that an event has happened to a machine.
+   *
+   * @param event the event phrase, with keys and values that all its machines share
+   * @param times how often it has happened
+   */
+  void add(String event, String machine, int times) {
     if (counts.isEmpty()) {
-      eventLoop.after(FleetConstants.TALLY_MS, this::flush);
+      eventLoop.after(FleetConstants.LOG_AGGREGATION_MS, this::flush);
     }
-    Count count = counts.computeIfAbsent(what, k -> new Count());
+    EventCount count = counts.computeIfAbsent(event, k -> new EventCount());
     count.machines.add(machine);
     count.events += times;
   }
 
   private void flush() {
-    counts.forEach((what, count) -> log.accept(line(what, count)));
+    counts.forEach((event, count) -> writer.write(lineOf(event, count)));
     counts.clear();
   }
 
-  private static String line(String what, Count count) {
-    StringBuilder line = new StringBuilder(what).append(": ");
-    if (count.events != count.machines.size()) {
-      line.append(count.events).append(" on ");
-    }
-    line.append(count.machines.size())
-        .append(count.machines.size() == 1 ? " machine (" : " machines (");
+  /** Formats one line: {@code <event> events=5 machines=3 names=a,b,c}. */
+  private static String lineOf(String event, EventCount count) {
+    StringBuilder line = new StringBuilder(event);
+    line.append(" events=").append(count.events);
+    line.append(" machines=").append(count.machines.size()).append(" names=");
     int named = 0;
     for (String machine : count.machines) {
-      if (named == FleetConstants.TALLY_NAMES) {
-        line.append(", ...");
+      if (named == FleetConstants.LOG_MAX_NAMES) {
+        line.append(",...");
         break;
       }
-      line.append(named++ == 0 ? "" : ", ").append(machine);
+      line.append(named++ == 0 ? "" : ",").append(machine);
     }
-    return line.append(')').toString();
+    return line.toString();
   }
 }
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -6,15 +6,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One attempt at a task on one machine, from its round record until it is proven gone. */
+/** One attempt at a task on one machine, from its start record until it is proven gone. */
 public final class Attempt {
   private static final Logger log = LoggerFactory.getLogger(Attempt.class);
 
-  /** Where an attempt stands. All but ENDED and GONE may be running on the machine. */
+  /** The phases of an attempt. In all but ENDED and GONE it may be running on the machine. */
   public enum Phase {
-    /** Its round record is being written; no start was sent. */
+    /** Its start record is being committed; no start was sent. */
     RECORDED,
-    /** No connection could be had for the start: it goes out with the next report's answer. */
+    /** No connection could be opened for the start: it leaves with the next report's answer. */
     DEFERRED,
     /** The start was sent and its answer is awaited. */
     SENT,
@@ -24,15 +24,15 @@
     FETCHING,
     /** On the machine, running. */
     RUNNING,
-    /** On the machine, saving. */
+    /** On the machine, writing its checkpoint before it ends. */
     FLUSHING,
-    /** Over; the worker still reports it. */
+    /** Ended; the worker still reports it. */
     ENDED,
     /** Proven not to be on the machine. */
     GONE
   }
 
-  /** What tells it from every other attempt: on the machine, and in reports. */
+  /** The identity of an attempt among all others, on the machine and in reports. */
   record Key(TaskRef task, long attempt) {
     @Override
     public int hashCode() {
@@ -43,17 +43,22 @@
 
   private final Machine machine;
   private final Key key;
-  private StartRecord.Start start;
   private final long createdAtMs;
+  private StartRecord.Start start;
   private Phase phase;
   private WorkerReport.Motive motive;
   private long token;
   private long runningSinceMs = -1;
   private boolean stopRequested;
-  private boolean markEndHandled;
+  private boolean endHandled;
   private boolean sentInResponse;
   private long lastSeenInReport;
 
+  /**
+   * Creates an attempt.
+   *
+   * @param token the fencing token under which its start is sent, or at most was sent
+   */
   Attempt(Machine machine, StartRecord.Start start, Phase phase, long token, long nowMs) {
     this.machine = machine;
     this.key = new Key(start.task(), start.attempt());
@@ -63,18 +68,9 @@
     this.createdAtMs = nowMs;
   }
 
-  /** The only place where the phase changes. */
+  /** Changes the phase; the only place that does. */
   void transitionTo(Phase next) {
-    boolean allowed =
-        switch (phase) {
-          case RECORDED -> next == Phase.SENT || next == Phase.GONE;
-          case DEFERRED -> next == Phase.SENT || next == Phase.GONE;
-          case SENT -> next != Phase.RECORDED && next != Phase.SENT;
-          case GONE -> false;
-          case ENDED -> next == Phase.ENDED || next == Phase.GONE;
-          default -> next != Phase.RECORDED && next != Phase.DEFERRED && next != Phase.SENT;
-        };
-    if (!allowed) {
+    if (!mayTransitionTo(next)) {
       throw new IllegalStateException(this + " -> " + next);
     }
     if (phase != next) {
@@ -83,29 +79,41 @@
     }
   }
 
+  private boolean mayTransitionTo(Phase next) {
+    return switch (phase) {
+      case RECORDED, DEFERRED -> next == Phase.SENT || next == Phase.GONE;
+      case SENT -> next != Phase.RECORDED && next != Phase.SENT;
+      case GONE -> false;
+      case ENDED -> next == Phase.ENDED || next == Phase.GONE;
+      default -> next != Phase.RECORDED && next != Phase.DEFERRED && next != Phase.SENT;
+    };
+  }
+
+  /** Records that the start is sent under a fencing token. */
   void onStartSent(long underToken) {
     transitionTo(Phase.SENT);
     token = underToken;
   }
 
-  /** The start goes out with a report's answer, which nobody confirms but the next report. */
+  /** Records that the start leaves with a report's answer: only the next report confirms it. */
   void onStartSentInResponse(long underToken) {
     onStartSent(underToken);
     sentInResponse = true;
   }
 
-  /** True if the answer to an earlier report held the start, and nothing has shown it since. */
+  /** Returns true if an earlier report's answer held the start and no report has shown it since. */
   boolean isSentInResponse() {
     return sentInResponse && phase == Phase.SENT;
   }
 
-  void reported(WorkerReport.Task task, long nowMs) {
+  /** Applies what a report says of the attempt. */
+  void applyReport(WorkerReport.Task task, long nowMs) {
     switch (task.phase()) {
       case FETCHING -> transitionTo(Phase.FETCHING);
       case RUNNING -> {
         if (runningSinceMs < 0) {
           runningSinceMs = nowMs;
-          log.debug("{} runs, {} ms after its record", this, nowMs - createdAtMs);
+          log.debug("attempt running attempt={} sinceRecordMs={}", this, nowMs - createdAtMs);
         }
         transitionTo(Phase.RUNNING);
       }
@@ -114,74 +122,75 @@
         transitionTo(Phase.ENDED);
         motive = task.motive();
       }
-      default -> throw new IllegalStateException();
+      default -> throw new IllegalStateException(this + ": unknown task phase " + task.phase());
     }
   }
 
   /**
-   * Takes over what a round record says of an attempt that a report showed first: the job may be
-   * cancelled and unknown by now, yet its tasks still count against their team's cap.
+   * Replaces what was assumed of an attempt that a report showed first by its start record: the job
+   * may be cancelled and unknown by now, yet its tasks still count against their team's quota.
    */
   void replaceStart(StartRecord.Start recorded) {
     start = recorded;
     machine.markChanged();
   }
 
-  /** The key under which a machine keeps it. */
+  /** Returns the key under which its machine keeps it. */
   Key key() {
     return key;
   }
 
-  /** Notes the report that shows it. */
-  void markSeenIn(long report) {
-    lastSeenInReport = report;
+  /** Records the number of a report that shows it. */
+  void markSeenIn(long reportNumber) {
+    lastSeenInReport = reportNumber;
   }
 
-  boolean wasSeenIn(long report) {
-    return lastSeenInReport == report;
+  /** Returns true if the report of that number shows it. */
+  boolean wasSeenIn(long reportNumber) {
+    return lastSeenInReport == reportNumber;
   }
 
-  /** What was recorded of it. */
+  /** Returns its start as recorded, or as assumed if only a report has shown it. */
   public StartRecord.Start start() {
     return start;
   }
 
-  /** Where it stands. */
+  /** Returns the current phase. */
   public Phase phase() {
     return phase;
   }
 
-  /** Why it ended, or null. */
+  /** Returns why it ended, or null if no report has said so. */
   public WorkerReport.Motive motive() {
     return motive;
   }
 
-  /** True unless it is proven not to be on the machine. */
+  /** Returns true unless it is proven not to be running on the machine. */
   public boolean mayBePresent() {
     return phase != Phase.ENDED && phase != Phase.GONE;
   }
 
-  /** The token under which the start was sent. */
+  /** Returns the fencing token under which the start was sent. */
   long token() {
     return token;
   }
 
-  /** When it was first seen running, or -1. */
+  /** Returns when it was first seen running, ms, or -1. */
   public long runningSinceMs() {
     return runningSinceMs;
   }
 
-  /** When it was created here. */
+  /** Returns when this leader created it, ms. */
   public long createdAtMs() {
     return createdAtMs;
   }
 
-  /** True once a stop was asked for. */
+  /** Returns true once a stop was requested. */
   public boolean isStopRequested() {
     return stopRequested;
   }
 
-  /** Notes that a stop was asked for. */
+  /** Requests that it be stopped. */
   public void requestStop() {
     if (!stopRequested) {
       stopRequested = true;
@@ -189,16 +198,17 @@
     }
   }
 
-  /** True once its end was taken note of. */
+  /** Returns true once its end was handled. */
   public boolean isEndHandled() {
-    return markEndHandled;
+    return endHandled;
   }
 
-  /** Notes that its end was taken note of. */
+  /** Records that its end was handled. */
   public void markEndHandled() {
-    markEndHandled = true;
+    endHandled = true;
   }
 
+  /** Returns its identity and phase for log lines, without spaces. */
   @Override
   public String toString() {
     return start.task()
@@ -208,7 +218,7 @@
         + start.machine()
         + "/"
         + start.session()
-        + " "
+        + ":"
         + phase;
   }
 }
--- a/src/main/java/fennelthread/fleet/BootTimes.java
+++ b/src/main/java/fennelthread/fleet/BootTimes.java
@@ -21,7 +21,7 @@
   void came(String type, long askedMs, long nowMs) {
     ArrayDeque<Boot> boots = byType.computeIfAbsent(type, k -> new ArrayDeque<>());
     boots.add(new Boot(askedMs, (nowMs - askedMs) / 1000.0));
-    if (boots.size() > FleetConstants.BOOTS_REMEMBERED) {
+    if (boots.size() > FleetConstants.BOOT_SAMPLES) {
       boots.poll();
     }
   }
@@ -34,8 +34,8 @@
    */
   boolean isLate(String type, double nominalS, long askedMs, long nowMs) {
     double ageS = (nowMs - askedMs) / 1000.0;
-    return ageS > nominalS * FleetConstants.BOOT_LATE
-        && ageS > usuallyS(type) * FleetConstants.BOOT_SLOWER;
+    return ageS > nominalS * FleetConstants.LATE_BOOT_NOMINAL_FACTOR
+        && ageS > usuallyS(type) * FleetConstants.LATE_BOOT_OBSERVED_FACTOR;
   }
 
   /**
@@ -48,14 +48,16 @@
     double ageS = (nowMs - askedMs) / 1000.0;
     if (ageS
         > Math.max(
-            FleetConstants.BOOT_PATIENCE_LEAST_S,
-            nominalS * FleetConstants.BOOT_PATIENCE + FleetConstants.BOOT_PATIENCE_S)) {
+            FleetConstants.MIN_BOOT_TIMEOUT_S,
+            nominalS * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_S)) {
       return true;
     }
     return isLate(type, nominalS, askedMs, nowMs)
-        && ageS > nominalS * FleetConstants.BOOT_DUD
+        && ageS > nominalS * FleetConstants.STUCK_BOOT_NOMINAL_FACTOR
         && overtakenBy(type, askedMs)
-            >= (scarce ? FleetConstants.BOOT_OVERTAKEN_SCARCE : FleetConstants.BOOT_OVERTAKEN);
+            >= (scarce
+                ? FleetConstants.STUCK_BOOT_OVERTAKERS_SCARCE
+                : FleetConstants.STUCK_BOOT_OVERTAKERS);
   }
 
   /**
@@ -67,7 +69,7 @@
             .mapToDouble(Boot::tookS)
             .sorted()
             .toArray();
-    return took.length == 0 ? 0 : took[(int) ((took.length - 1) * FleetConstants.BOOTS_NEARLY_ALL)];
+    return took.length == 0 ? 0 : took[(int) ((took.length - 1) * FleetConstants.BOOT_QUANTILE)];
   }
 
   private int overtakenBy(String type, long askedMs) {
--- a/src/main/java/fennelthread/fleet/CommandQueue.java
+++ b/src/main/java/fennelthread/fleet/CommandQueue.java
@@ -12,30 +12,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Stops and clears that machines are due, for answers to reports and for direct commands. */
+/** Selects the stops and clears that machines are due, for reports' answers and direct commands. */
 final class CommandQueue {
   private static final Logger log = LoggerFactory.getLogger(CommandQueue.class);
 
-  /** Takes workers' answers to direct commands. */
-  @FunctionalInterface
-  interface AnswerListener {
-    /** A worker has answered what was sent when it was known as in {@code known}. */
-    void answered(Machine machine, WorkerReport report, ReportPosition known);
-  }
-
   private final FleetContext context;
-  private final AnswerListener onAnswer;
+  private final WorkerResponseListener listener;
 
-  CommandQueue(FleetContext context, AnswerListener onAnswer) {
+  CommandQueue(FleetContext context, WorkerResponseListener listener) {
     this.context = context;
-    this.onAnswer = onAnswer;
+    this.listener = listener;
   }
 
   /**
-   * What a worker is told of its tasks now. Clears go out under a higher token than the starts of
-   * what they clear, and so are gathered: each rise has the worker report once more.
+   * Returns the commands that a worker is sent now. Clears leave under a higher token than the
+   * starts of what they clear, and so are batched: each raised token makes the worker report once
+   * more.
    */
-  List<WorkerCommand> due(Machine machine) {
+  List<WorkerCommand> dueCommands(Machine machine) {
     List<WorkerCommand> commands = context.listener().commandsFor(machine);
     int waiting = 0;
     for (WorkerCommand command : commands) {
@@ -44,16 +38,16 @@
     if (waiting == 0) {
       return commands;
     }
-    long now = context.nowMs();
-    double pauseMs = context.leaseMs() * FleetConstants.CLEARS_LEASE_SHARE;
-    if (waiting >= FleetConstants.CLEARS_GATHERED
-        || now - machine.tokens().clearedAtMs() >= pauseMs) {
-      machine.tokens().raiseForClears(now);
+    long nowMs = context.nowMs();
+    double minIntervalMs = context.leaseMs() * FleetConstants.CLEAR_INTERVAL_LEASE_SHARE;
+    if (waiting >= FleetConstants.CLEAR_BATCH_SIZE
+        || nowMs - machine.tokens().raisedForClearsAtMs() >= minIntervalMs) {
+      machine.tokens().raiseForClears(nowMs);
       return commands;
     }
-    List<WorkerCommand> atOnce = new ArrayList<>(commands);
-    atOnce.removeIf(command -> needsHigherToken(machine, command));
-    return atOnce;
+    List<WorkerCommand> withoutWaiting = new ArrayList<>(commands);
+    withoutWaiting.removeIf(command -> needsHigherToken(machine, command));
+    return withoutWaiting;
   }
 
   private boolean needsHigherToken(Machine machine, WorkerCommand command) {
@@ -64,12 +58,12 @@
     return attempt != null && attempt.token() >= machine.token(context.epoch());
   }
 
-  /** Sends what is due right away instead of with the next report's answer. */
+  /** Sends what is due at once instead of with the next report's answer. */
   void send(Machine machine) {
     if (machine.address() == null || machine.session() == 0) {
       return;
     }
-    List<WorkerCommand> commands = due(machine);
+    List<WorkerCommand> commands = dueCommands(machine);
     if (commands.isEmpty()) {
       return;
     }
@@ -79,31 +73,41 @@
         .send(
             machine,
             machine.address(),
-            call(machine.token(context.epoch()), machine.session(), commands),
+            commandCall(machine.token(context.epoch()), machine.session(), commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
-            answer -> {
-              WorkerReport report = reportOf(answer);
-              if (!context.isClosed() && report != null) {
-                onAnswer.answered(machine, report, known);
-              }
-            },
+            answer -> onAnswer(machine, known, answer),
             tried -> {});
   }
 
-  /** The request that carries commands to a worker. */
-  static Call call(long token, long session, List<WorkerCommand> commands) {
+  private void onAnswer(Machine machine, ReportPosition known, Answer answer) {
+    WorkerReport report = reportIn(answer);
+    if (!context.isClosed() && report != null) {
+      listener.onResponse(machine, report, known);
+    }
+  }
+
+  /** Returns the request that carries commands to a worker. */
+  static Call commandCall(long token, long session, List<WorkerCommand> commands) {
     return Call.post("/commands", Codec.CBOR, WorkerCommand.write(token, session, commands));
   }
 
-  /** The report in a worker's answer to commands, or null if there was no proper answer. */
-  static WorkerReport reportOf(Answer answer) {
-    if (answer == null || (answer.status() != 200 && answer.status() != 409)) {
+  /**
+   * Returns true if a worker has executed no command of a request, since it has seen a higher
+   * token.
+   */
+  static boolean isRefused(Answer answer) {
+    return answer.status() == 409;
+  }
+
+  /** Returns the report in a worker's answer to commands, or null without a proper answer. */
+  static WorkerReport reportIn(Answer answer) {
+    if (answer == null || (answer.status() != 200 && !isRefused(answer))) {
       return null;
     }
     try {
       return WorkerReport.read(answer.fields());
     } catch (WireException e) {
-      log.info("malformed answer of a worker: {}", e.getMessage());
+      log.info("worker answer malformed error=\"{}\"", e.getMessage());
       return null;
     }
   }
--- a/src/main/java/fennelthread/fleet/FailureHistory.java
+++ b/src/main/java/fennelthread/fleet/FailureHistory.java
@@ -11,25 +11,25 @@
   private record Failure(long atMs, String job) {}
 
   private final List<Failure> failures = new ArrayList<>();
-  private long lastAtMs = Long.MIN_VALUE / 2;
+  private long lastFailureAtMs = Long.MIN_VALUE / 2;
 
-  /** Notes a failed task; true if the machine, not the job, must be at fault. */
-  boolean failed(String job, long nowMs) {
-    lastAtMs = nowMs;
-    failures.removeIf(f -> f.atMs < nowMs - LeaderConstants.FAILURE_WINDOW_MS);
+  /** Records a failed task; returns true if the machine, not the job, must be at fault. */
+  boolean recordFailure(String job, long nowMs) {
+    lastFailureAtMs = nowMs;
+    failures.removeIf(failure -> failure.atMs < nowMs - LeaderConstants.FAILURE_WINDOW_MS);
     failures.add(new Failure(nowMs, job));
     long jobs = failures.stream().map(Failure::job).distinct().count();
-    return jobs >= FleetConstants.BAD_MACHINE_JOBS
-        || failures.size() >= FleetConstants.BAD_MACHINE_TASKS;
+    return jobs >= FleetConstants.FAULTY_MACHINE_JOBS
+        || failures.size() >= FleetConstants.FAULTY_MACHINE_TASKS;
   }
 
-  /** When a task last failed there, ms. */
-  long lastAtMs() {
-    return lastAtMs;
+  /** Returns when a task last failed there, ms; in the far past if none has. */
+  long lastFailureAtMs() {
+    return lastFailureAtMs;
   }
 
-  /** Notes a task that completed: the machine is in order. */
-  void succeeded() {
+  /** Forgets the failures, since a task has completed there: the machine is healthy. */
+  void clear() {
     failures.clear();
   }
 }
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -6,7 +6,7 @@
 import fennelthread.settings.Settings;
 import fennelthread.wire.WorkerReport;
 
-/** What the parts of one term's fleet share. */
+/** The clock, settings and collaborators that the parts of one term's {@link Fleet} share. */
 final class FleetContext {
   private final EventLoop eventLoop;
   private final Settings settings;
@@ -31,6 +31,7 @@
     this.aggregatedLog = aggregatedLog;
   }
 
+  /** The event loop's clock, ms. */
   long nowMs() {
     return eventLoop.nowMs();
   }
@@ -39,16 +40,18 @@
     return settings;
   }
 
+  /** The interval of workers' reports, ms. */
   long reportMs() {
     return settings.workers().reportMs();
   }
 
+  /** The length of a worker's lease by the worker's own clock, ms. */
   long leaseMs() {
     return settings.workers().leaseMs();
   }
 
-  /** A worker's lease as our clock may have to count it, ms. */
-  long leaseAtMostMs() {
+  /** The longest time that a worker's lease can last by our clock, ms. */
+  long maxLeaseMs() {
     return (long) (leaseMs() * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
         + ProtocolConstants.EXPIRY_MARGIN_MS;
   }
@@ -58,8 +61,8 @@
     return epoch;
   }
 
-  /** True if a report shows a token of this term's epoch. */
-  boolean isOurs(WorkerReport report) {
+  /** Returns true if a report shows a fencing token of this term's epoch. */
+  boolean isOfOurEpoch(WorkerReport report) {
     return MachineFencingTokens.epochOf(report) == epoch;
   }
 
@@ -75,14 +78,15 @@
     return aggregatedLog;
   }
 
-  /** True if the process has just stood still: what was sent to it waits to be read. */
+  /** Returns true if the process has just stalled: what was sent to it waits to be read. */
   boolean isCatchingUp() {
     return link.stalls().isListening();
   }
 
-  /** True if something that comes with every report should have come again since that time. */
+  /** Returns true if something that every report renews should have been renewed since then. */
   boolean isOverdue(long lastAtMs) {
-    return !isCatchingUp() && nowMs() - lastAtMs > reportMs() * FleetConstants.SILENT_REPORTS_ALARM;
+    return !isCatchingUp()
+        && nowMs() - lastAtMs > reportMs() * FleetConstants.OVERDUE_REPORT_INTERVALS;
   }
 
   /** Ends the term. */
@@ -90,7 +94,7 @@
     closed = true;
   }
 
-  /** True once the term is over: late answers change nothing any more. */
+  /** Returns true once the term is over: late answers change nothing any more. */
   boolean isClosed() {
     return closed;
   }
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -3,23 +3,24 @@
 import fennelthread.wire.MachineType;
 import fennelthread.wire.TaskRef;
 import fennelthread.wire.WorkerReport;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 
-/** One machine as the leader knows it, with every attempt that may be on it. */
+/**
+ * One machine as the leader knows it: what it is, the phase that it is in, and what its worker
+ * reported last. What is on it is kept by {@link MachineAttempts}, when it was in contact by {@link
+ * MachineContact}, and its fencing tokens by {@link MachineFencingTokens}.
+ */
 public final class Machine {
 
-  /** Where a machine stands. */
+  /** The phases of a machine, from its rental until the cloud has confirmed its return. */
   public enum Phase {
-    /** Rented or recorded, but its worker was not heard by this leader. */
+    /** Rented or named in a record, but its worker has not reported to this leader. */
     AWAITING_REPORT,
     /** Its worker reports. */
     REPORTING,
-    /** Its worker's lease is over and it has not reported since. */
+    /** Its worker's lease has expired and it has not reported since. */
     LOST,
     /** The cloud was asked to take it back. */
     RETURNING,
@@ -31,21 +32,20 @@
   private final long createdAtMs;
   private final MachineFencingTokens tokens = new MachineFencingTokens();
   private final MachineContact contact;
+  private final MachineAttempts attempts;
   private final CachedImages images = new CachedImages();
   private final FailureHistory failures = new FailureHistory();
-  private final Map<Attempt.Key, Attempt> attempts = new LinkedHashMap<>();
   private Phase phase = Phase.AWAITING_REPORT;
   private String address;
   private String type;
   private String zone;
   private boolean spot;
-  private boolean typeKnown;
+  private boolean described;
   private long session;
   private long seq;
   private long interruptionAtMs = -1;
   private boolean cordoned;
   private boolean listedFailed;
-  private long idleSinceMs;
   private long version;
   private long reports;
 
@@ -53,10 +53,10 @@
     this.name = name;
     this.createdAtMs = nowMs;
     this.contact = new MachineContact(nowMs);
-    this.idleSinceMs = nowMs;
+    this.attempts = new MachineAttempts(this::markChanged, nowMs);
   }
 
-  /** The only place where the phase changes. */
+  /** Changes the phase; the only place that does. */
   void transitionTo(Phase next) {
     if (phase == Phase.GONE && next != Phase.GONE) {
       throw new IllegalStateException(name + ": " + phase + " -> " + next);
@@ -64,71 +64,76 @@
     phase = next;
   }
 
-  // ---------------------------------------------------------------- what it is
+  // ---------------------------------------------------------------- description
 
+  /** Sets the machine's type, zone and kind, which may change until its worker has reported. */
   void describe(String newType, String newZone, boolean newSpot) {
-    if (typeKnown && newType.equals(type) && newZone.equals(zone) && newSpot == spot) {
+    if (described && newType.equals(type) && newZone.equals(zone) && newSpot == spot) {
       return;
     }
     type = newType;
     zone = newZone;
     spot = newSpot;
-    typeKnown = true;
+    described = true;
     markChanged();
   }
 
-  /** Notes that something changed that placement looks at. */
+  /** Records that something has changed that placement depends on. */
   public void markChanged() {
     version++;
   }
 
-  /** Rises whenever something changes that placement looks at: what was added up before is old. */
+  /**
+   * Returns a number that grows whenever something changes that placement depends on. Sums that
+   * were made at an earlier version are outdated.
+   */
   public long version() {
     return version;
   }
 
+  /** Sets the worker's address; null keeps the known one. */
   void setAddress(String newAddress) {
     if (newAddress != null) {
       address = newAddress;
     }
   }
 
-  /** Its name, never used twice by the cloud. */
+  /** Returns the name, which the cloud never uses twice. */
   public String name() {
     return name;
   }
 
-  /** Where it stands. */
+  /** Returns the current phase. */
   public Phase phase() {
     return phase;
   }
 
-  /** Its worker's address, or null. */
+  /** Returns the worker's address, host and port, or null if it is not known. */
   public String address() {
     return address;
   }
 
-  /** Its type's name. */
+  /** Returns the name of the machine type, or null if it is not known. */
   public String type() {
     return type;
   }
 
-  /** Its zone. */
+  /** Returns the zone, or null if it is not known. */
   public String zone() {
     return zone;
   }
 
-  /** True if the cloud may take it back at any time. */
+  /** Returns true for a spot instance, which the cloud may take back at any time. */
   public boolean spot() {
     return spot;
   }
 
-  /** True once type, zone and kind are known. */
+  /** Returns true once type, zone and kind are known. */
   public boolean isDescribed() {
-    return typeKnown;
+    return described;
   }
 
-  /** When it was first known to this leader, ms. */
+  /** Returns when the machine was first known to this leader, ms. */
   public long createdAtMs() {
     return createdAtMs;
   }
@@ -143,44 +148,45 @@
     return contact;
   }
 
-  /** The full token for this machine: the epoch above, a counter below. */
+  /** Returns the fencing token for what is sent now: the epoch above, a counter below. */
   long token(long epoch) {
     return tokens.current(epoch);
   }
 
-  /** True if it has shown the token that it must have seen for anything to be concluded or sent. */
+  /** Returns true if the worker has shown the token without which nothing is concluded or sent. */
   boolean isConfirmed(long epoch) {
     return tokens.isConfirmed(epoch);
   }
 
-  /** Notes that an answer to its report is about to leave. */
+  /** Records that an answer to its report is about to leave. */
   void onUnacknowledgedAnswer(long epoch, long nowMs) {
     if (!isConfirmed(epoch)) {
       contact.onUnacknowledgedAnswer(nowMs);
     }
   }
 
-  /** When it was last heard, ms, or -1. */
+  /** Returns when a report of the machine last arrived, ms, or -1. */
   public long lastReportAtMs() {
     return contact.lastReportAtMs();
   }
 
   /**
-   * When we were last in contact, ms, or -1: its report showed that what we said before had
-   * arrived. That reports come in shows only that the way from it is open.
+   * Returns when this leader and the machine were last in contact, ms, or -1: a report showed that
+   * what was sent before had arrived. That reports arrive shows only that the way from the machine
+   * is open.
    */
   public long lastContactAtMs() {
     return contact.lastContactAtMs();
   }
 
-  /** Since when we are out of contact, ms: never before this leader knew it. */
+  /** Returns since when there has been no contact, ms: never before this leader knew it. */
   public long outOfContactSinceMs() {
     return Math.max(contact.lastContactAtMs(), createdAtMs);
   }
 
   /**
-   * When this leader last answered a report that the machine sent by itself, or first knew the
-   * machine, ms.
+   * Returns when this leader last answered a report that the machine sent by itself, or first knew
+   * the machine, ms.
    */
   public long reportAnsweredAtMs() {
     return contact.reportAnsweredAtMs();
@@ -188,167 +194,141 @@
 
   // ---------------------------------------------------------------- reports
 
-  /** The session of the newest report. */
+  /** Returns the session (incarnation number) of the worker in its newest report. */
   public long session() {
     return session;
   }
 
-  /** The number of the newest report within its session. */
+  /** Returns the sequence number of the newest report within its session. */
   long seq() {
     return seq;
   }
 
   /**
-   * True if a report is later than all we know. Sessions and reports are counted anew if the
-   * machine was started anew, tokens are forgotten then: one that seems later but shows a lower
-   * token is of an earlier life.
+   * Returns true if a report is later than all that is known. A restarted machine counts sessions
+   * and reports from the start and forgets its tokens: a report that seems later but shows a lower
+   * token is of an earlier incarnation.
    */
   boolean isNewer(WorkerReport report) {
-    return new ReportPosition(session, seq).isBefore(report) && report.token() >= tokens.shown();
+    return new ReportPosition(session, seq).isBefore(report)
+        && report.token() >= tokens.lastShown();
   }
 
   /**
-   * True if a report can't be of the life that we know: it is an old copy, or the first of the next
-   * life.
+   * Returns true if a report can't be of the known incarnation of the machine: it is an old copy,
+   * or the first report after a restart.
    */
   boolean isOfOtherIncarnation(WorkerReport report) {
-    return report.token() < tokens.shown();
+    return report.token() < tokens.lastShown();
   }
 
   /**
-   * Notes a report that is newer than all before; what it says of tasks is for {@link
+   * Records a report that is newer than all before; what it proves about attempts is for {@link
    * ReportEvidence}.
    *
    * @return the number of the report, to mark the attempts that it shows
    */
-  long reported(WorkerReport report, long epoch, long nowMs) {
+  long onReport(WorkerReport report, long epoch, long nowMs) {
     if (session > 0 && report.session() > session) {
-      contact.onIncarnationChange(nowMs);
+      contact.onSessionChange(nowMs);
     }
     session = report.session();
     seq = report.seq();
-    tokens.shown(report.token());
-    contact.heard(nowMs, isConfirmed(epoch));
-    boolean noticed = report.noticeS() != WorkerReport.NO_NOTICE;
-    interruptionAtMs = noticed ? nowMs + (long) (report.noticeS() * 1000) : -1;
+    tokens.setLastShown(report.token());
+    contact.onReport(nowMs, isConfirmed(epoch));
+    boolean interrupted = report.noticeS() != WorkerReport.NO_NOTICE;
+    interruptionAtMs = interrupted ? nowMs + (long) (report.noticeS() * 1000) : -1;
     return ++reports;
   }
 
   /**
-   * The machine was started anew: it has answered a question with an earlier session or report than
-   * was known when the question was put to it. What it reports now is all there is on it; its
+   * Records that the machine was restarted: it has answered a probe with an earlier session or
+   * report than was known when the probe was sent. What it reports now is all there is on it; its
    * sessions begin again.
    */
   void onRestarted() {
     session = 0;
     seq = 0;
-    tokens.shown(-1);
-    contact.clearIncarnationChanges();
+    tokens.clearLastShown();
+    contact.clearSessionChanges();
     clearImages();
   }
 
+  /**
+   * Returns true if one of its sessions is over: it has shown a later one under a token of our
+   * epoch. A later session in any other report proves nothing, since the report may be of an
+   * earlier incarnation of the machine.
+   */
+  boolean hasEndedSession(long ofSession, long epoch) {
+    return session > ofSession && tokens.areOf(epoch);
+  }
+
   // ---------------------------------------------------------------- attempts
 
   void add(Attempt attempt) {
-    attempts.put(attempt.key(), attempt);
-    idleSinceMs = -1;
-    markChanged();
+    attempts.add(attempt);
   }
 
   void remove(Attempt attempt) {
-    attempts.remove(attempt.key());
-    markChanged();
+    attempts.remove(attempt);
   }
 
-  /** An attempt is proven gone; it is added to {@code ended} if it counted as present. */
+  /** Drops an attempt that is proven gone, and adds it to {@code ended} if it was present. */
   void drop(Attempt attempt, List<Attempt> ended) {
-    boolean wasPresent = attempt.mayBePresent();
-    attempt.transitionTo(Attempt.Phase.GONE);
-    remove(attempt);
-    if (wasPresent) {
-      ended.add(attempt);
-    }
+    attempts.drop(attempt, ended);
   }
 
-  /** Everything on it is proven gone; returns what was. */
+  /** Drops all attempts, since all are proven gone; returns those that counted as present. */
   List<Attempt> dropAll() {
-    List<Attempt> ended = new ArrayList<>();
-    for (Attempt attempt : List.copyOf(attempts.values())) {
-      drop(attempt, ended);
-    }
-    return ended;
+    return attempts.dropAll();
   }
 
-  /** The attempt that a report speaks of, or null. */
-  Attempt find(TaskRef task, long attempt) {
-    return attempts.get(new Attempt.Key(task, attempt));
+  /** Returns the attempt with that number at a task, or null. */
+  Attempt find(TaskRef task, long attemptNumber) {
+    return attempts.find(task, attemptNumber);
   }
 
-  /**
-   * True if one of its sessions is over: it has shown a later one under a token of our epoch. A
-   * later one in any other report proves nothing, which may be of a life before this one.
-   */
-  boolean hasEndedSession(long ofSession, long epoch) {
-    return session > ofSession && tokens.areOf(epoch);
-  }
-
-  /** True if some attempt may be on it of which only its worker's answer tells. */
+  /** Returns true if only an answer of its worker can tell whether some attempt is on it. */
   boolean hasUnconfirmedAttempts() {
-    for (Attempt attempt : attempts.values()) {
-      if (attempt.phase() == Attempt.Phase.UNCONFIRMED) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  /** All attempts on it, ended ones included until they are cleared. */
-  public Iterable<Attempt> attempts() {
-    return attempts.values();
+    return attempts.hasUnconfirmed();
   }
 
-  Collection<Attempt> attemptList() {
-    return attempts.values();
+  /** Returns all attempts on it, ended ones included until they are cleared. */
+  public Collection<Attempt> attempts() {
+    return attempts.all();
   }
 
-  /** True if no attempt may be on it. */
+  /** Returns true if no attempt may be present on it. */
   public boolean isEmpty() {
-    for (Attempt attempt : attempts.values()) {
-      if (attempt.mayBePresent()) {
-        return false;
-      }
-    }
-    return true;
+    return attempts.nonePresent();
   }
 
-  /** Notes whether anything is on it, reported ends included. */
-  void noteIdle(long nowMs) {
-    if (!attempts.isEmpty()) {
-      idleSinceMs = -1;
-    } else if (idleSinceMs < 0) {
-      idleSinceMs = nowMs;
-    }
+  /** Updates the time since when nothing has been on it. */
+  void updateIdleSince(long nowMs) {
+    attempts.updateIdleSince(nowMs);
   }
 
-  /** Since when nothing has been on it, ms, or -1. */
+  /** Returns since when nothing has been on it, reported ends included, ms, or -1. */
   public long idleSinceMs() {
-    return idleSinceMs;
+    return attempts.idleSinceMs();
   }
 
   // ---------------------------------------------------------------- use
 
+  /** Records that an image is cached on it; {@code machineType} is null if it is not known. */
   void recordCachedImage(String image, double gb, MachineType machineType) {
-    if (images.use(image, gb, machineType)) {
+    if (images.recordUse(image, gb, machineType)) {
       markChanged();
     }
   }
 
+  /** Forgets the cached images. */
   void clearImages() {
     images.clear();
     markChanged();
   }
 
-  /** Images that it has cached, as far as we know. */
+  /** Returns the names of the images that it has cached, as far as is known. */
   public Set<String> images() {
     return images.names();
   }
@@ -365,12 +345,12 @@
     cordoned = false;
   }
 
-  /** True if it gets no new tasks. */
+  /** Returns true if it gets no new tasks. */
   public boolean isCordoned() {
     return cordoned;
   }
 
-  /** When its notice runs out, ms, or -1. */
+  /** Returns when its spot interruption notice runs out, ms, or -1 if it has none. */
   public long interruptionAtMs() {
     return interruptionAtMs;
   }
@@ -379,7 +359,7 @@
     listedFailed = true;
   }
 
-  /** True if the cloud lists it as failed. */
+  /** Returns true if the cloud lists it as failed. */
   boolean isListedFailed() {
     return listedFailed;
   }
--- /dev/null
+++ b/src/main/java/fennelthread/fleet/MachineAttempts.java
@@ -0,0 +1,101 @@
+package fennelthread.fleet;
+
+import fennelthread.wire.TaskRef;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The attempts on one machine, in the order in which they became known. */
+final class MachineAttempts {
+
+  /** Called when the set of attempts changes. */
+  @FunctionalInterface
+  interface ChangeListener {
+    void onChange();
+  }
+
+  private final ChangeListener onChange;
+  private final Map<Attempt.Key, Attempt> attempts = new LinkedHashMap<>();
+  private long idleSinceMs;
+
+  MachineAttempts(ChangeListener onChange, long nowMs) {
+    this.onChange = onChange;
+    this.idleSinceMs = nowMs;
+  }
+
+  void add(Attempt attempt) {
+    attempts.put(attempt.key(), attempt);
+    idleSinceMs = -1;
+    onChange.onChange();
+  }
+
+  void remove(Attempt attempt) {
+    attempts.remove(attempt.key());
+    onChange.onChange();
+  }
+
+  /** Drops an attempt that is proven gone, and adds it to {@code ended} if it was present. */
+  void drop(Attempt attempt, List<Attempt> ended) {
+    boolean wasPresent = attempt.mayBePresent();
+    attempt.transitionTo(Attempt.Phase.GONE);
+    remove(attempt);
+    if (wasPresent) {
+      ended.add(attempt);
+    }
+  }
+
+  /** Drops all attempts, since all are proven gone; returns those that counted as present. */
+  List<Attempt> dropAll() {
+    List<Attempt> ended = new ArrayList<>();
+    for (Attempt attempt : List.copyOf(attempts.values())) {
+      drop(attempt, ended);
+    }
+    return ended;
+  }
+
+  /** Returns the attempt with that number at a task, or null. */
+  Attempt find(TaskRef task, long attemptNumber) {
+    return attempts.get(new Attempt.Key(task, attemptNumber));
+  }
+
+  /** Returns all attempts, ended ones included until they are cleared. */
+  Collection<Attempt> all() {
+    return attempts.values();
+  }
+
+  /** Returns true if only an answer of the worker can tell whether some attempt is present. */
+  boolean hasUnconfirmed() {
+    for (Attempt attempt : attempts.values()) {
+      if (attempt.phase() == Attempt.Phase.UNCONFIRMED) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Returns true if no attempt may be present. */
+  boolean nonePresent() {
+    for (Attempt attempt : attempts.values()) {
+      if (attempt.mayBePresent()) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /** Updates the time since when there has been no attempt, ended ones included. */
+  void updateIdleSince(long nowMs) {
+    if (!attempts.isEmpty()) {
+      idleSinceMs = -1;
+    } else if (idleSinceMs < 0) {
+      idleSinceMs = nowMs;
+    }
+  }
+
+  /** Returns since when there has been no attempt, ms, or -1. */
+  long idleSinceMs() {
+    return idleSinceMs;
+  }
+}
--- a/src/main/java/fennelthread/fleet/MachineFencingTokens.java
+++ b/src/main/java/fennelthread/fleet/MachineFencingTokens.java
@@ -4,69 +4,82 @@
 import fennelthread.wire.WorkerReport;
 
 /**
- * The tokens of one machine: the epoch in the high bits, below it a counter that rises when it is
- * not known whether what was sent before has arrived.
+ * The fencing tokens of one machine: the epoch in the high bits, below it a counter that is raised
+ * when it is not known whether what was sent before has arrived. A worker refuses commands under a
+ * lower token than it has seen.
  */
 final class MachineFencingTokens {
   private long counter;
-  private long neededCounter;
-  private long clearedAtMs = Long.MIN_VALUE / 2;
-  private long shown = -1;
+  private long requiredCounter;
+  private long raisedForClearsAtMs = Long.MIN_VALUE / 2;
+  private long lastShown = -1;
 
-  /** The epoch of the token that a report shows. */
+  /** Returns the epoch of a token. */
+  private static long epochOf(long token) {
+    return token >> ProtocolConstants.TOKEN_BITS;
+  }
+
+  /** Returns the epoch of the token that a report shows. */
   static long epochOf(WorkerReport report) {
-    return report.token() >> ProtocolConstants.TOKEN_BITS;
+    return epochOf(report.token());
+  }
+
+  /** Returns the lowest token of an epoch. */
+  static long firstOf(long epoch) {
+    return epoch << ProtocolConstants.TOKEN_BITS;
   }
 
-  /** The token for what is sent to the machine now. */
+  /** Returns the token for what is sent to the machine now. */
   long current(long epoch) {
-    return (epoch << ProtocolConstants.TOKEN_BITS) + counter;
+    return firstOf(epoch) + counter;
   }
 
   /**
-   * From now on only a report under a higher token counts: whatever was sent before may not have
-   * arrived.
+   * Raises the token, since what was sent before may not have arrived: from now on only a report
+   * under the raised token counts.
    */
   void raise() {
     counter++;
-    neededCounter = counter;
+    requiredCounter = counter;
   }
 
   /**
    * Raises the token for clears. What was started under a lower one can't be started again by a
-   * command that comes a second time, which the worker would not know for one after the clear.
-   * Nothing has to be waited for.
+   * command that arrives a second time, which the worker would not know for one after the clear.
+   * Nothing has to be awaited.
    */
   void raiseForClears(long nowMs) {
     counter++;
-    clearedAtMs = nowMs;
+    raisedForClearsAtMs = nowMs;
   }
 
-  /** When the token was last raised for clears, ms. */
-  long clearedAtMs() {
-    return clearedAtMs;
+  /** Returns when the token was last raised for clears, ms. */
+  long raisedForClearsAtMs() {
+    return raisedForClearsAtMs;
   }
 
-  /** Notes the token that the newest report showed. */
-  void shown(long token) {
-    shown = token;
+  /** Sets the token that the newest report showed. */
+  void setLastShown(long token) {
+    lastShown = token;
   }
 
-  /** The token that the newest report showed, or -1. */
-  long shown() {
-    return shown;
+  /** Forgets what was shown, since the machine was restarted. */
+  void clearLastShown() {
+    lastShown = -1;
   }
 
-  /** True if the newest report showed a token of this epoch: it can't be a copy from before it. */
+  /** Returns the token that the newest report showed, or -1. */
+  long lastShown() {
+    return lastShown;
+  }
+
+  /** Returns true if the newest report showed a token of this epoch: it is no copy from before. */
   boolean areOf(long epoch) {
-    return shown >> ProtocolConstants.TOKEN_BITS == epoch;
+    return epochOf(lastShown) == epoch;
   }
 
-  /**
-   * True if the worker has shown the token that it must have seen for anything to be concluded or
-   * sent.
-   */
+  /** Returns true if the worker has shown the token without which nothing is concluded or sent. */
   boolean isConfirmed(long epoch) {
-    return shown >= (epoch << ProtocolConstants.TOKEN_BITS) + neededCounter;
+    return lastShown >= firstOf(epoch) + requiredCounter;
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineProbes.java
+++ b/src/main/java/fennelthread/fleet/MachineProbes.java
@@ -3,36 +3,38 @@
 import fennelthread.constants.ControlConstants;
 import fennelthread.constants.FleetConstants;
 import fennelthread.net.Answer;
+import fennelthread.net.Call;
 import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 
 /**
- * Asks workers what is on their machines, by commands that hold nothing but our token. Only so many
- * are asked at once; those on whose answer a task's next start depends come first.
+ * Probes machines: asks workers what is on them by commands that hold nothing but our fencing
+ * token. The number of probes under way is limited; machines on whose answer a task's next start
+ * depends come first.
  */
 final class MachineProbes {
   private final FleetContext context;
-  private final CommandQueue.AnswerListener onAnswer;
+  private final WorkerResponseListener listener;
   private final Set<Machine> waiting = new LinkedHashSet<>();
   private int underWay;
 
-  MachineProbes(FleetContext context, CommandQueue.AnswerListener onAnswer) {
+  MachineProbes(FleetContext context, WorkerResponseListener listener) {
     this.context = context;
-    this.onAnswer = onAnswer;
+    this.listener = listener;
   }
 
-  /** Asks a machine as soon as it is its turn. */
+  /** Probes a machine as soon as the limit allows. */
   void probe(Machine machine) {
     if (canBeProbed(machine) && waiting.add(machine)) {
-      probeNext();
+      sendWaiting();
     }
   }
 
-  /** Asks a machine from which something is missing, if its answer is worth a connection. */
+  /** Probes a machine from which something is missing, if its answer is worth a connection. */
   void probeIfNeeded(Machine machine) {
-    // A machine that has never reported is mostly still booting: asking it only ties up sockets,
+    // A machine that has never reported is mostly still booting: probing it only ties up sockets,
     // hundreds of them once, so that starts found no connection. Its worker reports by itself.
     boolean worthAsking =
         machine.phase() == Machine.Phase.REPORTING || machine.hasUnconfirmedAttempts();
@@ -53,10 +55,10 @@
         && machine.phase() != Machine.Phase.RETURNING;
   }
 
-  private void probeNext() {
-    int most =
-        Math.max(2, (int) (context.settings().mostOutbound() * FleetConstants.PROBING_SHARE));
-    while (!context.isClosed() && underWay < most && !waiting.isEmpty()) {
+  private void sendWaiting() {
+    int maxOutbound = context.settings().mostOutbound();
+    int maxUnderWay = Math.max(2, (int) (maxOutbound * FleetConstants.PROBE_CONNECTION_SHARE));
+    while (!context.isClosed() && underWay < maxUnderWay && !waiting.isEmpty()) {
       Machine next = mostUrgent();
       waiting.remove(next);
       if (canBeProbed(next) && isStale(next)) {
@@ -74,25 +76,26 @@
     return waiting.iterator().next();
   }
 
-  /** Asks a machine at once, at that address and as if it were in that session. */
-  void send(Machine machine, String address, long inSession) {
+  /** Probes a machine at once, at that address and as if its worker were in that session. */
+  void send(Machine machine, String address, long session) {
     machine.contact().setProbing(true);
     underWay++;
     long sentAtMs = context.nowMs();
     ReportPosition known = ReportPosition.of(machine);
+    long token = machine.token(context.epoch());
+    Call call = CommandQueue.commandCall(token, Math.max(1, session), List.of()).asSpare();
     context
         .transport()
         .send(
             machine,
             address,
-            CommandQueue.call(machine.token(context.epoch()), Math.max(1, inSession), List.of())
-                .asSpare(),
+            call,
             ControlConstants.PROBE_TIMEOUT_MS,
-            answer -> answered(machine, sentAtMs, known, answer, true),
-            tried -> answered(machine, sentAtMs, known, null, tried));
+            answer -> onOutcome(machine, sentAtMs, known, answer, true),
+            tried -> onOutcome(machine, sentAtMs, known, null, tried));
   }
 
-  private void answered(
+  private void onOutcome(
       Machine machine, long sentAtMs, ReportPosition known, Answer answer, boolean tried) {
     machine.contact().setProbing(false);
     underWay--;
@@ -101,13 +104,13 @@
       machine.contact().onProbeFailed(sentAtMs);
     }
     if (answer == null) {
-      // Its worker reports by itself as soon as it can: asking on and on only costs connections.
-      machine.contact().suppressProbesUntil(context.nowMs() + FleetConstants.PROBE_PAUSE_MS);
+      // Its worker reports by itself as soon as it can: probing on and on only costs connections.
+      machine.contact().suppressProbesUntil(context.nowMs() + FleetConstants.PROBE_RETRY_DELAY_MS);
     }
-    WorkerReport report = CommandQueue.reportOf(answer);
+    WorkerReport report = CommandQueue.reportIn(answer);
     if (!context.isClosed() && report != null) {
-      onAnswer.answered(machine, report, known);
+      listener.onResponse(machine, report, known);
     }
-    probeNext();
+    sendWaiting();
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -112,7 +112,8 @@
             onMachineTypes.accept(list);
           }
           eventLoop.after(
-              list == null ? 2_000 : FleetConstants.MACHINE_TYPES_EVERY_MS, this::readMachineTypes);
+              list == null ? 2_000 : FleetConstants.MACHINE_TYPES_INTERVAL_MS,
+              this::readMachineTypes);
         });
   }
 
@@ -131,7 +132,7 @@
             listedOnce = true;
             entries.forEach(this::listed);
           }
-          eventLoop.after(FleetConstants.LIST_EVERY_MS, this::list);
+          eventLoop.after(FleetConstants.LIST_INTERVAL_MS, this::list);
         });
   }
 
@@ -200,7 +201,7 @@
       // Machines may have come up while we stood still, and their reports wait to be read.
       return;
     }
-    long heardMs = (long) (settings.workers().leaseMs() * FleetConstants.BOOT_HEARD_LEASES);
+    long heardMs = (long) (settings.workers().leaseMs() * FleetConstants.MIN_REPORT_WAIT_LEASES);
     booting.forEach(
         (name, b) -> {
           Machine machine = fleet.getOrAdd(name, null);
@@ -216,7 +217,7 @@
 
   private double bootS(MachineKind kind) {
     MachineType f = machineTypes.get(kind.type());
-    return f == null ? FleetConstants.BOOT_UNKNOWN_S : f.bootS();
+    return f == null ? FleetConstants.DEFAULT_BOOT_S : f.bootS();
   }
 
   private boolean isRefused(MachineKind kind, long now) {
@@ -242,7 +243,7 @@
         coming.add(e.getKey());
       }
     }
-    return late > (late + coming.size()) * FleetConstants.BOOT_LATE_SHARE
+    return late > (late + coming.size()) * FleetConstants.MAX_LATE_BOOT_SHARE
         ? booting.keySet()
         : coming;
   }
@@ -344,8 +345,8 @@
   }
 
   private void refuse(MachineKind kind, long now) {
-    long pause = refusedPause.getOrDefault(kind, FleetConstants.REFUSED_FIRST_MS);
+    long pause = refusedPause.getOrDefault(kind, FleetConstants.MIN_CAPACITY_BACKOFF_MS);
     refusedUntil.put(kind, now + pause);
-    refusedPause.put(kind, Math.min(FleetConstants.REFUSED_MOST_MS, pause * 2));
+    refusedPause.put(kind, Math.min(FleetConstants.MAX_CAPACITY_BACKOFF_MS, pause * 2));
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineReadiness.java
+++ b/src/main/java/fennelthread/fleet/MachineReadiness.java
@@ -3,7 +3,7 @@
 import fennelthread.constants.FleetConstants;
 import fennelthread.constants.RelayConstants;
 
-/** Judges from a machine's contact with this leader whether it is of use. */
+/** Decides from a machine's contact with this leader whether it can be given tasks. */
 final class MachineReadiness {
   private final FleetContext context;
   private final ZoneHealth zones;
@@ -14,56 +14,59 @@
   }
 
   /**
-   * True if the machine can be given tasks: in contact lately, obeying nobody but us, and renewing
-   * its lease.
+   * Returns true if the machine can be given tasks: in contact lately, confirmed under this term's
+   * fencing token, and renewing its lease.
    */
   boolean isReady(Machine machine) {
-    long now = context.nowMs();
+    long nowMs = context.nowMs();
     return machine.phase() == Machine.Phase.REPORTING
         && machine.address() != null
         && machine.isConfirmed(context.epoch())
         && !machine.isCordoned()
         && machine.interruptionAtMs() < 0
-        && now - machine.contact().unreachableAtMs() > FleetConstants.UNREACHABLE_PAUSE_MS
-        && isHeard(machine, now)
-        && !isLosingSessions(machine, now)
+        && nowMs - machine.contact().unreachableAtMs() > FleetConstants.UNREACHABLE_PAUSE_MS
+        && isRenewingLease(machine, nowMs)
+        && !hasUnstableSessions(machine, nowMs)
         && zones.mayPlace(machine);
   }
 
   /**
-   * True if it was in contact lately and renews its lease. A machine that only carries out commands
-   * loses its tasks when its lease ends, whatever it is sent.
+   * Returns true if the machine was in contact lately and renews its lease. A machine that only
+   * carries out commands loses its tasks when its lease expires, whatever it is sent.
    */
-  private boolean isHeard(Machine machine, long nowMs) {
-    double silentMs = context.reportMs() * RelayConstants.SILENT_REPORTS;
-    return nowMs - machine.lastContactAtMs() <= silentMs
-        && nowMs - machine.reportAnsweredAtMs() <= silentMs;
+  private boolean isRenewingLease(Machine machine, long nowMs) {
+    double maxSilenceMs = context.reportMs() * RelayConstants.SILENT_REPORTS;
+    return nowMs - machine.lastContactAtMs() <= maxSilenceMs
+        && nowMs - machine.reportAnsweredAtMs() <= maxSilenceMs;
   }
 
   /**
-   * True if lease after lease ended there although it reports: what is started now would end like
-   * the rest.
+   * Returns true if lease after lease has expired on a machine although it reports: what is started
+   * there now would end like the rest.
    */
-  private boolean isLosingSessions(Machine machine, long nowMs) {
+  private boolean hasUnstableSessions(Machine machine, long nowMs) {
     long leaseMs = context.leaseMs();
-    return machine.contact().incarnationChangesSince(nowMs - leaseMs) > 0
-        && machine.contact().incarnationChangesSince(nowMs - leaseMs * FleetConstants.RISES_LEASES)
-            >= FleetConstants.RISES_NO_ROOM;
+    MachineContact contact = machine.contact();
+    return contact.sessionChangesSince(nowMs - leaseMs) > 0
+        && contact.sessionChangesSince(nowMs - leaseMs * FleetConstants.SESSION_CHANGE_LEASES)
+            >= FleetConstants.MIN_SESSION_CHANGES_UNREADY;
   }
 
   /**
-   * True if the machine is mute: none of its own reports was answered for so long that its lease
-   * must be over, though it may carry out commands.
+   * Returns true if none of the machine's own reports was answered for so long that its lease must
+   * be over, though it may carry out commands.
    */
   boolean isUnanswered(Machine machine) {
-    return context.nowMs() - machine.reportAnsweredAtMs() > context.leaseAtMostMs();
+    return context.nowMs() - machine.reportAnsweredAtMs() > context.maxLeaseMs();
   }
 
   /**
-   * True if the machine's leases have ended again and again: it hears nothing, and is of no use.
+   * Returns true if the machine's leases have expired again and again: answers do not reach it, and
+   * it is of no use.
    */
   boolean isLosingLeases(Machine machine) {
-    long fromMs = context.nowMs() - context.leaseMs() * FleetConstants.RISES_LEASES;
-    return machine.contact().incarnationChangesSince(fromMs) >= FleetConstants.RISES_HOPELESS;
+    long fromMs = context.nowMs() - context.leaseMs() * FleetConstants.SESSION_CHANGE_LEASES;
+    return machine.contact().sessionChangesSince(fromMs)
+        >= FleetConstants.MIN_SESSION_CHANGES_TO_RETURN;
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -99,7 +99,7 @@
           && !zones.isUnreachable(machine)) {
         known++;
         if (nowMs - machine.outOfContactSinceMs()
-            > settings.workers().reportMs() * FleetConstants.SILENT_REPORTS_ALARM) {
+            > settings.workers().reportMs() * FleetConstants.OVERDUE_REPORT_INTERVALS) {
           silent.add(machine);
         }
       }
@@ -117,7 +117,7 @@
       if (machine.contact().probeFailed()
           && !machine.isEmpty()
           && nowMs - silentFromMs
-              > settings.workers().leaseMs() * FleetConstants.SILENT_LEASE_SHARE) {
+              > settings.workers().leaseMs() * FleetConstants.MAX_SILENCE_LEASE_SHARE) {
         beginRevocableReturn(machine, "silent");
       }
     }
@@ -150,14 +150,14 @@
     for (Machine machine : mute) {
       if (machine.isEmpty()
           && nowMs - machine.reportAnsweredAtMs()
-              > settings.workers().leaseMs() * FleetConstants.MUTE_LEASES) {
+              > settings.workers().leaseMs() * FleetConstants.UNANSWERED_RETURN_LEASES) {
         beginReturn(machine, "mute");
       }
     }
   }
 
   private static boolean isMany(List<Machine> some, int known) {
-    return some.size() > Math.max(1, known * FleetConstants.SILENT_SHARE);
+    return some.size() > Math.max(1, known * FleetConstants.MAX_SILENT_SHARE);
   }
 
   /** Why a single machine goes back, or null if it stays. */
@@ -183,7 +183,7 @@
   private boolean isLost(Machine machine, long nowMs) {
     boolean silent =
         nowMs - machine.lastContactAtMs()
-            > settings.workers().leaseMs() + FleetConstants.LOST_PATIENCE_MS;
+            > settings.workers().leaseMs() + FleetConstants.LOST_RETURN_DELAY_MS;
     return machine.phase() == Machine.Phase.LOST && silent && zones.mayReclaimLost(machine, nowMs);
   }
 
@@ -218,7 +218,7 @@
     if (requestUnderWay || returning.isEmpty() || cloud.isBackingOff()) {
       return;
     }
-    List<String> names = returning.stream().limit(FleetConstants.MAX_PER_RETURN).toList();
+    List<String> names = returning.stream().limit(FleetConstants.MAX_MACHINES_PER_RETURN).toList();
     requestUnderWay = true;
     cloud.returnMachines(
         names,
--- a/src/main/java/fennelthread/fleet/ReportEvidence.java
+++ b/src/main/java/fennelthread/fleet/ReportEvidence.java
@@ -8,30 +8,30 @@
 
 /**
  * Applies a report that is newer than all before to the attempts on its machine. Until the machine
- * has shown a token of our own epoch what it reports may be as old as any late copy: what is on it
- * counts, what is done is done, and nothing else follows.
+ * has shown a token of our own epoch, the report may be a copy of any age: then tasks that it shows
+ * count as present, those that it shows as done are done, and nothing else follows.
  */
 final class ReportEvidence {
 
   /**
-   * What followed from a report.
+   * The consequences of a report.
    *
-   * @param ended attempts that are over or proven not to be on the machine
-   * @param adopted attempts that it showed and that we did not start
+   * @param ended attempts that have ended or are proven not to be on the machine
+   * @param discovered attempts that the report shows and that this term did not start
    */
-  record Outcome(List<Attempt> ended, List<Attempt> adopted) {}
+  record Outcome(List<Attempt> ended, List<Attempt> discovered) {}
 
   private final Machine machine;
   private final WorkerReport report;
-  private final boolean ours;
+  private final boolean ofOurEpoch;
   private final long nowMs;
   private final List<Attempt> ended = new ArrayList<>(0);
-  private final List<Attempt> adopted = new ArrayList<>(0);
+  private final List<Attempt> discovered = new ArrayList<>(0);
 
   private ReportEvidence(Machine machine, WorkerReport report, long epoch, long nowMs) {
     this.machine = machine;
     this.report = report;
-    this.ours = MachineFencingTokens.epochOf(report) == epoch;
+    this.ofOurEpoch = MachineFencingTokens.epochOf(report) == epoch;
     this.nowMs = nowMs;
   }
 
@@ -39,32 +39,32 @@
    * Applies a report to a machine.
    *
    * @param epoch the epoch of our term
-   * @param describe says what a reported task is that we did not start
+   * @param startOfTask returns the start that belongs to a task which this term did not start
    */
   static Outcome apply(
       Machine machine,
       WorkerReport report,
       long epoch,
       long nowMs,
-      Function<WorkerReport.Task, StartRecord.Start> describe) {
+      Function<WorkerReport.Task, StartRecord.Start> startOfTask) {
     ReportEvidence evidence = new ReportEvidence(machine, report, epoch, nowMs);
-    if (evidence.ours) {
+    if (evidence.ofOurEpoch) {
       evidence.dropEarlierSessions();
     }
-    long mark = machine.reported(report, epoch, nowMs);
+    long reportNumber = machine.onReport(report, epoch, nowMs);
     for (WorkerReport.Task task : report.tasks()) {
-      evidence.applyTask(task, mark, describe);
+      evidence.applyTask(task, reportNumber, startOfTask);
     }
-    if (evidence.ours) {
-      evidence.dropAbsent(mark);
+    if (evidence.ofOurEpoch) {
+      evidence.dropAbsent(reportNumber);
     }
-    machine.noteIdle(nowMs);
-    return new Outcome(evidence.ended, evidence.adopted);
+    machine.updateIdleSince(nowMs);
+    return new Outcome(evidence.ended, evidence.discovered);
   }
 
-  /** In a later session the worker has killed and forgotten everything of earlier ones. */
+  /** In a later session the worker has killed and forgotten all tasks of earlier ones. */
   private void dropEarlierSessions() {
-    for (Attempt attempt : List.copyOf(machine.attemptList())) {
+    for (Attempt attempt : List.copyOf(machine.attempts())) {
       if (attempt.start().session() < report.session()) {
         machine.drop(attempt, ended);
       }
@@ -72,34 +72,37 @@
   }
 
   private void applyTask(
-      WorkerReport.Task task, long mark, Function<WorkerReport.Task, StartRecord.Start> describe) {
+      WorkerReport.Task task,
+      long reportNumber,
+      Function<WorkerReport.Task, StartRecord.Start> startOfTask) {
     Attempt attempt = machine.find(task.ref(), task.attempt());
     if (attempt == null) {
-      attempt = new Attempt(machine, describe.apply(task), Attempt.Phase.UNCONFIRMED, 0, nowMs);
+      StartRecord.Start start = startOfTask.apply(task);
+      attempt = new Attempt(machine, start, Attempt.Phase.UNCONFIRMED, 0, nowMs);
       machine.add(attempt);
-      adopted.add(attempt);
+      discovered.add(attempt);
     }
-    attempt.markSeenIn(mark);
+    attempt.markSeenIn(reportNumber);
     if (attempt.phase() == Attempt.Phase.RECORDED || attempt.phase() == Attempt.Phase.DEFERRED) {
       return;
     }
     boolean wasEnded = attempt.phase() == Attempt.Phase.ENDED;
     boolean done =
         task.phase() == WorkerReport.Phase.ENDED && task.motive() == WorkerReport.Motive.DONE;
-    boolean old = wasEnded && task.phase() != WorkerReport.Phase.ENDED;
-    if (old || !(ours || done)) {
+    boolean outdated = wasEnded && task.phase() != WorkerReport.Phase.ENDED;
+    if (outdated || !(ofOurEpoch || done)) {
       return;
     }
-    attempt.reported(task, nowMs);
+    attempt.applyReport(task, nowMs);
     if (attempt.phase() == Attempt.Phase.ENDED && !wasEnded) {
       ended.add(attempt);
     }
   }
 
-  private void dropAbsent(long mark) {
+  private void dropAbsent(long reportNumber) {
     List<Attempt> absent = new ArrayList<>(0);
     for (Attempt attempt : machine.attempts()) {
-      if (!attempt.wasSeenIn(mark) && !mayStillCome(attempt)) {
+      if (!attempt.wasSeenIn(reportNumber) && !mayStillStart(attempt)) {
         absent.add(attempt);
       }
     }
@@ -107,10 +110,10 @@
   }
 
   /**
-   * True if a start may still be carried out: one that is in flight, or comes a second time, is
-   * refused only under a higher token than its own.
+   * Returns true if a start may still be carried out: one that is in flight, or arrives a second
+   * time, is refused only under a higher token than its own.
    */
-  private boolean mayStillCome(Attempt attempt) {
+  private boolean mayStillStart(Attempt attempt) {
     return attempt.phase() == Attempt.Phase.RECORDED
         || attempt.phase() == Attempt.Phase.DEFERRED
         || report.token() <= attempt.token();
--- a/src/main/java/fennelthread/fleet/ReportOrder.java
+++ b/src/main/java/fennelthread/fleet/ReportOrder.java
@@ -6,36 +6,43 @@
 import java.util.Map;
 
 /**
- * Which reports have come in before, whatever this controller does with them. A worker has one
- * report under way at a time: once a later one has come, nobody waits for the answer to an earlier
- * one, and one that comes a second time is a copy, seconds or leases old. Such a report is not
- * answered, passed on, counted as heard, or learnt from.
+ * Detects copies of reports, independent of what this controller does with a report. A worker has
+ * one report under way at a time: once a later one has arrived, nobody waits for the answer to an
+ * earlier one, and one that arrives a second time is a copy, seconds or leases old. Such a report
+ * is not answered, relayed, counted as contact, or learnt from.
  *
- * <p>A machine that was started anew under its old name counts from the first session and report
+ * <p>A machine that was restarted under its old name counts from the first session and report
  * again. Its worker has forgotten the tokens that it obeyed, so that a report under a lower token
- * may be either; only an answer to a question that was put to it since tells ({@link Fleet}). One
- * under a higher token is none of the old ones.
+ * may be a copy or a first report; only the answer to a probe that was sent since then decides
+ * ({@link Fleet}). A report under a higher token is no copy.
  */
 public final class ReportOrder {
-  private record Last(long session, long seq, long token) {}
+  private record Newest(long session, long seq, long token) {
+    boolean isAtOrAfter(WorkerReport report) {
+      boolean later =
+          report.session() > session || (report.session() == session && report.seq() > seq);
+      return report.token() <= token && !later;
+    }
+  }
 
-  private final Map<String, Last> last = new LinkedHashMap<>(64, 0.75f, true);
+  /** The newest report of each machine, the least recently updated machine first. */
+  private final Map<String, Newest> newestByMachine = new LinkedHashMap<>(64, 0.75f, true);
 
-  /** Takes note of a report; true if it, or a later one of the same machine, has come in before. */
+  /**
+   * Records a report.
+   *
+   * @return true if it is a copy: it, or a later one of the same machine, has arrived before
+   */
   public boolean isCopy(WorkerReport report) {
-    Last known = last.get(report.machine());
-    if (known != null && report.token() <= known.token && !isLater(report, known)) {
+    Newest known = newestByMachine.get(report.machine());
+    if (known != null && known.isAtOrAfter(report)) {
       return true;
     }
-    last.put(report.machine(), new Last(report.session(), report.seq(), report.token()));
-    if (last.size() > RelayConstants.KNOWN_ADDRESSES) {
-      last.remove(last.keySet().iterator().next());
+    newestByMachine.put(
+        report.machine(), new Newest(report.session(), report.seq(), report.token()));
+    if (newestByMachine.size() > RelayConstants.KNOWN_ADDRESSES) {
+      newestByMachine.remove(newestByMachine.keySet().iterator().next());
     }
     return false;
   }
-
-  private static boolean isLater(WorkerReport report, Last known) {
-    return report.session() > known.session
-        || (report.session() == known.session && report.seq() > known.seq);
-  }
 }
--- a/src/main/java/fennelthread/fleet/ReportPosition.java
+++ b/src/main/java/fennelthread/fleet/ReportPosition.java
@@ -3,19 +3,20 @@
 import fennelthread.wire.WorkerReport;
 
 /**
- * The newest report of a machine that was known at some moment.
+ * The position of a report in the order of a machine's reports: by session first, by sequence
+ * number within it.
  *
- * @param session its session, 0 if none was known
- * @param seq its number within the session
+ * @param session the session of the worker, 0 if no report is known
+ * @param seq the report's number within the session
  */
 record ReportPosition(long session, long seq) {
 
-  /** What is known of a machine now. */
+  /** Returns the position of the newest report that is known of a machine. */
   static ReportPosition of(Machine machine) {
     return new ReportPosition(machine.session(), machine.seq());
   }
 
-  /** True if a report of the same life of the machine is newer than this one. */
+  /** Returns true if a report of the same incarnation of the machine is newer than this one. */
   boolean isBefore(WorkerReport report) {
     return report.session() > session || (report.session() == session && report.seq() > seq);
   }
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -12,188 +12,209 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes what workers say: answers the reports that they send by themselves, and applies those and
- * the reports that answer commands.
+ * Processes workers' reports: answers those that workers send by themselves, and applies these and
+ * the ones that answer commands to the machines and attempts of the term.
+ *
+ * <p>Begin with {@link #handleReport}; what a report proves about attempts is in {@link
+ * ReportEvidence}.
  */
 final class ReportProcessor {
   private static final Logger log = LoggerFactory.getLogger(ReportProcessor.class);
 
+  /** Who sent a report of its own accord, and who only because it was asked. */
+  private enum Source {
+    /** The worker reported by itself: its lease is renewed by the answer. */
+    UNSOLICITED,
+    /** The report answers a command, and does not bring back a machine whose lease is over. */
+    COMMAND_RESPONSE
+  }
+
   private final FleetContext context;
   private final HeartbeatResponder responder;
-  private final Function<String, Machine> machines;
+  private final Function<String, Machine> machineOfName;
   private final MachineProbes probes;
   private final StartSender starts;
   private final CommandQueue commands;
   private long lastReportAtMs = -1;
 
   /**
-   * Creates it.
+   * Creates the processor of one term.
    *
-   * @param machines gives the machine of a name, which is known from then on
+   * @param machineOfName returns the machine of a name and adds it if it is not known
    */
   ReportProcessor(
       FleetContext context,
       HeartbeatResponder responder,
-      Function<String, Machine> machines,
+      Function<String, Machine> machineOfName,
       MachineProbes probes,
       StartSender starts,
       CommandQueue commands) {
     this.context = context;
     this.responder = responder;
-    this.machines = machines;
+    this.machineOfName = machineOfName;
     this.probes = probes;
     this.starts = starts;
     this.commands = commands;
   }
 
-  /** When a worker last reported by itself, or -1. */
+  /** Returns when a worker last reported by itself, ms, or -1. */
   long lastReportAtMs() {
     return lastReportAtMs;
   }
 
   /**
-   * Answers a report that has not come in before; null if nobody may be answered now, or if another
-   * leads.
+   * Answers a report that has not arrived before.
    *
-   * @param by whom it came: a peer's name, or ours
+   * @param via the member through which it arrived: a peer's name, or our own
+   * @return the answer, or null if nobody may be answered now or another controller leads
    */
-  Answer answer(WorkerReport report, String by) {
+  Answer handleReport(WorkerReport report, String via) {
     if (!responder.mayRespond()) {
-      // Users may have been told of cancellations that we know nothing of: those tasks must not
-      // live on. A leader in a zone that was cut off for 75 s once kept them for all of it.
+      // Cancellations that we do not know of may have been acknowledged to users: those tasks must
+      // not live on. A leader in a zone that was cut off for 75 s once kept them for all of it.
       return null;
     }
-    Machine machine = machines.apply(report.machine());
-    if (MachineFencingTokens.epochOf(report) > context.epoch()) {
-      context.listener().onHigherEpochObserved(MachineFencingTokens.epochOf(report));
+    Machine machine = machineOfName.apply(report.machine());
+    if (isFencedOff(report)) {
       return null;
     }
     if (machine.phase() == Machine.Phase.GONE || machine.phase() == Machine.Phase.RETURNING) {
-      // Late packets of a machine that is gone, or about to be: not answered, so that its lease
-      // isn't lengthened.
+      // Late packets of a machine that is gone, or about to be, are not answered, so that its lease
+      // is not renewed.
       return Answer.error(503, "machine is being returned");
     }
     machine.describe(report.type(), report.zone(), report.spot());
     lastReportAtMs = context.nowMs();
     return isOfOtherIncarnation(machine, report)
         ? queryRestart(machine, report)
-        : answerNext(machine, report, by);
+        : answerCurrent(machine, report, via);
+  }
+
+  /** Reports a higher epoch to the listener; returns true if the report shows one. */
+  private boolean isFencedOff(WorkerReport report) {
+    long shownEpoch = MachineFencingTokens.epochOf(report);
+    if (shownEpoch <= context.epoch()) {
+      return false;
+    }
+    context.listener().onHigherEpochObserved(shownEpoch);
+    return true;
   }
 
   private boolean isOfOtherIncarnation(Machine machine, WorkerReport report) {
-    // A report may be overtaken by the answer to a question that was put to its machine a moment
-    // later.
+    // A report may be overtaken by the answer to a probe that was sent a moment later.
     boolean overtaken =
         report.session() == machine.session()
             && context.nowMs() - machine.lastReportAtMs() < ProtocolConstants.WORKER_WAITS_MS;
     return machine.isOfOtherIncarnation(report) && !overtaken;
   }
 
-  private Answer answerNext(Machine machine, WorkerReport report, String by) {
+  private Answer answerCurrent(Machine machine, WorkerReport report, String via) {
     boolean newest = machine.isNewer(report);
     if (newest) {
-      raiseTokenIfAnswersMayBeLost(machine, report, by);
+      raiseTokenIfAnswersMayBeLost(machine, report, via);
     } else if (!machine.isConfirmed(context.epoch())) {
-      // What we take for newer may be a copy from an earlier life of the machine: it tells itself.
+      // What seems newer may be a copy from an earlier incarnation of the machine: a probe shows.
       probes.probe(machine);
     }
-    apply(machine, report, true);
+    apply(machine, report, Source.UNSOLICITED);
     if (isUnreachable(machine)) {
-      // All that could be said was said for more than a lease, and nothing of it was heard. An
-      // answer could not renew the worker's lease, and must not renew what we count of it.
+      // For more than a lease, nothing that was sent has arrived. An answer could not renew the
+      // worker's lease, and must not renew what we count of it.
       return Answer.error(503, "answers do not arrive");
     }
-    long now = context.nowMs();
-    machine.contact().onReportAnswered(now);
-    machine.onUnacknowledgedAnswer(context.epoch(), now);
+    long nowMs = context.nowMs();
+    machine.contact().onReportAnswered(nowMs);
+    machine.onUnacknowledgedAnswer(context.epoch(), nowMs);
     if (newest) {
       starts.markUnshownUnconfirmed(machine);
     }
-    List<WorkerCommand> all = new ArrayList<>();
-    if (machine.tokens().shown() >= 0) {
-      all.addAll(commands.due(machine));
+    List<WorkerCommand> response = new ArrayList<>();
+    if (machine.tokens().lastShown() >= 0) {
+      response.addAll(commands.dueCommands(machine));
     }
-    all.addAll(starts.startsForResponse(machine, newest));
-    return responder.respond(report, machine.token(context.epoch()), all);
+    response.addAll(starts.startsForResponse(machine, newest));
+    return responder.respond(report, machine.token(context.epoch()), response);
   }
 
   /**
-   * A report that comes late, by another way, or in a later session tells that answers may not have
-   * arrived. The token is raised, and only a report that shows it tells that they do.
+   * Raises the machine's token if earlier answers may not have arrived: the report is late, comes
+   * through another member, or is of a later session. Only a report that shows the raised token
+   * proves that answers arrive.
    */
-  private void raiseTokenIfAnswersMayBeLost(Machine machine, WorkerReport report, String by) {
-    boolean elsewhere = machine.contact().observeReportPath(by);
-    double latestMs =
-        context.reportMs() * FleetConstants.DOUBT_REPORTS + FleetConstants.DOUBT_SLACK_MS;
-    boolean late = context.nowMs() - machine.lastReportAtMs() > latestMs && !context.isCatchingUp();
-    boolean risen = report.session() > machine.session();
+  private void raiseTokenIfAnswersMayBeLost(Machine machine, WorkerReport report, String via) {
+    boolean pathChanged = machine.contact().observeReportPath(via);
+    double maxIntervalMs =
+        context.reportMs() * FleetConstants.LATE_REPORT_INTERVALS
+            + FleetConstants.LATE_REPORT_SLACK_MS;
+    boolean late =
+        context.nowMs() - machine.lastReportAtMs() > maxIntervalMs && !context.isCatchingUp();
+    boolean sessionChanged = report.session() > machine.session();
     if (machine.lastReportAtMs() >= 0
         && machine.isConfirmed(context.epoch())
-        && (elsewhere || risen || late)) {
+        && (pathChanged || sessionChanged || late)) {
       machine.tokens().raise();
     }
   }
 
-  /** True if for more than a lease nothing has shown that an answer arrived there. */
+  /** Returns true if for more than a lease nothing has shown that an answer arrived. */
   private boolean isUnreachable(Machine machine) {
     long sinceMs = machine.contact().unacknowledgedSinceMs();
     return !machine.isConfirmed(context.epoch())
         && sinceMs >= 0
-        && context.nowMs() - sinceMs > context.leaseAtMostMs();
+        && context.nowMs() - sinceMs > context.maxLeaseMs();
   }
 
   /**
-   * A report under a lower token than the machine has shown: an old copy, or the first of a machine
-   * that was started anew and has forgotten everything. The machine itself tells which, under a
-   * token that is raised before: a start that is still on its way, or comes a second time, must not
-   * be carried out by the next life.
+   * Asks a machine whether it was restarted, after a report under a lower token than it has shown:
+   * this is an old copy, or the first report of a machine that was restarted and has forgotten
+   * everything. The question carries a token that is raised before: a start that is still in
+   * flight, or arrives a second time, must not be carried out by the next incarnation.
    */
   private Answer queryRestart(Machine machine, WorkerReport report) {
-    long now = context.nowMs();
-    if (!machine.contact().isProbing()
-        && now - machine.contact().restartQueriedAtMs() > FleetConstants.ASK_WHICH_MS) {
-      machine.contact().onRestartQuery(now);
+    long nowMs = context.nowMs();
+    MachineContact contact = machine.contact();
+    if (!contact.isProbing()
+        && nowMs - contact.restartQueriedAtMs() > FleetConstants.MIN_RESTART_QUERY_INTERVAL_MS) {
+      contact.onRestartQuery(nowMs);
       machine.tokens().raise();
       probes.send(machine, report.address(), report.session());
     }
     return Answer.error(503, "tokens were forgotten");
   }
 
-  /** Applies a worker's answer to what we sent it when {@code known} was its newest report. */
-  void answeredDirectly(Machine machine, WorkerReport report, ReportPosition known) {
+  /**
+   * Applies a worker's answer to commands.
+   *
+   * @param known the newest report of the machine that was known when the commands were sent
+   */
+  void onCommandResponse(Machine machine, WorkerReport report, ReportPosition known) {
     if (!report.machine().equals(machine.name())) {
       // The address belongs to another machine by now.
       return;
     }
-    if (MachineFencingTokens.epochOf(report) > context.epoch()) {
-      context.listener().onHigherEpochObserved(MachineFencingTokens.epochOf(report));
+    if (isFencedOff(report)) {
       return;
     }
     machine.describe(report.type(), report.zone(), report.spot());
     if (!known.isBefore(report) && ReportPosition.of(machine).equals(known)) {
-      // Answered after what we knew, it would be later in the same life.
-      log.info("{} was started anew", machine.name());
+      // Answered after what we knew, it would be later in the same incarnation.
+      log.info("machine restarted machine={}", machine.name());
       machine.onRestarted();
       machine.tokens().raise();
     }
-    apply(machine, report, false);
+    apply(machine, report, Source.COMMAND_RESPONSE);
   }
 
-  /**
-   * Applies a report if it is the newest.
-   *
-   * @param ownReport whether the machine sent it by itself; false for the answer to a command,
-   *     which does not bring back a machine whose lease is over
-   */
-  private void apply(Machine machine, WorkerReport report, boolean ownReport) {
+  /** Applies a report if it is the newest of its machine. */
+  private void apply(Machine machine, WorkerReport report, Source source) {
     if (!machine.isNewer(report) || machine.phase() == Machine.Phase.GONE) {
       return;
     }
     machine.setAddress(report.address());
     boolean laterSession = report.session() > machine.session() && machine.session() > 0;
-    if (context.isOurs(report)) {
-      noteReporting(machine, ownReport);
-      noteLease(machine, report);
+    if (context.isOfOurEpoch(report)) {
+      updatePhase(machine, source);
+      updateLeaseStart(machine, report);
     }
     boolean confirmedBefore = machine.isConfirmed(context.epoch());
     List<Attempt> ended = applyEvidence(machine, report);
@@ -205,22 +226,22 @@
     }
   }
 
-  private void noteReporting(Machine machine, boolean ownReport) {
-    boolean comesBack = machine.phase() == Machine.Phase.LOST && ownReport;
-    if (machine.phase() == Machine.Phase.AWAITING_REPORT || comesBack) {
+  private void updatePhase(Machine machine, Source source) {
+    boolean returns = machine.phase() == Machine.Phase.LOST && source == Source.UNSOLICITED;
+    if (machine.phase() == Machine.Phase.AWAITING_REPORT || returns) {
       machine.transitionTo(Machine.Phase.REPORTING);
       context.listener().onFleetChanged();
     }
   }
 
   /**
-   * A worker's lease also counts from the start of its session, which may have begun just now
-   * although we have known the machine for long and answered nothing yet. Only sessions that are
-   * shown under our token count, as only in those we start anything: a machine that hears nothing
-   * shows a later one each time that its lease ends, and each put the end of what a predecessor had
-   * started there off for another lease.
+   * Counts a worker's lease from now if its session may have begun just now, although the machine
+   * has been known for long and was not answered yet. Only sessions that are shown under our epoch
+   * count, as starts are sent to no others: a machine that receives nothing shows a later session
+   * each time that its lease expires, and each once postponed the end of what a predecessor had
+   * started there by another lease.
    */
-  private void noteLease(Machine machine, WorkerReport report) {
+  private void updateLeaseStart(Machine machine, WorkerReport report) {
     if (report.session() > machine.session() || !machine.tokens().areOf(context.epoch())) {
       machine.contact().onLeaseBegan(context.nowMs());
     }
@@ -234,10 +255,10 @@
             context.epoch(),
             context.nowMs(),
             task -> context.listener().startOfDiscoveredTask(machine, task));
-    outcome.adopted().forEach(context.listener()::onAttemptDiscovered);
+    outcome.discovered().forEach(context.listener()::onAttemptDiscovered);
     for (Attempt attempt : outcome.ended()) {
       log.debug(
-          "{} is over ({}), by report {}/{} token {}",
+          "attempt ended attempt={} reason={} session={} seq={} token={}",
           attempt,
           attempt.motive(),
           report.session(),
--- a/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
+++ b/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
@@ -113,7 +113,8 @@
   /** The first kind that is to be had, and as many machines as hold so many CPUs. */
   private Request first(
       List<MachineKind> kinds, Stock stock, double cpus, Predicate<MachineKind> refused) {
-    int most = Math.min(FleetConstants.MAX_PER_RENTAL, options.maxMachines() - stock.machines);
+    int most =
+        Math.min(FleetConstants.MAX_MACHINES_PER_RENTAL, options.maxMachines() - stock.machines);
     for (MachineKind kind : kinds) {
       if (!refused.test(kind)) {
         double each = Math.max(0.5, stock.types.get(kind.type()).cpus());
--- a/src/main/java/fennelthread/fleet/StartSender.java
+++ b/src/main/java/fennelthread/fleet/StartSender.java
@@ -13,38 +13,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts whose record is written, each exactly once: directly, or with the answer to the
- * machine's next report if no connection is to be had.
+ * Sends starts whose record is committed, each exactly once: directly, or with the answer to the
+ * machine's next report if no connection can be opened.
  */
 final class StartSender {
   private static final Logger log = LoggerFactory.getLogger(StartSender.class);
 
   private final FleetContext context;
-  private final CommandQueue.AnswerListener onAnswer;
+  private final WorkerResponseListener listener;
   private final MachineProbes probes;
   private final Set<Machine> machinesWithDeferredStarts = new LinkedHashSet<>();
 
-  StartSender(FleetContext context, MachineProbes probes, CommandQueue.AnswerListener onAnswer) {
+  StartSender(FleetContext context, MachineProbes probes, WorkerResponseListener listener) {
     this.context = context;
     this.probes = probes;
-    this.onAnswer = onAnswer;
+    this.listener = listener;
   }
 
   /**
-   * Sends starts directly. The caller has just checked the local lease. An answer that stays away
-   * means that the worker may act minutes later: the token is raised, and until a report under it
-   * arrives, the attempts count as present.
+   * Sends starts directly. The caller has just checked the leader lease. Without an answer the
+   * worker may act minutes later: the token is raised, and until a report under it arrives, the
+   * attempts count as present.
    */
   void send(Machine machine, List<Attempt> attempts) {
     long token = machine.token(context.epoch());
     List<WorkerCommand> commands = new ArrayList<>();
     for (Attempt attempt : attempts) {
       attempt.onStartSent(token);
-      commands.add(new WorkerCommand.Run(attempt.start().task(), attempt.start().attempt()));
+      commands.add(runCommand(attempt));
     }
     long session = attempts.get(0).start().session();
     ReportPosition known = new ReportPosition(session, machine.seq());
-    log.debug("{}: starts {} under token {}", machine.name(), commands, token);
+    log.debug("starts sent machine={} token={} commands={}", machine.name(), token, commands);
     machine
         .contact()
         .onStartSent(
@@ -54,21 +54,25 @@
         .send(
             machine,
             machine.address(),
-            CommandQueue.call(token, session, commands),
+            CommandQueue.commandCall(token, session, commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
-            answer -> answered(machine, attempts, known, answer),
+            answer -> onAnswer(machine, attempts, known, answer),
             tried -> onNotSent(machine, attempts, tried));
   }
 
-  private void answered(
+  private static WorkerCommand runCommand(Attempt attempt) {
+    return new WorkerCommand.Run(attempt.start().task(), attempt.start().attempt());
+  }
+
+  private void onAnswer(
       Machine machine, List<Attempt> attempts, ReportPosition known, Answer answer) {
     if (context.isClosed()) {
       return;
     }
-    WorkerReport report = CommandQueue.reportOf(answer);
+    WorkerReport report = CommandQueue.reportIn(answer);
     if (report == null) {
       onUnanswered(machine, attempts);
-    } else if (answer.status() == 409) {
+    } else if (CommandQueue.isRefused(answer)) {
       // Nothing was executed, and this was the only time these attempts were sent.
       attempts.forEach(attempt -> onNeverStarted(machine, attempt));
     } else {
@@ -76,15 +80,13 @@
       transitionSent(attempts, Attempt.Phase.FETCHING);
     }
     if (report != null) {
-      onAnswer.answered(machine, report, known);
+      listener.onResponse(machine, report, known);
     }
     context.listener().onFleetChanged();
   }
 
   private void onUnanswered(Machine machine, List<Attempt> attempts) {
-    context
-        .aggregatedLog()
-        .add("starts without an answer, tokens raised", machine.name(), attempts.size());
+    context.aggregatedLog().add("starts unanswered, token raised", machine.name(), attempts.size());
     machine.tokens().raise();
     transitionSent(attempts, Attempt.Phase.UNCONFIRMED);
     probes.probe(machine);
@@ -99,9 +101,11 @@
   }
 
   /**
-   * No connection could be had, so that nothing left: these attempts are nowhere. Taking them for
-   * unsure once raised hundreds of tokens when connections were short, each of which then needed a
-   * connection to be confirmed.
+   * Handles that no connection could be opened, so that nothing left: these attempts are nowhere.
+   * Taking them for unconfirmed once raised hundreds of tokens when connections were short, each of
+   * which then needed a connection to be confirmed.
+   *
+   * @param tried false if we were short of connections ourselves
    */
   private void onNotSent(Machine machine, List<Attempt> attempts, boolean tried) {
     if (context.isClosed()) {
@@ -112,87 +116,91 @@
       machine.contact().onUnreachable(context.nowMs());
       attempts.forEach(attempt -> onNeverStarted(machine, attempt));
     } else {
-      // We are short of connections ourselves: the worker's next report brings one.
-      context
-          .aggregatedLog()
-          .add("starts carried by the next report", machine.name(), attempts.size());
+      // The worker's next report brings a connection.
+      context.aggregatedLog().add("starts deferred to report", machine.name(), attempts.size());
       transitionSent(attempts, Attempt.Phase.DEFERRED);
       machinesWithDeferredStarts.add(machine);
     }
     context.listener().onFleetChanged();
   }
 
-  /** The starts that go out with the answer to a report, checked as if they were sent directly. */
+  /**
+   * Returns the deferred starts that leave with the answer to a report, after the checks that
+   * precede a direct start.
+   *
+   * @param newest whether the report is the newest of its machine
+   */
   List<WorkerCommand> startsForResponse(Machine machine, boolean newest) {
     if (!machinesWithDeferredStarts.contains(machine)) {
       return List.of();
     }
     List<WorkerCommand> starts = new ArrayList<>();
-    boolean left = false;
+    boolean remaining = false;
     for (Attempt attempt : deferredStarts(machine)) {
       if (attempt.start().session() != machine.session() || !context.listener().mayStart(attempt)) {
         onNeverStarted(machine, attempt);
-      } else if (newest && starts.size() < FleetConstants.STARTS_PER_ANSWER) {
+      } else if (newest && starts.size() < FleetConstants.MAX_STARTS_PER_ANSWER) {
         attempt.onStartSentInResponse(machine.token(context.epoch()));
-        starts.add(new WorkerCommand.Run(attempt.start().task(), attempt.start().attempt()));
+        starts.add(runCommand(attempt));
       } else {
-        left = true;
+        remaining = true;
       }
     }
-    if (!left) {
+    if (!remaining) {
       machinesWithDeferredStarts.remove(machine);
     }
     return starts;
   }
 
   /**
-   * Starts that an earlier answer held and the newest report does not show: whether that answer
-   * arrived, nobody says. The token is raised, and the next report under it tells.
+   * Marks starts as unconfirmed that an earlier answer held and the newest report does not show:
+   * nothing tells whether that answer arrived. The token is raised, and the next report under it
+   * tells.
    */
   void markUnshownUnconfirmed(Machine machine) {
-    boolean doubted = false;
+    boolean anyUnconfirmed = false;
     for (Attempt attempt : machine.attempts()) {
       if (attempt.isSentInResponse()) {
         attempt.transitionTo(Attempt.Phase.UNCONFIRMED);
-        doubted = true;
+        anyUnconfirmed = true;
       }
     }
-    if (doubted) {
+    if (anyUnconfirmed) {
       machine.tokens().raise();
     }
   }
 
-  /** Gives up starts whose machine does not report: they are better tried elsewhere. */
+  /** Drops deferred starts whose machine does not report: they are better tried elsewhere. */
   void dropOverdueStarts() {
-    long patienceMs = (long) (context.reportMs() * FleetConstants.CARRY_REPORTS);
-    boolean dropped = false;
+    long maxDelayMs = (long) (context.reportMs() * FleetConstants.MAX_DEFERRAL_REPORT_INTERVALS);
+    boolean anyDropped = false;
     for (Machine machine : List.copyOf(machinesWithDeferredStarts)) {
-      boolean left = false;
+      boolean remaining = false;
       for (Attempt attempt : deferredStarts(machine)) {
-        if (context.nowMs() - attempt.createdAtMs() > patienceMs) {
+        if (context.nowMs() - attempt.createdAtMs() > maxDelayMs) {
           onNeverStarted(machine, attempt);
-          dropped = true;
+          anyDropped = true;
         } else {
-          left = true;
+          remaining = true;
         }
       }
-      if (!left) {
+      if (!remaining) {
         machinesWithDeferredStarts.remove(machine);
       }
     }
-    if (dropped) {
+    if (anyDropped) {
       context.listener().onFleetChanged();
     }
   }
 
   private static List<Attempt> deferredStarts(Machine machine) {
-    List<Attempt> deferredStarts = new ArrayList<>();
+    List<Attempt> deferred = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.phase() == Attempt.Phase.DEFERRED) {
-        deferredStarts.add(attempt);
+        deferred.add(attempt);
       }
     }
-    return deferredStarts;
+    return deferred;
   }
 
   private void onNeverStarted(Machine machine, Attempt attempt) {
--- a/src/main/java/fennelthread/fleet/ZoneHealth.java
+++ b/src/main/java/fennelthread/fleet/ZoneHealth.java
@@ -13,7 +13,7 @@
   ZoneHealth NONE =
       new ZoneHealth() {
         @Override
-        public void look(Collection<Machine> machines, long nowMs) {}
+        public void observe(Collection<Machine> machines, long nowMs) {}
 
         @Override
         public boolean mayPlace(Machine machine) {
@@ -47,7 +47,7 @@
       };
 
   /** Looks at the machines of the term; to be called several times a second. */
-  void look(Collection<Machine> machines, long nowMs);
+  void observe(Collection<Machine> machines, long nowMs);
 
   /** False if tasks given to this machine now would most likely not reach it. */
   boolean mayPlace(Machine machine);
--- a/src/main/java/fennelthread/zones/Zones.java
+++ b/src/main/java/fennelthread/zones/Zones.java
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public void look(Collection<Machine> machines, long nowMs) {
+  public void observe(Collection<Machine> machines, long nowMs) {
     if (!several) {
       return;
     }
@@ -80,7 +80,7 @@
         c.reporting++;
       }
       if (nowMs - Math.max(machine.outOfContactSinceMs(), awakeSinceMs)
-          > reportMs * FleetConstants.SILENT_REPORTS_ALARM) {
+          > reportMs * FleetConstants.OVERDUE_REPORT_INTERVALS) {
         c.silent++;
         silent++;
       }
