--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -86,7 +86,7 @@
     this.commands =
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice = createUnreachableLeaderNotice();
-    this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::shed);
+    this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::evictCaches);
     this.membership =
         new Membership(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -178,10 +178,10 @@
       refuse(id, Answer.error(400, e.getMessage()), reply);
       return;
     }
-    if (tight.getAsBoolean() && !store.isKnown(id)) {
+    if (tight.getAsBoolean() && !store.isKnownAccepted(id)) {
       refusals.add("no memory for more jobs");
       refuse(id, Answer.later(503, "no memory for more jobs", ApiConstants.HEAP_RETRY_S), reply);
-    } else if (job.spec().dependencies().isEmpty() || store.isKnown(id)) {
+    } else if (job.spec().dependencies().isEmpty() || store.isKnownAccepted(id)) {
       accept(job, reply);
     } else {
       checkDependencies(job, reply);
@@ -202,7 +202,7 @@
         job.spec(),
         dependencies -> {
           if (dependencies instanceof DependencyCheckResult.Valid good) {
-            accept(good.cancelled() ? store.cancelled(job) : job, reply);
+            accept(good.cancelled() ? store.cancelledOnAcceptance(job) : job, reply);
           } else if (dependencies instanceof DependencyCheckResult.Invalid bad) {
             refuse(id, Answer.error(422, JobSpec.DEPENDENCIES + ": " + bad.why()), reply);
           } else if (dependencies instanceof DependencyCheckResult.Unavailable unavailable) {
@@ -226,7 +226,7 @@
         job,
         outcome -> {
           if (outcome instanceof AcceptResult.Accepted) {
-            JobState state = job.end() == null ? JobState.PENDING : job.end().state();
+            JobState state = job.initialState();
             reply.accept(Answer.of(201, Codec.CBOR, JobStatus.accepted(id, state)));
           } else if (outcome instanceof AcceptResult.AlreadyAccepted) {
             store.lookup(id, found -> reply.accept(known(id, found)));
--- a/src/main/java/fennelthread/jobs/AcceptResult.java
+++ b/src/main/java/fennelthread/jobs/AcceptResult.java
@@ -2,17 +2,17 @@
 
 import fennelthread.state.Unavailability;
 
-/** What became of a submission. */
+/** The outcome of a submission. */
 public sealed interface AcceptResult {
-  /** Written by this request. */
+  /** The job was written by this request. */
   record Accepted() implements AcceptResult {}
 
-  /** Written before this request came, or by another: its state is to be asked for. */
+  /** The job was written earlier, or by another request; its current state has to be looked up. */
   record AlreadyAccepted() implements AcceptResult {}
 
-  /** Larger than what the state service takes. */
+  /** The job's records are larger than the state service takes. */
   record TooLarge() implements AcceptResult {}
 
-  /** It may have been written, or may still be. */
+  /** The outcome is not known: the job may have been written, or may still be. */
   record Unavailable(Unavailability why) implements AcceptResult {}
 }
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -6,70 +6,75 @@
 import fennelthread.wire.JobState;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * Checks that every job that a submission needs was accepted. What is checked here is written
- * later, and may be: an id once accepted stays accepted, whatever becomes of its job. A job that is
- * missing in the copy of the state proves nothing, since that may be behind; then the state service
- * is asked.
+ * Checks that every dependency of a submission was accepted. The submission is written later than
+ * it is checked, which is safe: an id once accepted stays accepted, whatever becomes of its job. A
+ * job that is missing in the replica proves nothing, since the replica may be behind; then the
+ * state service is read.
  */
-public final class DependencyCheck {
+final class DependencyCheck {
   private final StateClient state;
   private final JobTable table;
-  private final FinalRecords finals;
+  private final FinalRecords finalRecords;
   private final JobQueries queries;
-  private final DependencyTracker waits;
+  private final DependencyGraph graph;
 
   DependencyCheck(
       StateClient state,
       JobTable table,
-      FinalRecords finals,
+      FinalRecords finalRecords,
       JobQueries queries,
-      DependencyTracker waits) {
+      DependencyGraph graph) {
     this.state = state;
     this.table = table;
-    this.finals = finals;
+    this.finalRecords = finalRecords;
     this.queries = queries;
-    this.waits = waits;
+    this.graph = graph;
   }
 
-  /** Checks the needs of a submission. */
+  /** Checks a submission; {@code done} is called once, possibly before this returns. */
   void check(JobSpec spec, Consumer<DependencyCheckResult> done) {
     List<String> toRead = new ArrayList<>();
     boolean cancelled = false;
     for (String dependency : spec.dependencies()) {
       Job job = table.get(dependency);
       if (job != null && job.spec().service()) {
-        done.accept(new DependencyCheckResult.Invalid("names the service " + dependency));
+        done.accept(namesService(dependency));
         return;
       }
-      FinalRecord end = finals.known(dependency);
-      if (job == null && end == null) {
+      Optional<FinalRecord> finalRecord = finalRecords.cached(dependency);
+      if (job == null && finalRecord.isEmpty()) {
         toRead.add(dependency);
       }
-      cancelled |= isCancelled(dependency, end);
+      cancelled |= isCancelled(dependency, finalRecord.orElse(null));
     }
     Unavailability why = toRead.isEmpty() ? null : state.whyNotSoon(0);
     if (why != null) {
       done.accept(new DependencyCheckResult.Unavailable(why));
     } else {
-      read(toRead, 0, cancelled, done);
+      readFrom(toRead, 0, cancelled, done);
     }
   }
 
   private boolean isCancelled(String id, LookupResult found) {
-    return waits.graph().isDoomed(id)
-        || (found instanceof FinalRecord end && end.state() == JobState.CANCELLED);
+    return graph.isToBeCancelled(id)
+        || (found instanceof FinalRecord record && record.state() == JobState.CANCELLED);
   }
 
-  private void read(
-      List<String> dependencies, int at, boolean cancelled, Consumer<DependencyCheckResult> done) {
-    if (at == dependencies.size()) {
+  /** Reads the dependencies from an index on, one after the other. */
+  private void readFrom(
+      List<String> dependencies,
+      int index,
+      boolean cancelled,
+      Consumer<DependencyCheckResult> done) {
+    if (index == dependencies.size()) {
       done.accept(new DependencyCheckResult.Valid(cancelled));
       return;
     }
-    String dependency = dependencies.get(at);
+    String dependency = dependencies.get(index);
     queries.read(
         dependency,
         found -> {
@@ -80,10 +85,15 @@
                 new DependencyCheckResult.Invalid(
                     "names " + dependency + ", which was never accepted"));
           } else if (found instanceof LookupResult.Live live && live.job().spec().service()) {
-            done.accept(new DependencyCheckResult.Invalid("names the service " + dependency));
+            done.accept(namesService(dependency));
           } else {
-            read(dependencies, at + 1, cancelled || isCancelled(dependency, found), done);
+            boolean cancelledSoFar = cancelled || isCancelled(dependency, found);
+            readFrom(dependencies, index + 1, cancelledSoFar, done);
           }
         });
   }
+
+  private static DependencyCheckResult namesService(String dependency) {
+    return new DependencyCheckResult.Invalid("names the service " + dependency);
+  }
 }
--- a/src/main/java/fennelthread/jobs/DependencyGraph.java
+++ b/src/main/java/fennelthread/jobs/DependencyGraph.java
@@ -2,7 +2,6 @@
 
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.JobState;
-import fennelthread.wire.Priority;
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Collections;
@@ -12,261 +11,205 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.function.Function;
-import java.util.function.Predicate;
-import java.util.function.ToDoubleFunction;
 
 /**
- * Which live jobs wait for which others, and what follows from that. It holds no assumption: a need
- * is met by the final record that says done and by nothing else; that a job is no longer live
- * proves nothing, for it may have been cancelled. All of it follows from the records, so that every
- * controller has the same graph and no step is lost when one ends.
+ * The dependencies among live jobs (a directed acyclic graph), and what follows from them: which
+ * jobs may run, which are to be cancelled, and which priority each inherits.
  *
- * <p>Nothing here recurses, since chains may be long.
+ * <p>A dependency is met by a final record that says done and by nothing else; that a job is no
+ * longer live proves nothing, for it may have been cancelled. All of the graph follows from the
+ * records, so that every controller has the same one and no step is lost when a controller ends.
+ *
+ * <p>Used on the event loop's thread alone. Nothing here recurses, since chains may be long.
  */
 public final class DependencyGraph {
 
-  /** Where a job with needs stands. */
+  /** The phases of a live job with dependencies. */
   public enum Phase {
-    /** Some need is not proven to be done. */
+    /** Some dependency is not proven to be done. */
     WAITING,
-    /** All needs are done: tasks may start. */
+    /** All dependencies are done: tasks may start. */
     RELEASED,
-    /** A need, or a need of a need, was cancelled: this job is to be cancelled too. */
+    /** A dependency, direct or not, was cancelled: this job is to be cancelled too. */
     TO_CANCEL
   }
 
-  /** Told of every change. */
+  /** Receives every change that follows from the graph. */
   public interface Listener {
-    /** A job has moved to this phase. */
-    void onPhaseChanged(Job job, Phase to);
+    /** A live job has moved to a phase. */
+    void onPhaseChanged(Job job, Phase phase);
 
-    /** What a job has from those that need it has changed. */
+    /** What a job inherits from its dependants has changed. */
     void onInheritedPriorityChanged(String id);
   }
 
-  private static final class Node {
-    final Job job;
-    final Set<String> unmet;
-    Phase phase = Phase.WAITING;
-    long releasedMs;
+  /** The last of the deadlines that the settings derive from a job's own. */
+  @FunctionalInterface
+  public interface LastDeadline {
+    /** Seconds from the job's acceptance. */
+    double seconds(JobSpec spec);
+  }
+
+  /** What is known of a job's state without a read of the state service. */
+  public interface KnownJobs {
+    /** True if the job is live in the replica. */
+    boolean isLive(String id);
 
-    Node(Job job) {
-      this.job = job;
-      this.unmet = new LinkedHashSet<>(job.spec().dependencies());
-      this.releasedMs = job.acceptedWallMs();
-    }
+    /** The job's final record if it was read or written here already. */
+    Optional<FinalRecord> finalRecord(String id);
   }
 
-  private final ToDoubleFunction<JobSpec> lastDeadlineS;
   private final Listener listener;
-  private final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final Map<String, Set<String>> neededBy = new HashMap<>();
-  private final Set<String> unknown = new LinkedHashSet<>();
-  private final Map<String, Job> doomed = new LinkedHashMap<>();
-  private final Map<String, InheritedPriority> loans = new HashMap<>();
-
-  /** Creates an empty graph; {@code lastDeadlineS} is the last time set for a job, s. */
-  public DependencyGraph(ToDoubleFunction<JobSpec> lastDeadlineS, Listener listener) {
-    this.lastDeadlineS = lastDeadlineS;
+  private final Map<String, DependencyNode> nodes = new LinkedHashMap<>();
+  private final Map<String, Set<String>> dependants = new HashMap<>();
+  private final Set<String> unresolved = new LinkedHashSet<>();
+  private final Map<String, Job> toCancel = new LinkedHashMap<>();
+  private final PriorityInheritance inheritance;
+
+  /** Creates an empty graph. */
+  public DependencyGraph(LastDeadline lastDeadline, Listener listener) {
     this.listener = listener;
+    this.inheritance = new PriorityInheritance(lastDeadline, nodes, dependants, listener);
   }
 
-  /**
-   * A job is live. {@code live} tells whether a job is known to be live, {@code known} gives a
-   * final record that was read or written already, or null.
-   */
-  public void add(Job job, Predicate<String> live, Function<String, FinalRecord> known) {
+  /** Adds a job that became live. */
+  public void add(Job job, KnownJobs knownJobs) {
     String id = job.spec().id();
-    unknown.remove(id);
+    unresolved.remove(id);
     if (job.spec().dependencies().isEmpty()) {
       return;
     }
-    Node node = new Node(job);
+    DependencyNode node = new DependencyNode(job);
     nodes.put(id, node);
     for (String dependency : node.unmet) {
-      neededBy.computeIfAbsent(dependency, k -> new LinkedHashSet<>()).add(id);
+      dependants.computeIfAbsent(dependency, key -> new LinkedHashSet<>()).add(id);
     }
     for (String dependency : job.spec().dependencies()) {
-      FinalRecord end = known.apply(dependency);
-      if (end != null) {
-        learn(dependency, end);
-      } else if (!live.test(dependency)) {
-        unknown.add(dependency);
-      } else if (doomed.containsKey(dependency)) {
-        doom(List.of(id));
+      Optional<FinalRecord> finalRecord = knownJobs.finalRecord(dependency);
+      if (finalRecord.isPresent()) {
+        onFinalRecord(dependency, finalRecord.get());
+      } else if (!knownJobs.isLive(dependency)) {
+        unresolved.add(dependency);
+      } else if (toCancel.containsKey(dependency)) {
+        markToCancel(List.of(id));
       }
     }
-    relend(node.unmet);
+    inheritance.recompute(node.unmet);
   }
 
-  /** A job is no longer live: done or cancelled, which {@link #learn} says. */
+  /** Removes a job that is no longer live: {@link #onFinalRecord} says whether it is done. */
   public void remove(String id) {
-    doomed.remove(id);
-    Node node = nodes.remove(id);
+    toCancel.remove(id);
+    DependencyNode node = nodes.remove(id);
     if (node != null) {
       for (String dependency : node.unmet) {
-        Set<String> others = neededBy.get(dependency);
+        Set<String> others = dependants.get(dependency);
         others.remove(id);
         if (others.isEmpty()) {
-          neededBy.remove(dependency);
-          unknown.remove(dependency);
+          dependants.remove(dependency);
+          unresolved.remove(dependency);
         }
       }
-      relend(node.unmet);
+      inheritance.recompute(node.unmet);
     }
-    if (neededBy.containsKey(id)) {
-      unknown.add(id);
+    if (dependants.containsKey(id)) {
+      unresolved.add(id);
     }
   }
 
-  /** A job's final record is known. */
-  public void learn(String id, FinalRecord end) {
-    unknown.remove(id);
-    Set<String> dependants = neededBy.get(id);
-    if (dependants == null) {
+  /** Releases or cancels the dependants of a job whose final record became known. */
+  public void onFinalRecord(String id, FinalRecord finalRecord) {
+    unresolved.remove(id);
+    Set<String> waiting = dependants.get(id);
+    if (waiting == null) {
       return;
     }
-    if (end.state() != JobState.DONE) {
-      doom(dependants);
+    if (finalRecord.state() != JobState.DONE) {
+      markToCancel(waiting);
       return;
     }
-    neededBy.remove(id);
-    loans.remove(id);
-    for (String dependant : dependants) {
-      Node node = nodes.get(dependant);
+    dependants.remove(id);
+    inheritance.remove(id);
+    for (String dependant : waiting) {
+      DependencyNode node = nodes.get(dependant);
       node.unmet.remove(id);
       // Where the record does not say when, the job counts as released when it was accepted.
-      node.releasedMs = Math.max(node.releasedMs, end.endedWallMs());
+      node.releasedAtMs = Math.max(node.releasedAtMs, finalRecord.endedWallMs());
       if (node.unmet.isEmpty() && node.phase == Phase.WAITING) {
-        moveTo(node, Phase.RELEASED);
+        transitionTo(node, Phase.RELEASED);
       }
     }
   }
 
-  /** The needed jobs that are neither known to be live nor known to be final: to be read. */
-  public Collection<String> unknown() {
-    return Collections.unmodifiableSet(unknown);
+  /** The dependencies that are neither known to be live nor known to be final: to be read. */
+  public Collection<String> unresolvedDependencies() {
+    return Collections.unmodifiableSet(unresolved);
   }
 
-  /** The live jobs that are to be cancelled, those that are needed before those that need them. */
-  public Collection<Job> doomed() {
-    return Collections.unmodifiableCollection(doomed.values());
+  /** The live jobs that are to be cancelled, each after its dependencies. */
+  public Collection<Job> jobsToCancel() {
+    return Collections.unmodifiableCollection(toCancel.values());
   }
 
-  /** The one question asked before placement: true if a live job need not wait for others. */
+  /** True if a live job may be placed: all its dependencies are done, or it has none. */
   public boolean isReleased(Job job) {
     if (job.spec().dependencies().isEmpty()) {
       return true;
     }
-    Node node = nodes.get(job.spec().id());
+    DependencyNode node = nodes.get(job.spec().id());
     return node != null && node.phase == Phase.RELEASED;
   }
 
-  /** True if a live job is to be cancelled with one that it needs. */
-  public boolean isDoomed(String id) {
-    return doomed.containsKey(id);
+  /** True if a live job is to be cancelled with one of its dependencies. */
+  public boolean isToBeCancelled(String id) {
+    return toCancel.containsKey(id);
   }
 
-  /** The needs of a live job that are not proven to be done. */
+  /** The dependencies of a live job that are not proven to be done. */
   public List<String> unmetDependencies(String id) {
-    Node node = nodes.get(id);
+    DependencyNode node = nodes.get(id);
     return node == null ? List.of() : List.copyOf(node.unmet);
   }
 
-  /** The time of day from which a released job no longer waited for others. */
+  /** The time of day from which a released job no longer waited for others, ms. */
   public long releasedAtMs(Job job) {
-    Node node = nodes.get(job.spec().id());
-    return node == null ? job.acceptedWallMs() : node.releasedMs;
+    DependencyNode node = nodes.get(job.spec().id());
+    return node == null ? job.acceptedWallMs() : node.releasedAtMs;
   }
 
-  /** What a job has from those that need it, or null. */
+  /** What a job inherits from its dependants, or null if no job waits for it. */
   public InheritedPriority inheritedPriority(String id) {
-    return loans.get(id);
+    return inheritance.of(id);
   }
 
-  /** The one place where a phase changes. */
-  private void moveTo(Node node, Phase next) {
+  /** Moves a job to another phase: the one place where it changes. */
+  private void transitionTo(DependencyNode node, Phase next) {
     if (node.phase != Phase.WAITING || next == Phase.WAITING) {
-      throw new IllegalStateException(node.job.spec().id() + ": " + node.phase + " -> " + next);
+      throw new IllegalStateException(node.id() + ": " + node.phase + " -> " + next);
     }
     node.phase = next;
     if (next == Phase.TO_CANCEL) {
-      doomed.put(node.job.spec().id(), node.job);
+      toCancel.put(node.id(), node.job);
     }
     listener.onPhaseChanged(node.job, next);
   }
 
-  private void doom(Collection<String> ids) {
+  /** Marks waiting jobs, and all that depend on them, as to be cancelled. */
+  private void markToCancel(Collection<String> ids) {
     Deque<String> open = new ArrayDeque<>(ids);
-    Set<String> lessNeeded = new LinkedHashSet<>();
+    Set<String> lessUrgent = new LinkedHashSet<>();
     while (!open.isEmpty()) {
       String id = open.poll();
-      Node node = nodes.get(id);
+      DependencyNode node = nodes.get(id);
       if (node.phase != Phase.WAITING) {
         continue;
       }
-      moveTo(node, Phase.TO_CANCEL);
-      lessNeeded.addAll(node.unmet);
-      open.addAll(neededBy.getOrDefault(id, Set.of()));
-    }
-    relend(lessNeeded);
-  }
-
-  /** Reckons anew what these jobs, and then those that they need, have from others. */
-  private void relend(Collection<String> ids) {
-    Deque<String> open = new ArrayDeque<>(ids);
-    while (!open.isEmpty()) {
-      String id = open.poll();
-      InheritedPriority loan = reckon(id);
-      InheritedPriority before = loan == null ? loans.remove(id) : loans.put(id, loan);
-      if (loan == null ? before == null : loan.equals(before)) {
-        continue;
-      }
-      listener.onInheritedPriorityChanged(id);
-      Node node = nodes.get(id);
-      if (node != null) {
-        open.addAll(node.unmet);
-      }
+      transitionTo(node, Phase.TO_CANCEL);
+      lessUrgent.addAll(node.unmet);
+      open.addAll(dependants.getOrDefault(id, Set.of()));
     }
-  }
-
-  private InheritedPriority reckon(String id) {
-    Priority priority = null;
-    long due = 0;
-    long lastDue = 0;
-    for (String dependant : neededBy.getOrDefault(id, Set.of())) {
-      Node node = nodes.get(dependant);
-      if (node.phase != Phase.WAITING) {
-        continue;
-      }
-      JobSpec spec = node.job.spec();
-      InheritedPriority theirs = loans.get(dependant);
-      priority = moreUrgent(priority, spec.priority());
-      long takes = (long) (spec.estimateS() * 1000);
-      if (spec.deadlineS() > 0) {
-        long accepted = node.job.acceptedWallMs();
-        due = sooner(due, accepted + (long) (spec.deadlineS() * 1000) - takes);
-        lastDue =
-            sooner(lastDue, accepted + (long) (lastDeadlineS.applyAsDouble(spec) * 1000) - takes);
-      }
-      if (theirs != null) {
-        priority = moreUrgent(priority, theirs.priority());
-        if (theirs.dueMs() > 0) {
-          due = sooner(due, theirs.dueMs() - takes);
-          lastDue = sooner(lastDue, theirs.lastDueMs() - takes);
-        }
-      }
-    }
-    return priority == null ? null : new InheritedPriority(priority, due, lastDue);
-  }
-
-  private static Priority moreUrgent(Priority a, Priority b) {
-    return a == null || b.compareTo(a) < 0 ? b : a;
-  }
-
-  private static long sooner(long a, long b) {
-    return a == 0 ? b : Math.min(a, b);
+    inheritance.recompute(lessUrgent);
   }
 }
--- a/src/main/java/fennelthread/jobs/DependencyTracker.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -7,50 +7,43 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the graph of needs up to date on every controller, leading or not, so that a new leader
- * need not read first what the old one knew: jobs come and go by the replica, and the final records
- * that nobody here has written are read, few at a time, until they are known.
+ * Keeps the dependency graph up to date on every controller, leading or not, so that a new leader
+ * has nothing to read first. Jobs are added and removed as the replica changes; final records that
+ * were not written here are read from the state service, few at a time, until they are known.
  */
 public final class DependencyTracker implements JobTable.Listener, DependencyGraph.Listener {
   private static final Logger log = LoggerFactory.getLogger(DependencyTracker.class);
 
-  /** Where final records come from. */
-  interface Ends {
-    /** A final record that was read or written already, or null. */
-    FinalRecord known(String id);
-
-    /** Reads one; null if there is none or nothing is known. */
-    void read(String id, Consumer<FinalRecord> done);
-  }
-
   private final EventLoop eventLoop;
   private final JobTable table;
-  private final Ends ends;
+  private final FinalRecords finalRecords;
   private final DependencyGraph graph;
-  private final Set<String> asked = new HashSet<>();
+  private final DependencyGraph.KnownJobs knownJobs = new KnownHere();
+  private final Set<String> requested = new HashSet<>();
   private final List<DependencyGraph.Listener> listeners = new ArrayList<>();
-  private int reading;
+  private int readsInFlight;
 
-  DependencyTracker(EventLoop eventLoop, JobTable table, Settings settings, Ends ends) {
+  DependencyTracker(
+      EventLoop eventLoop, JobTable table, Settings settings, FinalRecords finalRecords) {
     this.eventLoop = eventLoop;
     this.table = table;
-    this.ends = ends;
+    this.finalRecords = finalRecords;
     this.graph = new DependencyGraph(settings::lastDeadlineS, this);
     table.addListener(this);
   }
 
-  /** What is known, to be asked and not changed. */
+  /** The graph, to be read and not changed. */
   public DependencyGraph graph() {
     return graph;
   }
 
-  /** Adds a listener. */
+  /** Adds a listener for changes of the graph. */
   public void addListener(DependencyGraph.Listener listener) {
     listeners.add(listener);
   }
@@ -62,67 +55,68 @@
 
   @Override
   public void onJobAdded(Job job) {
-    graph.add(job, id -> table.get(id) != null, ends::known);
-    readUnknown();
+    graph.add(job, knownJobs);
+    readUnresolved();
   }
 
   @Override
   public void onJobRemoved(Job job) {
     String id = job.spec().id();
     graph.remove(id);
-    FinalRecord end = ends.known(id);
-    if (end != null) {
-      graph.learn(id, end);
-    }
-    readUnknown();
+    finalRecords.cached(id).ifPresent(record -> graph.onFinalRecord(id, record));
+    readUnresolved();
   }
 
-  /** A final record was read or written here. */
-  void learned(String id, FinalRecord end) {
-    graph.learn(id, end);
-  }
-
-  private void readUnknown() {
-    for (String id : List.copyOf(graph.unknown())) {
-      if (reading >= JobConstants.END_READS_AT_ONCE) {
+  private void readUnresolved() {
+    for (String id : List.copyOf(graph.unresolvedDependencies())) {
+      if (readsInFlight >= JobConstants.MAX_CONCURRENT_FINAL_READS) {
         return;
       }
-      if (!asked.add(id)) {
-        continue;
+      if (requested.add(id)) {
+        readsInFlight++;
+        finalRecords.read(id, found -> onRead(id, found));
       }
-      reading++;
-      ends.read(
-          id,
-          end -> {
-            reading--;
-            if (end != null) {
-              asked.remove(id);
-              readUnknown();
-              return;
-            }
-            // Unreachable, or live in truth and not yet known to be here: asked again later. Never
-            // at
-            // once, since a refusal for want of room may come before this call returns.
-            eventLoop.after(
-                (long)
-                    (JobConstants.END_READ_PAUSE_MS
-                        * (1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble())),
-                () -> {
-                  asked.remove(id);
-                  readUnknown();
-                });
-          });
     }
   }
 
+  private void onRead(String id, LookupResult found) {
+    readsInFlight--;
+    if (found instanceof FinalRecord) {
+      requested.remove(id);
+      readUnresolved();
+      return;
+    }
+    // The state service is not available, or the job is live and the replica behind: read again
+    // later. Never at once, since a refusal for want of budget may come before the call returns.
+    double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
+    eventLoop.after(
+        (long) (JobConstants.FINAL_READ_RETRY_MS * jitter),
+        () -> {
+          requested.remove(id);
+          readUnresolved();
+        });
+  }
+
   @Override
-  public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
-    log.debug("{} is {}", job.spec().id(), to);
-    List.copyOf(listeners).forEach(l -> l.onPhaseChanged(job, to));
+  public void onPhaseChanged(Job job, DependencyGraph.Phase phase) {
+    log.debug("job dependency phase changed job={} phase={}", job.spec().id(), phase);
+    List.copyOf(listeners).forEach(listener -> listener.onPhaseChanged(job, phase));
   }
 
   @Override
   public void onInheritedPriorityChanged(String id) {
-    List.copyOf(listeners).forEach(l -> l.onInheritedPriorityChanged(id));
+    List.copyOf(listeners).forEach(listener -> listener.onInheritedPriorityChanged(id));
+  }
+
+  private final class KnownHere implements DependencyGraph.KnownJobs {
+    @Override
+    public boolean isLive(String id) {
+      return table.get(id) != null;
+    }
+
+    @Override
+    public Optional<FinalRecord> finalRecord(String id) {
+      return finalRecords.cached(id);
+    }
   }
 }
--- a/src/main/java/fennelthread/jobs/FinalRecords.java
+++ b/src/main/java/fennelthread/jobs/FinalRecords.java
@@ -8,72 +8,78 @@
 import fennelthread.state.Unavailability;
 import fennelthread.wire.JobState;
 import fennelthread.wire.WireException;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
  * The final records of jobs, kept in the state service for ever and here in a bounded cache. A
- * final record never changes, so that one in the cache is as good as one just read.
+ * final record never changes, so that a cached one is as good as one just read.
  */
 final class FinalRecords {
+  /** Receives each final record that was read or written here. */
+  @FunctionalInterface
+  interface Listener {
+    /** Called for each record, possibly several times for one job. */
+    void onFinalRecord(String jobId, FinalRecord record);
+  }
+
   private final StateClient state;
-  private final Consumer<String> onCancelled;
+  private final CancellationListener cancellationListener;
   private final Cache<String, FinalRecord> cache =
-      Caffeine.newBuilder().maximumSize(JobConstants.FINAL_CACHE).executor(Runnable::run).build();
-  private BiConsumer<String, FinalRecord> listener = (id, end) -> {};
+      Caffeine.newBuilder()
+          .maximumSize(JobConstants.FINAL_CACHE_ENTRIES)
+          .executor(Runnable::run)
+          .build();
+  private Listener listener = (id, record) -> {};
 
-  /**
-   * Creates an empty cache; {@code onCancelled} is told of each job before any user is told that it
-   * is cancelled.
-   */
-  FinalRecords(StateClient state, Consumer<String> onCancelled) {
+  FinalRecords(StateClient state, CancellationListener cancellationListener) {
     this.state = state;
-    this.onCancelled = onCancelled;
+    this.cancellationListener = cancellationListener;
   }
 
-  /** Sets who is told of each final record that becomes known. */
-  void listen(BiConsumer<String, FinalRecord> learned) {
-    listener = learned;
+  /** Sets the listener; there is one. */
+  void setListener(Listener listener) {
+    this.listener = listener;
   }
 
-  /** A job's final state if it is known here, or null. */
-  FinalRecord known(String id) {
-    return cache.getIfPresent(id);
+  /** A job's final record if it is in the cache. */
+  Optional<FinalRecord> cached(String id) {
+    return Optional.ofNullable(cache.getIfPresent(id));
   }
 
-  /** Gives up what can be read again. */
-  void shed() {
+  /** Empties the cache to free memory: its records can be read again. */
+  void evictAll() {
     cache.invalidateAll();
   }
 
-  /** How many are held. */
+  /** How many records are in the cache, about. */
   long size() {
     return cache.estimatedSize();
   }
 
-  /** Takes note of a final record: the one place where it becomes known here. */
-  void learn(String id, FinalRecord end) {
-    cache.put(id, end);
-    if (end.state() == JobState.CANCELLED) {
-      onCancelled.accept(id);
+  /** Adds a record that was read or written here: the one place where records become known. */
+  void add(String id, FinalRecord record) {
+    cache.put(id, record);
+    if (record.state() == JobState.CANCELLED) {
+      cancellationListener.onJobCancelled(id);
     }
-    listener.accept(id, end);
+    listener.onFinalRecord(id, record);
   }
 
-  /** Reads a final record from the state service. */
+  /** Reads a job's final record from the state service. */
   void read(String id, Consumer<LookupResult> done) {
     state.get(
         Keys.finalJob(id),
-        last -> {
-          if (last == null) {
+        entry -> {
+          if (entry == null) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
-          } else if (last.value() == null) {
+          } else if (entry.value() == null) {
             done.accept(new LookupResult.Unknown());
           } else {
             try {
-              FinalRecord end = FinalRecord.read(last.value());
-              learn(id, end);
-              done.accept(end);
+              FinalRecord record = FinalRecord.read(entry.value());
+              add(id, record);
+              done.accept(record);
             } catch (WireException e) {
               done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
             }
--- a/src/main/java/fennelthread/jobs/JobAcceptor.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -7,269 +7,234 @@
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
 import fennelthread.state.Unavailability;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import java.util.function.Predicate;
 
 /**
- * Accepts checked jobs, each with one durable write on condition that neither a live nor a final
- * record of its id exists; several that wait share one transaction.
+ * Accepts validated jobs. Each job takes one durable write, on condition that neither a live nor a
+ * final record of its id exists; submissions that wait at the same time share a transaction.
  *
- * <p>A transaction that gets no answer is settled while its users still wait: if the copy of the
- * state shows the record by then, it was applied; if not, it is sent again. However often it is
- * sent, the conditions let it be applied once, and a late one never after the job's end.
+ * <p>If the answer to a transaction is lost, its submissions are settled while their users still
+ * wait: a job whose record has reached the replica by then was accepted, any other is sent again.
+ * The conditions make that idempotent: however often a job is sent, it is applied at most once, and
+ * never after it has ended.
  */
 final class JobAcceptor {
-  /** Told of a transaction that was applied. */
+  /** Receives the transactions that were applied. */
   @FunctionalInterface
-  interface Applied {
-    /** It was applied at this revision and made these jobs final. */
-    void applied(Txn txn, long revision, Map<String, FinalRecord> ends);
+  interface AppliedListener {
+    /** Called once a transaction was applied at a revision; it wrote these final records. */
+    void onApplied(Txn txn, long revision, Map<String, FinalRecord> finalRecords);
   }
 
-  private enum Phase {
-    /** Waits for its first or next transaction. */
-    QUEUED,
-    /** In a transaction that is under way. */
-    SENT,
-    /** Its callers were told. */
-    TOLD
-  }
-
-  private static final class Pending {
-    final Submission job;
-    final int bytes;
-    final List<Consumer<AcceptResult>> callers = new ArrayList<>();
-    final List<Consumer<AcceptResult>> lateCallers = new ArrayList<>();
-    Phase phase = Phase.QUEUED;
-    int sends;
-
-    /** Refused together with others for its size or theirs. */
-    boolean alone;
-
-    Pending(Submission job) {
-      this.job = job;
-      this.bytes = job.bytes();
-    }
-
-    String id() {
-      return job.spec().id();
-    }
-
-    void moveTo(Phase next) {
-      if (phase == Phase.TOLD || phase == next) {
-        throw new IllegalStateException(id() + ": " + phase + " -> " + next);
-      }
-      phase = next;
-    }
+  /** Answers whether a job is known to be accepted without a read of the state service. */
+  @FunctionalInterface
+  interface AcceptedJobs {
+    /** True if the replica or the cache of final records holds the job. */
+    boolean isAccepted(String jobId);
   }
 
-  /** One transaction with the jobs in it, each with the number of the sending that it is. */
-  private static final class Batch {
-    final Txn txn = new Txn();
-    final Map<Pending, Integer> jobs = new LinkedHashMap<>();
-    boolean holdsSlot = true;
+  /** The jobs of one transaction, each with the number of its sending. */
+  private static final class Batch extends TransactionPipeline.Batch {
+    final Map<PendingSubmission, Integer> sendNumbers = new LinkedHashMap<>();
 
-    /** True if this is the last sending of the job, and its callers wait for it. */
-    boolean decides(Pending p) {
-      return p.phase == Phase.SENT && p.sends == jobs.get(p);
+    /** True if this is the latest sending of the job, and its callers still wait. */
+    boolean isLatestFor(PendingSubmission submission) {
+      return submission.phase() == PendingSubmission.Phase.SENT
+          && submission.sends() == sendNumbers.get(submission);
     }
   }
 
   private final StateClient state;
   private final Limits limits;
-  private final Predicate<String> isKnown;
-  private final Applied onApplied;
-  private final Map<String, Pending> pending = new HashMap<>();
-  private final Map<String, Pending> queue = new LinkedHashMap<>();
-  private int underWay;
+  private final AcceptedJobs acceptedJobs;
+  private final AppliedListener listener;
+  private final TransactionPipeline<Batch> pipeline;
+  private final Map<String, PendingSubmission> pending = new HashMap<>();
+  private final Map<String, PendingSubmission> queue = new LinkedHashMap<>();
 
-  /** Creates an empty queue; {@code isKnown} tells whether a job's record is known here. */
-  JobAcceptor(StateClient state, Predicate<String> isKnown, Applied onApplied) {
+  JobAcceptor(StateClient state, AcceptedJobs acceptedJobs, AppliedListener listener) {
     this.state = state;
     this.limits = state.limits();
-    this.isKnown = isKnown;
-    this.onApplied = onApplied;
+    this.acceptedJobs = acceptedJobs;
+    this.listener = listener;
+    this.pipeline =
+        new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_ACCEPTS, new BatchHandler());
   }
 
-  /** How many wait for a transaction. */
-  int waiting() {
+  /** How many submissions wait for a transaction. */
+  int queuedSubmissions() {
     return queue.size();
   }
 
-  /** Accepts a job. */
-  void accept(Submission job, Consumer<AcceptResult> done) {
-    String id = job.spec().id();
-    if (isKnown.test(id)) {
+  /** Accepts a job; {@code done} is called once, possibly before this returns. */
+  void accept(Submission submission, Consumer<AcceptResult> done) {
+    String id = submission.spec().id();
+    if (acceptedJobs.isAccepted(id)) {
       // A transaction would fail with all that share it, and count against the write limit too.
       done.accept(new AcceptResult.AlreadyAccepted());
       return;
     }
-    Pending known = pending.get(id);
-    if (known != null) {
-      // What was sent before this caller came may be applied before it came too, and the job be
-      // cancelled since: such a caller is told what the job is now, not that it was accepted.
-      (known.sends == 0 ? known.callers : known.lateCallers).add(done);
+    PendingSubmission earlier = pending.get(id);
+    if (earlier != null) {
+      earlier.addCaller(done);
       return;
     }
     Unavailability why =
-        queue.size() >= JobConstants.ACCEPT_QUEUE
+        queue.size() >= JobConstants.MAX_QUEUED_SUBMISSIONS
             ? Unavailability.BUSY
             : state.whyNotSoon(1 + queue.size());
     if (why != null) {
       done.accept(new AcceptResult.Unavailable(why));
       return;
     }
-    Pending next = new Pending(job);
-    next.callers.add(done);
+    PendingSubmission next = new PendingSubmission(submission);
+    next.addCaller(done);
     pending.put(id, next);
     queue.put(id, next);
-    sendNext();
+    pipeline.sendNext();
   }
 
-  private void sendNext() {
-    if (underWay >= JobConstants.ACCEPTS_AT_ONCE || queue.isEmpty()) {
-      return;
+  private final class BatchHandler implements TransactionPipeline.Handler<Batch> {
+    @Override
+    public boolean hasWaiting() {
+      return !queue.isEmpty();
+    }
+
+    @Override
+    public Batch nextBatch() {
+      return takeBatch();
+    }
+
+    @Override
+    public void onOverdue(Batch batch) {
+      settleOverdue(batch);
+    }
+
+    @Override
+    public void onResult(Batch batch, TxnResult result) {
+      settle(batch, result);
     }
-    Batch batch = nextBatch();
-    underWay++;
-    state.txn(
-        StateClient.Lane.ANSWER,
-        batch.txn,
-        () -> overdue(batch),
-        result -> {
-          release(batch);
-          answered(batch, result);
-          sendNext();
-        });
   }
 
-  private Batch nextBatch() {
+  private Batch takeBatch() {
     Batch batch = new Batch();
     int bytes = 0;
-    boolean alone = false;
-    for (Pending p : queue.values()) {
-      bytes += p.bytes;
+    boolean sentAlone = false;
+    for (PendingSubmission next : queue.values()) {
+      bytes += next.bytes();
       boolean fits =
-          !alone
-              && !p.alone
-              && batch.txn.ops() + p.job.records().size() <= limits.txnOps()
+          !sentAlone
+              && !next.isSentAlone()
+              && batch.txn.ops() + next.submission().records().size() <= limits.txnOps()
               && bytes <= limits.txnBytes();
-      if (!batch.jobs.isEmpty() && !fits) {
+      if (!batch.sendNumbers.isEmpty() && !fits) {
         break;
       }
-      alone = p.alone;
-      batch.txn.when(Keys.job(p.id()), 0).when(Keys.finalJob(p.id()), 0);
-      p.job.records().forEach(batch.txn::write);
-      batch.jobs.put(p, ++p.sends);
+      sentAlone = next.isSentAlone();
+      batch.txn.when(Keys.job(next.id()), 0).when(Keys.finalJob(next.id()), 0);
+      next.submission().records().forEach(batch.txn::write);
+      batch.sendNumbers.put(next, next.countSend());
     }
-    for (Pending p : batch.jobs.keySet()) {
-      queue.remove(p.id());
-      p.moveTo(Phase.SENT);
+    for (PendingSubmission sent : batch.sendNumbers.keySet()) {
+      queue.remove(sent.id());
+      sent.transitionTo(PendingSubmission.Phase.SENT);
     }
     return batch;
   }
 
-  private void release(Batch batch) {
-    if (batch.holdsSlot) {
-      batch.holdsSlot = false;
-      underWay--;
-    }
-  }
-
-  /** The answer stays away: a lost one must not hold up the others, nor its own users. */
-  private void overdue(Batch batch) {
-    release(batch);
-    for (Pending p : batch.jobs.keySet()) {
-      if (!batch.decides(p)) {
+  /** Without a result in time, a job counts as accepted if the replica holds it by now. */
+  private void settleOverdue(Batch batch) {
+    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+      if (!batch.isLatestFor(submission)) {
         continue;
       }
-      if (isKnown.test(p.id())) {
-        tell(p, new AcceptResult.AlreadyAccepted());
-      } else if (p.sends < JobConstants.ANSWER_TRIES && state.answersSoon(p.job.records().size())) {
-        again(p);
+      if (acceptedJobs.isAccepted(submission.id())) {
+        complete(submission, new AcceptResult.AlreadyAccepted());
+      } else if (submission.sends() < JobConstants.MAX_SENDS
+          && state.answersSoon(submission.submission().records().size())) {
+        requeue(submission);
       }
     }
-    sendNext();
   }
 
-  private void answered(Batch batch, TxnResult result) {
+  private void settle(Batch batch, TxnResult result) {
     if (result instanceof TxnResult.Applied applied) {
-      Map<String, FinalRecord> ends = new HashMap<>();
-      for (Pending p : batch.jobs.keySet()) {
-        if (p.job.end() != null) {
-          ends.put(p.id(), p.job.end());
-        }
-      }
-      onApplied.applied(batch.txn, applied.revision(), ends);
-      batch.jobs.keySet().forEach(p -> tell(p, new AcceptResult.Accepted()));
+      settleApplied(batch, applied.revision());
     } else if (result instanceof TxnResult.Conflict conflict) {
-      conflicted(batch, new HashSet<>(conflict.failed()));
+      settleConflict(batch, new HashSet<>(conflict.failed()));
     } else if (result instanceof TxnResult.TooLarge) {
-      tooLarge(batch);
+      settleTooLarge(batch);
     } else {
-      giveUp(batch, Unavailability.of(result));
+      completeUnavailable(batch, Unavailability.of(result));
+    }
+  }
+
+  private void settleApplied(Batch batch, long revision) {
+    Map<String, FinalRecord> finalRecords = new HashMap<>();
+    for (PendingSubmission accepted : batch.sendNumbers.keySet()) {
+      if (accepted.submission().finalRecord() != null) {
+        finalRecords.put(accepted.id(), accepted.submission().finalRecord());
+      }
     }
+    listener.onApplied(batch.txn, revision, finalRecords);
+    batch.sendNumbers.keySet().forEach(job -> complete(job, new AcceptResult.Accepted()));
   }
 
-  private void conflicted(Batch batch, Set<String> failed) {
-    if (failed.isEmpty()) {
-      giveUp(batch, Unavailability.REFUSED);
+  private void settleConflict(Batch batch, Set<String> failedKeys) {
+    if (failedKeys.isEmpty()) {
+      completeUnavailable(batch, Unavailability.REFUSED);
       return;
     }
-    for (Pending p : batch.jobs.keySet()) {
-      if (failed.contains(Keys.job(p.id())) || failed.contains(Keys.finalJob(p.id()))) {
-        tell(p, new AcceptResult.AlreadyAccepted());
-      } else if (batch.decides(p)) {
-        again(p);
+    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+      String id = submission.id();
+      if (failedKeys.contains(Keys.job(id)) || failedKeys.contains(Keys.finalJob(id))) {
+        complete(submission, new AcceptResult.AlreadyAccepted());
+      } else if (batch.isLatestFor(submission)) {
+        requeue(submission);
       }
     }
   }
 
-  private void tooLarge(Batch batch) {
-    for (Pending p : batch.jobs.keySet()) {
-      if (!batch.decides(p)) {
+  private void settleTooLarge(Batch batch) {
+    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+      if (!batch.isLatestFor(submission)) {
         continue;
       }
-      if (batch.jobs.size() == 1) {
-        tell(p, new AcceptResult.TooLarge());
+      if (batch.sendNumbers.size() == 1) {
+        complete(submission, new AcceptResult.TooLarge());
       } else {
         // Whichever is too large must not be refused together with the others for ever.
-        p.alone = true;
-        again(p);
+        submission.sendAlone();
+        requeue(submission);
       }
     }
   }
 
-  private void giveUp(Batch batch, Unavailability why) {
-    for (Pending p : batch.jobs.keySet()) {
-      if (batch.decides(p)) {
-        tell(p, new AcceptResult.Unavailable(why));
+  private void completeUnavailable(Batch batch, Unavailability why) {
+    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+      if (batch.isLatestFor(submission)) {
+        complete(submission, new AcceptResult.Unavailable(why));
       }
     }
   }
 
-  private void again(Pending p) {
-    p.moveTo(Phase.QUEUED);
-    queue.put(p.id(), p);
+  private void requeue(PendingSubmission submission) {
+    submission.transitionTo(PendingSubmission.Phase.QUEUED);
+    queue.put(submission.id(), submission);
   }
 
-  private void tell(Pending p, AcceptResult outcome) {
-    if (p.phase == Phase.TOLD) {
+  private void complete(PendingSubmission submission, AcceptResult outcome) {
+    if (submission.phase() == PendingSubmission.Phase.ANSWERED) {
       return;
     }
-    p.moveTo(Phase.TOLD);
-    pending.remove(p.id());
-    queue.remove(p.id());
-    p.callers.forEach(c -> c.accept(outcome));
-    AcceptResult late =
-        outcome instanceof AcceptResult.Accepted ? new AcceptResult.AlreadyAccepted() : outcome;
-    p.lateCallers.forEach(c -> c.accept(late));
+    submission.transitionTo(PendingSubmission.Phase.ANSWERED);
+    pending.remove(submission.id());
+    queue.remove(submission.id());
+    submission.answer(outcome);
   }
 }
--- a/src/main/java/fennelthread/jobs/JobCanceller.java
+++ b/src/main/java/fennelthread/jobs/JobCanceller.java
@@ -14,140 +14,156 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Moves jobs from their live to their final records: cancellations, and notes of completions. */
+/**
+ * Moves jobs from their live to their final records: cancels them by request of a user or with a
+ * dependency, and takes note of completions.
+ */
 final class JobCanceller {
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
-  private final FinalRecords finals;
+  private final FinalRecords finalRecords;
   private final JobQueries queries;
-  private final DependencyTracker waits;
+  private final DependencyGraph graph;
   private final Limits limits;
-  private boolean cascading;
+  private boolean cancellingDependents;
 
   JobCanceller(
       EventLoop eventLoop,
       StateClient state,
       Replica replica,
-      FinalRecords finals,
+      FinalRecords finalRecords,
       JobQueries queries,
-      DependencyTracker waits) {
+      DependencyGraph graph) {
     this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
-    this.finals = finals;
+    this.finalRecords = finalRecords;
     this.queries = queries;
-    this.waits = waits;
+    this.graph = graph;
     this.limits = state.limits();
   }
 
-  /** Cancels a job unless it is done: gets what the job is from now on. */
+  /** Cancels a job unless it is final; {@code done} gets the job's state from then on. */
   void cancel(String id, Consumer<LookupResult> done) {
-    cancel(id, JobConstants.JOB_TRIES, new OnceConsumer<>(done));
+    cancel(id, JobConstants.MAX_CANCEL_TRIES, new OnceConsumer<>(done));
   }
 
-  private void cancel(String id, int tries, OnceConsumer<LookupResult> done) {
-    queries.ask(
+  private void cancel(String id, int triesLeft, OnceConsumer<LookupResult> done) {
+    queries.lookup(
         id,
         found -> {
           if (!(found instanceof LookupResult.Live live)) {
             done.accept(found);
-          } else if (tries == 0) {
+          } else if (triesLeft == 0) {
             done.accept(new LookupResult.Unavailable(Unavailability.CONTENDED));
           } else {
-            write(live.job(), tries, done);
+            new CancelTry(live.job(), triesLeft, done).send();
           }
         });
   }
 
   /**
-   * One try. Without an answer the next one begins while this one may still be applied: it then
-   * finds the final record, or writes the same; of all tries one is applied, since each is
-   * conditional on the live record.
+   * One try to cancel a job. If its result is overdue, the next try begins while this one may still
+   * be applied: that one then finds the final record, or writes the same. At most one of all tries
+   * is applied, since each is conditional on the live record.
    */
-  private void write(Job job, int tries, OnceConsumer<LookupResult> done) {
-    String id = job.spec().id();
-    FinalRecord end = cancelled(job);
-    Txn txn = new Txn();
-    addFinalRecord(txn, job, end);
-    boolean[] triedAgain = new boolean[1];
-    Runnable again =
-        () -> {
-          if (!triedAgain[0]) {
-            triedAgain[0] = true;
-            cancel(id, tries - 1, done);
-          }
-        };
-    state.txn(
-        StateClient.Lane.ANSWER,
-        txn,
-        () -> {
-          if (tries > 1 && state.answersSoon(JobConstants.CHANGES_PER_END)) {
-            again.run();
-          }
-        },
-        result -> {
-          if (result instanceof TxnResult.Applied applied) {
-            onJobsFinal(txn, applied.revision(), Map.of(id, end));
-            done.accept(end);
-          } else if (triedAgain[0]) {
-            return;
-          } else if (result instanceof TxnResult.Refused || result instanceof TxnResult.TooLarge) {
-            done.accept(new LookupResult.Unavailable(Unavailability.REFUSED));
-          } else {
-            again.run();
-          }
-        });
+  private final class CancelTry {
+    private final Job job;
+    private final int triesLeft;
+    private final OnceConsumer<LookupResult> done;
+    private final FinalRecord finalRecord;
+    private final Txn txn = new Txn();
+    private boolean retried;
+
+    CancelTry(Job job, int triesLeft, OnceConsumer<LookupResult> done) {
+      this.job = job;
+      this.triesLeft = triesLeft;
+      this.done = done;
+      this.finalRecord = cancelledRecord(job);
+      addFinalRecord(txn, job, finalRecord);
+    }
+
+    void send() {
+      state.txn(StateClient.Lane.ANSWER, txn, this::onOverdue, this::onResult);
+    }
+
+    private void onOverdue() {
+      if (triesLeft > 1 && state.answersSoon(JobConstants.CHANGES_PER_FINAL_RECORD)) {
+        retry();
+      }
+    }
+
+    private void onResult(TxnResult result) {
+      if (result instanceof TxnResult.Applied applied) {
+        onJobsFinal(txn, applied.revision(), Map.of(job.spec().id(), finalRecord));
+        done.accept(finalRecord);
+      } else if (retried) {
+        return;
+      } else if (result instanceof TxnResult.Refused || result instanceof TxnResult.TooLarge) {
+        done.accept(new LookupResult.Unavailable(Unavailability.REFUSED));
+      } else {
+        retry();
+      }
+    }
+
+    private void retry() {
+      if (!retried) {
+        retried = true;
+        cancel(job.spec().id(), triesLeft - 1, done);
+      }
+    }
   }
 
   /**
-   * Cancels the jobs that are to be cancelled with others, some at a time; the caller asks again
-   * until none is left. Nothing is remembered between two calls: what is to be cancelled follows
-   * from the records.
+   * Cancels the jobs that are to be cancelled with a dependency, as many as fit into a transaction
+   * at a time. Calls while one is in flight do nothing; callers repeat the call until no such job
+   * is left. Nothing is remembered between two calls: what is to be cancelled follows from the
+   * records.
    */
   void cancelDependentJobs() {
-    if (cascading || waits.graph().doomed().isEmpty()) {
+    if (cancellingDependents || graph.jobsToCancel().isEmpty()) {
       return;
     }
     Txn txn = new Txn();
-    Map<String, FinalRecord> ends = new LinkedHashMap<>();
-    for (Job job : waits.graph().doomed()) {
-      if (txn.ops() + JobConstants.CHANGES_PER_END > limits.txnOps()) {
+    Map<String, FinalRecord> written = new LinkedHashMap<>();
+    for (Job job : graph.jobsToCancel()) {
+      if (txn.ops() + JobConstants.CHANGES_PER_FINAL_RECORD > limits.txnOps()) {
         break;
       }
-      FinalRecord end = cancelled(job);
-      addFinalRecord(txn, job, end);
-      ends.put(job.spec().id(), end);
+      FinalRecord finalRecord = cancelledRecord(job);
+      addFinalRecord(txn, job, finalRecord);
+      written.put(job.spec().id(), finalRecord);
     }
-    cascading = true;
+    cancellingDependents = true;
     state.txn(
         StateClient.Lane.ROUND,
         txn,
         result -> {
-          cascading = false;
+          cancellingDependents = false;
           if (result instanceof TxnResult.Applied applied) {
-            onJobsFinal(txn, applied.revision(), ends);
+            onJobsFinal(txn, applied.revision(), written);
             cancelDependentJobs();
           }
         });
   }
 
-  private FinalRecord cancelled(Job job) {
+  private FinalRecord cancelledRecord(Job job) {
     return new FinalRecord(JobState.CANCELLED, job.finished().cardinality(), eventLoop.wallMs());
   }
 
-  /** Adds the changes that make a live job final, on condition that it still is what is known. */
-  static void addFinalRecord(Txn txn, Job job, FinalRecord end) {
+  /** Adds the changes that make a live job final, on condition that its record is unchanged. */
+  static void addFinalRecord(Txn txn, Job job, FinalRecord finalRecord) {
     String id = job.spec().id();
     txn.when(Keys.job(id), job.revision())
         .remove(Keys.job(id))
-        .write(Keys.finalJob(id), end.write());
+        .write(Keys.finalJob(id), finalRecord.write());
   }
 
-  /** Takes note of a transaction that made jobs final. */
-  void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> ends) {
-    // First all of them: whoever is told of a removal asks why.
-    ends.forEach(finals::learn);
+  /** Takes note of a transaction that was applied at a revision and made these jobs final. */
+  void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
+    // All of them first: the replica's listeners look up why a job was removed.
+    written.forEach(finalRecords::add);
     replica.applied(txn, revision);
   }
 }
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -12,79 +12,60 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
 /**
- * Answers what a job is now. What the copy of the state says is answered only after a transaction
- * that merely compares has confirmed the revisions of the job's record and of its finished tasks:
- * so no controller gives an older answer than another gave, nor a lower count. Questions that wait
- * share one such transaction; one without an answer is sent again while the users still wait.
+ * Looks up the current state of jobs with linearizable reads. What the replica holds is answered
+ * only after a transaction that merely compares has confirmed the revisions of the job's record and
+ * of its finished tasks, so that no controller gives an older state, or a lower count of finished
+ * tasks, than another gave before. Queries that wait at the same time share a transaction; one
+ * without a result is sent again while its users still wait.
  */
 final class JobQueries {
-  /** Those who ask about one job, and how often that was sent already. */
-  private static final class Question {
-    final String id;
-    final List<OnceConsumer<LookupResult>> askers = new ArrayList<>();
-    int sends;
-
-    Question(String id) {
-      this.id = id;
-    }
-
-    void tell(LookupResult found) {
-      askers.forEach(a -> a.accept(found));
-    }
-
-    boolean isAnswered() {
-      return askers.stream().allMatch(OnceConsumer::isGiven);
-    }
-  }
-
-  /** One transaction with the questions in it, and what the copy held of their jobs. */
-  private static final class Batch {
-    final Txn txn = new Txn();
-    final Map<Question, Job> jobs = new LinkedHashMap<>();
-    final Set<Question> sentAgain = new HashSet<>();
-    boolean holdsSlot = true;
+  /** The queries of one transaction, each with the job as the replica held it, or null. */
+  private static final class Batch extends TransactionPipeline.Batch {
+    final Map<JobQuery, Job> jobs = new LinkedHashMap<>();
+    final Set<JobQuery> requeued = new HashSet<>();
   }
 
   private final StateClient state;
   private final Replica replica;
   private final JobTable table;
-  private final FinalRecords finals;
+  private final FinalRecords finalRecords;
   private final Limits limits;
   private final JobRecordReader reader;
-  private final Map<String, Question> queue = new LinkedHashMap<>();
-  private int underWay;
+  private final TransactionPipeline<Batch> pipeline;
+  private final Map<String, JobQuery> queue = new LinkedHashMap<>();
 
-  /** Creates queries over a copy of the state. */
-  JobQueries(StateClient state, Replica replica, JobTable table, FinalRecords finals) {
+  JobQueries(StateClient state, Replica replica, JobTable table, FinalRecords finalRecords) {
     this.state = state;
     this.replica = replica;
     this.table = table;
-    this.finals = finals;
+    this.finalRecords = finalRecords;
     this.limits = state.limits();
-    this.reader = new JobRecordReader(state, replica, table, finals);
+    this.reader = new JobRecordReader(state, replica, table, finalRecords);
+    this.pipeline =
+        new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_CONFIRMS, new BatchHandler());
   }
 
-  /** How many jobs are asked about and wait for their turn. */
-  int waiting() {
+  /** How many jobs have queries that wait for a transaction. */
+  int queuedQueries() {
     return queue.size();
   }
 
-  /** Reads a job's records, whatever the copy holds. */
+  /** Reads a job's records from the state service, whatever the replica holds. */
   void read(String id, Consumer<LookupResult> done) {
     reader.read(id, done);
   }
 
-  /** Finds out what a job is now. */
-  void ask(String id, Consumer<LookupResult> done) {
-    FinalRecord known = finals.known(id);
-    if (known != null) {
-      done.accept(known);
+  /** Looks up a job's current state; {@code done} is called once, possibly before this returns. */
+  void lookup(String id, Consumer<LookupResult> done) {
+    Optional<FinalRecord> finalRecord = finalRecords.cached(id);
+    if (finalRecord.isPresent()) {
+      done.accept(finalRecord.get());
       return;
     }
     Unavailability why = state.whyNotSoon(0);
@@ -98,39 +79,44 @@
     } else if (job.chunks() >= limits.conditions()) {
       reader.readProgress(id, done);
     } else {
-      queue.computeIfAbsent(id, Question::new).askers.add(new OnceConsumer<>(done));
-      sendNext();
+      queue.computeIfAbsent(id, JobQuery::new).addCaller(done);
+      pipeline.sendNext();
     }
   }
 
-  private void sendNext() {
-    if (underWay >= JobConstants.CONFIRMS_AT_ONCE || queue.isEmpty()) {
-      return;
+  private final class BatchHandler implements TransactionPipeline.Handler<Batch> {
+    @Override
+    public boolean hasWaiting() {
+      return !queue.isEmpty();
+    }
+
+    @Override
+    public Batch nextBatch() {
+      return takeBatch();
+    }
+
+    @Override
+    public void onOverdue(Batch batch) {
+      requeueUnanswered(batch);
+    }
+
+    @Override
+    public void onResult(Batch batch, TxnResult result) {
+      answer(batch, result);
     }
-    Batch batch = nextBatch();
-    underWay++;
-    state.txn(
-        StateClient.Lane.ANSWER,
-        batch.txn,
-        () -> overdue(batch),
-        result -> {
-          release(batch);
-          answered(batch, result);
-          sendNext();
-        });
   }
 
-  private Batch nextBatch() {
+  private Batch takeBatch() {
     Batch batch = new Batch();
-    for (Question q : new ArrayList<>(queue.values())) {
-      Job job = table.get(q.id);
+    for (JobQuery query : new ArrayList<>(queue.values())) {
+      Job job = table.get(query.id());
       int conditions = job == null ? 0 : 1 + job.chunks();
       if (!batch.jobs.isEmpty() && batch.txn.conditions() + conditions > limits.conditions()) {
         break;
       }
-      queue.remove(q.id);
-      q.sends++;
-      batch.jobs.put(q, job);
+      queue.remove(query.id());
+      query.countSend();
+      batch.jobs.put(query, job);
       if (job != null) {
         addConditions(batch.txn, job);
       }
@@ -147,52 +133,41 @@
     }
   }
 
-  private void release(Batch batch) {
-    if (batch.holdsSlot) {
-      batch.holdsSlot = false;
-      underWay--;
-    }
-  }
-
-  /** The answer stays away: its questions go with the next transaction. */
-  private void overdue(Batch batch) {
-    release(batch);
-    for (Question q : batch.jobs.keySet()) {
-      if (q.isAnswered() || q.sends >= JobConstants.ANSWER_TRIES || !state.answersSoon(0)) {
+  /** Without a result in time, the batch's queries go with the next transaction. */
+  private void requeueUnanswered(Batch batch) {
+    for (JobQuery query : batch.jobs.keySet()) {
+      if (query.isAnswered() || query.sends() >= JobConstants.MAX_SENDS || !state.answersSoon(0)) {
         continue;
       }
-      batch.sentAgain.add(q);
-      Question next = queue.computeIfAbsent(q.id, Question::new);
-      next.sends = Math.max(next.sends, q.sends);
-      next.askers.addAll(q.askers);
+      batch.requeued.add(query);
+      queue.computeIfAbsent(query.id(), JobQuery::new).merge(query);
     }
-    sendNext();
   }
 
-  private void answered(Batch batch, TxnResult result) {
-    Set<String> failed =
-        result instanceof TxnResult.Conflict c ? new HashSet<>(c.failed()) : Set.of();
+  private void answer(Batch batch, TxnResult result) {
+    Set<String> failedKeys =
+        result instanceof TxnResult.Conflict conflict ? new HashSet<>(conflict.failed()) : Set.of();
     batch.jobs.forEach(
-        (question, job) -> {
-          if (job == null || failed.contains(Keys.job(question.id))) {
-            reader.read(question.id, question::tell);
-          } else if (isBehind(job, failed)) {
-            reader.readProgress(question.id, question::tell);
-          } else if (result instanceof TxnResult.Applied || !failed.isEmpty()) {
+        (query, job) -> {
+          if (job == null || failedKeys.contains(Keys.job(query.id()))) {
+            reader.read(query.id(), query::answer);
+          } else if (hasNewProgress(job, failedKeys)) {
+            reader.readProgress(query.id(), query::answer);
+          } else if (result instanceof TxnResult.Applied || !failedKeys.isEmpty()) {
             // Also if another's condition failed: all were compared at the same moment.
-            question.tell(new LookupResult.Live(job));
-          } else if (!batch.sentAgain.contains(question)) {
-            question.tell(new LookupResult.Unavailable(Unavailability.of(result)));
+            query.answer(new LookupResult.Live(job));
+          } else if (!batch.requeued.contains(query)) {
+            query.answer(new LookupResult.Unavailable(Unavailability.of(result)));
           }
         });
   }
 
-  /** True if tasks have finished that the copy did not know of. */
-  private static boolean isBehind(Job job, Set<String> failed) {
-    Set<String> chunks = new LinkedHashSet<>();
+  /** True if tasks of the job have finished that the replica does not hold yet. */
+  private static boolean hasNewProgress(Job job, Set<String> failedKeys) {
+    Set<String> chunkKeys = new LinkedHashSet<>();
     for (int chunk = 0; chunk < job.chunks(); chunk++) {
-      chunks.add(Keys.finished(job.spec().id(), chunk));
+      chunkKeys.add(Keys.finished(job.spec().id(), chunk));
     }
-    return failed.stream().anyMatch(chunks::contains);
+    return failedKeys.stream().anyMatch(chunkKeys::contains);
   }
 }
--- /dev/null
+++ b/src/main/java/fennelthread/jobs/JobRecordCodec.java
@@ -0,0 +1,110 @@
+package fennelthread.jobs;
+
+import fennelthread.constants.JobConstants;
+import fennelthread.state.Keys;
+import fennelthread.state.Limits;
+import fennelthread.wire.Fields;
+import fennelthread.wire.JobSpec;
+import fennelthread.wire.WireException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The stored form of a live job: its own record, and further records with the dependencies for
+ * which that one has no space. The record of a job without dependencies is what it was before there
+ * were any: older versions read it and run the job.
+ */
+final class JobRecordCodec {
+  /** The field with the number of further records that hold dependencies. */
+  private static final String PART_COUNT = "espera_parts";
+
+  /** The field with the time of day of acceptance, ms. */
+  private static final String ACCEPTED_AT = "at_ms";
+
+  private JobRecordCodec() {}
+
+  /**
+   * Encodes the records of a job that is to be accepted, by key. Records with further dependencies
+   * come before the job's own.
+   *
+   * @throws WireException naming the field that is too large for the state service
+   */
+  static Map<String, Fields> write(JobSpec spec, long wallMs, Limits limits) throws WireException {
+    Fields record = spec.withDependencies(List.of()).write().with(ACCEPTED_AT, wallMs);
+    int bytes = Limits.bytes(record);
+    if (bytes > limits.valueBytes()) {
+      throw new WireException("body", "is too large");
+    }
+    Map<String, Fields> records = new LinkedHashMap<>();
+    if (!spec.dependencies().isEmpty()) {
+      bytes += addDependencies(spec, record, bytes, records, limits);
+    }
+    records.put(Keys.job(spec.id()), record);
+    if (records.size() > limits.txnOps() || bytes > limits.txnBytes()) {
+      throw tooManyDependencies();
+    }
+    return records;
+  }
+
+  /**
+   * Adds the dependencies to the job's own record as far as they fit, and the rest to further
+   * records. Returns the size of the further records, bytes.
+   */
+  private static int addDependencies(
+      JobSpec spec, Fields record, int recordBytes, Map<String, Fields> records, Limits limits)
+      throws WireException {
+    List<String> dependencies = spec.dependencies();
+    int bytesPerPart = limits.valueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
+    int next = fitting(dependencies, 0, bytesPerPart - recordBytes);
+    List<Object> ownDependencies = new ArrayList<>(dependencies.subList(0, next));
+    int partsBytes = 0;
+    int parts = 0;
+    while (next < dependencies.size()) {
+      int end = fitting(dependencies, next, bytesPerPart);
+      if (end == next || parts >= limits.txnOps()) {
+        throw tooManyDependencies();
+      }
+      List<Object> ids = new ArrayList<>(dependencies.subList(next, end));
+      Fields part = Fields.create().with(JobSpec.DEPENDENCIES, ids);
+      partsBytes += Limits.bytes(part);
+      records.put(Keys.dependencies(spec.id(), parts++), part);
+      next = end;
+    }
+    record.with(JobSpec.DEPENDENCIES, ownDependencies);
+    if (parts > 0) {
+      record.with(PART_COUNT, (long) parts);
+    }
+    return partsBytes;
+  }
+
+  /** The end of the dependencies from {@code from} on that fit into so many bytes. */
+  private static int fitting(List<String> dependencies, int from, int bytes) {
+    int end = from;
+    int bytesLeft = bytes;
+    while (end < dependencies.size()) {
+      int idBytes = dependencies.get(end).length() + JobConstants.BYTES_AROUND_ID;
+      if (bytesLeft < idBytes) {
+        break;
+      }
+      bytesLeft -= idBytes;
+      end++;
+    }
+    return end;
+  }
+
+  private static WireException tooManyDependencies() {
+    return new WireException(JobSpec.DEPENDENCIES, "names too many jobs");
+  }
+
+  /** In how many further records a job's dependencies go on. */
+  static int partCount(Fields value) throws WireException {
+    return (int) Math.min(Integer.MAX_VALUE, value.count(PART_COUNT, 0));
+  }
+
+  /** Reads a job's own record, which may hold some of its dependencies only. */
+  static Job read(Fields value, long revision) throws WireException {
+    return new Job(JobSpec.read(value), revision, value.count(ACCEPTED_AT, 0));
+  }
+}
--- a/src/main/java/fennelthread/jobs/JobRecordReader.java
+++ b/src/main/java/fennelthread/jobs/JobRecordReader.java
@@ -7,43 +7,67 @@
 import fennelthread.wire.WireException;
 import java.util.function.Consumer;
 
-/**
- * Reads a job's records from the state service when the copy of the state has none, or older ones.
- */
+/** Reads a job's records from the state service where the replica holds none, or older ones. */
 final class JobRecordReader {
+  /** Receives the live record of a job that has one. */
+  @FunctionalInterface
+  private interface LiveRecordHandler {
+    void onLiveRecord(StateClient.Entry record);
+  }
+
   private final StateClient state;
   private final Replica replica;
   private final JobTable table;
-  private final FinalRecords finals;
+  private final FinalRecords finalRecords;
 
-  JobRecordReader(StateClient state, Replica replica, JobTable table, FinalRecords finals) {
+  JobRecordReader(StateClient state, Replica replica, JobTable table, FinalRecords finalRecords) {
     this.state = state;
     this.replica = replica;
     this.table = table;
-    this.finals = finals;
+    this.finalRecords = finalRecords;
+  }
+
+  /** Reads a job's state with the tasks that have finished. */
+  void read(String id, Consumer<LookupResult> done) {
+    readLiveOrFinal(id, done, record -> readProgressOf(id, record, done));
+  }
+
+  /** Reads the finished tasks of a job that the replica holds, then whether it is still live. */
+  void readProgress(String id, Consumer<LookupResult> done) {
+    Job job = table.get(id);
+    if (job == null) {
+      read(id, done);
+    } else {
+      readChunks(job, null, done);
+    }
   }
 
   /**
-   * Reads the live record, then the final one. The order matters: a record moves from live to final
-   * in one transaction, so that a job found in neither was unknown when the first was read.
+   * Reads the live record, then, if there is none, the final one. The order matters: a record moves
+   * from live to final in one transaction, so that a job found in neither was unknown when the
+   * first was read.
    */
-  void read(String id, Consumer<LookupResult> done) {
+  private void readLiveOrFinal(
+      String id, Consumer<LookupResult> done, LiveRecordHandler onLiveRecord) {
     state.get(
         Keys.job(id),
         live -> {
           if (live == null) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
           } else if (live.value() == null) {
-            finals.read(id, done);
+            finalRecords.read(id, done);
           } else {
-            found(id, live, done);
+            onLiveRecord.onLiveRecord(live);
           }
         });
   }
 
-  private void found(String id, StateClient.Entry live, Consumer<LookupResult> done) {
+  private void readProgressOf(String id, StateClient.Entry live, Consumer<LookupResult> done) {
     try {
-      Job job = table.get(id) != null ? table.get(id) : Job.read(live.value(), live.revision());
+      Job job =
+          table.get(id) != null
+              ? table.get(id)
+              : JobRecordCodec.read(live.value(), live.revision());
       if (job.chunks() == 0) {
         done.accept(new LookupResult.Live(job));
       } else {
@@ -54,21 +78,11 @@
     }
   }
 
-  /** Reads what has finished of a job that the copy knows as live, and then whether it still is. */
-  void readProgress(String id, Consumer<LookupResult> done) {
-    Job job = table.get(id);
-    if (job == null) {
-      read(id, done);
-    } else {
-      readChunks(job, null, done);
-    }
-  }
-
-  private void readChunks(Job job, String since, Consumer<LookupResult> done) {
+  private void readChunks(Job job, String afterKey, Consumer<LookupResult> done) {
     String id = job.spec().id();
     state.list(
         Keys.finishedOf(id),
-        since,
+        afterKey,
         page -> {
           if (page == null) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
@@ -77,7 +91,7 @@
           try {
             for (StateClient.Entry chunk : page.items()) {
               replica.learned(chunk);
-              job.readChunk(Keys.partOf(chunk.key()), chunk.value());
+              job.addFinishedChunk(Keys.partOf(chunk.key()), chunk.value());
             }
           } catch (WireException e) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
@@ -86,23 +100,8 @@
           if (page.more() && !page.items().isEmpty()) {
             readChunks(job, page.items().get(page.items().size() - 1).key(), done);
           } else {
-            confirmLive(job, done);
-          }
-        });
-  }
-
-  /** Of a job that is over the finished tasks may be removed already: its final record counts. */
-  private void confirmLive(Job job, Consumer<LookupResult> done) {
-    String id = job.spec().id();
-    state.get(
-        Keys.job(id),
-        live -> {
-          if (live == null) {
-            done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
-          } else if (live.value() == null) {
-            finals.read(id, done);
-          } else {
-            done.accept(new LookupResult.Live(job));
+            // The finished tasks of a job that has ended may be removed already.
+            readLiveOrFinal(id, done, record -> done.accept(new LookupResult.Live(job)));
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -14,120 +14,110 @@
 import java.util.function.Consumer;
 
 /**
- * Acceptance, cancellation and questions, on any controller: each is a comparison with the job's
- * one record in the state service, so that no controller can give an older answer than another
- * gave. What happens when an answer of the state service is lost: docs/answers.md.
+ * Accepts, cancels and looks up jobs on any controller, leading or not. Each of these is a
+ * comparison with the job's one record in the state service, so that no controller can give an
+ * older answer than another gave. What happens when an answer of the state service is lost:
+ * docs/answers.md.
+ *
+ * <p>Used on the event loop's thread alone. Callbacks are called there once, possibly before the
+ * method returns.
  */
 public final class JobStore {
   private final EventLoop eventLoop;
   private final JobTable table;
   private final Limits limits;
-  private final FinalRecords finals;
+  private final FinalRecords finalRecords;
   private final JobQueries queries;
-  private final DependencyTracker waits;
-  private final DependencyCheck needsCheck;
-  private final JobCanceller cancellations;
-  private final JobAcceptor acceptances;
+  private final DependencyTracker dependencies;
+  private final DependencyCheck dependencyCheck;
+  private final JobCanceller canceller;
+  private final JobAcceptor acceptor;
 
-  /**
-   * Creates a store over the given replica; {@code onCancelled} is told of each job before any user
-   * is told that it is cancelled.
-   */
+  /** Creates a store over the given replica and the table that it fills. */
   public JobStore(
       EventLoop eventLoop,
       StateClient state,
       Replica replica,
       JobTable table,
       Settings settings,
-      Consumer<String> onCancelled) {
+      CancellationListener cancellationListener) {
     this.eventLoop = eventLoop;
     this.table = table;
     this.limits = state.limits();
-    this.finals = new FinalRecords(state, onCancelled);
-    this.queries = new JobQueries(state, replica, table, finals);
-    this.waits = new DependencyTracker(eventLoop, table, settings, ends());
-    finals.listen(waits::learned);
-    this.needsCheck = new DependencyCheck(state, table, finals, queries, waits);
-    this.cancellations = new JobCanceller(eventLoop, state, replica, finals, queries, waits);
-    this.acceptances = new JobAcceptor(state, this::isKnown, cancellations::onJobsFinal);
-  }
-
-  private DependencyTracker.Ends ends() {
-    return new DependencyTracker.Ends() {
-      @Override
-      public FinalRecord known(String id) {
-        return finals.known(id);
-      }
-
-      @Override
-      public void read(String id, Consumer<FinalRecord> done) {
-        finals.read(id, found -> done.accept(found instanceof FinalRecord f ? f : null));
-      }
-    };
+    this.finalRecords = new FinalRecords(state, cancellationListener);
+    this.queries = new JobQueries(state, replica, table, finalRecords);
+    this.dependencies = new DependencyTracker(eventLoop, table, settings, finalRecords);
+    DependencyGraph graph = dependencies.graph();
+    finalRecords.setListener(graph::onFinalRecord);
+    this.dependencyCheck = new DependencyCheck(state, table, finalRecords, queries, graph);
+    this.canceller = new JobCanceller(eventLoop, state, replica, finalRecords, queries, graph);
+    this.acceptor = new JobAcceptor(state, this::isKnownAccepted, canceller::onJobsFinal);
   }
 
-  /** Which jobs wait for which. */
+  /** The dependencies among live jobs. */
   public DependencyTracker dependencies() {
-    return waits;
+    return dependencies;
   }
 
   /**
-   * Makes the records of a job that is to be accepted.
+   * Encodes the records of a job that is to be accepted.
    *
    * @throws WireException naming the field that is too large for the state service
    */
   public Submission prepare(JobSpec spec) throws WireException {
-    return new Submission(spec, Job.write(spec, eventLoop.wallMs(), limits), null);
+    return new Submission(spec, JobRecordCodec.write(spec, eventLoop.wallMs(), limits), null);
   }
 
   /**
-   * The same job, accepted and cancelled in one: it names a cancelled one. Accepted as pending
-   * first, it would be called so long after its user was told of the cancellation.
+   * The same submission for a job that depends on a cancelled one: it is accepted and cancelled in
+   * one write. Accepted as pending first, it would be reported as pending after its user was told
+   * of the cancellation.
    */
-  public Submission cancelled(Submission job) {
-    FinalRecord end = new FinalRecord(JobState.CANCELLED, 0, eventLoop.wallMs());
-    return new Submission(job.spec(), Map.of(Keys.finalJob(job.spec().id()), end.write()), end);
+  public Submission cancelledOnAcceptance(Submission submission) {
+    FinalRecord finalRecord = new FinalRecord(JobState.CANCELLED, 0, eventLoop.wallMs());
+    String key = Keys.finalJob(submission.spec().id());
+    return new Submission(submission.spec(), Map.of(key, finalRecord.write()), finalRecord);
   }
 
-  /** Gives up what can be read again. */
-  public void shed() {
-    finals.shed();
+  /** Drops what can be read again, to free memory. */
+  public void evictCaches() {
+    finalRecords.evictAll();
   }
 
-  /** How much is held, for a line of the log. */
+  /** Describes what is held in memory, for one line of the log. */
   public String memoryUsage() {
-    return finals.size()
-        + " final answers, "
-        + acceptances.waiting()
-        + " submissions and "
-        + queries.waiting()
-        + " questions waiting";
+    return "finalRecords="
+        + finalRecords.size()
+        + " queuedSubmissions="
+        + acceptor.queuedSubmissions()
+        + " queuedQueries="
+        + queries.queuedQueries();
   }
 
-  /** True if this controller knows without asking that the job was accepted. */
-  public boolean isKnown(String id) {
-    return table.get(id) != null || finals.known(id) != null;
+  /** True if the job was accepted as far as the replica and the cache say; false proves nothing. */
+  public boolean isKnownAccepted(String id) {
+    return table.get(id) != null || finalRecords.cached(id).isPresent();
   }
 
-  /** Checks that every job that a submission needs was accepted. */
+  /** Checks that every dependency of a submission was accepted. */
   public void checkDependencies(JobSpec spec, Consumer<DependencyCheckResult> done) {
-    needsCheck.check(spec, done);
+    dependencyCheck.check(spec, done);
   }
 
-  /** Accepts a checked job with one durable write. */
-  public void accept(Submission job, Consumer<AcceptResult> done) {
-    acceptances.accept(job, done);
+  /** Accepts a validated job with one durable write. */
+  public void accept(Submission submission, Consumer<AcceptResult> done) {
+    acceptor.accept(submission, done);
   }
 
   /**
-   * Asks for a job's current state. A job that is to be cancelled with one that it needs is
-   * cancelled before the answer, so that this does not depend on a leader being there.
+   * Looks up a job's current state. A job that is to be cancelled with a dependency is cancelled
+   * before the answer, so that the answer does not depend on a leader being there.
    */
   public void lookup(String id, Consumer<LookupResult> done) {
-    queries.ask(
+    queries.lookup(
         id,
         found -> {
-          if (found instanceof LookupResult.Live && waits.graph().isDoomed(id)) {
+          if (found instanceof LookupResult.Live && dependencies.graph().isToBeCancelled(id)) {
             cancel(id, done);
           } else {
             done.accept(found);
@@ -135,23 +125,23 @@
         });
   }
 
-  /** Cancels a job unless it is done: gets what the job is from now on. */
+  /** Cancels a job unless it is final; {@code done} gets the job's state from then on. */
   public void cancel(String id, Consumer<LookupResult> done) {
-    cancellations.cancel(id, done);
+    canceller.cancel(id, done);
   }
 
-  /** Cancels the jobs that are to be cancelled with others, some at a time. */
+  /** Cancels some of the jobs that are to be cancelled with a dependency; to be repeated. */
   public void cancelDependentJobs() {
-    cancellations.cancelDependentJobs();
+    canceller.cancelDependentJobs();
   }
 
-  /** Adds the changes that make a live job final, on condition that it still is what is known. */
-  public static void addFinalRecord(Txn txn, Job job, FinalRecord end) {
-    JobCanceller.addFinalRecord(txn, job, end);
+  /** Adds the changes that make a live job final, on condition that its record is unchanged. */
+  public static void addFinalRecord(Txn txn, Job job, FinalRecord finalRecord) {
+    JobCanceller.addFinalRecord(txn, job, finalRecord);
   }
 
-  /** Takes note of a transaction that made jobs final. */
-  public void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> ends) {
-    cancellations.onJobsFinal(txn, revision, ends);
+  /** Takes note of a transaction that was applied at a revision and made these jobs final. */
+  public void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
+    canceller.onJobsFinal(txn, revision, written);
   }
 }
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -1,5 +1,6 @@
 package fennelthread.jobs;
 
+import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
 import fennelthread.wire.Fields;
@@ -11,42 +12,37 @@
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The live jobs of the replica, decoded. */
+/**
+ * The live jobs and the start records of the replica, decoded. Used on the event loop's thread
+ * alone.
+ */
 public final class JobTable implements Replica.Listener {
   private static final Logger log = LoggerFactory.getLogger(JobTable.class);
 
-  /** Told of jobs that come and go. */
+  /** Receives the jobs that become live and that cease to be. */
   public interface Listener {
-    /** A job was accepted somewhere. */
+    /** A job was accepted somewhere, and all its dependencies are known. */
     void onJobAdded(Job job);
 
     /** A job is done or was cancelled. */
     void onJobRemoved(Job job);
   }
 
-  /** A job whose needs have not all arrived: nothing may be done about it yet. */
-  private record Incomplete(Job job, int parts) {}
+  /** A job whose dependencies have not all arrived: nothing may be done about it yet. */
+  private record IncompleteJob(Job job, int parts) {}
 
   private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
       new Object2ObjectLinkedOpenHashMap<>();
   private final Map<String, Map<String, Fields>> earlyChunks = new HashMap<>();
-  private final Map<String, TreeMap<Integer, List<String>>> dependencies = new HashMap<>();
-  private final Map<String, Incomplete> incomplete = new HashMap<>();
-  private final Map<String, StartRecord> rounds = new LinkedHashMap<>();
-
-  /**
-   * Starts by job and by the key of their record: taking a record out must not search a job of
-   * thousands.
-   */
-  private final Map<String, Map<String, List<StartRecord.Start>>> startsByJob = new HashMap<>();
-
+  private final Map<String, TreeMap<Integer, List<String>>> dependencyParts = new HashMap<>();
+  private final Map<String, IncompleteJob> incomplete = new HashMap<>();
+  private final RecordedStarts recordedStarts = new RecordedStarts();
   private final List<Listener> listeners = new ArrayList<>();
 
   /** Adds a listener. */
@@ -59,7 +55,7 @@
     listeners.remove(listener);
   }
 
-  /** A live job, or null. */
+  /** A live job, or null if there is none of this id. */
   public Job get(String id) {
     return jobs.get(id);
   }
@@ -69,63 +65,32 @@
     return jobs.values();
   }
 
-  /** The round records, by key. */
+  /** The start records by key, in the order in which they became known; to be read only. */
   public Map<String, StartRecord> startRecords() {
-    return rounds;
+    return recordedStarts.records();
   }
 
-  /** How much is held, for a line of the log. */
+  /** Describes what is held in memory, for one line of the log. */
   public String memoryUsage() {
-    int starts = 0;
-    for (StartRecord r : rounds.values()) {
-      starts += r.starts().size();
-    }
-    return jobs.size() + " jobs, " + rounds.size() + " round records with " + starts + " starts";
+    return "jobs="
+        + jobs.size()
+        + " startRecords="
+        + recordedStarts.records().size()
+        + " recordedStarts="
+        + recordedStarts.count();
   }
 
   /**
-   * The recorded start of an attempt at a task, or null; the same attempt in two records is one
-   * start.
+   * The recorded start of an attempt at a task on a machine, or null; the same attempt in two
+   * records is one start.
    */
-  public StartRecord.Start startOf(TaskRef task, long attempt, String machine) {
-    for (List<StartRecord.Start> starts : startsByJob.getOrDefault(task.job(), Map.of()).values()) {
-      for (StartRecord.Start s : starts) {
-        if (s.attempt() == attempt && s.task().equals(task) && s.machine().equals(machine)) {
-          return s;
-        }
-      }
-    }
-    return null;
-  }
-
-  private void record(String key, StartRecord record) {
-    StartRecord known = record == null ? rounds.remove(key) : rounds.put(key, record);
-    if (known != null) {
-      for (StartRecord.Start s : known.starts()) {
-        startsByJob.computeIfPresent(
-            s.task().job(),
-            (job, byKey) -> byKey.remove(key) != null && byKey.isEmpty() ? null : byKey);
-      }
-    }
-    if (record != null) {
-      for (StartRecord.Start s : record.starts()) {
-        startsByJob
-            .computeIfAbsent(s.task().job(), job -> new LinkedHashMap<>())
-            .computeIfAbsent(key, k -> new ArrayList<>())
-            .add(s);
-      }
-    }
+  public StartRecord.Start recordedStart(TaskRef task, long attempt, String machine) {
+    return recordedStarts.find(task, attempt, machine);
   }
 
   /** How many tasks of a job are recorded as started and not known to be finished; for display. */
   public int startedTasks(Job job) {
-    BitSet started = new BitSet();
-    for (List<StartRecord.Start> starts :
-        startsByJob.getOrDefault(job.spec().id(), Map.of()).values()) {
-      for (StartRecord.Start s : starts) {
-        started.set(s.task().index());
-      }
-    }
+    BitSet started = recordedStarts.startedTasks(job.spec().id());
     started.andNot(job.finished());
     return started.cardinality();
   }
@@ -134,64 +99,76 @@
   public void changed(String key, Fields value, long revision) {
     try {
       if (key.startsWith(Keys.JOB)) {
-        changedJob(key.substring(Keys.JOB.length()), value, revision);
+        onJobRecord(key.substring(Keys.JOB.length()), value, revision);
       } else if (key.startsWith(Keys.FINISHED)) {
-        changedChunk(key, value);
+        onFinishedChunk(key, value);
       } else if (key.startsWith(Keys.DEPENDENCIES)) {
-        changedNeeds(key, value);
+        onDependencyPart(key, value);
       } else if (key.startsWith(Keys.ROUND)) {
-        record(key, value == null ? null : StartRecord.read(value));
+        onStartRecord(key, value);
       }
     } catch (WireException e) {
-      log.error("unreadable record {}: {}", key, e.getMessage());
+      log.error("record unreadable key={} reason={}", key, e.getMessage());
     }
   }
 
-  private void changedJob(String id, Fields value, long revision) throws WireException {
+  private void onStartRecord(String key, Fields value) throws WireException {
+    if (value == null) {
+      recordedStarts.remove(key);
+    } else {
+      recordedStarts.put(key, StartRecord.read(value));
+    }
+  }
+
+  private void onJobRecord(String id, Fields value, long revision) throws WireException {
     if (value == null) {
       incomplete.remove(id);
       Job job = jobs.remove(id);
       if (job != null) {
-        List.copyOf(listeners).forEach(l -> l.onJobRemoved(job));
+        List.copyOf(listeners).forEach(listener -> listener.onJobRemoved(job));
       }
       return;
     }
-    Job job = Job.read(value, revision);
-    int parts = Job.parts(value);
+    Job job = JobRecordCodec.read(value, revision);
+    int parts = JobRecordCodec.partCount(value);
     if (parts > 0) {
-      incomplete.put(id, new Incomplete(job, parts));
-      complete(id);
+      incomplete.put(id, new IncompleteJob(job, parts));
+      addIfComplete(id);
     } else {
       add(job);
     }
   }
 
-  private void changedNeeds(String key, Fields value) throws WireException {
+  private void onDependencyPart(String key, Fields value) throws WireException {
     String id = Keys.jobOf(Keys.DEPENDENCIES, key);
     int part = Keys.partOf(key);
     if (value == null) {
-      dependencies.computeIfPresent(
-          id, (k, parts) -> parts.remove(part) != null && parts.isEmpty() ? null : parts);
+      dependencyParts.computeIfPresent(
+          id, (job, parts) -> parts.remove(part) != null && parts.isEmpty() ? null : parts);
       return;
     }
     List<String> ids = value.optTexts(JobSpec.DEPENDENCIES);
     if (ids == null) {
       throw new WireException(JobSpec.DEPENDENCIES, "is missing");
     }
-    dependencies.computeIfAbsent(id, k -> new TreeMap<>()).put(part, ids);
-    complete(id);
+    dependencyParts.computeIfAbsent(id, job -> new TreeMap<>()).put(part, ids);
+    addIfComplete(id);
   }
 
-  /** Adds a job once all its needs have arrived: pages of a list may be of different moments. */
-  private void complete(String id) throws WireException {
-    Incomplete known = incomplete.get(id);
-    if (known == null || dependencies.getOrDefault(id, new TreeMap<>()).size() < known.parts) {
+  /**
+   * Adds a job once all its dependencies have arrived: the pages of a list may be of different
+   * moments.
+   */
+  private void addIfComplete(String id) throws WireException {
+    IncompleteJob candidate = incomplete.get(id);
+    if (candidate == null
+        || dependencyParts.getOrDefault(id, new TreeMap<>()).size() < candidate.parts) {
       return;
     }
     incomplete.remove(id);
-    List<String> all = new ArrayList<>(known.job.spec().dependencies());
-    dependencies.get(id).values().forEach(all::addAll);
-    add(known.job.withDependencies(all));
+    List<String> dependencies = new ArrayList<>(candidate.job.spec().dependencies());
+    dependencyParts.get(id).values().forEach(dependencies::addAll);
+    add(candidate.job.withDependencies(dependencies));
   }
 
   private void add(Job job) throws WireException {
@@ -200,13 +177,13 @@
     jobs.put(id, job);
     if (chunks != null) {
       for (Map.Entry<String, Fields> chunk : chunks.entrySet()) {
-        changedChunk(chunk.getKey(), chunk.getValue());
+        onFinishedChunk(chunk.getKey(), chunk.getValue());
       }
     }
-    List.copyOf(listeners).forEach(l -> l.onJobAdded(job));
+    List.copyOf(listeners).forEach(listener -> listener.onJobAdded(job));
   }
 
-  private void changedChunk(String key, Fields value) throws WireException {
+  private void onFinishedChunk(String key, Fields value) throws WireException {
     if (value == null) {
       return;
     }
@@ -215,11 +192,11 @@
     if (job == null) {
       // Keys arrive in order of their names when the replica loads: chunks come before jobs.
       earlyChunks.computeIfAbsent(id, k -> new HashMap<>()).put(key, value);
-      if (earlyChunks.size() > 10_000) {
+      if (earlyChunks.size() > JobConstants.MAX_JOBS_WITH_EARLY_CHUNKS) {
         earlyChunks.clear();
       }
       return;
     }
-    job.readChunk(Keys.partOf(key), value);
+    job.addFinishedChunk(Keys.partOf(key), value);
   }
 }
--- a/src/main/java/fennelthread/jobs/OnceConsumer.java
+++ b/src/main/java/fennelthread/jobs/OnceConsumer.java
@@ -2,25 +2,25 @@
 
 import java.util.function.Consumer;
 
-/** Hands on the first answer only: a request that is sent again may be answered twice. */
+/** Passes on the first result only: a request that is sent twice may be answered twice. */
 final class OnceConsumer<T> implements Consumer<T> {
-  private final Consumer<T> done;
-  private boolean given;
+  private final Consumer<T> delegate;
+  private boolean called;
 
-  OnceConsumer(Consumer<T> done) {
-    this.done = done;
+  OnceConsumer(Consumer<T> delegate) {
+    this.delegate = delegate;
   }
 
-  /** True once an answer was handed on. */
-  boolean isGiven() {
-    return given;
+  /** True once a result was passed on. */
+  boolean isCalled() {
+    return called;
   }
 
   @Override
-  public void accept(T answer) {
-    if (!given) {
-      given = true;
-      done.accept(answer);
+  public void accept(T result) {
+    if (!called) {
+      called = true;
+      delegate.accept(result);
     }
   }
 }
--- a/src/main/java/fennelthread/jobs/StartRecord.java
+++ b/src/main/java/fennelthread/jobs/StartRecord.java
@@ -1,5 +1,6 @@
 package fennelthread.jobs;
 
+import fennelthread.constants.JobConstants;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.TaskRef;
@@ -10,12 +11,23 @@
 import java.util.Map;
 
 /**
- * What one round is about to start, written before any start is sent. It names the team and the
- * resources too: a successor must count a cancelled job's tasks, whose record is gone by then.
+ * The tasks that one scheduling round is about to start, written before any start is sent. It holds
+ * the team and the resources too: after a failover the new leader must count the tasks of a
+ * cancelled job, whose own record is gone by then.
  */
 public record StartRecord(List<Start> starts) {
-
-  /** One start: the attempt, where, and what it takes there. */
+  /**
+   * One start.
+   *
+   * @param task the task to start
+   * @param attempt the number of the attempt, which no other attempt has
+   * @param machine the name of the machine
+   * @param session the incarnation of the machine's worker
+   * @param team the job's team
+   * @param cpus CPUs that the task takes
+   * @param cards accelerator cards that the task takes
+   * @param memGb memory that the task takes, GB
+   */
   public record Start(
       TaskRef task,
       long attempt,
@@ -26,7 +38,7 @@
       double cards,
       double memGb) {
 
-    /** The start of a task of a known job. */
+    /** Creates the start of a task whose job is known. */
     public static Start of(JobSpec spec, int index, long attempt, String machine, long session) {
       return new Start(
           new TaskRef(spec.id(), index),
@@ -40,57 +52,60 @@
     }
   }
 
-  /** The record in the state service's form: jobs once, then their starts. */
+  /** Returns the record in the state service's form: a list per job, its head, then its starts. */
   public Fields write() {
     Map<String, List<Object>> jobs = new LinkedHashMap<>();
-    for (Start s : starts) {
-      List<Object> job =
-          jobs.computeIfAbsent(
-              s.task.job(),
-              id -> {
-                List<Object> head = new ArrayList<>();
-                head.add(id);
-                head.add(s.team);
-                head.add(s.cpus);
-                head.add(s.cards);
-                head.add(s.memGb);
-                return head;
-              });
-      job.add((long) s.task.index());
-      job.add(s.attempt);
-      job.add(s.machine);
-      job.add(s.session);
+    for (Start start : starts) {
+      List<Object> job = jobs.computeIfAbsent(start.task.job(), id -> writeHead(start));
+      job.add((long) start.task.index());
+      job.add(start.attempt);
+      job.add(start.machine);
+      job.add(start.session);
     }
     return Fields.create().with("j", new ArrayList<Object>(jobs.values()));
   }
 
-  /** Reads a record. */
+  private static List<Object> writeHead(Start start) {
+    List<Object> head = new ArrayList<>();
+    head.add(start.task.job());
+    head.add(start.team);
+    head.add(start.cpus);
+    head.add(start.cards);
+    head.add(start.memGb);
+    return head;
+  }
+
+  /**
+   * Reads a record from the state service's form.
+   *
+   * @throws WireException if it is malformed
+   */
   public static StartRecord read(Fields value) throws WireException {
     List<Start> starts = new ArrayList<>();
     try {
-      for (Object item : value.list("j")) {
-        List<?> job = (List<?>) item;
-        String id = (String) job.get(0);
-        String team = (String) job.get(1);
-        double cpus = ((Number) job.get(2)).doubleValue();
-        double cards = ((Number) job.get(3)).doubleValue();
-        double mem = ((Number) job.get(4)).doubleValue();
-        for (int i = 5; i + 3 < job.size(); i += 4) {
-          starts.add(
-              new Start(
-                  new TaskRef(id, ((Long) job.get(i)).intValue()),
-                  (Long) job.get(i + 1),
-                  (String) job.get(i + 2),
-                  (Long) job.get(i + 3),
-                  team,
-                  cpus,
-                  cards,
-                  mem));
-        }
+      for (Object job : value.list("j")) {
+        readJob((List<?>) job, starts);
       }
     } catch (ClassCastException | IndexOutOfBoundsException e) {
       throw new WireException("j", "is not a list of starts");
     }
     return new StartRecord(starts);
   }
+
+  private static void readJob(List<?> job, List<Start> starts) {
+    String id = (String) job.get(0);
+    String team = (String) job.get(1);
+    double cpus = ((Number) job.get(2)).doubleValue();
+    double cards = ((Number) job.get(3)).doubleValue();
+    double memGb = ((Number) job.get(4)).doubleValue();
+    for (int i = JobConstants.START_RECORD_HEAD_VALUES;
+        i + JobConstants.VALUES_PER_START <= job.size();
+        i += JobConstants.VALUES_PER_START) {
+      TaskRef task = new TaskRef(id, ((Long) job.get(i)).intValue());
+      long attempt = (Long) job.get(i + 1);
+      String machine = (String) job.get(i + 2);
+      long session = (Long) job.get(i + 3);
+      starts.add(new Start(task, attempt, machine, session, team, cpus, cards, memGb));
+    }
+  }
 }
--- a/src/main/java/fennelthread/jobs/StartRecordPacker.java
+++ b/src/main/java/fennelthread/jobs/StartRecordPacker.java
@@ -8,94 +8,105 @@
 import java.util.Set;
 
 /**
- * Spreads a round's starts over records that each fit into a value, in one transaction. Each is
- * whole by itself, as it was when a round had one: a successor of any version reads them the same.
+ * Packs the starts of one scheduling round into as many start records as needed, each of which fits
+ * into a value; all are written in one transaction. Each record is complete by itself, as it was
+ * when a round had a single one: a successor of any version reads them the same.
  */
 public final class StartRecordPacker {
-  private final int mostBytes;
-  private final int mostRecords;
+  private final int maxRecordBytes;
+  private final int maxRecords;
   private final List<List<StartRecord.Start>> records = new ArrayList<>();
-  private final Set<String> jobs = new HashSet<>();
-  private int left;
+  private final Set<String> jobsInLastRecord = new HashSet<>();
+  private int bytesLeft;
 
-  /** Creates a packer for so many records of so many bytes. */
-  public StartRecordPacker(int mostBytes, int mostRecords) {
-    this.mostBytes = mostBytes;
-    this.mostRecords = mostRecords;
+  /** Creates a packer for at most {@code maxRecords} records of {@code maxRecordBytes} each. */
+  public StartRecordPacker(int maxRecordBytes, int maxRecords) {
+    this.maxRecordBytes = maxRecordBytes;
+    this.maxRecords = maxRecords;
   }
 
-  /** Makes room for a start, which {@link #add} must then bring; false if there is none. */
+  /**
+   * Reserves space for a start, which {@link #add} must then add. Returns false, and reserves
+   * nothing, if the records have no space left.
+   */
   public boolean tryReserve(JobSpec spec, int task, String machine, long session) {
     return tryReserve(StartRecord.Start.of(spec, task, 0, machine, session));
   }
 
-  /** Adds starts of an earlier record if all of them fit, else none of them. */
+  /** Adds the start for which space was reserved. */
+  public void add(StartRecord.Start start) {
+    records.get(records.size() - 1).add(start);
+  }
+
+  /** Adds all starts of an earlier record, or none of them if they don't all fit. */
   public boolean addAll(List<StartRecord.Start> starts) {
-    int leftBefore = left;
+    int bytesLeftBefore = bytesLeft;
     int recordsBefore = records.size();
-    Set<String> jobsBefore = Set.copyOf(jobs);
-    List<StartRecord.Start> last =
+    Set<String> jobsBefore = Set.copyOf(jobsInLastRecord);
+    List<StartRecord.Start> lastBefore =
         recordsBefore == 0 ? List.of() : List.copyOf(records.get(recordsBefore - 1));
-    for (StartRecord.Start s : starts) {
-      if (tryReserve(s)) {
-        add(s);
+    for (StartRecord.Start start : starts) {
+      if (tryReserve(start)) {
+        add(start);
         continue;
       }
       while (records.size() > recordsBefore) {
         records.remove(records.size() - 1);
       }
       if (recordsBefore > 0) {
-        records.set(recordsBefore - 1, new ArrayList<>(last));
+        records.set(recordsBefore - 1, new ArrayList<>(lastBefore));
       }
-      left = leftBefore;
-      jobs.clear();
-      jobs.addAll(jobsBefore);
+      bytesLeft = bytesLeftBefore;
+      jobsInLastRecord.clear();
+      jobsInLastRecord.addAll(jobsBefore);
       return false;
     }
     return true;
   }
 
-  private boolean tryReserve(StartRecord.Start s) {
-    int start =
-        digits(s.task().index())
-            + JobConstants.LONGEST_ATTEMPT
-            + s.machine().length()
-            + digits(s.session())
-            + JobConstants.RECORD_BYTES_PER_ENTRY;
-    int head =
-        s.task().job().length()
-            // A letter may take several bytes, or be escaped.
-            + 6 * s.team().length()
-            + Double.toString(s.cpus()).length()
-            + Double.toString(s.cards()).length()
-            + Double.toString(s.memGb()).length()
-            + JobConstants.RECORD_BYTES_PER_ENTRY;
-    boolean known = jobs.contains(s.task().job());
-    if (records.isEmpty() || start + (known ? 0 : head) > left) {
-      int whole = mostBytes - JobConstants.RECORD_BYTES_PER_ENTRY;
-      if (records.size() >= mostRecords || start + head > whole) {
+  private boolean tryReserve(StartRecord.Start start) {
+    int startBytes = startBytes(start);
+    int headBytes = headBytes(start);
+    boolean hasHead = jobsInLastRecord.contains(start.task().job());
+    if (records.isEmpty() || startBytes + (hasHead ? 0 : headBytes) > bytesLeft) {
+      int emptyRecordBytes = maxRecordBytes - JobConstants.RECORD_BYTES_PER_ENTRY;
+      if (records.size() >= maxRecords || startBytes + headBytes > emptyRecordBytes) {
         return false;
       }
       records.add(new ArrayList<>());
-      jobs.clear();
-      left = whole;
-      known = false;
+      jobsInLastRecord.clear();
+      bytesLeft = emptyRecordBytes;
+      hasHead = false;
     }
-    left -= start + (known ? 0 : head);
-    jobs.add(s.task().job());
+    bytesLeft -= startBytes + (hasHead ? 0 : headBytes);
+    jobsInLastRecord.add(start.task().job());
     return true;
   }
 
-  private static int digits(long number) {
-    return Long.toString(number).length();
+  /** The most that a start takes in a record beside its job's head, bytes. */
+  private static int startBytes(StartRecord.Start start) {
+    return digits(start.task().index())
+        + JobConstants.MAX_ATTEMPT_BYTES
+        + start.machine().length()
+        + digits(start.session())
+        + JobConstants.RECORD_BYTES_PER_ENTRY;
   }
 
-  /** Adds the start that room was made for. */
-  public void add(StartRecord.Start start) {
-    records.get(records.size() - 1).add(start);
+  /** The most that a job's head takes, which stands once in a record before its starts, bytes. */
+  private static int headBytes(StartRecord.Start start) {
+    return start.task().job().length()
+        + JobConstants.MAX_BYTES_PER_CHARACTER * start.team().length()
+        + Double.toString(start.cpus()).length()
+        + Double.toString(start.cards()).length()
+        + Double.toString(start.memGb()).length()
+        + JobConstants.RECORD_BYTES_PER_ENTRY;
+  }
+
+  private static int digits(long number) {
+    return Long.toString(number).length();
   }
 
-  /** The records. */
+  /** The records with all starts that were added. */
   public List<StartRecord> records() {
     return records.stream().map(StartRecord::new).toList();
   }
--- /dev/null
+++ b/src/main/java/fennelthread/jobs/package-info.java
@@ -0,0 +1,14 @@
+/**
+ * Jobs and their records in the consensus-backed store, on every controller, leading or not.
+ *
+ * <p>The package owns the stored form of jobs ({@link fennelthread.jobs.FinalRecord}, {@link
+ * fennelthread.jobs.StartRecord} and the codecs beside them), their decoded copy in the replica
+ * ({@link fennelthread.jobs.JobTable}), and the dependencies among them ({@link
+ * fennelthread.jobs.DependencyGraph}). {@link fennelthread.jobs.JobStore} is the entry point: it
+ * accepts, cancels and looks up jobs. Each of these is a compare-and-swap on the job's one record,
+ * so that submissions are idempotent and no controller answers with an older state than another.
+ *
+ * <p>All of it runs on the controller's event loop; nothing here is thread-safe, and nothing
+ * blocks.
+ */
+package fennelthread.jobs;
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -7,7 +7,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.FinalRecord;
-import fennelthread.jobs.Job;
+import fennelthread.jobs.FinishedTasksCodec;
 import fennelthread.jobs.JobStore;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
@@ -174,7 +174,8 @@
     Map<ActiveJob, BitSet> written = new LinkedHashMap<>();
     Map<String, FinalRecord> ends = new LinkedHashMap<>();
     for (ActiveJob run : dirty) {
-      if (run.unfinished() == 0 && txn.ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
+      if (run.unfinished() == 0
+          && txn.ops() + JobConstants.CHANGES_PER_FINAL_RECORD <= limits.txnOps()) {
         FinalRecord end =
             new FinalRecord(JobState.DONE, run.job().spec().tasks(), eventLoop.wallMs());
         JobStore.addFinalRecord(txn, run.job(), end);
@@ -273,7 +274,9 @@
       // that one holds,
       // since the workers were told to forget those tasks.
       txn.when(key, replica.revisionOf(key))
-          .write(key, Job.writeChunk(chunk, run.finishedTasks(), limits.valueBytes(), covered));
+          .write(
+              key,
+              FinishedTasksCodec.write(chunk, run.finishedTasks(), limits.valueBytes(), covered));
     }
     if (any) {
       txn.when(Keys.job(id), run.job().revision());
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -319,7 +319,7 @@
           job.spec(), task.ref().index(), task.attempt(), m.name(), m.session());
     }
     // A cancelled job's task: its round record still says what it takes.
-    StartRecord.Start recorded = table.startOf(task.ref(), task.attempt(), m.name());
+    StartRecord.Start recorded = table.recordedStart(task.ref(), task.attempt(), m.name());
     return recorded != null
         ? recorded
         : new StartRecord.Start(task.ref(), task.attempt(), m.name(), m.session(), "", 0, 0, 0);
--- a/src/test/java/fennelthread/jobs/DependencyGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -14,31 +14,46 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The graph of needs alone, against a plain model that goes through all jobs at each question. */
+/**
+ * The dependency graph alone, against a plain model that goes through all jobs at each question.
+ */
 class DependencyGraphTest {
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
   private final Map<String, Job> live = new LinkedHashMap<>();
   private final Map<String, FinalRecord> finals = new HashMap<>();
   private final Map<String, FinalRecord> known = new HashMap<>();
-  private int told;
+  private final DependencyGraph.KnownJobs knownJobs =
+      new DependencyGraph.KnownJobs() {
+        @Override
+        public boolean isLive(String id) {
+          return live.containsKey(id);
+        }
+
+        @Override
+        public Optional<FinalRecord> finalRecord(String id) {
+          return Optional.ofNullable(known.get(id));
+        }
+      };
+  private int changes;
   private final DependencyGraph graph =
       new DependencyGraph(
           spec -> spec.deadlineS() * 1.5,
           new DependencyGraph.Listener() {
             @Override
             public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
-              told++;
+              changes++;
             }
 
             @Override
             public void onInheritedPriorityChanged(String id) {
-              told++;
+              changes++;
             }
           });
 
@@ -72,7 +87,7 @@
 
   private void accept(Job job) {
     live.put(job.spec().id(), job);
-    graph.add(job, live::containsKey, known::get);
+    graph.add(job, knownJobs);
   }
 
   private void end(String id, JobState state) {
@@ -84,11 +99,11 @@
   /** What a read of the state service brings. */
   private void read(String id) {
     known.put(id, finals.get(id));
-    graph.learn(id, finals.get(id));
+    graph.onFinalRecord(id, finals.get(id));
   }
 
   @Test
-  void releasedByProofAlone() {
+  void aJobIsReleasedByFinalRecordsAlone() {
     Job first = job(1, Priority.STANDARD, -1, List.of());
     Job second = job(2, Priority.STANDARD, -1, List.of("job-1"));
     accept(first);
@@ -97,16 +112,16 @@
     assertFalse(graph.isReleased(second));
     end("job-1", JobState.DONE);
     assertFalse(graph.isReleased(second), "that it is no longer live proves nothing");
-    assertEquals(Set.of("job-1"), Set.copyOf(graph.unknown()));
+    assertEquals(Set.of("job-1"), Set.copyOf(graph.unresolvedDependencies()));
     read("job-1");
     assertTrue(graph.isReleased(second));
     assertEquals(finals.get("job-1").endedWallMs(), graph.releasedAtMs(second));
-    assertTrue(graph.unknown().isEmpty());
+    assertTrue(graph.unresolvedDependencies().isEmpty());
   }
 
   /** Production's final records do not say when: then the job was released when it was accepted. */
   @Test
-  void anEndWithoutTime() {
+  void aFinalRecordWithoutTimeReleasesAtAcceptance() {
     known.put("job-1", new FinalRecord(JobState.DONE, 1, 0));
     Job second = job(2, Priority.STANDARD, -1, List.of("job-1"));
     accept(second);
@@ -115,7 +130,7 @@
   }
 
   @Test
-  void priorityAndDeadlineComeFromTheLastJob() {
+  void priorityAndDeadlineAreInheritedFromDependants() {
     accept(job(1, Priority.BEST_EFFORT, -1, List.of()));
     accept(job(2, Priority.BEST_EFFORT, -1, List.of("job-1")));
     assertEquals(Priority.BEST_EFFORT, graph.inheritedPriority("job-1").priority());
@@ -128,13 +143,13 @@
     end("job-3", JobState.CANCELLED);
     assertEquals(Priority.BEST_EFFORT, graph.inheritedPriority("job-1").priority());
     end("job-2", JobState.CANCELLED);
-    assertNull(graph.inheritedPriority("job-1"), "a withdrawn job lends nothing");
+    assertNull(graph.inheritedPriority("job-1"), "nothing is inherited from a cancelled job");
   }
 
   /** Random graphs, in any order of news: the same as the model says at each step. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void random(long seed) {
+  void matchesThePlainModelOnRandomGraphs(long seed) {
     SplittableRandom r = new SplittableRandom(seed);
     List<String> ids = new ArrayList<>();
     Map<String, Job> all = new HashMap<>();
@@ -161,8 +176,10 @@
         end(
             from.get(r.nextInt(from.size())).spec().id(),
             done ? JobState.DONE : JobState.CANCELLED);
-      } else if (!graph.unknown().isEmpty()) {
-        read(List.copyOf(graph.unknown()).get(r.nextInt(graph.unknown().size())));
+      } else if (!graph.unresolvedDependencies().isEmpty()) {
+        read(
+            List.copyOf(graph.unresolvedDependencies())
+                .get(r.nextInt(graph.unresolvedDependencies().size())));
       }
       for (Job job : live.values()) {
         check(job, all);
@@ -178,34 +195,36 @@
       met &= end != null && end.state() == JobState.DONE;
       assertEquals(
           !live.containsKey(dependency) && end == null,
-          graph.unknown().contains(dependency),
+          graph.unresolvedDependencies().contains(dependency),
           dependency);
     }
     assertEquals(met, graph.isReleased(job), id);
-    if (doomed(id, all, false)) {
-      assertTrue(graph.isDoomed(id), id);
+    if (isToBeCancelled(id, all, false)) {
+      assertTrue(graph.isToBeCancelled(id), id);
     }
-    if (graph.isDoomed(id)) {
-      assertTrue(doomed(id, all, true), id);
+    if (graph.isToBeCancelled(id)) {
+      assertTrue(isToBeCancelled(id, all, true), id);
     }
-    InheritedPriority loan = graph.inheritedPriority(id);
-    assertEquals(urgency(id, all), loan == null ? 4 : PRIORITIES.indexOf(loan.priority()), id);
+    InheritedPriority inherited = graph.inheritedPriority(id);
+    assertEquals(
+        urgency(id, all), inherited == null ? 4 : PRIORITIES.indexOf(inherited.priority()), id);
   }
 
   /** By what is live or known now; or, with {@code ever}, also by way of jobs that are over. */
-  private boolean doomed(String id, Map<String, Job> all, boolean ever) {
+  private boolean isToBeCancelled(String id, Map<String, Job> all, boolean ever) {
     return all.get(id).spec().dependencies().stream()
         .anyMatch(
             dependency ->
                 known.containsKey(dependency)
                     ? known.get(dependency).state() == JobState.CANCELLED
-                    : (ever || live.containsKey(dependency)) && doomed(dependency, all, ever));
+                    : (ever || live.containsKey(dependency))
+                        && isToBeCancelled(dependency, all, ever));
   }
 
   private int urgency(String id, Map<String, Job> all) {
     int most = 4;
     for (Job other : live.values()) {
-      if (other.spec().dependencies().contains(id) && !graph.isDoomed(other.spec().id())) {
+      if (other.spec().dependencies().contains(id) && !graph.isToBeCancelled(other.spec().id())) {
         most = Math.min(most, PRIORITIES.indexOf(other.spec().priority()));
         most = Math.min(most, urgency(other.spec().id(), all));
       }
@@ -214,37 +233,38 @@
   }
 
   /**
-   * A chain of a thousand: each step tells of no more than the chain is long, and none recurses.
+   * A chain of a thousand: each step makes no more changes than the chain is long, and none
+   * recurses.
    */
   @Test
-  void longChain() {
+  void aLongChainIsUpdatedWithoutRecursionOrExtraChanges() {
     accept(job(0, Priority.BEST_EFFORT, -1, List.of()));
     for (int i = 1; i < 1_000; i++) {
       accept(job(i, Priority.BEST_EFFORT, -1, List.of("job-" + (i - 1))));
     }
-    assertEquals(1_000 - 1, told, "one loan a job");
+    assertEquals(1_000 - 1, changes, "one inherited priority a job");
     accept(job(1_000, Priority.URGENT, 60, List.of("job-999")));
-    assertEquals(2 * 1_000 - 1, told);
+    assertEquals(2 * 1_000 - 1, changes);
     assertEquals(Priority.URGENT, graph.inheritedPriority("job-0").priority());
-    told = 0;
+    changes = 0;
     end("job-0", JobState.CANCELLED);
     read("job-0");
-    assertEquals(1_000, graph.doomed().size());
-    assertTrue(told <= 3_000, told + " changes");
+    assertEquals(1_000, graph.jobsToCancel().size());
+    assertTrue(changes <= 3_000, changes + " changes");
   }
 
-  /** One job that a thousand need. */
+  /** One job on which a thousand depend. */
   @Test
-  void neededByMany() {
+  void manyDependantsOfOneJobAreReleasedOnce() {
     accept(job(0, Priority.BEST_EFFORT, -1, List.of()));
     for (int i = 1; i <= 1_000; i++) {
       accept(job(i, Priority.STANDARD, -1, List.of("job-0")));
     }
-    assertEquals(1, told, "the same loan a thousand times");
+    assertEquals(1, changes, "the same inherited priority a thousand times");
     end("job-0", JobState.DONE);
-    told = 0;
+    changes = 0;
     read("job-0");
-    assertEquals(1_000, told);
+    assertEquals(1_000, changes);
     assertTrue(live.values().stream().allMatch(graph::isReleased));
   }
 }
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the table knows of recorded starts, by job. */
+/** The table's index of recorded starts by job. */
 class JobTableTest {
   private static final int TASKS = JobSpec.MAX_TASKS;
   private static final int PER_RECORD = 40;
@@ -55,12 +55,12 @@
   }
 
   /**
-   * With 25,000 tasks of one job on record each record that went searched all of them, on every
+   * With 25,000 tasks of one job on record each removed record searched all of them, on every
    * controller: two thirds of the leader's work, and a share of a sixth of a core was used up by
-   * one guest's array.
+   * one team's array.
    */
   @Test
-  void recordsOfOneHugeJobComeAndGoInTimeThatFollowsTheRecord() {
+  void addingAndRemovingARecordCostsByItsSizeNotItsJobs() {
     assertTimeoutPreemptively(
         Duration.ofSeconds(10),
         () -> {
@@ -80,16 +80,16 @@
    * Records are drawn together in one transaction: the same start is on record twice for a moment.
    */
   @Test
-  void aStartInTwoRecordsIsThereUntilBothAreGone() {
+  void aStartInTwoRecordsIsKnownUntilBothAreRemoved() {
     table.changed(Keys.round(1, 1), record(0, 3).write(), 1);
     table.changed(Keys.round(1, 2), record(2, 4).write(), 2);
     assertEquals(4, started());
     table.changed(Keys.round(1, 1), null, 3);
     assertEquals(2, started());
     TaskRef second = new TaskRef(HUGE.id(), 2);
-    assertEquals("n-2", table.startOf(second, 1_002, "n-2").machine());
-    assertNull(table.startOf(second, 1_002, "n-3"));
-    assertNull(table.startOf(new TaskRef(HUGE.id(), 0), 1_000, "n-0"));
+    assertEquals("n-2", table.recordedStart(second, 1_002, "n-2").machine());
+    assertNull(table.recordedStart(second, 1_002, "n-3"));
+    assertNull(table.recordedStart(new TaskRef(HUGE.id(), 0), 1_000, "n-0"));
     table.changed(Keys.round(1, 2), record(5, 6).write(), 4);
     assertEquals(1, started());
   }
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -77,42 +77,43 @@
   }
 
   @Test
-  void liveJob() throws WireException {
+  void formOfALiveJobsRecord() throws WireException {
     JobSpec plain = spec("job-000412", "roja", List.of());
-    Map<String, Fields> records = Job.write(plain, 1_234, WIDE);
+    Map<String, Fields> records = JobRecordCodec.write(plain, 1_234, WIDE);
     assertEquals(List.of("live/job/job-000412"), List.copyOf(records.keySet()));
     assertEquals(JOB + "}", json(records.get(Keys.job("job-000412"))));
-    assertEquals(plain, Job.read(parsed(JOB + ",\"mas\":1}"), 5).spec());
+    assertEquals(plain, JobRecordCodec.read(parsed(JOB + ",\"mas\":1}"), 5).spec());
 
     JobSpec chained = spec("job-000412", "roja", List.of("job-1", "job-2"));
-    Fields record = Job.write(chained, 1_234, WIDE).get(Keys.job("job-000412"));
+    Fields record = JobRecordCodec.write(chained, 1_234, WIDE).get(Keys.job("job-000412"));
     assertEquals(JOB + ",\"espera\":[\"job-1\",\"job-2\"]}", json(record));
-    assertEquals(chained, Job.read(record, 5).spec());
+    assertEquals(chained, JobRecordCodec.read(record, 5).spec());
   }
 
   @Test
-  void finalJob() throws WireException {
+  void formOfAFinalRecord() throws WireException {
     FinalRecord end = new FinalRecord(JobState.DONE, 3, 77);
     assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", json(end.write()));
     assertEquals(end, FinalRecord.read(end.write()));
     assertEquals(
         new FinalRecord(JobState.CANCELLED, 2, 0),
         FinalRecord.read(parsed("{\"estado\":\"withdrawn\",\"done\":2}")),
-        "as production writes it");
+        "as the version in production writes it");
   }
 
   @Test
-  void finishedTasks() {
+  void formOfFinishedTasks() {
     BitSet finished = new BitSet();
     finished.set(256, 259);
     finished.set(300);
     BitSet covered = new BitSet();
-    assertEquals("{\"r\":[0,2,44,44]}", json(Job.writeChunk(1, finished, 1_000, covered)));
+    assertEquals(
+        "{\"r\":[0,2,44,44]}", json(FinishedTasksCodec.write(1, finished, 1_000, covered)));
     assertEquals(finished, covered);
   }
 
   @Test
-  void roundRecord() throws WireException {
+  void formOfAStartRecord() throws WireException {
     StartRecord record =
         new StartRecord(
             List.of(
@@ -141,7 +142,7 @@
       JobSpec spec = spec("job-" + "9".repeat(32), "t".repeat(1 + n % 100), dependencies);
       Map<String, Fields> records;
       try {
-        records = Job.write(spec, Long.MAX_VALUE, limits);
+        records = JobRecordCodec.write(spec, Long.MAX_VALUE, limits);
       } catch (WireException e) {
         assertTrue(e.getMessage().startsWith("espera") && n > 0, e.getMessage());
         continue;
@@ -154,35 +155,36 @@
         if (e.getKey().startsWith(Keys.DEPENDENCIES)) {
           read.addAll(e.getValue().optTexts("espera"));
         } else {
-          assertEquals(records.size() - 1, Job.parts(e.getValue()));
-          read.addAll(0, Job.read(e.getValue(), 1).spec().dependencies());
+          assertEquals(records.size() - 1, JobRecordCodec.partCount(e.getValue()));
+          read.addAll(0, JobRecordCodec.read(e.getValue(), 1).spec().dependencies());
         }
       }
       assertEquals(dependencies, read);
     }
-    assertTrue(largest >= Math.min(590, valueBytes * (ops - 1) / 60), "only " + largest + " needs");
+    assertTrue(
+        largest >= Math.min(590, valueBytes * (ops - 1) / 60), "only " + largest + " dependencies");
     assertThrows(
         WireException.class,
-        () -> Job.write(spec("job-1", "t".repeat(valueBytes), List.of()), 1, limits));
+        () -> JobRecordCodec.write(spec("job-1", "t".repeat(valueBytes), List.of()), 1, limits));
 
     for (int tries = 0; tries < 200; tries++) {
-      rounds(r, limits, valueBytes, ops);
+      startRecords(r, limits, valueBytes, ops);
       BitSet finished = new BitSet();
       for (int i = 0; i < 256; i++) {
         finished.set(i, tries == 0 ? i % 2 == 0 : r.nextBoolean());
       }
       BitSet covered = new BitSet();
-      Fields chunk = Job.writeChunk(0, finished, limits.valueBytes(), covered);
+      Fields chunk = FinishedTasksCodec.write(0, finished, limits.valueBytes(), covered);
       assertTrue(json(chunk).length() <= valueBytes);
       Job job = new Job(spec("job-1", "roja", List.of()), 1, 1);
-      job.readChunk(0, chunk);
+      job.addFinishedChunk(0, chunk);
       assertEquals(covered, job.finished());
       covered.andNot(finished);
       assertTrue(covered.isEmpty());
     }
   }
 
-  private static void rounds(SplittableRandom r, Limits limits, int valueBytes, int ops)
+  private static void startRecords(SplittableRandom r, Limits limits, int valueBytes, int ops)
       throws WireException {
     StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), ops);
     List<StartRecord.Start> starts = new ArrayList<>();
