--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -287,10 +287,10 @@
     if (isOver()) {
       return;
     }
-    if (phase == Phase.ACTIVE && lease.mayStart()) {
+    if (phase == Phase.ACTIVE && lease.mayStartTasks()) {
       provisioner.tick(scheduling.unplaced());
     }
-    eventLoop.after(LeaderConstants.RENT_EVERY_MS, this::rentTick);
+    eventLoop.after(LeaderConstants.PROVISIONING_INTERVAL_MS, this::rentTick);
   }
 
   /** Answers a report that came by a peer or directly; null if we are not entitled to. */
@@ -319,7 +319,7 @@
           job.spec(), task.ref().index(), task.attempt(), m.name(), m.session());
     }
     // A cancelled job's task: its round record still says what it takes.
-    StartRecord.Start recorded = table.startOf(task.ref(), task.attempt(), m.name());
+    StartRecord.Start recorded = table.recordedStart(task.ref(), task.attempt(), m.name());
     return recorded != null
         ? recorded
         : new StartRecord.Start(task.ref(), task.attempt(), m.name(), m.session(), "", 0, 0, 0);
@@ -340,7 +340,7 @@
   @Override
   public boolean mayStart(Attempt a) {
     return phase == Phase.ACTIVE
-        && lease.mayStart()
+        && lease.mayStartTasks()
         && activeJobs.of(a) != null
         && !isJobOver.test(a.start().task().job());
   }
