--- a/src/main/java/fennelthread/capacity/package-info.java
+++ b/src/main/java/fennelthread/capacity/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the service needs at a size that was never tried: measured slopes, a plan, and the tables of
- * docs/CAPACITY.md that follow from both. Pure computation; no part of the running service.
+ * The tables of docs/CAPACITY.md: from measured slopes to what a size of the fleet needs. No part
+ * of a controller; loaded by its own command only.
  */
 package fennelthread.capacity;
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -79,51 +79,11 @@
     Options options = Options.parse("training", "(fennelthread (max-machines 1))");
     Files.delete(file);
     XnioEventLoop eventLoop = Serve.eventLoopFor(settings);
-    CountDownLatch answers = new CountDownLatch(5);
+    List<Call> calls = trainingCalls();
+    CountDownLatch answers = new CountDownLatch(calls.size());
     eventLoop.run(
         () -> {
           Controller controller = Serve.start(eventLoop, settings, options);
-          JobSpec spec =
-              new JobSpec(
-                  "job-000001",
-                  "c",
-                  "team",
-                  false,
-                  Priority.STANDARD,
-                  1,
-                  1,
-                  0,
-                  1,
-                  "i",
-                  1,
-                  null,
-                  null,
-                  false,
-                  false,
-                  true,
-                  1,
-                  0,
-                  0,
-                  JobSpec.NO_DEADLINE);
-          WorkerReport report =
-              new WorkerReport(
-                  "n-1",
-                  "127.0.0.1:1",
-                  "t",
-                  "here",
-                  false,
-                  1,
-                  1,
-                  0,
-                  WorkerReport.NO_NOTICE,
-                  List.of());
-          List<Call> calls =
-              List.of(
-                  Call.get("/up"),
-                  Call.get("/v1/jobs/job-000001"),
-                  Call.post("/v1/jobs", Codec.CBOR, spec.write()),
-                  Call.post("/agent/beat", Codec.CBOR, report.write()),
-                  Call.post("/v1/jobs", Codec.CBOR, Fields.create()));
           for (Call call : calls) {
             eventLoop.call(settings.apiAddr(), call, 3_000, answer -> answers.countDown());
           }
@@ -134,6 +94,41 @@
     return all ? 0 : 1;
   }
 
+  /** A request of each kind, so that the classes which serve them are loaded. */
+  private static List<Call> trainingCalls() {
+    JobSpec spec =
+        new JobSpec(
+            "job-000001",
+            "c",
+            "team",
+            false,
+            Priority.STANDARD,
+            1,
+            1,
+            0,
+            1,
+            "i",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            1,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    WorkerReport report =
+        new WorkerReport(
+            "n-1", "127.0.0.1:1", "t", "here", false, 1, 1, 0, WorkerReport.NO_NOTICE, List.of());
+    return List.of(
+        Call.get("/up"),
+        Call.get("/v1/jobs/job-000001"),
+        Call.post("/v1/jobs", Codec.CBOR, spec.write()),
+        Call.post("/agent/beat", Codec.CBOR, report.write()),
+        Call.post("/v1/jobs", Codec.CBOR, Fields.create()));
+  }
+
   private static int freePort() throws IOException {
     try (ServerSocket s = new ServerSocket(0)) {
       return s.getLocalPort();
--- a/src/main/java/fennelthread/constants/NetConstants.java
+++ b/src/main/java/fennelthread/constants/NetConstants.java
@@ -59,5 +59,8 @@
   /** Largest answer that is read, bytes: watches have no limit, so this only guards memory. */
   public static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
+  /** What the buffer of a response begins with, bytes: most answers are shorter. */
+  public static final int RESPONSE_BUFFER_BYTES = 512;
+
   private NetConstants() {}
 }
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -5,6 +5,7 @@
 import io.undertow.client.ClientConnection;
 import io.undertow.client.ClientExchange;
 import io.undertow.client.ClientRequest;
+import io.undertow.client.ClientResponse;
 import io.undertow.client.UndertowClient;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.connector.PooledByteBuffer;
@@ -241,66 +242,79 @@
   }
 
   private void connect(Peer peer, boolean spare) {
-    peer.connecting++;
-    peer.opening++;
-    outbound++;
-    spareOpening += spare ? 1 : 0;
-    boolean[] over = new boolean[1];
-    // A peer without power never refuses: after a while the attempt no longer counts, and a later
-    // call makes a fresh one. Its socket is taken until the system gives up, though.
-    EventLoop.Cancellable giveUp =
-        eventLoop.after(
-            NetConstants.CONNECT_TIMEOUT_MS,
-            () -> {
-              if (!over[0]) {
-                over[0] = true;
-                peer.connecting--;
-              }
-            });
     client.connect(
-        new ClientCallback<>() {
-          private void ended() {
-            peer.opening--;
-            spareOpening -= spare ? 1 : 0;
-            if (!over[0]) {
-              over[0] = true;
-              peer.connecting--;
-              giveUp.cancel();
-            }
-          }
-
-          @Override
-          public void completed(ClientConnection connection) {
-            ended();
-            Link link = new Link(connection, peer);
-            connection.getCloseSetter().set(c -> forget(link));
-            keep(link);
-          }
-
-          @Override
-          public void failed(IOException e) {
-            boolean late = over[0];
-            ended();
-            outbound--;
-            feedStarved();
-            if (late) {
-              return;
-            }
-            Pending p = nextWaiting(peer);
-            if (p != null) {
-              p.finish(null, false);
-            }
-            if (!peer.waiting.isEmpty() && peer.connecting == 0) {
-              open(peer, spare);
-            }
-          }
-        },
+        new ConnectAttempt(peer, spare),
         URI.create("http://" + peer.address),
         thread,
         buffers,
         OptionMap.create(Options.TCP_NODELAY, true));
   }
 
+  /** One attempt to open a connection; it holds a socket until the system ends it. */
+  private final class ConnectAttempt implements ClientCallback<ClientConnection> {
+    private final Peer peer;
+    private final boolean spare;
+    private final EventLoop.Cancellable timeout;
+
+    /** True once later calls may make an attempt of their own. */
+    private boolean uncounted;
+
+    /** Counts the attempt as under way. */
+    ConnectAttempt(Peer peer, boolean spare) {
+      this.peer = peer;
+      this.spare = spare;
+      peer.connecting++;
+      peer.opening++;
+      outbound++;
+      spareOpening += spare ? 1 : 0;
+      // A peer without power never refuses: after a while the attempt no longer counts, and a later
+      // call makes a fresh one. Its socket is taken until the system gives up, though.
+      this.timeout = eventLoop.after(NetConstants.CONNECT_TIMEOUT_MS, this::uncount);
+    }
+
+    private void uncount() {
+      if (!uncounted) {
+        uncounted = true;
+        peer.connecting--;
+      }
+    }
+
+    private void end() {
+      peer.opening--;
+      spareOpening -= spare ? 1 : 0;
+      if (!uncounted) {
+        uncount();
+        timeout.cancel();
+      }
+    }
+
+    @Override
+    public void completed(ClientConnection connection) {
+      end();
+      Link link = new Link(connection, peer);
+      connection.getCloseSetter().set(c -> forget(link));
+      keep(link);
+    }
+
+    @Override
+    public void failed(IOException e) {
+      boolean timedOut = uncounted;
+      end();
+      outbound--;
+      feedStarved();
+      if (timedOut) {
+        return;
+      }
+      Pending next = nextWaiting(peer);
+      if (next != null) {
+        next.finish(null, false);
+      }
+      if (!peer.waiting.isEmpty() && peer.connecting == 0) {
+        open(peer, spare);
+      }
+    }
+  }
+
   private void send(Pending p, Link link) {
     p.link = link;
     byte[] body = p.call.body();
@@ -374,58 +388,79 @@
     writer.handleEvent(channel);
   }
 
-  private void receive(Pending p, ClientExchange exchange) {
-    var response = exchange.getResponse();
-    String close = response.getResponseHeaders().getFirst(Headers.CONNECTION);
-    boolean reusable = close == null || !close.equalsIgnoreCase("close");
-    String after = response.getResponseHeaders().getFirst(Headers.RETRY_AFTER);
-    int retryAfterS = 0;
-    if (after != null) {
+  private void receive(Pending pending, ClientExchange exchange) {
+    StreamSourceChannel channel = exchange.getResponseChannel();
+    ResponseReader reader = new ResponseReader(pending, exchange.getResponse());
+    channel.getReadSetter().set(reader);
+    reader.handleEvent(channel);
+  }
+
+  /** Collects the body of a response, and finishes its call at the end. */
+  private final class ResponseReader implements ChannelListener<StreamSourceChannel> {
+    private final Pending pending;
+    private final ClientResponse response;
+    private final ByteArrayOutputStream body =
+        new ByteArrayOutputStream(NetConstants.RESPONSE_BUFFER_BYTES);
+
+    ResponseReader(Pending pending, ClientResponse response) {
+      this.pending = pending;
+      this.response = response;
+    }
+
+    @Override
+    public void handleEvent(StreamSourceChannel channel) {
+      try (PooledByteBuffer pooled = buffers.allocate()) {
+        ByteBuffer buffer = pooled.getBuffer();
+        while (true) {
+          buffer.clear();
+          int count = channel.read(buffer);
+          if (count == 0) {
+            channel.resumeReads();
+            return;
+          }
+          if (count < 0) {
+            pending.finish(answer(), isReusable());
+            return;
+          }
+          buffer.flip();
+          byte[] chunk = new byte[count];
+          buffer.get(chunk);
+          body.write(chunk, 0, count);
+          if (body.size() > NetConstants.MAX_ANSWER_BYTES) {
+            pending.finish(null, false);
+            return;
+          }
+        }
+      } catch (IOException e) {
+        pending.finish(null, false);
+      }
+    }
+
+    private Answer answer() {
+      return new Answer(
+          response.getResponseCode(),
+          body.toByteArray(),
+          pending.call.codec(),
+          retryAfterS(),
+          Answer.Afterwards.KEEP);
+    }
+
+    private boolean isReusable() {
+      String connection = response.getResponseHeaders().getFirst(Headers.CONNECTION);
+      return connection == null || !connection.equalsIgnoreCase("close");
+    }
+
+    /** The pause that the response asks for, seconds; 0 if it asks for none that can be read. */
+    private int retryAfterS() {
+      String text = response.getResponseHeaders().getFirst(Headers.RETRY_AFTER);
+      if (text == null) {
+        return 0;
+      }
       try {
-        retryAfterS = Integer.parseInt(after.trim());
+        return Integer.parseInt(text.trim());
       } catch (NumberFormatException e) {
-        retryAfterS = 0;
+        return 0;
       }
     }
-    int wait = retryAfterS;
-    StreamSourceChannel channel = exchange.getResponseChannel();
-    ByteArrayOutputStream collected = new ByteArrayOutputStream(512);
-    ChannelListener<StreamSourceChannel> reader =
-        c -> {
-          try (PooledByteBuffer pooled = buffers.allocate()) {
-            ByteBuffer buffer = pooled.getBuffer();
-            while (true) {
-              buffer.clear();
-              int n = c.read(buffer);
-              if (n == 0) {
-                c.resumeReads();
-                return;
-              }
-              if (n < 0) {
-                p.finish(
-                    new Answer(
-                        response.getResponseCode(),
-                        collected.toByteArray(),
-                        p.call.codec(),
-                        wait,
-                        Answer.Afterwards.KEEP),
-                    reusable);
-                return;
-              }
-              buffer.flip();
-              byte[] chunk = new byte[n];
-              buffer.get(chunk);
-              collected.write(chunk, 0, n);
-              if (collected.size() > NetConstants.MAX_ANSWER_BYTES) {
-                p.finish(null, false);
-                return;
-              }
-            }
-          } catch (IOException e) {
-            p.finish(null, false);
-          }
-        };
-    channel.getReadSetter().set(reader);
-    reader.handleEvent(channel);
   }
 }
