--- a/src/main/java/fennelthread/api/Submissions.java
+++ b/src/main/java/fennelthread/api/Submissions.java
@@ -72,11 +72,11 @@
 
   private void admit(Submission job, Consumer<Answer> reply) {
     String id = job.spec().id();
-    if (conditions.isMemoryShort() && !store.isKnown(id)) {
+    if (conditions.isMemoryShort() && !store.isKnownAccepted(id)) {
       unavailabilities.count(NO_MEMORY);
       rejectUnlessAccepted(
           id, Answer.later(503, NO_MEMORY, ApiConstants.MEMORY_SHORT_RETRY_AFTER_S), reply);
-    } else if (job.spec().dependencies().isEmpty() || store.isKnown(id)) {
+    } else if (job.spec().dependencies().isEmpty() || store.isKnownAccepted(id)) {
       accept(job, reply);
     } else {
       checkDependencies(job, reply);
@@ -95,7 +95,7 @@
         job.spec(),
         result -> {
           if (result instanceof DependencyCheckResult.Valid valid) {
-            accept(valid.cancelled() ? store.cancelled(job) : job, reply);
+            accept(valid.cancelled() ? store.cancelledOnAcceptance(job) : job, reply);
           } else if (result instanceof DependencyCheckResult.Invalid invalid) {
             String why = JobSpec.DEPENDENCIES + ": " + invalid.why();
             rejectUnlessAccepted(id, Answer.error(422, why), reply);
@@ -111,7 +111,7 @@
         job,
         result -> {
           if (result instanceof AcceptResult.Accepted) {
-            JobState state = job.end() == null ? JobState.PENDING : job.end().state();
+            JobState state = job.initialState();
             reply.accept(Answer.of(201, Codec.CBOR, JobStatus.accepted(id, state)));
           } else if (result instanceof AcceptResult.AlreadyAccepted) {
             store.lookup(id, found -> reply.accept(jobRequests.statusAnswer(id, found)));
