--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -9,7 +9,6 @@
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Priority;
 import fennelthread.wire.WorkerReport;
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -97,27 +96,17 @@
   /** A request of each kind, so that the classes which serve them are loaded. */
   private static List<Call> trainingCalls() {
     JobSpec spec =
-        new JobSpec(
-            "job-000001",
-            "c",
-            "team",
-            false,
-            Priority.STANDARD,
-            1,
-            1,
-            0,
-            1,
-            "i",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            1,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder("job-000001")
+            .jobClass("c")
+            .team("team")
+            .tasks(1)
+            .cpus(1)
+            .memGb(1)
+            .image("i")
+            .imageGb(1)
+            .spotAllowed(true)
+            .estimateS(1)
+            .build();
     WorkerReport report =
         new WorkerReport(
             "n-1", "127.0.0.1:1", "t", "here", false, 1, 1, 0, WorkerReport.NO_NOTICE, List.of());
--- a/src/main/java/fennelthread/emulate/JobGenerator.java
+++ b/src/main/java/fennelthread/emulate/JobGenerator.java
@@ -49,27 +49,21 @@
     double taskS = c.taskS().at(random.nextDouble());
     int tasks = (int) Math.round(c.tasks().at(random.nextDouble()));
     JobSpec job =
-        new JobSpec(
-            String.format("job-%06d", ++lastJob),
-            c.name(),
-            c.teams().get(random.nextInt(c.teams().size())),
-            c.service(),
-            c.priority(),
-            tasks,
-            c.cpus(),
-            0,
-            c.memGb(),
-            "img-" + c.name() + "-" + random.nextInt(c.images()),
-            c.imageGb(),
-            null,
-            null,
-            c.onePlace(),
-            c.apart(),
-            c.spot(),
-            c.service() ? 0 : taskS,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder(String.format("job-%06d", ++lastJob))
+            .jobClass(c.name())
+            .team(c.teams().get(random.nextInt(c.teams().size())))
+            .service(c.service())
+            .priority(c.priority())
+            .tasks(tasks)
+            .cpus(c.cpus())
+            .memGb(c.memGb())
+            .image("img-" + c.name() + "-" + random.nextInt(c.images()))
+            .imageGb(c.imageGb())
+            .onePlace(c.onePlace())
+            .apart(c.apart())
+            .spotAllowed(c.spot())
+            .estimateS(c.service() ? 0 : taskS)
+            .build();
     boolean cancels = c.service() || random.nextDouble() < c.cancelShare();
     double cancelAfterS = c.service() ? taskS : taskS * random.nextDouble();
     return new Arrival(job, cancels ? cancelAfterS : -1);
--- a/src/main/java/fennelthread/simulation/RandomJobs.java
+++ b/src/main/java/fennelthread/simulation/RandomJobs.java
@@ -17,55 +17,46 @@
   JobSpec job(
       boolean service, int tasks, double cpus, boolean spot, boolean onePlace, boolean apart) {
     boolean red = network.random.nextBoolean();
-    return new JobSpec(
-        String.format("job-%06d", ++nextJob),
-        service ? "servicio" : "lote",
-        red ? "roja" : "azul",
-        service,
-        service
-            ? Priority.CRITICAL
-            : network.random.nextBoolean() ? Priority.URGENT : Priority.STANDARD,
-        tasks,
-        cpus,
-        0,
-        2,
-        "img-" + network.random.nextInt(4),
-        1,
-        network.random.nextInt(8) == 0 ? List.of("torre") : null,
-        network.random.nextInt(8) == 0 && !apart ? "sur" : null,
-        onePlace,
-        apart,
-        spot,
-        service ? 0 : 1 + network.random.nextInt(12),
-        0,
-        0,
-        service ? JobSpec.NO_DEADLINE : 60);
+    return JobSpec.builder(String.format("job-%06d", ++nextJob))
+        .jobClass(service ? "servicio" : "lote")
+        .team(red ? "roja" : "azul")
+        .service(service)
+        .priority(
+            service
+                ? Priority.CRITICAL
+                : network.random.nextBoolean() ? Priority.URGENT : Priority.STANDARD)
+        .tasks(tasks)
+        .cpus(cpus)
+        .memGb(2)
+        .image("img-" + network.random.nextInt(4))
+        .imageGb(1)
+        .types(network.random.nextInt(8) == 0 ? List.of("torre") : null)
+        .zone(network.random.nextInt(8) == 0 && !apart ? "sur" : null)
+        .onePlace(onePlace)
+        .apart(apart)
+        .spotAllowed(spot)
+        .estimateS(service ? 0 : 1 + network.random.nextInt(12))
+        .deadlineS(service ? JobSpec.NO_DEADLINE : 60)
+        .build();
   }
 
   /** A job that may run on any machine, or on any ordinary one if it is a service. */
   JobSpec plain(boolean service, int tasks) {
     JobSpec any = job(service, tasks, 1, !service, false, false);
-    return new JobSpec(
-        any.id(),
-        any.jobClass(),
-        any.team(),
-        service,
-        any.priority(),
-        tasks,
-        1,
-        0,
-        2,
-        any.image(),
-        1,
-        null,
-        null,
-        false,
-        false,
-        !service,
-        any.estimateS(),
-        0,
-        0,
-        any.deadlineS());
+    return JobSpec.builder(any.id())
+        .jobClass(any.jobClass())
+        .team(any.team())
+        .service(service)
+        .priority(any.priority())
+        .tasks(tasks)
+        .cpus(1)
+        .memGb(2)
+        .image(any.image())
+        .imageGb(1)
+        .spotAllowed(!service)
+        .estimateS(any.estimateS())
+        .deadlineS(any.deadlineS())
+        .build();
   }
 
   /** A random array or service. */
@@ -84,26 +75,17 @@
   /** A job with an id of its own that is not counted as submitted; it draws from the faults. */
   JobSpec odd() {
     boolean red = network.faults.nextBoolean();
-    return new JobSpec(
-        String.format("job-%06d", ++nextJob),
-        "lote",
-        red ? "roja" : "azul",
-        false,
-        Priority.STANDARD,
-        1,
-        1,
-        0,
-        2,
-        "img-0",
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        5,
-        0,
-        0,
-        60);
+    return JobSpec.builder(String.format("job-%06d", ++nextJob))
+        .jobClass("lote")
+        .team(red ? "roja" : "azul")
+        .tasks(1)
+        .cpus(1)
+        .memGb(2)
+        .image("img-0")
+        .imageGb(1)
+        .spotAllowed(true)
+        .estimateS(5)
+        .deadlineS(60)
+        .build();
   }
 }
--- a/src/main/java/fennelthread/wire/JobSpec.java
+++ b/src/main/java/fennelthread/wire/JobSpec.java
@@ -7,8 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A job as its user submits it. Durations are in seconds, memory and images in GB; {@code needs}
- * names the jobs that must be done before any task of this one starts.
+ * A job as its user submits it. Durations are in seconds, memory and images in GB; {@code
+ * dependencies} names the jobs that must be done before any task of this one starts.
  */
 public record JobSpec(
     String id,
@@ -44,7 +44,7 @@
 
   private static final Pattern ID = Pattern.compile("job-[0-9]{1,32}");
 
-  /** A job that needs no other. */
+  /** A job without dependencies; kept until the last tests use the builder. */
   public JobSpec(
       String id,
       String jobClass,
@@ -90,7 +90,12 @@
         List.of());
   }
 
-  /** The same job with other needs. */
+  /** Begins a job array of one task of standard priority, without dependencies or a deadline. */
+  public static Builder builder(String id) {
+    return new Builder(id);
+  }
+
+  /** The same job with other dependencies. */
   public JobSpec withDependencies(List<String> others) {
     return new JobSpec(
         id,
@@ -166,11 +171,11 @@
         body.amount("resguardo_s"),
         body.amount("guardado_s"),
         body.amount("plazo_s", NO_DEADLINE),
-        readNeeds(body));
+        readDependencies(body));
   }
 
   /** Each job once; absent, null and empty all mean that there is none. */
-  private static List<String> readNeeds(Fields body) throws WireException {
+  private static List<String> readDependencies(Fields body) throws WireException {
     List<String> named = body.optTexts(DEPENDENCIES);
     if (named == null || named.isEmpty()) {
       return List.of();
@@ -185,7 +190,9 @@
     return List.copyOf(new ArrayList<>(dependencies));
   }
 
-  /** The submission in the protocol's form; a job without needs has the form it always had. */
+  /**
+   * The submission in the protocol's form; a job without dependencies has the form it always had.
+   */
   public Fields write() {
     Fields body =
         Fields.create()
@@ -221,4 +228,179 @@
     }
     return text;
   }
+
+  /** Puts a job together by the names of its properties. */
+  public static final class Builder {
+    private final String id;
+    private String jobClass;
+    private String team;
+    private boolean service;
+    private Priority priority = Priority.STANDARD;
+    private int tasks = 1;
+    private double cpus;
+    private double cards;
+    private double memGb;
+    private String image;
+    private double imageGb;
+    private List<String> types;
+    private String zone;
+    private boolean onePlace;
+    private boolean apart;
+    private boolean spotAllowed;
+    private double estimateS;
+    private double checkpointS;
+    private double saveS;
+    private double deadlineS = NO_DEADLINE;
+    private List<String> dependencies = List.of();
+
+    private Builder(String id) {
+      this.id = id;
+    }
+
+    /** The class of jobs that it belongs to. */
+    public Builder jobClass(String jobClass) {
+      this.jobClass = jobClass;
+      return this;
+    }
+
+    /** The team whose quota applies. */
+    public Builder team(String team) {
+      this.team = team;
+      return this;
+    }
+
+    /** True for replicas that run until the job is cancelled, false for a job array. */
+    public Builder service(boolean service) {
+      this.service = service;
+      return this;
+    }
+
+    /** The priority; standard if none is set. */
+    public Builder priority(Priority priority) {
+      this.priority = priority;
+      return this;
+    }
+
+    /** The number of tasks; one if none is set. */
+    public Builder tasks(int tasks) {
+      this.tasks = tasks;
+      return this;
+    }
+
+    /** The CPUs of each task. */
+    public Builder cpus(double cpus) {
+      this.cpus = cpus;
+      return this;
+    }
+
+    /** The accelerator cards of each task. */
+    public Builder cards(double cards) {
+      this.cards = cards;
+      return this;
+    }
+
+    /** The memory of each task, GB. */
+    public Builder memGb(double memGb) {
+      this.memGb = memGb;
+      return this;
+    }
+
+    /** The image that a machine must have. */
+    public Builder image(String image) {
+      this.image = image;
+      return this;
+    }
+
+    /** The size of the image, GB. */
+    public Builder imageGb(double imageGb) {
+      this.imageGb = imageGb;
+      return this;
+    }
+
+    /** The allowed machine types, or null for any. */
+    public Builder types(List<String> types) {
+      this.types = types;
+      return this;
+    }
+
+    /** The only allowed zone, or null. */
+    public Builder zone(String zone) {
+      this.zone = zone;
+      return this;
+    }
+
+    /** True if all tasks must be in the same zone. */
+    public Builder onePlace(boolean onePlace) {
+      this.onePlace = onePlace;
+      return this;
+    }
+
+    /** True if at most half of the tasks may be in one zone. */
+    public Builder apart(boolean apart) {
+      this.apart = apart;
+      return this;
+    }
+
+    /** True if the job may use spot machines. */
+    public Builder spotAllowed(boolean spotAllowed) {
+      this.spotAllowed = spotAllowed;
+      return this;
+    }
+
+    /** The owner's estimate of a task's run time, seconds. */
+    public Builder estimateS(double estimateS) {
+      this.estimateS = estimateS;
+      return this;
+    }
+
+    /** The interval of checkpoints, seconds; 0 for none. */
+    public Builder checkpointS(double checkpointS) {
+      this.checkpointS = checkpointS;
+      return this;
+    }
+
+    /** The time that a task needs to save its progress, seconds. */
+    public Builder saveS(double saveS) {
+      this.saveS = saveS;
+      return this;
+    }
+
+    /** The time from its submission by which the job should be done, seconds. */
+    public Builder deadlineS(double deadlineS) {
+      this.deadlineS = deadlineS;
+      return this;
+    }
+
+    /** The jobs that must be done first. */
+    public Builder dependencies(List<String> dependencies) {
+      this.dependencies = dependencies;
+      return this;
+    }
+
+    /** The job. */
+    public JobSpec build() {
+      return new JobSpec(
+          id,
+          jobClass,
+          team,
+          service,
+          priority,
+          tasks,
+          cpus,
+          cards,
+          memGb,
+          image,
+          imageGb,
+          types,
+          zone,
+          onePlace,
+          apart,
+          spotAllowed,
+          estimateS,
+          checkpointS,
+          saveS,
+          deadlineS,
+          dependencies);
+    }
+  }
 }
--- a/src/test/java/fennelthread/emulate/HistoryCheckerTest.java
+++ b/src/test/java/fennelthread/emulate/HistoryCheckerTest.java
@@ -7,7 +7,6 @@
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.MachineType;
-import fennelthread.wire.Priority;
 import fennelthread.wire.TaskRef;
 import java.util.HashSet;
 import java.util.List;
@@ -128,26 +127,17 @@
   }
 
   private static JobSpec job(String id, String place) {
-    return new JobSpec(
-        id,
-        "c",
-        "red",
-        false,
-        Priority.STANDARD,
-        4,
-        1,
-        0,
-        1,
-        "i",
-        1,
-        null,
-        null,
-        place.equals("one-place"),
-        place.equals("apart"),
-        false,
-        1,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(id)
+        .jobClass("c")
+        .team("red")
+        .tasks(4)
+        .cpus(1)
+        .memGb(1)
+        .image("i")
+        .imageGb(1)
+        .onePlace(place.equals("one-place"))
+        .apart(place.equals("apart"))
+        .estimateS(1)
+        .build();
   }
 }
--- a/src/test/java/fennelthread/simulation/BootingTest.java
+++ b/src/test/java/fennelthread/simulation/BootingTest.java
@@ -48,27 +48,17 @@
   /** A job of so many tasks, each of which takes a small ordinary machine whole for so long. */
   private static JobSpec wholes(SimulatedCluster c, int tasks, double takesS) {
     JobSpec any = c.plain(false, tasks);
-    return new JobSpec(
-        any.id(),
-        any.jobClass(),
-        any.team(),
-        false,
-        any.priority(),
-        tasks,
-        4,
-        0,
-        2,
-        any.image(),
-        1,
-        null,
-        null,
-        false,
-        false,
-        false,
-        takesS,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(any.id())
+        .jobClass(any.jobClass())
+        .team(any.team())
+        .priority(any.priority())
+        .tasks(tasks)
+        .cpus(4)
+        .memGb(2)
+        .image(any.image())
+        .imageGb(1)
+        .estimateS(takesS)
+        .build();
   }
 
   private static long waitUntil(
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -15,7 +15,6 @@
 import fennelthread.net.StallDetector;
 import fennelthread.wire.Codec;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Priority;
 import fennelthread.wire.WireException;
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
@@ -105,27 +104,17 @@
   private Attempt start() throws WireException {
     report(1L << 20);
     JobSpec spec =
-        new JobSpec(
-            "job-1",
-            "lote",
-            "roja",
-            false,
-            Priority.STANDARD,
-            1,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            1,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder("job-1")
+            .jobClass("lote")
+            .team("roja")
+            .tasks(1)
+            .cpus(1)
+            .memGb(1)
+            .image("img")
+            .imageGb(1)
+            .spotAllowed(true)
+            .estimateS(1)
+            .build();
     Attempt a = fleet.createAttempt(fleet.machine("n-1"), spec, 0);
     fleet.sendStarts(fleet.machine("n-1"), new ArrayList<>(List.of(a)));
     assertEquals(Attempt.Phase.DEFERRED, a.phase());
--- a/src/test/java/fennelthread/simulation/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/simulation/ChainedJobsTest.java
@@ -444,28 +444,19 @@
       SimulatedCluster c, int tasks, double estimateS, List<String> dependencies) {
     JobSpec any = c.job(false, tasks, 1, true, false, false);
     JobSpec spec =
-        new JobSpec(
-            any.id(),
-            "lote",
-            "roja",
-            false,
-            any.priority(),
-            tasks,
-            1,
-            0,
-            2,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            estimateS,
-            0,
-            0,
-            JobSpec.NO_DEADLINE,
-            dependencies);
+        JobSpec.builder(any.id())
+            .jobClass("lote")
+            .team("roja")
+            .priority(any.priority())
+            .tasks(tasks)
+            .cpus(1)
+            .memGb(2)
+            .image("img")
+            .imageGb(1)
+            .spotAllowed(true)
+            .estimateS(estimateS)
+            .dependencies(dependencies)
+            .build();
     c.rules.submits(spec);
     return spec;
   }
--- a/src/test/java/fennelthread/simulation/CostTest.java
+++ b/src/test/java/fennelthread/simulation/CostTest.java
@@ -55,27 +55,18 @@
     c.world.costs = new HashMap<>();
     JobSpec any = c.plain(false, 1);
     JobSpec huge =
-        new JobSpec(
-            any.id(),
-            "padron",
-            any.team(),
-            false,
-            any.priority(),
-            25_000,
-            0.25,
-            0,
-            0.4,
-            any.image(),
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            4,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder(any.id())
+            .jobClass("padron")
+            .team(any.team())
+            .priority(any.priority())
+            .tasks(25_000)
+            .cpus(0.25)
+            .memGb(0.4)
+            .image(any.image())
+            .imageGb(1)
+            .spotAllowed(true)
+            .estimateS(4)
+            .build();
     c.submit(huge);
     long writesBefore = c.state.changes;
     while (!c.rules.allCompleted(huge.id()) && c.world.now() < 600_000) {
--- a/src/test/java/fennelthread/simulation/FleetLoad.java
+++ b/src/test/java/fennelthread/simulation/FleetLoad.java
@@ -1,7 +1,6 @@
 package fennelthread.simulation;
 
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Priority;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
@@ -13,27 +12,17 @@
   /** An array job of a team whose tasks take one CPU each and run on any machine. */
   static JobSpec array(SimulatedCluster c, String team, int tasks, double estimateS) {
     JobSpec any = c.plain(false, tasks);
-    return new JobSpec(
-        any.id(),
-        any.jobClass(),
-        team,
-        false,
-        Priority.STANDARD,
-        tasks,
-        1,
-        0,
-        2,
-        any.image(),
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        estimateS,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(any.id())
+        .jobClass(any.jobClass())
+        .team(team)
+        .tasks(tasks)
+        .cpus(1)
+        .memGb(2)
+        .image(any.image())
+        .imageGb(1)
+        .spotAllowed(true)
+        .estimateS(estimateS)
+        .build();
   }
 
   /** CPUs that a team's tasks take on machines at this moment. */
--- a/src/test/java/fennelthread/simulation/GapTest.java
+++ b/src/test/java/fennelthread/simulation/GapTest.java
@@ -192,27 +192,20 @@
     for (int i = 0; i < SERVICES; i++) {
       JobSpec any = c.plain(false, 4);
       JobSpec job =
-          new JobSpec(
-              any.id(),
-              any.jobClass(),
-              any.team(),
-              false,
-              any.priority(),
-              4,
-              1,
-              0,
-              2,
-              any.image(),
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              400,
-              5,
-              60,
-              JobSpec.NO_DEADLINE);
+          JobSpec.builder(any.id())
+              .jobClass(any.jobClass())
+              .team(any.team())
+              .priority(any.priority())
+              .tasks(4)
+              .cpus(1)
+              .memGb(2)
+              .image(any.image())
+              .imageGb(1)
+              .spotAllowed(true)
+              .estimateS(400)
+              .checkpointS(5)
+              .saveS(60)
+              .build();
       jobs.add(job);
       c.world.after(i * 50L, () -> c.submit(job));
     }
--- a/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
+++ b/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
@@ -8,7 +8,6 @@
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.MachineType;
-import fennelthread.wire.Priority;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -112,28 +111,24 @@
     private List<String> dependencies = List.of();
 
     JobSpec build() {
-      return new JobSpec(
-          id,
-          service ? "servicio" : "lote",
-          team,
-          service,
-          Priority.STANDARD,
-          tasks,
-          cpus,
-          cards,
-          memGb,
-          "img-0",
-          1,
-          types,
-          zone,
-          samePlace,
-          apart,
-          spot,
-          service ? 0 : 5,
-          0,
-          0,
-          JobSpec.NO_DEADLINE,
-          dependencies);
+      return JobSpec.builder(id)
+          .jobClass(service ? "servicio" : "lote")
+          .team(team)
+          .service(service)
+          .tasks(tasks)
+          .cpus(cpus)
+          .cards(cards)
+          .memGb(memGb)
+          .image("img-0")
+          .imageGb(1)
+          .types(types)
+          .zone(zone)
+          .onePlace(samePlace)
+          .apart(apart)
+          .spotAllowed(spot)
+          .estimateS(service ? 0 : 5)
+          .dependencies(dependencies)
+          .build();
     }
   }
 
--- a/src/test/java/fennelthread/simulation/JobDraft.java
+++ b/src/test/java/fennelthread/simulation/JobDraft.java
@@ -76,26 +76,24 @@
   }
 
   JobSpec spec() {
-    return new JobSpec(
-        base.id(),
-        base.jobClass(),
-        team,
-        base.service(),
-        priority,
-        base.tasks(),
-        cpus,
-        0,
-        1,
-        base.image(),
-        imageGb,
-        types,
-        zone,
-        samePlace,
-        apart,
-        !base.service(),
-        runS,
-        checkpointS,
-        checkpointS > 0 ? 1 : 0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(base.id())
+        .jobClass(base.jobClass())
+        .team(team)
+        .service(base.service())
+        .priority(priority)
+        .tasks(base.tasks())
+        .cpus(cpus)
+        .memGb(1)
+        .image(base.image())
+        .imageGb(imageGb)
+        .types(types)
+        .zone(zone)
+        .onePlace(samePlace)
+        .apart(apart)
+        .spotAllowed(!base.service())
+        .estimateS(runS)
+        .checkpointS(checkpointS)
+        .saveS(checkpointS > 0 ? 1 : 0)
+        .build();
   }
 }
--- a/src/test/java/fennelthread/simulation/MeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/MeetingsTest.java
@@ -30,27 +30,18 @@
 
   private static JobSpec lasting(SimulatedCluster c, int tasks, double estimateS) {
     JobSpec any = c.plain(false, tasks);
-    return new JobSpec(
-        any.id(),
-        any.jobClass(),
-        any.team(),
-        false,
-        any.priority(),
-        tasks,
-        1,
-        0,
-        2,
-        any.image(),
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        estimateS,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(any.id())
+        .jobClass(any.jobClass())
+        .team(any.team())
+        .priority(any.priority())
+        .tasks(tasks)
+        .cpus(1)
+        .memGb(2)
+        .image(any.image())
+        .imageGb(1)
+        .spotAllowed(true)
+        .estimateS(estimateS)
+        .build();
   }
 
   /** Jobs of some tasks, one every so often, of which every third is cancelled a little later. */
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -9,7 +9,6 @@
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Priority;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -169,27 +168,17 @@
 
   private JobSpec spec(String team, int tasks, double cpus, double estimateS) {
     JobSpec spec =
-        new JobSpec(
-            String.format("job-%06d", ++nextJob),
-            "lote",
-            team,
-            false,
-            Priority.STANDARD,
-            tasks,
-            cpus,
-            0,
-            0.2,
-            "img-1",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            estimateS,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder(String.format("job-%06d", ++nextJob))
+            .jobClass("lote")
+            .team(team)
+            .tasks(tasks)
+            .cpus(cpus)
+            .memGb(0.2)
+            .image("img-1")
+            .imageGb(1)
+            .spotAllowed(true)
+            .estimateS(estimateS)
+            .build();
     jobs.put(spec.id(), spec);
     return spec;
   }
--- a/src/test/java/fennelthread/simulation/Scenes.java
+++ b/src/test/java/fennelthread/simulation/Scenes.java
@@ -76,27 +76,18 @@
   /** An array that may run on any machine, each of its tasks for so long more or less. */
   static JobSpec lasting(SimulatedCluster c, int tasks, double estimateS) {
     JobSpec any = c.plain(false, tasks);
-    return new JobSpec(
-        any.id(),
-        any.jobClass(),
-        any.team(),
-        false,
-        any.priority(),
-        tasks,
-        1,
-        0,
-        2,
-        any.image(),
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        estimateS,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(any.id())
+        .jobClass(any.jobClass())
+        .team(any.team())
+        .priority(any.priority())
+        .tasks(tasks)
+        .cpus(1)
+        .memGb(2)
+        .image(any.image())
+        .imageGb(1)
+        .spotAllowed(true)
+        .estimateS(estimateS)
+        .build();
   }
 
   /** The state that an answer names, or null. */
--- a/src/test/java/fennelthread/simulation/SimulationTest.java
+++ b/src/test/java/fennelthread/simulation/SimulationTest.java
@@ -87,27 +87,18 @@
     c.world.runUntil(20_000);
     JobSpec small = c.job(false, 1, 0, true, false, false);
     JobSpec huge =
-        new JobSpec(
-            small.id(),
-            small.jobClass(),
-            small.team(),
-            false,
-            small.priority(),
-            JobSpec.MAX_TASKS,
-            0.001,
-            0,
-            0.001,
-            small.image(),
-            0.1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            0.2,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder(small.id())
+            .jobClass(small.jobClass())
+            .team(small.team())
+            .priority(small.priority())
+            .tasks(JobSpec.MAX_TASKS)
+            .cpus(0.001)
+            .memGb(0.001)
+            .image(small.image())
+            .imageGb(0.1)
+            .spotAllowed(true)
+            .estimateS(0.2)
+            .build();
     c.submit(huge);
     c.world.runUntil(1_500_000);
     assertTrue(c.rules.allCompleted(huge.id()));
@@ -204,27 +195,17 @@
   /** A service of one replica whose image all such jobs share. */
   private static JobSpec replica(SimulatedCluster c) {
     JobSpec any = c.job(true, 1, 1, false, false, false);
-    return new JobSpec(
-        any.id(),
-        any.jobClass(),
-        "roja",
-        true,
-        any.priority(),
-        1,
-        1,
-        0,
-        1,
-        "img-shared",
-        1,
-        null,
-        null,
-        false,
-        false,
-        false,
-        0,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(any.id())
+        .jobClass(any.jobClass())
+        .team("roja")
+        .service(true)
+        .priority(any.priority())
+        .tasks(1)
+        .cpus(1)
+        .memGb(1)
+        .image("img-shared")
+        .imageGb(1)
+        .build();
   }
 
   /** A round record that arrives after a takeover must not be written: all writes are fenced. */
--- a/src/test/java/fennelthread/simulation/TroubledDay.java
+++ b/src/test/java/fennelthread/simulation/TroubledDay.java
@@ -255,27 +255,22 @@
 
   private static JobSpec copy(
       JobSpec job, double estimateS, String zone, boolean onePlace, boolean apart) {
-    return new JobSpec(
-        job.id(),
-        job.jobClass(),
-        job.team(),
-        false,
-        estimateS > 30 ? Priority.STANDARD : job.priority(),
-        job.tasks(),
-        1,
-        0,
-        2,
-        job.image(),
-        1,
-        null,
-        zone,
-        onePlace,
-        apart,
-        true,
-        estimateS,
-        0,
-        0,
-        estimateS > 30 ? JobSpec.NO_DEADLINE : job.deadlineS());
+    return JobSpec.builder(job.id())
+        .jobClass(job.jobClass())
+        .team(job.team())
+        .priority(estimateS > 30 ? Priority.STANDARD : job.priority())
+        .tasks(job.tasks())
+        .cpus(1)
+        .memGb(2)
+        .image(job.image())
+        .imageGb(1)
+        .zone(zone)
+        .onePlace(onePlace)
+        .apart(apart)
+        .spotAllowed(true)
+        .estimateS(estimateS)
+        .deadlineS(estimateS > 30 ? JobSpec.NO_DEADLINE : job.deadlineS())
+        .build();
   }
 
   // ---------------------------------------------------------------- what they had of it
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -48,27 +48,18 @@
     JobSpec any = c.job(false, 2, 1, true, false, false);
     // The rules must know the job as it is submitted, without the place rules that chance gave it.
     JobSpec spec =
-        new JobSpec(
-            any.id(),
-            "lote",
-            "roja",
-            false,
-            any.priority(),
-            2,
-            1,
-            0,
-            2,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            5,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder(any.id())
+            .jobClass("lote")
+            .team("roja")
+            .priority(any.priority())
+            .tasks(2)
+            .cpus(1)
+            .memGb(2)
+            .image("img")
+            .imageGb(1)
+            .spotAllowed(true)
+            .estimateS(5)
+            .build();
     c.rules.submits(spec);
     return spec.write();
   }
