--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -14,8 +14,12 @@
 import fennelthread.control.WorkerReachabilityCheck;
 import fennelthread.election.Membership;
 import fennelthread.fleet.Cloud;
+import fennelthread.fleet.WorkerLink;
 import fennelthread.handover.Handover;
 import fennelthread.health.HeapGuard;
+import fennelthread.leader.FleetEnvironment;
+import fennelthread.leader.JobRecords;
+import fennelthread.leader.LeaderContext;
 import fennelthread.leader.Lease;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
@@ -301,24 +305,15 @@
 
   private Term newTerm(long epoch, long electedAtMs) {
     return new Term(
-        eventLoop,
-        settings,
-        options,
-        records.state(),
-        records.replica(),
-        records.table(),
-        records.store(),
-        lease,
-        cloud,
-        machineTypes::byName,
-        machineTypes::replaceAndStore,
-        () -> othersSilentSinceMs(epoch, electedAtMs),
-        commands,
-        zones,
-        stalls,
-        records.cancellations()::isOver,
-        renewer.gate(),
-        workers.addresses());
+        new LeaderContext(eventLoop, settings, options, records.state(), records.replica(), lease),
+        new JobRecords(records.table(), records.store(), records.cancellations()::isOver),
+        new FleetEnvironment(
+            cloud,
+            machineTypes,
+            zones,
+            new WorkerLink(commands, renewer.gate(), stalls),
+            () -> othersSilentSinceMs(epoch, electedAtMs),
+            workers.addresses()));
   }
 
   /**
--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -76,7 +76,7 @@
 
   /** The number of workers that report to the active term, 0 without one. */
   int reportingWorkers() {
-    return active == null ? 0 : active.reporting();
+    return active == null ? 0 : active.reportingWorkers();
   }
 
   /**
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -3,6 +3,7 @@
 import fennelthread.constants.ControlConstants;
 import fennelthread.fleet.Cloud;
 import fennelthread.leader.Lease;
+import fennelthread.leader.MachineTypeCatalog;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
@@ -24,7 +25,7 @@
  * from the cloud; the leader also stores them in the state service, so that a controller that
  * starts during an outage of the cloud has them.
  */
-public final class MachineTypes {
+public final class MachineTypes implements MachineTypeCatalog {
   private static final Logger log = LoggerFactory.getLogger(MachineTypes.class);
 
   private final EventLoop eventLoop;
@@ -46,6 +47,7 @@
   }
 
   /** The types by name; empty until they are known. */
+  @Override
   public Map<String, MachineType> byName() {
     return byName;
   }
@@ -89,6 +91,7 @@
    * Takes over the types that this controller, as leader, has fetched from the cloud, and stores
    * them if they differ from what is stored.
    */
+  @Override
   public void replaceAndStore(List<MachineType> types) {
     replace(types);
     Fields value = MachineType.writeAll(types.stream().map(MachineTypes::withoutPrices).toList());
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -1,29 +1,26 @@
 package fennelthread.leader;
 
 import fennelthread.constants.JobConstants;
-import fennelthread.constants.LeaderConstants;
-import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.Attempt;
 import fennelthread.jobs.InheritedPriority;
 import fennelthread.jobs.Job;
 import fennelthread.wire.Priority;
-import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
-import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.BitSet;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeSet;
 
-/** What the leader knows of a live job beyond its record: its attempts, ends and pauses. */
+/**
+ * What the leader knows of a live job beyond its record: attempts of its tasks, finished tasks that
+ * are not stored yet, and backoff.
+ */
 final class ActiveJob {
 
   /** Whether the job's tasks may be placed. */
   enum Phase {
-    /** Jobs that it needs are not proven to be done: no part of any demand, limit or round. */
+    /** Its dependencies are not proven to be done: it counts in no demand, quota or round. */
     WAITING,
     /** It waits for no other job. */
     RELEASED
@@ -31,50 +28,58 @@
 
   private final Job job;
   private final BitSet finished = new BitSet();
-  private final BitSet durable = new BitSet();
+  private final BitSet stored = new BitSet();
   private final BitSet idle = new BitSet();
   private final Int2ObjectOpenHashMap<List<Attempt>> attempts = new Int2ObjectOpenHashMap<>();
-  private final Int2LongOpenHashMap notBefore = new Int2LongOpenHashMap();
-  private final Int2IntOpenHashMap refusals = new Int2IntOpenHashMap();
-  private final Set<String> failedMachines = new HashSet<>();
-  private final TreeSet<Integer> dirtyChunks = new TreeSet<>();
+  private final TaskBackoff backoff = new TaskBackoff();
+  private final TreeSet<Integer> unstoredChunks = new TreeSet<>();
   private Phase phase = Phase.WAITING;
-  private long order;
+  private long releaseOrder;
   private long releasedWallMs;
-  private InheritedPriority loan;
-  private int failures;
-  private long lastTroubleMs = Long.MIN_VALUE / 2;
+  private InheritedPriority inherited;
   private int unfinished;
 
-  /** Creates what is known of a job that waits until it is released. */
+  /** Creates the state of a job that waits until it is released. */
   ActiveJob(Job job) {
     this.job = job;
     finished.or(job.finished());
-    durable.or(job.finished());
+    stored.or(job.finished());
     idle.set(0, job.spec().tasks());
     idle.andNot(finished);
     unfinished = job.spec().tasks() - finished.cardinality();
   }
 
+  Job job() {
+    return job;
+  }
+
+  String id() {
+    return job.spec().id();
+  }
+
+  // ---------------------------------------------------------------- release and priority
+
   /**
-   * The one way from waiting to released; {@code order} is its place among the released jobs of the
-   * term, {@code wallMs} the time of day from which it no longer waited.
+   * Releases a waiting job; there is no way back.
+   *
+   * @param order its place among the released jobs of the term
+   * @param wallMs the time of day from which it no longer waited
    */
   void release(long order, long wallMs) {
     if (phase != Phase.WAITING) {
-      throw new IllegalStateException(job.spec().id() + " is released already");
+      throw new IllegalStateException(id() + " is released already");
     }
     phase = Phase.RELEASED;
-    this.order = order;
-    this.releasedWallMs = wallMs;
+    releaseOrder = order;
+    releasedWallMs = wallMs;
   }
 
   boolean isReleased() {
     return phase == Phase.RELEASED;
   }
 
-  long order() {
-    return order;
+  long releaseOrder() {
+    return releaseOrder;
   }
 
   /** The time of day from which the job's times count, its deadline apart. */
@@ -82,191 +87,178 @@
     return releasedWallMs;
   }
 
-  /** Takes note of what the job has from those that need it; null if none does. */
-  void lend(InheritedPriority lent) {
-    loan = lent;
+  /** Sets what the job inherits from its dependents; null if nothing. */
+  void setInheritedPriority(InheritedPriority fromDependents) {
+    inherited = fromDependents;
   }
 
-  InheritedPriority loan() {
-    return loan;
+  /** What the job inherits from its dependents, or null. */
+  InheritedPriority inheritedPriority() {
+    return inherited;
   }
 
-  /** The most urgent priority among the job's own and those of the jobs that need it. */
+  /** The most urgent priority among the job's own and those of its dependents. */
   Priority priority() {
     Priority own = job.spec().priority();
-    return loan == null || own.compareTo(loan.priority()) < 0 ? own : loan.priority();
+    return inherited == null || own.compareTo(inherited.priority()) < 0
+        ? own
+        : inherited.priority();
   }
 
-  Job job() {
-    return job;
+  // ---------------------------------------------------------------- attempts
+
+  /** Adds an attempt that may be on a machine: its task is not placed meanwhile. */
+  void attach(Attempt attempt) {
+    int task = attempt.start().task().index();
+    List<Attempt> ofTask = attempts.computeIfAbsent(task, k -> new ArrayList<>(1));
+    if (!ofTask.contains(attempt)) {
+      ofTask.add(attempt);
+    }
+    idle.clear(task);
   }
 
-  void attach(Attempt a) {
-    List<Attempt> list =
-        attempts.computeIfAbsent(a.start().task().index(), k -> new ArrayList<>(1));
-    if (!list.contains(a)) {
-      list.add(a);
+  /** Removes an attempt that is proven to be on no machine. */
+  void detach(Attempt attempt) {
+    int task = attempt.start().task().index();
+    List<Attempt> ofTask = attempts.get(task);
+    if (ofTask == null) {
+      return;
     }
-    idle.clear(a.start().task().index());
-  }
-
-  void detach(Attempt a) {
-    int index = a.start().task().index();
-    List<Attempt> list = attempts.get(index);
-    if (list != null) {
-      list.remove(a);
-      if (list.isEmpty()) {
-        attempts.remove(index);
-        if (index < job.spec().tasks() && !finished.get(index)) {
-          idle.set(index);
-        }
+    ofTask.remove(attempt);
+    if (ofTask.isEmpty()) {
+      attempts.remove(task);
+      if (task < job.spec().tasks() && !finished.get(task)) {
+        idle.set(task);
       }
     }
   }
 
+  /** The attempts that may be on machines, by task. */
   Map<Integer, List<Attempt>> attempts() {
     return attempts;
   }
 
-  void finish(int index) {
-    if (index < job.spec().tasks() && !finished.get(index)) {
-      finished.set(index);
-      idle.clear(index);
+  /** The attempt that has run longest, else one that is about to run; null if there is none. */
+  Attempt longestRunningAttempt() {
+    Attempt longest = null;
+    for (List<Attempt> ofTask : attempts.values()) {
+      for (Attempt attempt : ofTask) {
+        if (!attempt.isStopRequested() && (longest == null || hasRunLonger(attempt, longest))) {
+          longest = attempt;
+        }
+      }
+    }
+    return longest;
+  }
+
+  private static boolean hasRunLonger(Attempt a, Attempt b) {
+    if ((a.runningSinceMs() < 0) != (b.runningSinceMs() < 0)) {
+      return a.runningSinceMs() >= 0;
+    }
+    return a.runningSinceMs() != b.runningSinceMs()
+        ? a.runningSinceMs() < b.runningSinceMs()
+        : a.start().attempt() < b.start().attempt();
+  }
+
+  // ---------------------------------------------------------------- finished tasks
+
+  /** Notes a finished task, which is to be stored. */
+  void markFinished(int task) {
+    if (task < job.spec().tasks() && !finished.get(task)) {
+      finished.set(task);
+      idle.clear(task);
       unfinished--;
-      dirtyChunks.add(index / JobConstants.TASKS_PER_CHUNK);
+      unstoredChunks.add(task / JobConstants.TASKS_PER_CHUNK);
     }
   }
 
-  boolean isFinished(int index) {
-    return finished.get(index);
+  boolean isFinished(int task) {
+    return finished.get(task);
   }
 
   BitSet finishedTasks() {
     return finished;
   }
 
-  boolean isDurable(int index) {
-    return durable.get(index);
+  int unfinishedCount() {
+    return unfinished;
   }
 
-  Iterable<Integer> dirtyChunks() {
-    return dirtyChunks;
+  boolean hasFinishedTasks() {
+    return !finished.isEmpty();
   }
 
-  boolean isDirty() {
-    return !dirtyChunks.isEmpty();
+  /** True if none of its tasks is done or has failed. */
+  boolean hasNotBegun() {
+    return finished.isEmpty() && !backoff.hasFailures();
   }
 
-  void durable(BitSet covered) {
-    durable.or(covered);
-    dirtyChunks.removeIf(
-        chunk -> {
-          int from = chunk * JobConstants.TASKS_PER_CHUNK;
-          for (int i = from; i < from + JobConstants.TASKS_PER_CHUNK; i++) {
-            if (finished.get(i) && !durable.get(i)) {
-              return false;
-            }
-          }
-          return true;
-        });
+  /** True if the task is finished and the state service says so. */
+  boolean isStored(int task) {
+    return stored.get(task);
   }
 
-  int unfinished() {
-    return unfinished;
+  /** The chunks of tasks of which some finished one is not stored. */
+  Iterable<Integer> unstoredChunks() {
+    return unstoredChunks;
   }
 
-  /** True if none of its tasks is done, as far as this term knows. */
-  boolean isUndone() {
-    return finished.isEmpty();
+  boolean hasUnstoredChunks() {
+    return !unstoredChunks.isEmpty();
   }
 
-  /** True if none of its tasks is done or has failed. */
-  boolean hasNotBegun() {
-    return finished.isEmpty() && failures == 0;
+  /** Notes finished tasks that the state service holds now. */
+  void markStored(BitSet tasks) {
+    stored.or(tasks);
+    unstoredChunks.removeIf(this::isChunkStored);
   }
 
-  /** The attempt that has run longest, or one that is about to run; null if none is anywhere. */
-  Attempt furthest() {
-    Attempt furthest = null;
-    for (List<Attempt> list : attempts.values()) {
-      for (Attempt a : list) {
-        if (!a.isStopRequested() && (furthest == null || isFurther(a, furthest))) {
-          furthest = a;
-        }
+  private boolean isChunkStored(int chunk) {
+    int from = chunk * JobConstants.TASKS_PER_CHUNK;
+    for (int task = from; task < from + JobConstants.TASKS_PER_CHUNK; task++) {
+      if (finished.get(task) && !stored.get(task)) {
+        return false;
       }
     }
-    return furthest;
+    return true;
   }
 
-  private static boolean isFurther(Attempt a, Attempt b) {
-    if ((a.runningSinceMs() < 0) != (b.runningSinceMs() < 0)) {
-      return a.runningSinceMs() >= 0;
-    }
-    return a.runningSinceMs() != b.runningSinceMs()
-        ? a.runningSinceMs() < b.runningSinceMs()
-        : a.start().attempt() < b.start().attempt();
-  }
+  // ---------------------------------------------------------------- tasks to start
 
-  /** True if some task is neither finished nor possibly anywhere; it may be paused all the same. */
-  boolean hasIdle() {
+  /** True if some task is neither finished nor possibly on a machine; it may be in backoff. */
+  boolean hasIdleTasks() {
     return !idle.isEmpty();
   }
 
-  /** Tasks that may be started now: not finished, proven to be nowhere, and not paused. */
-  List<Integer> pending(long now, int most) {
+  /** Tasks that may be started now: unfinished, proven to be on no machine, not in backoff. */
+  List<Integer> startableTasks(long nowMs, int maxTasks) {
     List<Integer> tasks = new ArrayList<>();
-    for (int i = idle.nextSetBit(0); i >= 0 && tasks.size() < most; i = idle.nextSetBit(i + 1)) {
-      if (notBefore.get(i) <= now) {
-        tasks.add(i);
+    for (int task = idle.nextSetBit(0);
+        task >= 0 && tasks.size() < maxTasks;
+        task = idle.nextSetBit(task + 1)) {
+      if (backoff.mayTry(task, nowMs)) {
+        tasks.add(task);
       }
     }
     return tasks;
   }
 
-  void pause(int index, long until) {
-    notBefore.put(index, until);
+  /** Lets a task that was stopped be started again at once. */
+  void onTaskStopped(int task) {
+    backoff.reset(task);
   }
 
-  /** A task was refused: the next try waits a little, longer each time. */
-  void refused(int index, long now, double chance) {
-    forgetOldTroubles(now);
-    int times = refusals.addTo(index, 1);
-    pause(index, now + pauseMs(times, chance));
+  /** Delays the next attempt of a task that a worker has refused. */
+  void onTaskRefused(int task, long nowMs, double jitter) {
+    backoff.onRefused(task, nowMs, jitter);
   }
 
   /**
-   * A task failed. True if the job has failed on so many machines that it, and not the machine,
-   * must be at fault; then its tries become rare.
+   * Delays the next attempt of a task that has failed.
+   *
+   * @return true if the job, and not the machine, must be faulty
    */
-  boolean failedOn(int index, String machine, long now, double chance) {
-    forgetOldTroubles(now);
-    failedMachines.add(machine);
-    failures++;
-    boolean jobsFault =
-        failedMachines.size() >= LeaderConstants.FAULTY_JOB_MACHINES && finished.isEmpty();
-    pause(
-        index,
-        now + (jobsFault ? pauseMs(failures, chance) : LeaderConstants.MIN_TASK_BACKOFF_MS / 3));
-    return jobsFault;
-  }
-
-  /**
-   * What went wrong long ago says nothing of now: a service that three faulty machines have failed
-   * in the course of a day is not at fault.
-   */
-  private void forgetOldTroubles(long now) {
-    if (now - lastTroubleMs > LeaderConstants.FAILURE_WINDOW_MS) {
-      failedMachines.clear();
-      refusals.clear();
-      failures = Math.min(failures, 1);
-    }
-    lastTroubleMs = now;
-  }
-
-  private static long pauseMs(int times, double chance) {
-    long pause = LeaderConstants.MIN_TASK_BACKOFF_MS << Math.min(times, 10);
-    return (long)
-        (Math.min(LeaderConstants.MAX_TASK_BACKOFF_MS, pause)
-            * (1 + ProtocolConstants.JITTER * chance));
+  boolean onTaskFailed(int task, String machine, long nowMs, double jitter) {
+    return backoff.onFailed(task, machine, hasFinishedTasks(), nowMs, jitter);
   }
 }
--- a/src/main/java/fennelthread/leader/ActiveJobs.java
+++ b/src/main/java/fennelthread/leader/ActiveJobs.java
@@ -7,10 +7,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The live jobs of a term with how far each is, in the order in which they were released. */
+/** The live jobs of a term and their progress, in the order in which they were released. */
 final class ActiveJobs {
   private final DependencyGraph dependencies;
-  private final Map<String, ActiveJob> runs = new LinkedHashMap<>();
+  private final Map<String, ActiveJob> byId = new LinkedHashMap<>();
   private long releases;
 
   ActiveJobs(DependencyGraph dependencies) {
@@ -18,53 +18,51 @@
   }
 
   Collection<ActiveJob> all() {
-    return runs.values();
+    return byId.values();
   }
 
-  /** What is known of a live job, or null. */
+  /** The live job with this id, or null. */
   ActiveJob get(String id) {
-    return runs.get(id);
+    return byId.get(id);
   }
 
-  /** What is known of the live job that an attempt belongs to, or null. */
-  ActiveJob of(Attempt a) {
-    return runs.get(a.start().task().job());
+  /** The live job that an attempt belongs to, or null. */
+  ActiveJob jobOf(Attempt attempt) {
+    return byId.get(attempt.start().task().job());
   }
 
-  /** Takes up a live job; it counts from now on if it waits for no other. */
-  void begin(Job job) {
-    String id = job.spec().id();
-    ActiveJob run = new ActiveJob(job);
-    run.lend(dependencies.inheritedPriority(id));
-    runs.put(id, run);
+  /** Adds a live job, which is released at once if it waits for no other. */
+  void add(Job job) {
+    ActiveJob activeJob = new ActiveJob(job);
+    updateInheritedPriority(activeJob);
+    byId.put(activeJob.id(), activeJob);
     if (dependencies.isReleased(job)) {
-      release(run);
+      release(activeJob);
     }
   }
 
-  /** From now on the job counts: as the last one of its team, however long ago it was submitted. */
-  void release(ActiveJob run) {
-    String id = run.job().spec().id();
-    runs.remove(id);
-    runs.put(id, run);
-    run.release(++releases, dependencies.releasedAtMs(run.job()));
+  /** Releases a job: as the last one of its team, however long ago it was submitted. */
+  void release(ActiveJob activeJob) {
+    byId.remove(activeJob.id());
+    byId.put(activeJob.id(), activeJob);
+    activeJob.release(++releases, dependencies.releasedAtMs(activeJob.job()));
   }
 
-  /** Takes note of what the jobs that need this one have lent it. */
-  void lend(ActiveJob run) {
-    run.lend(dependencies.inheritedPriority(run.job().spec().id()));
+  /** Takes over what the job inherits from its dependents. */
+  void updateInheritedPriority(ActiveJob activeJob) {
+    activeJob.setInheritedPriority(dependencies.inheritedPriority(activeJob.id()));
   }
 
-  /** Drops a job that is final; gives what was known of it, or null. */
+  /** Removes a job that is final; returns it, or null if it was not known. */
   ActiveJob remove(String id) {
-    return runs.remove(id);
+    return byId.remove(id);
   }
 
-  /** Notes that an attempt may be somewhere, if its job lives. */
-  void attach(Attempt a) {
-    ActiveJob run = of(a);
-    if (run != null && a.mayBePresent()) {
-      run.attach(a);
+  /** Notes that an attempt may be on its machine, if its job is live. */
+  void attach(Attempt attempt) {
+    ActiveJob activeJob = jobOf(attempt);
+    if (activeJob != null && attempt.mayBePresent()) {
+      activeJob.attach(attempt);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -0,0 +1,244 @@
+package fennelthread.leader;
+
+import fennelthread.constants.JobConstants;
+import fennelthread.constants.LeaderConstants;
+import fennelthread.constants.ProtocolConstants;
+import fennelthread.jobs.FinalRecord;
+import fennelthread.jobs.Job;
+import fennelthread.jobs.JobStore;
+import fennelthread.net.EventLoop;
+import fennelthread.state.Keys;
+import fennelthread.state.Limits;
+import fennelthread.state.Replica;
+import fennelthread.state.StateClient;
+import fennelthread.state.Txn;
+import fennelthread.state.TxnResult;
+import fennelthread.wire.JobState;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Writes finished tasks to the state service. Jobs that are done are written at once; finished
+ * tasks of other jobs are batched: each chunk of them is a write, and there are hundreds of ends a
+ * minute against a few dozen writes a second for everything. An end that is not stored is not
+ * cleared at the worker either, so that nothing is lost.
+ */
+final class CompletionWriter {
+
+  /** What the writer is doing. */
+  private enum Phase {
+    /** Nothing is due. */
+    IDLE,
+    /** A job is done and waits a moment for others to share its write. */
+    GATHERING,
+    /** A transaction is being written. */
+    WRITING,
+    /** The term is over. */
+    CLOSED
+  }
+
+  /**
+   * One transaction.
+   *
+   * @param number its place among this writer's transactions: only the last one is waited for
+   * @param storedTasks per job all finished tasks that the state service holds once it is applied
+   * @param ends the final records in it, by job
+   */
+  private record Batch(
+      long number, Txn txn, Map<ActiveJob, BitSet> storedTasks, Map<String, FinalRecord> ends) {}
+
+  private final EventLoop eventLoop;
+  private final StateClient state;
+  private final Replica replica;
+  private final Limits limits;
+  private final Lease lease;
+  private final JobStore store;
+  private final ActiveJobs activeJobs;
+  private final RoundTrigger rounds;
+  private final Set<ActiveJob> unstored = new LinkedHashSet<>();
+  private Phase phase = Phase.IDLE;
+  private long lastTasksWriteMs;
+  private long batches;
+
+  /** Creates the writer of a term; rounds are requested when a write may let them place more. */
+  CompletionWriter(
+      LeaderContext context, JobStore store, ActiveJobs activeJobs, RoundTrigger rounds) {
+    this.eventLoop = context.eventLoop();
+    this.state = context.state();
+    this.replica = context.replica();
+    this.limits = state.limits();
+    this.lease = context.lease();
+    this.store = store;
+    this.activeJobs = activeJobs;
+    this.rounds = rounds;
+  }
+
+  /** Writes nothing more, and ignores late answers. */
+  void close() {
+    transitionTo(Phase.CLOSED);
+  }
+
+  /** The only place where the phase changes. */
+  private void transitionTo(Phase next) {
+    if (phase == Phase.CLOSED) {
+      throw new IllegalStateException("completion writer: " + phase + " -> " + next);
+    }
+    phase = next;
+  }
+
+  /** Adds a job with a newly finished task. */
+  void add(ActiveJob activeJob) {
+    unstored.add(activeJob);
+    if (activeJob.unfinishedCount() == 0 && phase == Phase.IDLE) {
+      // Its user waits for this one; finished tasks of other jobs can wait for one another.
+      transitionTo(Phase.GATHERING);
+      eventLoop.after(
+          LeaderConstants.DONE_JOB_FLUSH_DELAY_MS,
+          () -> {
+            if (phase == Phase.GATHERING) {
+              write();
+            }
+          });
+    }
+  }
+
+  /** Drops a job that is final. */
+  void forget(ActiveJob activeJob) {
+    unstored.remove(activeJob);
+  }
+
+  /** Writes what is due, unless a write is under way or about to begin. */
+  void writeIfIdle() {
+    if (phase == Phase.IDLE) {
+      write();
+    }
+  }
+
+  private void write() {
+    Batch batch =
+        new Batch(batches + 1, lease.fencedTxn(), new LinkedHashMap<>(), new LinkedHashMap<>());
+    addDoneJobs(batch);
+    if (batch.ends().isEmpty()
+        && eventLoop.nowMs() - lastTasksWriteMs
+            >= LeaderConstants.FINISHED_TASKS_FLUSH_INTERVAL_MS) {
+      addFinishedTasks(batch);
+    }
+    if (batch.txn().ops() == 0) {
+      transitionTo(Phase.IDLE);
+      return;
+    }
+    transitionTo(Phase.WRITING);
+    batches = batch.number();
+    state.txn(
+        batch.ends().isEmpty() ? StateClient.Lane.UPKEEP : StateClient.Lane.ROUND,
+        batch.txn(),
+        () -> onAnswerOverdue(batch),
+        result -> onAnswered(batch, result));
+  }
+
+  private void addDoneJobs(Batch batch) {
+    for (ActiveJob activeJob : unstored) {
+      if (activeJob.unfinishedCount() == 0
+          && batch.txn().ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
+        Job job = activeJob.job();
+        FinalRecord end = new FinalRecord(JobState.DONE, job.spec().tasks(), eventLoop.wallMs());
+        JobStore.addFinalRecord(batch.txn(), job, end);
+        batch.ends().put(activeJob.id(), end);
+      }
+    }
+  }
+
+  private void addFinishedTasks(Batch batch) {
+    boolean allFit = true;
+    for (ActiveJob activeJob : unstored) {
+      allFit &= addFinishedTasks(activeJob, batch);
+    }
+    if (allFit) {
+      lastTasksWriteMs = eventLoop.nowMs();
+    }
+  }
+
+  /** Adds a job's chunks of finished tasks while the transaction has room; true if all fit. */
+  private boolean addFinishedTasks(ActiveJob activeJob, Batch batch) {
+    Txn txn = batch.txn();
+    Job job = activeJob.job();
+    BitSet covered = job.finished().get(0, job.spec().tasks());
+    boolean allFit = true;
+    boolean anyAdded = false;
+    for (int chunk : activeJob.unstoredChunks()) {
+      if (txn.ops() >= limits.txnOps() || txn.conditions() >= limits.conditions()) {
+        allFit = false;
+        break;
+      }
+      anyAdded = true;
+      String key = Keys.finished(activeJob.id(), chunk);
+      // A transaction without an answer may be applied after a newer one: it must not take back
+      // what that one holds, since the workers were told to clear those tasks.
+      txn.when(key, replica.revisionOf(key))
+          .write(
+              key, Job.writeChunk(chunk, activeJob.finishedTasks(), limits.valueBytes(), covered));
+    }
+    if (anyAdded) {
+      txn.when(Keys.job(activeJob.id()), job.revision());
+      batch.storedTasks().put(activeJob, covered);
+    }
+    return allFit;
+  }
+
+  private boolean isAwaited(Batch batch) {
+    return phase == Phase.WRITING && batch.number() == batches;
+  }
+
+  /**
+   * The answer is overdue: other jobs' ends must not wait for it. If the transaction was applied,
+   * the copy of the state shows those jobs as over by now; if not, they are written again, on the
+   * same conditions.
+   */
+  private void onAnswerOverdue(Batch batch) {
+    if (isAwaited(batch)) {
+      transitionTo(Phase.IDLE);
+      writeIfIdle();
+    }
+  }
+
+  private void onAnswered(Batch batch, TxnResult result) {
+    if (phase == Phase.CLOSED) {
+      return;
+    }
+    boolean isAwaited = isAwaited(batch);
+    if (isAwaited) {
+      transitionTo(Phase.IDLE);
+    }
+    if (result instanceof TxnResult.Applied applied) {
+      onCommitted(batch, applied.revision());
+    } else {
+      lease.onTxnRejected(result);
+      if (result instanceof TxnResult.Conflict conflict) {
+        // A job that was cancelled has no record any more: its tasks need not be stored.
+        unstored.removeIf(job -> conflict.failed().contains(Keys.job(job.id())));
+      }
+      if (isAwaited) {
+        eventLoop.after(ProtocolConstants.RETRY_MS, this::writeIfIdle);
+      }
+    }
+  }
+
+  private void onCommitted(Batch batch, long revision) {
+    batch
+        .storedTasks()
+        .forEach(
+            (activeJob, tasks) -> {
+              activeJob.markStored(tasks);
+              if (!activeJob.hasUnstoredChunks()) {
+                unstored.remove(activeJob);
+              }
+            });
+    store.onJobsFinal(batch.txn(), revision, batch.ends());
+    batch.ends().keySet().forEach(id -> unstored.remove(activeJobs.remove(id)));
+    writeIfIdle();
+    rounds.requestRound();
+  }
+}
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -1,19 +1,15 @@
 package fennelthread.leader;
 
-import fennelthread.constants.LeaderConstants;
 import fennelthread.constants.PlanConstants;
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.fleet.Attempt;
-import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
-import fennelthread.jobs.InheritedPriority;
 import fennelthread.net.EventLoop;
 import fennelthread.plan.Aging;
 import fennelthread.plan.AgingBoost;
 import fennelthread.plan.Snapshot;
 import fennelthread.settings.Settings;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Priority;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -22,226 +18,160 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the released jobs ask of a round, and how urgently. */
+/** The tasks that the released jobs want to have placed, as input of a scheduling round. */
 final class Demand {
   private final EventLoop eventLoop;
   private final Settings settings;
-  private final Fleet fleet;
-  private final ActiveJobs runs;
-  private final RunTimes runTimes;
+  private final TermState term;
+  private final JobUrgency urgency;
 
-  Demand(EventLoop eventLoop, Settings settings, Fleet fleet, ActiveJobs runs, RunTimes runTimes) {
+  Demand(EventLoop eventLoop, Settings settings, TermState term) {
     this.eventLoop = eventLoop;
     this.settings = settings;
-    this.fleet = fleet;
-    this.runs = runs;
-    this.runTimes = runTimes;
+    this.term = term;
+    this.urgency = new JobUrgency(eventLoop, settings);
   }
 
   /** CPUs that all unfinished tasks of released jobs take together. */
   double cpus() {
     double total = 0;
-    for (ActiveJob run : runs.all()) {
-      if (run.isReleased()) {
-        total += run.unfinished() * run.job().spec().cpus();
+    for (ActiveJob activeJob : term.activeJobs().all()) {
+      if (activeJob.isReleased()) {
+        total += activeJob.unfinishedCount() * activeJob.job().spec().cpus();
       }
     }
     return total;
   }
 
-  /** Tasks that may be started now, at most {@code most} of each job. */
-  Map<ActiveJob, List<Integer>> waiting(int most) {
+  /** The tasks that may be started now, at most {@code maxTasks} of each job. */
+  Map<ActiveJob, List<Integer>> startableTasks(int maxTasks) {
     long now = eventLoop.nowMs();
-    Map<ActiveJob, List<Integer>> waiting = new LinkedHashMap<>();
-    for (ActiveJob run : runs.all()) {
-      // The gate: nothing of a job that waits for others gets into a round.
-      if (run.isReleased() && run.hasIdle()) {
-        List<Integer> tasks = run.pending(now, most);
+    Map<ActiveJob, List<Integer>> startable = new LinkedHashMap<>();
+    for (ActiveJob activeJob : term.activeJobs().all()) {
+      // Jobs with unmet dependencies are kept out of rounds here, and only here.
+      if (activeJob.isReleased() && activeJob.hasIdleTasks()) {
+        List<Integer> tasks = activeJob.startableTasks(now, maxTasks);
         if (!tasks.isEmpty()) {
-          waiting.put(run, tasks);
+          startable.put(activeJob, tasks);
         }
       }
     }
-    return waiting;
+    return startable;
   }
 
-  /** The same as placement is told of it. */
+  /** The same in the form in which a snapshot holds it. */
   List<Snapshot.PendingJob> pendingJobs(
-      Map<ActiveJob, List<Integer>> waiting, Set<String> guaranteed, Aging turns) {
-    List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(waiting.size());
-    waiting.forEach(
-        (run, tasks) -> {
-          AgingBoost turn = turns.boostOf(run.job().spec().id());
-          if (turn == AgingBoost.NONE) {
-            pendingJobs.add(pendingJob(run, tasks, guaranteed, turn));
+      Map<ActiveJob, List<Integer>> startable, Set<String> guaranteed, Aging aging) {
+    List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(startable.size());
+    startable.forEach(
+        (activeJob, tasks) -> {
+          AgingBoost boost = aging.boostOf(activeJob.id());
+          if (boost == AgingBoost.NONE) {
+            pendingJobs.add(pendingJob(activeJob, tasks, guaranteed, boost));
             return;
           }
-          pendingJobs.add(pendingJob(run, tasks.subList(0, 1), guaranteed, turn));
-          // Where its tasks may be follows from where the first one is, which the next round knows.
-          if (tasks.size() > 1 && !hasZoneRule(run.job().spec())) {
+          pendingJobs.add(pendingJob(activeJob, tasks.subList(0, 1), guaranteed, boost));
+          // Which zones its other tasks may be in follows from where the first one is placed, which
+          // the next round knows.
+          if (tasks.size() > 1 && !hasZoneRule(activeJob.job().spec())) {
             pendingJobs.add(
-                pendingJob(run, tasks.subList(1, tasks.size()), guaranteed, AgingBoost.NONE));
+                pendingJob(activeJob, tasks.subList(1, tasks.size()), guaranteed, AgingBoost.NONE));
           }
         });
     return pendingJobs;
   }
 
-  /** Whose turn it is among the released jobs, in a fleet of so many CPUs. */
-  Aging turns(double fleetCpus) {
-    Aging turns = new Aging(fleetCpus);
-    long now = eventLoop.nowMs();
-    for (ActiveJob run : runs.all()) {
-      long waitedMs = eventLoop.wallMs() - run.releasedWallMs();
-      // Of a service that has more than one replica another goes on whatever is stopped.
-      boolean looked =
-          run.isReleased()
-              && waitedMs > PlanConstants.BEGIN_AFTER_MS
-              && (run.hasIdle() || run.isUndone())
-              && !(run.job().spec().service() && run.attempts().size() > 1);
-      if (looked) {
-        JobSpec spec = run.job().spec();
-        Attempt furthest = run.furthest();
-        turns.consider(
-            new Aging.Candidate(
-                spec.id(),
-                waitedMs,
-                spec.cpus(),
-                !run.hasNotBegun(),
-                furthest == null ? null : furthest.start().attempt(),
-                furthest == null || furthest.runningSinceMs() < 0
-                    ? 0
-                    : (now - furthest.runningSinceMs()) / 1000.0,
-                spec.service() ? 0 : runTimes.of(spec)));
-      }
-    }
-    return turns;
-  }
-
-  private static boolean hasZoneRule(JobSpec spec) {
-    return spec.onePlace() || spec.apart();
-  }
-
   private Snapshot.PendingJob pendingJob(
-      ActiveJob run, List<Integer> tasks, Set<String> guaranteed, AgingBoost turn) {
-    JobSpec spec = run.job().spec();
-    double takes = runTimes.of(spec);
-    double slack = slackS(run, takes);
+      ActiveJob activeJob, List<Integer> tasks, Set<String> guaranteed, AgingBoost boost) {
+    JobSpec spec = activeJob.job().spec();
+    double expectedS = term.runTimes().expectedS(spec);
+    double slackS = urgency.slackS(activeJob, expectedS);
     return new Snapshot.PendingJob(
         spec,
-        run.priority(),
-        stopsAs(run, takes),
+        activeJob.priority(),
+        urgency.preemptionPriority(activeJob, expectedS),
         tasks,
-        hasZoneRule(spec) ? zonesOf(run) : Map.of(),
-        slack >= 0 && guaranteed.contains(spec.id()),
-        spec.service() || settings.waitsMatter(spec.jobClass()),
-        slack < 0,
-        work(run, tasks.size(), takes),
-        patienceS(spec),
-        turn,
-        run.order());
+        hasZoneRule(spec) ? tasksByZone(activeJob) : Map.of(),
+        slackS >= 0 && guaranteed.contains(spec.id()),
+        urgency.isLatencySensitive(spec),
+        slackS < 0,
+        urgency.remainingWork(activeJob, tasks.size(), expectedS),
+        urgency.preemptionDelayS(spec),
+        boost,
+        activeJob.releaseOrder());
   }
 
-  /**
-   * What the waiting tasks still take, CPU seconds, halved again and again while the job waits: any
-   * job's comes below any new one's in the end, so that none waits for ever behind smaller ones.
-   */
-  private double work(ActiveJob run, int tasks, double takesS) {
-    double work = tasks * Math.max(0.1, run.job().spec().cpus()) * Math.max(1, takesS);
-    long agedMs =
-        Math.max(
-            0, eventLoop.wallMs() - run.releasedWallMs() - LeaderConstants.WORK_DECAY_DELAY_MS);
-    return work * Math.pow(0.5, agedMs / LeaderConstants.WORK_HALF_LIFE_MS);
+  /** Ages the released jobs, in a fleet with so many CPUs. */
+  Aging aging(double fleetCpus) {
+    Aging aging = new Aging(fleetCpus);
+    long now = eventLoop.nowMs();
+    for (ActiveJob activeJob : term.activeJobs().all()) {
+      long waitedMs = eventLoop.wallMs() - activeJob.releasedWallMs();
+      if (waitedMs > PlanConstants.BEGIN_AFTER_MS && mayAge(activeJob)) {
+        aging.consider(agingCandidate(activeJob, waitedMs, now));
+      }
+    }
+    return aging;
   }
 
-  /** How long a task waits for room that comes by itself before others are stopped for it, s. */
-  private double patienceS(JobSpec spec) {
-    return spec.service()
-        ? 0
-        : settings.waitsMatter(spec.jobClass())
-            ? LeaderConstants.OBJECTIVE_PREEMPTION_DELAY_S
-            : LeaderConstants.PREEMPTION_DELAY_S;
+  private static boolean mayAge(ActiveJob activeJob) {
+    // If a service has several replicas, another one goes on whichever is stopped.
+    boolean isReplicated = activeJob.job().spec().service() && activeJob.attempts().size() > 1;
+    return activeJob.isReleased()
+        && (activeJob.hasIdleTasks() || !activeJob.hasFinishedTasks())
+        && !isReplicated;
   }
 
-  /** The priority with which a job may stop others: a lent one only once its time runs short. */
-  private Priority stopsAs(ActiveJob run, double takesS) {
-    InheritedPriority loan = run.loan();
-    if (loan == null || loan.dueMs() == 0) {
-      return run.priority();
-    }
-    double latestMs = loan.dueMs() - takesS * 1000;
-    boolean patient =
-        latestMs - eventLoop.wallMs()
-            > (latestMs - run.releasedWallMs())
-                * (1 - LeaderConstants.INHERITED_PRIORITY_SLACK_SHARE);
-    return patient ? run.job().spec().priority() : run.priority();
+  private Aging.Candidate agingCandidate(ActiveJob activeJob, long waitedMs, long now) {
+    JobSpec spec = activeJob.job().spec();
+    Attempt longest = activeJob.longestRunningAttempt();
+    boolean isRunning = longest != null && longest.runningSinceMs() >= 0;
+    return new Aging.Candidate(
+        spec.id(),
+        waitedMs,
+        spec.cpus(),
+        !activeJob.hasNotBegun(),
+        longest == null ? null : longest.start().attempt(),
+        isRunning ? (now - longest.runningSinceMs()) / 1000.0 : 0,
+        spec.service() ? 0 : term.runTimes().expectedS(spec));
   }
 
-  /**
-   * What is left to the next of the times that the job's deadline, the objectives and the deadlines
-   * of the jobs that need it set, or less than 0 if it is too late for all of them. A job that has
-   * been late for long counts as in time again: it must not wait for ever.
-   */
-  private double slackS(ActiveJob run, double takesS) {
-    JobSpec spec = run.job().spec();
-    if (spec.service()) {
-      return Double.MAX_VALUE;
-    }
-    long accepted = run.job().acceptedWallMs();
-    double ageS = (eventLoop.wallMs() - accepted) / 1000.0;
-    double waitedS = (run.releasedWallMs() - accepted) / 1000.0;
-    List<Double> times = settings.doneByS(spec.jobClass(), spec.deadlineS(), waitedS);
-    InheritedPriority loan = run.loan();
-    if (loan != null && loan.dueMs() > 0) {
-      times.add((loan.dueMs() - accepted) / 1000.0);
-      times.add((loan.lastDueMs() - accepted) / 1000.0);
-    }
-    double last = 0;
-    double next = Double.MAX_VALUE;
-    for (double at : times) {
-      last = Math.max(last, at);
-      if (at - ageS - takesS >= 0) {
-        next = Math.min(next, at);
-      }
-    }
-    if (next != Double.MAX_VALUE) {
-      return next - ageS - takesS;
-    }
-    return last == 0 || ageS > last * LeaderConstants.MAX_LATENESS_FACTOR
-        ? Double.MAX_VALUE
-        : last - ageS - takesS;
+  private static boolean hasZoneRule(JobSpec spec) {
+    return spec.onePlace() || spec.apart();
   }
 
-  /** A team's oldest jobs are within its guarantee, as far as they fit into it together. */
+  /** The ids of each team's oldest jobs, as far as they fit into its guarantee together. */
   Set<String> guaranteed() {
     Set<String> guaranteed = new HashSet<>();
-    Map<String, double[]> demanded = new HashMap<>();
-    for (ActiveJob run : runs.all()) {
-      JobSpec spec = run.job().spec();
+    Map<String, ResourceSum> demandByTeam = new HashMap<>();
+    for (ActiveJob activeJob : term.activeJobs().all()) {
+      JobSpec spec = activeJob.job().spec();
       Settings.Team team = settings.teams().get(spec.team());
-      if (!run.isReleased() || team == null || (team.cpus() <= 0 && team.cards() <= 0)) {
+      if (!activeJob.isReleased() || team == null || (team.cpus() <= 0 && team.cards() <= 0)) {
         continue;
       }
-      double[] d = demanded.computeIfAbsent(spec.team(), k -> new double[2]);
-      d[0] += run.unfinished() * spec.cpus();
-      d[1] += run.unfinished() * spec.cards();
-      if (d[0] <= team.cpus() + ProtocolConstants.EPSILON
-          && d[1] <= team.cards() + ProtocolConstants.EPSILON) {
+      ResourceSum demand = demandByTeam.computeIfAbsent(spec.team(), k -> new ResourceSum());
+      int unfinished = activeJob.unfinishedCount();
+      demand.add(unfinished * spec.cpus(), unfinished * spec.cards());
+      if (demand.cpus() <= team.cpus() + ProtocolConstants.EPSILON
+          && demand.cards() <= team.cards() + ProtocolConstants.EPSILON) {
         guaranteed.add(spec.id());
       }
     }
     return guaranteed;
   }
 
-  private Map<String, Integer> zonesOf(ActiveJob run) {
-    Map<String, Integer> zones = new HashMap<>();
-    for (List<Attempt> attempts : run.attempts().values()) {
-      for (Attempt a : attempts) {
-        Machine m = fleet.machine(a.start().machine());
-        if (m != null && a.mayBePresent()) {
-          zones.merge(m.zone() == null ? Snapshot.UNKNOWN_ZONE : m.zone(), 1, Integer::sum);
+  private Map<String, Integer> tasksByZone(ActiveJob activeJob) {
+    Map<String, Integer> tasks = new HashMap<>();
+    for (List<Attempt> attempts : activeJob.attempts().values()) {
+      for (Attempt attempt : attempts) {
+        Machine machine = term.fleet().machine(attempt.start().machine());
+        if (machine != null && attempt.mayBePresent()) {
+          String zone = machine.zone() == null ? Snapshot.UNKNOWN_ZONE : machine.zone();
+          tasks.merge(zone, 1, Integer::sum);
         }
       }
     }
-    return zones;
+    return tasks;
   }
 }
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries changes of the job records over into a term: new jobs are scheduled, jobs whose
- * dependencies are done are released, and the tasks of jobs that are over are stopped.
+ * Applies changes of the job records to a term: new jobs are scheduled, jobs whose dependencies are
+ * done are released, and the tasks of jobs that are over are stopped.
  */
 final class JobUpdates implements JobTable.Listener, DependencyGraph.Listener {
   private static final Logger log = LoggerFactory.getLogger(JobUpdates.class);
@@ -23,91 +23,86 @@
   private final JobTable table;
   private final JobStore store;
   private final Fleet fleet;
-  private final ActiveJobs jobs;
-  private final Completions completions;
-  private final SchedulingLoop scheduling;
+  private final ActiveJobs activeJobs;
+  private final CompletionWriter completions;
+  private final RoundTrigger rounds;
 
   JobUpdates(
-      JobTable table,
-      JobStore store,
-      Fleet fleet,
-      ActiveJobs jobs,
-      Completions completions,
-      SchedulingLoop scheduling) {
-    this.table = table;
-    this.store = store;
-    this.fleet = fleet;
-    this.jobs = jobs;
+      JobRecords records, TermState term, CompletionWriter completions, RoundTrigger rounds) {
+    this.table = records.table();
+    this.store = records.store();
+    this.fleet = term.fleet();
+    this.activeJobs = term.activeJobs();
     this.completions = completions;
-    this.scheduling = scheduling;
+    this.rounds = rounds;
   }
 
-  /** Listens from now on. */
-  void begin() {
+  /** Begins to apply changes. */
+  void startListening() {
     table.addListener(this);
     store.dependencies().addListener(this);
   }
 
-  /** Listens no more. */
-  void end() {
+  /** Applies no more changes. */
+  void stopListening() {
     table.removeListener(this);
     store.dependencies().removeListener(this);
   }
 
   @Override
   public void onJobAdded(Job job) {
-    jobs.begin(job);
+    activeJobs.add(job);
     log.debug(
-        "{} of {} is new: {} tasks of image {}",
+        "job added job={} class={} tasks={} image={}",
         job.spec().id(),
         job.spec().jobClass(),
         job.spec().tasks(),
         job.spec().image());
-    scheduling.changed();
+    rounds.requestRound();
   }
 
   @Override
   public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
-    ActiveJob active = jobs.get(job.spec().id());
+    ActiveJob activeJob = activeJobs.get(job.spec().id());
     if (to == DependencyGraph.Phase.TO_CANCEL) {
       store.cancelDependentJobs();
-    } else if (active != null) {
-      jobs.release(active);
-      scheduling.changed();
+    } else if (activeJob != null) {
+      activeJobs.release(activeJob);
+      rounds.requestRound();
     }
   }
 
   @Override
   public void onInheritedPriorityChanged(String id) {
-    ActiveJob active = jobs.get(id);
-    if (active == null) {
+    ActiveJob activeJob = activeJobs.get(id);
+    if (activeJob == null) {
       return;
     }
-    jobs.lend(active);
-    // What a machine carries is added up anew only if the machine has changed.
-    machinesOf(active).forEach(Machine::markChanged);
-    scheduling.changed();
+    activeJobs.updateInheritedPriority(activeJob);
+    // The load of a machine is recomputed only if the machine has changed.
+    machinesOf(activeJob).forEach(Machine::markChanged);
+    rounds.requestRound();
   }
 
   @Override
   public void onJobRemoved(Job job) {
-    ActiveJob active = jobs.remove(job.spec().id());
-    if (active != null) {
-      completions.forget(active);
-      for (Machine machine : machinesOf(active)) {
+    ActiveJob activeJob = activeJobs.remove(job.spec().id());
+    if (activeJob != null) {
+      completions.forget(activeJob);
+      for (Machine machine : machinesOf(activeJob)) {
         machine.markChanged();
         if (machine.phase() == Machine.Phase.REPORTING) {
           fleet.sendCommands(machine);
         }
       }
     }
-    scheduling.changed();
+    rounds.requestRound();
   }
 
   /** The machines that a job's tasks may be on. */
-  private Set<Machine> machinesOf(ActiveJob active) {
+  private Set<Machine> machinesOf(ActiveJob activeJob) {
     Set<Machine> machines = new LinkedHashSet<>();
-    for (List<Attempt> attempts : active.attempts().values()) {
+    for (List<Attempt> attempts : activeJob.attempts().values()) {
       for (Attempt attempt : attempts) {
         Machine machine = fleet.machine(attempt.start().machine());
         if (machine != null) {
--- /dev/null
+++ b/src/main/java/fennelthread/leader/JobUrgency.java
@@ -0,0 +1,107 @@
+package fennelthread.leader;
+
+import fennelthread.constants.LeaderConstants;
+import fennelthread.jobs.InheritedPriority;
+import fennelthread.net.EventLoop;
+import fennelthread.settings.Settings;
+import fennelthread.wire.JobSpec;
+import fennelthread.wire.Priority;
+import java.util.List;
+
+/**
+ * How urgent a released job is at this moment: its slack, its remaining work, and when and with
+ * which priority it may preempt. {@code expectedS} is the time that one of its tasks is expected to
+ * run, s.
+ */
+final class JobUrgency {
+  private final EventLoop eventLoop;
+  private final Settings settings;
+
+  JobUrgency(EventLoop eventLoop, Settings settings) {
+    this.eventLoop = eventLoop;
+    this.settings = settings;
+  }
+
+  /** True if the time until the job's start matters to its owner. */
+  boolean isLatencySensitive(JobSpec spec) {
+    return spec.service() || settings.waitsMatter(spec.jobClass());
+  }
+
+  /**
+   * The work of so many waiting tasks, CPU seconds, with exponential decay while the job waits: any
+   * job's falls below any new one's in the end, so that none waits for ever behind smaller ones.
+   */
+  double remainingWork(ActiveJob activeJob, int tasks, double expectedS) {
+    double work = tasks * Math.max(0.1, activeJob.job().spec().cpus()) * Math.max(1, expectedS);
+    long waitedMs = eventLoop.wallMs() - activeJob.releasedWallMs();
+    long decayMs = Math.max(0, waitedMs - LeaderConstants.WORK_DECAY_DELAY_MS);
+    return work * Math.pow(0.5, decayMs / LeaderConstants.WORK_HALF_LIFE_MS);
+  }
+
+  /** How long a task waits for capacity that becomes free by itself before it may preempt, s. */
+  double preemptionDelayS(JobSpec spec) {
+    if (spec.service()) {
+      return 0;
+    }
+    return settings.waitsMatter(spec.jobClass())
+        ? LeaderConstants.OBJECTIVE_PREEMPTION_DELAY_S
+        : LeaderConstants.PREEMPTION_DELAY_S;
+  }
+
+  /**
+   * The priority with which a job may preempt others: an inherited one only once the time runs
+   * short in which its dependents can still be done.
+   */
+  Priority preemptionPriority(ActiveJob activeJob, double expectedS) {
+    InheritedPriority inherited = activeJob.inheritedPriority();
+    if (inherited == null || inherited.dueMs() == 0) {
+      return activeJob.priority();
+    }
+    double latestStartMs = inherited.dueMs() - expectedS * 1000;
+    double slackWhenReleasedMs = latestStartMs - activeJob.releasedWallMs();
+    boolean hasTime =
+        latestStartMs - eventLoop.wallMs()
+            > slackWhenReleasedMs * (1 - LeaderConstants.INHERITED_PRIORITY_SLACK_SHARE);
+    return hasTime ? activeJob.job().spec().priority() : activeJob.priority();
+  }
+
+  /**
+   * What is left, s, until a task must start for the job to meet the next of the times that its
+   * deadline, the objectives and its dependents' deadlines set; negative if it is too late for all
+   * of them. A job that has been late for long counts as in time again: it must not wait for ever.
+   */
+  double slackS(ActiveJob activeJob, double expectedS) {
+    if (activeJob.job().spec().service()) {
+      return Double.MAX_VALUE;
+    }
+    double ageS = (eventLoop.wallMs() - activeJob.job().acceptedWallMs()) / 1000.0;
+    double last = 0;
+    double next = Double.MAX_VALUE;
+    for (double dueS : dueTimesS(activeJob)) {
+      last = Math.max(last, dueS);
+      if (dueS - ageS - expectedS >= 0) {
+        next = Math.min(next, dueS);
+      }
+    }
+    if (next != Double.MAX_VALUE) {
+      return next - ageS - expectedS;
+    }
+    return last == 0 || ageS > last * LeaderConstants.MAX_LATENESS_FACTOR
+        ? Double.MAX_VALUE
+        : last - ageS - expectedS;
+  }
+
+  /** The times by which the job should be done, s after it was accepted. */
+  private List<Double> dueTimesS(ActiveJob activeJob) {
+    JobSpec spec = activeJob.job().spec();
+    long acceptedMs = activeJob.job().acceptedWallMs();
+    double waitedS = (activeJob.releasedWallMs() - acceptedMs) / 1000.0;
+    List<Double> dueTimesS = settings.doneByS(spec.jobClass(), spec.deadlineS(), waitedS);
+    InheritedPriority inherited = activeJob.inheritedPriority();
+    if (inherited != null && inherited.dueMs() > 0) {
+      dueTimesS.add((inherited.dueMs() - acceptedMs) / 1000.0);
+      dueTimesS.add((inherited.lastDueMs() - acceptedMs) / 1000.0);
+    }
+    return dueTimesS;
+  }
+}
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -2,7 +2,6 @@
 
 import fennelthread.constants.LeaderConstants;
 import fennelthread.fleet.Attempt;
-import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.StartRecord;
 import fennelthread.plan.Snapshot;
@@ -15,113 +14,125 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import java.util.function.Function;
 
 /**
- * What one machine carries, added up anew only after the machine has changed: with hundreds of
- * machines a round touches few of them, and going through all attempts for each would be most of
- * its work.
+ * The load of one machine, cached until the machine changes: with hundreds of machines a round
+ * touches few of them, and going through all attempts on each would be most of its work.
  */
 final class MachineLoad {
   private long version = -1;
   private MachineType machineType;
   private Snapshot.Machine snapshot;
-  private final Map<String, double[]> used = new HashMap<>(4);
+  private final Map<String, ResourceSum> usedByTeam = new HashMap<>(4);
 
-  /** Brings it up to date; {@code runs} gives what is known of a live job, or null. */
-  void update(
-      Machine m,
-      MachineType type,
-      Fleet fleet,
-      Function<String, ActiveJob> runs,
-      RunTimes runTimes) {
-    if (version == m.version() && Objects.equals(machineType, type)) {
+  /** Recomputes the load if the machine or its type has changed; the type may be null. */
+  void update(Machine machine, MachineType type, TermState term) {
+    if (version == machine.version() && Objects.equals(machineType, type)) {
       return;
     }
     machineType = type;
-    used.clear();
-    double cpus = type == null ? 0 : type.cpus();
-    double cards = type == null ? 0 : type.cards();
-    double mem = type == null ? 0 : type.memGb();
-    Set<String> fetching = new HashSet<>();
-    Map<String, Integer> classes = new HashMap<>();
-    List<Snapshot.RunningTask> running = new ArrayList<>();
-    int reported = 0;
-    for (Attempt a : m.attempts()) {
-      reported++;
-      if (!a.mayBePresent()) {
-        continue;
-      }
-      StartRecord.Start s = a.start();
-      double[] u = used.computeIfAbsent(s.team(), k -> new double[2]);
-      u[0] += s.cpus();
-      u[1] += s.cards();
-      cpus -= s.cpus();
-      cards -= s.cards();
-      mem -= s.memGb();
-      ActiveJob run = runs.apply(s.task().job());
-      if (run == null) {
-        continue;
-      }
-      JobSpec spec = run.job().spec();
-      classes.merge(spec.jobClass(), 1, Integer::sum);
-      if (a.phase() == Attempt.Phase.RUNNING || a.phase() == Attempt.Phase.FLUSHING) {
-        fleet.recordCachedImage(m, spec.image(), spec.imageGb());
-      } else {
-        fetching.add(spec.image());
-      }
-      if (a.phase() != Attempt.Phase.RECORDED
-          && a.phase() != Attempt.Phase.DEFERRED
-          && a.phase() != Attempt.Phase.SENT) {
-        running.add(
-            new Snapshot.RunningTask(
-                spec,
-                run.priority(),
-                s.task().index(),
-                s.attempt(),
-                m.name(),
-                a.isStopRequested(),
-                s.cpus(),
-                s.cards(),
-                s.memGb(),
-                a.runningSinceMs(),
-                spec.service() ? 0 : runTimes.of(spec)));
+    usedByTeam.clear();
+    Totals totals = new Totals(type);
+    for (Attempt attempt : machine.attempts()) {
+      totals.attempts++;
+      if (attempt.mayBePresent()) {
+        addAttempt(machine, attempt, term, totals);
       }
     }
-    fetching.removeAll(m.images());
-    snapshot =
-        type == null
-            ? null
-            : new Snapshot.Machine(
-                m.name(),
-                m.type(),
-                m.zone(),
-                m.spot(),
-                type.cpus(),
-                cpus,
-                cards,
-                mem,
-                type.fetchGbPerS(),
-                Set.copyOf(m.images()),
-                fetching,
-                classes,
-                running,
-                LeaderConstants.MAX_TASKS_PER_MACHINE - reported);
-    // Last: noting an image above may have changed the machine once more.
-    version = m.version();
+    totals.fetchingImages.removeAll(machine.images());
+    snapshot = type == null ? null : totals.snapshotOf(machine, type);
+    // Last: recording an image in the meantime may have changed the machine once more.
+    version = machine.version();
+  }
+
+  private void addAttempt(Machine machine, Attempt attempt, TermState term, Totals totals) {
+    StartRecord.Start start = attempt.start();
+    usedByTeam
+        .computeIfAbsent(start.team(), k -> new ResourceSum())
+        .add(start.cpus(), start.cards());
+    totals.freeCpus -= start.cpus();
+    totals.freeCards -= start.cards();
+    totals.freeMemGb -= start.memGb();
+    ActiveJob activeJob = term.activeJobs().jobOf(attempt);
+    if (activeJob == null) {
+      return;
+    }
+    JobSpec spec = activeJob.job().spec();
+    totals.tasksByClass.merge(spec.jobClass(), 1, Integer::sum);
+    if (attempt.phase() == Attempt.Phase.RUNNING || attempt.phase() == Attempt.Phase.FLUSHING) {
+      term.fleet().recordCachedImage(machine, spec.image(), spec.imageGb());
+    } else {
+      totals.fetchingImages.add(spec.image());
+    }
+    if (attempt.phase() != Attempt.Phase.RECORDED
+        && attempt.phase() != Attempt.Phase.DEFERRED
+        && attempt.phase() != Attempt.Phase.SENT) {
+      totals.running.add(runningTask(machine, attempt, activeJob, term.runTimes()));
+    }
   }
 
-  /** The machine as placement sees it, or null if its type is not known. */
+  private static Snapshot.RunningTask runningTask(
+      Machine machine, Attempt attempt, ActiveJob activeJob, RunTimes runTimes) {
+    StartRecord.Start start = attempt.start();
+    JobSpec spec = activeJob.job().spec();
+    return new Snapshot.RunningTask(
+        spec,
+        activeJob.priority(),
+        start.task().index(),
+        start.attempt(),
+        machine.name(),
+        attempt.isStopRequested(),
+        start.cpus(),
+        start.cards(),
+        start.memGb(),
+        attempt.runningSinceMs(),
+        spec.service() ? 0 : runTimes.expectedS(spec));
+  }
+
+  /** The machine as a round sees it, or null if its type is not known. */
   Snapshot.Machine snapshot() {
     return snapshot;
   }
 
-  /** Adds what each team's tasks may take here. */
-  void addTo(Map<String, double[]> total) {
-    for (Map.Entry<String, double[]> e : used.entrySet()) {
-      double[] t = total.computeIfAbsent(e.getKey(), k -> new double[2]);
-      t[0] += e.getValue()[0];
-      t[1] += e.getValue()[1];
+  /** Adds what each team's tasks may use on this machine to the sums by team. */
+  void addTeamUsageTo(Map<String, ResourceSum> sums) {
+    for (Map.Entry<String, ResourceSum> used : usedByTeam.entrySet()) {
+      sums.computeIfAbsent(used.getKey(), k -> new ResourceSum()).add(used.getValue());
+    }
+  }
+
+  /** What is added up over the attempts on a machine. */
+  private static final class Totals {
+    double freeCpus;
+    double freeCards;
+    double freeMemGb;
+    int attempts;
+    final Set<String> fetchingImages = new HashSet<>();
+    final Map<String, Integer> tasksByClass = new HashMap<>();
+    final List<Snapshot.RunningTask> running = new ArrayList<>();
+
+    Totals(MachineType type) {
+      freeCpus = type == null ? 0 : type.cpus();
+      freeCards = type == null ? 0 : type.cards();
+      freeMemGb = type == null ? 0 : type.memGb();
+    }
+
+    Snapshot.Machine snapshotOf(Machine machine, MachineType type) {
+      return new Snapshot.Machine(
+          machine.name(),
+          machine.type(),
+          machine.zone(),
+          machine.spot(),
+          type.cpus(),
+          freeCpus,
+          freeCards,
+          freeMemGb,
+          type.fetchGbPerS(),
+          Set.copyOf(machine.images()),
+          fetchingImages,
+          tasksByClass,
+          running,
+          LeaderConstants.MAX_TASKS_PER_MACHINE - attempts);
     }
   }
 }
--- a/src/main/java/fennelthread/leader/PassedOverJobs.java
+++ b/src/main/java/fennelthread/leader/PassedOverJobs.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 
 /**
- * The jobs that stand back for others although a machine has room for them, and since when. Room is
- * reserved for tasks that wait for more of it, and a team's limit for its more urgent jobs; neither
- * has a bound of its own, since running tasks may take far longer than estimated. Pure: the time is
- * told.
+ * Tracks the jobs that rounds pass over in favour of others although a machine has free capacity
+ * for them. Capacity is reserved for tasks that wait for more of it, and a team's quota for its
+ * more urgent jobs; neither has a bound of its own, since running tasks may take far longer than
+ * estimated. Has no clock: callers pass the time, ms of the local clock.
  */
 final class PassedOverJobs {
   private final Map<String, Long> sinceMs = new HashMap<>();
 
-  /** Takes note of the jobs that a round has passed over; all others were not. */
+  /** Records the ids of the jobs that a round has passed over; it passed over no other. */
   void update(Set<String> ids, long nowMs) {
     sinceMs.keySet().retainAll(ids);
     ids.forEach(id -> sinceMs.putIfAbsent(id, nowMs));
   }
 
-  /** The jobs that were passed over in each round for so long that their turn has come. */
+  /** The ids of the jobs that each round has passed over for longer than is allowed. */
   Set<String> overdue(long nowMs) {
     Set<String> overdue = new HashSet<>();
     sinceMs.forEach(
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps what is stored as small as what lives, however long the day: removes records without live
- * attempts and what is left of jobs that are final, and draws records together of which little
- * lives.
+ * Garbage collection of the live records, so that their size follows what is live, however long the
+ * service runs: removes start records without live attempts and what is left of jobs that are
+ * final, and compacts start records with few live attempts.
  */
 final class RecordCollector {
   private static final Logger log = LoggerFactory.getLogger(RecordCollector.class);
@@ -35,182 +35,187 @@
   private final JobTable table;
   private final Lease lease;
   private final Fleet fleet;
-  private final SchedulingLoop rounds;
-  private final SpareKeys spare;
-  private boolean sweeping;
-  private long sweptAt;
-
-  RecordCollector(
-      EventLoop eventLoop,
-      StateClient state,
-      Replica replica,
-      JobTable table,
-      Lease lease,
-      Fleet fleet,
-      SchedulingLoop rounds,
-      SpareKeys spare) {
-    this.eventLoop = eventLoop;
-    this.state = state;
+  private final StartRecordKeys keys;
+  private final int maxOps;
+  private boolean isWriting;
+  private long lastCollectionMs;
+
+  RecordCollector(LeaderContext context, JobTable table, Fleet fleet, StartRecordKeys keys) {
+    this.eventLoop = context.eventLoop();
+    this.state = context.state();
     this.limits = state.limits();
-    this.replica = replica;
+    this.replica = context.replica();
     this.table = table;
-    this.lease = lease;
+    this.lease = context.lease();
     this.fleet = fleet;
-    this.rounds = rounds;
-    this.spare = spare;
+    this.keys = keys;
+    this.maxOps = limits.txnOps();
   }
 
-  /** What one look at all round records found. */
-  private static final class Census {
+  /** What one pass over all start records found. */
+  private static final class Survey {
+    /** Keys of records of earlier terms that hold no live start. */
     final List<String> obsolete = new ArrayList<>();
+
+    /** The live starts of records with few of them, by key. */
     final Map<String, List<StartRecord.Start>> sparse = new LinkedHashMap<>();
+
     int starts;
-    int live;
+    int liveStarts;
   }
 
-  /** Removes some, if it is time to. */
-  void tick() {
-    if (sweeping
+  /** Starts a collection if one is due and none is under way. */
+  void collectIfDue() {
+    if (isWriting
         || !lease.mayStartTasks()
-        || eventLoop.nowMs() - sweptAt < LeaderConstants.COLLECTION_INTERVAL_MS) {
+        || eventLoop.nowMs() - lastCollectionMs < LeaderConstants.COLLECTION_INTERVAL_MS) {
       return;
     }
-    sweptAt = eventLoop.nowMs();
-    Census census = look();
-    boolean tooMany = tooMany(census);
+    lastCollectionMs = eventLoop.nowMs();
+    Survey survey = surveyRecords();
+    boolean isBacklogged = isBacklogged(survey);
     Txn txn = lease.fencedTxn();
-    int most = limits.txnOps();
-    for (String key : census.obsolete) {
-      if (txn.ops() < most) {
-        txn.remove(key);
-      }
-    }
-    while (spare.size() > LeaderConstants.MAX_FREE_RECORD_KEYS && txn.ops() < most) {
-      // A removal that got no answer may be applied late: not to what a round has written there
-      // since.
-      String key = spare.take();
-      txn.when(key, replica.revisionOf(key)).remove(key);
-    }
-    addLeftOvers(txn, most, Keys.FINISHED);
-    addLeftOvers(txn, most, Keys.DEPENDENCIES);
-    boolean compacting = tooMany && txn.ops() <= most / 2 && compact(census, txn, most);
+    addObsoleteRecords(survey, txn);
+    addLeftovers(Keys.FINISHED, txn);
+    addLeftovers(Keys.DEPENDENCIES, txn);
+    boolean isCompacting = isBacklogged && txn.ops() <= maxOps / 2 && addCompaction(survey, txn);
     if (txn.ops() == 0) {
       return;
     }
-    sweeping = true;
+    isWriting = true;
     state.txn(
-        // Removals can wait, but not until what piles up is what the processes can't hold any more.
-        tooMany ? StateClient.Lane.ROUND : StateClient.Lane.UPKEEP,
+        // Removals can wait, but not until the records are more than the processes can hold.
+        isBacklogged ? StateClient.Lane.ROUND : StateClient.Lane.UPKEEP,
         txn,
-        result -> {
-          sweeping = false;
-          if (result instanceof TxnResult.Applied applied) {
-            replica.applied(txn, applied.revision());
-            if (compacting) {
-              log.debug(
-                  "{} round records with {} starts, of which {} live, drawn together",
-                  table.startRecords().size(),
-                  census.starts,
-                  census.live);
-            }
-            if (txn.ops() >= most) {
-              // More is left: rounds are written faster than one sweep a pause removes them.
-              sweptAt = Long.MIN_VALUE / 2;
-            }
-          } else {
-            lease.onTxnRejected(result);
-          }
-        });
+        result -> onAnswered(txn, result, isCompacting, survey));
   }
 
-  /** One look at every record: offers those of ours that nobody needs, and counts. */
-  private Census look() {
-    Census census = new Census();
-    String ours = Keys.rounds(lease.epoch());
-    int fewLive = recordCapacity() / LeaderConstants.SPARSE_RECORD_DIVISOR;
-    for (Map.Entry<String, StartRecord> e : table.startRecords().entrySet()) {
-      if (rounds.isWriting(e.getKey())) {
-        // It may be in the replica before its attempts are.
+  private void onAnswered(Txn txn, TxnResult result, boolean isCompacting, Survey survey) {
+    isWriting = false;
+    if (!(result instanceof TxnResult.Applied applied)) {
+      lease.onTxnRejected(result);
+      return;
+    }
+    replica.applied(txn, applied.revision());
+    if (isCompacting) {
+      log.debug(
+          "start records compacted records={} starts={} liveStarts={}",
+          table.startRecords().size(),
+          survey.starts,
+          survey.liveStarts);
+    }
+    if (txn.ops() >= maxOps) {
+      // More is left: records are written faster than one collection per interval removes them.
+      lastCollectionMs = Long.MIN_VALUE / 2;
+    }
+  }
+
+  /** Inspects all start records; puts the keys of this term's obsolete ones on the free list. */
+  private Survey surveyRecords() {
+    Survey survey = new Survey();
+    int maxSparse = recordCapacity() / LeaderConstants.SPARSE_RECORD_DIVISOR;
+    for (Map.Entry<String, StartRecord> entry : table.startRecords().entrySet()) {
+      String key = entry.getKey();
+      if (keys.isBeingWritten(key)) {
+        // It may be in the replica before its attempts are sent.
         continue;
       }
-      List<StartRecord.Start> starts = e.getValue().starts();
-      List<StartRecord.Start> live = null;
-      for (StartRecord.Start s : starts) {
-        Attempt a = fleet.findAttempt(s.machine(), s.task(), s.attempt());
-        if (a != null && a.mayBePresent()) {
-          live = live == null ? new ArrayList<>(2) : live;
-          live.add(s);
-        }
-      }
-      census.starts += starts.size();
-      if (live == null) {
-        if (e.getKey().startsWith(ours)) {
-          spare.offer(e.getKey());
+      List<StartRecord.Start> starts = entry.getValue().starts();
+      List<StartRecord.Start> live = liveStarts(starts);
+      survey.starts += starts.size();
+      survey.liveStarts += live.size();
+      if (live.isEmpty()) {
+        if (keys.isOwn(key)) {
+          keys.release(key);
         } else {
-          census.obsolete.add(e.getKey());
+          survey.obsolete.add(key);
         }
-        continue;
+      } else if (live.size() <= maxSparse) {
+        survey.sparse.put(key, live);
       }
-      census.live += live.size();
-      if (live.size() <= fewLive) {
-        census.sparse.put(e.getKey(), live);
+    }
+    return survey;
+  }
+
+  private List<StartRecord.Start> liveStarts(List<StartRecord.Start> starts) {
+    List<StartRecord.Start> live = null;
+    for (StartRecord.Start start : starts) {
+      Attempt attempt = fleet.findAttempt(start.machine(), start.task(), start.attempt());
+      if (attempt != null && attempt.mayBePresent()) {
+        live = live == null ? new ArrayList<>(2) : live;
+        live.add(start);
       }
     }
-    return census;
+    return live == null ? List.of() : live;
   }
 
-  /** How many starts a full record holds, more or less. */
+  /** How many starts a full record holds, approximately. */
   private int recordCapacity() {
     return Math.max(1, limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
   /** True if the records are many times what their live starts would fill. */
-  private boolean tooMany(Census census) {
-    int needed = 1 + census.live / recordCapacity();
-    return table.startRecords().size() - spare.size()
+  private boolean isBacklogged(Survey survey) {
+    int needed = 1 + survey.liveStarts / recordCapacity();
+    return table.startRecords().size() - keys.freeCount()
             > LeaderConstants.MAX_RECORDS_PER_NEEDED * needed + LeaderConstants.RECORD_COUNT_SLACK
-        || census.starts
-            > LeaderConstants.MAX_RECORDS_PER_NEEDED * census.live
+        || survey.starts
+            > LeaderConstants.MAX_RECORDS_PER_NEEDED * survey.liveStarts
                 + LeaderConstants.START_COUNT_SLACK;
   }
 
+  /** Removes obsolete records of earlier terms, and own ones beyond those kept for reuse. */
+  private void addObsoleteRecords(Survey survey, Txn txn) {
+    for (String key : survey.obsolete) {
+      if (txn.ops() < maxOps) {
+        txn.remove(key);
+      }
+    }
+    while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS && txn.ops() < maxOps) {
+      // A removal without an answer may be applied late: it must not remove what a round has
+      // written there since.
+      String key = keys.takeFree();
+      txn.when(key, replica.revisionOf(key)).remove(key);
+    }
+  }
+
   /**
-   * Carries what lives of sparse records into new ones and removes the old ones in the same
-   * transaction, so that a successor reads either. Each old record must be what we have read, and
-   * the new key free: a transaction without an answer may be applied late, when the same starts
-   * were drawn together again and have ended since.
+   * Moves the live starts of sparse records into one new record and removes the old ones in the
+   * same transaction, so that a successor reads either. Each old record must be what was read here,
+   * and the new key unused: a transaction without an answer may be applied late, when the same
+   * starts were compacted once more and have ended since.
+   *
+   * @return false if there is nothing to gain; nothing is added then
    */
-  private boolean compact(Census census, Txn txn, int most) {
+  private boolean addCompaction(Survey survey, Txn txn) {
     StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), 1);
-    List<String> gone = new ArrayList<>();
-    for (Map.Entry<String, List<StartRecord.Start>> e : census.sparse.entrySet()) {
-      if (txn.ops() + gone.size() + 2 > most
-          || txn.conditions() + gone.size() + 2 > limits.conditions()) {
-        break;
-      }
-      if (!packer.addAll(e.getValue())) {
+    List<String> replaced = new ArrayList<>();
+    for (Map.Entry<String, List<StartRecord.Start>> record : survey.sparse.entrySet()) {
+      if (txn.ops() + replaced.size() + 2 > maxOps
+          || txn.conditions() + replaced.size() + 2 > limits.conditions()
+          || !packer.addAll(record.getValue())) {
         break;
       }
-      gone.add(e.getKey());
+      replaced.add(record.getKey());
     }
-    if (gone.size() < 2) {
+    if (replaced.size() < 2) {
       return false;
     }
-    String key = rounds.nextKey();
+    String key = keys.allocate();
     txn.when(key, 0).write(key, packer.records().get(0).write());
-    gone.forEach(old -> txn.when(old, replica.revisionOf(old)).remove(old));
+    replaced.forEach(old -> txn.when(old, replica.revisionOf(old)).remove(old));
     return true;
   }
 
-  /** Parts of jobs that have no live record; a part may have come before its job has. */
-  private void addLeftOvers(Txn txn, int most, String prefix) {
+  /** Removes the records under a prefix whose jobs have no live record. */
+  private void addLeftovers(String prefix, Txn txn) {
     for (String key : replica.keys(prefix).keySet()) {
-      if (txn.ops() >= most || txn.conditions() >= limits.conditions()) {
+      if (txn.ops() >= maxOps || txn.conditions() >= limits.conditions()) {
         return;
       }
       String id = Keys.jobOf(prefix, key);
       if (table.get(id) == null) {
-        // Its job came after it, or is over: which of them, the condition tells.
+        // Its job is over, or is yet to arrive in the replica: the condition tells which.
         txn.when(Keys.job(id), 0).remove(key);
       }
     }
--- /dev/null
+++ b/src/main/java/fennelthread/leader/ResourceSum.java
@@ -0,0 +1,24 @@
+package fennelthread.leader;
+
+/** A running sum of CPUs and accelerator cards, of one team for instance. */
+final class ResourceSum {
+  private double cpus;
+  private double cards;
+
+  void add(double moreCpus, double moreCards) {
+    cpus += moreCpus;
+    cards += moreCards;
+  }
+
+  void add(ResourceSum other) {
+    add(other.cpus, other.cards);
+  }
+
+  double cpus() {
+    return cpus;
+  }
+
+  double cards() {
+    return cards;
+  }
+}
--- a/src/main/java/fennelthread/leader/RunTimes.java
+++ b/src/main/java/fennelthread/leader/RunTimes.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * How long tasks take, as a correction of what owners say: they err by half and more, and on some
- * days all in one direction.
+ * Estimates how long tasks run: the owner's estimate times the ratio by which tasks of the same
+ * class have exceeded theirs, with exponential decay. Owners err by half and more, and on some days
+ * all in one direction.
  */
 final class RunTimes {
   private static final class Ratio {
@@ -17,18 +18,18 @@
 
   private final Map<String, Ratio> byClass = new HashMap<>();
 
-  /** A task ran for so long, s. */
-  void learn(JobSpec spec, double tookS) {
-    Ratio r = byClass.computeIfAbsent(spec.jobClass(), k -> new Ratio());
-    r.sum =
-        r.sum * LeaderConstants.RUN_TIME_DECAY
-            + Math.min(LeaderConstants.MAX_RUN_TIME_RATIO, tookS / spec.estimateS());
-    r.weight = r.weight * LeaderConstants.RUN_TIME_DECAY + 1;
+  /** Learns from a task that ran to its end in {@code seconds}. */
+  void recordRun(JobSpec spec, double seconds) {
+    Ratio ratio = byClass.computeIfAbsent(spec.jobClass(), k -> new Ratio());
+    ratio.sum =
+        ratio.sum * LeaderConstants.RUN_TIME_DECAY
+            + Math.min(LeaderConstants.MAX_RUN_TIME_RATIO, seconds / spec.estimateS());
+    ratio.weight = ratio.weight * LeaderConstants.RUN_TIME_DECAY + 1;
   }
 
   /** The time that a task of the job is expected to run, s; 0 for services. */
-  double of(JobSpec spec) {
-    Ratio r = byClass.get(spec.jobClass());
-    return spec.estimateS() * (r == null ? 1 : r.sum / r.weight);
+  double expectedS(JobSpec spec) {
+    Ratio ratio = byClass.get(spec.jobClass());
+    return spec.estimateS() * (ratio == null ? 1 : ratio.sum / ratio.weight);
   }
 }
--- /dev/null
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -0,0 +1,126 @@
+package fennelthread.leader;
+
+import fennelthread.constants.LeaderConstants;
+import fennelthread.fleet.Fleet;
+import fennelthread.fleet.Machine;
+import fennelthread.net.EventLoop;
+import fennelthread.plan.Aging;
+import fennelthread.plan.Snapshot;
+import fennelthread.settings.Settings;
+import fennelthread.state.Limits;
+import fennelthread.wire.MachineType;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.IdentityHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/** Builds the snapshot of machines, teams and pending jobs that a scheduling round plans on. */
+final class SnapshotBuilder {
+  /** Receives the demand that each round sees. */
+  @FunctionalInterface
+  interface CpuDemandListener {
+    /** Called with the CPUs that all unfinished tasks of released jobs take together. */
+    void onCpuDemand(double cpus);
+  }
+
+  private final EventLoop eventLoop;
+  private final Settings settings;
+  private final TermState term;
+  private final Demand demand;
+  private final MachineTypeCatalog machineTypes;
+  private final PassedOverJobs passedOver;
+  private final CpuDemandListener demandListener;
+  private final int maxStarts;
+  private final IdentityHashMap<Machine, MachineLoad> loads = new IdentityHashMap<>();
+
+  SnapshotBuilder(
+      LeaderContext context,
+      TermState term,
+      MachineTypeCatalog machineTypes,
+      PassedOverJobs passedOver,
+      CpuDemandListener demandListener) {
+    this.eventLoop = context.eventLoop();
+    this.settings = context.settings();
+    this.term = term;
+    this.demand = new Demand(eventLoop, settings, term);
+    this.machineTypes = machineTypes;
+    this.passedOver = passedOver;
+    this.demandListener = demandListener;
+    this.maxStarts = maxStarts(context.state().limits());
+  }
+
+  private static int maxStarts(Limits limits) {
+    return Math.min(
+        LeaderConstants.MAX_STARTS_PER_ROUND,
+        limits.txnOps() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
+  }
+
+  /** Builds a snapshot of this moment; empty if no task may be started. */
+  Optional<Snapshot> build() {
+    demandListener.onCpuDemand(demand.cpus());
+    Map<ActiveJob, List<Integer>> startable = demand.startableTasks(maxStarts * 4);
+    if (startable.isEmpty()) {
+      return Optional.empty();
+    }
+    Map<String, ResourceSum> usedByTeam = new HashMap<>();
+    List<Snapshot.Machine> machines = readyMachines(usedByTeam);
+    Map<String, Snapshot.TeamUsage> teams = teamUsage(usedByTeam);
+    Set<String> guaranteed = demand.guaranteed();
+    Aging aging = demand.aging(totalCpus(machines));
+    return Optional.of(
+        new Snapshot(
+            machines,
+            demand.pendingJobs(startable, guaranteed, aging),
+            guaranteed,
+            aging.nonPreemptible(),
+            teams,
+            eventLoop.nowMs(),
+            maxStarts,
+            passedOver.overdue(eventLoop.nowMs()),
+            aging.preemptibleOnlyByMoreUrgent()));
+  }
+
+  /** The machines that may take tasks; adds up what teams use on all machines. */
+  private List<Snapshot.Machine> readyMachines(Map<String, ResourceSum> usedByTeam) {
+    Fleet fleet = term.fleet();
+    Map<String, MachineType> types = machineTypes.byName();
+    List<Snapshot.Machine> ready = new ArrayList<>();
+    for (Machine machine : fleet.machines()) {
+      MachineLoad load = loads.computeIfAbsent(machine, k -> new MachineLoad());
+      load.update(machine, types.get(machine.type()), term);
+      load.addTeamUsageTo(usedByTeam);
+      if (load.snapshot() != null && fleet.isReady(machine)) {
+        ready.add(load.snapshot());
+      }
+    }
+    return ready;
+  }
+
+  private Map<String, Snapshot.TeamUsage> teamUsage(Map<String, ResourceSum> usedByTeam) {
+    Map<String, Snapshot.TeamUsage> usage = new HashMap<>();
+    for (Settings.Team team : settings.teams().values()) {
+      ResourceSum used = usedByTeam.getOrDefault(team.name(), new ResourceSum());
+      usage.put(
+          team.name(),
+          new Snapshot.TeamUsage(
+              used.cpus(),
+              used.cards(),
+              team.cpusMax(),
+              team.cardsMax(),
+              team.cpus(),
+              team.cards()));
+    }
+    return usage;
+  }
+
+  private static double totalCpus(List<Snapshot.Machine> machines) {
+    double cpus = 0;
+    for (Snapshot.Machine machine : machines) {
+      cpus += machine.cpusTotal();
+    }
+    return cpus;
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/leader/StartRecordKeys.java
@@ -0,0 +1,72 @@
+package fennelthread.leader;
+
+import fennelthread.state.Keys;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+/**
+ * The keys of one term's start records: allocates them and keeps a free list of those whose records
+ * are obsolete. A round reuses a free key instead of allocating one: overwriting is one change
+ * where a new key and the removal of an old one are two, and records can't pile up while the state
+ * service is too busy for removals.
+ */
+final class StartRecordKeys {
+  private final long epoch;
+  private final String ownPrefix;
+  private final Set<String> free = new LinkedHashSet<>();
+  private final Set<String> beingWritten = new HashSet<>();
+  private long allocated;
+
+  StartRecordKeys(long epoch) {
+    this.epoch = epoch;
+    this.ownPrefix = Keys.rounds(epoch);
+  }
+
+  /** Returns a key that was never used. */
+  String allocate() {
+    return Keys.round(epoch, ++allocated);
+  }
+
+  /** True if the key was allocated in this term. */
+  boolean isOwn(String key) {
+    return key.startsWith(ownPrefix);
+  }
+
+  /** Adds a key whose record is obsolete to the free list. */
+  void release(String key) {
+    free.add(key);
+  }
+
+  /** Takes the key that was free longest from the free list; null if the list is empty. */
+  String takeFree() {
+    Iterator<String> oldest = free.iterator();
+    if (!oldest.hasNext()) {
+      return null;
+    }
+    String key = oldest.next();
+    oldest.remove();
+    return key;
+  }
+
+  /** The length of the free list. */
+  int freeCount() {
+    return free.size();
+  }
+
+  /** Marks a key whose record is part of a transaction that was not answered yet. */
+  void markBeingWritten(String key) {
+    beingWritten.add(key);
+  }
+
+  /** The transaction was answered: none of its records is being written any more. */
+  void clearBeingWritten() {
+    beingWritten.clear();
+  }
+
+  /** True while the attempts of the key's record are not sent, or may already be dropped. */
+  boolean isBeingWritten(String key) {
+    return beingWritten.contains(key);
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/leader/TaskBackoff.java
@@ -0,0 +1,80 @@
+package fennelthread.leader;
+
+import fennelthread.constants.LeaderConstants;
+import fennelthread.constants.ProtocolConstants;
+import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
+import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
+import java.util.HashSet;
+import java.util.Set;
+
+/**
+ * When the tasks of one job may be tried again after failures and refusals: exponential backoff
+ * with jitter. All times are ms of the local clock; {@code jitter} is a random number from 0 to 1.
+ */
+final class TaskBackoff {
+  private final Int2LongOpenHashMap retryAtMs = new Int2LongOpenHashMap();
+  private final Int2IntOpenHashMap refusals = new Int2IntOpenHashMap();
+  private final Set<String> failedMachines = new HashSet<>();
+  private int failures;
+  private long lastIncidentMs = Long.MIN_VALUE / 2;
+
+  /** True if the task may be tried at that time. */
+  boolean mayTry(int task, long nowMs) {
+    return retryAtMs.get(task) <= nowMs;
+  }
+
+  /** True if a task of the job has failed, at any time. */
+  boolean hasFailures() {
+    return failures > 0;
+  }
+
+  /** Lets the task be tried again at once. */
+  void reset(int task) {
+    retryAtMs.put(task, 0);
+  }
+
+  /** Delays a task that a worker has refused, longer each time. */
+  void onRefused(int task, long nowMs, double jitter) {
+    forgetOldIncidents(nowMs);
+    int times = refusals.addTo(task, 1);
+    retryAtMs.put(task, nowMs + backoffMs(times, jitter));
+  }
+
+  /**
+   * Delays a task that has failed.
+   *
+   * @return true if the job has failed on so many machines that it, and not a machine, must be
+   *     faulty; then its delays grow
+   */
+  boolean onFailed(int task, String machine, boolean anyTaskDone, long nowMs, double jitter) {
+    forgetOldIncidents(nowMs);
+    failedMachines.add(machine);
+    failures++;
+    boolean isJobFaulty =
+        failedMachines.size() >= LeaderConstants.FAULTY_JOB_MACHINES && !anyTaskDone;
+    long delayMs =
+        isJobFaulty ? backoffMs(failures, jitter) : LeaderConstants.MIN_TASK_BACKOFF_MS / 3;
+    retryAtMs.put(task, nowMs + delayMs);
+    return isJobFaulty;
+  }
+
+  /**
+   * Old incidents say nothing of the present: a service that three faulty machines have failed in
+   * the course of a day is not faulty.
+   */
+  private void forgetOldIncidents(long nowMs) {
+    if (nowMs - lastIncidentMs > LeaderConstants.FAILURE_WINDOW_MS) {
+      failedMachines.clear();
+      refusals.clear();
+      failures = Math.min(failures, 1);
+    }
+    lastIncidentMs = nowMs;
+  }
+
+  private static long backoffMs(int times, double jitter) {
+    long delayMs = LeaderConstants.MIN_TASK_BACKOFF_MS << Math.min(times, 10);
+    return (long)
+        (Math.min(LeaderConstants.MAX_TASK_BACKOFF_MS, delayMs)
+            * (1 + ProtocolConstants.JITTER * jitter));
+  }
+}
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -2,62 +2,45 @@
 
 import fennelthread.constants.LeaderConstants;
 import fennelthread.fleet.Attempt;
-import fennelthread.fleet.Cloud;
-import fennelthread.fleet.CommandTransport;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.FleetListener;
-import fennelthread.fleet.HeartbeatResponder;
 import fennelthread.fleet.Machine;
 import fennelthread.fleet.MachineProvisioner;
-import fennelthread.fleet.WorkerLink;
-import fennelthread.fleet.ZoneHealth;
 import fennelthread.jobs.Job;
-import fennelthread.jobs.JobStore;
-import fennelthread.jobs.JobTable;
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
-import fennelthread.net.StallDetector;
-import fennelthread.settings.Options;
-import fennelthread.settings.Settings;
-import fennelthread.state.Replica;
-import fennelthread.state.StateClient;
-import fennelthread.wire.MachineType;
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
-import java.util.function.LongSupplier;
-import java.util.function.Predicate;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One leader's term: everything the leader knows beyond the state service, made anew at each claim
- * and thrown away when leading ends.
+ * One leader's term: everything the leader knows beyond the state service, created at each election
+ * and dropped when the controller steps down. Used on the event loop's thread; a reader begins with
+ * {@link #onReplicaAdvanced} and {@link #tick}.
  */
 public final class Term implements FleetListener {
   private static final Logger log = LoggerFactory.getLogger(Term.class);
 
   /** How far the term is. */
   private enum Phase {
-    /** The replica has not reached the claim: a predecessor's records may be missing. */
+    /** The replica has not reached the claim: records of earlier terms may be missing. */
     CATCHING_UP,
-    /** Rounds are made. */
+    /** Scheduling rounds run. */
     ACTIVE,
-    /** Nothing is decided any more, but reports are answered until another leads: tasks live on. */
+    /** No decisions any more, but reports are answered until another leads: tasks keep running. */
     RESIGNED,
     /** Over. */
     CLOSED
   }
 
+  private final LeaderContext context;
   private final EventLoop eventLoop;
-  private final Replica replica;
-  private final JobTable table;
-  private final JobStore store;
+  private final JobRecords records;
   private final Lease lease;
   private final long epoch;
   private final Fleet fleet;
@@ -65,151 +48,122 @@
   private final ActiveJobs activeJobs;
   private final WorkerCommands commands;
   private final SchedulingLoop scheduling;
-  private final Completions completions;
+  private final CompletionWriter completions;
+  private final AttemptEndHandler attemptEnds;
   private final RecordCollector collector;
   private final JobUpdates jobUpdates;
-  private final Predicate<String> isJobOver;
   private Phase phase = Phase.CATCHING_UP;
 
-  /**
-   * Begins a term; {@code addresses} are workers that peers or predecessors knew, {@code isJobOver}
-   * says which jobs are known to be over although no record says so yet, {@code responder} lets
-   * answers to reports out.
-   */
-  public Term(
-      EventLoop eventLoop,
-      Settings settings,
-      Options options,
-      StateClient state,
-      Replica replica,
-      JobTable table,
-      JobStore store,
-      Lease lease,
-      Cloud cloud,
-      Supplier<Map<String, MachineType>> machineTypes,
-      Consumer<List<MachineType>> onMachineTypes,
-      LongSupplier othersSilentSince,
-      CommandTransport transport,
-      ZoneHealth zones,
-      StallDetector stalls,
-      Predicate<String> isJobOver,
-      HeartbeatResponder responder,
-      Map<String, String> addresses) {
-    this.eventLoop = eventLoop;
-    this.replica = replica;
-    this.table = table;
-    this.store = store;
-    this.lease = lease;
+  /** Begins the term of the epoch that the lease has just claimed. */
+  public Term(LeaderContext context, JobRecords records, FleetEnvironment environment) {
+    this.context = context;
+    this.eventLoop = context.eventLoop();
+    this.records = records;
+    this.lease = context.lease();
     this.epoch = lease.epoch();
-    this.isJobOver = isJobOver;
-    this.fleet =
-        new Fleet(
-            eventLoop,
-            settings,
-            epoch,
-            this,
-            othersSilentSince,
-            machineTypes,
-            zones,
-            new WorkerLink(transport, responder, stalls));
-    this.provisioner =
-        new MachineProvisioner(
-            eventLoop,
-            settings,
-            options,
-            cloud,
-            fleet,
-            zones,
-            stalls,
-            "r-" + epoch + "-" + settings.member(),
-            machineTypes.get(),
-            onMachineTypes);
-    RunTimes runTimes = new RunTimes();
-    this.activeJobs = new ActiveJobs(store.dependencies().graph());
-    Demand demand = new Demand(eventLoop, settings, fleet, activeJobs, runTimes);
-    this.commands = new WorkerCommands(eventLoop, fleet, activeJobs, runTimes, isJobOver);
-    SpareKeys spare = new SpareKeys();
+    this.fleet = createFleet(environment);
+    this.provisioner = createProvisioner(environment);
+    this.activeJobs = new ActiveJobs(records.store().dependencies().graph());
+    TermState state = new TermState(fleet, activeJobs, new RunTimes());
+    StartRecordKeys startRecordKeys = new StartRecordKeys(epoch);
+    this.commands = new WorkerCommands(eventLoop, state, records.endedJobs());
     this.scheduling =
         new SchedulingLoop(
-            eventLoop,
-            settings,
-            options,
-            state,
-            replica,
-            lease,
-            fleet,
-            activeJobs,
-            demand,
-            runTimes,
-            provisioner::demand,
-            machineTypes,
-            spare);
-    this.completions =
-        new Completions(
-            eventLoop,
-            state,
-            replica,
-            store,
-            lease,
-            fleet,
-            activeJobs,
-            runTimes,
-            scheduling::changed);
-    this.collector =
-        new RecordCollector(eventLoop, state, replica, table, lease, fleet, scheduling, spare);
-    this.jobUpdates = new JobUpdates(table, store, fleet, activeJobs, completions, scheduling);
-    addresses.forEach((name, address) -> fleet.probe(fleet.getOrAdd(name, address)));
-    awaitReplica();
+            context, state, environment.machineTypes(), startRecordKeys, provisioner::demand);
+    this.completions = new CompletionWriter(context, records.store(), activeJobs, scheduling);
+    this.attemptEnds = new AttemptEndHandler(eventLoop, state, completions);
+    this.collector = new RecordCollector(context, records.table(), fleet, startRecordKeys);
+    this.jobUpdates = new JobUpdates(records, state, completions, scheduling);
+    environment
+        .workerAddresses()
+        .forEach((name, address) -> fleet.probe(fleet.getOrAdd(name, address)));
+    onReplicaAdvanced();
     provisioner.start();
     tick();
-    rentTick();
+    tickProvisioning();
+  }
+
+  private Fleet createFleet(FleetEnvironment environment) {
+    return new Fleet(
+        eventLoop,
+        context.settings(),
+        epoch,
+        this,
+        environment.othersSilentSinceMs(),
+        environment.machineTypes()::byName,
+        environment.zoneHealth(),
+        environment.workerLink());
+  }
+
+  private MachineProvisioner createProvisioner(FleetEnvironment environment) {
+    MachineTypeCatalog machineTypes = environment.machineTypes();
+    return new MachineProvisioner(
+        eventLoop,
+        context.settings(),
+        context.options(),
+        environment.cloud(),
+        fleet,
+        environment.zoneHealth(),
+        environment.workerLink().stalls(),
+        "r-" + epoch + "-" + context.settings().member(),
+        machineTypes.byName(),
+        machineTypes::replaceAndStore);
+  }
+
+  // ---------------------------------------------------------------- questions
+
+  /** The epoch of this term. */
+  public long epoch() {
+    return epoch;
   }
 
-  /** The workers' addresses, for peers to keep warm. */
+  /** The addresses of the workers that report, by name; peers keep them for a failover. */
   public Map<String, String> addresses() {
     Map<String, String> known = new LinkedHashMap<>();
-    for (Machine m : fleet.machines()) {
-      if (m.phase() == Machine.Phase.REPORTING && m.address() != null) {
-        known.put(m.name(), m.address());
+    for (Machine machine : fleet.machines()) {
+      if (machine.phase() == Machine.Phase.REPORTING && machine.address() != null) {
+        known.put(machine.name(), machine.address());
       }
     }
     return known;
   }
 
-  /** How much is held, for a line of the log. */
+  /** Describes what is held in memory, for one line of the log. */
   public String memoryUsage() {
-    int attempts = 0;
-    for (Machine m : fleet.machines()) {
-      attempts += m.isEmpty() ? 0 : 1;
+    int occupied = 0;
+    for (Machine machine : fleet.machines()) {
+      occupied += machine.isEmpty() ? 0 : 1;
     }
-    return fleet.machines().size() + " machines, " + attempts + " of them with tasks";
+    return fleet.machines().size() + " machines, " + occupied + " of them with tasks";
   }
 
-  /** How many workers report, by whatever way. */
-  public int reporting() {
+  /** The number of workers that report, directly or through a peer. */
+  public int reportingWorkers() {
     int reporting = 0;
-    for (Machine m : fleet.machines()) {
-      reporting += m.phase() == Machine.Phase.REPORTING ? 1 : 0;
+    for (Machine machine : fleet.machines()) {
+      reporting += machine.phase() == Machine.Phase.REPORTING ? 1 : 0;
     }
     return reporting;
   }
 
-  /** When a worker last reported, or -1. */
+  /** When a worker last reported, ms of the local clock; -1 if none has. */
   public long lastReportAtMs() {
     return fleet.lastReportAtMs();
   }
 
+  // ---------------------------------------------------------------- life cycle
+
   /**
-   * Decides nothing any more, and goes on answering reports. A leader that yields once answered
-   * none from then on; with an outage of the state service right after it, nobody could claim, and
-   * all tasks ended with their workers' leases.
+   * Makes no more decisions, and goes on answering reports. Otherwise, with an outage of the state
+   * service right after a leader stepped down, nobody could claim, and all tasks would end with
+   * their workers' leases.
    */
   public void resign() {
-    moveTo(Phase.RESIGNED);
+    transitionTo(Phase.RESIGNED);
     scheduling.close();
     completions.close();
     provisioner.close();
-    jobUpdates.end();
+    jobUpdates.stopListening();
   }
 
   /** Ends the term. */
@@ -217,51 +171,56 @@
     if (phase != Phase.RESIGNED) {
       resign();
     }
-    moveTo(Phase.CLOSED);
+    transitionTo(Phase.CLOSED);
     fleet.close();
   }
 
-  /** The epoch that it is a term of. */
-  public long epoch() {
-    return epoch;
-  }
-
-  private void moveTo(Phase next) {
+  /** The only place where the phase changes. */
+  private void transitionTo(Phase next) {
     if (phase == Phase.CLOSED || (phase == Phase.RESIGNED && next != Phase.CLOSED)) {
       throw new IllegalStateException("term " + epoch + ": " + phase + " -> " + next);
     }
-    log.info("term {}: {} -> {}", epoch, phase, next);
+    log.info("term changed epoch={} from={} to={}", epoch, phase, next);
     phase = next;
   }
 
-  private void awaitReplica() {
+  private boolean isOver() {
+    return phase == Phase.RESIGNED || phase == Phase.CLOSED;
+  }
+
+  /** Activates the term once the replica holds all that was written before the claim. */
+  private void onReplicaAdvanced() {
     if (phase != Phase.CATCHING_UP) {
       return;
     }
-    if (replica.revision() < lease.epochRevision()) {
-      replica.onAdvance(this::awaitReplica);
+    if (context.replica().revision() < lease.epochRevision()) {
+      context.replica().onAdvance(this::onReplicaAdvanced);
       return;
     }
-    for (StartRecord record : table.startRecords().values()) {
-      record.starts().forEach(fleet::restoreAttempt);
-    }
-    table.all().forEach(activeJobs::begin);
-    for (Machine m : fleet.machines()) {
-      for (Attempt a : m.attempts()) {
-        activeJobs.attach(a);
+    restoreFromRecords();
+    jobUpdates.startListening();
+    transitionTo(Phase.ACTIVE);
+    for (Machine machine : List.copyOf(fleet.machines())) {
+      fleet.probe(machine);
+      for (Attempt attempt : machine.attempts()) {
+        if (attempt.phase() == Attempt.Phase.ENDED) {
+          attemptEnds.onAttemptEnded(machine, attempt);
+        }
       }
     }
-    jobUpdates.begin();
-    moveTo(Phase.ACTIVE);
-    for (Machine m : List.copyOf(fleet.machines())) {
-      fleet.probe(m);
-      for (Attempt a : m.attempts()) {
-        if (a.phase() == Attempt.Phase.ENDED) {
-          completions.ended(m, a);
-        }
+    scheduling.start();
+  }
+
+  private void restoreFromRecords() {
+    for (StartRecord record : records.table().startRecords().values()) {
+      record.starts().forEach(fleet::restoreAttempt);
+    }
+    records.table().all().forEach(activeJobs::add);
+    for (Machine machine : fleet.machines()) {
+      for (Attempt attempt : machine.attempts()) {
+        activeJobs.attach(attempt);
       }
     }
-    scheduling.begin();
   }
 
   private void tick() {
@@ -270,86 +229,89 @@
     }
     fleet.tick();
     if (phase == Phase.ACTIVE) {
-      commands.stopBeforeNotices();
-      completions.tick();
-      store.cancelDependentJobs();
-      scheduling.tick();
-      collector.tick();
+      commands.stopBeforeInterruptions();
+      completions.writeIfIdle();
+      records.store().cancelDependentJobs();
+      scheduling.requestRoundIfOverdue();
+      collector.collectIfDue();
     }
     eventLoop.after(LeaderConstants.TERM_TICK_MS, this::tick);
   }
 
-  private boolean isOver() {
-    return phase == Phase.RESIGNED || phase == Phase.CLOSED;
-  }
-
-  private void rentTick() {
+  private void tickProvisioning() {
     if (isOver()) {
       return;
     }
     if (phase == Phase.ACTIVE && lease.mayStartTasks()) {
       provisioner.tick(scheduling.unplaced());
     }
-    eventLoop.after(LeaderConstants.PROVISIONING_INTERVAL_MS, this::rentTick);
+    eventLoop.after(LeaderConstants.PROVISIONING_INTERVAL_MS, this::tickProvisioning);
   }
 
-  /** Answers a report that came by a peer or directly; null if we are not entitled to. */
-  public Answer handleReport(WorkerReport report, String by) {
-    Answer answer = fleet.handleReport(report, by);
+  // ---------------------------------------------------------------- workers
+
+  /**
+   * Processes a worker's report.
+   *
+   * @param relayingPeer the peer that relayed it, or null if it came directly
+   * @return the answer, or null if this controller must not answer
+   */
+  public Answer handleReport(WorkerReport report, String relayingPeer) {
+    Answer answer = fleet.handleReport(report, relayingPeer);
     return phase == Phase.CLOSED ? null : answer;
   }
 
-  // ---------------------------------------------------------------- fleet
-
   @Override
   public void onFleetChanged() {
-    scheduling.changed();
+    scheduling.requestRound();
   }
 
   @Override
-  public void onHigherEpochObserved(long other) {
-    lease.observeEpoch(other);
+  public void onHigherEpochObserved(long observed) {
+    lease.observeEpoch(observed);
   }
 
   @Override
-  public StartRecord.Start startOfDiscoveredTask(Machine m, WorkerReport.Task task) {
-    Job job = table.get(task.ref().job());
+  public StartRecord.Start startOfDiscoveredTask(Machine machine, WorkerReport.Task task) {
+    Job job = records.table().get(task.ref().job());
     if (job != null && task.ref().index() < job.spec().tasks()) {
       return StartRecord.Start.of(
-          job.spec(), task.ref().index(), task.attempt(), m.name(), m.session());
+          job.spec(), task.ref().index(), task.attempt(), machine.name(), machine.session());
     }
-    // A cancelled job's task: its round record still says what it takes.
-    StartRecord.Start recorded = table.startOf(task.ref(), task.attempt(), m.name());
+    // A cancelled job's task: its start record still says which resources it takes.
+    StartRecord.Start recorded =
+        records.table().startOf(task.ref(), task.attempt(), machine.name());
     return recorded != null
         ? recorded
-        : new StartRecord.Start(task.ref(), task.attempt(), m.name(), m.session(), "", 0, 0, 0);
+        : new StartRecord.Start(
+            task.ref(), task.attempt(), machine.name(), machine.session(), "", 0, 0, 0);
   }
 
   @Override
-  public void onAttemptDiscovered(Attempt a) {
-    activeJobs.attach(a);
+  public void onAttemptDiscovered(Attempt attempt) {
+    activeJobs.attach(attempt);
   }
 
   @Override
-  public void onAttemptEnded(Machine m, Attempt a) {
+  public void onAttemptEnded(Machine machine, Attempt attempt) {
     if (phase == Phase.ACTIVE) {
-      completions.ended(m, a);
+      attemptEnds.onAttemptEnded(machine, attempt);
     }
   }
 
   @Override
-  public boolean mayStart(Attempt a) {
+  public boolean mayStart(Attempt attempt) {
     return phase == Phase.ACTIVE
         && lease.mayStartTasks()
-        && activeJobs.of(a) != null
-        && !isJobOver.test(a.start().task().job());
+        && activeJobs.jobOf(attempt) != null
+        && !records.endedJobs().isOver(attempt.start().task().job());
   }
 
   @Override
-  public List<WorkerCommand> commandsFor(Machine m) {
+  public List<WorkerCommand> commandsFor(Machine machine) {
     return switch (phase) {
-      case ACTIVE -> commands.of(m);
-      // What is known to be over is stopped all the same: by whatever lets the answers out.
+      case ACTIVE -> commands.commandsFor(machine);
+      // Jobs known to be over are stopped all the same: by whoever lets the answers out.
       case CATCHING_UP, RESIGNED, CLOSED -> List.of();
     };
   }
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -10,97 +10,104 @@
 import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Predicate;
 
-/** What workers are told of tasks that are over, unwanted, or to be stopped. */
+/**
+ * Decides which attempts workers are to clear and to stop, beyond those that rounds preempt: ended
+ * ones, unwanted ones, and ones that can't finish before their spot instance is taken.
+ */
 final class WorkerCommands {
   private final EventLoop eventLoop;
   private final Fleet fleet;
-  private final ActiveJobs runs;
+  private final ActiveJobs activeJobs;
   private final RunTimes runTimes;
-  private final Predicate<String> over;
+  private final JobRecords.EndedJobs endedJobs;
 
-  /**
-   * Creates them; {@code over} says which jobs are known to be over although no record says so yet.
-   */
-  WorkerCommands(
-      EventLoop eventLoop,
-      Fleet fleet,
-      ActiveJobs runs,
-      RunTimes runTimes,
-      Predicate<String> over) {
-    this.over = over;
+  WorkerCommands(EventLoop eventLoop, TermState term, JobRecords.EndedJobs endedJobs) {
     this.eventLoop = eventLoop;
-    this.fleet = fleet;
-    this.runs = runs;
-    this.runTimes = runTimes;
+    this.fleet = term.fleet();
+    this.activeJobs = term.activeJobs();
+    this.runTimes = term.runTimes();
+    this.endedJobs = endedJobs;
   }
 
-  /** Clears and stops that the machine's attempts call for now. */
-  List<WorkerCommand> of(Machine m) {
-    List<WorkerCommand> orders = new ArrayList<>();
-    for (Attempt a : m.attempts()) {
-      ActiveJob run = runs.of(a);
-      int index = a.start().task().index();
-      switch (a.phase()) {
-        case ENDED -> {
-          // Each start is sent exactly once, so no start of an ended attempt can be in flight.
-          if (run == null
-              || a.motive() != WorkerReport.Motive.DONE
-              || run.job().spec().service()
-              || run.isDurable(index)) {
-            orders.add(new WorkerCommand.Clear(a.start().task(), a.start().attempt()));
-          }
-        }
-        case FETCHING, RUNNING, FLUSHING -> {
-          boolean unwanted =
-              run == null || run.isFinished(index) || over.test(run.job().spec().id());
-          if (unwanted) {
-            orders.add(new WorkerCommand.Stop(a.start().task(), a.start().attempt(), 0));
-          } else if (a.isStopRequested() && a.phase() != Attempt.Phase.FLUSHING) {
-            double grace = run.job().spec().checkpointS() > 0 ? run.job().spec().saveS() + 1 : 0;
-            orders.add(new WorkerCommand.Stop(a.start().task(), a.start().attempt(), grace));
-          }
-        }
+  /**
+   * The clear and stop commands that are due for a machine's attempts, as many as one answer has.
+   */
+  List<WorkerCommand> commandsFor(Machine machine) {
+    List<WorkerCommand> commands = new ArrayList<>();
+    for (Attempt attempt : machine.attempts()) {
+      switch (attempt.phase()) {
+        case ENDED -> addClear(commands, attempt);
+        case FETCHING, RUNNING, FLUSHING -> addStop(commands, attempt);
         default -> {
-          // Nothing to say of attempts that the worker has not reported.
+          // There is no command for attempts that the worker has not reported.
         }
       }
-      if (orders.size() >= LeaseRenewalConstants.ORDERS_PER_ANSWER) {
+      if (commands.size() >= LeaseRenewalConstants.ORDERS_PER_ANSWER) {
         break;
       }
     }
-    return orders;
+    return commands;
   }
 
-  /** Stops what can't be over before its machine is taken. */
-  void stopBeforeNotices() {
+  /** Lets the worker forget an ended attempt, unless that would lose a result not yet stored. */
+  private void addClear(List<WorkerCommand> commands, Attempt attempt) {
+    ActiveJob activeJob = activeJobs.jobOf(attempt);
+    // Each start is sent exactly once, so no start of an ended attempt can be in flight.
+    if (activeJob == null
+        || attempt.motive() != WorkerReport.Motive.DONE
+        || activeJob.job().spec().service()
+        || activeJob.isStored(attempt.start().task().index())) {
+      commands.add(new WorkerCommand.Clear(attempt.start().task(), attempt.start().attempt()));
+    }
+  }
+
+  private void addStop(List<WorkerCommand> commands, Attempt attempt) {
+    ActiveJob activeJob = activeJobs.jobOf(attempt);
+    boolean isUnwanted =
+        activeJob == null
+            || activeJob.isFinished(attempt.start().task().index())
+            || endedJobs.isOver(activeJob.id());
+    if (isUnwanted) {
+      commands.add(new WorkerCommand.Stop(attempt.start().task(), attempt.start().attempt(), 0));
+    } else if (attempt.isStopRequested() && attempt.phase() != Attempt.Phase.FLUSHING) {
+      JobSpec spec = activeJob.job().spec();
+      double graceS = spec.checkpointS() > 0 ? spec.saveS() + 1 : 0;
+      commands.add(
+          new WorkerCommand.Stop(attempt.start().task(), attempt.start().attempt(), graceS));
+    }
+  }
+
+  /** Stops the attempts that can't finish before their spot instance is taken. */
+  void stopBeforeInterruptions() {
     long now = eventLoop.nowMs();
-    for (Machine m : fleet.machines()) {
-      if (m.phase() != Machine.Phase.REPORTING || m.interruptionAtMs() < 0) {
+    for (Machine machine : fleet.machines()) {
+      if (machine.phase() != Machine.Phase.REPORTING || machine.interruptionAtMs() < 0) {
         continue;
       }
-      double leftS = (m.interruptionAtMs() - now) / 1000.0;
-      boolean stopped = false;
-      for (Attempt a : m.attempts()) {
-        ActiveJob run = runs.of(a);
-        if (run == null || a.isStopRequested() || !a.mayBePresent()) {
+      double remainingS = (machine.interruptionAtMs() - now) / 1000.0;
+      boolean anyStopped = false;
+      for (Attempt attempt : machine.attempts()) {
+        ActiveJob activeJob = activeJobs.jobOf(attempt);
+        if (activeJob == null || attempt.isStopRequested() || !attempt.mayBePresent()) {
           continue;
         }
-        JobSpec spec = run.job().spec();
-        double ranS = a.runningSinceMs() < 0 ? 0 : (now - a.runningSinceMs()) / 1000.0;
-        boolean willFinish =
-            !spec.service()
-                && a.phase() == Attempt.Phase.RUNNING
-                && runTimes.of(spec) - ranS < leftS;
-        if (!willFinish) {
-          a.requestStop();
-          stopped = true;
+        if (!finishesWithin(remainingS, attempt, activeJob.job().spec(), now)) {
+          attempt.requestStop();
+          anyStopped = true;
         }
       }
-      if (stopped) {
-        fleet.sendCommands(m);
+      if (anyStopped) {
+        fleet.sendCommands(machine);
       }
     }
   }
+
+  private boolean finishesWithin(double remainingS, Attempt attempt, JobSpec spec, long now) {
+    if (spec.service() || attempt.phase() != Attempt.Phase.RUNNING) {
+      return false;
+    }
+    double ranS = attempt.runningSinceMs() < 0 ? 0 : (now - attempt.runningSinceMs()) / 1000.0;
+    return runTimes.expectedS(spec) - ranS < remainingS;
+  }
 }
