--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -23,6 +23,7 @@
       Submit.class,
       Status.class,
       Cancel.class,
+      Cancel.FormerName.class,
       Train.class
     })
 final class Serve implements Callable<Integer> {
@@ -39,6 +40,7 @@
   static int serve(SettingsFiles files) throws Exception {
     Settings settings = files.loadSettings();
     Options options = files.loadOptions();
+    LogOutput.install(settings.member());
     XnioEventLoop eventLoop = eventLoopFor(settings);
     eventLoop.run(() -> start(eventLoop, settings, options));
     return KEEP_RUNNING;
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -4,6 +4,7 @@
 import fennelthread.constants.LeaderConstants;
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.jobs.FinalRecord;
+import fennelthread.jobs.FinishedTasksCodec;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.JobStore;
 import fennelthread.net.EventLoop;
@@ -142,7 +143,7 @@
   private void addDoneJobs(Batch batch) {
     for (ActiveJob activeJob : unstored) {
       if (activeJob.unfinishedCount() == 0
-          && batch.txn().ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
+          && batch.txn().ops() + JobConstants.CHANGES_PER_FINAL_RECORD <= limits.txnOps()) {
         Job job = activeJob.job();
         FinalRecord end = new FinalRecord(JobState.DONE, job.spec().tasks(), eventLoop.wallMs());
         JobStore.addFinalRecord(batch.txn(), job, end);
@@ -179,7 +180,9 @@
       // what that one holds, since the workers were told to clear those tasks.
       txn.when(key, replica.revisionOf(key))
           .write(
-              key, Job.writeChunk(chunk, activeJob.finishedTasks(), limits.valueBytes(), covered));
+              key,
+              FinishedTasksCodec.write(
+                  chunk, activeJob.finishedTasks(), limits.valueBytes(), covered));
     }
     if (anyAdded) {
       txn.when(Keys.job(activeJob.id()), job.revision());
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -280,7 +280,7 @@
     }
     // A cancelled job's task: its start record still says which resources it takes.
     StartRecord.Start recorded =
-        records.table().startOf(task.ref(), task.attempt(), machine.name());
+        records.table().recordedStart(task.ref(), task.attempt(), machine.name());
     return recorded != null
         ? recorded
         : new StartRecord.Start(
