--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -12,7 +12,7 @@
 import fennelthread.control.StateServiceCheck;
 import fennelthread.control.UnreachableLeaderPublisher;
 import fennelthread.control.WorkerReachabilityCheck;
-import fennelthread.election.Membership;
+import fennelthread.election.LeaderElection;
 import fennelthread.fleet.Cloud;
 import fennelthread.handover.Handover;
 import fennelthread.health.HeapGuard;
@@ -58,7 +58,7 @@
   private final LeaderReachability reachability;
   private final CommandSender commands;
   private final HeapGuard heap;
-  private final Membership membership;
+  private final LeaderElection election;
   private final FollowerLeaseRenewer renewer;
   private final Zones zones;
   private final StallDetector stalls;
@@ -94,8 +94,8 @@
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice = createUnreachableLeaderNotice();
     this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::shed);
-    this.membership =
-        new Membership(eventLoop, settings, peers, records.state(), records.replica(), lease);
+    this.election =
+        new LeaderElection(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
     this.renewer = createLeaseRenewer();
     this.zones = new Zones(settings);
@@ -204,7 +204,7 @@
     records.replica().onAdvance(this::onReplicaLoaded);
     stalls.start();
     peers.start();
-    membership.start();
+    election.start();
     machineTypes.fetchFromCloud();
     runPeriodicChecks();
   }
@@ -266,7 +266,7 @@
   // ---------------------------------------------------------------- leading
 
   private boolean isBacked() {
-    return membership.backs();
+    return election.excludesTakeover();
   }
 
   private long stillUnbounded(long epoch) {
@@ -281,7 +281,7 @@
       long now = eventLoop.nowMs();
       reachability.begin(now);
       commands.begin(epoch);
-      membership.elected(epoch);
+      election.beginTerm(epoch);
       renewer.elected();
       zones.begin(now);
       currentTerm.begin(now, () -> newTerm(epoch, now));
--- /dev/null
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -0,0 +1,87 @@
+package fennelthread.election;
+
+import fennelthread.constants.ElectionConstants;
+import fennelthread.leader.Lease;
+import fennelthread.net.EventLoop;
+import fennelthread.peers.PeerHeartbeat;
+import fennelthread.peers.PeerHeartbeats;
+import fennelthread.settings.Settings;
+import fennelthread.state.Keys;
+import fennelthread.state.Replica;
+import fennelthread.state.StateClient;
+
+/**
+ * Fast failover of the leader. Followers of which a majority agrees that the leader is silent take
+ * over with one transaction, before the leader's lease at the state service expires. {@link
+ * LeaderProtection} is the leader's part, {@link TakeoverCoordinator} the follower's; {@link
+ * LeadershipPromises} explains why that is safe.
+ */
+public final class LeaderElection {
+  private final EventLoop eventLoop;
+  private final Lease lease;
+  private final LeaderProtection protection;
+  private final TakeoverCoordinator takeover;
+
+  /** Creates one controller's part in elections, and registers with the heartbeats and replica. */
+  public LeaderElection(
+      EventLoop eventLoop,
+      Settings settings,
+      PeerHeartbeats peers,
+      StateClient state,
+      Replica replica,
+      Lease lease) {
+    this.eventLoop = eventLoop;
+    this.lease = lease;
+    UnilateralLeadership declaration = new UnilateralLeadership(eventLoop, state, replica, lease);
+    LeadershipPromises promises = new LeadershipPromises(settings.peers().size() + 1);
+    this.protection = new LeaderProtection(eventLoop, lease, promises, declaration);
+    this.takeover =
+        new TakeoverCoordinator(eventLoop, settings, peers, state, replica, lease, declaration);
+    peers.serve("/member/", takeover::handleAgreementRequest);
+    peers.join(new HeartbeatListener());
+    replica.listen(
+        (key, value, revision) -> {
+          if (key.equals(Keys.EPOCH) && takeover.isReady()) {
+            takeover.followRecordedEpoch();
+          }
+        });
+  }
+
+  /** Starts the periodic checks, every {@link ElectionConstants#CHECK_INTERVAL_MS}. */
+  public void start() {
+    eventLoop.after(ElectionConstants.CHECK_INTERVAL_MS, this::start);
+    if (!takeover.isReady()) {
+      takeover.beginIfReplicaLoaded();
+      return;
+    }
+    takeover.followRecordedEpoch();
+    if (lease.isLeading()) {
+      protection.maintain(eventLoop.nowMs());
+    } else {
+      takeover.checkLeader(eventLoop.nowMs());
+    }
+  }
+
+  /** Begins a term of this controller. */
+  public void beginTerm(long epoch) {
+    protection.beginTerm(epoch);
+  }
+
+  /** True if no other controller can have taken over by now; only meaningful while leading. */
+  public boolean excludesTakeover() {
+    return protection.excludesTakeover();
+  }
+
+  /** Adds promises to the answers to heartbeats, and reads those of the followers. */
+  private final class HeartbeatListener implements PeerHeartbeats.Guest {
+    @Override
+    public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
+      return answer.promising(takeover.promiseOnHeartbeat(asked));
+    }
+
+    @Override
+    public void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
+      protection.recordAnswer(member, reply, sentAtMs);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/fennelthread/election/LeaderProtection.java
@@ -0,0 +1,103 @@
+package fennelthread.election;
+
+import fennelthread.constants.ElectionConstants;
+import fennelthread.leader.Lease;
+import fennelthread.net.EventLoop;
+import fennelthread.peers.PeerHeartbeat;
+
+/**
+ * The leader's part of failover: makes sure that no takeover can be applied while it starts work,
+ * by its followers' {@link LeadershipPromises} or else by a {@link UnilateralLeadership}
+ * declaration.
+ */
+final class LeaderProtection {
+
+  private final EventLoop eventLoop;
+  private final Lease lease;
+  private final LeadershipPromises promises;
+  private final UnilateralLeadership declaration;
+  private long promiseWithheldSinceMs = ElectionConstants.NEVER;
+  private long enoughPromisesSinceMs = ElectionConstants.NEVER;
+
+  /** Creates the protection of one controller, for whenever it leads. */
+  LeaderProtection(
+      EventLoop eventLoop,
+      Lease lease,
+      LeadershipPromises promises,
+      UnilateralLeadership declaration) {
+    this.eventLoop = eventLoop;
+    this.lease = lease;
+    this.promises = promises;
+    this.declaration = declaration;
+  }
+
+  /** Begins a term of this controller. */
+  void beginTerm(long epoch) {
+    promises.beginEpoch(epoch);
+    declaration.beginTerm();
+    promiseWithheldSinceMs = ElectionConstants.NEVER;
+    enoughPromisesSinceMs = ElectionConstants.NEVER;
+    // Promises come with the next heartbeats, and peers must have seen the epoch first.
+    declaration.declare();
+  }
+
+  /** True if no takeover can have been applied by now. */
+  boolean excludesTakeover() {
+    return declaration.isDeclared() || eventLoop.nowMs() < promises.protectedUntilMs();
+  }
+
+  /**
+   * Records a follower's answer to a heartbeat.
+   *
+   * @param sentAtMs when the heartbeat was sent, ms of the local clock
+   */
+  void recordAnswer(String member, PeerHeartbeat reply, long sentAtMs) {
+    if (!lease.isLeading()) {
+      return;
+    }
+    promises.recordPromise(member, reply.promised(), sentAtMs);
+    if (reply.promised() == lease.epoch()) {
+      promiseWithheldSinceMs = ElectionConstants.NEVER;
+    } else if (reply.promises()
+        && reply.epoch() == lease.epoch()
+        && promiseWithheldSinceMs == ElectionConstants.NEVER) {
+      promiseWithheldSinceMs = eventLoop.nowMs();
+    }
+  }
+
+  /** Declares or revokes unilateral leadership as the promises in force require. */
+  void maintain(long nowMs) {
+    boolean enoughPromises =
+        promises.protectedUntilMs() - nowMs > ElectionConstants.PROMISE_REMAINING_MS;
+    if (!enoughPromises) {
+      enoughPromisesSinceMs = ElectionConstants.NEVER;
+      declaration.declare();
+      return;
+    }
+    if (enoughPromisesSinceMs == ElectionConstants.NEVER) {
+      enoughPromisesSinceMs = nowMs;
+    }
+    if (mayBeDeclared()
+        && nowMs - enoughPromisesSinceMs > ElectionConstants.REVOKE_DECLARATION_AFTER_MS) {
+      declaration.revoke();
+    } else if (!declaration.isDeclared() && isPromiseWithheldTooLong(nowMs)) {
+      // A follower that may have agreed to a takeover: rewriting the key frees it to promise again.
+      promiseWithheldSinceMs = ElectionConstants.NEVER;
+      declaration.revoke();
+    }
+  }
+
+  private boolean isPromiseWithheldTooLong(long nowMs) {
+    return promiseWithheldSinceMs != ElectionConstants.NEVER
+        && nowMs - promiseWithheldSinceMs > ElectionConstants.PROMISE_WITHHELD_MS;
+  }
+
+  /**
+   * True if the declaration may be recorded: known to be, or found in the replica because the
+   * answer to its write or its revocation was lost. While it is, nobody can take over should this
+   * leader fail.
+   */
+  private boolean mayBeDeclared() {
+    return declaration.isDeclared() || declaration.isRecordedFor(lease.epoch());
+  }
+}
--- a/src/main/java/fennelthread/election/LeaderView.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -4,77 +4,75 @@
 import fennelthread.constants.ProtocolConstants;
 
 /**
- * One follower's view of the leader of one epoch: what it has promised, and whether it may help to
- * take over. Pure: time is told.
+ * One follower's failure detector for the leader of one epoch: what the follower has promised that
+ * leader, and whether it may support a takeover from it. Has no clock of its own: each call passes
+ * the time, ms of the local clock.
  */
 public final class LeaderView {
 
-  /** How the leader looks from here. */
+  /** What the follower concludes about the leader. */
   public enum Phase {
-    /** Heartbeats come in, and a promise is in force. */
-    HEARD,
-    /** None has come in for longer than they ever take: worth asking the others. */
+    /** Heartbeats arrive, and a promise is in force. */
+    TRUSTED,
+    /** None has arrived for longer than ever before: the follower asks the others. */
     SUSPECTED,
     /**
-     * We have agreed to a takeover, or may have before this process began: nothing is promised
-     * until the leader has written {@link UnilateralLeadership} anew, which makes void whatever was
-     * agreed on before.
+     * The follower has agreed to a takeover, or may have done so before this process started. It
+     * promises nothing until the leader has rewritten its {@link UnilateralLeadership} declaration,
+     * which makes every takeover that was agreed on before inapplicable.
      */
-    BOUND
+    AGREED_TO_TAKEOVER
   }
 
-  private final long[] gapsMs = new long[ElectionConstants.HEARTBEAT_GAPS];
-  private Phase phase = Phase.BOUND;
+  private final long[] heartbeatGapsMs = new long[ElectionConstants.HEARTBEAT_GAPS];
+  private Phase phase = Phase.AGREED_TO_TAKEOVER;
   private long epoch = -1;
-  private long boundRevision = Long.MAX_VALUE;
-  private long sinceMs;
+  private long agreedRevision = Long.MAX_VALUE;
+  private long epochSinceMs;
   private long promisedUntilMs = Long.MIN_VALUE;
-  private long heardAtMs;
-  private long lookedAtMs = Long.MIN_VALUE / 2;
-  private long awakeSinceMs;
-  private int gaps;
-  private long suspicions;
-  private long refuted;
+  private long lastHeartbeatAtMs;
+  private long lastCheckAtMs = Long.MIN_VALUE / 2;
+  private long lateCheckAtMs;
+  private int gapCount;
 
   /**
-   * The process has begun, in the middle of an epoch: what it agreed to or promised before its end
-   * it has forgotten.
+   * Begins the view of a new process in the middle of an epoch. It knows nothing of what its
+   * predecessor promised or agreed to, so it counts as having agreed to a takeover.
+   *
+   * @param stateRevision the revision of the state that this process has read
    */
-  public void born(long inEpoch, long atRevision, long nowMs) {
-    begin(inEpoch, nowMs);
-    boundRevision = atRevision;
-    moveTo(Phase.BOUND);
+  public void beginAfterRestart(long currentEpoch, long stateRevision, long nowMs) {
+    beginEpoch(currentEpoch, nowMs);
+    agreedRevision = stateRevision;
+    transitionTo(Phase.AGREED_TO_TAKEOVER);
   }
 
-  /** A later epoch has begun: nothing of earlier ones counts any more. */
-  public void begin(long newEpoch, long nowMs) {
+  /** Begins a later epoch: promises and agreements of earlier ones no longer count. */
+  public void beginEpoch(long newEpoch, long nowMs) {
     epoch = newEpoch;
-    sinceMs = nowMs;
-    heardAtMs = nowMs;
+    epochSinceMs = nowMs;
+    lastHeartbeatAtMs = nowMs;
     promisedUntilMs = Long.MIN_VALUE;
-    gaps = 0;
-    moveTo(Phase.HEARD);
+    gapCount = 0;
+    transitionTo(Phase.TRUSTED);
   }
 
   /**
-   * The leader has onHeartbeat us: promises for a while not to help anyone take over from it.
+   * Records a heartbeat of the leader, and promises it not to support a takeover for a while.
    *
-   * @param soloRevision the revision of the leader's word, as far as our copy of the state goes
+   * @param declarationRevision the revision of the leader's declaration in the local replica
    * @return the epoch that the promise is for, 0 if none is given
    */
-  public long onHeartbeat(long byEpoch, long soloRevision, long nowMs) {
-    if (byEpoch != epoch) {
+  public long promiseOnHeartbeat(long leaderEpoch, long declarationRevision, long nowMs) {
+    if (leaderEpoch != epoch) {
       return 0;
     }
-    gapsMs[gaps++ % gapsMs.length] = nowMs - heardAtMs;
-    heardAtMs = nowMs;
-    if (phase == Phase.BOUND && soloRevision <= boundRevision) {
+    heartbeatGapsMs[gapCount++ % heartbeatGapsMs.length] = nowMs - lastHeartbeatAtMs;
+    lastHeartbeatAtMs = nowMs;
+    if (phase == Phase.AGREED_TO_TAKEOVER && declarationRevision <= agreedRevision) {
       return 0;
     }
-    if (phase == Phase.SUSPECTED) {
-      refuted++;
-    }
-    moveTo(Phase.HEARD);
+    transitionTo(Phase.TRUSTED);
     promisedUntilMs =
         nowMs
             + (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
@@ -83,80 +81,75 @@
   }
 
   /**
-   * Looks; to be called every {@link ElectionConstants#VIEW_MS}. While our own timers run late we
-   * were not listening: what came in meanwhile waits to be read, and suspicion begins anew.
+   * Checks whether the leader is silent; to be called every {@link
+   * ElectionConstants#CHECK_INTERVAL_MS}. A check that runs late means that this process was
+   * stalled and has heartbeats still to read: the silence is counted from that check on.
    *
-   * @return true if the leader is suspect
+   * @return true if the leader is suspected
    */
-  public boolean look(long nowMs) {
-    if (nowMs - lookedAtMs > ElectionConstants.VIEW_LATE_MS) {
-      awakeSinceMs = nowMs;
+  public boolean checkSilence(long nowMs) {
+    if (nowMs - lastCheckAtMs > ElectionConstants.CHECK_LATE_MS) {
+      lateCheckAtMs = nowMs;
     }
-    lookedAtMs = nowMs;
+    lastCheckAtMs = nowMs;
     boolean silent = isSilent(nowMs);
-    if (phase == Phase.HEARD && silent) {
-      suspicions++;
-      moveTo(Phase.SUSPECTED);
+    if (phase == Phase.TRUSTED && silent) {
+      transitionTo(Phase.SUSPECTED);
     }
     return silent;
   }
 
-  /** True if the leader is silent for longer than it ever was, and our last promise is over. */
+  /** True if the leader is silent for longer than ever before, and the last promise has expired. */
   private boolean isSilent(long nowMs) {
-    long longest = 0;
-    for (int i = 0; i < Math.min(gaps, gapsMs.length); i++) {
-      longest = Math.max(longest, gapsMs[i]);
+    long longestGapMs = 0;
+    for (int i = 0; i < Math.min(gapCount, heartbeatGapsMs.length); i++) {
+      longestGapMs = Math.max(longestGapMs, heartbeatGapsMs[i]);
     }
-    long patience =
+    long timeoutMs =
         Math.max(
             ElectionConstants.PROMISE_MS,
-            (long) (longest * ElectionConstants.HEARTBEAT_GAPS_MISSED));
+            (long) (longestGapMs * ElectionConstants.SILENCE_GAP_FACTOR));
     return nowMs > promisedUntilMs
-        && nowMs - Math.max(heardAtMs, awakeSinceMs) > patience
-        && nowMs - sinceMs > ElectionConstants.TAKEOVER_GAP_MS;
+        && nowMs - Math.max(lastHeartbeatAtMs, lateCheckAtMs) > timeoutMs
+        && nowMs - epochSinceMs > ElectionConstants.MIN_EPOCH_MS;
   }
 
   /**
-   * Agrees to a takeover from the leader of an epoch, if it is silent here too. That binds us:
-   * nothing is promised any more until the leader's word is newer than {@code soloRevision}, on
-   * which the takeover is conditional.
+   * Agrees to a takeover from the leader of an epoch, if the leader is silent here too. From then
+   * on nothing is promised until the leader's declaration is newer than {@code
+   * declarationRevision}, on which the takeover is conditional.
+   *
+   * @return true if this follower agrees
    */
-  public boolean agree(long ofEpoch, long soloRevision, long nowMs) {
-    if (ofEpoch != epoch || !isSilent(nowMs)) {
+  public boolean agreeToTakeover(long fromEpoch, long declarationRevision, long nowMs) {
+    if (fromEpoch != epoch || !isSilent(nowMs)) {
       return false;
     }
-    boundRevision = phase == Phase.BOUND ? Math.max(boundRevision, soloRevision) : soloRevision;
-    moveTo(Phase.BOUND);
+    agreedRevision =
+        phase == Phase.AGREED_TO_TAKEOVER
+            ? Math.max(agreedRevision, declarationRevision)
+            : declarationRevision;
+    transitionTo(Phase.AGREED_TO_TAKEOVER);
     return true;
   }
 
   /** The only place where the phase changes. */
-  private void moveTo(Phase next) {
+  private void transitionTo(Phase next) {
     phase = next;
   }
 
-  /** How the leader looks. */
+  /** What the follower concludes about the leader. */
   public Phase phase() {
     return phase;
   }
 
-  /** The epoch that this is the view of. */
+  /** The epoch whose leader this is the view of, -1 before the first. */
   public long epoch() {
     return epoch;
   }
 
-  /** For how long nothing was heard of the leader, ms. */
+  /** The time since the leader's last heartbeat, ms. */
   public long silentMs(long nowMs) {
-    return nowMs - heardAtMs;
-  }
-
-  /** How often a leader was suspected. */
-  public long suspicions() {
-    return suspicions;
-  }
-
-  /** How often one that was suspected onHeartbeat again. */
-  public long refuted() {
-    return refuted;
+    return nowMs - lastHeartbeatAtMs;
   }
 }
--- a/src/main/java/fennelthread/election/LeadershipPromises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -7,65 +7,76 @@
 import java.util.Map;
 
 /**
- * What lets a leader start work beside its grant, so that its peers may end its term before the
- * grant does. Each peer that answers a heartbeat promises not to help anyone take over for a while;
- * the leader counts that while from before the heartbeat left, the peer from when it came in. With
- * enough promises in force no majority can take over. Without, the leader must have written into
- * the state service that it goes alone ({@link UnilateralLeadership}), on whose absence every
- * takeover is conditional.
+ * The promises of followers that allow a leader to start work although a majority may end its term
+ * before its lease expires. A follower that answers a heartbeat promises not to support a takeover
+ * for {@link ElectionConstants#PROMISE_MS}. While enough promises are in force no majority is free
+ * to take over. Without enough, the leader must first declare in the state service that it acts
+ * without them ({@link UnilateralLeadership}); every takeover is conditional on the absence of that
+ * declaration.
  *
- * <p>The paper's rule for a lease (t0 before the request) is applied to each promise; its A5 is
- * needed of the peers' clocks as well.
+ * <p>A promise is not a vote. A vote elects: it goes to a candidate, at most one in each term, and
+ * has no end. A promise elects nobody: it goes to the controller that leads already, is given anew
+ * with each heartbeat, expires by itself, and only keeps the follower from agreeing to a takeover
+ * meanwhile. In other protocols this is called a leader lease or a quorum check.
+ *
+ * <p>The leader counts a promise from before its heartbeat was sent and the follower from when it
+ * arrived, so that it ends for the leader first. That needs a bound on the drift of the followers'
+ * clocks ({@link ProtocolConstants#CLOCK_DRIFT}) as well as of the leader's.
  */
 public final class LeadershipPromises {
-  private final Map<String, Long> askedAtMs = new HashMap<>();
-  private final int needed;
+  private final Map<String, Long> heartbeatSentAtMs = new HashMap<>();
+  private final int required;
   private long epoch = -1;
 
   /**
-   * Creates them.
+   * Creates a leader's record of promises, empty.
    *
-   * @param controllers how many there are, this one included
+   * @param controllers the number of controllers, this one included
    */
   public LeadershipPromises(int controllers) {
-    this.needed = controllers - majority(controllers);
+    this.required = controllers - majority(controllers);
   }
 
-  /** How many controllers it takes to take over from one that is not among them. */
+  /** The number of controllers that must agree to a takeover from one that is not among them. */
   static int majority(int controllers) {
     return controllers / 2 + 1;
   }
 
-  /** A term of ours begins: nobody has promised anything for it. */
-  public void begin(long newEpoch) {
+  /** Begins an epoch led by this controller: no promise has been given for it. */
+  public void beginEpoch(long newEpoch) {
     epoch = newEpoch;
-    askedAtMs.clear();
+    heartbeatSentAtMs.clear();
   }
 
   /**
-   * A peer has answered the heartbeat that left at {@code sentAtMs} with a promise for an epoch.
+   * Records a promise; one for another epoch is ignored.
+   *
+   * @param sentAtMs when the heartbeat that it answers was sent, ms of the local clock
    */
-  public void promised(String member, long forEpoch, long sentAtMs) {
+  public void recordPromise(String member, long forEpoch, long sentAtMs) {
     if (forEpoch == epoch) {
-      askedAtMs.merge(member, sentAtMs, Math::max);
+      heartbeatSentAtMs.merge(member, sentAtMs, Math::max);
     }
   }
 
-  /** Until when, ms of our clock, no takeover can have happened; in the past if too few promise. */
-  public long untilMs() {
-    if (needed == 0) {
+  /**
+   * Until when no takeover can be applied, ms of the local clock; {@code Long.MIN_VALUE} if too few
+   * followers have promised.
+   */
+  public long protectedUntilMs() {
+    if (required == 0) {
       return Long.MAX_VALUE;
     }
-    if (askedAtMs.size() < needed) {
+    if (heartbeatSentAtMs.size() < required) {
       return Long.MIN_VALUE;
     }
-    long[] times = askedAtMs.values().stream().mapToLong(Long::longValue).toArray();
-    Arrays.sort(times);
-    return times[times.length - needed] + heldMs();
+    long[] sentAtMs = heartbeatSentAtMs.values().stream().mapToLong(Long::longValue).toArray();
+    Arrays.sort(sentAtMs);
+    return sentAtMs[sentAtMs.length - required] + validForMs();
   }
 
-  /** What a promise is worth to the leader, ms: less than to the peer that gave it. */
-  private static long heldMs() {
+  /** How long the leader relies on a promise, ms: less than its follower keeps it. */
+  private static long validForMs() {
     return (long) (ElectionConstants.PROMISE_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
         - ProtocolConstants.LEASE_MARGIN_MS;
   }
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -1,106 +1,133 @@
 package fennelthread.election;
 
 import fennelthread.constants.ElectionConstants;
+import fennelthread.leader.Lease;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
+import fennelthread.state.Replica;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
 import fennelthread.wire.Fields;
-import java.util.function.BiConsumer;
-import java.util.function.Supplier;
+import fennelthread.wire.WireException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's word in the state service that it does without its peers' promises. Every takeover
- * is conditional on what the key held when the peers agreed to it: once the word is written none
- * that was agreed on before can be applied, and none is agreed on while it stands.
+ * The leader's declaration, recorded in the state service, that it acts without its peers'
+ * promises. Every takeover is conditional on the declaration's revision when the peers agreed to
+ * it: once it is rewritten, no takeover that was agreed on before can be applied, and while it
+ * stands peers agree to none.
  */
 final class UnilateralLeadership {
   private static final Logger log = LoggerFactory.getLogger(UnilateralLeadership.class);
+  private static final String EPOCH_FIELD = "epoch";
 
-  /** Where the word stands. Only ON is a reason to start anything. */
+  /** The state of the declaration. Only DECLARED entitles the leader to start work. */
   enum Phase {
-    /** Not written, or about to be cancelled. */
-    OFF,
-    /** Being written; without an answer it may be written or not. */
-    TURNING_ON,
-    /** Written. */
-    ON,
-    /** Being cancelled: from the moment that was sent, it counts for nothing. */
-    TURNING_OFF
+    /** Not recorded, or recorded by a write that got no answer. */
+    NOT_DECLARED,
+    /** A write is in flight; without an answer it may be applied or not. */
+    DECLARING,
+    /** Recorded. */
+    DECLARED,
+    /** A write that revokes it is in flight: from when it was sent the declaration is void here. */
+    REVOKING
   }
 
   private final EventLoop eventLoop;
   private final StateClient state;
-  private Phase phase = Phase.OFF;
+  private final Replica replica;
+  private final Lease lease;
+  private Phase phase = Phase.NOT_DECLARED;
   private long term;
-  private long triedAtMs = Long.MIN_VALUE / 2;
+  private long lastWriteAtMs = Long.MIN_VALUE / 2;
 
-  UnilateralLeadership(EventLoop eventLoop, StateClient state) {
+  /** Creates the declaration of one controller; nothing is written before the first term. */
+  UnilateralLeadership(EventLoop eventLoop, StateClient state, Replica replica, Lease lease) {
     this.eventLoop = eventLoop;
     this.state = state;
+    this.replica = replica;
+    this.lease = lease;
   }
 
-  /** A term begins: what earlier ones wrote names another epoch. */
-  void begin() {
+  /** Begins a term: what earlier ones recorded names another epoch. */
+  void beginTerm() {
     term++;
-    phase = Phase.OFF;
-    triedAtMs = Long.MIN_VALUE / 2;
+    phase = Phase.NOT_DECLARED;
+    lastWriteAtMs = Long.MIN_VALUE / 2;
   }
 
-  /** True if the word is written. */
-  boolean isOn() {
-    return phase == Phase.ON;
+  /** True if the declaration is known to be recorded and was not revoked since. */
+  boolean isDeclared() {
+    return phase == Phase.DECLARED;
+  }
+
+  /** The revision of the declaration in the local replica, 0 if there is none. */
+  long recordedRevision() {
+    return replica.revisionOf(Keys.SOLO);
+  }
+
+  /** True if the local replica holds a declaration for this epoch, or an unreadable one. */
+  boolean isRecordedFor(long epoch) {
+    try {
+      Fields declaration = replica.get(Keys.SOLO);
+      return declaration != null && declaration.count(EPOCH_FIELD) == epoch;
+    } catch (WireException e) {
+      return true;
+    }
+  }
+
+  /** Records the declaration unless it is recorded or a write is in flight or was just made. */
+  void declare() {
+    if (phase == Phase.NOT_DECLARED) {
+      write(true);
+    }
+  }
+
+  /**
+   * Revokes the declaration, or rewrites its revocation: peers that may have agreed to a takeover
+   * are then free to promise again. Does nothing while a write is in flight or was just made.
+   */
+  void revoke() {
+    if (phase == Phase.NOT_DECLARED || phase == Phase.DECLARED) {
+      write(false);
+    }
   }
 
   /**
-   * Writes the word, cancels it, or, if it is cancelled already, writes that anew: peers that may
-   * have agreed to a takeover are then free to promise again. Each is conditional on the one
-   * before, since one without an answer may be applied after the next.
-   *
-   * @param revision the key's revision, as far as our copy of the state goes
-   * @param fenced gives a transaction of this term
-   * @param applied told of what was applied
+   * Writes the declaration or its revocation, conditional on the revision of the write before: one
+   * without an answer may be applied late, after the next.
    */
-  void turn(
-      boolean on,
-      long epoch,
-      long revision,
-      Supplier<Txn> fenced,
-      BiConsumer<Txn, TxnResult.Applied> applied) {
-    boolean possible = phase == Phase.OFF || (phase == Phase.ON && !on);
-    if (!possible || eventLoop.nowMs() - triedAtMs < ElectionConstants.SOLO_RETRY_MS) {
+  private void write(boolean declared) {
+    if (eventLoop.nowMs() - lastWriteAtMs < ElectionConstants.DECLARATION_RETRY_MS) {
       return;
     }
-    triedAtMs = eventLoop.nowMs();
-    long of = term;
-    moveTo(on ? Phase.TURNING_ON : Phase.TURNING_OFF, epoch);
-    Txn txn =
-        fenced
-            .get()
-            .when(Keys.SOLO, revision)
-            .write(Keys.SOLO, Fields.create().with("epoch", on ? epoch : 0L));
+    lastWriteAtMs = eventLoop.nowMs();
+    long termOfWrite = term;
+    long epoch = lease.epoch();
+    transitionTo(declared ? Phase.DECLARING : Phase.REVOKING, epoch);
+    Fields declaration = Fields.create().with(EPOCH_FIELD, declared ? epoch : 0L);
+    Txn txn = lease.fenced().when(Keys.SOLO, recordedRevision()).write(Keys.SOLO, declaration);
     state.txn(
         StateClient.Lane.ANSWER,
         txn,
         result -> {
-          if (of != term) {
+          if (termOfWrite != term) {
             return;
           }
-          boolean good = result instanceof TxnResult.Applied;
-          moveTo(on && good ? Phase.ON : Phase.OFF, epoch);
-          if (result instanceof TxnResult.Applied a) {
-            applied.accept(txn, a);
+          boolean applied = result instanceof TxnResult.Applied;
+          transitionTo(declared && applied ? Phase.DECLARED : Phase.NOT_DECLARED, epoch);
+          if (result instanceof TxnResult.Applied success) {
+            replica.applied(txn, success.revision());
           }
         });
   }
 
-  /** The only place where the phase changes. */
-  private void moveTo(Phase next, long epoch) {
-    if (next == Phase.ON || phase == Phase.ON) {
-      log.info("epoch {}: alone {} -> {}", epoch, phase, next);
+  /** The only place where the phase changes within a term. */
+  private void transitionTo(Phase next, long epoch) {
+    if (next == Phase.DECLARED || phase == Phase.DECLARED) {
+      log.info("unilateral leadership changed epoch={} from={} to={}", epoch, phase, next);
     }
     phase = next;
   }
--- a/src/test/java/fennelthread/election/LeaderViewTest.java
+++ b/src/test/java/fennelthread/election/LeaderViewTest.java
@@ -9,45 +9,44 @@
 import fennelthread.constants.ProtocolConstants;
 import org.junit.jupiter.api.Test;
 
-/** One follower's view, step by step, and the margins between its times. */
+/** One follower's failure detector, step by step, and the margins between its timeouts. */
 class LeaderViewTest {
   private final LeaderView view = new LeaderView();
   private long now = 1_000_000;
 
-  /** Time passes, looked at as it should be; true if the leader is suspect at the end of it. */
-  private boolean pass(long ms) {
+  /** Lets time pass with regular checks; true if the leader is suspected at the end. */
+  private boolean advance(long ms) {
     boolean suspect = false;
-    for (long end = now + ms; now < end; now += ElectionConstants.VIEW_MS) {
-      suspect = view.look(now);
+    for (long end = now + ms; now < end; now += ElectionConstants.CHECK_INTERVAL_MS) {
+      suspect = view.checkSilence(now);
     }
     return suspect;
   }
 
-  private void heartbeatsFor(long ms) {
+  private void receiveHeartbeatsFor(long ms) {
     for (long end = now + ms; now < end; ) {
-      assertEquals(7, view.onHeartbeat(7, 0, now));
-      assertFalse(pass(800));
+      assertEquals(7, view.promiseOnHeartbeat(7, 0, now));
+      assertFalse(advance(800));
     }
   }
 
-  private void settled() {
-    view.look(now);
-    view.begin(7, now);
-    heartbeatsFor(20_000);
+  private void beginSettledEpoch() {
+    view.checkSilence(now);
+    view.beginEpoch(7, now);
+    receiveHeartbeatsFor(20_000);
   }
 
-  /** The paper's second finding: margins that must be larger than others are compared. */
+  /** Timeouts that must exceed others for the protocol to be safe or useful. */
   @Test
-  void marginsHold() {
+  void timeoutsKeepTheirMargins() {
     long promise =
         (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
             + ProtocolConstants.LEASE_MARGIN_MS;
     assertTrue(
-        ElectionConstants.TAKEOVER_GAP_MS > promise,
-        "a new process forgets promises still in force");
+        ElectionConstants.MIN_EPOCH_MS > promise, "a new process forgets promises still in force");
     assertTrue(
-        ElectionConstants.PROMISE_SPARE_MS > PeerConstants.HEARTBEAT_INTERVAL_MS,
-        "alone before the next heartbeat is due");
+        ElectionConstants.PROMISE_REMAINING_MS > PeerConstants.HEARTBEAT_INTERVAL_MS,
+        "declares before the next heartbeat is due");
     assertTrue(
         ElectionConstants.PROMISE_MS
             > 2 * PeerConstants.HEARTBEAT_INTERVAL_MS * (1 + ProtocolConstants.JITTER),
@@ -55,52 +54,52 @@
   }
 
   @Test
-  void silenceIsSuspectAndAgreeingBinds() {
-    settled();
-    assertFalse(view.agree(7, 3, now), "the promise is in force");
-    assertTrue(pass(4_000));
+  void silentLeaderIsSuspectedAndAgreementWithholdsPromises() {
+    beginSettledEpoch();
+    assertFalse(view.agreeToTakeover(7, 3, now), "the promise is in force");
+    assertTrue(advance(4_000));
     assertEquals(LeaderView.Phase.SUSPECTED, view.phase());
-    assertFalse(view.agree(6, 3, now), "of another epoch");
-    assertTrue(view.agree(7, 3, now));
-    assertEquals(0, view.onHeartbeat(7, 3, now), "bound until the word is newer");
-    assertEquals(7, view.onHeartbeat(7, 4, now));
-    assertFalse(view.agree(7, 4, now));
+    assertFalse(view.agreeToTakeover(6, 3, now), "of another epoch");
+    assertTrue(view.agreeToTakeover(7, 3, now));
+    assertEquals(0, view.promiseOnHeartbeat(7, 3, now), "withheld until the declaration is newer");
+    assertEquals(7, view.promiseOnHeartbeat(7, 4, now));
+    assertFalse(view.agreeToTakeover(7, 4, now));
   }
 
-  /** A leader whose heartbeats are slow is suspected later than one whose are not. */
+  /** A leader with slow heartbeats is suspected later than one with fast ones. */
   @Test
-  void suspicionFollowsTheGaps() {
-    settled();
+  void suspicionTimeoutFollowsTheLongestGap() {
+    beginSettledEpoch();
     for (int i = 0; i < 4; i++) {
-      pass(1_900);
-      view.onHeartbeat(7, 0, now);
+      advance(1_900);
+      view.promiseOnHeartbeat(7, 0, now);
     }
     // The longest gap was some 2.8 s.
-    assertFalse(pass(4_500));
-    assertTrue(pass(2_000));
+    assertFalse(advance(4_500));
+    assertTrue(advance(2_000));
   }
 
   @Test
-  void aProcessThatStoodStillSuspectsNobody() {
-    settled();
+  void stalledProcessDoesNotSuspectTheLeader() {
+    beginSettledEpoch();
     now += 20_000;
-    assertFalse(view.look(now));
-    assertFalse(view.agree(7, 3, now));
-    assertFalse(pass(2_000));
-    assertTrue(pass(1_500));
+    assertFalse(view.checkSilence(now));
+    assertFalse(view.agreeToTakeover(7, 3, now));
+    assertFalse(advance(2_000));
+    assertTrue(advance(1_500));
   }
 
-  /** What its predecessor promised or agreed to, a new process does not know. */
+  /** A new process does not know what its predecessor promised or agreed to. */
   @Test
-  void aNewProcessIsBoundAndPatient() {
-    view.look(now);
-    view.born(7, 12, now);
-    assertEquals(0, view.onHeartbeat(7, 12, now));
-    assertFalse(pass(ElectionConstants.TAKEOVER_GAP_MS - 500));
-    assertFalse(view.agree(7, 12, now));
-    assertTrue(pass(1_000));
-    assertTrue(view.agree(7, 12, now));
-    view.begin(8, now);
-    assertEquals(8, view.onHeartbeat(8, 12, now));
+  void restartedProcessWithholdsPromisesAndDelaysAgreement() {
+    view.checkSilence(now);
+    view.beginAfterRestart(7, 12, now);
+    assertEquals(0, view.promiseOnHeartbeat(7, 12, now));
+    assertFalse(advance(ElectionConstants.MIN_EPOCH_MS - 500));
+    assertFalse(view.agreeToTakeover(7, 12, now));
+    assertTrue(advance(1_000));
+    assertTrue(view.agreeToTakeover(7, 12, now));
+    view.beginEpoch(8, now);
+    assertEquals(8, view.promiseOnHeartbeat(8, 12, now));
   }
 }
