--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -1,6 +1,7 @@
 package fennelthread;
 
 import fennelthread.api.Api;
+import fennelthread.api.ServingConditions;
 import fennelthread.constants.RelayConstants;
 import fennelthread.control.CurrentTerm;
 import fennelthread.control.FollowerReports;
@@ -31,6 +32,7 @@
 import fennelthread.relay.UnreachableLeaderNotice;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
+import fennelthread.wire.MachineType;
 import fennelthread.zones.Zones;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -93,7 +95,7 @@
     this.commands =
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice = createUnreachableLeaderNotice();
-    this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::shed);
+    this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::evictCaches);
     this.election =
         new LeaderElection(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
@@ -119,8 +121,7 @@
         settings,
         options,
         incarnation,
-        this::isBacked,
-        this::stillUnbounded,
+        new PeerState(),
         new LeadershipListener());
   }
 
@@ -189,13 +190,33 @@
         settings,
         records.store(),
         records.table(),
-        machineTypes::byName,
-        this::isUp,
-        peers::hasHeardOutdatedPeer,
-        heap::isTight,
+        new ControllerConditions(),
         reports::handle);
   }
 
+  /** What the interface for users asks of the other subsystems. */
+  private final class ControllerConditions implements ServingConditions {
+    @Override
+    public boolean isUp() {
+      return Controller.this.isUp();
+    }
+
+    @Override
+    public boolean isOutdatedPeerServing() {
+      return peers.hasHeardOutdatedPeer();
+    }
+
+    @Override
+    public boolean isMemoryShort() {
+      return heap.isTight();
+    }
+
+    @Override
+    public Map<String, MachineType> machineTypes() {
+      return machineTypes.byName();
+    }
+  }
+
   /** Starts reading the state, sending heartbeats and the periodic checks; call it once. */
   public void start() {
     log.info("controller started member={} incarnation={}", settings.member(), incarnation);
@@ -260,23 +281,28 @@
 
   private void onReplicaLoaded() {
     log.info("state loaded member={} revision={}", settings.member(), records.replica().revision());
-    lease.consider();
+    lease.claimIfVacant();
   }
 
   // ---------------------------------------------------------------- leading
 
-  private boolean isBacked() {
-    return election.excludesTakeover();
-  }
+  /** Answers the lease's questions about the peers. */
+  private final class PeerState implements Lease.PeerAssurance {
+    @Override
+    public boolean excludesOtherLeader() {
+      return election.excludesTakeover();
+    }
 
-  private long stillUnbounded(long epoch) {
-    return peers.allBound(epoch) ? 0 : epoch;
+    @Override
+    public long stillUnbounded(long epoch) {
+      return peers.allBound(epoch) ? 0 : epoch;
+    }
   }
 
   /** Begins a term when this controller is elected, and resigns it when it steps down. */
   private final class LeadershipListener implements Lease.Listener {
     @Override
-    public void elected(long epoch, long epochRevision) {
+    public void onElected(long epoch) {
       log.info("leader elected epoch={} member={}", epoch, settings.member());
       long now = eventLoop.nowMs();
       reachability.begin(now);
@@ -289,8 +315,8 @@
     }
 
     @Override
-    public void deposed(String why) {
-      log.info("leader stepped down member={} reason={}", settings.member(), why);
+    public void onDeposed(String reason) {
+      log.info("leader stepped down member={} reason={}", settings.member(), reason);
       currentTerm.resign();
     }
   }
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -45,7 +45,7 @@
     if (lease.isLeading()) {
       checkLeader();
     } else {
-      lease.consider();
+      lease.claimIfVacant();
       unreachableLeader.publishIfDue();
     }
   }
--- a/src/main/java/fennelthread/election/TakeoverCoordinator.java
+++ b/src/main/java/fennelthread/election/TakeoverCoordinator.java
@@ -130,7 +130,7 @@
 
   /** True if the viewed epoch's leader honours promises and has not declared that it needs none. */
   private boolean isTakeoverAllowed() {
-    return lease.mayBeTaken(view.epoch()) && !declaration.isRecordedFor(view.epoch());
+    return lease.isTakeoverPossible(view.epoch()) && !declaration.isRecordedFor(view.epoch());
   }
 
   /** How many controllers take over before this one: successors follow in the order of names. */
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -108,7 +108,7 @@
     long epoch = lease.epoch();
     transitionTo(declared ? Phase.DECLARING : Phase.REVOKING, epoch);
     Fields declaration = Fields.create().with(EPOCH_FIELD, declared ? epoch : 0L);
-    Txn txn = lease.fenced().when(Keys.SOLO, recordedRevision()).write(Keys.SOLO, declaration);
+    Txn txn = lease.fencedTxn().when(Keys.SOLO, recordedRevision()).write(Keys.SOLO, declaration);
     state.txn(
         StateClient.Lane.ANSWER,
         txn,
--- a/src/main/java/fennelthread/leader/Completions.java
+++ b/src/main/java/fennelthread/leader/Completions.java
@@ -7,7 +7,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.FinalRecord;
-import fennelthread.jobs.Job;
+import fennelthread.jobs.FinishedTasksCodec;
 import fennelthread.jobs.JobStore;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
@@ -153,7 +153,7 @@
       // Its user waits for this one; tasks of other jobs can wait for one another.
       moveTo(Phase.GATHERING);
       eventLoop.after(
-          LeaderConstants.FLUSH_DONE_MS,
+          LeaderConstants.DONE_JOB_FLUSH_DELAY_MS,
           () -> {
             if (phase == Phase.GATHERING) {
               write();
@@ -170,18 +170,20 @@
   }
 
   private void write() {
-    Txn txn = lease.fenced();
+    Txn txn = lease.fencedTxn();
     Map<ActiveJob, BitSet> written = new LinkedHashMap<>();
     Map<String, FinalRecord> ends = new LinkedHashMap<>();
     for (ActiveJob run : dirty) {
-      if (run.unfinished() == 0 && txn.ops() + JobConstants.CHANGES_PER_END <= limits.txnOps()) {
+      if (run.unfinished() == 0
+          && txn.ops() + JobConstants.CHANGES_PER_FINAL_RECORD <= limits.txnOps()) {
         FinalRecord end =
             new FinalRecord(JobState.DONE, run.job().spec().tasks(), eventLoop.wallMs());
         JobStore.addFinalRecord(txn, run.job(), end);
         ends.put(run.job().spec().id(), end);
       }
     }
-    if (ends.isEmpty() && eventLoop.nowMs() - partsWrittenAt >= LeaderConstants.FLUSH_PARTS_MS) {
+    if (ends.isEmpty()
+        && eventLoop.nowMs() - partsWrittenAt >= LeaderConstants.FINISHED_TASKS_FLUSH_INTERVAL_MS) {
       boolean all = true;
       for (ActiveJob run : dirty) {
         all &= addParts(run, txn, written);
@@ -245,7 +247,7 @@
       tick();
       changed.run();
     } else {
-      lease.refused(result);
+      lease.onTxnRejected(result);
       if (result instanceof TxnResult.Conflict c) {
         // A job that was cancelled has no record any more: its tasks need not be kept.
         dirty.removeIf(run -> c.failed().contains(Keys.job(run.job().spec().id())));
@@ -273,7 +275,9 @@
       // that one holds,
       // since the workers were told to forget those tasks.
       txn.when(key, replica.revisionOf(key))
-          .write(key, Job.writeChunk(chunk, run.finishedTasks(), limits.valueBytes(), covered));
+          .write(
+              key,
+              FinishedTasksCodec.write(chunk, run.finishedTasks(), limits.valueBytes(), covered));
     }
     if (any) {
       txn.when(Keys.job(id), run.job().revision());
