--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -13,7 +13,7 @@
 import fennelthread.control.StateServiceCheck;
 import fennelthread.control.UnreachableLeaderPublisher;
 import fennelthread.control.WorkerReachabilityCheck;
-import fennelthread.election.Membership;
+import fennelthread.election.LeaderElection;
 import fennelthread.fleet.Cloud;
 import fennelthread.fleet.WorkerLink;
 import fennelthread.handover.Handover;
@@ -64,7 +64,7 @@
   private final LeaderReachability reachability;
   private final CommandSender commands;
   private final HeapGuard heap;
-  private final Membership membership;
+  private final LeaderElection election;
   private final FollowerLeaseRenewer renewer;
   private final Zones zones;
   private final StallDetector stalls;
@@ -100,8 +100,8 @@
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice = createUnreachableLeaderNotice();
     this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::evictCaches);
-    this.membership =
-        new Membership(eventLoop, settings, peers, records.state(), records.replica(), lease);
+    this.election =
+        new LeaderElection(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
     this.renewer = createLeaseRenewer();
     this.zones = new Zones(settings);
@@ -229,7 +229,7 @@
     records.replica().onAdvance(this::onReplicaLoaded);
     stalls.start();
     peers.start();
-    membership.start();
+    election.start();
     machineTypes.fetchFromCloud();
     runPeriodicChecks();
   }
@@ -294,7 +294,7 @@
   private final class PeerState implements Lease.PeerAssurance {
     @Override
     public boolean excludesOtherLeader() {
-      return membership.backs();
+      return election.excludesTakeover();
     }
 
     @Override
@@ -311,7 +311,7 @@
       long now = eventLoop.nowMs();
       reachability.begin(now);
       commands.begin(epoch);
-      membership.elected(epoch);
+      election.beginTerm(epoch);
       renewer.elected();
       zones.begin(now);
       currentTerm.begin(now, () -> newTerm(epoch, now));
