--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -13,10 +13,14 @@
 import fennelthread.control.StateServiceCheck;
 import fennelthread.control.UnreachableLeaderPublisher;
 import fennelthread.control.WorkerReachabilityCheck;
-import fennelthread.election.Membership;
+import fennelthread.election.LeaderElection;
 import fennelthread.fleet.Cloud;
+import fennelthread.fleet.WorkerLink;
 import fennelthread.handover.Handover;
 import fennelthread.health.HeapGuard;
+import fennelthread.leader.FleetEnvironment;
+import fennelthread.leader.JobRecords;
+import fennelthread.leader.LeaderContext;
 import fennelthread.leader.Lease;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
@@ -60,7 +64,7 @@
   private final LeaderReachability reachability;
   private final CommandSender commands;
   private final HeapGuard heap;
-  private final Membership membership;
+  private final LeaderElection election;
   private final FollowerLeaseRenewer renewer;
   private final Zones zones;
   private final StallDetector stalls;
@@ -96,8 +100,8 @@
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice = createUnreachableLeaderNotice();
     this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::evictCaches);
-    this.membership =
-        new Membership(eventLoop, settings, peers, records.state(), records.replica(), lease);
+    this.election =
+        new LeaderElection(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
     this.renewer = createLeaseRenewer();
     this.zones = new Zones(settings);
@@ -225,7 +229,7 @@
     records.replica().onAdvance(this::onReplicaLoaded);
     stalls.start();
     peers.start();
-    membership.start();
+    election.start();
     machineTypes.fetchFromCloud();
     runPeriodicChecks();
   }
@@ -290,7 +294,7 @@
   private final class PeerState implements Lease.PeerAssurance {
     @Override
     public boolean excludesOtherLeader() {
-      return membership.backs();
+      return election.excludesTakeover();
     }
 
     @Override
@@ -307,7 +311,7 @@
       long now = eventLoop.nowMs();
       reachability.begin(now);
       commands.begin(epoch);
-      membership.elected(epoch);
+      election.beginTerm(epoch);
       renewer.elected();
       zones.begin(now);
       currentTerm.begin(now, () -> newTerm(epoch, now));
@@ -323,24 +327,15 @@
 
   private Term newTerm(long epoch, long electedAtMs) {
     return new Term(
-        eventLoop,
-        settings,
-        options,
-        records.state(),
-        records.replica(),
-        records.table(),
-        records.store(),
-        lease,
-        cloud,
-        machineTypes::byName,
-        machineTypes::replaceAndStore,
-        () -> othersSilentSinceMs(epoch, electedAtMs),
-        commands,
-        zones,
-        stalls,
-        records.cancellations()::isOver,
-        renewer.gate(),
-        workers.addresses());
+        new LeaderContext(eventLoop, settings, options, records.state(), records.replica(), lease),
+        new JobRecords(records.table(), records.store(), records.cancellations()::isOver),
+        new FleetEnvironment(
+            cloud,
+            machineTypes,
+            zones,
+            new WorkerLink(commands, renewer.gate(), stalls),
+            () -> othersSilentSinceMs(epoch, electedAtMs),
+            workers.addresses()));
   }
 
   /**
