--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -22,6 +22,7 @@
 import fennelthread.leader.JobRecords;
 import fennelthread.leader.LeaderContext;
 import fennelthread.leader.Lease;
+import fennelthread.leader.PeerAssurance;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
 import fennelthread.leaserenewal.RenewalBounds;
@@ -291,7 +292,7 @@
   // ---------------------------------------------------------------- leading
 
   /** Answers the lease's questions about the peers. */
-  private final class PeerState implements Lease.PeerAssurance {
+  private final class PeerState implements PeerAssurance {
     @Override
     public boolean excludesOtherLeader() {
       return election.excludesTakeover();
--- a/src/main/java/fennelthread/constants/LeaderConstants.java
+++ b/src/main/java/fennelthread/constants/LeaderConstants.java
@@ -14,7 +14,7 @@
   /** Shortest lease at the state service, ms: renewals must get through on a slow day. */
   public static final long MIN_STORE_LEASE_MS = 2_000;
 
-  /** Longest lease at the state service, ms: for so long nobody leads after a crash. */
+  /** Longest lease at the state service, ms: bounds how long a crashed leader blocks claims. */
   public static final long MAX_STORE_LEASE_MS = 10_000;
 
   /** Shortest pause before a renewal, ms: one that took long is not followed at once. */
--- a/src/main/java/fennelthread/leader/LeadershipClaim.java
+++ b/src/main/java/fennelthread/leader/LeadershipClaim.java
@@ -24,8 +24,8 @@
     record Failed(String reason) implements Outcome {}
   }
 
-  /** What a claim derives from the moment at which its lease was created. */
-  interface Terms {
+  /** Supplies the epoch to claim, asked once the lease at the state service is created. */
+  interface EpochSource {
     /** The epoch to claim. */
     long nextEpoch();
 
@@ -54,20 +54,21 @@
    * @param ttlMs the length of the lease at the state service, ms
    * @param conditions under which the claim is valid; the epoch's revision is added to them
    */
-  void submit(long ttlMs, Txn conditions, Terms terms, Consumer<Outcome> done) {
+  void submit(long ttlMs, Txn conditions, EpochSource epochs, Consumer<Outcome> done) {
     state.createLease(
         ttlMs,
         storeLeaseId -> {
           if (storeLeaseId == 0) {
             done.accept(new Outcome.Failed("no lease from the state service"));
           } else {
-            commit(storeLeaseId, conditions, terms, done);
+            commit(storeLeaseId, conditions, epochs, done);
           }
         });
   }
 
-  private void commit(long storeLeaseId, Txn conditions, Terms terms, Consumer<Outcome> done) {
-    EpochRecord epoch = new EpochRecord(terms.nextEpoch(), terms.unboundedEpoch());
+  private void commit(
+      long storeLeaseId, Txn conditions, EpochSource epochs, Consumer<Outcome> done) {
+    EpochRecord epoch = new EpochRecord(epochs.nextEpoch(), epochs.unboundedEpoch());
     LeaderRecord leader =
         new LeaderRecord(
             member, incarnation, epoch.epoch(), storeLeaseId, true, eventLoop.wallMs());
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -19,9 +19,8 @@
  * The right of this controller to lead: a state machine over a time-limited lease at the state
  * service and the epoch, which rises at each claim and never expires.
  *
- * <p>The local lease is counted from a clock reading taken <em>before</em> the claim or renewal was
- * sent, so that it expires before the lease at the state service does, however long the request
- * took. Used on the event loop's thread.
+ * <p>Claims are {@link LeadershipClaim}; {@link LeaseRenewal} keeps the lease alive and counts the
+ * local one. Used on the event loop's thread.
  */
 public final class Lease {
   private static final Logger log = LoggerFactory.getLogger(Lease.class);
@@ -45,37 +44,21 @@
     void onDeposed(String reason);
   }
 
-  /** What the heartbeats of the peers say that the lease depends on. */
-  public interface PeerAssurance {
-    /** True if no peer can have become leader while the local lease is valid. */
-    boolean excludesOtherLeader();
-
-    /**
-     * Checks an epoch whose leader may answer reports until it learns of a later epoch.
-     *
-     * @return {@code epoch}, or 0 if every peer is known to have learned of a later one
-     */
-    long stillUnbounded(long epoch);
-  }
-
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
   private final LeaderRecords records;
   private final LeadershipClaim claim;
+  private final LeaseRenewal renewal;
   private final PeerAssurance peers;
   private final Listener listener;
   private final String member;
   private final String incarnation;
-  private final long storeTtlMs;
-  private final long localTtlMs;
   private Phase phase = Phase.FOLLOWING;
   private long epoch;
   private long epochRevision;
   private long highestEpoch;
   private long unboundedEpoch;
-  private long storeLeaseId;
-  private long localExpiryMs = Long.MIN_VALUE;
   private long earliestClaimMs;
   private boolean claimScheduled;
   private boolean revokingPredecessor;
@@ -103,23 +86,10 @@
     this.member = settings.member();
     this.incarnation = incarnation;
     this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
-    this.storeTtlMs = storeTtlMs(settings, options);
-    this.localTtlMs =
-        (long) (storeTtlMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
-            - ProtocolConstants.LEASE_MARGIN_MS;
+    this.renewal = new LeaseRenewal(eventLoop, state, settings, options, new RenewalOwner());
     replica.listen(this::onRecordChanged);
   }
 
-  private static long storeTtlMs(Settings settings, Options options) {
-    if (options.grantMs() > 0) {
-      return options.grantMs();
-    }
-    long share =
-        (long) (settings.workers().leaseMs() * LeaderConstants.STORE_LEASE_SHARE_OF_WORKER_LEASE);
-    return Math.min(
-        LeaderConstants.MAX_STORE_LEASE_MS, Math.max(LeaderConstants.MIN_STORE_LEASE_MS, share));
-  }
-
   // ---------------------------------------------------------------- questions
 
   /** True from a claim to the step-down, even while the local lease has expired. */
@@ -129,9 +99,7 @@
 
   /** True if tasks may be started at this very moment. */
   public boolean mayStartTasks() {
-    return phase == Phase.LEADING
-        && eventLoop.nowMs() < localExpiryMs
-        && peers.excludesOtherLeader();
+    return phase == Phase.LEADING && renewal.isLocallyValid() && peers.excludesOtherLeader();
   }
 
   /** The epoch of this controller's own term; only meaningful while it leads. */
@@ -141,7 +109,7 @@
 
   /** The lease at the state service that this controller holds or held last; 0 before the first. */
   public long storeLeaseId() {
-    return storeLeaseId;
+    return renewal.storeLeaseId();
   }
 
   /** The revision of the epoch record that all of this leader's writes are conditional on. */
@@ -242,8 +210,8 @@
       return;
     }
     earliestClaimMs = eventLoop.nowMs() + pauseMs;
-    localExpiryMs = Long.MIN_VALUE;
-    long heldLeaseId = storeLeaseId;
+    renewal.invalidate();
+    long heldLeaseId = renewal.storeLeaseId();
     transitionTo(Phase.FOLLOWING, reason);
     state.revokeLease(heldLeaseId, status -> {});
     listener.onDeposed(reason);
@@ -344,9 +312,9 @@
     transitionTo(Phase.CLAIMING, reason);
     long sentAtMs = eventLoop.nowMs();
     claim.submit(
-        storeTtlMs,
+        renewal.storeTtlMs(),
         conditions,
-        new NextTerm(),
+        new NextEpoch(),
         outcome -> {
           if (outcome instanceof LeadershipClaim.Outcome.Committed committed) {
             onClaimCommitted(committed, sentAtMs);
@@ -356,7 +324,7 @@
         });
   }
 
-  private final class NextTerm implements LeadershipClaim.Terms {
+  private final class NextEpoch implements LeadershipClaim.EpochSource {
     @Override
     public long nextEpoch() {
       return highestEpoch + 1;
@@ -380,16 +348,15 @@
     long claimedEpoch = committed.epoch();
     epoch = claimedEpoch;
     epochRevision = committed.epochRevision();
-    storeLeaseId = committed.storeLeaseId();
     unboundedEpoch = committed.unboundedEpoch();
-    localExpiryMs = sentAtMs + localTtlMs;
+    renewal.begin(committed.storeLeaseId(), sentAtMs);
     highestEpoch = Math.max(highestEpoch, claimedEpoch);
     transitionTo(Phase.LEADING, "claim committed");
     listener.onElected(claimedEpoch);
     replica.applied(committed.txn(), committed.epochRevision());
-    // What the listener or the copy of the state has brought may have ended it already.
+    // The listener, or what the copy of the state brought, may have ended the term already.
     if (isLeadingUnder(claimedEpoch)) {
-      scheduleRenewal(claimedEpoch, storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE);
+      renewal.scheduleFirst(claimedEpoch);
     }
   }
 
@@ -397,35 +364,15 @@
     return phase == Phase.LEADING && epoch == ofEpoch;
   }
 
-  private void scheduleRenewal(long ofEpoch, long delayMs) {
-    eventLoop.after(delayMs, () -> renew(ofEpoch));
-  }
-
-  private void renew(long ofEpoch) {
-    if (!isLeadingUnder(ofEpoch)) {
-      return;
+  private final class RenewalOwner implements LeaseRenewal.Owner {
+    @Override
+    public boolean isLeadingUnder(long ofEpoch) {
+      return Lease.this.isLeadingUnder(ofEpoch);
     }
-    long sentAtMs = eventLoop.nowMs();
-    state.renewLease(storeLeaseId, status -> onRenewalAnswered(ofEpoch, sentAtMs, status));
-  }
 
-  private void onRenewalAnswered(long ofEpoch, long sentAtMs, int status) {
-    if (!isLeadingUnder(ofEpoch)) {
-      return;
-    }
-    if (status == 404) {
+    @Override
+    public void onStoreLeaseExpired() {
       stepDown("lease at the state service expired", 0);
-      return;
-    }
-    boolean renewed = status == 200;
-    if (renewed) {
-      localExpiryMs = Math.max(localExpiryMs, sentAtMs + localTtlMs);
     }
-    long intervalMs =
-        renewed
-            ? storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE
-            : ProtocolConstants.RETRY_MS / 2;
-    long spentMs = eventLoop.nowMs() - sentAtMs;
-    scheduleRenewal(ofEpoch, Math.max(LeaderConstants.MIN_RENEWAL_PAUSE_MS, intervalMs - spentMs));
   }
 }
--- /dev/null
+++ b/src/test/java/fennelthread/leader/LeaderRecordTest.java
@@ -0,0 +1,49 @@
+package fennelthread.leader;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import fennelthread.wire.Fields;
+import fennelthread.wire.WireException;
+import org.junit.jupiter.api.Test;
+
+class LeaderRecordTest {
+  private static final LeaderRecord RECORD = new LeaderRecord("c1", "ab12", 7, 31, true, 1_000);
+
+  private static Fields stored() {
+    return Fields.create()
+        .with("member", "c1")
+        .with("incarnation", "ab12")
+        .with("epoch", 7L)
+        .with("permiso", 31L)
+        .with("promises", true)
+        .with("at_ms", 1_000L);
+  }
+
+  @Test
+  void storedFormKeepsItsFieldNames() {
+    assertEquals(stored(), RECORD.encode());
+  }
+
+  @Test
+  void storedFormIsReadBack() throws WireException {
+    assertEquals(RECORD, LeaderRecord.decode(stored()));
+  }
+
+  @Test
+  void recordOfAnOlderVersionHonorsNoPromises() throws WireException {
+    Fields older =
+        Fields.create()
+            .with("member", "c1")
+            .with("incarnation", "ab12")
+            .with("epoch", 7L)
+            .with("permiso", 31L);
+    assertEquals(new LeaderRecord("c1", "ab12", 7, 31, false, 0), LeaderRecord.decode(older));
+  }
+
+  @Test
+  void recordWithoutItsLeaseIsUnreadable() {
+    Fields broken = Fields.create().with("member", "c1").with("epoch", 7L);
+    assertThrows(WireException.class, () -> LeaderRecord.decode(broken));
+  }
+}
