--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -14,7 +14,7 @@
 import fennelthread.control.UnreachableLeaderPublisher;
 import fennelthread.control.WorkerReachabilityCheck;
 import fennelthread.election.Membership;
-import fennelthread.fleet.Cloud;
+import fennelthread.fleet.CloudClient;
 import fennelthread.handover.Handover;
 import fennelthread.health.HeapGuard;
 import fennelthread.leader.Lease;
@@ -50,7 +50,7 @@
   private final Options options;
   private final String incarnation;
   private final ReplicatedRecords records;
-  private final Cloud cloud;
+  private final CloudClient cloud;
   private final MachineTypes machineTypes;
   private final Lease lease;
   private final CurrentTerm currentTerm;
@@ -82,7 +82,7 @@
     this.options = options;
     this.incarnation = Long.toHexString(eventLoop.random().nextLong());
     this.records = new ReplicatedRecords(eventLoop, settings);
-    this.cloud = new Cloud(eventLoop, settings);
+    this.cloud = new CloudClient(eventLoop, settings);
     this.lease = createLease();
     this.machineTypes = createMachineTypes();
     this.currentTerm = new CurrentTerm(lease);
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -1,7 +1,7 @@
 package fennelthread.control;
 
 import fennelthread.constants.ControlConstants;
-import fennelthread.fleet.Cloud;
+import fennelthread.fleet.CloudClient;
 import fennelthread.leader.Lease;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
@@ -28,7 +28,7 @@
   private static final Logger log = LoggerFactory.getLogger(MachineTypes.class);
 
   private final EventLoop eventLoop;
-  private final Cloud cloud;
+  private final CloudClient cloud;
   private final StateClient state;
   private final Replica replica;
   private final Lease lease;
@@ -37,7 +37,7 @@
 
   /** Creates an empty set of types; {@link #fetchFromCloud} and the replica fill it. */
   public MachineTypes(
-      EventLoop eventLoop, Cloud cloud, StateClient state, Replica replica, Lease lease) {
+      EventLoop eventLoop, CloudClient cloud, StateClient state, Replica replica, Lease lease) {
     this.eventLoop = eventLoop;
     this.cloud = cloud;
     this.state = state;
@@ -56,11 +56,11 @@
       return;
     }
     fetching = true;
-    cloud.machineTypes(
+    cloud.fetchMachineTypes(
         types -> {
           fetching = false;
-          if (types != null && !types.isEmpty()) {
-            replace(types);
+          if (types.isPresent() && !types.get().isEmpty()) {
+            replace(types.get());
           } else {
             eventLoop.after(ControlConstants.MACHINE_TYPES_RETRY_MS, this::fetchFromCloud);
           }
--- a/src/main/java/fennelthread/fleet/BootTimes.java
+++ b/src/main/java/fennelthread/fleet/BootTimes.java
@@ -6,77 +6,85 @@
 import java.util.Map;
 
 /**
- * How long machines of each type take to come up, learnt from those that did. Some take several
- * times as long as the others and some never come; on some days all are late, and on some they are
- * there within a second or two. A machine is told from its like by what came of those that were
- * asked for with it or after it: on a day on which all are late, to give them back would only begin
- * the wait anew. Pure: time is told.
+ * Statistics of how long machines of each type take to boot, learnt from those that did. Some take
+ * several times as long as the others and some never come up; on some days all are late, and on
+ * some they are up within a second or two. A machine is judged by what became of those that were
+ * requested with it or after it: on a day on which all are late, returning them would only begin
+ * the wait anew.
+ *
+ * <p>Holds no clock: the time is passed in.
  */
 final class BootTimes {
-  private record Boot(long askedMs, double tookS) {}
+  private record Boot(long requestedAtMs, double tookS) {}
 
   private final Map<String, ArrayDeque<Boot>> byType = new HashMap<>();
 
-  /** A machine that was asked for at {@code askedMs} reports for the first time. */
-  void came(String type, long askedMs, long nowMs) {
+  /** Records that a machine which was requested at that time reports for the first time. */
+  void recordBoot(String type, long requestedAtMs, long nowMs) {
     ArrayDeque<Boot> boots = byType.computeIfAbsent(type, k -> new ArrayDeque<>());
-    boots.add(new Boot(askedMs, (nowMs - askedMs) / 1000.0));
+    boots.add(new Boot(requestedAtMs, secondsBetween(requestedAtMs, nowMs)));
     if (boots.size() > FleetConstants.BOOT_SAMPLES) {
       boots.poll();
     }
   }
 
   /**
-   * True if a machine that is not up yet takes longer than nearly all do: another may be asked for
-   * in its place.
+   * Returns true if a machine that is not up yet takes longer than nearly all do: another may be
+   * requested in its place.
    *
    * @param nominalS what the cloud says that its type takes, s
    */
-  boolean isLate(String type, double nominalS, long askedMs, long nowMs) {
-    double ageS = (nowMs - askedMs) / 1000.0;
+  boolean isLate(String type, double nominalS, long requestedAtMs, long nowMs) {
+    double ageS = secondsBetween(requestedAtMs, nowMs);
     return ageS > nominalS * FleetConstants.LATE_BOOT_NOMINAL_FACTOR
-        && ageS > usuallyS(type) * FleetConstants.LATE_BOOT_OBSERVED_FACTOR;
+        && ageS > typicalS(type) * FleetConstants.LATE_BOOT_OBSERVED_FACTOR;
   }
 
   /**
-   * True if it is to be given back: when several that were asked for with it or later are up, one
-   * if there are no others to be had, or when it has had the longest time that is given to any.
+   * Returns true if a machine is to be returned: when several that were requested with it or later
+   * are up, one if there are no others to be had, or when its timeout has passed.
    *
-   * @param scarce whether the cloud has no more of its kind, so that it stands in another's place
+   * @param nominalS what the cloud says that its type takes, s
+   * @param scarce whether the cloud has no more of its kind, so that it takes another's place
    */
-  boolean isDud(String type, double nominalS, long askedMs, long nowMs, boolean scarce) {
-    double ageS = (nowMs - askedMs) / 1000.0;
-    if (ageS
-        > Math.max(
-            FleetConstants.MIN_BOOT_TIMEOUT_S,
-            nominalS * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_S)) {
+  boolean isStuck(String type, double nominalS, long requestedAtMs, long nowMs, boolean scarce) {
+    double ageS = secondsBetween(requestedAtMs, nowMs);
+    if (ageS > timeoutS(nominalS)) {
       return true;
     }
-    return isLate(type, nominalS, askedMs, nowMs)
+    int minOvertakers =
+        scarce ? FleetConstants.STUCK_BOOT_OVERTAKERS_SCARCE : FleetConstants.STUCK_BOOT_OVERTAKERS;
+    return isLate(type, nominalS, requestedAtMs, nowMs)
         && ageS > nominalS * FleetConstants.STUCK_BOOT_NOMINAL_FACTOR
-        && overtakenBy(type, askedMs)
-            >= (scarce
-                ? FleetConstants.STUCK_BOOT_OVERTAKERS_SCARCE
-                : FleetConstants.STUCK_BOOT_OVERTAKERS);
+        && countOvertakers(type, requestedAtMs) >= minOvertakers;
   }
 
-  /**
-   * What nearly all of those took that came up lately, s: an eighth of them may have taken longer.
-   */
-  private double usuallyS(String type) {
-    double[] took =
+  private static double secondsBetween(long fromMs, long toMs) {
+    return (toMs - fromMs) / 1000.0;
+  }
+
+  private static double timeoutS(double nominalS) {
+    return Math.max(
+        FleetConstants.MIN_BOOT_TIMEOUT_S,
+        nominalS * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_S);
+  }
+
+  /** Returns what nearly all remembered boots of a type took at most, s; 0 if there are none. */
+  private double typicalS(String type) {
+    double[] tookS =
         byType.getOrDefault(type, new ArrayDeque<>(0)).stream()
             .mapToDouble(Boot::tookS)
             .sorted()
             .toArray();
-    return took.length == 0 ? 0 : took[(int) ((took.length - 1) * FleetConstants.BOOT_QUANTILE)];
+    return tookS.length == 0 ? 0 : tookS[(int) ((tookS.length - 1) * FleetConstants.BOOT_QUANTILE)];
   }
 
-  private int overtakenBy(String type, long askedMs) {
-    int later = 0;
-    for (Boot b : byType.getOrDefault(type, new ArrayDeque<>(0))) {
-      later += b.askedMs >= askedMs ? 1 : 0;
+  /** Counts the machines of a type that are up and were requested at that time or later. */
+  private int countOvertakers(String type, long requestedAtMs) {
+    int overtakers = 0;
+    for (Boot boot : byType.getOrDefault(type, new ArrayDeque<>(0))) {
+      overtakers += boot.requestedAtMs >= requestedAtMs ? 1 : 0;
     }
-    return later;
+    return overtakers;
   }
 }
--- a/src/main/java/fennelthread/fleet/BootingPool.java
+++ b/src/main/java/fennelthread/fleet/BootingPool.java
@@ -5,40 +5,40 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The CPUs of machines that are not up yet, handed out to the waiting jobs that may use them. */
+/** The CPUs of machines that are not up yet, reserved for the waiting jobs that may use them. */
 final class BootingPool {
-  private final Map<MachineKind, Double> cpus = new LinkedHashMap<>();
+  private final Map<MachineKind, Double> cpusByKind = new LinkedHashMap<>();
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** Adds a machine; {@code type} is null if the cloud does not list it any more. */
+  /** Adds a machine; {@code type} is null if the cloud does not list its type any more. */
   void add(MachineKind kind, MachineType type) {
     if (type != null) {
       types.put(type.name(), type);
-      cpus.merge(kind, type.cpus(), Double::sum);
+      cpusByKind.merge(kind, type.cpus(), Double::sum);
     }
   }
 
-  /** What a job's waiting tasks need, CPUs. */
-  static double cpusOf(Plan.Unplaced job) {
-    return job.tasks() * Math.max(0.1, job.spec().cpus());
+  /** Returns what a job's waiting tasks require, CPUs. */
+  static double cpusOf(Plan.Unplaced waiting) {
+    return waiting.tasks() * Math.max(0.1, waiting.spec().cpus());
   }
 
-  /** Takes what a job's waiting tasks need, as far as it is there; returns the rest, CPUs. */
-  double cover(Plan.Unplaced job) {
-    double rest = cpusOf(job);
-    for (Map.Entry<MachineKind, Double> e : cpus.entrySet()) {
-      if (rest > 0 && mayUse(e.getKey(), job)) {
-        double taken = Math.min(rest, e.getValue());
-        e.setValue(e.getValue() - taken);
-        rest -= taken;
+  /** Reserves what a job's waiting tasks require, as far as it is there; returns the rest, CPUs. */
+  double cover(Plan.Unplaced waiting) {
+    double restCpus = cpusOf(waiting);
+    for (Map.Entry<MachineKind, Double> entry : cpusByKind.entrySet()) {
+      if (restCpus > 0 && mayUse(entry.getKey(), waiting)) {
+        double reserved = Math.min(restCpus, entry.getValue());
+        entry.setValue(entry.getValue() - reserved);
+        restCpus -= reserved;
       }
     }
-    return rest;
+    return restCpus;
   }
 
-  private boolean mayUse(MachineKind kind, Plan.Unplaced job) {
-    return ScaleOutPolicy.fits(types.get(kind.type()), job)
-        && (!kind.spot() || job.spec().spotAllowed())
-        && job.mayUseZone(kind.zone());
+  private boolean mayUse(MachineKind kind, Plan.Unplaced waiting) {
+    return ScaleOutPolicy.fits(types.get(kind.type()), waiting)
+        && (!kind.spot() || waiting.spec().spotAllowed())
+        && waiting.mayUseZone(kind.zone());
   }
 }
--- /dev/null
+++ b/src/main/java/fennelthread/fleet/CloudClient.java
@@ -0,0 +1,172 @@
+package fennelthread.fleet;
+
+import fennelthread.constants.FleetConstants;
+import fennelthread.net.Answer;
+import fennelthread.net.Call;
+import fennelthread.net.EventLoop;
+import fennelthread.settings.Settings;
+import fennelthread.wire.Codec;
+import fennelthread.wire.Fields;
+import fennelthread.wire.MachineEntry;
+import fennelthread.wire.MachineType;
+import fennelthread.wire.Rental;
+import fennelthread.wire.WireException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Client of the cloud's interface. All callbacks run on the event loop's thread; an empty Optional
+ * stands for no usable answer.
+ */
+public final class CloudClient {
+  private static final Logger log = LoggerFactory.getLogger(CloudClient.class);
+
+  /** The result of a rental request. */
+  public sealed interface RentalResult {
+    /** These machines were rented, perhaps fewer than requested. */
+    record Machines(List<String> names) implements RentalResult {}
+
+    /** The cloud has no capacity for this type, zone and kind. */
+    record NoCapacity() implements RentalResult {}
+
+    /** Nothing is known; the same request can be sent again. */
+    record Unknown() implements RentalResult {}
+  }
+
+  /** The result of a return request. */
+  public enum ReturnResult {
+    /** The machines and everything on them are gone. */
+    CONFIRMED,
+    /** Not executed. */
+    REFUSED,
+    /** May have been executed, or may still be. */
+    UNKNOWN
+  }
+
+  private final EventLoop eventLoop;
+  private final String address;
+  private long backOffUntilMs;
+
+  /** Creates a client of the cloud whose address the settings name. */
+  public CloudClient(EventLoop eventLoop, Settings settings) {
+    this.eventLoop = eventLoop;
+    this.address = settings.cloudAddr();
+  }
+
+  /** Returns true while the cloud has asked us to slow down or is in trouble. */
+  public boolean isBackingOff() {
+    return eventLoop.nowMs() < backOffUntilMs;
+  }
+
+  /** Reads the machine types with their prices. */
+  public void fetchMachineTypes(Consumer<Optional<List<MachineType>>> done) {
+    call(Call.get("/flavors"), answer -> done.accept(readMachineTypes(answer)));
+  }
+
+  private static Optional<List<MachineType>> readMachineTypes(Answer answer) {
+    if (!isOk(answer)) {
+      return Optional.empty();
+    }
+    try {
+      return Optional.of(MachineType.readAll(answer.fields()));
+    } catch (WireException e) {
+      log.info("cloud answer malformed request=machineTypes error=\"{}\"", e.getMessage());
+      return Optional.empty();
+    }
+  }
+
+  /** Reads the whole machine list, page by page. */
+  public void listMachines(Consumer<Optional<List<MachineEntry>>> done) {
+    fetchPage(null, new ArrayList<>(), done);
+  }
+
+  private void fetchPage(
+      String afterName, List<MachineEntry> entries, Consumer<Optional<List<MachineEntry>>> done) {
+    String since = afterName == null ? "" : "since=" + afterName + "&";
+    call(
+        Call.get("/hosts?" + since + "most=500"),
+        answer -> {
+          if (!isOk(answer)) {
+            done.accept(Optional.empty());
+            return;
+          }
+          try {
+            Fields body = answer.fields();
+            List<MachineEntry> page = MachineEntry.readAll(body);
+            entries.addAll(page);
+            if (body.optFlag("more") && !page.isEmpty()) {
+              fetchPage(page.get(page.size() - 1).name(), entries, done);
+            } else {
+              done.accept(Optional.of(entries));
+            }
+          } catch (WireException e) {
+            log.info("cloud answer malformed request=machineList error=\"{}\"", e.getMessage());
+            done.accept(Optional.empty());
+          }
+        });
+  }
+
+  /** Rents machines; the request's name is never used for another, so that it can be repeated. */
+  public void rentMachines(Rental rental, Consumer<RentalResult> done) {
+    call(
+        Call.post("/hosts", Codec.CBOR, rental.write()),
+        answer -> done.accept(readRentalResult(answer)));
+  }
+
+  private RentalResult readRentalResult(Answer answer) {
+    try {
+      if (isOk(answer)) {
+        return new RentalResult.Machines(Rental.readNames(answer.fields()));
+      }
+      if (answer != null
+          && answer.status() == 503
+          && "no capacity".equals(answer.fields().optText("error"))) {
+        backOffUntilMs = 0;
+        return new RentalResult.NoCapacity();
+      }
+    } catch (WireException e) {
+      log.info("cloud answer malformed request=rental error=\"{}\"", e.getMessage());
+    }
+    return new RentalResult.Unknown();
+  }
+
+  /** Returns machines to the cloud. */
+  public void returnMachines(List<String> names, Consumer<ReturnResult> done) {
+    call(
+        Call.post("/hosts/return", Codec.CBOR, Rental.writeNames(names)),
+        answer -> done.accept(returnResultOf(answer)));
+  }
+
+  private static ReturnResult returnResultOf(Answer answer) {
+    if (isOk(answer)) {
+      return ReturnResult.CONFIRMED;
+    }
+    return isRejected(answer) ? ReturnResult.REFUSED : ReturnResult.UNKNOWN;
+  }
+
+  private static boolean isOk(Answer answer) {
+    return answer != null && answer.status() == 200;
+  }
+
+  /** Returns true if the cloud did not execute the request, for load or trouble. */
+  private static boolean isRejected(Answer answer) {
+    return answer != null && (answer.status() == 429 || answer.status() == 503);
+  }
+
+  private void call(Call call, Consumer<Answer> done) {
+    eventLoop.call(
+        address,
+        call,
+        FleetConstants.CLOUD_TIMEOUT_MS,
+        answer -> {
+          if (isRejected(answer)) {
+            backOffUntilMs = eventLoop.nowMs() + FleetConstants.CLOUD_BACKOFF_MS;
+          }
+          done.accept(answer);
+        });
+  }
+}
--- a/src/main/java/fennelthread/fleet/MachineKind.java
+++ b/src/main/java/fennelthread/fleet/MachineKind.java
@@ -1,4 +1,13 @@
 package fennelthread.fleet;
 
-/** What the cloud rents and refuses by: a type of machine, in a zone, ordinary or spot. */
-record MachineKind(String type, String zone, boolean spot) {}
+/**
+ * The kind of a machine, by which the cloud rents and refuses: its type, its zone, and whether it
+ * is a spot instance.
+ */
+record MachineKind(String type, String zone, boolean spot) {
+
+  /** Returns the kind of a machine whose type, zone and kind are known. */
+  static MachineKind of(Machine machine) {
+    return new MachineKind(machine.type(), machine.zone(), machine.spot());
+  }
+}
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -1,32 +1,33 @@
 package fennelthread.fleet;
 
 import fennelthread.constants.FleetConstants;
-import fennelthread.net.EventLoop;
-import fennelthread.net.StallDetector;
-import fennelthread.settings.Options;
-import fennelthread.settings.Settings;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines go back to the cloud and sends the requests. The cloud's answer proves
- * that nothing is on a machine any more.
+ * Scales in: decides which machines are returned to the cloud and sends the requests. The cloud's
+ * answer proves that nothing is on a machine any more.
  */
 final class MachineReturns {
   private static final Logger log = LoggerFactory.getLogger(MachineReturns.class);
 
-  private final Settings settings;
-  private final Options options;
-  private final Cloud cloud;
+  /** Receives each machine that the cloud has confirmed to be gone. */
+  @FunctionalInterface
+  interface ReturnListener {
+    void onReturned(Machine machine);
+  }
+
+  private final ProvisioningContext context;
+  private final CloudClient cloud;
   private final Fleet fleet;
   private final ZoneHealth zones;
-  private final StallDetector stalls;
-  private final Consumer<Machine> onReturned;
+  private final long reportMs;
+  private final long leaseMs;
+  private final ReturnListener listener;
   private final AggregatedLog aggregatedLog;
   private final Set<String> revocable = new LinkedHashSet<>();
   private final Set<String> returning = new LinkedHashSet<>();
@@ -34,28 +35,15 @@
   private boolean requestUnderWay;
   private long manySilentAtMs = Long.MIN_VALUE / 2;
 
-  /**
-   * Creates the returns of one term.
-   *
-   * @param onReturned told each machine that the cloud has confirmed to be gone
-   */
-  MachineReturns(
-      EventLoop eventLoop,
-      Settings settings,
-      Options options,
-      Cloud cloud,
-      Fleet fleet,
-      ZoneHealth zones,
-      StallDetector stalls,
-      Consumer<Machine> onReturned) {
-    this.settings = settings;
-    this.options = options;
-    this.cloud = cloud;
-    this.fleet = fleet;
-    this.zones = zones;
-    this.stalls = stalls;
-    this.onReturned = onReturned;
-    this.aggregatedLog = new AggregatedLog(eventLoop, log::info);
+  MachineReturns(ProvisioningContext context, ReturnListener listener) {
+    this.context = context;
+    this.cloud = context.cloud();
+    this.fleet = context.fleet();
+    this.zones = context.zones();
+    this.reportMs = context.settings().workers().reportMs();
+    this.leaseMs = context.settings().workers().leaseMs();
+    this.listener = listener;
+    this.aggregatedLog = new AggregatedLog(context.eventLoop(), log::info);
   }
 
   /** Ends the term: answers that are still under way change nothing. */
@@ -63,43 +51,44 @@
     closed = true;
   }
 
-  /** Selects the machines that are silent, mute, broken or long idle. */
+  /** Selects the machines that are silent, unanswered, broken or long idle. */
   void selectMachines(long nowMs) {
     selectSilent(nowMs);
-    selectMute(nowMs);
+    selectUnanswered(nowMs);
     for (Machine machine : fleet.machines()) {
-      String why = isUp(machine) ? reasonToReturn(machine, nowMs) : null;
-      if (why != null) {
-        beginReturn(machine, why);
+      ReturnReason reason =
+          isInService(machine) ? reasonToReturn(machine, nowMs) : ReturnReason.NONE;
+      if (reason != ReturnReason.NONE) {
+        beginReturn(machine, reason);
       }
     }
   }
 
-  private static boolean isUp(Machine machine) {
+  private static boolean isInService(Machine machine) {
     return machine.phase() != Machine.Phase.GONE && machine.phase() != Machine.Phase.RETURNING;
   }
 
   /**
-   * A machine that neither reports nor answers is most likely dead, and the cloud's answer to a
-   * return proves its tasks gone long before its lease does. Not if many are silent at once: then
-   * the fault is probably ours, or their zone's, where a controller may be keeping their tasks
-   * alive.
+   * Selects silent machines. One that neither reports nor answers is most likely dead, and the
+   * cloud's answer to a return proves its tasks gone long before its lease does. Not if many are
+   * silent at once: then the fault is probably ours, or their zone's, where a controller may be
+   * renewing their leases.
    */
   private void selectSilent(long nowMs) {
-    if (cloud.isBackingOff() || stalls.isListening()) {
+    if (cloud.isBackingOff() || context.stalls().isListening()) {
       return;
     }
     List<Machine> silent = new ArrayList<>();
     int known = 0;
     for (Machine machine : fleet.machines()) {
       // A machine that the predecessor used and that has not answered us may have died or been cut
-      // off just before the takeover.
+      // off just before the failover.
       boolean inherited = machine.phase() == Machine.Phase.AWAITING_REPORT && !machine.isEmpty();
       if ((machine.phase() == Machine.Phase.REPORTING || inherited)
           && !zones.isUnreachable(machine)) {
         known++;
         if (nowMs - machine.outOfContactSinceMs()
-            > settings.workers().reportMs() * FleetConstants.OVERDUE_REPORT_INTERVALS) {
+            > reportMs * FleetConstants.OVERDUE_REPORT_INTERVALS) {
           silent.add(machine);
         }
       }
@@ -109,30 +98,35 @@
       return;
     }
     for (Machine machine : silent) {
-      // Once most are heard again, the others have as long as ever to be heard too.
-      long silentFromMs =
-          Math.max(
-              machine.outOfContactSinceMs(),
-              Math.max(manySilentAtMs, zones.lastUnreachableAtMs(machine)));
       if (machine.contact().probeFailed()
           && !machine.isEmpty()
-          && nowMs - silentFromMs
-              > settings.workers().leaseMs() * FleetConstants.MAX_SILENCE_LEASE_SHARE) {
-        beginRevocableReturn(machine, "silent");
+          && nowMs - silentSinceMs(machine) > leaseMs * FleetConstants.MAX_SILENCE_LEASE_SHARE) {
+        beginRevocableReturn(machine, ReturnReason.SILENT);
       }
     }
   }
 
   /**
-   * A machine that carries out commands while none of its own reports arrives is of no use: each
-   * lease runs out there. Nothing is lost with it once its tasks are proven gone. Not if many are
-   * mute at once: that ends for all of them together, and they would be missed.
+   * Returns since when a machine's silence counts, ms: once most of the fleet or its zone is in
+   * contact again, the others have as long as ever to be in contact too.
+   */
+  private long silentSinceMs(Machine machine) {
+    return Math.max(
+        machine.outOfContactSinceMs(),
+        Math.max(manySilentAtMs, zones.lastUnreachableAtMs(machine)));
+  }
+
+  /**
+   * Selects machines that carry out commands while none of their own reports arrives. They are of
+   * no use, since each lease expires there, and nothing is lost with them once their tasks are
+   * proven gone. Not if many are unanswered at once: that ends for all of them together, and they
+   * would be missed.
    */
-  private void selectMute(long nowMs) {
-    if (stalls.isListening()) {
+  private void selectUnanswered(long nowMs) {
+    if (context.stalls().isListening()) {
       return;
     }
-    List<Machine> mute = new ArrayList<>();
+    List<Machine> unanswered = new ArrayList<>();
     int known = 0;
     for (Machine machine : fleet.machines()) {
       boolean up =
@@ -140,80 +134,81 @@
       if (up && !zones.isUnreachable(machine)) {
         known++;
         if (fleet.isUnanswered(machine)) {
-          mute.add(machine);
+          unanswered.add(machine);
         }
       }
     }
-    if (isMany(mute, known)) {
+    if (isMany(unanswered, known)) {
       return;
     }
-    for (Machine machine : mute) {
+    for (Machine machine : unanswered) {
       if (machine.isEmpty()
           && nowMs - machine.reportAnsweredAtMs()
-              > settings.workers().leaseMs() * FleetConstants.UNANSWERED_RETURN_LEASES) {
-        beginReturn(machine, "mute");
+              > leaseMs * FleetConstants.UNANSWERED_RETURN_LEASES) {
+        beginReturn(machine, ReturnReason.REPORTS_LOST);
       }
     }
   }
 
-  private static boolean isMany(List<Machine> some, int known) {
-    return some.size() > Math.max(1, known * FleetConstants.MAX_SILENT_SHARE);
+  private static boolean isMany(List<Machine> selected, int known) {
+    return selected.size() > Math.max(1, known * FleetConstants.MAX_SILENT_SHARE);
   }
 
-  /** Why a single machine goes back, or null if it stays. */
-  private String reasonToReturn(Machine machine, long nowMs) {
+  /** Returns why a single machine is returned, or NONE if it stays. */
+  private ReturnReason reasonToReturn(Machine machine, long nowMs) {
     if (isLost(machine, nowMs)) {
-      return "lost";
+      return ReturnReason.LEASE_EXPIRED;
     }
     if (machine.isListedFailed()) {
-      return "failed";
+      return ReturnReason.FAILED;
     }
     if (isInterrupted(machine, nowMs)) {
-      return "taken";
+      return ReturnReason.INTERRUPTED;
     }
     if (machine.isCordoned() && machine.isEmpty()) {
-      return "drained";
+      return ReturnReason.CORDONED;
     }
     if (isIdle(machine, nowMs)) {
-      return "idle";
+      return ReturnReason.IDLE;
     }
-    return fleet.isLosingLeases(machine) && !zones.isUnreachable(machine) ? "hears nothing" : null;
+    return fleet.isLosingLeases(machine) && !zones.isUnreachable(machine)
+        ? ReturnReason.LOSING_LEASES
+        : ReturnReason.NONE;
   }
 
   private boolean isLost(Machine machine, long nowMs) {
     boolean silent =
-        nowMs - machine.lastContactAtMs()
-            > settings.workers().leaseMs() + FleetConstants.LOST_RETURN_DELAY_MS;
+        nowMs - machine.lastContactAtMs() > leaseMs + FleetConstants.LOST_RETURN_DELAY_MS;
     return machine.phase() == Machine.Phase.LOST && silent && zones.mayReclaimLost(machine, nowMs);
   }
 
-  /** True if the cloud's notice has run out and the machine is silent since. */
+  /** Returns true if a spot interruption notice has run out and the machine is silent since. */
   private boolean isInterrupted(Machine machine, long nowMs) {
     return machine.interruptionAtMs() >= 0
         && nowMs > machine.interruptionAtMs()
-        && nowMs - machine.lastReportAtMs() > settings.workers().reportMs() * 2;
+        && nowMs - machine.lastReportAtMs() > reportMs * 2;
   }
 
   private boolean isIdle(Machine machine, long nowMs) {
     return machine.phase() == Machine.Phase.REPORTING
         && machine.idleSinceMs() >= 0
-        && nowMs - machine.idleSinceMs() > options.idleReturnMs();
+        && nowMs - machine.idleSinceMs() > context.options().idleReturnMs();
   }
 
-  /** The machine is returned whatever the cloud answers: requests are repeated. */
-  void beginReturn(Machine machine, String why) {
-    aggregatedLog.add("returning, " + why, machine.name(), 1);
+  /** Returns a machine whatever the cloud answers: requests are repeated until it confirms. */
+  private void beginReturn(Machine machine, ReturnReason reason) {
+    aggregatedLog.add("machine return requested reason=" + reason.logValue(), machine.name(), 1);
     fleet.beginReturn(machine);
     returning.add(machine.name());
   }
 
-  /** The machine is returned, but serves on if the cloud refuses to take it. */
-  void beginRevocableReturn(Machine machine, String why) {
+  /** Returns a machine that stays in service if the cloud refuses to take it. */
+  void beginRevocableReturn(Machine machine, ReturnReason reason) {
     revocable.add(machine.name());
-    beginReturn(machine, why);
+    beginReturn(machine, reason);
   }
 
-  /** Sends what was selected, unless a request is under way. */
+  /** Sends the selected machines' return, unless a request is under way. */
   void send() {
     if (requestUnderWay || returning.isEmpty() || cloud.isBackingOff()) {
       return;
@@ -227,25 +222,25 @@
           if (closed) {
             return;
           }
-          if (result == Cloud.Returned.GONE) {
-            confirmed(names);
-          } else if (result == Cloud.Returned.REFUSED) {
-            refused(names);
+          switch (result) {
+            case CONFIRMED -> onConfirmed(names);
+            case REFUSED -> onRefused(names);
+            case UNKNOWN -> {}
           }
         });
   }
 
-  private void confirmed(List<String> names) {
+  private void onConfirmed(List<String> names) {
     revocable.removeAll(names);
     for (String name : names) {
       Machine machine = fleet.machine(name);
       returning.remove(name);
       fleet.completeReturn(machine);
-      onReturned.accept(machine);
+      listener.onReturned(machine);
     }
   }
 
-  private void refused(List<String> names) {
+  private void onRefused(List<String> names) {
     for (String name : names) {
       if (revocable.remove(name)) {
         returning.remove(name);
--- a/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
+++ b/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
@@ -9,35 +9,48 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.function.Predicate;
 
-/** Decides what to rent next: a function of the machines there are and of what waits for room. */
+/** Decides what to rent next: a function of the machines there are and of the waiting tasks. */
 final class ScaleOutPolicy {
-  /** Machines to ask for. */
+
+  /** Machines of one kind to request. */
   record Request(MachineKind kind, int machines) {}
 
+  /** The kinds that the cloud has no capacity for at the moment. */
+  @FunctionalInterface
+  interface RefusedKinds {
+    boolean contains(MachineKind kind);
+  }
+
+  /** Decides whether machines may be requested in a zone. */
+  @FunctionalInterface
+  private interface ZoneFilter {
+    boolean mayUse(String zone);
+  }
+
   /**
-   * What there is.
+   * The machines there are.
    *
-   * @param types what the cloud offers, by name
-   * @param machines how many machines are not given back yet
-   * @param cpusByZone CPUs of machines that are up or coming, by zone
-   * @param coming the kinds of those that are coming, one entry for each
+   * @param types the machine types that the cloud offers, by name
+   * @param machines number of machines that are not returned yet
+   * @param cpusByZone CPUs of machines that are up or expected to boot, by zone
+   * @param expected the kinds of those that are expected to boot, one entry for each machine
    */
   record Stock(
       Map<String, MachineType> types,
       int machines,
       Map<String, Double> cpusByZone,
-      List<MachineKind> coming) {
+      List<MachineKind> expected) {
 
     double cpus() {
       return cpusByZone.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    double comingCpus() {
+    double expectedCpus() {
       double cpus = 0;
-      for (MachineKind kind : coming) {
+      for (MachineKind kind : expected) {
         MachineType type = types.get(kind.type());
         cpus += type == null ? 0 : type.cpus();
       }
@@ -56,80 +69,85 @@
   }
 
   /**
-   * What to ask for now, or null.
+   * Returns what to request now, if anything.
    *
-   * @param unplaced the tasks that found no room, in the order in which they are owed it
+   * @param unplaced the tasks that found no capacity, in scheduling order
    * @param peakCpus the highest demand of the last minutes, CPUs
    * @param refused the kinds that the cloud does not have at the moment
    */
-  Request next(
-      Stock stock, List<Plan.Unplaced> unplaced, double peakCpus, Predicate<MachineKind> refused) {
+  Optional<Request> nextRequest(
+      Stock stock, List<Plan.Unplaced> unplaced, double peakCpus, RefusedKinds refused) {
     if (stock.machines >= options.maxMachines()) {
-      return null;
+      return Optional.empty();
     }
-    Request request = forChoosyJob(stock, unplaced, refused);
-    return request != null ? request : forAll(stock, unplaced, peakCpus, refused);
+    return requestForConstrainedJob(stock, unplaced, refused)
+        .or(() -> requestForTotalDemand(stock, unplaced, peakCpus, refused));
   }
 
   /**
-   * For the first job that takes only some types or zones and for which what is coming is not
-   * enough: the sum of all that waits would rent what is cheapest, again and again, of which this
-   * job takes none.
+   * Returns a request for the first job that takes only some types or zones and for which the
+   * expected machines are not enough. The sum of all waiting tasks would rent what is cheapest,
+   * again and again, of which this job takes none.
    */
-  private Request forChoosyJob(
-      Stock stock, List<Plan.Unplaced> unplaced, Predicate<MachineKind> refused) {
+  private Optional<Request> requestForConstrainedJob(
+      Stock stock, List<Plan.Unplaced> unplaced, RefusedKinds refused) {
     BootingPool pool = new BootingPool();
-    stock.coming.forEach(kind -> pool.add(kind, stock.types.get(kind.type())));
-    for (Plan.Unplaced u : unplaced) {
-      double uncovered = pool.cover(u);
-      if (uncovered > 0 && u.hasConstraints()) {
-        Request request = first(kindsFor(u, stock), stock, uncovered, refused);
-        if (request != null) {
+    stock.expected.forEach(kind -> pool.add(kind, stock.types.get(kind.type())));
+    for (Plan.Unplaced waiting : unplaced) {
+      double uncoveredCpus = pool.cover(waiting);
+      if (uncoveredCpus > 0 && waiting.hasConstraints()) {
+        Optional<Request> request =
+            requestFirst(kindsFor(waiting, stock), stock, uncoveredCpus, refused);
+        if (request.isPresent()) {
           return request;
         }
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  /** For the sum of all that waits, or for the highest demand of the last minutes. */
-  private Request forAll(
-      Stock stock, List<Plan.Unplaced> unplaced, double peakCpus, Predicate<MachineKind> refused) {
-    double waiting = 0;
-    Set<String> wanted = new HashSet<>();
-    for (Plan.Unplaced u : unplaced) {
-      waiting += BootingPool.cpusOf(u);
+  /** Returns a request for the sum of all waiting tasks, or for the peak demand if it is higher. */
+  private Optional<Request> requestForTotalDemand(
+      Stock stock, List<Plan.Unplaced> unplaced, double peakCpus, RefusedKinds refused) {
+    double waitingCpus = 0;
+    Set<String> wantedTypes = new HashSet<>();
+    for (Plan.Unplaced waiting : unplaced) {
+      waitingCpus += BootingPool.cpusOf(waiting);
       for (MachineType type : stock.types.values()) {
-        if (fits(type, u)) {
-          wanted.add(type.name());
+        if (fits(type, waiting)) {
+          wantedTypes.add(type.name());
         }
       }
     }
-    double spare = priceMatters ? 1.0 : options.spare();
-    double missing = Math.max(peakCpus * spare - stock.cpus(), waiting - stock.comingCpus());
-    return missing <= 0 ? null : first(kinds(stock, wanted), stock, missing, refused);
+    double headroom = priceMatters ? 1.0 : options.spare();
+    double missingCpus =
+        Math.max(peakCpus * headroom - stock.cpus(), waitingCpus - stock.expectedCpus());
+    return missingCpus <= 0
+        ? Optional.empty()
+        : requestFirst(allKinds(stock, wantedTypes), stock, missingCpus, refused);
   }
 
-  /** The first kind that is to be had, and as many machines as hold so many CPUs. */
-  private Request first(
-      List<MachineKind> kinds, Stock stock, double cpus, Predicate<MachineKind> refused) {
-    int most =
+  /** Requests the first kind that is not refused, as many machines as hold so many CPUs. */
+  private Optional<Request> requestFirst(
+      List<MachineKind> kinds, Stock stock, double cpus, RefusedKinds refused) {
+    int maxMachines =
         Math.min(FleetConstants.MAX_MACHINES_PER_RENTAL, options.maxMachines() - stock.machines);
     for (MachineKind kind : kinds) {
-      if (!refused.test(kind)) {
-        double each = Math.max(0.5, stock.types.get(kind.type()).cpus());
-        return new Request(kind, (int) Math.min(most, Math.ceil(cpus / each)));
+      if (!refused.contains(kind)) {
+        double cpusPerMachine = Math.max(0.5, stock.types.get(kind.type()).cpus());
+        int machines = (int) Math.min(maxMachines, Math.ceil(cpus / cpusPerMachine));
+        return Optional.of(new Request(kind, machines));
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  /** All kinds: ordinary ones first, of them the wanted types, of them the cheapest. */
-  private List<MachineKind> kinds(Stock stock, Set<String> wanted) {
+  /** Returns all kinds: on-demand before spot, wanted types before others, cheap ones first. */
+  private List<MachineKind> allKinds(Stock stock, Set<String> wantedTypes) {
     List<MachineType> types = new ArrayList<>(stock.types.values());
     types.sort(
         Comparator.<MachineType>comparingInt(
-                f -> wanted.isEmpty() || wanted.contains(f.name()) ? 0 : 1)
+                type -> wantedTypes.isEmpty() || wantedTypes.contains(type.name()) ? 0 : 1)
             .thenComparingDouble(ScaleOutPolicy::pricePerCpu));
     List<MachineKind> kinds = new ArrayList<>();
     addKinds(kinds, types, stock, false, zone -> true);
@@ -137,31 +155,31 @@
     return kinds;
   }
 
-  /** The kinds that a job's next task may run on: ordinary ones first, of them the cheapest. */
-  private List<MachineKind> kindsFor(Plan.Unplaced u, Stock stock) {
+  /** Returns the kinds that a job's next task may run on: on-demand first, of them the cheapest. */
+  private List<MachineKind> kindsFor(Plan.Unplaced waiting, Stock stock) {
     List<MachineType> types = new ArrayList<>(stock.types.values());
-    types.removeIf(type -> !fits(type, u));
+    types.removeIf(type -> !fits(type, waiting));
     types.sort(Comparator.comparingDouble(ScaleOutPolicy::pricePerCpu));
     List<MachineKind> kinds = new ArrayList<>();
-    addKinds(kinds, types, stock, false, u::mayUseZone);
-    if (u.spec().spotAllowed()) {
-      addKinds(kinds, types, stock, true, u::mayUseZone);
+    addKinds(kinds, types, stock, false, waiting::mayUseZone);
+    if (waiting.spec().spotAllowed()) {
+      addKinds(kinds, types, stock, true, waiting::mayUseZone);
     }
     return kinds;
   }
 
   /**
-   * Adds the kinds of the zones that may be used. If all of these are away it is rented there: a
-   * zone of which no machine is left would seem away for ever.
+   * Adds the kinds of the zones that may be used. If all of these are unreachable, machines are
+   * rented there nevertheless: a zone of which no machine is left would seem unreachable for ever.
    */
   private void addKinds(
       List<MachineKind> kinds,
       List<MachineType> types,
       Stock stock,
       boolean spot,
-      Predicate<String> mayUse) {
+      ZoneFilter filter) {
     for (MachineType type : types) {
-      List<String> usable = type.zones().stream().filter(mayUse).toList();
+      List<String> usable = type.zones().stream().filter(filter::mayUse).toList();
       if (!usable.isEmpty()) {
         for (String zone : zones.zonesToProvision(usable, stock.cpusByZone)) {
           kinds.add(new MachineKind(type.name(), zone, spot));
@@ -174,11 +192,11 @@
     return type.price() / Math.max(1, type.cpus());
   }
 
-  /** True if the job takes machines of the type, and a task of it fits one. */
-  static boolean fits(MachineType type, Plan.Unplaced u) {
-    return (u.spec().types() == null || u.spec().types().contains(type.name()))
-        && u.spec().cpus() <= type.cpus()
-        && u.spec().cards() <= type.cards()
-        && u.spec().memGb() <= type.memGb();
+  /** Returns true if a job takes machines of the type, and a task of it fits one. */
+  static boolean fits(MachineType type, Plan.Unplaced waiting) {
+    return (waiting.spec().types() == null || waiting.spec().types().contains(type.name()))
+        && waiting.spec().cpus() <= type.cpus()
+        && waiting.spec().cards() <= type.cards()
+        && waiting.spec().memGb() <= type.memGb();
   }
 }
--- a/src/main/java/fennelthread/fleet/ZoneHealth.java
+++ b/src/main/java/fennelthread/fleet/ZoneHealth.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * What is thought of the zones that machines are in: whether a machine's silence is its own or its
- * zone's. Placement, renting and returning ask; whoever knows answers.
+ * The health of the zones that machines are in: tells whether a machine's silence is its own or its
+ * zone's. Placement, scaling out and scaling in ask it.
  */
 public interface ZoneHealth {
-  /** Nothing is thought of any zone: every machine stands for itself. */
+  /** The health where zones are not distinguished: every machine is judged by itself. */
   ZoneHealth NONE =
       new ZoneHealth() {
         @Override
@@ -41,37 +41,39 @@
         }
 
         @Override
-        public List<String> zonesToProvision(List<String> zones, Map<String, Double> cpus) {
-          return zones;
+        public List<String> zonesToProvision(
+            List<String> candidates, Map<String, Double> cpusByZone) {
+          return candidates;
         }
       };
 
-  /** Looks at the machines of the term; to be called several times a second. */
+  /** Observes the machines of the term; to be called several times a second. */
   void observe(Collection<Machine> machines, long nowMs);
 
-  /** False if tasks given to this machine now would most likely not reach it. */
+  /** Returns false if tasks given to this machine now would most likely not reach it. */
   boolean mayPlace(Machine machine);
 
-  /** True if the machine's zone is away as a whole: its silence says nothing of the machine. */
+  /** Returns true if the machine's zone is unreachable: its silence says nothing of the machine. */
   boolean isUnreachable(Machine machine);
 
   /**
-   * When the machine's zone was last away, ms; its own silence counts from then at the earliest.
+   * Returns when the machine's zone was last unreachable, ms; the machine's own silence counts from
+   * then at the earliest.
    */
   long lastUnreachableAtMs(Machine machine);
 
-  /** False if a machine whose lease is over should be kept, since its zone may bring it back. */
+  /** Returns false if a machine whose lease is over is kept, since its zone may bring it back. */
   boolean mayReclaimLost(Machine machine, long nowMs);
 
-  /** How much of the machine counts as ours when deciding what to rent, as a share. */
+  /** Returns the share of the machine, 0 to 1, that counts as ours when deciding what to rent. */
   double countedShare(Machine machine, long nowMs);
 
   /**
-   * The zones to rent in, best first.
+   * Returns the zones to rent in, best first.
    *
-   * @param zones those that a type can be had in, not empty
-   * @param cpus what is ours or booting in each zone, CPUs
-   * @return some of these, never none
+   * @param candidates those that a type can be had in, not empty
+   * @param cpusByZone what is ours or booting in each zone, CPUs
+   * @return some of the candidates, never none
    */
-  List<String> zonesToProvision(List<String> zones, Map<String, Double> cpus);
+  List<String> zonesToProvision(List<String> candidates, Map<String, Double> cpusByZone);
 }
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -2,13 +2,14 @@
 
 import fennelthread.constants.LeaderConstants;
 import fennelthread.fleet.Attempt;
-import fennelthread.fleet.Cloud;
+import fennelthread.fleet.CloudClient;
 import fennelthread.fleet.CommandTransport;
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.FleetListener;
 import fennelthread.fleet.HeartbeatResponder;
 import fennelthread.fleet.Machine;
 import fennelthread.fleet.MachineProvisioner;
+import fennelthread.fleet.ProvisioningContext;
 import fennelthread.fleet.WorkerLink;
 import fennelthread.fleet.ZoneHealth;
 import fennelthread.jobs.Job;
@@ -85,7 +86,7 @@
       JobTable table,
       JobStore store,
       Lease lease,
-      Cloud cloud,
+      CloudClient cloud,
       Supplier<Map<String, MachineType>> machineTypes,
       Consumer<List<MachineType>> onMachineTypes,
       LongSupplier othersSilentSince,
@@ -114,13 +115,7 @@
             new WorkerLink(transport, responder, stalls));
     this.provisioner =
         new MachineProvisioner(
-            eventLoop,
-            settings,
-            options,
-            cloud,
-            fleet,
-            zones,
-            stalls,
+            new ProvisioningContext(eventLoop, settings, options, cloud, fleet, zones, stalls),
             "r-" + epoch + "-" + settings.member(),
             machineTypes.get(),
             onMachineTypes);
@@ -141,7 +136,7 @@
             activeJobs,
             demand,
             runTimes,
-            provisioner::demand,
+            provisioner::recordDemand,
             machineTypes,
             spare);
     this.completions =
