--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -95,7 +95,7 @@
       // Of a service that has more than one replica another goes on whatever is stopped.
       boolean looked =
           run.isReleased()
-              && waitedMs > PlanConstants.BEGIN_AFTER_MS
+              && waitedMs > PlanConstants.AGING_THRESHOLD_MS
               && (run.hasIdle() || run.isUndone())
               && !(run.job().spec().service() && run.attempts().size() > 1);
       if (looked) {
--- a/src/main/java/fennelthread/plan/Aging.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -5,25 +5,26 @@
 import java.util.Set;
 
 /**
- * Whose turn it is although the order of placement would put them off: jobs that have waited long
- * and have nothing at work. Small, urgent or guaranteed work that keeps coming would otherwise keep
- * the largest job of a class from ever beginning. What they get is one task each, oldest first, on
- * a small part of the fleet; that task is then stopped for nobody, or it would begin often and
- * never be done.
+ * Keeps jobs from starving: a job that has waited long and has nothing running gets its first task
+ * placed early, although the order of placement would put it off. Small, urgent or guaranteed work
+ * that keeps arriving would otherwise keep the largest job of a class from ever beginning. Each
+ * such job gets one task, oldest job first, on a small part of the fleet; that task is then not
+ * preempted for a while, or it would begin often and never finish.
  *
- * <p>Pure: the same jobs in the same order give the same turns.
+ * <p>Deterministic: the same jobs in the same order get the same boosts.
  */
 public final class Aging {
 
   /**
    * A job that may be given tasks now.
    *
+   * @param id the job's id
    * @param waitedMs since it could have begun, ms
    * @param cpus what one of its tasks takes
-   * @param begun whether a task of it is done or failed, so that it has had its turn
-   * @param attempt its attempt that is furthest, null if nothing of it may be anywhere
-   * @param ranS how long that has run, s
-   * @param takesS how long its tasks are expected to run, s; 0 of services
+   * @param begun whether a task of it is done or failed, so that it needs no boost any more
+   * @param attempt its attempt that has got furthest, null if nothing of it may be present anywhere
+   * @param elapsedS how long that attempt has run, s
+   * @param expectedRunS how long its tasks are expected to run, s; 0 of services
    */
   public record Candidate(
       String id,
@@ -31,56 +32,58 @@
       double cpus,
       boolean begun,
       Long attempt,
-      double ranS,
-      double takesS) {}
+      double elapsedS,
+      double expectedRunS) {}
 
-  private final Set<String> first = new HashSet<>();
-  private final Set<String> early = new HashSet<>();
+  private final Set<String> aboveAll = new HashSet<>();
+  private final Set<String> withinPriority = new HashSet<>();
   private final Set<Long> nonPreemptible = new HashSet<>();
   private final Set<Long> preemptibleOnlyByMoreUrgent = new HashSet<>();
-  private final double mostCpus;
-  private double cpus;
+  private final double maxCpus;
+  private double usedCpus;
 
-  /** Begins with nobody's turn, in a fleet of so many CPUs. */
+  /** Creates the state for one round, without boosts, in a fleet of so many CPUs. */
   public Aging(double fleetCpus) {
-    this.mostCpus = fleetCpus * PlanConstants.TURNS_SHARE;
+    this.maxCpus = fleetCpus * PlanConstants.AGED_JOBS_SHARE;
   }
 
-  /** Looks at the next job; the oldest come first. */
+  /** Decides on the next job; jobs have to come oldest first. */
   public void consider(Candidate job) {
-    if (job.begun || job.waitedMs <= PlanConstants.BEGIN_AFTER_MS) {
+    if (job.begun || job.waitedMs <= PlanConstants.AGING_THRESHOLD_MS) {
       return;
     }
-    boolean room = cpus == 0 || cpus + job.cpus <= mostCpus;
+    boolean fits = usedCpus == 0 || usedCpus + job.cpus <= maxCpus;
     if (job.attempt == null) {
-      (room ? first : early).add(job.id);
-    } else if (job.ranS
-        <= Math.max(PlanConstants.KEPT_LEAST_S, PlanConstants.KEPT_TIMES * job.takesS)) {
-      (room ? nonPreemptible : preemptibleOnlyByMoreUrgent).add(job.attempt);
+      (fits ? aboveAll : withinPriority).add(job.id);
+    } else if (job.elapsedS
+        <= Math.max(
+            PlanConstants.MIN_NON_PREEMPTIBLE_S,
+            PlanConstants.NON_PREEMPTIBLE_RUN_FACTOR * job.expectedRunS)) {
+      (fits ? nonPreemptible : preemptibleOnlyByMoreUrgent).add(job.attempt);
     } else {
-      // It has run for so long that others need not stand back for it any more.
+      // It has run for so long that it may be preempted like any other.
       return;
     }
-    if (room) {
-      cpus += job.cpus;
+    if (fits) {
+      usedCpus += job.cpus;
     }
   }
 
-  /** When the job's first task is looked at. */
+  /** How far the job's first task is moved forward. */
   public AgingBoost boostOf(String id) {
-    return first.contains(id)
+    return aboveAll.contains(id)
         ? AgingBoost.ABOVE_ALL
-        : early.contains(id) ? AgingBoost.WITHIN_PRIORITY : AgingBoost.NONE;
+        : withinPriority.contains(id) ? AgingBoost.WITHIN_PRIORITY : AgingBoost.NONE;
   }
 
-  /** The attempts that are stopped for nobody. */
+  /** The attempts that are not preempted for any work. */
   public Set<Long> nonPreemptible() {
     return nonPreemptible;
   }
 
   /**
-   * The attempts that are stopped for more urgent work alone: they began before other work of their
-   * priority, which would stop them, and they would begin before it again.
+   * The attempts that are preempted for more urgent work alone. They began before other work of
+   * their priority: preempted for it, they would begin before it again, over and over.
    */
   public Set<Long> preemptibleOnlyByMoreUrgent() {
     return preemptibleOnlyByMoreUrgent;
--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -11,27 +11,29 @@
 import java.util.Set;
 
 /**
- * The resources of one machine while a scheduling round hands them out: what is free now, what is
- * about to become free, and what of that is reserved. {@code version} rises with each change, so
- * that a ranking made before it can be recognized as out of date.
+ * The free capacity of one machine during a scheduling round: what is free now, what running tasks
+ * that are being stopped will release, and what of both is reserved for waiting tasks.
  */
 final class FreeCapacity {
-  final Snapshot.Machine machine;
-  final int index;
+  private final Snapshot.Machine machine;
+  private final int index;
   private int version;
   private double cpus;
   private double cards;
   private double memGb;
   private int slots;
-  private double comingCpus;
-  private double comingCards;
-  private double comingMemGb;
+
+  /** What stopping tasks release, less what is reserved; negative if more is reserved. */
+  private double releasingCpus;
+
+  private double releasingCards;
+  private double releasingMemGb;
   private Set<String> fetching;
-  private Map<String, Integer> classes;
-  private List<Snapshot.RunningTask> byEnd;
-  private double soonestS = -1;
+  private Map<String, Integer> tasksByClass;
+  private List<Snapshot.RunningTask> runningByCompletion;
+  private double firstCompletionS = -1;
 
-  /** Creates the room of a machine; {@code index} is its place among the machines of the round. */
+  /** Creates a machine's capacity; {@code index} is its place among the machines of the round. */
   FreeCapacity(Snapshot.Machine machine, int index) {
     this.machine = machine;
     this.index = index;
@@ -41,6 +43,15 @@
     this.slots = machine.slots();
   }
 
+  Snapshot.Machine machine() {
+    return machine;
+  }
+
+  int index() {
+    return index;
+  }
+
+  /** A number that rises with each change, so that an older ranking is recognized as outdated. */
   int version() {
     return version;
   }
@@ -50,39 +61,40 @@
   }
 
   /**
-   * True if a task fits now, and still does when what is reserved is taken: of room that is made
-   * piece by piece, the first piece must not go to a smaller task of less urgent work, which would
-   * be stopped for the same task again, over and over.
+   * True if a task fits now, and still does when what is reserved is taken. Where capacity for a
+   * large task is released piece by piece, the first piece must not go to a smaller and less urgent
+   * one, which would be preempted for the large task again, over and over.
    */
   boolean fits(JobSpec spec) {
     return isEnough(
         spec,
-        cpus + Math.min(0, comingCpus),
-        cards + Math.min(0, comingCards),
-        memGb + Math.min(0, comingMemGb));
+        cpus + Math.min(0, releasingCpus),
+        cards + Math.min(0, releasingCards),
+        memGb + Math.min(0, releasingMemGb));
   }
 
   /** True if a task fits now, whatever is reserved for others. */
-  boolean fitsUnreserved(JobSpec spec) {
+  boolean fitsIgnoringReservations(JobSpec spec) {
     return isEnough(spec, cpus, cards, memGb);
   }
 
-  /** True if a task fits once the room that is being made is free. */
-  boolean willFit(JobSpec spec) {
-    return fitsWith(spec, 0, 0, 0);
+  /** True if a task fits beside all reservations once the stopping tasks are gone. */
+  boolean fitsAfterReleases(JobSpec spec) {
+    return fitsAfterReleasesAnd(spec, 0, 0, 0);
   }
 
-  /** The same if so much more became free. */
-  boolean fitsWith(JobSpec spec, double moreCpus, double moreCards, double moreMemGb) {
+  /** The same if so much more is released. */
+  boolean fitsAfterReleasesAnd(JobSpec spec, double moreCpus, double moreCards, double moreMemGb) {
     return isEnough(
         spec,
-        cpus + comingCpus + moreCpus,
-        cards + comingCards + moreCards,
-        memGb + comingMemGb + moreMemGb);
+        cpus + releasingCpus + moreCpus,
+        cards + releasingCards + moreCards,
+        memGb + releasingMemGb + moreMemGb);
   }
 
   /**
-   * Stopped tasks stay in their worker's reports for a while: no slot comes free with their room.
+   * Stopped tasks stay in their worker's reports for a while: their capacity comes free without a
+   * slot.
    */
   private boolean isEnough(JobSpec spec, double cpus, double cards, double memGb) {
     return slots > 0
@@ -95,32 +107,32 @@
     return machine.images().contains(spec.image());
   }
 
-  /** True if room is being made that is not reserved yet. */
-  boolean isComing() {
-    return comingCpus > 0 || comingMemGb > 0;
+  /** True if capacity is being released that is not reserved yet. */
+  boolean hasUnreservedReleases() {
+    return releasingCpus > 0 || releasingMemGb > 0;
   }
 
-  /** When the first of its tasks ends by itself, seconds from now. */
-  double soonestS(long nowMs) {
-    if (soonestS < 0) {
-      soonestS = Double.POSITIVE_INFINITY;
-      for (Snapshot.RunningTask r : machine.running()) {
-        if (!r.stopping()) {
-          soonestS = Math.min(soonestS, r.remainingS(nowMs));
+  /** When the first of the machine's tasks completes by itself, seconds from now. */
+  double firstCompletionS(long nowMs) {
+    if (firstCompletionS < 0) {
+      firstCompletionS = Double.POSITIVE_INFINITY;
+      for (Snapshot.RunningTask task : machine.running()) {
+        if (!task.stopping()) {
+          firstCompletionS = Math.min(firstCompletionS, task.remainingS(nowMs));
         }
       }
     }
-    return soonestS;
+    return firstCompletionS;
   }
 
-  /** Its tasks in the order in which they end by themselves. */
-  List<Snapshot.RunningTask> byEnd(long nowMs) {
-    if (byEnd == null) {
-      byEnd = new ArrayList<>(machine.running());
-      byEnd.removeIf(Snapshot.RunningTask::stopping);
-      byEnd.sort(Comparator.comparingDouble(r -> r.remainingS(nowMs)));
+  /** The machine's tasks in the order in which they complete by themselves. */
+  List<Snapshot.RunningTask> runningByCompletion(long nowMs) {
+    if (runningByCompletion == null) {
+      runningByCompletion = new ArrayList<>(machine.running());
+      runningByCompletion.removeIf(Snapshot.RunningTask::stopping);
+      runningByCompletion.sort(Comparator.comparingDouble(task -> task.remainingS(nowMs)));
     }
-    return byEnd;
+    return runningByCompletion;
   }
 
   /** Images that are being fetched, those of tasks that this round starts included. */
@@ -130,39 +142,39 @@
 
   /** How many tasks of a class are there, those that this round starts included. */
   int tasksOfClass(String jobClass) {
-    return (classes == null ? machine.classes() : classes).getOrDefault(jobClass, 0);
+    return (tasksByClass == null ? machine.classes() : tasksByClass).getOrDefault(jobClass, 0);
   }
 
-  /** Gives a task its room. */
-  void take(JobSpec spec) {
+  /** Allocates capacity to a task that starts now. */
+  void allocate(JobSpec spec) {
     cpus -= spec.cpus();
     cards -= spec.cards();
     memGb -= spec.memGb();
     slots--;
-    if (classes == null) {
+    if (tasksByClass == null) {
       // Copied only here: most machines get nothing in a round.
-      classes = new HashMap<>(machine.classes());
+      tasksByClass = new HashMap<>(machine.classes());
       fetching = new HashSet<>(machine.fetching());
     }
-    classes.merge(spec.jobClass(), 1, Integer::sum);
+    tasksByClass.merge(spec.jobClass(), 1, Integer::sum);
     if (!hasImage(spec)) {
       fetching.add(spec.image());
     }
     version++;
   }
 
-  /** A task is being stopped: its room comes free. */
-  void release(Snapshot.RunningTask r) {
-    comingCpus += r.cpus();
-    comingCards += r.cards();
-    comingMemGb += r.memGb();
+  /** Adds the capacity of a task that is being stopped. */
+  void addRelease(Snapshot.RunningTask task) {
+    releasingCpus += task.cpus();
+    releasingCards += task.cards();
+    releasingMemGb += task.memGb();
   }
 
-  /** Keeps room that is free or comes free for a task. */
+  /** Reserves capacity that is free or will be for a waiting task. */
   void reserve(JobSpec spec) {
-    comingCpus -= spec.cpus();
-    comingCards -= spec.cards();
-    comingMemGb -= spec.memGb();
+    releasingCpus -= spec.cpus();
+    releasingCards -= spec.cards();
+    releasingMemGb -= spec.memGb();
     version++;
   }
 }
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -5,65 +5,80 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** What choosing a machine for a task costs: a machine that has the image comes first. */
+/** The cost of choosing a machine for a task: a machine that has the image comes first. */
 final class MachineRanking {
   private MachineRanking() {}
 
   /**
-   * A machine with what choosing it costs; out of date once the machine has changed.
+   * A machine with the cost of choosing it; outdated once the machine's capacity has changed.
    *
-   * @param victims the tasks that have to be stopped there first, or null
+   * @param cost lower is better
+   * @param machine the machine's capacity
+   * @param version the version of the capacity when the cost was computed
+   * @param preempted the tasks that have to be preempted there first, or null
    */
-  record Candidate(double cost, FreeCapacity room, int version, List<Snapshot.RunningTask> victims)
+  record Candidate(
+      double cost, FreeCapacity machine, int version, List<Snapshot.RunningTask> preempted)
       implements Comparable<Candidate> {
 
-    /** A machine as it is now, on which nothing has to be stopped. */
-    static Candidate of(double cost, FreeCapacity room) {
-      return new Candidate(cost, room, room.version(), null);
+    /** Creates a candidate of a machine as it is now, without preemption. */
+    static Candidate of(double cost, FreeCapacity machine) {
+      return new Candidate(cost, machine, machine.version(), null);
+    }
+
+    private boolean isOutdated() {
+      return version != machine.version();
     }
 
     @Override
     public int compareTo(Candidate other) {
       int order = Double.compare(cost, other.cost);
-      return order != 0 ? order : Integer.compare(room.index, other.room.index);
+      return order != 0 ? order : Integer.compare(machine.index(), other.machine.index());
     }
   }
 
-  /** The best candidate that is not out of date, or null; those before it are dropped. */
-  static Candidate best(PriorityQueue<Candidate> queue) {
-    while (!queue.isEmpty() && queue.peek().version != queue.peek().room.version()) {
+  /** Returns the best candidate that is not outdated, or null; drops those before it. */
+  static Candidate peekCurrent(PriorityQueue<Candidate> queue) {
+    while (!queue.isEmpty() && queue.peek().isOutdated()) {
       queue.poll();
     }
     return queue.peek();
   }
 
   /** How long the machine takes to fetch the job's image, s; 0 if it has it. */
-  static double fetchSeconds(JobSpec spec, FreeCapacity room) {
-    if (room.hasImage(spec)) {
+  static double fetchSeconds(JobSpec spec, FreeCapacity machine) {
+    if (machine.hasImage(spec)) {
       return 0;
     }
-    double alone = spec.imageGb() / Math.max(0.01, room.machine.fetchGbPerS());
-    return room.fetching().contains(spec.image())
-        ? alone * (spec.service() ? 1 : PlanConstants.FETCH_LEFT)
-        : alone * (1 + room.fetching().size());
+    double undisturbedS =
+        spec.imageGb()
+            / Math.max(PlanConstants.MIN_FETCH_GB_PER_S, machine.machine().fetchGbPerS());
+    return machine.fetching().contains(spec.image())
+        ? undisturbedS * (spec.service() ? 1 : PlanConstants.REMAINING_FETCH_SHARE)
+        : undisturbedS * (1 + machine.fetching().size());
   }
 
   /**
-   * Lower is better: seconds until the task would run, then how empty the machine would be left.
+   * The cost of a machine, lower is better: seconds until the task would run, then the share of its
+   * CPUs that would be left free (best fit).
    */
-  static double score(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+  static double score(Snapshot.PendingJob pendingJob, FreeCapacity machine) {
     JobSpec spec = pendingJob.spec();
-    double fetch = fetchSeconds(spec, room);
-    double left = (room.freeCpus() - spec.cpus()) / Math.max(1, room.machine.cpusTotal());
+    double fetchS = fetchSeconds(spec, machine);
+    double freeShare =
+        (machine.freeCpus() - spec.cpus()) / Math.max(1, machine.machine().cpusTotal());
     if (spec.service()) {
-      // A replica that must wait for its image anyway brings it to a machine with few others: one
-      // death then costs little, and later replicas find the image on machines with room.
-      int crowd = room.tasksOfClass(spec.jobClass());
-      return room.hasImage(spec)
-          ? crowd * PlanConstants.CROWD_CACHED + left
-          : PlanConstants.NOT_CACHED + fetch + crowd + left;
+      // A replica that must wait for its image anyway brings it to a machine with few others: the
+      // loss of one machine then costs little, and later replicas find the image on machines with
+      // free capacity.
+      int sameClass = machine.tasksOfClass(spec.jobClass());
+      return machine.hasImage(spec)
+          ? sameClass * PlanConstants.SPREADING_PENALTY_CACHED + freeShare
+          : PlanConstants.IMAGE_NOT_CACHED_PENALTY_S + fetchS + sameClass + freeShare;
     }
-    double spot = room.machine.spot() ? -0.5 : 0;
-    return fetch * (pendingJob.latencySensitive() ? 10 : 1) + left + spot;
+    double spotBonus = machine.machine().spot() ? -PlanConstants.SPOT_BONUS : 0;
+    double fetchWeight =
+        pendingJob.latencySensitive() ? PlanConstants.LATENCY_SENSITIVE_FETCH_WEIGHT : 1;
+    return fetchS * fetchWeight + freeShare + spotBonus;
   }
 }
--- a/src/main/java/fennelthread/plan/PlacementConstraints.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which machines a job's own rules allow its tasks: type, zone, kind, and where the others are. */
+/** The machines that a job's own constraints allow: by type, zone, spot, and its other tasks. */
 final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** What a task asks of a machine; tasks with equal shapes fit the same machines. */
+  /** What a task asks of a machine; tasks of equal shapes fit the same machines. */
   record TaskShape(
       double cpus, double cards, double memGb, List<String> types, String zone, boolean spot) {
     static TaskShape of(JobSpec spec) {
@@ -23,8 +23,8 @@
   }
 
   /**
-   * True if the job's own rules let a task of it start there now; {@code zones} counts the job's
-   * tasks that may be present, by zone.
+   * True if the job's constraints allow a task of it on the machine now; {@code zones} counts the
+   * job's tasks that may be present, by zone.
    */
   static boolean allow(JobSpec spec, Map<String, Integer> zones, Snapshot.Machine machine) {
     return allowKind(spec, machine)
@@ -40,12 +40,12 @@
   /** True if one more task in this zone breaks neither {@code same_place} nor {@code apart}. */
   static boolean allowZone(JobSpec spec, Map<String, Integer> zones, String zone) {
     if (zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
-      // It may be in any zone: neither rule can be kept for sure until the machine is heard.
+      // That task may be in any zone: neither constraint is sure to hold until its machine reports.
       return false;
     }
     if (spec.onePlace()) {
-      for (Map.Entry<String, Integer> e : zones.entrySet()) {
-        if (e.getValue() > 0 && !e.getKey().equals(zone)) {
+      for (Map.Entry<String, Integer> tasksInZone : zones.entrySet()) {
+        if (tasksInZone.getValue() > 0 && !tasksInZone.getKey().equals(zone)) {
           return false;
         }
       }
--- a/src/main/java/fennelthread/plan/PlacementSearch.java
+++ b/src/main/java/fennelthread/plan/PlacementSearch.java
@@ -1,5 +1,6 @@
 package fennelthread.plan;
 
+import fennelthread.constants.PlanConstants;
 import fennelthread.plan.MachineRanking.Candidate;
 import fennelthread.plan.PlacementConstraints.TaskShape;
 import fennelthread.wire.JobSpec;
@@ -10,45 +11,54 @@
 import java.util.PriorityQueue;
 
 /**
- * The search for places for one job's tasks in a round. Tasks of one job are alike, so that
- * machines are ranked once per job and not per task.
+ * The search for places for one job's tasks in a scheduling round. The tasks of a job are alike, so
+ * that machines are ranked once per job and not per task; a machine that changes is ranked anew. A
+ * job with constraints on zones is the exception: each task placed may forbid machines to the next.
  */
 final class PlacementSearch {
   private final RoundState round;
   private final Snapshot.PendingJob pendingJob;
   private final JobSpec spec;
-  private final boolean overdue;
+  private final boolean starved;
   private final boolean zoned;
   private final Map<String, Integer> zones;
   private final TaskShape shape;
-  private PriorityQueue<Candidate> places;
-  private PriorityQueue<Candidate> stopsCached;
-  private PriorityQueue<Candidate> stopsAny;
-  private PriorityQueue<Candidate> awaited;
+
+  /** Machines on which a task fits now; null until they are needed, as are the others. */
+  private PriorityQueue<Candidate> fitting;
+
+  /** Machines with the image on which one fits after preemption. */
+  private PriorityQueue<Candidate> preemptibleWithImage;
+
+  /** Machines on which one fits after preemption. */
+  private PriorityQueue<Candidate> preemptible;
+
+  /** Machines on which one fits soon since running tasks complete. */
+  private PriorityQueue<Candidate> completing;
 
   PlacementSearch(RoundState round, Snapshot.PendingJob pendingJob) {
     this.round = round;
     this.pendingJob = pendingJob;
     this.spec = pendingJob.spec();
-    this.overdue = round.snapshot.starvedJobs().contains(spec.id());
+    this.starved = round.snapshot().starvedJobs().contains(spec.id());
     this.zoned = PlacementConstraints.dependOnOtherTasks(spec);
     this.zones = zoned ? new HashMap<>(pendingJob.zones()) : Map.of();
     this.shape = TaskShape.of(spec);
   }
 
-  private boolean isAllowed(FreeCapacity room) {
-    return PlacementConstraints.allow(spec, zones, room.machine);
+  private boolean isAllowed(FreeCapacity machine) {
+    return PlacementConstraints.allow(spec, zones, machine.machine());
   }
 
-  /** A job that was passed over for long takes room that is reserved for others. */
-  private boolean hasRoom(FreeCapacity room) {
-    return overdue ? room.fitsUnreserved(spec) : room.fits(spec);
+  /** A job that was passed over for long takes capacity that is reserved for others. */
+  private boolean fits(FreeCapacity machine) {
+    return starved ? machine.fitsIgnoringReservations(spec) : machine.fits(spec);
   }
 
-  /** True if some machine has room for a task, be it reserved for others or not. */
-  boolean hasUnreservedRoom() {
-    for (FreeCapacity room : round.rooms) {
-      if (room.fitsUnreserved(spec) && isAllowed(room)) {
+  /** True if a task fits on some machine, whatever is reserved there for others. */
+  boolean fitsIgnoringReservations() {
+    for (FreeCapacity machine : round.machines()) {
+      if (machine.fitsIgnoringReservations(spec) && isAllowed(machine)) {
         return true;
       }
     }
@@ -60,90 +70,101 @@
     return zones;
   }
 
-  /** The best machine with room, or null. */
-  FreeCapacity best() {
-    boolean remembered = !zoned && !overdue;
-    if (remembered && round.full.contains(shape)) {
+  /** The best machine on which a task fits now, or null. */
+  FreeCapacity bestMachine() {
+    boolean shared = !zoned && !starved;
+    if (shared && round.shapesWithoutCapacity().contains(shape)) {
       return null;
     }
-    if (places == null || zoned) {
-      // With a rule about zones, each task placed may forbid machines to the next one.
-      List<Candidate> all = new ArrayList<>();
-      for (FreeCapacity room : round.rooms) {
-        if (hasRoom(room) && isAllowed(room)) {
-          all.add(Candidate.of(MachineRanking.score(pendingJob, room), room));
-        }
-      }
-      places = new PriorityQueue<>(all);
+    if (fitting == null || zoned) {
+      fitting = rankFitting();
+    }
+    Candidate best = MachineRanking.peekCurrent(fitting);
+    if (best == null && shared) {
+      round.shapesWithoutCapacity().add(shape);
     }
-    Candidate best = MachineRanking.best(places);
-    if (best == null && remembered) {
-      round.full.add(shape);
+    return best == null ? null : best.machine();
+  }
+
+  private PriorityQueue<Candidate> rankFitting() {
+    List<Candidate> candidates = new ArrayList<>();
+    for (FreeCapacity machine : round.machines()) {
+      if (fits(machine) && isAllowed(machine)) {
+        candidates.add(Candidate.of(MachineRanking.score(pendingJob, machine), machine));
+      }
     }
-    return best == null ? null : best.room();
+    return new PriorityQueue<>(candidates);
   }
 
-  /** Gives the job's next task its room. */
-  void take(FreeCapacity room) {
-    room.take(spec);
+  /** Allocates a machine's capacity to the job's next task. */
+  void allocate(FreeCapacity machine) {
+    machine.allocate(spec);
     if (zoned) {
-      zones.merge(room.machine.zone(), 1, Integer::sum);
+      zones.merge(machine.machine().zone(), 1, Integer::sum);
     }
-    changed(room);
+    rankAgain(machine);
   }
 
-  /** Puts a changed machine back among the candidates. */
-  private void changed(FreeCapacity room) {
-    round.coming.set(room.index, room.isComing());
+  private void reserve(FreeCapacity machine) {
+    machine.reserve(spec);
+    rankAgain(machine);
+  }
+
+  /** Puts a machine whose capacity has changed back among the candidates. */
+  private void rankAgain(FreeCapacity machine) {
+    round.updateReleases(machine);
     if (zoned) {
       return;
     }
-    if (places != null && hasRoom(room)) {
-      places.add(Candidate.of(MachineRanking.score(pendingJob, room), room));
+    if (fitting != null && fits(machine)) {
+      fitting.add(Candidate.of(MachineRanking.score(pendingJob, machine), machine));
     }
-    if (awaited != null) {
-      offerAwaited(room);
+    if (completing != null) {
+      offerCompleting(machine);
     }
-    offer(stopsAny, room, false);
-    offer(stopsCached, room, true);
+    offerPreemptible(preemptible, machine, false);
+    offerPreemptible(preemptibleWithImage, machine, true);
   }
 
-  private void offer(PriorityQueue<Candidate> queue, FreeCapacity room, boolean cachedOnly) {
+  private void offerPreemptible(
+      PriorityQueue<Candidate> queue, FreeCapacity machine, boolean withImageOnly) {
     if (queue != null) {
-      Candidate c = stopsOn(room, cachedOnly);
-      if (c != null) {
-        queue.add(c);
+      Candidate candidate = preemptionOn(machine, withImageOnly);
+      if (candidate != null) {
+        queue.add(candidate);
       }
     }
   }
 
   /**
-   * Has room made for a task that found none: where it is being made already, where it comes by
-   * itself in the time that the job waits, where others' work may be stopped, or else, for the
-   * first task of a job that has waited long, wherever it comes first. True if room is coming.
+   * Reserves capacity for a task that fits nowhere now: what is being released already, what
+   * running tasks release by themselves while the job waits (delay scheduling), what preemption
+   * releases, or else, for the first task of an aged job, a whole machine until the task fits.
+   * Returns false if there is none.
    */
-  boolean awaitRoom() {
-    return takeComing(false)
-        || awaitEnds()
-        || stopOthers(false)
-        || (pendingJob.agingBoost() == AgingBoost.ABOVE_ALL && round.mayHold() && hold());
-  }
-
-  /** The same on machines that have the image, by stopping others alone. */
-  boolean makeCachedRoom() {
-    return takeComing(true) || stopOthers(true);
+  boolean reserveFutureCapacity() {
+    return reserveRelease(false)
+        || awaitCompletions()
+        || preempt(false)
+        || (pendingJob.agingBoost() == AgingBoost.ABOVE_ALL
+            && round.mayReserveMachine()
+            && reserveMachine());
   }
 
-  private void reserve(FreeCapacity room) {
-    room.reserve(spec);
-    changed(room);
+  /** The same on machines that have the image, by releases and preemption alone. */
+  boolean reserveOnMachineWithImage() {
+    return reserveRelease(true) || preempt(true);
   }
 
-  private boolean takeComing(boolean cachedOnly) {
-    for (int i = round.coming.nextSetBit(0); i >= 0; i = round.coming.nextSetBit(i + 1)) {
-      FreeCapacity room = round.rooms.get(i);
-      if (room.willFit(spec) && isAllowed(room) && (!cachedOnly || room.hasImage(spec))) {
-        reserve(room);
+  private boolean reserveRelease(boolean withImageOnly) {
+    for (int i = round.unreservedReleases().nextSetBit(0);
+        i >= 0;
+        i = round.unreservedReleases().nextSetBit(i + 1)) {
+      FreeCapacity machine = round.machines().get(i);
+      if (machine.fitsAfterReleases(spec)
+          && isAllowed(machine)
+          && (!withImageOnly || machine.hasImage(spec))) {
+        reserve(machine);
         return true;
       }
     }
@@ -151,149 +172,157 @@
   }
 
   /**
-   * Reserves the room that comes free first by itself. A task of four CPUs once had sixteen of a
-   * quarter stopped that would have ended within seconds: a third of a guest's starts was lost that
-   * way.
+   * Reserves the machine on which running tasks complete first, if within the time that the job
+   * waits. A task of four CPUs once had sixteen of a quarter preempted that would have completed
+   * within seconds: a third of one team's starts was lost that way.
    */
-  private boolean awaitEnds() {
-    RoundState.Patience patience = new RoundState.Patience(shape, pendingJob.maxWaitS());
-    if (pendingJob.maxWaitS() <= 0 || (!zoned && round.inVain.contains(patience))) {
+  private boolean awaitCompletions() {
+    double maxWaitS = pendingJob.maxWaitS();
+    RoundState.CompletionWait wait = new RoundState.CompletionWait(shape, maxWaitS);
+    if (maxWaitS <= 0 || (!zoned && round.waitsWithoutCandidates().contains(wait))) {
       return false;
     }
-    if (awaited == null || zoned) {
-      awaited = new PriorityQueue<>();
-      round.rooms.forEach(this::offerAwaited);
+    if (completing == null || zoned) {
+      completing = new PriorityQueue<>();
+      round.machines().forEach(this::offerCompleting);
     }
-    Candidate best = MachineRanking.best(awaited);
+    Candidate best = MachineRanking.peekCurrent(completing);
     if (best == null) {
       if (!zoned) {
-        round.inVain.add(patience);
+        round.waitsWithoutCandidates().add(wait);
       }
       return false;
     }
-    reserve(best.room());
+    reserve(best.machine());
     return true;
   }
 
-  private void offerAwaited(FreeCapacity room) {
-    if (room.soonestS(round.snapshot.nowMs()) <= pendingJob.maxWaitS() && isAllowed(room)) {
-      double inS = freeInS(room, pendingJob.maxWaitS());
-      if (inS <= pendingJob.maxWaitS()) {
-        awaited.add(Candidate.of(inS, room));
+  private void offerCompleting(FreeCapacity machine) {
+    double maxWaitS = pendingJob.maxWaitS();
+    if (machine.firstCompletionS(round.snapshot().nowMs()) <= maxWaitS && isAllowed(machine)) {
+      double fitsInS = fitsInS(machine, maxWaitS);
+      if (fitsInS <= maxWaitS) {
+        completing.add(Candidate.of(fitsInS, machine));
       }
     }
   }
 
-  /** Keeps the machine on which room comes first for this task alone, however long that takes. */
-  private boolean hold() {
+  /** Reserves the machine on which a task fits first for this task alone, whenever that is. */
+  private boolean reserveMachine() {
     FreeCapacity best = null;
     double bestS = Double.POSITIVE_INFINITY;
-    for (FreeCapacity room : round.rooms) {
-      if (isAllowed(room)) {
-        double inS = freeInS(room, Double.MAX_VALUE);
-        if (inS < bestS) {
-          best = room;
-          bestS = inS;
+    for (FreeCapacity machine : round.machines()) {
+      if (isAllowed(machine)) {
+        double fitsInS = fitsInS(machine, Double.MAX_VALUE);
+        if (fitsInS < bestS) {
+          best = machine;
+          bestS = fitsInS;
         }
       }
     }
     if (best == null) {
       return false;
     }
-    round.held();
+    round.countReservedMachine();
     reserve(best);
     return true;
   }
 
   /**
-   * When a task would fit if nothing else were started there, seconds; infinite if not within
-   * {@code mostS}.
+   * When a task would fit if nothing else were started on the machine, seconds from now; infinite
+   * if not within {@code maxS}.
    */
-  private double freeInS(FreeCapacity room, double mostS) {
-    long nowMs = round.snapshot.nowMs();
+  private double fitsInS(FreeCapacity machine, double maxS) {
+    long nowMs = round.snapshot().nowMs();
     double cpus = 0;
     double cards = 0;
     double memGb = 0;
-    double inS = 0;
-    for (Snapshot.RunningTask r : room.byEnd(nowMs)) {
-      if (room.fitsWith(spec, cpus, cards, memGb)) {
-        return inS;
+    double completesInS = 0;
+    for (Snapshot.RunningTask task : machine.runningByCompletion(nowMs)) {
+      if (machine.fitsAfterReleasesAnd(spec, cpus, cards, memGb)) {
+        return completesInS;
       }
-      if (round.preemption.isStopped(r)) {
+      if (round.preemption().isPreempted(task)) {
         continue;
       }
-      inS = r.remainingS(nowMs);
-      if (inS > mostS) {
+      completesInS = task.remainingS(nowMs);
+      if (completesInS > maxS) {
         return Double.POSITIVE_INFINITY;
       }
-      cpus += r.cpus();
-      cards += r.cards();
-      memGb += r.memGb();
+      cpus += task.cpus();
+      cards += task.cards();
+      memGb += task.memGb();
     }
-    return room.fitsWith(spec, cpus, cards, memGb) ? inS : Double.POSITIVE_INFINITY;
+    return machine.fitsAfterReleasesAnd(spec, cpus, cards, memGb)
+        ? completesInS
+        : Double.POSITIVE_INFINITY;
   }
 
   /**
-   * Stops less urgent work, or borrowed work of others, where that lets a task start soon; only on
-   * machines that have its image, if so asked. True if room is being made.
+   * Preempts less urgent work, or borrowed work of other teams, where that lets a task start soon,
+   * and reserves its capacity. Returns false if there is none.
    */
-  private boolean stopOthers(boolean cachedOnly) {
-    RoundState.Claim claim =
-        new RoundState.Claim(
+  private boolean preempt(boolean withImageOnly) {
+    RoundState.PreemptionClaim claim =
+        new RoundState.PreemptionClaim(
             shape,
             pendingJob.preemptsAs(),
             pendingJob.withinGuarantee() ? spec.team() : null,
-            cachedOnly ? spec.image() : null);
-    if (!round.preemption.isPossible(pendingJob) || (!zoned && round.hopeless.contains(claim))) {
+            withImageOnly ? spec.image() : null);
+    if (!round.preemption().isPossible(pendingJob)
+        || (!zoned && round.claimsWithoutCandidates().contains(claim))) {
       return false;
     }
-    Candidate best = MachineRanking.best(stops(cachedOnly));
+    Candidate best = MachineRanking.peekCurrent(preemptionCandidates(withImageOnly));
     if (best == null) {
       if (!zoned) {
-        round.hopeless.add(claim);
+        round.claimsWithoutCandidates().add(claim);
       }
       return false;
     }
-    round.inVain.clear();
-    round.preemption.stop(best.victims(), best.room());
-    reserve(best.room());
+    // Preempted tasks release capacity: waits that found no candidate may find one now.
+    round.waitsWithoutCandidates().clear();
+    round.preemption().preempt(best.preempted(), best.machine());
+    reserve(best.machine());
     return true;
   }
 
-  private PriorityQueue<Candidate> stops(boolean cachedOnly) {
-    PriorityQueue<Candidate> known = cachedOnly ? stopsCached : stopsAny;
-    if (known != null && !zoned) {
-      return known;
+  private PriorityQueue<Candidate> preemptionCandidates(boolean withImageOnly) {
+    PriorityQueue<Candidate> ranked = withImageOnly ? preemptibleWithImage : preemptible;
+    if (ranked != null && !zoned) {
+      return ranked;
     }
-    List<Candidate> all = new ArrayList<>();
-    for (FreeCapacity room : round.rooms) {
-      Candidate c = stopsOn(room, cachedOnly);
-      if (c != null) {
-        all.add(c);
+    List<Candidate> candidates = new ArrayList<>();
+    for (FreeCapacity machine : round.machines()) {
+      Candidate candidate = preemptionOn(machine, withImageOnly);
+      if (candidate != null) {
+        candidates.add(candidate);
       }
     }
-    PriorityQueue<Candidate> queue = new PriorityQueue<>(all);
-    if (cachedOnly) {
-      stopsCached = queue;
+    PriorityQueue<Candidate> queue = new PriorityQueue<>(candidates);
+    if (withImageOnly) {
+      preemptibleWithImage = queue;
     } else {
-      stopsAny = queue;
+      preemptible = queue;
     }
     return queue;
   }
 
-  private Candidate stopsOn(FreeCapacity room, boolean cachedOnly) {
-    if ((cachedOnly && !room.hasImage(spec)) || !isAllowed(room)) {
+  /** The machine as a candidate for preemption, or null: the work lost, then the usual score. */
+  private Candidate preemptionOn(FreeCapacity machine, boolean withImageOnly) {
+    if ((withImageOnly && !machine.hasImage(spec)) || !isAllowed(machine)) {
       return null;
     }
-    List<Snapshot.RunningTask> victims = round.preemption.victims(pendingJob, room);
-    if (victims == null) {
+    List<Snapshot.RunningTask> preempted = round.preemption().chooseOn(machine, pendingJob);
+    if (preempted == null) {
       return null;
     }
-    double lost = 0;
-    for (Snapshot.RunningTask v : victims) {
-      lost += v.elapsedS(round.snapshot.nowMs()) * Math.max(1, v.cpus());
+    double lostCpuS = 0;
+    for (Snapshot.RunningTask task : preempted) {
+      lostCpuS += task.elapsedS(round.snapshot().nowMs()) * Math.max(1, task.cpus());
     }
-    double cost = lost + 100 * MachineRanking.score(pendingJob, room);
-    return new Candidate(cost, room, room.version(), victims);
+    double score = MachineRanking.score(pendingJob, machine);
+    double cost = lostCpuS + PlanConstants.PREEMPTION_SCORE_WEIGHT * score;
+    return new Candidate(cost, machine, machine.version(), preempted);
   }
 }
--- a/src/main/java/fennelthread/plan/Plan.java
+++ b/src/main/java/fennelthread/plan/Plan.java
@@ -6,8 +6,13 @@
 import java.util.Set;
 
 /**
- * What one round decides. {@code passedOver} names the jobs with tasks left for which a machine has
- * room and their team's limit allows one, but which stand back for others.
+ * The decisions of one scheduling round.
+ *
+ * @param starts the tasks to start, in the order in which they were placed
+ * @param preemptions the running tasks to preempt, in the order in which they were chosen
+ * @param unplaced the jobs with tasks that found no free capacity
+ * @param passedOver the ids of jobs with tasks left for which a machine has free capacity and their
+ *     team's limit allows one, but which are held back by what is reserved for others
  */
 public record Plan(
     List<Start> starts,
@@ -15,16 +20,25 @@
     List<Unplaced> unplaced,
     Set<String> passedOver) {
 
-  /** A task to start on a machine. */
+  /**
+   * A task to start on a machine.
+   *
+   * @param spec its job
+   * @param task its index in the job
+   * @param machine the machine's name
+   */
   public record Start(JobSpec spec, int task, String machine) {}
 
   /**
-   * Tasks of a job that found no room, though their team's cap would allow them; {@code zones}
-   * counts the job's tasks by zone if it has a rule about zones.
+   * Tasks of a job that found no free capacity, though their team's limit would allow them.
+   *
+   * @param spec the job
+   * @param tasks how many
+   * @param zones the job's tasks that may be present, by zone, if it has a constraint on zones
    */
   public record Unplaced(JobSpec spec, int tasks, Map<String, Integer> zones) {
 
-    /** True if the job's rules let its next task start in this zone. */
+    /** True if the job's constraints let its next task start in this zone. */
     public boolean mayUseZone(String zone) {
       return (spec.zone() == null || spec.zone().equals(zone))
           && (!PlacementConstraints.dependOnOtherTasks(spec)
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -11,42 +11,43 @@
 import java.util.Set;
 
 /**
- * Decides which task goes where: a function of the snapshot alone. A machine that has the image
- * comes before one that must fetch it; among equals the one left fullest is taken.
+ * Decides which task goes where: a pure function of the snapshot. A machine that has the image
+ * comes before one that must fetch it; among equals the one that is left fullest is taken (bin
+ * packing, best fit).
  *
- * <p>Machines are ranked once per job and not per task ({@link PlacementSearch}), and what found no
- * room once is not looked for again ({@link RoundState}). On a fleet of hundreds a burst beyond
- * capacity otherwise costs tasks times machines times running work, on the one thread that also
- * renews the lease. The tests hold the plain version, which must choose the same.
+ * <p>Machines are ranked once per job and not per task ({@link PlacementSearch}), and a search that
+ * found no capacity is not repeated in the round ({@link RoundState}). On a fleet of hundreds a
+ * burst beyond its capacity would otherwise cost tasks times machines times running work, on the
+ * one thread that also renews the lease. The tests hold a plain version, which must choose the
+ * same.
  */
 public final class Planner {
   /**
-   * The order of placement: what is owed to whom. Users count jobs that are done in time: when
-   * there is not room for all, a job that can't be in time any more must not make the next one late
-   * too, and many small jobs come before one large one. That alone would put the largest off for
-   * ever. So work counts for less the longer it has waited, and what has waited long with nothing
-   * at work comes first with its first task, whatever its priority: one task of each such job is
-   * the price.
+   * The order of placement. Users count jobs that meet their deadlines: when capacity is short, a
+   * job that can't meet its own any more must not make the next one late too, and many small jobs
+   * come before one large one. That alone would put the largest off for ever. So work counts for
+   * less the longer it has waited, and the first task of a job that has waited long with nothing
+   * running comes first, whatever its priority: one task of each such job is the price.
    */
   public static final Comparator<Snapshot.PendingJob> ORDER =
       Comparator.<Snapshot.PendingJob>comparingLong(
-              n -> n.agingBoost() == AgingBoost.ABOVE_ALL ? n.order() : Long.MAX_VALUE)
+              job -> job.agingBoost() == AgingBoost.ABOVE_ALL ? job.order() : Long.MAX_VALUE)
           .thenComparing(Snapshot.PendingJob::priority)
-          .thenComparing(n -> n.agingBoost() != AgingBoost.WITHIN_PRIORITY)
+          .thenComparing(job -> job.agingBoost() != AgingBoost.WITHIN_PRIORITY)
           .thenComparing(Snapshot.PendingJob::late)
-          .thenComparing(n -> !n.withinGuarantee())
-          .thenComparingDouble(Snapshot.PendingJob::work)
+          .thenComparing(job -> !job.withinGuarantee())
+          .thenComparingDouble(Snapshot.PendingJob::agedWork)
           .thenComparingLong(Snapshot.PendingJob::order);
 
-  /** A job that has tasks left without a place. */
-  private record Left(Snapshot.PendingJob pendingJob, PlacementSearch search) {}
+  /** A job with tasks that are not started. */
+  private record Remaining(Snapshot.PendingJob pendingJob, PlacementSearch search) {}
 
   private final Snapshot snapshot;
   private final RoundState round;
   private final TeamBudgets budgets;
   private final List<Plan.Start> starts = new ArrayList<>();
   private final List<Plan.Unplaced> unplaced = new ArrayList<>();
-  private final List<Left> left = new ArrayList<>();
+  private final List<Remaining> remaining = new ArrayList<>();
 
   private Planner(Snapshot snapshot) {
     this.snapshot = snapshot;
@@ -62,7 +63,7 @@
     pendingJobs.forEach(planner::place);
     return new Plan(
         planner.starts,
-        planner.round.preemption.preemptions(),
+        planner.round.preemption().preemptions(),
         planner.unplaced,
         planner.passedOver());
   }
@@ -70,18 +71,18 @@
   private void place(Snapshot.PendingJob pendingJob) {
     PlacementSearch search = new PlacementSearch(round, pendingJob);
     JobSpec spec = pendingJob.spec();
-    boolean overdue = snapshot.starvedJobs().contains(spec.id());
-    boolean mayAwaitImage = spec.service() && !overdue;
-    boolean hopeful = true;
-    int before = starts.size();
+    boolean starved = snapshot.starvedJobs().contains(spec.id());
+    boolean mayAwaitImage = spec.service() && !starved;
+    boolean mayFindCapacity = true;
+    int startsBefore = starts.size();
     int missing = 0;
     for (int task : pendingJob.tasks()) {
-      boolean mayAsk = budgets.allowsRequest(spec);
-      boolean mayStart = mayAsk || (overdue && budgets.allowsStart(spec));
+      boolean mayRequest = budgets.allowsRequest(spec);
+      boolean mayStart = mayRequest || (starved && budgets.allowsStart(spec));
       boolean mayLook = mayStart && missing == 0 && starts.size() < snapshot.maxStarts();
-      FreeCapacity best = mayLook ? search.best() : null;
+      FreeCapacity best = mayLook ? search.bestMachine() : null;
       if (best != null && mayAwaitImage && MachineRanking.fetchSeconds(spec, best) > 1) {
-        mayAwaitImage = search.makeCachedRoom();
+        mayAwaitImage = search.reserveOnMachineWithImage();
         if (mayAwaitImage) {
           // Less urgent work leaves a machine that has the image: sooner than fetching it here.
           budgets.request(spec);
@@ -89,50 +90,53 @@
         }
       }
       if (best != null) {
-        search.take(best);
+        search.allocate(best);
         budgets.start(spec);
-        starts.add(new Plan.Start(spec, task, best.machine.name()));
-      } else if (mayAsk) {
+        starts.add(new Plan.Start(spec, task, best.machine().name()));
+      } else if (mayRequest) {
         missing++;
         budgets.request(spec);
-        if (hopeful && starts.size() < snapshot.maxStarts()) {
-          hopeful = search.awaitRoom();
+        if (mayFindCapacity && starts.size() < snapshot.maxStarts()) {
+          mayFindCapacity = search.reserveFutureCapacity();
         }
       } else {
         break;
       }
     }
-    noteLeft(pendingJob, search, missing, pendingJob.tasks().size() - (starts.size() - before));
+    int notStarted = pendingJob.tasks().size() - (starts.size() - startsBefore);
+    noteRemaining(pendingJob, search, missing, notStarted);
   }
 
-  /** Keeps in mind what has no place: {@code missing} tasks asked for one, of all that are left. */
-  private void noteLeft(
+  /** Notes what has no place: {@code missing} tasks requested one, of all that are not started. */
+  private void noteRemaining(
       Snapshot.PendingJob pendingJob, PlacementSearch search, int missing, int notStarted) {
     if (missing > 0) {
       unplaced.add(new Plan.Unplaced(pendingJob.spec(), missing, search.zones()));
     }
     if (notStarted > 0) {
-      left.add(new Left(pendingJob, search));
+      remaining.add(new Remaining(pendingJob, search));
     }
   }
 
   /**
-   * The jobs with tasks left for which some machine has room and their team's limit allows one more
-   * task: only what is reserved for others, or asked for by others of their team, keeps them back.
+   * The jobs with tasks left for which some machine has free capacity and their team's limit allows
+   * one more task: only what is reserved for others, or requested by others of their team, holds
+   * them back.
    */
   private Set<String> passedOver() {
     Set<String> passedOver = new HashSet<>();
-    Map<TaskShape, Boolean> known = new HashMap<>();
-    for (Left l : left) {
-      JobSpec spec = l.pendingJob.spec();
+    Map<TaskShape, Boolean> fitsByShape = new HashMap<>();
+    for (Remaining left : remaining) {
+      JobSpec spec = left.pendingJob.spec();
       if (!budgets.allowsStart(spec)) {
         continue;
       }
-      boolean room =
+      boolean fits =
           PlacementConstraints.dependOnOtherTasks(spec)
-              ? l.search.hasUnreservedRoom()
-              : known.computeIfAbsent(TaskShape.of(spec), shape -> l.search.hasUnreservedRoom());
-      if (room) {
+              ? left.search.fitsIgnoringReservations()
+              : fitsByShape.computeIfAbsent(
+                  TaskShape.of(spec), shape -> left.search.fitsIgnoringReservations());
+      if (fits) {
         passedOver.add(spec.id());
       }
     }
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 
 /**
- * Which running tasks may be stopped for a waiting one, and which of them would be: the least
- * urgent first, among equals the one with the least work to lose.
+ * Chooses the running tasks that are preempted for a waiting one: the least urgent first, among
+ * equals the one with the least work to lose.
  */
 final class Preemption {
   private final Snapshot snapshot;
-  private final Set<Snapshot.RunningTask> stopped =
+  private final Set<Snapshot.RunningTask> preempted =
       Collections.newSetFromMap(new IdentityHashMap<>());
-  private final List<Snapshot.RunningTask> stops = new ArrayList<>();
+  private final List<Snapshot.RunningTask> preemptions = new ArrayList<>();
   private final Map<String, Snapshot.TeamUsage> teams;
   private final int[] runningByPriority = new int[Priority.values().length];
 
@@ -26,47 +26,48 @@
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
     for (Snapshot.Machine machine : snapshot.machines()) {
-      machine.running().stream().filter(Snapshot.RunningTask::stopping).forEach(this::discount);
+      machine.running().stream()
+          .filter(Snapshot.RunningTask::stopping)
+          .forEach(this::subtractFromTeam);
     }
     for (Snapshot.Machine machine : snapshot.machines()) {
-      for (Snapshot.RunningTask r : machine.running()) {
-        if (!r.stopping()) {
-          runningByPriority[r.priority().rank()]++;
+      for (Snapshot.RunningTask task : machine.running()) {
+        if (!task.stopping()) {
+          runningByPriority[task.priority().rank()]++;
         }
       }
     }
   }
 
-  /** What is being stopped is no longer what its team uses. */
-  private void discount(Snapshot.RunningTask r) {
-    teams.computeIfPresent(r.spec().team(), (team, use) -> without(use, r));
+  /** A task that is being stopped no longer counts in what its team uses. */
+  private void subtractFromTeam(Snapshot.RunningTask task) {
+    teams.computeIfPresent(task.spec().team(), (team, usage) -> without(usage, task));
   }
 
-  /** The tasks that this round stops, in the order in which it was decided. */
+  /** The tasks that this round preempts, in the order in which they were chosen. */
   List<Snapshot.RunningTask> preemptions() {
-    return stops;
+    return preemptions;
   }
 
-  boolean isStopped(Snapshot.RunningTask r) {
-    return stopped.contains(r);
+  boolean isPreempted(Snapshot.RunningTask task) {
+    return preempted.contains(task);
   }
 
-  /** Stops tasks; their machine's room comes free. */
-  void stop(List<Snapshot.RunningTask> victims, FreeCapacity room) {
-    for (Snapshot.RunningTask v : victims) {
-      stopped.add(v);
-      stops.add(v);
-      room.release(v);
-      discount(v);
+  /** Preempts tasks of a machine, which will release their capacity. */
+  void preempt(List<Snapshot.RunningTask> tasks, FreeCapacity machine) {
+    for (Snapshot.RunningTask task : tasks) {
+      preempted.add(task);
+      preemptions.add(task);
+      machine.addRelease(task);
+      subtractFromTeam(task);
     }
   }
 
-  /** False if no running work anywhere comes later than the need. */
+  /** False if no running work anywhere may be preempted for the job, judged by priority alone. */
   boolean isPossible(Snapshot.PendingJob pendingJob) {
     int rank = pendingJob.preemptsAs().rank();
-    for (int i = pendingJob.withinGuarantee() ? rank : rank + 1;
-        i < runningByPriority.length;
-        i++) {
+    int first = pendingJob.withinGuarantee() ? rank : rank + 1;
+    for (int i = first; i < runningByPriority.length; i++) {
       if (runningByPriority[i] > 0) {
         return true;
       }
@@ -74,80 +75,84 @@
     return false;
   }
 
-  /** The tasks to stop on a machine so that one of the job's fits, or null if that can't be. */
-  List<Snapshot.RunningTask> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
-    List<Snapshot.RunningTask> candidates = candidates(pendingJob, room);
+  /**
+   * The tasks to preempt on a machine so that one of the job's fits, or null if that is not
+   * possible.
+   */
+  List<Snapshot.RunningTask> chooseOn(FreeCapacity machine, Snapshot.PendingJob pendingJob) {
+    List<Snapshot.RunningTask> candidates = candidates(pendingJob, machine);
     if (candidates.isEmpty()) {
       return null;
     }
     double cpus = 0;
     double cards = 0;
     double memGb = 0;
-    Map<String, Snapshot.TeamUsage> left = new HashMap<>();
-    List<Snapshot.RunningTask> victims = new ArrayList<>();
-    for (Snapshot.RunningTask r : candidates) {
-      if (room.fitsWith(pendingJob.spec(), cpus, cards, memGb)) {
+    Map<String, Snapshot.TeamUsage> usageLeft = new HashMap<>();
+    List<Snapshot.RunningTask> chosen = new ArrayList<>();
+    for (Snapshot.RunningTask task : candidates) {
+      if (machine.fitsAfterReleasesAnd(pendingJob.spec(), cpus, cards, memGb)) {
         break;
       }
-      String team = r.spec().team();
-      Snapshot.TeamUsage use = left.getOrDefault(team, teams.get(team));
-      if (isLessUrgent(pendingJob, r) || isBorrowed(use, r)) {
-        victims.add(r);
-        cpus += r.cpus();
-        cards += r.cards();
-        memGb += r.memGb();
-        left.put(team, without(use, r));
+      String team = task.spec().team();
+      Snapshot.TeamUsage usage = usageLeft.getOrDefault(team, teams.get(team));
+      if (isLessUrgent(pendingJob, task) || isBorrowed(usage, task)) {
+        chosen.add(task);
+        cpus += task.cpus();
+        cards += task.cards();
+        memGb += task.memGb();
+        usageLeft.put(team, without(usage, task));
       }
     }
-    return room.fitsWith(pendingJob.spec(), cpus, cards, memGb) && !victims.isEmpty()
-        ? victims
+    return machine.fitsAfterReleasesAnd(pendingJob.spec(), cpus, cards, memGb) && !chosen.isEmpty()
+        ? chosen
         : null;
   }
 
-  private List<Snapshot.RunningTask> candidates(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+  private List<Snapshot.RunningTask> candidates(
+      Snapshot.PendingJob pendingJob, FreeCapacity machine) {
     List<Snapshot.RunningTask> candidates = new ArrayList<>();
-    for (Snapshot.RunningTask r : room.machine.running()) {
-      if (!r.stopping()
-          && (isLessUrgent(pendingJob, r) || mayGiveBack(pendingJob, r))
-          && !stopped.contains(r)
-          && !snapshot.nonPreemptible().contains(r.attempt())) {
-        candidates.add(r);
+    for (Snapshot.RunningTask task : machine.machine().running()) {
+      if (!task.stopping()
+          && (isLessUrgent(pendingJob, task) || mayBeReclaimed(pendingJob, task))
+          && !preempted.contains(task)
+          && !snapshot.nonPreemptible().contains(task.attempt())) {
+        candidates.add(task);
       }
     }
     candidates.sort(
         Comparator.comparing(Snapshot.RunningTask::priority)
             .reversed()
-            .thenComparingDouble(r -> r.elapsedS(snapshot.nowMs())));
+            .thenComparingDouble(task -> task.elapsedS(snapshot.nowMs())));
     return candidates;
   }
 
-  private static boolean isLessUrgent(Snapshot.PendingJob pendingJob, Snapshot.RunningTask r) {
-    return r.priority().compareTo(pendingJob.preemptsAs()) > 0;
+  private static boolean isLessUrgent(Snapshot.PendingJob pendingJob, Snapshot.RunningTask task) {
+    return task.priority().compareTo(pendingJob.preemptsAs()) > 0;
   }
 
   /**
-   * True if the task may be stopped for a guarantee as long as its team uses more than its own.
-   * Only work that comes later in the order of placement is: a guarantee once stopped borrowed work
-   * of higher priority, which took the room back in the next round, over and over.
+   * True if the task may be preempted for a guarantee as long as its team uses more than its own.
+   * Only work that comes later in the order of placement is: a guarantee once preempted borrowed
+   * work of higher priority, which took the capacity back in the next round, over and over.
    */
-  private boolean mayGiveBack(Snapshot.PendingJob pendingJob, Snapshot.RunningTask r) {
-    return r.priority() == pendingJob.preemptsAs()
+  private boolean mayBeReclaimed(Snapshot.PendingJob pendingJob, Snapshot.RunningTask task) {
+    return task.priority() == pendingJob.preemptsAs()
         && pendingJob.withinGuarantee()
-        && !snapshot.preemptibleOnlyByMoreUrgent().contains(r.attempt())
-        && !snapshot.guaranteedJobs().contains(r.spec().id())
-        && !r.spec().team().equals(pendingJob.spec().team());
+        && !snapshot.preemptibleOnlyByMoreUrgent().contains(task.attempt())
+        && !snapshot.guaranteedJobs().contains(task.spec().id())
+        && !task.spec().team().equals(pendingJob.spec().team());
   }
 
   /**
    * True if the task is part of what its team uses beyond its guarantee. That its job lies beyond
    * it is not enough: a job that waits counts there too, and a team with a long queue had tasks
-   * stopped while it used next to nothing.
+   * preempted while it used next to nothing.
    */
-  private static boolean isBorrowed(Snapshot.TeamUsage use, Snapshot.RunningTask r) {
-    return use == null || use.isBeyondGuarantee(r.cpus(), r.cards());
+  private static boolean isBorrowed(Snapshot.TeamUsage usage, Snapshot.RunningTask task) {
+    return usage == null || usage.isBeyondGuarantee(task.cpus(), task.cards());
   }
 
-  private static Snapshot.TeamUsage without(Snapshot.TeamUsage use, Snapshot.RunningTask r) {
-    return use == null ? null : use.plus(-r.cpus(), -r.cards());
+  private static Snapshot.TeamUsage without(Snapshot.TeamUsage usage, Snapshot.RunningTask task) {
+    return usage == null ? null : usage.plus(-task.cpus(), -task.cards());
   }
 }
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -10,63 +10,95 @@
 import java.util.Set;
 
 /**
- * What the searches of one scheduling round share: the machines' room, what is stopped, and which
- * searches were in vain. Room only shrinks within a round, so what found none once is not looked
- * for again.
+ * The state that the searches of one scheduling round share: the machines' free capacity, the
+ * preempted tasks, and the searches that found nothing. Free capacity only shrinks within a round,
+ * so that a search that found none is not repeated.
  */
 final class RoundState {
-  /** A shape, and how long it waits for room by itself, s. */
-  record Patience(TaskShape shape, double mostS) {}
+  /** A shape, and the longest that it waits for running tasks to complete, s. */
+  record CompletionWait(TaskShape shape, double maxWaitS) {}
 
   /**
-   * A shape, and whose work may be stopped for it; {@code image} is null if any machine will do.
+   * A shape, and whose work may be preempted for it; {@code image} is null if any machine will do.
    */
-  record Claim(TaskShape shape, Priority priority, String guaranteedTeam, String image) {}
+  record PreemptionClaim(TaskShape shape, Priority priority, String guaranteedTeam, String image) {}
 
-  final Snapshot snapshot;
-  final List<FreeCapacity> rooms;
-  final Preemption preemption;
-
-  /** Machines on which room is being made that is not reserved yet, by index. */
-  final BitSet coming = new BitSet();
-
-  /** Shapes for which no machine has room. */
-  final Set<TaskShape> full = new HashSet<>();
-
-  /** Claims for which nothing may be stopped. */
-  final Set<Claim> hopeless = new HashSet<>();
-
-  /** Shapes for which no room comes by itself in time. */
-  final Set<Patience> inVain = new HashSet<>();
-
-  private final int mostHolds;
-  private int holds;
+  private final Snapshot snapshot;
+  private final List<FreeCapacity> machines;
+  private final Preemption preemption;
+  private final BitSet unreservedReleases = new BitSet();
+  private final Set<TaskShape> shapesWithoutCapacity = new HashSet<>();
+  private final Set<PreemptionClaim> claimsWithoutCandidates = new HashSet<>();
+  private final Set<CompletionWait> waitsWithoutCandidates = new HashSet<>();
+  private final int maxReservedMachines;
+  private int reservedMachines;
 
   RoundState(Snapshot snapshot) {
     this.snapshot = snapshot;
-    this.rooms = new ArrayList<>(snapshot.machines().size());
+    this.machines = new ArrayList<>(snapshot.machines().size());
     this.preemption = new Preemption(snapshot);
-    this.mostHolds = mostHolds(snapshot);
+    this.maxReservedMachines = maxReservedMachines(snapshot);
     for (Snapshot.Machine machine : snapshot.machines()) {
-      FreeCapacity room = new FreeCapacity(machine, rooms.size());
-      rooms.add(room);
-      machine.running().stream().filter(Snapshot.RunningTask::stopping).forEach(room::release);
-      coming.set(room.index, room.isComing());
+      FreeCapacity capacity = new FreeCapacity(machine, machines.size());
+      machines.add(capacity);
+      machine.running().stream()
+          .filter(Snapshot.RunningTask::stopping)
+          .forEach(capacity::addRelease);
+      updateReleases(capacity);
     }
   }
 
-  /** How many machines may be kept free at once for tasks that wait for them, of a snapshot's. */
-  static int mostHolds(Snapshot snapshot) {
-    return Math.max(1, (int) (snapshot.machines().size() * PlanConstants.HOLDS_SHARE));
+  Snapshot snapshot() {
+    return snapshot;
+  }
+
+  /** The machines in the order of the snapshot. */
+  List<FreeCapacity> machines() {
+    return machines;
+  }
+
+  Preemption preemption() {
+    return preemption;
+  }
+
+  /** The machines that release capacity which is not reserved yet, by index. */
+  BitSet unreservedReleases() {
+    return unreservedReleases;
+  }
+
+  /** Brings {@link #unreservedReleases} up to date after a change of the machine. */
+  void updateReleases(FreeCapacity machine) {
+    unreservedReleases.set(machine.index(), machine.hasUnreservedReleases());
+  }
+
+  /** The shapes for which no machine has free capacity. */
+  Set<TaskShape> shapesWithoutCapacity() {
+    return shapesWithoutCapacity;
+  }
+
+  /** The claims for which nothing may be preempted. */
+  Set<PreemptionClaim> claimsWithoutCandidates() {
+    return claimsWithoutCandidates;
+  }
+
+  /** The waits for which no running task completes in time. */
+  Set<CompletionWait> waitsWithoutCandidates() {
+    return waitsWithoutCandidates;
+  }
+
+  /** How many machines may be reserved at once for tasks that need a whole one to drain. */
+  static int maxReservedMachines(Snapshot snapshot) {
+    int share = (int) (snapshot.machines().size() * PlanConstants.RESERVED_MACHINES_SHARE);
+    return Math.max(1, share);
   }
 
-  /** True if one more machine may be kept free for a task that nothing else makes room for. */
-  boolean mayHold() {
-    return holds < mostHolds;
+  /** True if one more machine may be reserved for a task that nothing else makes way for. */
+  boolean mayReserveMachine() {
+    return reservedMachines < maxReservedMachines;
   }
 
-  /** Notes that a machine is kept free. */
-  void held() {
-    holds++;
+  /** Counts a machine that is reserved. */
+  void countReservedMachine() {
+    reservedMachines++;
   }
 }
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -9,12 +9,20 @@
 import java.util.Set;
 
 /**
- * Everything that placement may look at, frozen for one round. {@code guaranteed} names the jobs
- * that lie within their team's guarantee; all other work is borrowed. {@code kept} holds the
- * attempts that are all a job has after long waiting: they are stopped for nobody. {@code overdue}
- * names the jobs that were passed over for long although a machine had room for them: what is
- * reserved for others does not keep them back any more. {@code spared} holds the attempts that are
- * stopped for more urgent work alone.
+ * The input of one scheduling round.
+ *
+ * @param machines the machines that may take tasks
+ * @param pendingJobs the jobs with tasks to place
+ * @param guaranteedJobs the ids of jobs that lie within their team's guarantee; all other work is
+ *     borrowed
+ * @param nonPreemptible the attempts that are all that an aged job has running: they are not
+ *     preempted for any work
+ * @param teams what each team uses and may use, by name
+ * @param nowMs the time of the round on the leader's clock, ms
+ * @param maxStarts how many tasks the round may start
+ * @param starvedJobs the ids of jobs that were passed over for long although a machine had free
+ *     capacity: what is reserved for others does not hold them back any more
+ * @param preemptibleOnlyByMoreUrgent the attempts that are preempted for more urgent work alone
  */
 public record Snapshot(
     List<Machine> machines,
@@ -27,33 +35,26 @@
     Set<String> starvedJobs,
     Set<Long> preemptibleOnlyByMoreUrgent) {
 
-  /** A snapshot in which no job was passed over, and no attempt is spared. */
-  public Snapshot(
-      List<Machine> machines,
-      List<PendingJob> pendingJobs,
-      Set<String> guaranteedJobs,
-      Set<Long> nonPreemptible,
-      Map<String, TeamUsage> teams,
-      long nowMs,
-      int maxStarts) {
-    this(
-        machines,
-        pendingJobs,
-        guaranteedJobs,
-        nonPreemptible,
-        teams,
-        nowMs,
-        maxStarts,
-        Set.of(),
-        Set.of());
-  }
-
-  /** Where tasks are that a predecessor started on a machine nobody has described yet. */
+  /** The zone of tasks that an earlier leader started on a machine that has not reported yet. */
   public static final String UNKNOWN_ZONE = "";
 
   /**
-   * A machine that may take tasks; amounts are what is left. {@code slots} is how many more tasks
-   * its worker's reports have room for.
+   * A machine that may take tasks.
+   *
+   * @param name its name
+   * @param type the name of its machine type
+   * @param zone its zone
+   * @param spot true if it is a spot instance
+   * @param cpusTotal the CPUs of its type
+   * @param cpus free CPUs
+   * @param cards free accelerator cards
+   * @param memGb free memory, GB
+   * @param fetchGbPerS how fast it fetches images, GB/s
+   * @param images the images in its cache
+   * @param fetching the images that it is fetching
+   * @param classes the number of its tasks by job class
+   * @param running the tasks that may be preempted, and those that are stopping already
+   * @param slots for how many more tasks its worker's reports have space
    */
   public record Machine(
       String name,
@@ -69,49 +70,27 @@
       Set<String> fetching,
       Map<String, Integer> classes,
       List<RunningTask> running,
-      int slots) {
-
-    /** A machine whose worker's reports have room for any number of tasks. */
-    public Machine(
-        String name,
-        String type,
-        String zone,
-        boolean spot,
-        double cpusTotal,
-        double cpus,
-        double cards,
-        double memGb,
-        double fetchGbPerS,
-        Set<String> images,
-        Set<String> fetching,
-        Map<String, Integer> classes,
-        List<RunningTask> running) {
-      this(
-          name,
-          type,
-          zone,
-          spot,
-          cpusTotal,
-          cpus,
-          cards,
-          memGb,
-          fetchGbPerS,
-          images,
-          fetching,
-          classes,
-          running,
-          Integer.MAX_VALUE);
-    }
-  }
+      int slots) {}
 
   /**
-   * A job with tasks to place; {@code priority} is its own or that of a job that needs it, {@code
-   * stopsAs} the one with which it may stop other work, which is no more urgent. {@code zones}
-   * counts its tasks that may be present, by zone; only jobs with a rule about zones need it. A
-   * {@code late} job can't meet any time set for it any more. {@code work} is the CPU seconds that
-   * its waiting tasks still take, less the longer it has waited. {@code patienceS} is how long it
-   * rather waits for room than has others stopped, s. If its {@code turn} is not the usual one this
-   * is its first task after long waiting.
+   * A job with tasks to place.
+   *
+   * @param spec the job
+   * @param priority its own priority, or a more urgent one that it inherits from a dependant
+   * @param preemptsAs the priority with which it may preempt other work, no more urgent than {@code
+   *     priority}
+   * @param tasks the indexes of the tasks to place
+   * @param zones its tasks that may be present, by zone; filled for jobs with a constraint on zones
+   * @param withinGuarantee true if the job lies within its team's guarantee
+   * @param latencySensitive true if waiting for an image counts more than usual
+   * @param late true if it can't meet any of its deadlines any more
+   * @param agedWork the CPU seconds that its waiting tasks still take, less the longer it has
+   *     waited
+   * @param maxWaitS how long it waits for running tasks to complete rather than have others
+   *     preempted, s
+   * @param agingBoost how far its first task is moved forward; {@code tasks} is that one alone
+   *     unless this is {@link AgingBoost#NONE}
+   * @param order its place in the order in which jobs were released
    */
   public record PendingJob(
       JobSpec spec,
@@ -122,15 +101,25 @@
       boolean withinGuarantee,
       boolean latencySensitive,
       boolean late,
-      double work,
+      double agedWork,
       double maxWaitS,
       AgingBoost agingBoost,
       long order) {}
 
   /**
-   * A task that may be stopped; {@code sinceMs} is when it began to run, or -1, {@code priority}
-   * its job's own or that of a job that needs it, {@code takesS} how long it is expected to run, s,
-   * 0 if for ever.
+   * A task that may be preempted, or is stopping.
+   *
+   * @param spec its job
+   * @param priority its job's own priority, or one that the job inherits
+   * @param task its index in the job
+   * @param attempt the number of the attempt
+   * @param machine the name of its machine
+   * @param stopping true if it is being stopped already
+   * @param cpus CPUs that it takes
+   * @param cards accelerator cards that it takes
+   * @param memGb memory that it takes, GB
+   * @param runningSinceMs when it began to run, ms, or -1
+   * @param expectedRunS how long it is expected to run, s; 0 if for ever
    */
   public record RunningTask(
       JobSpec spec,
@@ -145,22 +134,29 @@
       long runningSinceMs,
       double expectedRunS) {
 
-    /** The work that would be lost, seconds. */
+    /** How long it has run, and the work that preemption would lose, s. */
     double elapsedS(long nowMs) {
       return runningSinceMs < 0 ? 0 : (nowMs - runningSinceMs) / 1000.0;
     }
 
-    /** How long it still runs, as far as anyone can tell, seconds. */
+    /** How much longer it is expected to run, s. */
     double remainingS(long nowMs) {
       return expectedRunS <= 0
           ? Double.POSITIVE_INFINITY
-          : Math.max(expectedRunS * PlanConstants.RUN_LEFT_LEAST, expectedRunS - elapsedS(nowMs));
+          : Math.max(
+              expectedRunS * PlanConstants.MIN_REMAINING_SHARE, expectedRunS - elapsedS(nowMs));
     }
   }
 
   /**
-   * What a team's tasks use at the most, its limits, and its guarantee; a cap of 0 means that there
-   * is none.
+   * What a team uses, its limit and its guarantee.
+   *
+   * @param cpus CPUs that its tasks take at most
+   * @param cards accelerator cards that its tasks take at most
+   * @param cpusMax its limit of CPUs, 0 for none
+   * @param cardsMax its limit of cards, 0 for none
+   * @param cpusGuaranteed CPUs that are guaranteed to it, 0 for none
+   * @param cardsGuaranteed cards that are guaranteed to it, 0 for none
    */
   public record TeamUsage(
       double cpus,
@@ -170,27 +166,23 @@
       double cpusGuaranteed,
       double cardsGuaranteed) {
 
-    /** A team without a guarantee. */
-    public TeamUsage(double cpus, double cards, double cpusMax, double cardsMax) {
-      this(cpus, cards, cpusMax, cardsMax, 0, 0);
-    }
-
-    /** True if another task of this size stays within the cap. */
+    /** True if another task of this size stays within the limit. */
     public boolean allows(double moreCpus, double moreCards) {
       return (cpusMax <= 0 || cpus + moreCpus <= cpusMax + ProtocolConstants.EPSILON)
           && (cardsMax <= 0 || cards + moreCards <= cardsMax + ProtocolConstants.EPSILON);
     }
 
-    /** True if a task that takes so much is part of what the team uses beyond its guarantee. */
-    boolean isBeyondGuarantee(double itsCpus, double itsCards) {
-      return (itsCpus > 0 && isBeyond(cpus, cpusGuaranteed))
-          || (itsCards > 0 && isBeyond(cards, cardsGuaranteed));
+    /** True if a task of this size is part of what the team uses beyond its guarantee. */
+    boolean isBeyondGuarantee(double taskCpus, double taskCards) {
+      return (taskCpus > 0 && isBeyond(cpus, cpusGuaranteed))
+          || (taskCards > 0 && isBeyond(cards, cardsGuaranteed));
     }
 
     private static boolean isBeyond(double used, double guaranteed) {
       return guaranteed <= 0 || used > guaranteed + ProtocolConstants.EPSILON;
     }
 
+    /** The usage with so much more, or less if negative. */
     TeamUsage plus(double moreCpus, double moreCards) {
       return new TeamUsage(
           cpus + moreCpus, cards + moreCards, cpusMax, cardsMax, cpusGuaranteed, cardsGuaranteed);
--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/OrderProperties.java
@@ -108,7 +108,7 @@
                         1,
                         n.late(),
                         n.withinGuarantee(),
-                        n.work(),
+                        n.agedWork(),
                         n.agingBoost()));
               }
               return numbered;
@@ -259,7 +259,7 @@
         }
       }
       machines.add(
-          new Snapshot.Machine(
+          SnapshotFixtures.machine(
               name,
               "mesa",
               "z",
@@ -274,10 +274,10 @@
               Map.of(),
               running));
     }
-    Map<String, Snapshot.TeamUsage> teams = Map.of("roja", new Snapshot.TeamUsage(0, 0, 0, 0));
+    Map<String, Snapshot.TeamUsage> teams = Map.of("roja", SnapshotFixtures.usage(0, 0, 0, 0));
     Plan plan =
         Planner.plan(
-            new Snapshot(
+            SnapshotFixtures.snapshot(
                 machines, pendingJobs, Set.of(), turns.nonPreemptible(), teams, now, 1_000));
     for (Snapshot.RunningTask stopped : plan.preemptions()) {
       Job j = byId.get(stopped.spec().id());
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -280,7 +280,7 @@
             || stopOthers(pendingJob, zones, false);
     if (!found
         && pendingJob.agingBoost() == AgingBoost.ABOVE_ALL
-        && holds < RoundState.mostHolds(snapshot)
+        && holds < RoundState.maxReservedMachines(snapshot)
         && reserveFirst(pendingJob, zones, Double.MAX_VALUE)) {
       holds++;
     }
--- a/src/test/java/fennelthread/plan/PlannerTest.java
+++ b/src/test/java/fennelthread/plan/PlannerTest.java
@@ -45,7 +45,7 @@
 
   private static Snapshot.Machine machine(
       String name, double total, double free, String image, Snapshot.RunningTask... running) {
-    return new Snapshot.Machine(
+    return SnapshotFixtures.machine(
         name,
         "mesa",
         "z",
@@ -80,7 +80,8 @@
 
   private static Snapshot snapshot(
       List<Snapshot.Machine> machines, Snapshot.PendingJob pendingJob, Set<String> guaranteed) {
-    return new Snapshot(machines, List.of(pendingJob), guaranteed, Set.of(), teams(0), NOW_MS, 10);
+    return SnapshotFixtures.snapshot(
+        machines, List.of(pendingJob), guaranteed, Set.of(), teams(0), NOW_MS, 10);
   }
 
   private static Snapshot.PendingJob pendingJob(JobSpec spec, boolean guaranteed, int count) {
@@ -105,7 +106,7 @@
 
   private static Map<String, Snapshot.TeamUsage> teams(double cap) {
     return Map.of(
-        "roja", new Snapshot.TeamUsage(0, 0, cap, 0), "azul", new Snapshot.TeamUsage(0, 0, cap, 0));
+        "roja", SnapshotFixtures.usage(0, 0, cap, 0), "azul", SnapshotFixtures.usage(0, 0, cap, 0));
   }
 
   @Test
@@ -167,7 +168,7 @@
             pendingJob(job("job-2", "azul", Priority.BEST_EFFORT, 1, 2), false, 1));
     Plan plan =
         Planner.plan(
-            new Snapshot(
+            SnapshotFixtures.snapshot(
                 List.of(machine("a", 4, 2, null, leaving)),
                 pendingJobs,
                 Set.of(),
@@ -277,7 +278,7 @@
                 3));
     Plan plan =
         Planner.plan(
-            new Snapshot(
+            SnapshotFixtures.snapshot(
                 List.of(machine("a", 8, 8, null)),
                 pendingJobs,
                 Set.of(),
@@ -345,7 +346,7 @@
     // Half of them have ended since: the rest must not be given away again.
     Plan next =
         Planner.plan(
-            new Snapshot(
+            SnapshotFixtures.snapshot(
                 List.of(
                     machine(
                         "a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.RunningTask[0]))),
@@ -379,7 +380,7 @@
     for (AgingBoost turn : AgingBoost.values()) {
       Plan plan =
           Planner.plan(
-              new Snapshot(
+              SnapshotFixtures.snapshot(
                   machines,
                   List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, turn)),
                   Set.of(),
@@ -414,7 +415,7 @@
                   "roja", new Snapshot.TeamUsage(0, 0, 0, 0, 12, 0),
                   "azul", new Snapshot.TeamUsage(12, 0, 0, 0, guarantee, 0));
           Snapshot s =
-              new Snapshot(
+              SnapshotFixtures.snapshot(
                   machines,
                   List.of(pendingJob(spec, true, 3)),
                   Set.of(),
@@ -466,7 +467,8 @@
             bound("job-2", Priority.STANDARD, 3, null));
     Plan first =
         Planner.plan(
-            new Snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
+            SnapshotFixtures.snapshot(
+                machines, pendingJobs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
     assertEquals(List.of(), first.starts());
     assertEquals(Set.of("job-2"), first.passedOver());
     Plan later =
@@ -491,7 +493,7 @@
                 pendingJobs,
                 Set.of(),
                 Set.of(),
-                Map.of("roja", new Snapshot.TeamUsage(9, 0, 10, 0)),
+                Map.of("roja", SnapshotFixtures.usage(9, 0, 10, 0)),
                 NOW_MS,
                 10,
                 Set.of("job-2"),
@@ -508,7 +510,8 @@
     List<Snapshot.Machine> machines = List.of(machine("a", 16, 12, null, endless));
     List<Snapshot.PendingJob> pendingJobs =
         List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, AgingBoost.ABOVE_ALL));
-    Snapshot kept = new Snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
+    Snapshot kept =
+        SnapshotFixtures.snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
     assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
     assertEquals(List.of(), Planner.plan(kept).starts());
     Snapshot over =
@@ -560,7 +563,7 @@
     assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).preemptions());
     assertTrue(
         Planner.plan(
-                new Snapshot(
+                SnapshotFixtures.snapshot(
                     machines,
                     List.of(urgent),
                     Set.of(),
@@ -696,7 +699,7 @@
                 r.nextInt(3) == 0 ? 0 : 1 + r.nextInt(20)));
       }
       machines.add(
-          new Snapshot.Machine(
+          SnapshotFixtures.machine(
               "m" + i,
               r.nextBoolean() ? "mesa" : "torre",
               "z" + r.nextInt(3),
@@ -760,8 +763,8 @@
     }
     Map<String, Snapshot.TeamUsage> teams =
         Map.of(
-            "roja", new Snapshot.TeamUsage(3, 0, 5 + r.nextInt(40), 2),
-            "azul", new Snapshot.TeamUsage(0, 0, 5 + r.nextInt(40), 2));
+            "roja", SnapshotFixtures.usage(3, 0, 5 + r.nextInt(40), 2),
+            "azul", SnapshotFixtures.usage(0, 0, 5 + r.nextInt(40), 2));
     Set<Long> kept = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
     int mostStarts = 1 + r.nextInt(30);
     machines.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
--- a/src/test/java/fennelthread/simulation/WaitingTest.java
+++ b/src/test/java/fennelthread/simulation/WaitingTest.java
@@ -96,7 +96,7 @@
     JobSpec largest = JobDraft.array(c, 1, 10).cpus(MACHINE_CPUS).spec();
     c.submit(largest);
     // Until its turn has come, and a machine is kept.
-    c.world.runUntil(c.world.now() + PlanConstants.BEGIN_AFTER_MS + 3_000);
+    c.world.runUntil(c.world.now() + PlanConstants.AGING_THRESHOLD_MS + 3_000);
     JobSpec small = JobDraft.array(c, 2, 2).priority(Priority.BEST_EFFORT).spec();
     c.submit(small);
     long tookMs = beginsAfterMs(c, small);
