--- a/src/main/java/fennelthread/leader/FleetEnvironment.java
+++ b/src/main/java/fennelthread/leader/FleetEnvironment.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-import fennelthread.fleet.Cloud;
+import fennelthread.fleet.CloudClient;
 import fennelthread.fleet.WorkerLink;
 import fennelthread.fleet.ZoneHealth;
 import java.util.Map;
@@ -18,7 +18,7 @@
  * @param workerAddresses addresses, by name, of workers that peers or predecessors knew
  */
 public record FleetEnvironment(
-    Cloud cloud,
+    CloudClient cloud,
     MachineTypeCatalog machineTypes,
     ZoneHealth zoneHealth,
     WorkerLink workerLink,
