--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -107,7 +107,7 @@
     long now = eventLoop.nowMs();
     for (ActiveJob activeJob : term.activeJobs().all()) {
       long waitedMs = eventLoop.wallMs() - activeJob.releasedWallMs();
-      if (waitedMs > PlanConstants.BEGIN_AFTER_MS && mayAge(activeJob)) {
+      if (waitedMs > PlanConstants.AGING_THRESHOLD_MS && mayAge(activeJob)) {
         aging.consider(agingCandidate(activeJob, waitedMs, now));
       }
     }
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -6,6 +6,7 @@
 import fennelthread.fleet.FleetListener;
 import fennelthread.fleet.Machine;
 import fennelthread.fleet.MachineProvisioner;
+import fennelthread.fleet.ProvisioningContext;
 import fennelthread.jobs.Job;
 import fennelthread.jobs.StartRecord;
 import fennelthread.net.Answer;
@@ -69,7 +70,7 @@
     this.commands = new WorkerCommands(eventLoop, state, records.endedJobs());
     this.scheduling =
         new SchedulingLoop(
-            context, state, environment.machineTypes(), startRecordKeys, provisioner::demand);
+            context, state, environment.machineTypes(), startRecordKeys, provisioner::recordDemand);
     this.completions = new CompletionWriter(context, records.store(), activeJobs, scheduling);
     this.attemptEnds = new AttemptEndHandler(eventLoop, state, completions);
     this.collector = new RecordCollector(context, records.table(), fleet, startRecordKeys);
@@ -98,13 +99,14 @@
   private MachineProvisioner createProvisioner(FleetEnvironment environment) {
     MachineTypeCatalog machineTypes = environment.machineTypes();
     return new MachineProvisioner(
-        eventLoop,
-        context.settings(),
-        context.options(),
-        environment.cloud(),
-        fleet,
-        environment.zoneHealth(),
-        environment.workerLink().stalls(),
+        new ProvisioningContext(
+            eventLoop,
+            context.settings(),
+            context.options(),
+            environment.cloud(),
+            fleet,
+            environment.zoneHealth(),
+            environment.workerLink().stalls()),
         "r-" + epoch + "-" + context.settings().member(),
         machineTypes.byName(),
         machineTypes::replaceAndStore);
--- a/src/main/java/fennelthread/state/ResponseDecoder.java
+++ b/src/main/java/fennelthread/state/ResponseDecoder.java
@@ -93,14 +93,14 @@
   }
 
   /** Decodes the answer to the renewal of a lease. */
-  static LeaseRenewal leaseRenewal(Answer answer) {
+  static LeaseRenewalResult leaseRenewal(Answer answer) {
     if (answer == null) {
-      return LeaseRenewal.UNCONFIRMED;
+      return LeaseRenewalResult.UNCONFIRMED;
     }
     return switch (answer.status()) {
-      case 200 -> LeaseRenewal.RENEWED;
-      case 404 -> LeaseRenewal.EXPIRED;
-      default -> LeaseRenewal.UNCONFIRMED;
+      case 200 -> LeaseRenewalResult.RENEWED;
+      case 404 -> LeaseRenewalResult.EXPIRED;
+      default -> LeaseRenewalResult.UNCONFIRMED;
     };
   }
 
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -199,7 +199,7 @@
   }
 
   /** Renews a lease. */
-  public void renewLease(long leaseId, Consumer<LeaseRenewal> done) {
+  public void renewLease(long leaseId, Consumer<LeaseRenewalResult> done) {
     transport.send(
         StateRequest.of(
             Call.post("/grants/" + leaseId + "/extend", Codec.CBOR, Fields.create()),
