--- /dev/null
+++ b/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
@@ -0,0 +1,187 @@
+package fennelthread.plan;
+
+import static fennelthread.plan.SnapshotFixtures.NOW_MS;
+import static fennelthread.plan.SnapshotFixtures.job;
+import static fennelthread.plan.SnapshotFixtures.machine;
+import static fennelthread.plan.SnapshotFixtures.pendingJob;
+import static fennelthread.plan.SnapshotFixtures.running;
+import static fennelthread.plan.SnapshotFixtures.snapshot;
+import static fennelthread.plan.SnapshotFixtures.teams;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fennelthread.wire.JobSpec;
+import fennelthread.wire.Priority;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Which running tasks are preempted for which waiting ones. */
+class PlannerPreemptionTest {
+  @Test
+  void lessUrgentWorkMakesRoom() {
+    Snapshot.RunningTask low = running("job-8", "azul", Priority.BEST_EFFORT, 5);
+    Snapshot.RunningTask same = running("job-9", "azul", Priority.CRITICAL, 1);
+    Snapshot s =
+        snapshot(
+            List.of(machine("a", 8, 0, null, same, low)),
+            pendingJob(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
+            Set.of("job-8", "job-9"));
+    Plan plan = Planner.plan(s);
+    assertEquals(List.of(low), plan.preemptions());
+    assertTrue(plan.starts().isEmpty());
+  }
+
+  /** Work that an urgent job needs is as urgent: it makes room, and is not stopped for less. */
+  @Test
+  void priorityOfThoseThatNeedIt() {
+    JobSpec pendingJob = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
+    Snapshot.RunningTask other = running("job-9", "azul", Priority.STANDARD, 1);
+    Snapshot.PendingJob lent =
+        new Snapshot.PendingJob(
+            pendingJob,
+            Priority.URGENT,
+            Priority.URGENT,
+            List.of(0),
+            Map.of(),
+            false,
+            false,
+            false,
+            1,
+            0,
+            AgingBoost.NONE,
+            1);
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, other));
+    assertEquals(List.of(other), Planner.plan(snapshot(machines, lent, Set.of())).preemptions());
+    Snapshot.PendingJob patient =
+        new Snapshot.PendingJob(
+            pendingJob,
+            Priority.URGENT,
+            Priority.BEST_EFFORT,
+            List.of(0),
+            Map.of(),
+            false,
+            false,
+            false,
+            1,
+            0,
+            AgingBoost.NONE,
+            1);
+    assertTrue(Planner.plan(snapshot(machines, patient, Set.of())).preemptions().isEmpty());
+    Snapshot.RunningTask needed =
+        new Snapshot.RunningTask(
+            pendingJob, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
+    assertTrue(
+        Planner.plan(
+                snapshot(
+                    List.of(machine("a", 4, 0, null, needed)),
+                    pendingJob(job("job-2", "azul", Priority.STANDARD, 1, 4), true, 1),
+                    Set.of()))
+            .preemptions()
+            .isEmpty());
+  }
+
+  /**
+   * A team with a long queue had tasks stopped for another's guarantee while it used next to
+   * nothing: its later jobs lie beyond its guarantee, but what it runs does not.
+   */
+  @Test
+  void onlyWhatATeamUsesBeyondItsGuaranteeIsGivenBack() {
+    Snapshot.RunningTask a = running("job-7", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask b = running("job-8", "azul", Priority.STANDARD, 2);
+    Snapshot.RunningTask c = running("job-9", "azul", Priority.STANDARD, 3);
+    JobSpec spec = job("job-1", "roja", Priority.STANDARD, 3, 4);
+    List<Snapshot.Machine> machines = List.of(machine("a", 12, 0, null, a, b, c));
+    Map<Integer, List<Snapshot.RunningTask>> expected =
+        Map.of(12, List.of(), 11, List.of(a), 8, List.of(a), 7, List.of(a, b), 0, List.of(a, b, c));
+    expected.forEach(
+        (guarantee, stops) -> {
+          Map<String, Snapshot.TeamUsage> teams =
+              Map.of(
+                  "roja", new Snapshot.TeamUsage(0, 0, 0, 0, 12, 0),
+                  "azul", new Snapshot.TeamUsage(12, 0, 0, 0, guarantee, 0));
+          Snapshot s =
+              SnapshotFixtures.snapshot(
+                  machines,
+                  List.of(pendingJob(spec, true, 3)),
+                  Set.of(),
+                  Set.of(),
+                  teams,
+                  NOW_MS,
+                  10);
+          assertEquals(stops, Planner.plan(s).preemptions(), "guarantee " + guarantee);
+        });
+  }
+
+  @Test
+  void borrowedWorkMakesRoomForAGuarantee() {
+    Snapshot.RunningTask borrowed = running("job-8", "azul", Priority.STANDARD, 5);
+    Snapshot.RunningTask urgent = running("job-9", "azul", Priority.URGENT, 5);
+    JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, borrowed));
+    assertEquals(
+        1,
+        Planner.plan(snapshot(machines, pendingJob(spec, true, 1), Set.of())).preemptions().size());
+    assertEquals(
+        0,
+        Planner.plan(snapshot(machines, pendingJob(spec, false, 1), Set.of()))
+            .preemptions()
+            .size());
+    // Borrowed work of higher priority would be placed first and take the room back.
+    assertEquals(
+        0,
+        Planner.plan(
+                snapshot(
+                    List.of(machine("a", 4, 0, null, urgent)), pendingJob(spec, true, 1), Set.of()))
+            .preemptions()
+            .size());
+  }
+
+  /**
+   * A task that began before others of its priority, since its job had waited long, was stopped for
+   * one of them that lies within a guarantee, and began before it again, eight times a second.
+   */
+  @Test
+  void whatComesFirstAmongEqualsIsNotStoppedForThem() {
+    Snapshot.RunningTask first = running("job-8", "azul", Priority.STANDARD, 5);
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, first));
+    for (Priority p : Priority.values()) {
+      Snapshot.PendingJob owed = pendingJob(job("job-1", "roja", p, 1, 4), true, 1);
+      Snapshot s =
+          new Snapshot(
+              machines,
+              List.of(owed),
+              Set.of(),
+              Set.of(),
+              teams(0),
+              NOW_MS,
+              10,
+              Set.of(),
+              Set.of(first.attempt()));
+      boolean isMoreUrgent = p.compareTo(Priority.STANDARD) < 0;
+      assertEquals(isMoreUrgent ? List.of(first) : List.of(), Planner.plan(s).preemptions());
+    }
+  }
+
+  /** What is all that a job has after long waiting is stopped for nobody. */
+  @Test
+  void aFirstTaskOutOfTurnIsNotStopped() {
+    Snapshot.RunningTask only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
+    Snapshot.PendingJob urgent = pendingJob(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, only));
+    assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).preemptions());
+    assertTrue(
+        Planner.plan(
+                SnapshotFixtures.snapshot(
+                    machines,
+                    List.of(urgent),
+                    Set.of(),
+                    Set.of(only.attempt()),
+                    teams(0),
+                    NOW_MS,
+                    10))
+            .preemptions()
+            .isEmpty());
+  }
+}
--- /dev/null
+++ b/src/test/java/fennelthread/plan/PlannerRankingTest.java
@@ -0,0 +1,138 @@
+package fennelthread.plan;
+
+import static fennelthread.plan.SnapshotFixtures.NOW_MS;
+import static fennelthread.plan.SnapshotFixtures.job;
+import static fennelthread.plan.SnapshotFixtures.machine;
+import static fennelthread.plan.SnapshotFixtures.pendingJob;
+import static fennelthread.plan.SnapshotFixtures.running;
+import static fennelthread.plan.SnapshotFixtures.snapshot;
+import static fennelthread.plan.SnapshotFixtures.teams;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fennelthread.wire.JobSpec;
+import fennelthread.wire.Priority;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** The order of jobs and the choice of machines. */
+class PlannerRankingTest {
+  @Test
+  void cachedImageBeforeFullest() {
+    Snapshot s =
+        snapshot(
+            List.of(machine("a", 8, 2, null), machine("b", 8, 8, "img")),
+            pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
+            Set.of());
+    assertEquals("b", Planner.plan(s).starts().get(0).machine());
+  }
+
+  @Test
+  void fullestAmongEquals() {
+    Snapshot s =
+        snapshot(
+            List.of(machine("a", 8, 8, null), machine("b", 8, 3, null)),
+            pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
+            Set.of());
+    assertEquals("b", Planner.plan(s).starts().get(0).machine());
+  }
+
+  /** A backlog once made every job late, each by what those before it took. */
+  @Test
+  void whatCanBeInTimeComesBeforeWhatIsLateAndSmallBeforeLarge() {
+    JobSpec late = job("job-1", "roja", Priority.STANDARD, 1, 4);
+    JobSpec large = job("job-2", "roja", Priority.STANDARD, 1, 4);
+    JobSpec small = job("job-3", "roja", Priority.STANDARD, 1, 4);
+    List<Snapshot.PendingJob> pendingJobs =
+        List.of(
+            new Snapshot.PendingJob(
+                late,
+                late.priority(),
+                late.priority(),
+                List.of(0),
+                Map.of(),
+                false,
+                false,
+                true,
+                10,
+                0,
+                AgingBoost.NONE,
+                1),
+            new Snapshot.PendingJob(
+                large,
+                large.priority(),
+                large.priority(),
+                List.of(0),
+                Map.of(),
+                false,
+                false,
+                false,
+                900,
+                0,
+                AgingBoost.NONE,
+                2),
+            new Snapshot.PendingJob(
+                small,
+                small.priority(),
+                small.priority(),
+                List.of(0),
+                Map.of(),
+                false,
+                false,
+                false,
+                90,
+                0,
+                AgingBoost.NONE,
+                3));
+    Plan plan =
+        Planner.plan(
+            SnapshotFixtures.snapshot(
+                List.of(machine("a", 8, 8, null)),
+                pendingJobs,
+                Set.of(),
+                Set.of(),
+                teams(0),
+                NOW_MS,
+                10));
+    assertEquals(
+        List.of("job-3", "job-2"), plan.starts().stream().map(s -> s.spec().id()).toList());
+  }
+
+  /** A replica goes where its image is, at the cost of less urgent work, not where it must wait. */
+  @Test
+  void replicasTakeTheMachineThatHasTheImage() {
+    JobSpec service =
+        new JobSpec(
+            "job-1",
+            "servicio",
+            "roja",
+            true,
+            Priority.CRITICAL,
+            1,
+            4,
+            0,
+            1,
+            "img",
+            3,
+            null,
+            null,
+            false,
+            false,
+            false,
+            0,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    Snapshot.RunningTask low = running("job-8", "azul", Priority.STANDARD, 5);
+    Plan plan =
+        Planner.plan(
+            snapshot(
+                List.of(machine("a", 8, 8, null), machine("b", 4, 0, "img", low)),
+                pendingJob(service, true, 1),
+                Set.of("job-8")));
+    assertEquals(List.of(low), plan.preemptions());
+    assertTrue(plan.starts().isEmpty());
+  }
+}
--- /dev/null
+++ b/src/test/java/fennelthread/plan/PlannerReservationTest.java
@@ -0,0 +1,265 @@
+package fennelthread.plan;
+
+import static fennelthread.plan.SnapshotFixtures.NOW_MS;
+import static fennelthread.plan.SnapshotFixtures.job;
+import static fennelthread.plan.SnapshotFixtures.machine;
+import static fennelthread.plan.SnapshotFixtures.pendingJob;
+import static fennelthread.plan.SnapshotFixtures.running;
+import static fennelthread.plan.SnapshotFixtures.snapshot;
+import static fennelthread.plan.SnapshotFixtures.teams;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fennelthread.wire.JobSpec;
+import fennelthread.wire.Priority;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Capacity that is reserved for waiting tasks, and for how long. */
+class PlannerReservationTest {
+  private static Snapshot.RunningTask small(
+      int attempt, String machine, double ranS, double takesS) {
+    return new Snapshot.RunningTask(
+        job("job-9", "azul", Priority.BEST_EFFORT, 64, 0.5),
+        Priority.BEST_EFFORT,
+        attempt,
+        attempt,
+        machine,
+        false,
+        0.5,
+        0,
+        0.1,
+        NOW_MS - (long) (ranS * 1000),
+        takesS);
+  }
+
+  private static Snapshot.PendingJob patient(JobSpec spec, double patienceS, AgingBoost turn) {
+    return new Snapshot.PendingJob(
+        spec,
+        spec.priority(),
+        spec.priority(),
+        List.of(0),
+        Map.of(),
+        false,
+        false,
+        false,
+        100,
+        patienceS,
+        turn,
+        1);
+  }
+
+  private static Snapshot.PendingJob bound(String id, Priority priority, int tasks, String zone) {
+    JobSpec any = job(id, "roja", priority, tasks, 1);
+    JobSpec spec =
+        new JobSpec(
+            id,
+            any.jobClass(),
+            any.team(),
+            false,
+            priority,
+            tasks,
+            1,
+            0,
+            1,
+            "img",
+            1,
+            null,
+            zone,
+            false,
+            false,
+            true,
+            10,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    return pendingJob(spec, true, tasks);
+  }
+
+  /**
+   * Room that is made piece by piece for a large task must not go to a smaller one of less urgent
+   * work: that one was stopped for the large task again, a thousand times a minute.
+   */
+  @Test
+  void roomBeingMadeIsNotGivenAway() {
+    Snapshot.RunningTask leaving =
+        new Snapshot.RunningTask(
+            job("job-8", "azul", Priority.BEST_EFFORT, 1, 2),
+            Priority.BEST_EFFORT,
+            0,
+            1,
+            "a",
+            true,
+            2,
+            0,
+            1,
+            NOW_MS,
+            60);
+    List<Snapshot.PendingJob> pendingJobs =
+        List.of(
+            pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 4), false, 1),
+            pendingJob(job("job-2", "azul", Priority.BEST_EFFORT, 1, 2), false, 1));
+    Plan plan =
+        Planner.plan(
+            SnapshotFixtures.snapshot(
+                List.of(machine("a", 4, 2, null, leaving)),
+                pendingJobs,
+                Set.of(),
+                Set.of(),
+                teams(0),
+                NOW_MS,
+                10));
+    assertTrue(plan.starts().isEmpty(), plan.starts().toString());
+    assertTrue(plan.preemptions().isEmpty());
+  }
+
+  /**
+   * A third of a guest's starts was lost to tasks of four CPUs that had sixteen small ones stopped,
+   * each of which would have ended within seconds. Who has the time waits for them, and nobody else
+   * gets their room.
+   */
+  @Test
+  void roomThatComesFreeByItselfIsWaitedFor() {
+    List<Snapshot.RunningTask> soon = new ArrayList<>();
+    List<Snapshot.RunningTask> later = new ArrayList<>();
+    for (int i = 0; i < 8; i++) {
+      soon.add(small(i, "a", 1, 4));
+      later.add(small(10 + i, "b", 1, 40));
+    }
+    List<Snapshot.Machine> machines =
+        List.of(
+            machine("b", 4, 0, null, later.toArray(new Snapshot.RunningTask[0])),
+            machine("a", 4, 0, null, soon.toArray(new Snapshot.RunningTask[0])));
+    JobSpec four = job("job-1", "roja", Priority.STANDARD, 1, 4);
+    JobSpec guest = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
+    Plan plan = Planner.plan(snapshot(machines, patient(four, 5, AgingBoost.NONE), Set.of()));
+    assertTrue(plan.preemptions().isEmpty(), plan.preemptions().toString());
+    // Half of them have ended since: the rest must not be given away again.
+    Plan next =
+        Planner.plan(
+            SnapshotFixtures.snapshot(
+                List.of(
+                    machine(
+                        "a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.RunningTask[0]))),
+                List.of(patient(four, 5, AgingBoost.NONE), patient(guest, 5, AgingBoost.NONE)),
+                Set.of(),
+                Set.of(),
+                teams(0),
+                NOW_MS,
+                10));
+    assertTrue(next.starts().isEmpty() && next.preemptions().isEmpty(), next.toString());
+    assertEquals(
+        8,
+        Planner.plan(snapshot(machines, patient(four, 0, AgingBoost.NONE), Set.of()))
+            .preemptions()
+            .size());
+  }
+
+  /**
+   * A task as large as a machine never finds one free while small ones keep coming: one is kept for
+   * it.
+   */
+  @Test
+  void aMachineIsKeptFreeForTheLargest() {
+    JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
+    JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
+    Snapshot.RunningTask long1 = running("job-8", "azul", Priority.STANDARD, 1);
+    List<Snapshot.Machine> machines =
+        List.of(
+            machine("a", 16, 12, null, long1),
+            machine("b", 16, 0, null, long1, long1, long1, long1));
+    for (AgingBoost turn : AgingBoost.values()) {
+      Plan plan =
+          Planner.plan(
+              SnapshotFixtures.snapshot(
+                  machines,
+                  List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, turn)),
+                  Set.of(),
+                  Set.of(),
+                  teams(0),
+                  NOW_MS,
+                  10));
+      assertEquals(
+          turn == AgingBoost.ABOVE_ALL ? List.of() : List.of(new Plan.Start(small, 0, "a")),
+          plan.starts());
+      assertTrue(plan.preemptions().isEmpty());
+    }
+  }
+
+  /**
+   * An array that waits for a zone without room once kept the rest of its team's limit for ever,
+   * though its next job would have fitted elsewhere.
+   */
+  @Test
+  void whatFindsNoRoomKeepsItsTeamsLimitForAWhileOnly() {
+    List<Snapshot.Machine> machines = List.of(machine("a", 8, 8, null));
+    List<Snapshot.PendingJob> pendingJobs =
+        List.of(
+            bound("job-1", Priority.URGENT, 10, "elsewhere"),
+            bound("job-2", Priority.STANDARD, 3, null));
+    Plan first =
+        Planner.plan(
+            SnapshotFixtures.snapshot(
+                machines, pendingJobs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
+    assertEquals(List.of(), first.starts());
+    assertEquals(Set.of("job-2"), first.passedOver());
+    Plan later =
+        Planner.plan(
+            new Snapshot(
+                machines,
+                pendingJobs,
+                Set.of(),
+                Set.of(),
+                teams(10),
+                NOW_MS,
+                10,
+                first.passedOver(),
+                Set.of()));
+    assertEquals(3, later.starts().size());
+    assertEquals(Set.of(), later.passedOver());
+    // What runs counts in any case.
+    Plan full =
+        Planner.plan(
+            new Snapshot(
+                machines,
+                pendingJobs,
+                Set.of(),
+                Set.of(),
+                Map.of("roja", SnapshotFixtures.usage(9, 0, 10, 0)),
+                NOW_MS,
+                10,
+                Set.of("job-2"),
+                Set.of()));
+    assertEquals(1, full.starts().size());
+  }
+
+  /** A machine that is kept free for a large task is so for a while, not as long as it takes. */
+  @Test
+  void aMachineIsKeptFreeForAWhileOnly() {
+    JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
+    JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
+    Snapshot.RunningTask endless = running("job-8", "azul", Priority.STANDARD, 1);
+    List<Snapshot.Machine> machines = List.of(machine("a", 16, 12, null, endless));
+    List<Snapshot.PendingJob> pendingJobs =
+        List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, AgingBoost.ABOVE_ALL));
+    Snapshot kept =
+        SnapshotFixtures.snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
+    assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
+    assertEquals(List.of(), Planner.plan(kept).starts());
+    Snapshot over =
+        new Snapshot(
+            machines,
+            pendingJobs,
+            Set.of(),
+            Set.of(),
+            teams(0),
+            NOW_MS,
+            10,
+            Set.of("job-2"),
+            Set.of());
+    assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(over).starts());
+  }
+}
--- a/src/test/java/fennelthread/plan/SnapshotFixtures.java
+++ b/src/test/java/fennelthread/plan/SnapshotFixtures.java
@@ -1,11 +1,16 @@
 package fennelthread.plan;
 
+import fennelthread.wire.JobSpec;
+import fennelthread.wire.Priority;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /** Snapshots and their parts for tests that do not care about every component. */
 final class SnapshotFixtures {
+  static final long NOW_MS = 1_000_000;
+
   private SnapshotFixtures() {}
 
   /** A snapshot without starved jobs, in which more urgent work may preempt any attempt. */
@@ -65,4 +70,91 @@
   static Snapshot.TeamUsage usage(double cpus, double cards, double cpusMax, double cardsMax) {
     return new Snapshot.TeamUsage(cpus, cards, cpusMax, cardsMax, 0, 0);
   }
+
+  static JobSpec job(String id, String team, Priority priority, int tasks, double cpus) {
+    return new JobSpec(
+        id,
+        "lote",
+        team,
+        false,
+        priority,
+        tasks,
+        cpus,
+        0,
+        1,
+        "img",
+        1,
+        null,
+        null,
+        false,
+        false,
+        true,
+        10,
+        0,
+        0,
+        JobSpec.NO_DEADLINE);
+  }
+
+  static Snapshot.Machine machine(
+      String name, double total, double free, String image, Snapshot.RunningTask... running) {
+    return machine(
+        name,
+        "mesa",
+        "z",
+        false,
+        total,
+        free,
+        0,
+        64,
+        1,
+        image == null ? Set.of() : Set.of(image),
+        Set.of(),
+        Map.of(),
+        List.of(running));
+  }
+
+  /** A task of 4 CPUs that runs on machine a since {@code runS} seconds. */
+  static Snapshot.RunningTask running(String id, String team, Priority priority, long runS) {
+    return new Snapshot.RunningTask(
+        job(id, team, priority, 1, 4),
+        priority,
+        0,
+        1,
+        "a",
+        false,
+        4,
+        0,
+        1,
+        NOW_MS - runS * 1000,
+        60);
+  }
+
+  static Snapshot snapshot(
+      List<Snapshot.Machine> machines, Snapshot.PendingJob pendingJob, Set<String> guaranteed) {
+    return snapshot(machines, List.of(pendingJob), guaranteed, Set.of(), teams(0), NOW_MS, 10);
+  }
+
+  static Snapshot.PendingJob pendingJob(JobSpec spec, boolean guaranteed, int count) {
+    List<Integer> tasks = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      tasks.add(i);
+    }
+    return new Snapshot.PendingJob(
+        spec,
+        spec.priority(),
+        spec.priority(),
+        tasks,
+        Map.of(),
+        guaranteed,
+        false,
+        false,
+        1,
+        0,
+        AgingBoost.NONE,
+        1);
+  }
+
+  static Map<String, Snapshot.TeamUsage> teams(double cap) {
+    return Map.of("roja", usage(0, 0, cap, 0), "azul", usage(0, 0, cap, 0));
+  }
 }
