--- a/src/test/java/fennelthread/plan/OrderProperties.java
+++ b/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
@@ -20,11 +20,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/**
- * What is owed to whom: the order of placement and the turns, over any jobs and any sequence of
- * arrivals.
- */
-class OrderProperties {
+/** The order of placement and aging, over any jobs and any sequence of arrivals. */
+class PlacementOrderPropertyTest {
   private static final int TRIES = 300;
   private static final long STEP_MS = 5_000;
 
@@ -32,7 +29,7 @@
   private static final int FLOOD = 30;
 
   /**
-   * Longest play: at the worst 40 jobs of 12 steps, one after the other on the part that is kept.
+   * Longest play: at the worst 40 jobs of 12 steps, one after the other on the part for aged jobs.
    */
   private static final int LONGEST_STEPS = 700;
 
@@ -67,7 +64,7 @@
       boolean late,
       boolean guaranteed,
       double work,
-      AgingBoost turn) {
+      AgingBoost boost) {
     return new Snapshot.PendingJob(
         spec(order, priority, cpus),
         priority,
@@ -79,7 +76,7 @@
         late,
         work,
         0,
-        turn,
+        boost,
         order);
   }
 
@@ -93,8 +90,8 @@
                 Arbitraries.of(0.1, 1.0, 1.0, 400.0),
                 Arbitraries.of(AgingBoost.class))
             .as(
-                (p, late, guaranteed, work, turn) ->
-                    pendingJob(0, p, 1, late, guaranteed, work, turn));
+                (p, late, guaranteed, work, boost) ->
+                    pendingJob(0, p, 1, late, guaranteed, work, boost));
     return one.list()
         .ofSize(3)
         .map(
@@ -140,14 +137,14 @@
   /** A job that waits or runs in the model below. */
   private static final class Job {
     final long order;
-    final long at;
-    final Arrival what;
-    long startedAt = -1;
+    final long arrivedAtMs;
+    final Arrival arrival;
+    long startedAtMs = -1;
 
-    Job(long order, long at, Arrival what) {
+    Job(long order, long arrivedAtMs, Arrival arrival) {
       this.order = order;
-      this.at = at;
-      this.what = what;
+      this.arrivedAtMs = arrivedAtMs;
+      this.arrival = arrival;
     }
   }
 
@@ -165,97 +162,101 @@
 
   /**
    * Whatever arrives beside urgent small work of a guarantee, which comes without end and fills the
-   * fleet, each job's task is done in the end: nobody waits for ever.
+   * fleet, each job's task is done in the end: no job starves.
    */
   @Property(tries = TRIES, seed = "20261202")
-  void nobodyWaitsForEver(@ForAll("arrivals") List<List<Arrival>> steps) {
+  void noJobStarves(@ForAll("arrivals") List<List<Arrival>> steps) {
     List<Job> jobs = new ArrayList<>();
-    List<Job> on = new ArrayList<>();
-    Set<Job> open = new HashSet<>();
+    List<Job> running = new ArrayList<>();
+    Set<Job> unfinished = new HashSet<>();
     Map<Job, String> where = new HashMap<>();
     long now = 0;
     long order = 0;
-    for (int step = 0; step < LONGEST_STEPS && (step < steps.size() || !open.isEmpty()); step++) {
+    for (int step = 0;
+        step < LONGEST_STEPS && (step < steps.size() || !unfinished.isEmpty());
+        step++) {
       if (step < steps.size()) {
         for (Arrival a : steps.get(step)) {
           Job job = new Job(++order, now, a);
           jobs.add(job);
-          open.add(job);
+          unfinished.add(job);
         }
       }
       for (int k = 0; k < FLOOD; k++) {
         jobs.add(new Job(++order, now, new Arrival(Priority.CRITICAL, 1, 2, true)));
       }
-      place(jobs, on, where, now);
+      place(jobs, running, where, now);
       now += STEP_MS;
       long time = now;
-      on.removeIf(
-          j -> {
-            boolean done = time - j.startedAt >= j.what.runsSteps * STEP_MS;
+      running.removeIf(
+          job -> {
+            boolean done = time - job.startedAtMs >= job.arrival.runsSteps * STEP_MS;
             if (done) {
-              open.remove(j);
-              jobs.remove(j);
+              unfinished.remove(job);
+              jobs.remove(job);
             }
             return done;
           });
     }
-    for (Job job : open) {
-      throw new AssertionError(job.what + " of " + job.at + " never ended");
+    for (Job job : unfinished) {
+      throw new AssertionError(job.arrival + " of " + job.arrivedAtMs + " never ended");
     }
   }
 
-  private static void place(List<Job> jobs, List<Job> on, Map<Job, String> where, long now) {
-    Aging turns = new Aging(64);
+  private static void place(List<Job> jobs, List<Job> running, Map<Job, String> where, long now) {
+    Aging aging = new Aging(64);
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>();
     Map<String, Job> byId = new HashMap<>();
-    for (Job j : jobs) {
-      boolean runs = j.startedAt >= 0;
-      turns.consider(
+    for (Job job : jobs) {
+      boolean runs = job.startedAtMs >= 0;
+      aging.consider(
           new Aging.Candidate(
-              "job-" + j.order,
-              now - j.at,
-              j.what.cpus,
+              "job-" + job.order,
+              now - job.arrivedAtMs,
+              job.arrival.cpus,
               false,
-              runs ? j.order : null,
-              runs ? (now - j.startedAt) / 1000.0 : 0,
-              j.what.runsSteps * STEP_MS / 1000.0));
+              runs ? job.order : null,
+              runs ? (now - job.startedAtMs) / 1000.0 : 0,
+              job.arrival.runsSteps * STEP_MS / 1000.0));
     }
-    for (Job j : jobs) {
-      byId.put("job-" + j.order, j);
-      if (j.startedAt < 0) {
-        double work = j.what.cpus * Math.pow(0.5, (now - j.at) / LeaderConstants.WORK_HALF_LIFE_MS);
+    for (Job job : jobs) {
+      byId.put("job-" + job.order, job);
+      if (job.startedAtMs < 0) {
+        double work =
+            job.arrival.cpus
+                * Math.pow(0.5, (now - job.arrivedAtMs) / LeaderConstants.WORK_HALF_LIFE_MS);
         pendingJobs.add(
             pendingJob(
-                j.order,
-                j.what.priority,
-                j.what.cpus,
+                job.order,
+                job.arrival.priority,
+                job.arrival.cpus,
                 false,
-                j.what.guaranteed,
+                job.arrival.guaranteed,
                 work,
-                turns.boostOf("job-" + j.order)));
+                aging.boostOf("job-" + job.order)));
       }
     }
     List<Snapshot.Machine> machines = new ArrayList<>();
     for (int h = 0; h < 4; h++) {
       String name = "m" + h;
       double free = 16;
-      List<Snapshot.RunningTask> running = new ArrayList<>();
-      for (Job j : on) {
-        if (where.get(j).equals(name)) {
-          free -= j.what.cpus;
-          running.add(
+      List<Snapshot.RunningTask> runningHere = new ArrayList<>();
+      for (Job job : running) {
+        if (where.get(job).equals(name)) {
+          free -= job.arrival.cpus;
+          runningHere.add(
               new Snapshot.RunningTask(
-                  spec(j.order, j.what.priority, j.what.cpus),
-                  j.what.priority,
+                  spec(job.order, job.arrival.priority, job.arrival.cpus),
+                  job.arrival.priority,
                   0,
-                  j.order,
+                  job.order,
                   name,
                   false,
-                  j.what.cpus,
+                  job.arrival.cpus,
                   0,
                   0,
-                  j.startedAt,
-                  j.what.runsSteps * STEP_MS / 1000.0));
+                  job.startedAtMs,
+                  job.arrival.runsSteps * STEP_MS / 1000.0));
         }
       }
       machines.add(
@@ -272,23 +273,23 @@
               Set.of("img"),
               Set.of(),
               Map.of(),
-              running));
+              runningHere));
     }
     Map<String, Snapshot.TeamUsage> teams = Map.of("roja", SnapshotFixtures.usage(0, 0, 0, 0));
     Plan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
-                machines, pendingJobs, Set.of(), turns.nonPreemptible(), teams, now, 1_000));
+                machines, pendingJobs, Set.of(), aging.nonPreemptible(), teams, now, 1_000));
     for (Snapshot.RunningTask stopped : plan.preemptions()) {
-      Job j = byId.get(stopped.spec().id());
-      on.remove(j);
-      j.startedAt = -1;
+      Job job = byId.get(stopped.spec().id());
+      running.remove(job);
+      job.startedAtMs = -1;
     }
     for (Plan.Start start : plan.starts()) {
-      Job j = byId.get(start.spec().id());
-      j.startedAt = now;
-      where.put(j, start.machine());
-      on.add(j);
+      Job job = byId.get(start.spec().id());
+      job.startedAtMs = now;
+      where.put(job, start.machine());
+      running.add(job);
     }
   }
 }
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -11,29 +11,29 @@
 import java.util.Set;
 
 /**
- * The planner without any of its short cuts: each task looks at every machine and at all running
+ * The planner without any of its shortcuts: each task looks at every machine and at all running
  * work. Slow and plain, so that it can be read; {@link Planner} must choose the same.
  */
 final class PlainPlanner {
   private static final double EPSILON = 1e-9;
 
   /** What is left of a fetch under way, as a share: unknown, so a little more than the half. */
-  private static final double FETCH_LEFT = 0.6;
+  private static final double REMAINING_FETCH_SHARE = 0.6;
 
   /** What one more replica of the class on a machine with the image counts, in emptiness. */
-  private static final double CROWD_CACHED = 0.2;
+  private static final double SPREADING_PENALTY_CACHED = 0.2;
 
   /** Above any score of a machine that has the image. */
-  private static final double NOT_CACHED = 1_000;
+  private static final double IMAGE_NOT_CACHED_PENALTY_S = 1_000;
 
   private static final class FreeCapacity {
     final Snapshot.Machine machine;
     double cpus;
     double cards;
     double memGb;
-    double comingCpus;
-    double comingCards;
-    double comingMemGb;
+    double releasingCpus;
+    double releasingCards;
+    double releasingMemGb;
     int slots;
     final Set<String> fetching;
     final Map<String, Integer> classes;
@@ -48,7 +48,7 @@
       this.classes = new HashMap<>(machine.classes());
     }
 
-    boolean hasFree(JobSpec spec) {
+    boolean fitsIgnoringReservations(JobSpec spec) {
       return slots > 0
           && spec.cpus() <= cpus + EPSILON
           && spec.cards() <= cards + EPSILON
@@ -57,19 +57,19 @@
 
     boolean fits(JobSpec spec) {
       return slots > 0
-          && spec.cpus() <= Math.min(cpus, cpus + comingCpus) + EPSILON
-          && spec.cards() <= Math.min(cards, cards + comingCards) + EPSILON
-          && spec.memGb() <= Math.min(memGb, memGb + comingMemGb) + EPSILON;
+          && spec.cpus() <= Math.min(cpus, cpus + releasingCpus) + EPSILON
+          && spec.cards() <= Math.min(cards, cards + releasingCards) + EPSILON
+          && spec.memGb() <= Math.min(memGb, memGb + releasingMemGb) + EPSILON;
     }
 
-    boolean willFit(JobSpec spec) {
+    boolean fitsAfterReleases(JobSpec spec) {
       return slots > 0
-          && spec.cpus() <= cpus + comingCpus + EPSILON
-          && spec.cards() <= cards + comingCards + EPSILON
-          && spec.memGb() <= memGb + comingMemGb + EPSILON;
+          && spec.cpus() <= cpus + releasingCpus + EPSILON
+          && spec.cards() <= cards + releasingCards + EPSILON
+          && spec.memGb() <= memGb + releasingMemGb + EPSILON;
     }
 
-    void take(JobSpec spec) {
+    void allocate(JobSpec spec) {
       cpus -= spec.cpus();
       cards -= spec.cards();
       memGb -= spec.memGb();
@@ -82,7 +82,7 @@
   }
 
   private final Snapshot snapshot;
-  private final List<FreeCapacity> rooms = new ArrayList<>();
+  private final List<FreeCapacity> machines = new ArrayList<>();
   private final Map<String, Snapshot.TeamUsage> teams;
   private final List<Plan.Start> starts = new ArrayList<>();
   private final List<Snapshot.RunningTask> stops = new ArrayList<>();
@@ -92,21 +92,21 @@
   private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> zonesOf =
       new IdentityHashMap<>();
   private final IdentityHashMap<Snapshot.PendingJob, Integer> startsOf = new IdentityHashMap<>();
-  private int holds;
+  private int reservedMachines;
 
   private PlainPlanner(Snapshot snapshot) {
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
     this.started = new HashMap<>(snapshot.teams());
     for (Snapshot.Machine machine : snapshot.machines()) {
-      rooms.add(new FreeCapacity(machine));
+      machines.add(new FreeCapacity(machine));
     }
-    for (FreeCapacity room : rooms) {
-      for (Snapshot.RunningTask r : room.machine.running()) {
+    for (FreeCapacity capacity : machines) {
+      for (Snapshot.RunningTask r : capacity.machine.running()) {
         if (r.stopping()) {
-          room.comingCpus += r.cpus();
-          room.comingCards += r.cards();
-          room.comingMemGb += r.memGb();
+          capacity.releasingCpus += r.cpus();
+          capacity.releasingCards += r.cards();
+          capacity.releasingMemGb += r.memGb();
         }
       }
     }
@@ -129,46 +129,47 @@
 
   private void place(Snapshot.PendingJob pendingJob) {
     JobSpec spec = pendingJob.spec();
-    boolean overdue = snapshot.starvedJobs().contains(spec.id());
+    boolean starved = snapshot.starvedJobs().contains(spec.id());
     Map<String, Integer> zones = new HashMap<>(pendingJob.zones());
     zonesOf.put(pendingJob, zones);
     int missing = 0;
     for (int task : pendingJob.tasks()) {
-      Snapshot.TeamUsage use = teams.get(spec.team());
-      Snapshot.TeamUsage real = started.get(spec.team());
-      boolean mayAsk = use != null && use.allows(spec.cpus(), spec.cards());
-      if (!mayAsk && !(overdue && real != null && real.allows(spec.cpus(), spec.cards()))) {
+      Snapshot.TeamUsage usage = teams.get(spec.team());
+      Snapshot.TeamUsage startedUsage = started.get(spec.team());
+      boolean mayRequest = usage != null && usage.allows(spec.cpus(), spec.cards());
+      if (!mayRequest
+          && !(starved && startedUsage != null && startedUsage.allows(spec.cpus(), spec.cards()))) {
         break;
       }
       FreeCapacity best = null;
       if (missing == 0 && starts.size() < snapshot.maxStarts()) {
-        best = bestRoom(pendingJob, zones);
+        best = bestMachine(pendingJob, zones);
         if (best != null
             && spec.service()
-            && !overdue
+            && !starved
             && fetchSeconds(spec, best) > 1
-            && makeRoom(pendingJob, zones, true)) {
+            && reserveOrPreempt(pendingJob, zones, true)) {
           // Less urgent work leaves a machine that has the image: sooner than fetching it here.
           best = null;
-          teams.put(spec.team(), use.plus(spec.cpus(), spec.cards()));
+          teams.put(spec.team(), usage.plus(spec.cpus(), spec.cards()));
           continue;
         }
       }
       if (best != null) {
-        best.take(spec);
+        best.allocate(spec);
         starts.add(new Plan.Start(spec, task, best.machine.name()));
-        started.put(spec.team(), real.plus(spec.cpus(), spec.cards()));
+        started.put(spec.team(), startedUsage.plus(spec.cpus(), spec.cards()));
         startsOf.merge(pendingJob, 1, Integer::sum);
-      } else if (!mayAsk) {
+      } else if (!mayRequest) {
         break;
       } else {
         missing++;
         if (starts.size() < snapshot.maxStarts()) {
-          awaitRoom(pendingJob, zones);
+          reserveFutureCapacity(pendingJob, zones);
         }
       }
       // A task without a place yet is counted too: rooms asked for must not exceed the cap.
-      teams.put(spec.team(), use.plus(spec.cpus(), spec.cards()));
+      teams.put(spec.team(), usage.plus(spec.cpus(), spec.cards()));
       if (best != null && (spec.onePlace() || spec.apart())) {
         zones.merge(best.machine.zone(), 1, Integer::sum);
       }
@@ -184,13 +185,15 @@
     Set<String> passedOver = new HashSet<>();
     for (Snapshot.PendingJob pendingJob : snapshot.pendingJobs()) {
       JobSpec spec = pendingJob.spec();
-      Snapshot.TeamUsage real = started.get(spec.team());
+      Snapshot.TeamUsage startedUsage = started.get(spec.team());
       if (startsOf.getOrDefault(pendingJob, 0) < pendingJob.tasks().size()
-          && real != null
-          && real.allows(spec.cpus(), spec.cards())
-          && rooms.stream()
+          && startedUsage != null
+          && startedUsage.allows(spec.cpus(), spec.cards())
+          && machines.stream()
               .anyMatch(
-                  r -> r.hasFree(spec) && allowed(spec, zonesOf.get(pendingJob), r.machine))) {
+                  r ->
+                      r.fitsIgnoringReservations(spec)
+                          && allowed(spec, zonesOf.get(pendingJob), r.machine))) {
         passedOver.add(spec.id());
       }
     }
@@ -222,50 +225,53 @@
     return !spec.apart() || zones.getOrDefault(machine.zone(), 0) + 1 <= (spec.tasks() + 1) / 2;
   }
 
-  private FreeCapacity bestRoom(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
+  private FreeCapacity bestMachine(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
     FreeCapacity best = null;
     double bestScore = 0;
-    for (FreeCapacity room : rooms) {
-      boolean overdue = snapshot.starvedJobs().contains(pendingJob.spec().id());
-      boolean free = overdue ? room.hasFree(pendingJob.spec()) : room.fits(pendingJob.spec());
-      if (!free || !allowed(pendingJob.spec(), zones, room.machine)) {
+    for (FreeCapacity capacity : machines) {
+      boolean starved = snapshot.starvedJobs().contains(pendingJob.spec().id());
+      boolean free =
+          starved
+              ? capacity.fitsIgnoringReservations(pendingJob.spec())
+              : capacity.fits(pendingJob.spec());
+      if (!free || !allowed(pendingJob.spec(), zones, capacity.machine)) {
         continue;
       }
-      double score = score(pendingJob, room);
+      double score = score(pendingJob, capacity);
       if (best == null || score < bestScore) {
-        best = room;
+        best = capacity;
         bestScore = score;
       }
     }
     return best;
   }
 
-  private static double fetchSeconds(JobSpec spec, FreeCapacity room) {
-    if (room.machine.images().contains(spec.image())) {
+  private static double fetchSeconds(JobSpec spec, FreeCapacity capacity) {
+    if (capacity.machine.images().contains(spec.image())) {
       return 0;
     }
-    double alone = spec.imageGb() / Math.max(0.01, room.machine.fetchGbPerS());
-    return room.fetching.contains(spec.image())
-        ? alone * (spec.service() ? 1 : FETCH_LEFT)
-        : alone * (1 + room.fetching.size());
+    double alone = spec.imageGb() / Math.max(0.01, capacity.machine.fetchGbPerS());
+    return capacity.fetching.contains(spec.image())
+        ? alone * (spec.service() ? 1 : REMAINING_FETCH_SHARE)
+        : alone * (1 + capacity.fetching.size());
   }
 
   /**
    * Lower is better: seconds until the task would run, then how empty the machine would be left.
    */
-  private static double score(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+  private static double score(Snapshot.PendingJob pendingJob, FreeCapacity capacity) {
     JobSpec spec = pendingJob.spec();
-    double fetch = fetchSeconds(spec, room);
-    double left = (room.cpus - spec.cpus()) / Math.max(1, room.machine.cpusTotal());
+    double fetch = fetchSeconds(spec, capacity);
+    double left = (capacity.cpus - spec.cpus()) / Math.max(1, capacity.machine.cpusTotal());
     if (spec.service()) {
       // A replica that must wait for its image anyway brings it to a machine with few others: one
-      // death then costs little, and later replicas find the image on machines with room.
-      int crowd = room.classes.getOrDefault(spec.jobClass(), 0);
-      return room.machine.images().contains(spec.image())
-          ? crowd * CROWD_CACHED + left
-          : NOT_CACHED + fetch + crowd + left;
+      // death then costs little, and later replicas find the image on machines with capacity.
+      int sameClass = capacity.classes.getOrDefault(spec.jobClass(), 0);
+      return capacity.machine.images().contains(spec.image())
+          ? sameClass * SPREADING_PENALTY_CACHED + left
+          : IMAGE_NOT_CACHED_PENALTY_S + fetch + sameClass + left;
     }
-    double spot = room.machine.spot() ? -0.5 : 0;
+    double spot = capacity.machine.spot() ? -0.5 : 0;
     return fetch * (pendingJob.latencySensitive() ? 10 : 1) + left + spot;
   }
 
@@ -273,81 +279,83 @@
    * Room that is being made, or comes by itself in time, or is made by stopping others, or is kept
    * free.
    */
-  private void awaitRoom(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
+  private void reserveFutureCapacity(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
     boolean found =
-        takeComing(pendingJob, zones, false)
-            || (pendingJob.maxWaitS() > 0 && reserveFirst(pendingJob, zones, pendingJob.maxWaitS()))
-            || stopOthers(pendingJob, zones, false);
+        reserveRelease(pendingJob, zones, false)
+            || (pendingJob.maxWaitS() > 0
+                && reserveFirstToFit(pendingJob, zones, pendingJob.maxWaitS()))
+            || preempt(pendingJob, zones, false);
     if (!found
         && pendingJob.agingBoost() == AgingBoost.ABOVE_ALL
-        && holds < RoundState.maxReservedMachines(snapshot)
-        && reserveFirst(pendingJob, zones, Double.MAX_VALUE)) {
-      holds++;
+        && reservedMachines < RoundState.maxReservedMachines(snapshot)
+        && reserveFirstToFit(pendingJob, zones, Double.MAX_VALUE)) {
+      reservedMachines++;
     }
   }
 
-  private boolean makeRoom(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean cachedOnly) {
-    return takeComing(pendingJob, zones, cachedOnly) || stopOthers(pendingJob, zones, cachedOnly);
+  private boolean reserveOrPreempt(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean withImageOnly) {
+    return reserveRelease(pendingJob, zones, withImageOnly)
+        || preempt(pendingJob, zones, withImageOnly);
   }
 
   /** Reserves the room that comes free first, if within so many seconds. */
-  private boolean reserveFirst(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, double mostS) {
+  private boolean reserveFirstToFit(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, double maxS) {
     FreeCapacity best = null;
     double bestS = Double.POSITIVE_INFINITY;
-    for (FreeCapacity room : rooms) {
-      double inS =
-          allowed(pendingJob.spec(), zones, room.machine)
-              ? freeInS(pendingJob.spec(), room)
+    for (FreeCapacity capacity : machines) {
+      double fitsInS =
+          allowed(pendingJob.spec(), zones, capacity.machine)
+              ? secondsUntilFits(pendingJob.spec(), capacity)
               : bestS;
-      if (inS < bestS) {
-        best = room;
-        bestS = inS;
+      if (fitsInS < bestS) {
+        best = capacity;
+        bestS = fitsInS;
       }
     }
-    if (best == null || bestS > mostS) {
+    if (best == null || bestS > maxS) {
       return false;
     }
     reserve(best, pendingJob.spec());
     return true;
   }
 
-  private double freeInS(JobSpec spec, FreeCapacity room) {
-    List<Snapshot.RunningTask> ending = new ArrayList<>(room.machine.running());
+  private double secondsUntilFits(JobSpec spec, FreeCapacity capacity) {
+    List<Snapshot.RunningTask> ending = new ArrayList<>(capacity.machine.running());
     ending.removeIf(r -> r.stopping() || stopped.contains(r));
     ending.sort(Comparator.comparingDouble(r -> r.remainingS(snapshot.nowMs())));
-    double cpus = room.cpus + room.comingCpus;
-    double cards = room.cards + room.comingCards;
-    double mem = room.memGb + room.comingMemGb;
-    double inS = 0;
+    double cpus = capacity.cpus + capacity.releasingCpus;
+    double cards = capacity.cards + capacity.releasingCards;
+    double memGb = capacity.memGb + capacity.releasingMemGb;
+    double fitsInS = 0;
     for (int i = 0; i <= ending.size(); i++) {
-      if (room.slots > 0
+      if (capacity.slots > 0
           && spec.cpus() <= cpus + EPSILON
           && spec.cards() <= cards + EPSILON
-          && spec.memGb() <= mem + EPSILON) {
-        return inS;
+          && spec.memGb() <= memGb + EPSILON) {
+        return fitsInS;
       }
       if (i < ending.size()) {
         Snapshot.RunningTask r = ending.get(i);
-        inS = r.remainingS(snapshot.nowMs());
+        fitsInS = r.remainingS(snapshot.nowMs());
         cpus += r.cpus();
         cards += r.cards();
-        mem += r.memGb();
+        memGb += r.memGb();
       }
     }
     return Double.POSITIVE_INFINITY;
   }
 
-  private boolean takeComing(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean cachedOnly) {
+  private boolean reserveRelease(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean withImageOnly) {
     JobSpec spec = pendingJob.spec();
-    for (FreeCapacity room : rooms) {
-      if (allowed(spec, zones, room.machine)
-          && (!cachedOnly || room.machine.images().contains(spec.image()))
-          && (room.comingCpus > 0 || room.comingMemGb > 0)
-          && room.willFit(spec)) {
-        reserve(room, spec);
+    for (FreeCapacity capacity : machines) {
+      if (allowed(spec, zones, capacity.machine)
+          && (!withImageOnly || capacity.machine.images().contains(spec.image()))
+          && (capacity.releasingCpus > 0 || capacity.releasingMemGb > 0)
+          && capacity.fitsAfterReleases(spec)) {
+        reserve(capacity, spec);
         return true;
       }
     }
@@ -358,54 +366,55 @@
    * Stops less urgent work, or borrowed work of others, where that lets this task start soon; only
    * on machines that have its image, if so asked. True if room is being made.
    */
-  private boolean stopOthers(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean cachedOnly) {
+  private boolean preempt(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean withImageOnly) {
     JobSpec spec = pendingJob.spec();
     FreeCapacity best = null;
-    List<Snapshot.RunningTask> bestVictims = null;
+    List<Snapshot.RunningTask> bestPreempted = null;
     double bestCost = Double.MAX_VALUE;
-    for (FreeCapacity room : rooms) {
-      if (!allowed(spec, zones, room.machine)
-          || (cachedOnly && !room.machine.images().contains(spec.image()))) {
+    for (FreeCapacity capacity : machines) {
+      if (!allowed(spec, zones, capacity.machine)
+          || (withImageOnly && !capacity.machine.images().contains(spec.image()))) {
         continue;
       }
-      List<Snapshot.RunningTask> victims = victims(pendingJob, room);
-      if (victims == null) {
+      List<Snapshot.RunningTask> preempted = choosePreempted(pendingJob, capacity);
+      if (preempted == null) {
         continue;
       }
       double lost =
-          victims.stream()
+          preempted.stream()
               .mapToDouble(v -> v.elapsedS(snapshot.nowMs()) * Math.max(1, v.cpus()))
               .sum();
-      double cost = lost + 100 * score(pendingJob, room);
+      double cost = lost + 100 * score(pendingJob, capacity);
       if (cost < bestCost) {
-        best = room;
-        bestVictims = victims;
+        best = capacity;
+        bestPreempted = preempted;
         bestCost = cost;
       }
     }
     if (best != null) {
-      for (Snapshot.RunningTask v : bestVictims) {
+      for (Snapshot.RunningTask v : bestPreempted) {
         stopped.add(v);
         stops.add(v);
-        best.comingCpus += v.cpus();
-        best.comingCards += v.cards();
-        best.comingMemGb += v.memGb();
+        best.releasingCpus += v.cpus();
+        best.releasingCards += v.cards();
+        best.releasingMemGb += v.memGb();
       }
       reserve(best, spec);
     }
     return best != null;
   }
 
-  private static void reserve(FreeCapacity room, JobSpec spec) {
-    room.comingCpus -= spec.cpus();
-    room.comingCards -= spec.cards();
-    room.comingMemGb -= spec.memGb();
+  private static void reserve(FreeCapacity capacity, JobSpec spec) {
+    capacity.releasingCpus -= spec.cpus();
+    capacity.releasingCards -= spec.cards();
+    capacity.releasingMemGb -= spec.memGb();
   }
 
-  private List<Snapshot.RunningTask> victims(Snapshot.PendingJob pendingJob, FreeCapacity room) {
+  private List<Snapshot.RunningTask> choosePreempted(
+      Snapshot.PendingJob pendingJob, FreeCapacity capacity) {
     JobSpec spec = pendingJob.spec();
-    List<Snapshot.RunningTask> candidates = new ArrayList<>(room.machine.running());
+    List<Snapshot.RunningTask> candidates = new ArrayList<>(capacity.machine.running());
     candidates.removeIf(
         r ->
             r.stopping() || stopped.contains(r) || snapshot.nonPreemptible().contains(r.attempt()));
@@ -413,29 +422,29 @@
         Comparator.comparing(Snapshot.RunningTask::priority)
             .reversed()
             .thenComparingDouble(r -> r.elapsedS(snapshot.nowMs())));
-    List<Snapshot.RunningTask> victims = new ArrayList<>();
+    List<Snapshot.RunningTask> preempted = new ArrayList<>();
     for (Snapshot.RunningTask r : candidates) {
-      if (!isEnough(spec, room, victims) && mayStop(pendingJob, r, victims)) {
-        victims.add(r);
+      if (!isEnough(spec, capacity, preempted) && mayPreempt(pendingJob, r, preempted)) {
+        preempted.add(r);
       }
     }
-    return isEnough(spec, room, victims) && !victims.isEmpty() ? victims : null;
+    return isEnough(spec, capacity, preempted) && !preempted.isEmpty() ? preempted : null;
   }
 
   private static boolean isEnough(
-      JobSpec spec, FreeCapacity room, List<Snapshot.RunningTask> victims) {
-    double cpus = room.cpus + room.comingCpus;
-    double cards = room.cards + room.comingCards;
-    double mem = room.memGb + room.comingMemGb;
-    for (Snapshot.RunningTask r : victims) {
+      JobSpec spec, FreeCapacity capacity, List<Snapshot.RunningTask> preempted) {
+    double cpus = capacity.cpus + capacity.releasingCpus;
+    double cards = capacity.cards + capacity.releasingCards;
+    double memGb = capacity.memGb + capacity.releasingMemGb;
+    for (Snapshot.RunningTask r : preempted) {
       cpus += r.cpus();
       cards += r.cards();
-      mem += r.memGb();
+      memGb += r.memGb();
     }
-    return room.slots > 0
+    return capacity.slots > 0
         && spec.cpus() <= cpus + EPSILON
         && spec.cards() <= cards + EPSILON
-        && spec.memGb() <= mem + EPSILON;
+        && spec.memGb() <= memGb + EPSILON;
   }
 
   /**
@@ -443,7 +452,7 @@
    * is beyond its own guarantee, as long as that team uses more than it without all that is being
    * stopped.
    */
-  private boolean mayStop(
+  private boolean mayPreempt(
       Snapshot.PendingJob pendingJob,
       Snapshot.RunningTask r,
       List<Snapshot.RunningTask> stoppedBefore) {
@@ -460,9 +469,9 @@
 
   private boolean isBeyond(
       String team, Snapshot.RunningTask r, List<Snapshot.RunningTask> stoppedBefore) {
-    Snapshot.TeamUsage use = snapshot.teams().get(team);
-    double cpus = use.cpus();
-    double cards = use.cards();
+    Snapshot.TeamUsage usage = snapshot.teams().get(team);
+    double cpus = usage.cpus();
+    double cards = usage.cards();
     for (Snapshot.Machine machine : snapshot.machines()) {
       for (Snapshot.RunningTask other : machine.running()) {
         boolean ends = other.stopping() || stopped.contains(other) || stoppedBefore.contains(other);
@@ -472,8 +481,9 @@
         }
       }
     }
-    return (r.cpus() > 0 && (use.cpusGuaranteed() <= 0 || cpus > use.cpusGuaranteed() + EPSILON))
+    return (r.cpus() > 0
+            && (usage.cpusGuaranteed() <= 0 || cpus > usage.cpusGuaranteed() + EPSILON))
         || (r.cards() > 0
-            && (use.cardsGuaranteed() <= 0 || cards > use.cardsGuaranteed() + EPSILON));
+            && (usage.cardsGuaranteed() <= 0 || cards > usage.cardsGuaranteed() + EPSILON));
   }
 }
--- a/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
+++ b/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
@@ -20,27 +20,29 @@
 /** Which running tasks are preempted for which waiting ones. */
 class PlannerPreemptionTest {
   @Test
-  void lessUrgentWorkMakesRoom() {
+  void lessUrgentWorkIsPreempted() {
     Snapshot.RunningTask low = running("job-8", "azul", Priority.BEST_EFFORT, 5);
     Snapshot.RunningTask same = running("job-9", "azul", Priority.CRITICAL, 1);
-    Snapshot s =
+    Snapshot snapshot =
         snapshot(
             List.of(machine("a", 8, 0, null, same, low)),
             pendingJob(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
             Set.of("job-8", "job-9"));
-    Plan plan = Planner.plan(s);
+    Plan plan = Planner.plan(snapshot);
     assertEquals(List.of(low), plan.preemptions());
     assertTrue(plan.starts().isEmpty());
   }
 
-  /** Work that an urgent job needs is as urgent: it makes room, and is not stopped for less. */
+  /**
+   * Work on which an urgent job depends is as urgent: it preempts, and is not preempted for less.
+   */
   @Test
-  void priorityOfThoseThatNeedIt() {
-    JobSpec pendingJob = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
+  void anInheritedPriorityPreemptsAndProtects() {
+    JobSpec bestEffort = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
     Snapshot.RunningTask other = running("job-9", "azul", Priority.STANDARD, 1);
-    Snapshot.PendingJob lent =
+    Snapshot.PendingJob inheriting =
         new Snapshot.PendingJob(
-            pendingJob,
+            bestEffort,
             Priority.URGENT,
             Priority.URGENT,
             List.of(0),
@@ -53,10 +55,11 @@
             AgingBoost.NONE,
             1);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, other));
-    assertEquals(List.of(other), Planner.plan(snapshot(machines, lent, Set.of())).preemptions());
-    Snapshot.PendingJob patient =
+    assertEquals(
+        List.of(other), Planner.plan(snapshot(machines, inheriting, Set.of())).preemptions());
+    Snapshot.PendingJob withTimeLeft =
         new Snapshot.PendingJob(
-            pendingJob,
+            bestEffort,
             Priority.URGENT,
             Priority.BEST_EFFORT,
             List.of(0),
@@ -68,14 +71,14 @@
             0,
             AgingBoost.NONE,
             1);
-    assertTrue(Planner.plan(snapshot(machines, patient, Set.of())).preemptions().isEmpty());
-    Snapshot.RunningTask needed =
+    assertTrue(Planner.plan(snapshot(machines, withTimeLeft, Set.of())).preemptions().isEmpty());
+    Snapshot.RunningTask dependency =
         new Snapshot.RunningTask(
-            pendingJob, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
+            bestEffort, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
     assertTrue(
         Planner.plan(
                 snapshot(
-                    List.of(machine("a", 4, 0, null, needed)),
+                    List.of(machine("a", 4, 0, null, dependency)),
                     pendingJob(job("job-2", "azul", Priority.STANDARD, 1, 4), true, 1),
                     Set.of()))
             .preemptions()
@@ -83,11 +86,11 @@
   }
 
   /**
-   * A team with a long queue had tasks stopped for another's guarantee while it used next to
+   * A team with a long queue had tasks preempted for another's guarantee while it used next to
    * nothing: its later jobs lie beyond its guarantee, but what it runs does not.
    */
   @Test
-  void onlyWhatATeamUsesBeyondItsGuaranteeIsGivenBack() {
+  void onlyUsageBeyondATeamsGuaranteeIsReclaimed() {
     Snapshot.RunningTask a = running("job-7", "azul", Priority.STANDARD, 1);
     Snapshot.RunningTask b = running("job-8", "azul", Priority.STANDARD, 2);
     Snapshot.RunningTask c = running("job-9", "azul", Priority.STANDARD, 3);
@@ -101,7 +104,7 @@
               Map.of(
                   "roja", new Snapshot.TeamUsage(0, 0, 0, 0, 12, 0),
                   "azul", new Snapshot.TeamUsage(12, 0, 0, 0, guarantee, 0));
-          Snapshot s =
+          Snapshot snapshot =
               SnapshotFixtures.snapshot(
                   machines,
                   List.of(pendingJob(spec, true, 3)),
@@ -110,12 +113,12 @@
                   teams,
                   NOW_MS,
                   10);
-          assertEquals(stops, Planner.plan(s).preemptions(), "guarantee " + guarantee);
+          assertEquals(stops, Planner.plan(snapshot).preemptions(), "guarantee " + guarantee);
         });
   }
 
   @Test
-  void borrowedWorkMakesRoomForAGuarantee() {
+  void borrowedWorkIsPreemptedForAGuarantee() {
     Snapshot.RunningTask borrowed = running("job-8", "azul", Priority.STANDARD, 5);
     Snapshot.RunningTask urgent = running("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
@@ -128,7 +131,7 @@
         Planner.plan(snapshot(machines, pendingJob(spec, false, 1), Set.of()))
             .preemptions()
             .size());
-    // Borrowed work of higher priority would be placed first and take the room back.
+    // Borrowed work of higher priority would be placed first and take the capacity back.
     assertEquals(
         0,
         Planner.plan(
@@ -139,34 +142,34 @@
   }
 
   /**
-   * A task that began before others of its priority, since its job had waited long, was stopped for
-   * one of them that lies within a guarantee, and began before it again, eight times a second.
+   * A task that began before others of its priority, since its job had waited long, was preempted
+   * for one of them that lies within a guarantee, and began before it again, eight times a second.
    */
   @Test
-  void whatComesFirstAmongEqualsIsNotStoppedForThem() {
-    Snapshot.RunningTask first = running("job-8", "azul", Priority.STANDARD, 5);
-    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, first));
-    for (Priority p : Priority.values()) {
-      Snapshot.PendingJob owed = pendingJob(job("job-1", "roja", p, 1, 4), true, 1);
-      Snapshot s =
+  void anAgedTaskIsNotPreemptedForWorkOfItsPriority() {
+    Snapshot.RunningTask aged = running("job-8", "azul", Priority.STANDARD, 5);
+    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, aged));
+    for (Priority priority : Priority.values()) {
+      Snapshot.PendingJob guaranteed = pendingJob(job("job-1", "roja", priority, 1, 4), true, 1);
+      Snapshot snapshot =
           new Snapshot(
               machines,
-              List.of(owed),
+              List.of(guaranteed),
               Set.of(),
               Set.of(),
               teams(0),
               NOW_MS,
               10,
               Set.of(),
-              Set.of(first.attempt()));
-      boolean isMoreUrgent = p.compareTo(Priority.STANDARD) < 0;
-      assertEquals(isMoreUrgent ? List.of(first) : List.of(), Planner.plan(s).preemptions());
+              Set.of(aged.attempt()));
+      boolean isMoreUrgent = priority.compareTo(Priority.STANDARD) < 0;
+      assertEquals(isMoreUrgent ? List.of(aged) : List.of(), Planner.plan(snapshot).preemptions());
     }
   }
 
-  /** What is all that a job has after long waiting is stopped for nobody. */
+  /** The only task of a job that has waited long is not preempted for any work. */
   @Test
-  void aFirstTaskOutOfTurnIsNotStopped() {
+  void theOnlyTaskOfAnAgedJobIsNotPreempted() {
     Snapshot.RunningTask only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
     Snapshot.PendingJob urgent = pendingJob(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, only));
--- a/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
@@ -18,35 +18,36 @@
 
 /** The planner on random snapshots. */
 class PlannerRandomSnapshotTest {
-  private static final List<AgingBoost> TURNS = List.of(AgingBoost.values());
+  private static final List<AgingBoost> BOOSTS = List.of(AgingBoost.values());
 
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
 
-  /** The short cuts change nothing: the plain planner chooses the same, also under preemption. */
+  /** The shortcuts change nothing: the plain planner chooses the same, also under preemption. */
   @Test
-  void choosesWhatThePlainPlannerChooses() {
-    int stops = 0;
+  void thePlannerChoosesWhatThePlainPlannerChooses() {
+    int preemptions = 0;
     int starts = 0;
     int passedOver = 0;
-    int overdueStarts = 0;
+    int starvedStarts = 0;
     for (int seed = 0; seed < 3_000; seed++) {
       Snapshot s = randomSnapshot(seed, 1 + seed % 30);
       Plan plan = Planner.plan(s);
       assertEquals(PlainPlanner.plan(s), plan, "seed " + seed);
-      stops += plan.preemptions().size();
+      preemptions += plan.preemptions().size();
       starts += plan.starts().size();
       passedOver += plan.passedOver().size();
       for (Plan.Start start : plan.starts()) {
-        overdueStarts += s.starvedJobs().contains(start.spec().id()) ? 1 : 0;
+        starvedStarts += s.starvedJobs().contains(start.spec().id()) ? 1 : 0;
       }
     }
-    assertTrue(stops > 1_000 && starts > 5_000, stops + " stops, " + starts + " starts");
     assertTrue(
-        passedOver > 200 && overdueStarts > 200,
-        passedOver + " passed over, " + overdueStarts + " starts of overdue jobs");
+        preemptions > 1_000 && starts > 5_000, preemptions + " preemptions, " + starts + " starts");
+    assertTrue(
+        passedOver > 200 && starvedStarts > 200,
+        passedOver + " passed over, " + starvedStarts + " starts of starved jobs");
   }
 
-  /** Random snapshots: no plan ever breaks a cap, a machine's size or a job's place rules. */
+  /** Random snapshots: no plan ever breaks a limit, a machine's size or a job's constraints. */
   @Test
   void randomPlansKeepEveryLimit() {
     for (int seed = 0; seed < 3_000; seed++) {
@@ -74,7 +75,7 @@
         running.add(
             new Snapshot.RunningTask(
                 spec,
-                lent(r, spec),
+                ownOrInherited(r, spec),
                 0,
                 k,
                 "m" + i,
@@ -132,12 +133,12 @@
       for (int t = zones.isEmpty() ? 0 : 1; t < tasks; t++) {
         list.add(t);
       }
-      Priority lent = lent(r, spec);
+      Priority priority = ownOrInherited(r, spec);
       pendingJobs.add(
           new Snapshot.PendingJob(
               spec,
-              lent,
-              r.nextBoolean() ? lent : spec.priority(),
+              priority,
+              r.nextBoolean() ? priority : spec.priority(),
               list,
               zones,
               r.nextBoolean(),
@@ -145,23 +146,32 @@
               r.nextInt(4) == 0,
               r.nextInt(9),
               r.nextInt(3) * 2.5,
-              TURNS.get(r.nextInt(3)),
+              BOOSTS.get(r.nextInt(3)),
               i));
     }
     Map<String, Snapshot.TeamUsage> teams =
         Map.of(
             "roja", SnapshotFixtures.usage(3, 0, 5 + r.nextInt(40), 2),
             "azul", SnapshotFixtures.usage(0, 0, 5 + r.nextInt(40), 2));
-    Set<Long> kept = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
-    int mostStarts = 1 + r.nextInt(30);
+    Set<Long> nonPreemptible = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
+    int maxStarts = 1 + r.nextInt(30);
     machines.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
-    Set<String> overdue = r.nextInt(3) == 0 ? Set.of("job-" + r.nextInt(6)) : Set.of();
+    Set<String> starved = r.nextInt(3) == 0 ? Set.of("job-" + r.nextInt(6)) : Set.of();
     if (r.nextInt(3) == 0) {
       teams = Map.of("roja", use(r, machines, "roja"), "azul", use(r, machines, "azul"));
     }
-    Set<Long> spared = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
+    Set<Long> preemptibleOnlyByMoreUrgent =
+        r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
     return new Snapshot(
-        machines, pendingJobs, guaranteed, kept, teams, NOW_MS, mostStarts, overdue, spared);
+        machines,
+        pendingJobs,
+        guaranteed,
+        nonPreemptible,
+        teams,
+        NOW_MS,
+        maxStarts,
+        starved,
+        preemptibleOnlyByMoreUrgent);
   }
 
   /** What a team's running tasks use, with a limit above and a guarantee that may be below. */
@@ -194,8 +204,8 @@
         slots);
   }
 
-  /** Now and then a job has the priority of one that needs it. */
-  private static Priority lent(SplittableRandom r, JobSpec spec) {
+  /** Now and then a job inherits the priority of a dependant. */
+  private static Priority ownOrInherited(SplittableRandom r, JobSpec spec) {
     Priority other = PRIORITIES.get(r.nextInt(4));
     return r.nextInt(3) == 0 && other.compareTo(spec.priority()) < 0 ? other : spec.priority();
   }
--- a/src/test/java/fennelthread/plan/PlannerRankingTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRankingTest.java
@@ -20,28 +20,28 @@
 /** The order of jobs and the choice of machines. */
 class PlannerRankingTest {
   @Test
-  void cachedImageBeforeFullest() {
-    Snapshot s =
+  void aCachedImageComesBeforeBestFit() {
+    Snapshot snapshot =
         snapshot(
             List.of(machine("a", 8, 2, null), machine("b", 8, 8, "img")),
             pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
             Set.of());
-    assertEquals("b", Planner.plan(s).starts().get(0).machine());
+    assertEquals("b", Planner.plan(snapshot).starts().get(0).machine());
   }
 
   @Test
-  void fullestAmongEquals() {
-    Snapshot s =
+  void theFullestMachineIsTakenAmongEquals() {
+    Snapshot snapshot =
         snapshot(
             List.of(machine("a", 8, 8, null), machine("b", 8, 3, null)),
             pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 2), true, 1),
             Set.of());
-    assertEquals("b", Planner.plan(s).starts().get(0).machine());
+    assertEquals("b", Planner.plan(snapshot).starts().get(0).machine());
   }
 
   /** A backlog once made every job late, each by what those before it took. */
   @Test
-  void whatCanBeInTimeComesBeforeWhatIsLateAndSmallBeforeLarge() {
+  void jobsThatCanMeetTheirDeadlineComeFirstThenSmallOnes() {
     JobSpec late = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec large = job("job-2", "roja", Priority.STANDARD, 1, 4);
     JobSpec small = job("job-3", "roja", Priority.STANDARD, 1, 4);
@@ -102,7 +102,7 @@
 
   /** A replica goes where its image is, at the cost of less urgent work, not where it must wait. */
   @Test
-  void replicasTakeTheMachineThatHasTheImage() {
+  void aReplicaPreemptsLessUrgentWorkWhereItsImageIs() {
     JobSpec service =
         new JobSpec(
             "job-1",
--- a/src/test/java/fennelthread/plan/PlannerReservationTest.java
+++ b/src/test/java/fennelthread/plan/PlannerReservationTest.java
@@ -20,8 +20,8 @@
 
 /** Capacity that is reserved for waiting tasks, and for how long. */
 class PlannerReservationTest {
-  private static Snapshot.RunningTask small(
-      int attempt, String machine, double ranS, double takesS) {
+  private static Snapshot.RunningTask halfCpuTask(
+      int attempt, String machine, double elapsedS, double expectedRunS) {
     return new Snapshot.RunningTask(
         job("job-9", "azul", Priority.BEST_EFFORT, 64, 0.5),
         Priority.BEST_EFFORT,
@@ -32,11 +32,11 @@
         0.5,
         0,
         0.1,
-        NOW_MS - (long) (ranS * 1000),
-        takesS);
+        NOW_MS - (long) (elapsedS * 1000),
+        expectedRunS);
   }
 
-  private static Snapshot.PendingJob patient(JobSpec spec, double patienceS, AgingBoost turn) {
+  private static Snapshot.PendingJob waiting(JobSpec spec, double maxWaitS, AgingBoost boost) {
     return new Snapshot.PendingJob(
         spec,
         spec.priority(),
@@ -47,12 +47,13 @@
         false,
         false,
         100,
-        patienceS,
-        turn,
+        maxWaitS,
+        boost,
         1);
   }
 
-  private static Snapshot.PendingJob bound(String id, Priority priority, int tasks, String zone) {
+  private static Snapshot.PendingJob zoneBound(
+      String id, Priority priority, int tasks, String zone) {
     JobSpec any = job(id, "roja", priority, tasks, 1);
     JobSpec spec =
         new JobSpec(
@@ -80,11 +81,11 @@
   }
 
   /**
-   * Room that is made piece by piece for a large task must not go to a smaller one of less urgent
-   * work: that one was stopped for the large task again, a thousand times a minute.
+   * Capacity that is released piece by piece for a large task must not go to a smaller one of less
+   * urgent work: that one was preempted for the large task again, a thousand times a minute.
    */
   @Test
-  void roomBeingMadeIsNotGivenAway() {
+  void releasedCapacityIsNotGivenToLessUrgentWork() {
     Snapshot.RunningTask leaving =
         new Snapshot.RunningTask(
             job("job-8", "azul", Priority.BEST_EFFORT, 1, 2),
@@ -117,25 +118,25 @@
   }
 
   /**
-   * A third of a guest's starts was lost to tasks of four CPUs that had sixteen small ones stopped,
-   * each of which would have ended within seconds. Who has the time waits for them, and nobody else
-   * gets their room.
+   * A third of a team's starts was lost to tasks of four CPUs that had sixteen small ones
+   * preempted, each of which would have ended within seconds. Who has the time waits for them, and
+   * nobody else gets their capacity.
    */
   @Test
-  void roomThatComesFreeByItselfIsWaitedFor() {
+  void capacityReleasedByCompletionsIsAwaited() {
     List<Snapshot.RunningTask> soon = new ArrayList<>();
     List<Snapshot.RunningTask> later = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      soon.add(small(i, "a", 1, 4));
-      later.add(small(10 + i, "b", 1, 40));
+      soon.add(halfCpuTask(i, "a", 1, 4));
+      later.add(halfCpuTask(10 + i, "b", 1, 40));
     }
     List<Snapshot.Machine> machines =
         List.of(
             machine("b", 4, 0, null, later.toArray(new Snapshot.RunningTask[0])),
             machine("a", 4, 0, null, soon.toArray(new Snapshot.RunningTask[0])));
     JobSpec four = job("job-1", "roja", Priority.STANDARD, 1, 4);
-    JobSpec guest = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
-    Plan plan = Planner.plan(snapshot(machines, patient(four, 5, AgingBoost.NONE), Set.of()));
+    JobSpec halfCpu = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
+    Plan plan = Planner.plan(snapshot(machines, waiting(four, 5, AgingBoost.NONE), Set.of()));
     assertTrue(plan.preemptions().isEmpty(), plan.preemptions().toString());
     // Half of them have ended since: the rest must not be given away again.
     Plan next =
@@ -144,7 +145,7 @@
                 List.of(
                     machine(
                         "a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.RunningTask[0]))),
-                List.of(patient(four, 5, AgingBoost.NONE), patient(guest, 5, AgingBoost.NONE)),
+                List.of(waiting(four, 5, AgingBoost.NONE), waiting(halfCpu, 5, AgingBoost.NONE)),
                 Set.of(),
                 Set.of(),
                 teams(0),
@@ -153,53 +154,53 @@
     assertTrue(next.starts().isEmpty() && next.preemptions().isEmpty(), next.toString());
     assertEquals(
         8,
-        Planner.plan(snapshot(machines, patient(four, 0, AgingBoost.NONE), Set.of()))
+        Planner.plan(snapshot(machines, waiting(four, 0, AgingBoost.NONE), Set.of()))
             .preemptions()
             .size());
   }
 
   /**
-   * A task as large as a machine never finds one free while small ones keep coming: one is kept for
-   * it.
+   * A task as large as a machine never finds one free while small ones keep coming: one is reserved
+   * for it.
    */
   @Test
-  void aMachineIsKeptFreeForTheLargest() {
+  void aMachineIsReservedForTheLargestTask() {
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
-    Snapshot.RunningTask long1 = running("job-8", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask other = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.Machine> machines =
         List.of(
-            machine("a", 16, 12, null, long1),
-            machine("b", 16, 0, null, long1, long1, long1, long1));
-    for (AgingBoost turn : AgingBoost.values()) {
+            machine("a", 16, 12, null, other),
+            machine("b", 16, 0, null, other, other, other, other));
+    for (AgingBoost boost : AgingBoost.values()) {
       Plan plan =
           Planner.plan(
               SnapshotFixtures.snapshot(
                   machines,
-                  List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, turn)),
+                  List.of(waiting(small, 0, AgingBoost.NONE), waiting(whole, 0, boost)),
                   Set.of(),
                   Set.of(),
                   teams(0),
                   NOW_MS,
                   10));
       assertEquals(
-          turn == AgingBoost.ABOVE_ALL ? List.of() : List.of(new Plan.Start(small, 0, "a")),
+          boost == AgingBoost.ABOVE_ALL ? List.of() : List.of(new Plan.Start(small, 0, "a")),
           plan.starts());
       assertTrue(plan.preemptions().isEmpty());
     }
   }
 
   /**
-   * An array that waits for a zone without room once kept the rest of its team's limit for ever,
-   * though its next job would have fitted elsewhere.
+   * An array that waits for a zone without capacity once held the rest of its team's limit for
+   * ever, though its next job would have fitted elsewhere.
    */
   @Test
-  void whatFindsNoRoomKeepsItsTeamsLimitForAWhileOnly() {
+  void unplacedWorkHoldsItsTeamsLimitForAWhileOnly() {
     List<Snapshot.Machine> machines = List.of(machine("a", 8, 8, null));
     List<Snapshot.PendingJob> pendingJobs =
         List.of(
-            bound("job-1", Priority.URGENT, 10, "elsewhere"),
-            bound("job-2", Priority.STANDARD, 3, null));
+            zoneBound("job-1", Priority.URGENT, 10, "elsewhere"),
+            zoneBound("job-2", Priority.STANDARD, 3, null));
     Plan first =
         Planner.plan(
             SnapshotFixtures.snapshot(
@@ -236,20 +237,20 @@
     assertEquals(1, full.starts().size());
   }
 
-  /** A machine that is kept free for a large task is so for a while, not as long as it takes. */
+  /** A machine is reserved for a large task for a while, not as long as it takes. */
   @Test
-  void aMachineIsKeptFreeForAWhileOnly() {
+  void aMachineIsReservedForAWhileOnly() {
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.RunningTask endless = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.Machine> machines = List.of(machine("a", 16, 12, null, endless));
     List<Snapshot.PendingJob> pendingJobs =
-        List.of(patient(small, 0, AgingBoost.NONE), patient(whole, 0, AgingBoost.ABOVE_ALL));
-    Snapshot kept =
+        List.of(waiting(small, 0, AgingBoost.NONE), waiting(whole, 0, AgingBoost.ABOVE_ALL));
+    Snapshot reserved =
         SnapshotFixtures.snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
-    assertEquals(Set.of("job-2"), Planner.plan(kept).passedOver());
-    assertEquals(List.of(), Planner.plan(kept).starts());
-    Snapshot over =
+    assertEquals(Set.of("job-2"), Planner.plan(reserved).passedOver());
+    assertEquals(List.of(), Planner.plan(reserved).starts());
+    Snapshot starved =
         new Snapshot(
             machines,
             pendingJobs,
@@ -260,6 +261,6 @@
             10,
             Set.of("job-2"),
             Set.of());
-    assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(over).starts());
+    assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(starved).starts());
   }
 }
