--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -1,7 +1,6 @@
 package fennelthread;
 
 import fennelthread.api.Api;
-import fennelthread.api.ServingConditions;
 import fennelthread.constants.RelayConstants;
 import fennelthread.control.CurrentTerm;
 import fennelthread.control.FollowerReports;
@@ -16,7 +15,7 @@
 import fennelthread.election.LeaderElection;
 import fennelthread.fleet.Cloud;
 import fennelthread.handover.Handover;
-import fennelthread.health.HeapGuard;
+import fennelthread.health.MemoryPressureMonitor;
 import fennelthread.leader.Lease;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
@@ -32,7 +31,6 @@
 import fennelthread.relay.UnreachableLeaderNotice;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
-import fennelthread.wire.MachineType;
 import fennelthread.zones.Zones;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -59,7 +57,7 @@
   private final PeerHeartbeats peers;
   private final LeaderReachability reachability;
   private final CommandSender commands;
-  private final HeapGuard heap;
+  private final MemoryPressureMonitor memory;
   private final LeaderElection election;
   private final FollowerLeaseRenewer renewer;
   private final Zones zones;
@@ -95,7 +93,8 @@
     this.commands =
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
     UnreachableLeaderNotice notice = createUnreachableLeaderNotice();
-    this.heap = new HeapGuard(eventLoop, this::memoryUsage, records.store()::evictCaches);
+    this.memory =
+        new MemoryPressureMonitor(eventLoop, new ControllerMemory(records, workers, currentTerm));
     this.election =
         new LeaderElection(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
@@ -190,33 +189,10 @@
         settings,
         records.store(),
         records.table(),
-        new ControllerConditions(),
+        new ControllerConditions(records.replica(), stateServiceCheck, peers, memory, machineTypes),
         reports::handle);
   }
 
-  /** What the interface for users asks of the other subsystems. */
-  private final class ControllerConditions implements ServingConditions {
-    @Override
-    public boolean isUp() {
-      return Controller.this.isUp();
-    }
-
-    @Override
-    public boolean isOutdatedPeerServing() {
-      return peers.hasHeardOutdatedPeer();
-    }
-
-    @Override
-    public boolean isMemoryShort() {
-      return heap.isTight();
-    }
-
-    @Override
-    public Map<String, MachineType> machineTypes() {
-      return machineTypes.byName();
-    }
-  }
-
   /** Starts reading the state, sending heartbeats and the periodic checks; call it once. */
   public void start() {
     log.info("controller started member={} incarnation={}", settings.member(), incarnation);
@@ -244,7 +220,7 @@
 
   private void runPeriodicChecks() {
     eventLoop.after(RelayConstants.SUPERVISE_MS, this::runPeriodicChecks);
-    heap.look();
+    memory.check();
     supervisor.runChecks();
   }
 
@@ -263,22 +239,10 @@
     return lease.isLeading();
   }
 
-  private boolean isUp() {
-    return records.replica().isReady() && !stateServiceCheck.isRefusedOnlyHere();
-  }
-
   private void onUnreachableLeaderNotice() {
     reachabilityCheck.stepDownOnNotice();
   }
 
-  private String memoryUsage() {
-    return records.memoryUsage()
-        + ", "
-        + workers.addressCount()
-        + " addresses, "
-        + currentTerm.memoryUsage();
-  }
-
   private void onReplicaLoaded() {
     log.info("state loaded member={} revision={}", settings.member(), records.replica().revision());
     lease.claimIfVacant();
--- /dev/null
+++ b/src/main/java/fennelthread/ControllerMemory.java
@@ -0,0 +1,32 @@
+package fennelthread;
+
+import fennelthread.control.CurrentTerm;
+import fennelthread.control.KnownWorkers;
+import fennelthread.health.MemoryConsumer;
+
+/** What one controller's subsystems hold in memory. */
+final class ControllerMemory implements MemoryConsumer {
+  private final ReplicatedRecords records;
+  private final KnownWorkers workers;
+  private final CurrentTerm term;
+
+  ControllerMemory(ReplicatedRecords records, KnownWorkers workers, CurrentTerm term) {
+    this.records = records;
+    this.workers = workers;
+    this.term = term;
+  }
+
+  @Override
+  public void evictCaches() {
+    records.store().evictCaches();
+  }
+
+  @Override
+  public String memoryUsage() {
+    return records.memoryUsage()
+        + ", knownAddresses="
+        + workers.addressCount()
+        + ", "
+        + term.memoryUsage();
+  }
+}
--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -93,6 +93,6 @@
 
   /** Describes what is held in memory, for one line of the log. */
   public String memoryUsage() {
-    return active == null ? "not leading" : active.memoryUsage();
+    return active == null ? "leading=false" : active.memoryUsage();
   }
 }
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -55,7 +55,7 @@
     if (stateService.isRefusedOnlyHere()) {
       lease.stepDown(
           "the state service refuses only this controller", ControlConstants.STEP_DOWN_PAUSE_MS);
-      handover.endThroughPeers(lease.storeLeaseId());
+      handover.revokeThroughPeers(lease.storeLeaseId());
       return;
     }
     if (reachability.workersReachOnlyPeers()) {
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -3,66 +3,75 @@
 import fennelthread.constants.RelayConstants;
 import fennelthread.constants.StateConstants;
 import fennelthread.net.Answer;
-import fennelthread.net.Service;
+import fennelthread.net.Request;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.state.StateClient;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
+import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What controllers do for one another when leadership passes on. A leader that the state service
- * refuses alone can't end its own grant, and nobody could claim until that runs out; a peer ends it
- * instead. The leader has dropped its local lease before it asks, so that the request may take as
- * long as it likes.
+ * Revokes a leader's lease at the state service through its peers. A leader that only it is refused
+ * by the state service can't revoke its lease itself, and nobody could claim before that expires.
+ * The leader has stepped down before it asks, so the request may take any time.
  */
 public final class Handover {
   private static final Logger log = LoggerFactory.getLogger(Handover.class);
-  private static final String END = "/handover/end";
+  private static final String PATH_PREFIX = "/handover/";
+  private static final String REVOKE_PATH = PATH_PREFIX + "end";
+  private static final String LEASE_ID_FIELD = "permiso";
+  private static final String STATUS_FIELD = "status";
 
+  private final StateClient state;
   private final PeerHeartbeats peers;
 
-  /** Creates it, and answers peers that ask. */
+  /** Creates the handover of one controller, which from now on revokes leases for its peers. */
   public Handover(StateClient state, PeerHeartbeats peers) {
+    this.state = state;
     this.peers = peers;
-    Service service =
-        (request, reply) -> {
-          try {
-            long leaseId = Codec.JSON.decode(request.body()).count("permiso");
-            state.revokeLease(
-                leaseId,
-                status ->
-                    reply.accept(
-                        Answer.of(200, Codec.JSON, Fields.create().with("status", (long) status))));
-          } catch (WireException e) {
-            reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
-          }
-        };
-    peers.serve("/handover/", service);
+    peers.serve(PATH_PREFIX, this::handleRevocation);
   }
 
-  /** Has peers end a grant of ours whose lease we have dropped. */
-  public void endThroughPeers(long leaseId) {
+  private void handleRevocation(Request request, Consumer<Answer> reply) {
+    try {
+      long leaseId = Codec.JSON.decode(request.body()).count(LEASE_ID_FIELD);
+      state.revokeLease(leaseId, status -> reply.accept(revocationResult(status)));
+    } catch (WireException e) {
+      reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
+    }
+  }
+
+  private static Answer revocationResult(int status) {
+    return Answer.of(200, Codec.JSON, Fields.create().with(STATUS_FIELD, (long) status));
+  }
+
+  /** Asks all reachable peers to revoke a lease under which this controller no longer leads. */
+  public void revokeThroughPeers(long leaseId) {
     for (String member : peers.relays()) {
       peers.call(
           member,
-          END,
-          Fields.create().with("permiso", leaseId),
+          REVOKE_PATH,
+          Fields.create().with(LEASE_ID_FIELD, leaseId),
           StateConstants.STATE_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
           answer ->
               log.info(
-                  "{} was asked to end our grant: {}",
+                  "lease revocation requested peer={} lease={} status={}",
                   member,
-                  answer == null ? "no answer" : "status " + statusOf(answer)));
+                  leaseId,
+                  statusOf(answer)));
     }
   }
 
   private static String statusOf(Answer answer) {
+    if (answer == null) {
+      return "none";
+    }
     try {
       return answer.status() == 200
-          ? String.valueOf(answer.fields().count("status"))
+          ? String.valueOf(answer.fields().count(STATUS_FIELD))
           : String.valueOf(answer.status());
     } catch (WireException e) {
       return "unreadable";
--- /dev/null
+++ b/src/main/java/fennelthread/health/MemoryPressureMonitor.java
@@ -0,0 +1,93 @@
+package fennelthread.health;
+
+import fennelthread.constants.HealthConstants;
+import fennelthread.constants.RelayConstants;
+import fennelthread.net.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.event.Level;
+
+/**
+ * Detects that the heap is nearly full, evicts caches, and logs once what fills it. A process that
+ * runs out of memory restarts, reads the same state and runs out again: five controllers once did
+ * so 39 times in a minute and a half.
+ */
+public final class MemoryPressureMonitor {
+  private static final Logger log = LoggerFactory.getLogger(MemoryPressureMonitor.class);
+
+  /** How full the heap is. */
+  public enum Phase {
+    /** There is enough free memory. */
+    NORMAL,
+    /** The heap was nearly full right after a collection: no new work is accepted. */
+    UNDER_PRESSURE
+  }
+
+  private final EventLoop eventLoop;
+  private final MemoryConsumer consumer;
+  private Phase phase = Phase.NORMAL;
+  private long windowSinceMs;
+  private long leastUsedBytes = Long.MAX_VALUE;
+  private long collectedAtMs = Long.MIN_VALUE / 2;
+
+  /** Creates a monitor of the event loop's heap; {@code consumer} is what fills it. */
+  public MemoryPressureMonitor(EventLoop eventLoop, MemoryConsumer consumer) {
+    this.eventLoop = eventLoop;
+    this.consumer = consumer;
+    this.windowSinceMs = eventLoop.nowMs();
+  }
+
+  /** True if no new work should be accepted. */
+  public boolean isUnderPressure() {
+    return phase == Phase.UNDER_PRESSURE;
+  }
+
+  /**
+   * Checks the heap; to be called every {@link RelayConstants#SUPERVISE_MS}. Cheap, except that it
+   * runs a collection, at most every {@link HealthConstants#COLLECTION_INTERVAL_MS}, while the heap
+   * may be nearly full.
+   */
+  public void check() {
+    EventLoop.Heap heap = eventLoop.heap();
+    long nowMs = eventLoop.nowMs();
+    // What is used between two collections includes garbage; the least use over several seconds is
+    // close to what is live.
+    leastUsedBytes = Math.min(leastUsedBytes, heap.usedBytes());
+    if (nowMs - windowSinceMs < HealthConstants.WINDOW_MS) {
+      return;
+    }
+    boolean nearlyFull =
+        leastUsedBytes > heap.mostBytes() * HealthConstants.MEMORY_PRESSURE_LIVE_SHARE;
+    leastUsedBytes = Long.MAX_VALUE;
+    windowSinceMs = nowMs;
+    if ((isUnderPressure() || nearlyFull)
+        && nowMs - collectedAtMs >= HealthConstants.COLLECTION_INTERVAL_MS) {
+      collectedAtMs = nowMs;
+      measureLiveShare(heap);
+    }
+  }
+
+  private void measureLiveShare(EventLoop.Heap heap) {
+    heap.collect();
+    double liveShare = (double) heap.usedBytes() / heap.mostBytes();
+    if (phase == Phase.NORMAL && liveShare > HealthConstants.MEMORY_PRESSURE_LIVE_SHARE) {
+      transitionTo(Phase.UNDER_PRESSURE, liveShare);
+      consumer.evictCaches();
+    } else if (phase == Phase.UNDER_PRESSURE && liveShare < HealthConstants.NORMAL_LIVE_SHARE) {
+      transitionTo(Phase.NORMAL, liveShare);
+    }
+  }
+
+  /** The only place where the phase changes. */
+  private void transitionTo(Phase next, double liveShare) {
+    log.atLevel(next == Phase.UNDER_PRESSURE ? Level.ERROR : Level.INFO)
+        .log(
+            "memory pressure changed from={} to={} livePercent={} heapMb={} usage={}",
+            phase,
+            next,
+            Math.round(liveShare * 100),
+            eventLoop.heap().mostBytes() >> 20,
+            consumer.memoryUsage());
+    phase = next;
+  }
+}
