--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -13,9 +13,13 @@
 import fennelthread.control.UnreachableLeaderPublisher;
 import fennelthread.control.WorkerReachabilityCheck;
 import fennelthread.election.LeaderElection;
-import fennelthread.fleet.Cloud;
+import fennelthread.fleet.CloudClient;
+import fennelthread.fleet.WorkerLink;
 import fennelthread.handover.Handover;
 import fennelthread.health.MemoryPressureMonitor;
+import fennelthread.leader.FleetEnvironment;
+import fennelthread.leader.JobRecords;
+import fennelthread.leader.LeaderContext;
 import fennelthread.leader.Lease;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
@@ -48,7 +52,7 @@
   private final Options options;
   private final String incarnation;
   private final ReplicatedRecords records;
-  private final Cloud cloud;
+  private final CloudClient cloud;
   private final MachineTypes machineTypes;
   private final Lease lease;
   private final CurrentTerm currentTerm;
@@ -80,7 +84,7 @@
     this.options = options;
     this.incarnation = Long.toHexString(eventLoop.random().nextLong());
     this.records = new ReplicatedRecords(eventLoop, settings);
-    this.cloud = new Cloud(eventLoop, settings);
+    this.cloud = new CloudClient(eventLoop, settings);
     this.lease = createLease();
     this.machineTypes = createMachineTypes();
     this.currentTerm = new CurrentTerm(lease);
@@ -287,24 +291,15 @@
 
   private Term newTerm(long epoch, long electedAtMs) {
     return new Term(
-        eventLoop,
-        settings,
-        options,
-        records.state(),
-        records.replica(),
-        records.table(),
-        records.store(),
-        lease,
-        cloud,
-        machineTypes::byName,
-        machineTypes::replaceAndStore,
-        () -> othersSilentSinceMs(epoch, electedAtMs),
-        commands,
-        zones,
-        stalls,
-        records.cancellations()::isOver,
-        renewer.gate(),
-        workers.addresses());
+        new LeaderContext(eventLoop, settings, options, records.state(), records.replica(), lease),
+        new JobRecords(records.table(), records.store(), records.cancellations()::isOver),
+        new FleetEnvironment(
+            cloud,
+            machineTypes,
+            zones,
+            new WorkerLink(commands, renewer.gate(), stalls),
+            () -> othersSilentSinceMs(epoch, electedAtMs),
+            workers.addresses()));
   }
 
   /**
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -1,8 +1,9 @@
 package fennelthread.control;
 
 import fennelthread.constants.ControlConstants;
-import fennelthread.fleet.Cloud;
+import fennelthread.fleet.CloudClient;
 import fennelthread.leader.Lease;
+import fennelthread.leader.MachineTypeCatalog;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
@@ -24,11 +25,11 @@
  * from the cloud; the leader also stores them in the state service, so that a controller that
  * starts during an outage of the cloud has them.
  */
-public final class MachineTypes {
+public final class MachineTypes implements MachineTypeCatalog {
   private static final Logger log = LoggerFactory.getLogger(MachineTypes.class);
 
   private final EventLoop eventLoop;
-  private final Cloud cloud;
+  private final CloudClient cloud;
   private final StateClient state;
   private final Replica replica;
   private final Lease lease;
@@ -37,7 +38,7 @@
 
   /** Creates an empty set of types; {@link #fetchFromCloud} and the replica fill it. */
   public MachineTypes(
-      EventLoop eventLoop, Cloud cloud, StateClient state, Replica replica, Lease lease) {
+      EventLoop eventLoop, CloudClient cloud, StateClient state, Replica replica, Lease lease) {
     this.eventLoop = eventLoop;
     this.cloud = cloud;
     this.state = state;
@@ -46,6 +47,7 @@
   }
 
   /** The types by name; empty until they are known. */
+  @Override
   public Map<String, MachineType> byName() {
     return byName;
   }
@@ -56,11 +58,11 @@
       return;
     }
     fetching = true;
-    cloud.machineTypes(
+    cloud.fetchMachineTypes(
         types -> {
           fetching = false;
-          if (types != null && !types.isEmpty()) {
-            replace(types);
+          if (types.isPresent() && !types.get().isEmpty()) {
+            replace(types.get());
           } else {
             eventLoop.after(ControlConstants.MACHINE_TYPES_RETRY_MS, this::fetchFromCloud);
           }
@@ -89,6 +91,7 @@
    * Takes over the types that this controller, as leader, has fetched from the cloud, and stores
    * them if they differ from what is stored.
    */
+  @Override
   public void replaceAndStore(List<MachineType> types) {
     replace(types);
     Fields value = MachineType.writeAll(types.stream().map(MachineTypes::withoutPrices).toList());
