--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -158,17 +158,11 @@
             measurements,
             workers::publish);
     merger.startDraining();
-    try {
-      listen();
-    } catch (BindException e) {
-      throw new SettingsException(
-          "ports "
-              + EmulationConstants.STATE_PORT
-              + " and "
-              + EmulationConstants.CLOUD_PORT
-              + " of the loopback can't be used: "
-              + e.getMessage());
-    }
+    listen();
+    startLoops();
+  }
+
+  private void startLoops() throws IOException {
     controllers.start();
     usersLoop.start();
     usersLoop.execute(
@@ -183,7 +177,21 @@
         });
   }
 
-  private void listen() throws IOException {
+  private void listen() throws IOException, SettingsException {
+    try {
+      openListeners();
+    } catch (BindException e) {
+      throw new SettingsException(
+          "ports "
+              + EmulationConstants.STATE_PORT
+              + " and "
+              + EmulationConstants.CLOUD_PORT
+              + " of the loopback can't be used: "
+              + e.getMessage());
+    }
+  }
+
+  private void openListeners() throws IOException {
     // Before the loop runs: nothing else uses its selector yet.
     for (int i = 0; i < config.controllers(); i++) {
       new HttpListener(stateLoop, Addresses.parse(addresses.state(i)), state.serviceFor(i));
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -43,7 +43,7 @@
   final Deployment deployment;
   final SimulatedControllers members;
   final SimulatedUsers users;
-  final Map<String, SimulatedNetwork.SimulatedProcess> processes;
+  final Map<String, SimulatedProcess> processes;
   final Map<String, Node> controllers;
   final List<JobSpec> jobs;
   final ReportCopies reportCopies;
@@ -128,16 +128,16 @@
     // The version in production takes counts from its own copy of the state, which may be behind.
     rules.countsMustNotFall = members::areAllNew;
     randomJobs = new RandomJobs(world);
-    SimulatedNetwork.SimulatedProcess stateProcess = world.new SimulatedProcess("state");
+    SimulatedProcess stateProcess = new SimulatedProcess(world, "state");
     state = new StateEmulator(world, stateProcess, deployment.limits());
     stateProcess.listen(STATE, state);
     world.name(STATE, "state");
-    SimulatedNetwork.SimulatedProcess cloudProcess = world.new SimulatedProcess("cloud");
+    SimulatedProcess cloudProcess = new SimulatedProcess(world, "cloud");
     cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
     users =
-        new SimulatedUsers(world, rules, world.new SimulatedProcess("users"), members.addresses);
+        new SimulatedUsers(world, rules, new SimulatedProcess(world, "users"), members.addresses);
     jobs = users.jobs;
     members.startAll();
     rentFirstMachines();
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -21,7 +21,7 @@
   final Map<String, String> addresses = new LinkedHashMap<>();
 
   /** The last process of each member. */
-  final Map<String, SimulatedNetwork.SimulatedProcess> processes = new TreeMap<>();
+  final Map<String, SimulatedProcess> processes = new TreeMap<>();
 
   /** The last controller of each member. */
   final Map<String, SimulatedCluster.Node> running = new TreeMap<>();
@@ -97,7 +97,7 @@
 
   /** Starts a controller of the version that its member has at the moment. */
   void start(String member) {
-    SimulatedNetwork.SimulatedProcess process = network.new SimulatedProcess(member);
+    SimulatedProcess process = new SimulatedProcess(network, member);
     Settings own = settingsOf(member, settings.teams());
     SimulatedCluster.Node controller =
         inProduction.contains(member)
@@ -130,7 +130,7 @@
   /** Ends a controller; another process of the same member begins after so long. */
   void crash(String member, long downMs) {
     processes.get(member).kill();
-    SimulatedNetwork.SimulatedProcess dead = processes.get(member);
+    SimulatedProcess dead = processes.get(member);
     network.after(
         downMs,
         () -> {
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -2,25 +2,16 @@
 
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
-import fennelthread.net.EventLoop;
-import fennelthread.net.Request;
-import fennelthread.net.Service;
-import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
-import java.util.random.RandomGenerator;
 
 /** Simulated time, processes and a network that delays, loses, holds back and delivers late. */
 final class SimulatedNetwork {
-  private static final com.sun.management.ThreadMXBean MEMORY =
-      (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-
   private final EventQueue events = new EventQueue();
-  private final Map<String, SimulatedProcess> byAddress = new HashMap<>();
+  final Map<String, SimulatedProcess> byAddress = new HashMap<>();
   private final NetworkCuts cuts = new NetworkCuts(this);
   private final List<Held> holds = new ArrayList<>();
 
@@ -47,7 +38,7 @@
 
   private final List<Runnable> afterEach = new ArrayList<>();
   final SplittableRandom random;
-  private final SplittableRandom connections;
+  final SplittableRandom connections;
 
   /** Chance for troubles that few tests have: drawing here changes nothing for the others. */
   final SplittableRandom faults;
@@ -143,7 +134,7 @@
     after(forMs, () -> holds.remove(what));
   }
 
-  private void copyPerhaps(String path, Runnable deliver) {
+  void copyPerhaps(String path, Runnable deliver) {
     for (Copies c : copies) {
       if (path.startsWith(c.path) && connections.nextDouble() < c.share) {
         after(
@@ -161,7 +152,7 @@
    * Carries a packet of a request, or holds it up. What is held up belongs to a connection with the
    * process that is there now: a later one at the same address never gets it.
    */
-  private void carryOrHold(
+  void carryOrHold(
       String path, boolean answer, String from, String to, String address, Runnable deliver) {
     for (Held h : holds) {
       if (h.answers == answer && path.startsWith(h.path) && faults.nextDouble() < h.share) {
@@ -260,239 +251,6 @@
     return target != null;
   }
 
-  /** One process on a machine of its own; a restart is a new process under the same name. */
-  final class SimulatedProcess implements EventLoop {
-    final String name;
-    private final double drift;
-    private final long born;
-    private final List<String> addresses = new ArrayList<>();
-    private final SplittableRandom own;
-    boolean alive = true;
-    private long pausedUntil;
-
-    SimulatedProcess(String name) {
-      this.name = name;
-      this.drift = random.nextDouble() * 0.0005;
-      this.born = now - random.nextInt(100_000);
-      this.own = random.split();
-    }
-
-    void listen(String address, Service service) {
-      addresses.add(address);
-      byAddress.put(address, this);
-      services.put(address, service);
-    }
-
-    private final Map<String, Service> services = new HashMap<>();
-
-    void kill() {
-      alive = false;
-      addresses.forEach(a -> byAddress.remove(a, this));
-    }
-
-    /** Nothing happens in the process until then; its clocks go on. */
-    void pause(long forMs) {
-      pausedUntil = Math.max(pausedUntil, now + forMs);
-    }
-
-    private void enter(String kind, Runnable task) {
-      if (!alive) {
-        return;
-      }
-      if (now < pausedUntil) {
-        at(pausedUntil, () -> enter(kind, task));
-        return;
-      }
-      if (costs == null) {
-        task.run();
-        return;
-      }
-      long bytes = MEMORY.getCurrentThreadAllocatedBytes();
-      long start = System.nanoTime();
-      task.run();
-      Cost cost = costs.computeIfAbsent(name + " " + kind, k -> new Cost());
-      cost.events++;
-      long took = System.nanoTime() - start;
-      cost.nanos += took;
-      cost.slowestNanos = Math.max(cost.slowestNanos, took);
-      cost.bytes += MEMORY.getCurrentThreadAllocatedBytes() - bytes;
-    }
-
-    @Override
-    public long nowMs() {
-      return (long) ((now - born) * (1 + drift));
-    }
-
-    @Override
-    public long wallMs() {
-      return 1_800_000_000_000L + now;
-    }
-
-    @Override
-    public Cancellable after(long delayMs, Runnable task) {
-      boolean[] off = new boolean[1];
-      SimulatedNetwork.this.after(
-          Math.max(0, delayMs),
-          () ->
-              enter(
-                  "timer",
-                  () -> {
-                    if (!off[0]) {
-                      task.run();
-                    }
-                  }));
-      return () -> off[0] = true;
-    }
-
-    @Override
-    public RandomGenerator random() {
-      return own;
-    }
-
-    @Override
-    public void call(
-        String address, Call call, long timeoutMs, Consumer<Answer> done, Unsent unsent) {
-      if (trafficObserver != null) {
-        trafficObserver.onRequest(SimulatedNetwork.this.now, name, address, call);
-      }
-      requestFaults.sent(name, nameOf(address), call);
-      if (requestFaults.takesConnection(name, nameOf(address))) {
-        long giveUpMs = faults.nextBoolean() ? 1 : timeoutMs;
-        after(giveUpMs, () -> unsent.over(true));
-        return;
-      }
-      if (shortOfSockets > 0
-          && nameOf(address).startsWith("n-")
-          && connections.nextDouble() < shortOfSockets) {
-        after(0, () -> unsent.over(false));
-        return;
-      }
-      if (connections.nextDouble() < loss) {
-        // No socket was free, or the connection attempt was given up.
-        boolean tried = connections.nextBoolean();
-        after(timeoutMs, () -> unsent.over(tried));
-        return;
-      }
-      boolean[] over = new boolean[1];
-      after(
-          timeoutMs,
-          () -> {
-            if (!over[0]) {
-              over[0] = true;
-              done.accept(null);
-            }
-          });
-      String to = nameOf(address);
-      copyPerhaps(call.path(), () -> deliver(name, address, call));
-      long holdMs = requestFaults.holdMs(call.path());
-      if (holdMs > 0) {
-        deliverLate(address, call, holdMs);
-        return;
-      }
-      carryOrHold(
-          call.path(),
-          false,
-          name,
-          to,
-          address,
-          () -> {
-            SimulatedProcess target = byAddress.get(address);
-            if (target == null) {
-              if (random.nextBoolean()) {
-                // Refused; the other half of the time, a machine without power stays silent.
-                enter("answer", () -> finish(over, done, null));
-              }
-              return;
-            }
-            target.serve(
-                name,
-                address,
-                call,
-                answer ->
-                    carryOrHold(
-                        call.path(),
-                        true,
-                        to,
-                        name,
-                        address,
-                        () -> enter("answer", () -> finish(over, done, received(answer, call)))));
-          });
-    }
-
-    /** Delivers a request to the process that listens there now, unanswered, if it still does. */
-    private void deliverLate(String address, Call call, long holdMs) {
-      SimulatedProcess target = byAddress.get(address);
-      SimulatedNetwork.this.after(
-          holdMs,
-          () -> {
-            if (target != null && byAddress.get(address) == target) {
-              requestFaults.commandsDelivered++;
-              target.serve(name, address, call, answer -> {});
-            }
-          });
-    }
-
-    private void serve(String from, String address, Call call, Consumer<Answer> reply) {
-      enter(
-          call.path(),
-          () -> {
-            caller = from;
-            services
-                .get(address)
-                .handle(
-                    new Request(call.method(), call.path(), call.body()),
-                    answer -> {
-                      if (trafficObserver != null) {
-                        trafficObserver.onAnswer(now, from, address, call, answer);
-                      }
-                      reply.accept(answer);
-                    });
-          });
-    }
-
-    /** What lives on its heap, as a share; garbage is never made. */
-    double heapLive = 0.3;
-
-    @Override
-    public Heap heap() {
-      return new Heap() {
-        @Override
-        public long usedBytes() {
-          return (long) (heapLive * mostBytes());
-        }
-
-        @Override
-        public long mostBytes() {
-          return 64 << 20;
-        }
-
-        @Override
-        public void collect() {}
-      };
-    }
-
-    /** Who sent the request that is being handled, for emulators that treat callers differently. */
-    String caller = "";
-  }
-
-  private static Answer received(Answer answer, Call call) {
-    return answer == null
-        ? null
-        : new Answer(
-            answer.status(),
-            answer.body(),
-            call.codec(),
-            answer.retryAfterS(),
-            answer.afterwards());
-  }
-
-  private static void finish(boolean[] over, Consumer<Answer> done, Answer answer) {
-    if (!over[0]) {
-      over[0] = true;
-      done.accept(answer);
-    }
-  }
-
   private final Map<String, String> names = new HashMap<>();
 
   /** Gives an address its owner's name, for cuts; it stays when the process ends. */
@@ -500,7 +258,7 @@
     names.put(address, owner);
   }
 
-  private String nameOf(String address) {
+  String nameOf(String address) {
     return names.getOrDefault(address, address);
   }
 }
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -18,7 +18,7 @@
 
   private final SimulatedNetwork network;
   private final InvariantChecker rules;
-  private final SimulatedNetwork.SimulatedProcess process;
+  private final SimulatedProcess process;
   private final Map<String, String> addresses;
   private final List<Consumer<String>> onNews = new ArrayList<>();
 
@@ -33,7 +33,7 @@
   SimulatedUsers(
       SimulatedNetwork network,
       InvariantChecker rules,
-      SimulatedNetwork.SimulatedProcess process,
+      SimulatedProcess process,
       Map<String, String> addresses) {
     this.network = network;
     this.rules = rules;
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -21,6 +21,8 @@
 
 /** The state service as its protocol describes it. */
 final class StateEmulator implements Service {
+  private static final String EXTEND = "/extend";
+
   private record Item(Fields value, long revision, long grant) {}
 
   private record Change(long revision, String key, Fields value) {}
@@ -51,11 +53,9 @@
   }
 
   private final SimulatedNetwork world;
-  private final SimulatedNetwork.SimulatedProcess process;
+  private final SimulatedProcess process;
   private Settings.State limits;
-  private double requestsLeft;
-  private double writesLeft;
-  private long filledAt;
+  private final RateLimiter limiter = new RateLimiter();
 
   /** Requests that were above a limit. */
   int refusedAsTooMany;
@@ -91,8 +91,7 @@
   /** Transactions that were carried out while their answers were lost. */
   int answersLost;
 
-  StateEmulator(
-      SimulatedNetwork world, SimulatedNetwork.SimulatedProcess process, Settings.State limits) {
+  StateEmulator(SimulatedNetwork world, SimulatedProcess process, Settings.State limits) {
     this.world = world;
     this.answers = new TransactionAnswers(world, () -> answersLost++);
     this.process = process;
@@ -243,59 +242,60 @@
   }
 
   private void serve(Request request, Consumer<Answer> reply) {
-    String path = request.path();
     if (down || refused.contains(process.caller)) {
       reply.accept(Answer.error(503, "trouble"));
       return;
     }
-    requestsLeft =
-        Math.min(limits.rps(), requestsLeft + (world.now() - filledAt) * limits.rps() / 1000);
-    writesLeft =
-        Math.min(
-            limits.writeRps(), writesLeft + (world.now() - filledAt) * limits.writeRps() / 1000);
-    filledAt = world.now();
-    if (requestsLeft < 1) {
+    limiter.refill(world.now(), limits);
+    if (!limiter.takeRequest()) {
       refusedAsTooMany++;
       reply.accept(Answer.error(429, "too many requests"));
       return;
     }
-    requestsLeft--;
     try {
-      if (path.startsWith("/keys/")) {
-        get(path.substring("/keys/".length()), reply);
-      } else if (path.startsWith("/keys?")) {
-        list(query(path), reply);
-      } else if (path.startsWith("/watch?")) {
-        watch(query(path), reply);
-      } else if (path.equals("/multi")) {
-        multi(Codec.CBOR.decode(request.body()), reply);
-      } else if (path.equals("/grants")) {
-        long ttl = Codec.CBOR.decode(request.body()).count("ttl_ms");
-        grants.put(nextGrant, new Grant(ttl, world.now() + ttl));
-        reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("permiso", nextGrant++)));
-      } else if (path.startsWith("/grants/")) {
-        String rest = path.substring("/grants/".length());
-        boolean extend = rest.endsWith("/extend");
-        long id = Long.parseLong(extend ? rest.substring(0, rest.length() - 7) : rest);
-        Grant grant = grants.get(id);
-        if (grant == null) {
-          reply.accept(Answer.error(404, "no such lease"));
-        } else {
-          if (extend) {
-            grant.until = world.now() + grant.ttl;
-          } else {
-            end(id);
-          }
-          reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("permiso", id)));
-        }
-      } else {
-        reply.accept(Answer.error(404, "path"));
-      }
+      route(request, reply);
     } catch (WireException e) {
       reply.accept(Answer.error(400, e.getMessage()));
     }
   }
 
+  private void route(Request request, Consumer<Answer> reply) throws WireException {
+    String path = request.path();
+    if (path.startsWith("/keys/")) {
+      get(path.substring("/keys/".length()), reply);
+    } else if (path.startsWith("/keys?")) {
+      list(query(path), reply);
+    } else if (path.startsWith("/watch?")) {
+      watch(query(path), reply);
+    } else if (path.equals("/multi")) {
+      multi(Codec.CBOR.decode(request.body()), reply);
+    } else if (path.equals("/grants")) {
+      long ttl = Codec.CBOR.decode(request.body()).count("ttl_ms");
+      grants.put(nextGrant, new Grant(ttl, world.now() + ttl));
+      reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("permiso", nextGrant++)));
+    } else if (path.startsWith("/grants/")) {
+      extendOrRevoke(path.substring("/grants/".length()), reply);
+    } else {
+      reply.accept(Answer.error(404, "path"));
+    }
+  }
+
+  private void extendOrRevoke(String rest, Consumer<Answer> reply) {
+    boolean extend = rest.endsWith(EXTEND);
+    long id = Long.parseLong(extend ? rest.substring(0, rest.length() - EXTEND.length()) : rest);
+    Grant grant = grants.get(id);
+    if (grant == null) {
+      reply.accept(Answer.error(404, "no such lease"));
+      return;
+    }
+    if (extend) {
+      grant.until = world.now() + grant.ttl;
+    } else {
+      end(id);
+    }
+    reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("permiso", id)));
+  }
+
   private static Map<String, String> query(String path) {
     Map<String, String> query = new HashMap<>();
     for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
@@ -350,20 +350,35 @@
   }
 
   private void multi(Fields body, Consumer<Answer> reply) throws WireException {
-    List<Object> failed = new ArrayList<>();
     List<Fields> when = body.maps("when");
     List<Fields> then = body.maps("then");
     if (then.size() > limits.txnOps() || when.size() > limits.txnOps() * 4) {
       refusedAsTooLarge++;
       throw new WireException("then", "too many");
     }
-    if (then.size() > writesLeft) {
+    if (!limiter.takeWrites(then.size())) {
       refusedAsTooMany++;
       reply.accept(Answer.error(429, "too many changes"));
       return;
     }
-    writesLeft -= then.size();
     changes += then.size();
+    checkChanges(then);
+    List<Object> failed = failedConditions(when);
+    if (!failed.isEmpty()) {
+      reply.accept(
+          Answer.of(
+              409, Codec.CBOR, Fields.create().with("failed", failed).with("asiento", revision)));
+      return;
+    }
+    if (!then.isEmpty()) {
+      apply(then);
+    }
+    reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("asiento", revision)));
+    serveWatches();
+  }
+
+  /** Refuses changes that the protocol does not allow, whatever is stored. */
+  private void checkChanges(List<Fields> then) throws WireException {
     Set<String> touched = new LinkedHashSet<>();
     for (Fields f : then) {
       String key = f.has("write") ? f.text("write") : f.text("remove");
@@ -378,35 +393,33 @@
         throw new WireException("permiso", "no such lease");
       }
     }
+  }
+
+  private List<Object> failedConditions(List<Fields> when) throws WireException {
+    List<Object> failed = new ArrayList<>();
     for (Fields f : when) {
       Item item = items.get(f.text("key"));
       if ((item == null ? 0 : item.revision) != f.count("edicion")) {
         failed.add(f.text("key"));
       }
     }
-    if (!failed.isEmpty()) {
-      reply.accept(
-          Answer.of(
-              409, Codec.CBOR, Fields.create().with("failed", failed).with("asiento", revision)));
-      return;
-    }
-    if (!then.isEmpty()) {
-      revision++;
-      for (Fields f : then) {
-        if (f.has("write")) {
-          takeovers += f.has("permiso") && items.containsKey(f.text("write")) ? 1 : 0;
-          items.put(f.text("write"), new Item(f.inner("v"), revision, f.count("permiso", 0)));
-          log.add(new Change(revision, f.text("write"), f.inner("v")));
-          for (Consumer<String> c : onWrite) {
-            c.accept(f.text("write"));
-          }
-        } else if (items.remove(f.text("remove")) != null) {
-          log.add(new Change(revision, f.text("remove"), null));
+    return failed;
+  }
+
+  private void apply(List<Fields> then) throws WireException {
+    revision++;
+    for (Fields f : then) {
+      if (f.has("write")) {
+        takeovers += f.has("permiso") && items.containsKey(f.text("write")) ? 1 : 0;
+        items.put(f.text("write"), new Item(f.inner("v"), revision, f.count("permiso", 0)));
+        log.add(new Change(revision, f.text("write"), f.inner("v")));
+        for (Consumer<String> c : onWrite) {
+          c.accept(f.text("write"));
         }
+      } else if (items.remove(f.text("remove")) != null) {
+        log.add(new Change(revision, f.text("remove"), null));
       }
     }
-    reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("asiento", revision)));
-    serveWatches();
   }
 
   private void watch(Map<String, String> query, Consumer<Answer> reply) {
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -73,7 +73,7 @@
   private final boolean spot;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
   private final Set<String> completed = new HashSet<>();
-  private SimulatedNetwork.SimulatedProcess process;
+  private SimulatedProcess process;
   private long session;
   private long seq;
   private long token;
@@ -144,7 +144,7 @@
       return;
     }
     up = true;
-    process = world.new SimulatedProcess(name);
+    process = new SimulatedProcess(world, name);
     process.listen(address, this);
     node = world.random.nextInt(around.controllers().size());
     newSession();
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -26,7 +26,7 @@
 /** A start that rides on the answer to a report, step by step. */
 class CarriedStartsTest {
   private final SimulatedNetwork world = new SimulatedNetwork(1);
-  private final SimulatedNetwork.SimulatedProcess eventLoop = world.new SimulatedProcess("nodo");
+  private final SimulatedProcess eventLoop = new SimulatedProcess(world, "nodo");
   private final List<Attempt> ended = new ArrayList<>();
   private boolean mayStart = true;
   private final Fleet fleet =
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -55,12 +55,12 @@
   final CloudEmulator cloud;
   final Map<String, Meter> meters = new LinkedHashMap<>();
   final Map<String, Controller> controllers = new LinkedHashMap<>();
-  final Map<String, SimulatedNetwork.SimulatedProcess> processes = new HashMap<>();
+  final Map<String, SimulatedProcess> processes = new HashMap<>();
   final List<Fields> startRecords = new ArrayList<>();
   private final Shape shape;
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private final Map<String, JobSpec> jobs = new HashMap<>();
-  private final SimulatedNetwork.SimulatedProcess users;
+  private final SimulatedProcess users;
   private int nextJob;
   private int nextUser;
 
@@ -76,17 +76,17 @@
     world = new SimulatedNetwork(seed);
     world.loss = 0;
     world.late = 0;
-    SimulatedNetwork.SimulatedProcess stateProcess = world.new SimulatedProcess("state");
+    SimulatedProcess stateProcess = new SimulatedProcess(world, "state");
     state = new StateEmulator(world, stateProcess, shape.limits);
     stateProcess.listen(STATE, state);
     world.name(STATE, "state");
     Deployment deployment =
         Deployment.large(shape.workers).withLease(shape.reportMs, LEASE_MS, CANCEL_MS);
-    SimulatedNetwork.SimulatedProcess cloudProcess = world.new SimulatedProcess("cloud");
+    SimulatedProcess cloudProcess = new SimulatedProcess(world, "cloud");
     cloud = new CloudEmulator(world, this, w -> {}, deployment);
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
-    users = world.new SimulatedProcess("users");
+    users = new SimulatedProcess(world, "users");
     for (int i = 0; i < CONTROLLERS; i++) {
       addresses.put("nodo-" + i, "10.0.0." + (i + 1) + ":8080");
     }
@@ -106,7 +106,7 @@
   }
 
   private void start(String member, Deployment deployment) {
-    SimulatedNetwork.SimulatedProcess process = world.new SimulatedProcess(member);
+    SimulatedProcess process = new SimulatedProcess(world, member);
     Meter meter = new Meter();
     Controller controller =
         new Controller(
--- a/src/test/java/fennelthread/simulation/TroublesTest.java
+++ b/src/test/java/fennelthread/simulation/TroublesTest.java
@@ -37,7 +37,7 @@
     Probe(SimulatedNetwork network, String name, String address, Call call) {
       this.network = network;
       long from = network.now();
-      network.new SimulatedProcess(name)
+      new SimulatedProcess(network, name)
           .call(
               address,
               call,
