--- a/src/main/java/fennelthread/capacity/CapacityMain.java
+++ b/src/main/java/fennelthread/capacity/CapacityMain.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * Makes the tables of docs/CAPACITY.md anew: {@code java -cp target/classes:... CapacityMain
- * docs/scale/slopes.json docs/scale/plan.json [docs/CAPACITY.md]}. Without a page it prints them;
+ * Makes the tables of docs/capacity.md anew: {@code java -cp target/classes:... CapacityMain
+ * docs/scale/slopes.json docs/scale/plan.json [docs/capacity.md]}. Without a page it prints them;
  * with one it replaces what stands there between the markers.
  */
 public final class CapacityMain {
--- a/src/main/java/fennelthread/capacity/CapacityTables.java
+++ b/src/main/java/fennelthread/capacity/CapacityTables.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Writes the tables of docs/CAPACITY.md from slopes and a plan. */
+/** Writes the tables of docs/capacity.md from slopes and a plan. */
 public final class CapacityTables {
   private static final String EXTRAPOLATED = " ⁺";
 
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -17,7 +17,7 @@
  * Accepts, cancels and looks up jobs on any controller, leading or not. Each of these is a
  * comparison with the job's one record in the state service, so that no controller can give an
  * older answer than another gave. What happens when an answer of the state service is lost:
- * docs/answers.md.
+ * docs/lost-answers.md.
  *
  * <p>Used on the event loop's thread alone. Callbacks are called there once, possibly before the
  * method returns.
--- a/src/test/java/fennelthread/capacity/CapacityPageTest.java
+++ b/src/test/java/fennelthread/capacity/CapacityPageTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The tables of docs/CAPACITY.md are those that the measured slopes give. */
+/** The tables of docs/capacity.md are those that the measured slopes give. */
 class CapacityPageTest {
   private static final Path SLOPES = Path.of("docs/scale/slopes.json");
   private static final Path PLAN = Path.of("docs/scale/plan.json");
-  private static final Path PAGE = Path.of("docs/CAPACITY.md");
+  private static final Path PAGE = Path.of("docs/capacity.md");
 
   @TempDir Path temporary;
 
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -15,7 +15,7 @@
 
 /**
  * The leader's writes are carried out at once and only their answers are lost, each kind by itself:
- * the table in docs/answers.md. Users' writes have {@link UserMeetingsTest}.
+ * the table in docs/lost-answers.md. Users' writes have {@link UserMeetingsTest}.
  */
 class LostAnswersTest {
   private static SimulatedCluster settled(long seed) {
--- a/src/test/java/fennelthread/simulation/UserMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/UserMeetingsTest.java
@@ -23,7 +23,7 @@
  * Where what users ask meets an end, a lost answer of the state service, or one another. The rules
  * are checked after each step: among them that no controller gives an older answer than another
  * gave, nor a lower count of finished tasks. What each kind of write does when its answer is lost
- * stands in docs/answers.md.
+ * stands in docs/lost-answers.md.
  */
 class UserMeetingsTest {
   private static final List<String> MEMBERS = List.of("nodo-0", "nodo-1", "nodo-2");
