--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -37,7 +37,7 @@
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.wire.MachineType;
-import fennelthread.zones.Zones;
+import fennelthread.zones.ZoneMonitor;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -66,7 +66,7 @@
   private final HeapGuard heap;
   private final LeaderElection election;
   private final FollowerLeaseRenewer renewer;
-  private final Zones zones;
+  private final ZoneMonitor zones;
   private final StallDetector stalls;
   private final StateServiceCheck stateServiceCheck;
   private final WorkerReachabilityCheck reachabilityCheck;
@@ -104,7 +104,7 @@
         new LeaderElection(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
     this.renewer = createLeaseRenewer();
-    this.zones = new Zones(settings);
+    this.zones = new ZoneMonitor(settings);
     this.stalls = new StallDetector(eventLoop);
     this.stateServiceCheck =
         new StateServiceCheck(eventLoop, records.state(), records.replica(), peers);
@@ -313,7 +313,7 @@
       commands.begin(epoch);
       election.beginTerm(epoch);
       renewer.elected();
-      zones.begin(now);
+      zones.beginTerm(now);
       currentTerm.begin(now, () -> newTerm(epoch, now));
       peers.sendHeartbeats();
     }
