--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -24,6 +24,7 @@
 import fennelthread.leader.PeerAssurance;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
+import fennelthread.leaserenewal.LeadershipStatus;
 import fennelthread.leaserenewal.RenewalBounds;
 import fennelthread.net.EventLoop;
 import fennelthread.net.Service;
@@ -152,9 +153,7 @@
         peers,
         records.cancellations(),
         records.replica(),
-        lease::isLeading,
-        lease::epoch,
-        lease::highestEpoch);
+        new LeaseLeadership());
   }
 
   private WorkerReachabilityCheck createReachabilityCheck(UnreachableLeaderNotice notice) {
@@ -277,7 +276,7 @@
       reachability.begin(now);
       commands.begin(epoch);
       election.beginTerm(epoch);
-      renewer.elected();
+      renewer.onElected();
       zones.beginTerm(now);
       currentTerm.begin(now, () -> newTerm(epoch, now));
       peers.sendHeartbeats();
@@ -293,7 +292,7 @@
   private Term newTerm(long epoch, long electedAtMs) {
     return new Term(
         new LeaderContext(eventLoop, settings, options, records.state(), records.replica(), lease),
-        new JobRecords(records.table(), records.store(), records.cancellations()::isOver),
+        new JobRecords(records.table(), records.store(), records.cancellations()::hasEnded),
         new FleetEnvironment(
             cloud,
             machineTypes,
@@ -309,8 +308,8 @@
    */
   private long othersSilentSinceMs(long epoch, long electedAtMs) {
     return Math.max(
-        renewer.othersSilentSinceMs(epoch, electedAtMs, lease.unboundedEpoch()),
-        renewer.lastKeptMs());
+        renewer.olderEpochsSilentSinceMs(epoch, electedAtMs, lease.unboundedEpoch()),
+        renewer.latestPossiblePeerRenewalMs());
   }
 
   // ---------------------------------------------------------------- peers
@@ -338,4 +337,22 @@
       workers.updateFromLeader(heartbeat.workers(), heartbeat.gone());
     }
   }
+
+  /** What the renewal of leases by followers needs to know of our lease. */
+  private final class LeaseLeadership implements LeadershipStatus {
+    @Override
+    public boolean isLeading() {
+      return lease.isLeading();
+    }
+
+    @Override
+    public long ownEpoch() {
+      return lease.epoch();
+    }
+
+    @Override
+    public long highestEpoch() {
+      return lease.highestEpoch();
+    }
+  }
 }
--- a/src/main/java/fennelthread/ReplicatedRecords.java
+++ b/src/main/java/fennelthread/ReplicatedRecords.java
@@ -29,7 +29,8 @@
     this.cancellations =
         new CancellationLog(eventLoop, 2 * (workers.cancelMs() + workers.leaseMs()));
     table.addListener(new RemovedJobs());
-    this.store = new JobStore(eventLoop, state, replica, table, settings, cancellations::mayTell);
+    this.store =
+        new JobStore(eventLoop, state, replica, table, settings, cancellations::recordDisclosable);
   }
 
   /** The client of the state service. */
@@ -69,7 +70,7 @@
 
     @Override
     public void onJobRemoved(Job job) {
-      cancellations.over(job.spec().id());
+      cancellations.recordEnded(job.spec().id());
     }
   }
 }
--- a/src/main/java/fennelthread/constants/PeerConstants.java
+++ b/src/main/java/fennelthread/constants/PeerConstants.java
@@ -24,7 +24,7 @@
    * What a controller that never answered a report in a leader's place says of when it last did,
    * ms.
    */
-  public static final long KEPT_NEVER = -1;
+  public static final long NEVER_RENEWED = -1;
 
   private PeerConstants() {}
 }
--- a/src/main/java/fennelthread/control/FollowerReports.java
+++ b/src/main/java/fennelthread/control/FollowerReports.java
@@ -59,7 +59,7 @@
     if (peerLeads && report.token() >> ProtocolConstants.TOKEN_BITS == leader.epoch()) {
       unreachableLeader.recordLeadersWorker(report.machine());
     }
-    Answer renewed = renewer.keep(report);
+    Answer renewed = renewer.renewLease(report);
     if (renewed != null) {
       reply.accept(renewed);
       return;
@@ -74,7 +74,7 @@
   /** The controller to redirect a worker to, null for the next one in the worker's own order. */
   private String redirectTarget(Leader leader, boolean peerLeads, Relay.Decision decision) {
     boolean leaderSilent =
-        !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.KEEP_STILL_MS;
+        !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.RENEWAL_ABSTENTION_MS;
     String renewingPeer = leaderSilent ? peers.anyKeeping() : null;
     if (renewingPeer != null) {
       return renewingPeer;
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -43,7 +43,7 @@
           // There is no command for attempts that the worker has not reported.
         }
       }
-      if (commands.size() >= LeaseRenewalConstants.ORDERS_PER_ANSWER) {
+      if (commands.size() >= LeaseRenewalConstants.COMMANDS_PER_ANSWER) {
         break;
       }
     }
--- a/src/main/java/fennelthread/leaserenewal/CancellationLog.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -12,78 +12,87 @@
 import java.util.Set;
 
 /**
- * The jobs that are known to be over since lately, and of those that users may have been told are
- * cancelled a numbered log for peers. Bounded by time: whoever was told longer ago than any task
- * may live on has nothing left to be stopped.
+ * The jobs that are known to have ended of late, with a numbered log of those among them whose
+ * cancellation this controller may have disclosed to users; peers read that log by heartbeat.
+ * Entries expire: a user who was answered longer ago than any task may live on has nothing left to
+ * be stopped. Used on the event loop's thread only.
  */
 public final class CancellationLog {
-  private record Told(long number, String id, long atMs) {}
+  private record Cancellation(long number, String jobId, long loggedAtMs) {}
+
+  /**
+   * A part of the log.
+   *
+   * @param lastNumber the number of the last entry in it
+   * @param complete true if no entries follow
+   */
+  record Page(List<String> jobIds, long lastNumber, boolean complete) {
+    /** What is sent where nothing of the log was asked for. */
+    static Page none() {
+      return new Page(List.of(), 0, false);
+    }
+  }
 
   private final EventLoop eventLoop;
-  private final long rememberMs;
-  private final Map<String, Long> over = new LinkedHashMap<>();
-  private final Set<String> logged = new HashSet<>();
-  private final ArrayDeque<Told> log = new ArrayDeque<>();
-  private long last;
+  private final long retentionMs;
+  private final Map<String, Long> endedAtMsById = new LinkedHashMap<>();
+  private final Set<String> loggedIds = new HashSet<>();
+  private final ArrayDeque<Cancellation> log = new ArrayDeque<>();
+  private long lastNumber;
 
-  /** Creates an empty memory; what is older than {@code rememberMs} is forgotten. */
-  public CancellationLog(EventLoop eventLoop, long rememberMs) {
+  /** Creates an empty log whose entries expire after {@code retentionMs}. */
+  public CancellationLog(EventLoop eventLoop, long retentionMs) {
     this.eventLoop = eventLoop;
-    this.rememberMs = rememberMs;
+    this.retentionMs = retentionMs;
   }
 
-  /** A job is over, done or cancelled: no task of it may run on. */
-  public void over(String id) {
-    over.putIfAbsent(id, eventLoop.nowMs());
-    trim();
+  /** Records that a job has ended, done or cancelled: no task of it may run on. */
+  public void recordEnded(String jobId) {
+    endedAtMsById.putIfAbsent(jobId, eventLoop.nowMs());
+    expireOld();
   }
 
-  /** This controller knows that a job is cancelled: from now on it may tell users so. */
-  public void mayTell(String id) {
-    over(id);
-    if (logged.add(id)) {
-      log.add(new Told(++last, id, eventLoop.nowMs()));
+  /** Records a cancellation that this controller may disclose to users from now on. */
+  public void recordDisclosable(String jobId) {
+    recordEnded(jobId);
+    if (loggedIds.add(jobId)) {
+      log.add(new Cancellation(++lastNumber, jobId, eventLoop.nowMs()));
     }
   }
 
-  /** True if a job is known to be over. */
-  public boolean isOver(String id) {
-    return over.containsKey(id);
+  /** True if a job is known to have ended. */
+  public boolean hasEnded(String jobId) {
+    return endedAtMsById.containsKey(jobId);
   }
 
   /**
-   * What follows a number of the log: {@code to} is the last one's, {@code all} if there is no
-   * more.
-   */
-  record Page(List<String> ids, long to, boolean all) {}
-
-  /**
-   * The log after a number, oldest first. Empty and not {@code all} if that number is not ours, or
-   * if what follows it is no longer remembered.
+   * The log after an entry's number, oldest first. Empty and not complete if this log has no such
+   * number, or if the entries that follow it have expired.
    */
-  Page after(long number) {
-    long before = log.isEmpty() ? last : log.peek().number - 1;
-    if (number > last || number < before) {
-      return new Page(List.of(), last, false);
+  Page entriesAfter(long number) {
+    long lastExpired = log.isEmpty() ? lastNumber : log.peek().number - 1;
+    if (number > lastNumber || number < lastExpired) {
+      return new Page(List.of(), lastNumber, false);
     }
-    List<String> ids = new ArrayList<>();
-    for (Told t : log) {
-      if (t.number > number && ids.size() < LeaseRenewalConstants.CANCELLED_PER_HEARTBEAT) {
-        ids.add(t.id);
+    List<String> jobIds = new ArrayList<>();
+    for (Cancellation entry : log) {
+      if (entry.number > number
+          && jobIds.size() < LeaseRenewalConstants.CANCELLATIONS_PER_HEARTBEAT) {
+        jobIds.add(entry.jobId);
       }
     }
-    long to = number + ids.size();
-    return new Page(ids, to, to == last);
+    long pageEnd = number + jobIds.size();
+    return new Page(jobIds, pageEnd, pageEnd == lastNumber);
   }
 
-  private void trim() {
-    long old = eventLoop.nowMs() - rememberMs;
-    Iterator<Long> times = over.values().iterator();
-    while (times.hasNext() && times.next() < old) {
-      times.remove();
+  private void expireOld() {
+    long expiredBeforeMs = eventLoop.nowMs() - retentionMs;
+    Iterator<Long> endTimes = endedAtMsById.values().iterator();
+    while (endTimes.hasNext() && endTimes.next() < expiredBeforeMs) {
+      endTimes.remove();
     }
-    while (!log.isEmpty() && log.peek().atMs < old) {
-      logged.remove(log.poll().id);
+    while (!log.isEmpty() && log.peek().loggedAtMs < expiredBeforeMs) {
+      loggedIds.remove(log.poll().jobId);
     }
   }
 }
--- a/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
@@ -1,75 +1,86 @@
 package fennelthread.leaserenewal;
 
 import fennelthread.peers.PeerHeartbeat;
+import fennelthread.state.Replica;
 import java.util.HashMap;
 import java.util.Map;
-import java.util.function.LongSupplier;
 
 /**
- * Up to when this controller knows of every cancellation that anyone was told of. The state service
- * says so; in an outage of it nobody can be told of a new one, which the peers together say as
- * well: each tells what it may have told its users, and what it can't have known it can't have
- * told.
+ * The moment up to which this controller knows of every cancellation that was disclosed to a user.
+ * The replica of the state gives one such moment. In an outage of the state service no new
+ * cancellation is recorded, and the peers together give another: each lists those that it may have
+ * disclosed, and it can't disclose any that it does not know of.
  *
- * <p>A new process says nothing of what its predecessor told before it ended. Its word counts only
- * once the state service was read after it was first heard.
+ * <p>A new process of a peer can't list what its predecessor disclosed before it ended. Its list
+ * counts only once the state was read after that process was first heard from. Used on the event
+ * loop's thread only.
  */
-public final class CancellationWatermark {
-  private static final class Peer {
+final class CancellationWatermark {
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
+
+  private static final class PeerProgress {
     String incarnation;
-    long bornAtMs = Long.MAX_VALUE;
-    long taken;
-    long spokeAtMs = Long.MIN_VALUE / 2;
+
+    /** When this incarnation was first heard from, ms. */
+    long firstHeardAtMs = Long.MAX_VALUE;
+
+    /** The number of the last entry of its log that is known here. */
+    long logPosition;
+
+    /** The moment up to which its list is known here in full, ms. */
+    long completeUntilMs = NEVER_MS;
   }
 
-  private final LongSupplier readAtMs;
+  private final Replica replica;
   private final CancellationLog cancellations;
-  private final Map<String, Peer> peers = new HashMap<>();
+  private final Map<String, PeerProgress> progressByMember = new HashMap<>();
 
-  /** Creates it; {@code readAtMs} is when what our copy of the state holds was asked for. */
-  CancellationWatermark(
-      LongSupplier readAtMs, Iterable<String> members, CancellationLog cancellations) {
-    this.readAtMs = readAtMs;
+  CancellationWatermark(Replica replica, Iterable<String> members, CancellationLog cancellations) {
+    this.replica = replica;
     this.cancellations = cancellations;
-    members.forEach(m -> peers.put(m, new Peer()));
+    members.forEach(member -> progressByMember.put(member, new PeerProgress()));
   }
 
-  /** The moment until which everything is known, ms of our clock. */
-  public long knownUntilMs() {
-    long read = readAtMs.getAsLong();
-    // Alone, whoever was told anything was told by us.
-    long together = Long.MAX_VALUE / 2;
-    for (Peer s : peers.values()) {
-      together = Math.min(together, s.bornAtMs < read ? s.spokeAtMs : Long.MIN_VALUE / 2);
+  /** The moment up to which all disclosed cancellations are known, ms of our clock. */
+  long completeUntilMs() {
+    long replicaMs = replica.currentAsOfMs();
+    // Without peers, all disclosures are our own.
+    long peersMs = Long.MAX_VALUE / 2;
+    for (PeerProgress progress : progressByMember.values()) {
+      boolean countsAlready = progress.firstHeardAtMs < replicaMs;
+      peersMs = Math.min(peersMs, countsAlready ? progress.completeUntilMs : NEVER_MS);
     }
-    return Math.max(read, together);
+    return Math.max(replicaMs, peersMs);
   }
 
-  /** How far a peer's log is known: what is to be asked for next. */
-  long taken(String member) {
-    return peers.get(member).taken;
+  /** The number in a peer's log after which further entries are to be requested. */
+  long logPosition(String member) {
+    return progressByMember.get(member).logPosition;
   }
 
   /**
-   * A peer has answered our heartbeat of {@code sentAtMs}, which asked for what follows the known.
+   * Records a peer's answer to the heartbeat that was sent at {@code sentAtMs} and requested the
+   * entries after {@link #logPosition}.
    */
-  void answered(String member, PeerHeartbeat reply, long sentAtMs, long nowMs) {
-    Peer s = peers.get(member);
-    PeerHeartbeat.Keep said = reply.keep();
-    if (s == null || said == null) {
+  void recordAnswer(String member, PeerHeartbeat reply, long sentAtMs, long nowMs) {
+    PeerProgress progress = progressByMember.get(member);
+    PeerHeartbeat.Keep status = reply.keep();
+    if (progress == null || status == null) {
       return;
     }
-    said.cancelled().forEach(cancellations::over);
-    boolean gap = !said.all() && said.cancelled().isEmpty();
-    if (gap || !reply.incarnation().equals(s.incarnation)) {
-      // Its log begins anew for us: what came before, only the state service can say.
-      s.incarnation = reply.incarnation();
-      s.bornAtMs = nowMs;
-      s.taken = said.to();
-      s.spokeAtMs = Long.MIN_VALUE / 2;
-    } else if (said.to() >= s.taken) {
-      s.taken = said.to();
-      s.spokeAtMs = said.all() ? Math.max(s.spokeAtMs, sentAtMs) : s.spokeAtMs;
+    status.cancelled().forEach(cancellations::recordEnded);
+    boolean entriesMissing = !status.all() && status.cancelled().isEmpty();
+    if (entriesMissing || !reply.incarnation().equals(progress.incarnation)) {
+      // Its log starts anew here: only the state can tell what came before.
+      progress.incarnation = reply.incarnation();
+      progress.firstHeardAtMs = nowMs;
+      progress.logPosition = status.to();
+      progress.completeUntilMs = NEVER_MS;
+    } else if (status.to() >= progress.logPosition) {
+      progress.logPosition = status.to();
+      if (status.all()) {
+        progress.completeUntilMs = Math.max(progress.completeUntilMs, sentAtMs);
+      }
     }
   }
 }
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -11,223 +11,222 @@
 import fennelthread.state.Replica;
 import fennelthread.wire.WorkerReport;
 import java.util.List;
-import java.util.function.BooleanSupplier;
-import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A follower's part for workers whose leader is silent: in a zone that is cut off, or between a
- * leader's end and the next claim while the state service is down. It answers their reports under
- * the token that they obey already, so that their leases do not run out, and stops what it knows to
- * be over; it starts nothing. For how long, and what a leader may conclude meanwhile, is in {@link
- * Bounds}, {@link CancellationWatermark} and {@link RenewalLog}; docs/lease-renewal.md has the
- * reasons.
+ * Renews workers' leases as a follower while the leader is silent: in a zone that is cut off, or
+ * between a leader's end and the next claim while the state service is down. It answers workers'
+ * reports under the fencing token that they obey already, and stops tasks of jobs that are known to
+ * have ended; it starts nothing. {@link RenewalBounds} and {@link CancellationWatermark} limit for
+ * how long, and {@link RenewalLog} is what a leader may conclude meanwhile; docs/lease-renewal.md
+ * has the reasons. Used on the event loop's thread only.
  */
 public final class FollowerLeaseRenewer implements PeerHeartbeats.Guest {
   private static final Logger log = LoggerFactory.getLogger(FollowerLeaseRenewer.class);
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  /** What this controller does for workers of a leader that is not itself. */
-  public enum Phase {
-    /** The leader is heard, or no report came since it is silent: nothing is kept. */
-    STANDING_BY,
+  /** Whether this controller renews leases in the place of a leader that is not itself. */
+  private enum Phase {
+    /** The leader is heard from, or no report has arrived since it fell silent. */
+    STANDBY,
     /** Reports are answered in the silent leader's place. */
-    KEEPING
+    RENEWING
   }
 
   private final EventLoop eventLoop;
   private final PeerHeartbeats peers;
-  private final BooleanSupplier leading;
-  private final LongSupplier ownEpoch;
-  private final LongSupplier highestEpoch;
+  private final LeadershipStatus leadership;
   private final CancellationLog cancellations;
-  private final CancellationWatermark currency;
+  private final CancellationWatermark watermark;
   private final HeartbeatResponseGate gate;
-  private final RenewalLog ledger;
-  private final long keepMs;
-  private final long keptAtMostMs;
-  private Phase phase = Phase.STANDING_BY;
-  private long epoch;
-  private long exchangedAtMs = Long.MIN_VALUE / 2;
-  private long stillUntilMs = Long.MIN_VALUE / 2;
-  private long keptAtMs = Long.MIN_VALUE / 2;
-  private long kept;
-  private boolean everKept;
-
-  /**
-   * Creates it, and joins the heartbeats.
-   *
-   * @param replica our copy of the state
-   * @param leading whether this controller leads
-   * @param ownEpoch its epoch then
-   * @param highestEpoch the highest epoch heard of from anyone
-   */
+  private final RenewalLog peerRenewals;
+  private final long renewalWindowMs;
+  private final long maxPeerRenewalWindowMs;
+  private Phase phase = Phase.STANDBY;
+  private long leaderEpoch;
+  private long lastExchangeAtMs = NEVER_MS;
+  private long abstainUntilMs = NEVER_MS;
+  private long lastRenewalAtMs = NEVER_MS;
+  private long renewalCount;
+
+  /** Creates the renewer of one controller and adds it to the heartbeats between controllers. */
   public FollowerLeaseRenewer(
       EventLoop eventLoop,
       Settings settings,
       PeerHeartbeats peers,
       CancellationLog cancellations,
       Replica replica,
-      BooleanSupplier leading,
-      LongSupplier ownEpoch,
-      LongSupplier highestEpoch) {
+      LeadershipStatus leadership) {
     this.eventLoop = eventLoop;
     this.peers = peers;
-    this.leading = leading;
-    this.ownEpoch = ownEpoch;
-    this.highestEpoch = highestEpoch;
+    this.leadership = leadership;
     this.cancellations = cancellations;
     List<String> members = settings.peers().stream().map(Settings.Peer::member).toList();
-    this.currency = new CancellationWatermark(replica::currentAsOfMs, members, cancellations);
-    this.keepMs = RenewalBounds.keepMs(settings.workers());
-    this.keptAtMostMs = RenewalBounds.keptAtMostMs(settings.workers());
-    this.gate = new HeartbeatResponseGate(eventLoop, currency, cancellations, keepMs);
-    this.ledger = new RenewalLog(members, keptAtMostMs);
+    this.watermark = new CancellationWatermark(replica, members, cancellations);
+    this.renewalWindowMs = RenewalBounds.renewalWindowMs(settings.workers());
+    this.maxPeerRenewalWindowMs = RenewalBounds.maxPeerRenewalWindowMs(settings.workers());
+    this.gate = new HeartbeatResponseGate(eventLoop, watermark, cancellations, renewalWindowMs);
+    this.peerRenewals = new RenewalLog(members, maxPeerRenewalWindowMs);
     peers.join(this);
   }
 
-  /**
-   * What lets answers to reports out, ours and those of whoever else in this process gives some.
-   */
+  /** The gate that all answers to reports of this process pass, the leader's too. */
   public HeartbeatResponseGate gate() {
     return gate;
   }
 
-  // ---------------------------------------------------------------- leading
+  // ---------------------------------------------------------------- as the leader
 
-  /** A term of ours begins. */
-  public void elected() {
-    ledger.begin();
-    moveTo(Phase.STANDING_BY);
+  /** Starts a term of this controller as the leader. */
+  public void onElected() {
+    peerRenewals.startTerm();
+    transitionTo(Phase.STANDBY);
   }
 
-  /** The last moment at which another controller may have answered a report for our epoch, ms. */
-  public long lastKeptMs() {
-    return ledger.lastKeptMs(eventLoop.nowMs());
+  /** The last moment at which a peer may have answered a report in our epoch, ms. */
+  public long latestPossiblePeerRenewalMs() {
+    return peerRenewals.latestPossibleRenewalMs(eventLoop.nowMs());
   }
 
   /**
-   * Since when no controller of an older epoch answers reports any more, ms; {@code Long.MAX_VALUE}
-   * if one may do so for ever, having led the epoch {@code unbounded} with a version that knows no
-   * bound.
+   * The moment since which no controller answers reports for an epoch older than {@code epoch}, ms;
+   * {@code Long.MAX_VALUE} if one may do so for ever.
+   *
+   * @param unboundedEpoch the last epoch whose leader may be of a version that answers without
+   *     bound, 0 for none
    */
-  public long othersSilentSinceMs(long ofEpoch, long electedAtMs, long unbounded) {
-    return peers.acknowledgedSince(ofEpoch, electedAtMs + keptAtMostMs, unbounded);
+  public long olderEpochsSilentSinceMs(long epoch, long electedAtMs, long unboundedEpoch) {
+    return peers.acknowledgedSince(epoch, electedAtMs + maxPeerRenewalWindowMs, unboundedEpoch);
   }
 
   // ---------------------------------------------------------------- heartbeats
 
   @Override
   public PeerHeartbeat sendHeartbeat(String member, PeerHeartbeat heartbeat) {
+    boolean receiverHeard = peers.silentMs(member) < PeerConstants.PEER_SILENT_MS;
     return heartbeat.keeping(
-        note(
-            peers.silentMs(member) < PeerConstants.PEER_SILENT_MS,
-            currency.taken(member),
-            0,
-            new CancellationLog.Page(List.of(), 0, false)));
+        status(receiverHeard, watermark.logPosition(member), 0, CancellationLog.Page.none()));
   }
 
   @Override
   public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
-    PeerHeartbeat.Keep question = asked.keep();
-    if (question == null) {
-      return answer.keeping(note(true, 0, 0, new CancellationLog.Page(List.of(), 0, false)));
+    PeerHeartbeat.Keep request = asked.keep();
+    if (request == null) {
+      return answer.keeping(status(true, 0, 0, CancellationLog.Page.none()));
     }
-    if (leading.getAsBoolean()) {
-      ledger.weAnswer(asked, eventLoop.nowMs());
+    if (leadership.isLeading()) {
+      peerRenewals.recordOwnAnswer(asked, eventLoop.nowMs());
     }
-    return answer.keeping(note(true, 0, promise(asked), cancellations.after(question.after())));
+    long abstainingForEpoch = promiseToAbstain(asked);
+    return answer.keeping(
+        status(true, 0, abstainingForEpoch, cancellations.entriesAfter(request.after())));
   }
 
   /**
-   * Promises the leader that sends a heartbeat to us to keep nothing for a while, unless it does
-   * not hear us.
+   * Promises a leader to renew no lease in its place for a while, unless that leader does not hear
+   * from us.
+   *
+   * @return the epoch that the promise is given to, 0 for none
    */
-  private long promise(PeerHeartbeat asked) {
-    if (!asked.leading() || asked.epoch() < epoch) {
+  private long promiseToAbstain(PeerHeartbeat heartbeat) {
+    if (!heartbeat.leading() || heartbeat.epoch() < leaderEpoch) {
       return 0;
     }
-    follow(asked.epoch());
-    if (!asked.keep().hears()) {
-      // It will not get this answer either: workers that reach only us must not pay for that.
+    follow(heartbeat.epoch());
+    if (!heartbeat.keep().hears()) {
+      // The leader will not get this answer either: workers that reach only us must not pay for it.
       return 0;
     }
-    stillUntilMs =
+    abstainUntilMs =
         eventLoop.nowMs()
-            + (long) (LeaseRenewalConstants.KEEP_STILL_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+            + (long)
+                (LeaseRenewalConstants.RENEWAL_ABSTENTION_MS
+                    * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
             + ProtocolConstants.LEASE_MARGIN_MS;
-    moveTo(Phase.STANDING_BY);
-    return epoch;
+    transitionTo(Phase.STANDBY);
+    return leaderEpoch;
   }
 
-  private PeerHeartbeat.Keep note(
-      boolean hears, long after, long still, CancellationLog.Page page) {
+  private PeerHeartbeat.Keep status(
+      boolean receiverHeard,
+      long logPosition,
+      long abstainingForEpoch,
+      CancellationLog.Page cancellationPage) {
     return new PeerHeartbeat.Keep(
-        hears,
-        after,
-        still,
-        page.ids(),
-        page.to(),
-        page.all(),
-        phase == Phase.KEEPING,
-        everKept ? eventLoop.nowMs() - keptAtMs : PeerConstants.KEPT_NEVER);
+        receiverHeard,
+        logPosition,
+        abstainingForEpoch,
+        cancellationPage.jobIds(),
+        cancellationPage.lastNumber(),
+        cancellationPage.complete(),
+        phase == Phase.RENEWING,
+        renewalCount > 0 ? eventLoop.nowMs() - lastRenewalAtMs : PeerConstants.NEVER_RENEWED);
   }
 
   @Override
   public void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
-    currency.answered(member, reply, sentAtMs, eventLoop.nowMs());
-    if (leading.getAsBoolean()) {
-      ledger.answered(member, reply, ownEpoch.getAsLong(), sentAtMs, eventLoop.nowMs());
-    } else if (reply.leading() && reply.keep() != null && reply.epoch() >= epoch) {
+    long nowMs = eventLoop.nowMs();
+    watermark.recordAnswer(member, reply, sentAtMs, nowMs);
+    if (leadership.isLeading()) {
+      peerRenewals.recordPeerAnswer(member, reply, leadership.ownEpoch(), sentAtMs, nowMs);
+    } else if (reply.leading() && reply.keep() != null && reply.epoch() >= leaderEpoch) {
       follow(reply.epoch());
-      exchangedAtMs = Math.max(exchangedAtMs, sentAtMs);
+      lastExchangeAtMs = Math.max(lastExchangeAtMs, sentAtMs);
     }
   }
 
-  private void follow(long newEpoch) {
-    if (newEpoch > epoch) {
-      epoch = newEpoch;
-      exchangedAtMs = Long.MIN_VALUE / 2;
-      moveTo(Phase.STANDING_BY);
+  private void follow(long epoch) {
+    if (epoch > leaderEpoch) {
+      leaderEpoch = epoch;
+      lastExchangeAtMs = NEVER_MS;
+      transitionTo(Phase.STANDBY);
     }
   }
 
-  // ---------------------------------------------------------------- following
+  // ---------------------------------------------------------------- as a follower
 
   /**
-   * Answers a report in the place of a silent leader, if that is allowed now; null otherwise. The
-   * token is the worker's own: an equal one is obeyed from anyone, and nothing but stops comes with
-   * it.
+   * Answers a report in the place of a silent leader, which renews the worker's lease. The fencing
+   * token is the worker's own: an equal one is obeyed from any controller, and the answer holds
+   * nothing but stops.
+   *
+   * @return the answer, or null if this controller may not renew the lease now
    */
-  public Answer keep(WorkerReport report) {
-    long now = eventLoop.nowMs();
-    boolean obeys = epoch > 0 && report.token() >> ProtocolConstants.TOKEN_BITS == epoch;
-    if (!obeys
-        || leading.getAsBoolean()
-        || highestEpoch.getAsLong() > epoch
-        || now <= stillUntilMs) {
+  public Answer renewLease(WorkerReport report) {
+    long nowMs = eventLoop.nowMs();
+    if (!isLeaderSilentFor(report, nowMs)) {
       return null;
     }
-    if (now >= exchangedAtMs + keepMs || !gate.mayRespond()) {
-      moveTo(Phase.STANDING_BY);
+    if (nowMs >= lastExchangeAtMs + renewalWindowMs || !gate.mayRespond()) {
+      transitionTo(Phase.STANDBY);
       return null;
     }
-    moveTo(Phase.KEEPING);
-    keptAtMs = now;
-    everKept = true;
-    kept++;
+    transitionTo(Phase.RENEWING);
+    lastRenewalAtMs = nowMs;
+    renewalCount++;
     return gate.respond(report, report.token(), List.of());
   }
 
+  /** True if the worker obeys the leader that we follow, and we have promised nothing to it. */
+  private boolean isLeaderSilentFor(WorkerReport report, long nowMs) {
+    boolean obeysLeader =
+        leaderEpoch > 0 && report.token() >> ProtocolConstants.TOKEN_BITS == leaderEpoch;
+    return obeysLeader
+        && !leadership.isLeading()
+        && leadership.highestEpoch() <= leaderEpoch
+        && nowMs > abstainUntilMs;
+  }
+
   /** The only place where the phase changes. */
-  private void moveTo(Phase next) {
+  private void transitionTo(Phase next) {
     if (next != phase) {
       log.info(
-          "epoch {}: {} -> {}, {} reports answered in a silent leader's place so far",
-          epoch,
+          "follower lease renewal phase changed from={} to={} epoch={} renewals={}",
           phase,
           next,
-          kept);
+          leaderEpoch,
+          renewalCount);
     }
     phase = next;
   }
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
@@ -12,65 +12,66 @@
 import java.util.Set;
 
 /**
- * The one place that lets out an answer that renews a worker's lease, whoever gives it: a leader,
- * one whose copy of the state has not reached its claim yet, one that has resigned, a follower that
- * keeps leases; directly or through a peer. Whoever answers knows of every cancellation that users
- * were told of until a moment so late that the lease, were it the last, ends in time for all later
- * ones; and the answer stops all that the report shows of those that are known.
- * docs/lease-renewal.md has the inequality and the list of places.
+ * The only place that lets out answers to reports, which renew workers' leases, whoever gives them:
+ * a leader, one whose replica has not reached its claim yet, one that has resigned, a follower that
+ * renews in a silent leader's place; directly or through a peer. Whoever answers knows of every
+ * cancellation that was disclosed to users up to a moment so late that the lease, were it the last,
+ * ends in time for all later ones; and the answer stops all tasks in the report that are known to
+ * be cancelled. docs/lease-renewal.md has the inequality and the list of places.
  *
  * <p>A leader that was refused by the state service right after its claim, and then with everybody,
  * once answered reports for the whole of an outage without a single stop.
  */
 public final class HeartbeatResponseGate implements HeartbeatResponder {
   private final EventLoop eventLoop;
-  private final CancellationWatermark currency;
+  private final CancellationWatermark watermark;
   private final CancellationLog cancellations;
-  private final long keepMs;
+  private final long renewalWindowMs;
 
   HeartbeatResponseGate(
       EventLoop eventLoop,
-      CancellationWatermark currency,
+      CancellationWatermark watermark,
       CancellationLog cancellations,
-      long keepMs) {
+      long renewalWindowMs) {
     this.eventLoop = eventLoop;
-    this.currency = currency;
+    this.watermark = watermark;
     this.cancellations = cancellations;
-    this.keepMs = keepMs;
+    this.renewalWindowMs = renewalWindowMs;
   }
 
-  /** True if reports may be answered at this moment by whoever is entitled to otherwise. */
+  /** True if whoever is otherwise entitled to may answer reports at this moment. */
   @Override
   public boolean mayRespond() {
-    return eventLoop.nowMs() < currency.knownUntilMs() + keepMs;
+    return eventLoop.nowMs() < watermark.completeUntilMs() + renewalWindowMs;
   }
 
   /**
-   * The answer to a report: stops of all that it shows and that is known to be over come first,
-   * then what its sender is to be told otherwise. Clears beyond what an answer holds are left to
-   * the next one.
+   * {@inheritDoc}
    *
-   * @param token what the worker is to obey
+   * <p>Stops of all tasks in the report whose jobs have ended come first. Commands beyond what an
+   * answer holds are left to the next one, except starts.
+   *
+   * @throws IllegalStateException unless {@link #mayRespond}
    */
   @Override
-  public Answer respond(WorkerReport report, long token, List<WorkerCommand> orders) {
+  public Answer respond(WorkerReport report, long token, List<WorkerCommand> commands) {
     if (!mayRespond()) {
-      throw new IllegalStateException("nobody may be answered now");
+      throw new IllegalStateException("reports may not be answered now");
     }
-    Set<WorkerCommand> all = new LinkedHashSet<>();
-    for (WorkerReport.Task t : report.tasks()) {
-      if (t.phase() != WorkerReport.Phase.ENDED
-          && cancellations.isOver(t.ref().job())
-          && all.size() < LeaseRenewalConstants.ORDERS_PER_ANSWER) {
-        all.add(new WorkerCommand.Stop(t.ref(), t.attempt(), 0));
+    Set<WorkerCommand> answered = new LinkedHashSet<>();
+    for (WorkerReport.Task task : report.tasks()) {
+      if (task.phase() != WorkerReport.Phase.ENDED
+          && cancellations.hasEnded(task.ref().job())
+          && answered.size() < LeaseRenewalConstants.COMMANDS_PER_ANSWER) {
+        answered.add(new WorkerCommand.Stop(task.ref(), task.attempt(), 0));
       }
     }
-    for (WorkerCommand order : orders) {
-      if (all.size() < LeaseRenewalConstants.ORDERS_PER_ANSWER
-          || order instanceof WorkerCommand.Run) {
-        all.add(order);
+    for (WorkerCommand command : commands) {
+      if (answered.size() < LeaseRenewalConstants.COMMANDS_PER_ANSWER
+          || command instanceof WorkerCommand.Run) {
+        answered.add(command);
       }
     }
-    return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, List.copyOf(all)));
+    return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, List.copyOf(answered)));
   }
 }
--- a/src/main/java/fennelthread/leaserenewal/RenewalLog.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalLog.java
@@ -8,95 +8,100 @@
 import java.util.Map;
 
 /**
- * What a leader knows of its peers' keeping: the last moment at which one of them may have answered
- * a report in its place. A peer that answers a heartbeat promises to keep nothing for a while,
- * which the leader counts from before the heartbeat left; beyond that it may, until its own last
- * word from us is too old. Its word that it kept nothing counts only in such an answer, since a
- * heartbeat may arrive late.
+ * A leader's upper bound on the moment at which a peer may last have renewed a worker's lease in
+ * its place. A peer that answers a heartbeat promises to abstain from that for a while, which the
+ * leader counts from when the heartbeat was sent. After that the peer may renew, for as long as its
+ * last exchange with the leader is recent enough. A peer's statement that it renewed nothing counts
+ * only in such an answer, since a heartbeat may arrive late. Used on the event loop's thread only.
  */
 final class RenewalLog {
-  private static final class Peer {
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
+
+  private static final class PeerRenewals {
     String incarnation;
 
-    /** Before our last heartbeat that it answered with a promise left, ms. */
-    long stillSinceMs = Long.MIN_VALUE / 2;
+    /** When our latest heartbeat that it answered with a promise to abstain was sent, ms. */
+    long abstainsSinceMs = NEVER_MS;
 
-    /** When we last answered it as the leader of this epoch, ms. */
-    long answeredAtMs = Long.MIN_VALUE / 2;
+    /** When we last answered its heartbeat as the leader of this epoch, ms. */
+    long answeredAtMs = NEVER_MS;
 
-    /** When it last kept a lease alive, as far as it has said or may have, ms. */
-    long keptAtMs = Long.MIN_VALUE / 2;
+    /** When it last renewed a lease, as far as it has said or a predecessor of it may have, ms. */
+    long renewedAtMs = NEVER_MS;
   }
 
-  private final long keptAtMostMs;
-  private final Map<String, Peer> peers = new HashMap<>();
+  private final long maxPeerRenewalWindowMs;
+  private final Map<String, PeerRenewals> renewalsByMember = new HashMap<>();
 
   /**
-   * Creates an empty one.
+   * Creates a log without renewals.
    *
-   * @param keptAtMostMs for how long after our last word to it a peer may keep, ms
+   * @param maxPeerRenewalWindowMs for how long after its last exchange with us a peer may renew, ms
    */
-  RenewalLog(Iterable<String> members, long keptAtMostMs) {
-    this.keptAtMostMs = keptAtMostMs;
-    members.forEach(m -> peers.put(m, new Peer()));
+  RenewalLog(Iterable<String> members, long maxPeerRenewalWindowMs) {
+    this.maxPeerRenewalWindowMs = maxPeerRenewalWindowMs;
+    members.forEach(member -> renewalsByMember.put(member, new PeerRenewals()));
   }
 
-  /** A term of ours begins: nobody can have kept anything for its leader yet. */
-  void begin() {
-    peers.replaceAll((member, s) -> new Peer());
+  /** Starts a term of ours: nobody can have renewed anything in its leader's place yet. */
+  void startTerm() {
+    renewalsByMember.replaceAll((member, renewals) -> new PeerRenewals());
   }
 
-  /** We answer a peer's heartbeat as the leader. */
-  void weAnswer(PeerHeartbeat asked, long nowMs) {
-    Peer s = peers.get(asked.member());
-    if (s != null) {
-      born(s, asked.incarnation(), nowMs);
-      s.answeredAtMs = nowMs;
+  /** Records that we answer a peer's heartbeat as the leader. */
+  void recordOwnAnswer(PeerHeartbeat heartbeat, long nowMs) {
+    PeerRenewals renewals = renewalsByMember.get(heartbeat.member());
+    if (renewals != null) {
+      observeIncarnation(renewals, heartbeat.incarnation(), nowMs);
+      renewals.answeredAtMs = nowMs;
     }
   }
 
-  /** A peer has answered the heartbeat that left at {@code sentAtMs}. */
-  void answered(String member, PeerHeartbeat reply, long epoch, long sentAtMs, long nowMs) {
-    Peer s = peers.get(member);
-    if (s == null || reply.keep() == null) {
+  /** Records a peer's answer to the heartbeat that was sent at {@code sentAtMs}. */
+  void recordPeerAnswer(String member, PeerHeartbeat reply, long epoch, long sentAtMs, long nowMs) {
+    PeerRenewals renewals = renewalsByMember.get(member);
+    if (renewals == null || reply.keep() == null) {
       return;
     }
-    born(s, reply.incarnation(), nowMs);
-    long ago = reply.keep().keptMsAgo();
-    if (ago != PeerConstants.KEPT_NEVER) {
-      s.keptAtMs =
-          Math.max(s.keptAtMs, nowMs - (long) (ago * (1 - 2 * ProtocolConstants.CLOCK_DRIFT)));
+    observeIncarnation(renewals, reply.incarnation(), nowMs);
+    long renewedAgoMs = reply.keep().keptMsAgo();
+    if (renewedAgoMs != PeerConstants.NEVER_RENEWED) {
+      long minRenewedAgoMs = (long) (renewedAgoMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT));
+      renewals.renewedAtMs = Math.max(renewals.renewedAtMs, nowMs - minRenewedAgoMs);
     }
     if (reply.keep().still() == epoch) {
-      s.stillSinceMs = Math.max(s.stillSinceMs, sentAtMs);
+      renewals.abstainsSinceMs = Math.max(renewals.abstainsSinceMs, sentAtMs);
     }
   }
 
-  /** A new process can't say what the one before it kept. */
-  private void born(Peer s, String incarnation, long nowMs) {
-    if (s.incarnation != null && !s.incarnation.equals(incarnation)) {
-      s.keptAtMs = Math.max(s.keptAtMs, mayHaveKept(s, nowMs));
-      s.answeredAtMs = Long.MIN_VALUE / 2;
-      s.stillSinceMs = Long.MIN_VALUE / 2;
+  /** A new process can't say what its predecessor renewed: the worst is assumed. */
+  private void observeIncarnation(PeerRenewals renewals, String incarnation, long nowMs) {
+    if (renewals.incarnation != null && !renewals.incarnation.equals(incarnation)) {
+      renewals.renewedAtMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
+      renewals.answeredAtMs = NEVER_MS;
+      renewals.abstainsSinceMs = NEVER_MS;
     }
-    s.incarnation = incarnation;
+    renewals.incarnation = incarnation;
   }
 
-  private long mayHaveKept(Peer s, long nowMs) {
-    long still =
-        (long) (LeaseRenewalConstants.KEEP_STILL_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+  private long latestPossibleMs(PeerRenewals renewals, long nowMs) {
+    long minAbstentionMs =
+        (long)
+                (LeaseRenewalConstants.RENEWAL_ABSTENTION_MS
+                    * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
-    return nowMs <= s.stillSinceMs + still
-        ? Long.MIN_VALUE / 2
-        : Math.min(nowMs, s.answeredAtMs + keptAtMostMs);
+    return nowMs <= renewals.abstainsSinceMs + minAbstentionMs
+        ? NEVER_MS
+        : Math.min(nowMs, renewals.answeredAtMs + maxPeerRenewalWindowMs);
   }
 
-  /** The last moment at which a peer may have answered a report for this epoch, ms. */
-  long lastKeptMs(long nowMs) {
-    long latest = Long.MIN_VALUE / 2;
-    for (Peer s : peers.values()) {
-      latest = Math.max(latest, Math.max(s.keptAtMs, mayHaveKept(s, nowMs)));
+  /** The last moment at which a peer may have renewed a lease in this epoch, ms. */
+  long latestPossibleRenewalMs(long nowMs) {
+    long latestMs = NEVER_MS;
+    for (PeerRenewals renewals : renewalsByMember.values()) {
+      long peerLatestMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
+      latestMs = Math.max(latestMs, peerLatestMs);
     }
-    return latest;
+    return latestMs;
   }
 }
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -39,8 +39,8 @@
    * of cancellations is known. In an answer: {@code still} is the epoch to whose leader the
    * heartbeat brought a promise not to keep any lease for a while, {@code cancelled} goes on from
    * {@code after}, up to {@code to}; {@code all} says that this is all there is. {@code keeping}
-   * and {@code keptMsAgo}, which is {@link PeerConstants#KEPT_NEVER} of one that never did, are of
-   * the sender, at any time.
+   * and {@code keptMsAgo}, which is {@link PeerConstants#NEVER_RENEWED} of one that never did, are
+   * of the sender, at any time.
    */
   public record Keep(
       boolean hears,
@@ -62,7 +62,7 @@
               .with("to", to)
               .with("all", all)
               .with("keeping", keeping);
-      return keptMsAgo == PeerConstants.KEPT_NEVER ? f : f.with("kept_ms_ago", keptMsAgo);
+      return keptMsAgo == PeerConstants.NEVER_RENEWED ? f : f.with("kept_ms_ago", keptMsAgo);
     }
 
     static Keep read(Fields f) throws WireException {
@@ -74,7 +74,7 @@
           f.count("to", 0),
           f.optFlag("all"),
           f.optFlag("keeping"),
-          f.has("kept_ms_ago") ? f.count("kept_ms_ago") : PeerConstants.KEPT_NEVER);
+          f.has("kept_ms_ago") ? f.count("kept_ms_ago") : PeerConstants.NEVER_RENEWED);
     }
   }
 
--- a/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
+++ b/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
@@ -32,11 +32,12 @@
     Settings.Workers workers = new Settings.Workers(4_000, leaseMs, cancelMs);
     double fast = 1 + 2 * ProtocolConstants.CLOCK_DRIFT;
     double slow = 1 - 2 * ProtocolConstants.CLOCK_DRIFT;
-    double end = RenewalBounds.keepMs(workers) + leaseMs * fast;
-    assertTrue(RenewalBounds.keepMs(workers) >= LeaseRenewalConstants.KEEP_LEAST_MS);
+    double end = RenewalBounds.renewalWindowMs(workers) + leaseMs * fast;
+    assertTrue(
+        RenewalBounds.renewalWindowMs(workers) >= LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS);
     assertEquals((double) shortMs, (double) RenewalBounds.shortfallMs(workers), 60);
     assertTrue(
-        end + LeaseRenewalConstants.KEEP_MARGIN_MS
+        end + LeaseRenewalConstants.RENEWAL_MARGIN_MS
             <= cancelMs * slow + RenewalBounds.shortfallMs(workers) + 1,
         "ends at " + end);
   }
--- a/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
+++ b/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
@@ -61,6 +61,7 @@
     assertTrue(read(NOW.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],")).chains());
     assertNull(read(NOW.replace("keep", "kept")).keep());
     assertEquals(
-        PeerConstants.KEPT_NEVER, read(NOW.replace(",\"kept_ms_ago\":900", "")).keep().keptMsAgo());
+        PeerConstants.NEVER_RENEWED,
+        read(NOW.replace(",\"kept_ms_ago\":900", "")).keep().keptMsAgo());
   }
 }
