--- a/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
@@ -1,5 +1,6 @@
 package fennelthread.leaserenewal;
 
+import fennelthread.constants.LeaseRenewalConstants;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.state.Replica;
 import java.util.HashMap;
@@ -16,8 +17,6 @@
  * loop's thread only.
  */
 final class CancellationWatermark {
-  private static final long NEVER_MS = Long.MIN_VALUE / 2;
-
   private static final class PeerProgress {
     String incarnation;
 
@@ -28,7 +27,7 @@
     long logPosition;
 
     /** The moment up to which its list is known here in full, ms. */
-    long completeUntilMs = NEVER_MS;
+    long completeUntilMs = LeaseRenewalConstants.NEVER_MS;
   }
 
   private final Replica replica;
@@ -48,7 +47,9 @@
     long peersMs = Long.MAX_VALUE / 2;
     for (PeerProgress progress : progressByMember.values()) {
       boolean countsAlready = progress.firstHeardAtMs < replicaMs;
-      peersMs = Math.min(peersMs, countsAlready ? progress.completeUntilMs : NEVER_MS);
+      peersMs =
+          Math.min(
+              peersMs, countsAlready ? progress.completeUntilMs : LeaseRenewalConstants.NEVER_MS);
     }
     return Math.max(replicaMs, peersMs);
   }
@@ -75,7 +76,7 @@
       progress.incarnation = reply.incarnation();
       progress.firstHeardAtMs = nowMs;
       progress.logPosition = status.to();
-      progress.completeUntilMs = NEVER_MS;
+      progress.completeUntilMs = LeaseRenewalConstants.NEVER_MS;
     } else if (status.to() >= progress.logPosition) {
       progress.logPosition = status.to();
       if (status.all()) {
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -24,7 +24,6 @@
  */
 public final class FollowerLeaseRenewer implements PeerHeartbeats.Guest {
   private static final Logger log = LoggerFactory.getLogger(FollowerLeaseRenewer.class);
-  private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   /** Whether this controller renews leases in the place of a leader that is not itself. */
   private enum Phase {
@@ -45,9 +44,9 @@
   private final long maxPeerRenewalWindowMs;
   private Phase phase = Phase.STANDBY;
   private long leaderEpoch;
-  private long lastExchangeAtMs = NEVER_MS;
-  private long abstainUntilMs = NEVER_MS;
-  private long lastRenewalAtMs = NEVER_MS;
+  private long lastExchangeAtMs = LeaseRenewalConstants.NEVER_MS;
+  private long abstainUntilMs = LeaseRenewalConstants.NEVER_MS;
+  private long lastRenewalAtMs = LeaseRenewalConstants.NEVER_MS;
   private long renewalCount;
 
   /** Creates the renewer of one controller and adds it to the heartbeats between controllers. */
@@ -179,7 +178,7 @@
   private void follow(long epoch) {
     if (epoch > leaderEpoch) {
       leaderEpoch = epoch;
-      lastExchangeAtMs = NEVER_MS;
+      lastExchangeAtMs = LeaseRenewalConstants.NEVER_MS;
       transitionTo(Phase.STANDBY);
     }
   }
--- a/src/main/java/fennelthread/leaserenewal/RenewalLog.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalLog.java
@@ -15,19 +15,17 @@
  * only in such an answer, since a heartbeat may arrive late. Used on the event loop's thread only.
  */
 final class RenewalLog {
-  private static final long NEVER_MS = Long.MIN_VALUE / 2;
-
   private static final class PeerRenewals {
     String incarnation;
 
     /** When our latest heartbeat that it answered with a promise to abstain was sent, ms. */
-    long abstainsSinceMs = NEVER_MS;
+    long abstainsSinceMs = LeaseRenewalConstants.NEVER_MS;
 
     /** When we last answered its heartbeat as the leader of this epoch, ms. */
-    long answeredAtMs = NEVER_MS;
+    long answeredAtMs = LeaseRenewalConstants.NEVER_MS;
 
     /** When it last renewed a lease, as far as it has said or a predecessor of it may have, ms. */
-    long renewedAtMs = NEVER_MS;
+    long renewedAtMs = LeaseRenewalConstants.NEVER_MS;
   }
 
   private final long maxPeerRenewalWindowMs;
@@ -78,8 +76,8 @@
   private void observeIncarnation(PeerRenewals renewals, String incarnation, long nowMs) {
     if (renewals.incarnation != null && !renewals.incarnation.equals(incarnation)) {
       renewals.renewedAtMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
-      renewals.answeredAtMs = NEVER_MS;
-      renewals.abstainsSinceMs = NEVER_MS;
+      renewals.answeredAtMs = LeaseRenewalConstants.NEVER_MS;
+      renewals.abstainsSinceMs = LeaseRenewalConstants.NEVER_MS;
     }
     renewals.incarnation = incarnation;
   }
@@ -91,13 +89,13 @@
                     * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
     return nowMs <= renewals.abstainsSinceMs + minAbstentionMs
-        ? NEVER_MS
+        ? LeaseRenewalConstants.NEVER_MS
         : Math.min(nowMs, renewals.answeredAtMs + maxPeerRenewalWindowMs);
   }
 
   /** The last moment at which a peer may have renewed a lease in this epoch, ms. */
   long latestPossibleRenewalMs(long nowMs) {
-    long latestMs = NEVER_MS;
+    long latestMs = LeaseRenewalConstants.NEVER_MS;
     for (PeerRenewals renewals : renewalsByMember.values()) {
       long peerLatestMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
       latestMs = Math.max(latestMs, peerLatestMs);
