--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -29,6 +29,8 @@
 import fennelthread.net.EventLoop;
 import fennelthread.net.Service;
 import fennelthread.net.StallDetector;
+import fennelthread.peers.HeartbeatSender;
+import fennelthread.peers.LocalStatus;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.relay.CommandSender;
@@ -91,9 +93,7 @@
     this.machineTypes = createMachineTypes();
     this.currentTerm = new CurrentTerm(lease);
     this.directory = new LeaderDirectory(lease);
-    this.peers =
-        new PeerHeartbeats(
-            eventLoop, settings, this::heartbeat, this::workerAddresses, this::onPeerHeartbeat);
+    this.peers = new PeerHeartbeats(eventLoop, settings, new HeartbeatStatus());
     this.reachability = new LeaderReachability(settings.workers().reportMs());
     Relay relay = new Relay(eventLoop, settings, peers);
     this.commands =
@@ -263,7 +263,7 @@
 
     @Override
     public long stillUnbounded(long epoch) {
-      return peers.allBound(epoch) ? 0 : epoch;
+      return peers.allBoundRenewals(epoch) ? 0 : epoch;
     }
   }
 
@@ -314,27 +314,32 @@
 
   // ---------------------------------------------------------------- peers
 
-  private PeerHeartbeat heartbeat() {
-    return new PeerHeartbeat(
-        settings.member(),
-        incarnation,
-        lease.highestEpoch(),
-        lease.isLeading(),
-        eventLoop.nowMs() - records.state().lastServedAtMs(),
-        workers.recentReporters(),
-        lease.isLeading() && reachability.isDeaf());
-  }
+  /** What this controller shares with its peers, and does with their heartbeats. */
+  private final class HeartbeatStatus implements LocalStatus {
+    @Override
+    public HeartbeatSender sender() {
+      return new HeartbeatSender(
+          settings.member(),
+          incarnation,
+          lease.highestEpoch(),
+          lease.isLeading(),
+          eventLoop.nowMs() - records.state().lastServedAtMs(),
+          workers.recentReporters(),
+          lease.isLeading() && reachability.isDeaf());
+    }
 
-  /** The workers' addresses that followers keep in case they become leader. */
-  private Map<String, String> workerAddresses() {
-    return currentTerm.workerAddresses();
-  }
+    @Override
+    public Map<String, String> workerAddresses() {
+      return currentTerm.workerAddresses();
+    }
 
-  private void onPeerHeartbeat(PeerHeartbeat heartbeat) {
-    lease.observeEpoch(heartbeat.epoch());
-    directory.observeHeartbeat(heartbeat);
-    if (heartbeat.leading() && heartbeat.epoch() >= lease.highestEpoch()) {
-      workers.updateFromLeader(heartbeat.workers(), heartbeat.gone());
+    @Override
+    public void onHeartbeat(PeerHeartbeat heartbeat) {
+      lease.observeEpoch(heartbeat.epoch());
+      directory.observeHeartbeat(heartbeat);
+      if (heartbeat.leading() && heartbeat.epoch() >= lease.highestEpoch()) {
+        workers.updateFromLeader(heartbeat.addresses().changed(), heartbeat.addresses().removed());
+      }
     }
   }
 
--- a/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
+++ b/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
@@ -32,11 +32,5 @@
   /** Most cancelled jobs named in one heartbeat: keeps it below the bound on bodies. */
   public static final int CANCELLATIONS_PER_HEARTBEAT = 500;
 
-  /**
-   * What stands for a moment of something that never happened, ms: before all others, and far
-   * enough from the bounds of the type that times can be added to it.
-   */
-  public static final long NEVER_MS = Long.MIN_VALUE / 2;
-
   private LeaseRenewalConstants() {}
 }
--- a/src/main/java/fennelthread/control/FollowerReports.java
+++ b/src/main/java/fennelthread/control/FollowerReports.java
@@ -75,7 +75,7 @@
   private String redirectTarget(Leader leader, boolean peerLeads, Relay.Decision decision) {
     boolean leaderSilent =
         !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.RENEWAL_ABSTENTION_MS;
-    String renewingPeer = leaderSilent ? peers.anyKeeping() : null;
+    String renewingPeer = leaderSilent ? peers.anyRenewingPeer() : null;
     if (renewingPeer != null) {
       return renewingPeer;
     }
--- a/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -103,6 +103,6 @@
   /** True if workers have reported to peers, and none for long to this leader. */
   boolean workersReachOnlyPeers() {
     return eventLoop.nowMs() - term.lastReportAtMs() > noReportsLimitMs
-        && peers.peersHearWorkers() > 0;
+        && peers.reportsReceivedByPeers() > 0;
   }
 }
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -3,6 +3,7 @@
 import fennelthread.constants.ElectionConstants;
 import fennelthread.leader.Lease;
 import fennelthread.net.EventLoop;
+import fennelthread.peers.HeartbeatExtension;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
@@ -38,7 +39,7 @@
     this.takeover =
         new TakeoverCoordinator(eventLoop, settings, peers, state, replica, lease, declaration);
     peers.serve("/member/", takeover::handleAgreementRequest);
-    peers.join(new HeartbeatListener());
+    peers.addExtension(new HeartbeatListener());
     replica.addListener(
         (key, value, revision) -> {
           if (key.equals(Keys.EPOCH) && takeover.isReady()) {
@@ -73,15 +74,15 @@
   }
 
   /** Adds promises to the answers to heartbeats, and reads those of the followers. */
-  private final class HeartbeatListener implements PeerHeartbeats.Guest {
+  private final class HeartbeatListener implements HeartbeatExtension {
     @Override
-    public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
-      return answer.promising(takeover.promiseOnHeartbeat(asked));
+    public PeerHeartbeat extendAnswer(PeerHeartbeat heartbeat, PeerHeartbeat answer) {
+      return answer.withPromise(takeover.promiseOnHeartbeat(heartbeat));
     }
 
     @Override
-    public void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
-      protection.recordAnswer(member, reply, sentAtMs);
+    public void onAnswer(String member, PeerHeartbeat answer, long sentAtMs) {
+      protection.recordAnswer(member, answer, sentAtMs);
     }
   }
 }
--- a/src/main/java/fennelthread/election/LeaderProtection.java
+++ b/src/main/java/fennelthread/election/LeaderProtection.java
@@ -55,10 +55,10 @@
     if (!lease.isLeading()) {
       return;
     }
-    promises.recordPromise(member, reply.promised(), sentAtMs);
-    if (reply.promised() == lease.epoch()) {
+    promises.recordPromise(member, reply.promisedEpoch(), sentAtMs);
+    if (reply.promisedEpoch() == lease.epoch()) {
       promiseWithheldSinceMs = ElectionConstants.NEVER;
-    } else if (reply.promises()
+    } else if (reply.features().promises()
         && reply.epoch() == lease.epoch()
         && promiseWithheldSinceMs == ElectionConstants.NEVER) {
       promiseWithheldSinceMs = eventLoop.nowMs();
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -52,7 +52,7 @@
 
   /** Asks all reachable peers to revoke a lease under which this controller no longer leads. */
   public void revokeThroughPeers(long leaseId) {
-    for (String member : peers.relays()) {
+    for (String member : peers.relayingMembers()) {
       peers.call(
           member,
           REVOKE_PATH,
--- a/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
@@ -1,7 +1,8 @@
 package fennelthread.leaserenewal;
 
-import fennelthread.constants.LeaseRenewalConstants;
+import fennelthread.constants.PeerConstants;
 import fennelthread.peers.PeerHeartbeat;
+import fennelthread.peers.RenewalStatus;
 import fennelthread.state.Replica;
 import java.util.HashMap;
 import java.util.Map;
@@ -27,7 +28,7 @@
     long logPosition;
 
     /** The moment up to which its list is known here in full, ms. */
-    long completeUntilMs = LeaseRenewalConstants.NEVER_MS;
+    long completeUntilMs = PeerConstants.NEVER_MS;
   }
 
   private final Replica replica;
@@ -48,8 +49,7 @@
     for (PeerProgress progress : progressByMember.values()) {
       boolean countsAlready = progress.firstHeardAtMs < replicaMs;
       peersMs =
-          Math.min(
-              peersMs, countsAlready ? progress.completeUntilMs : LeaseRenewalConstants.NEVER_MS);
+          Math.min(peersMs, countsAlready ? progress.completeUntilMs : PeerConstants.NEVER_MS);
     }
     return Math.max(replicaMs, peersMs);
   }
@@ -65,21 +65,21 @@
    */
   void recordAnswer(String member, PeerHeartbeat reply, long sentAtMs, long nowMs) {
     PeerProgress progress = progressByMember.get(member);
-    PeerHeartbeat.Keep status = reply.keep();
+    RenewalStatus status = reply.renewal();
     if (progress == null || status == null) {
       return;
     }
-    status.cancelled().forEach(cancellations::recordEnded);
-    boolean entriesMissing = !status.all() && status.cancelled().isEmpty();
+    status.cancelledJobIds().forEach(cancellations::recordEnded);
+    boolean entriesMissing = !status.complete() && status.cancelledJobIds().isEmpty();
     if (entriesMissing || !reply.incarnation().equals(progress.incarnation)) {
       // Its log starts anew here: only the state can tell what came before.
       progress.incarnation = reply.incarnation();
       progress.firstHeardAtMs = nowMs;
-      progress.logPosition = status.to();
-      progress.completeUntilMs = LeaseRenewalConstants.NEVER_MS;
-    } else if (status.to() >= progress.logPosition) {
-      progress.logPosition = status.to();
-      if (status.all()) {
+      progress.logPosition = status.lastNumber();
+      progress.completeUntilMs = PeerConstants.NEVER_MS;
+    } else if (status.lastNumber() >= progress.logPosition) {
+      progress.logPosition = status.lastNumber();
+      if (status.complete()) {
         progress.completeUntilMs = Math.max(progress.completeUntilMs, sentAtMs);
       }
     }
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -5,8 +5,10 @@
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
+import fennelthread.peers.HeartbeatExtension;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
+import fennelthread.peers.RenewalStatus;
 import fennelthread.settings.Settings;
 import fennelthread.state.Replica;
 import fennelthread.wire.WorkerReport;
@@ -22,7 +24,7 @@
  * how long, and {@link RenewalLog} is what a leader may conclude meanwhile; docs/lease-renewal.md
  * has the reasons. Used on the event loop's thread only.
  */
-public final class FollowerLeaseRenewer implements PeerHeartbeats.Guest {
+public final class FollowerLeaseRenewer implements HeartbeatExtension {
   private static final Logger log = LoggerFactory.getLogger(FollowerLeaseRenewer.class);
 
   /** Whether this controller renews leases in the place of a leader that is not itself. */
@@ -44,9 +46,9 @@
   private final long maxPeerRenewalWindowMs;
   private Phase phase = Phase.STANDBY;
   private long leaderEpoch;
-  private long lastExchangeAtMs = LeaseRenewalConstants.NEVER_MS;
-  private long abstainUntilMs = LeaseRenewalConstants.NEVER_MS;
-  private long lastRenewalAtMs = LeaseRenewalConstants.NEVER_MS;
+  private long lastExchangeAtMs = PeerConstants.NEVER_MS;
+  private long abstainUntilMs = PeerConstants.NEVER_MS;
+  private long lastRenewalAtMs = PeerConstants.NEVER_MS;
   private long renewalCount;
 
   /** Creates the renewer of one controller and adds it to the heartbeats between controllers. */
@@ -67,7 +69,7 @@
     this.maxPeerRenewalWindowMs = RenewalBounds.maxPeerRenewalWindowMs(settings.workers());
     this.gate = new HeartbeatResponseGate(eventLoop, watermark, cancellations, renewalWindowMs);
     this.peerRenewals = new RenewalLog(members, maxPeerRenewalWindowMs);
-    peers.join(this);
+    peers.addExtension(this);
   }
 
   /** The gate that all answers to reports of this process pass, the leader's too. */
@@ -102,24 +104,24 @@
   // ---------------------------------------------------------------- heartbeats
 
   @Override
-  public PeerHeartbeat sendHeartbeat(String member, PeerHeartbeat heartbeat) {
+  public PeerHeartbeat extendHeartbeat(String member, PeerHeartbeat heartbeat) {
     boolean receiverHeard = peers.silentMs(member) < PeerConstants.PEER_SILENT_MS;
-    return heartbeat.keeping(
+    return heartbeat.withRenewal(
         status(receiverHeard, watermark.logPosition(member), 0, CancellationLog.Page.none()));
   }
 
   @Override
-  public PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer) {
-    PeerHeartbeat.Keep request = asked.keep();
+  public PeerHeartbeat extendAnswer(PeerHeartbeat heartbeat, PeerHeartbeat answer) {
+    RenewalStatus request = heartbeat.renewal();
     if (request == null) {
-      return answer.keeping(status(true, 0, 0, CancellationLog.Page.none()));
+      return answer.withRenewal(status(true, 0, 0, CancellationLog.Page.none()));
     }
     if (leadership.isLeading()) {
-      peerRenewals.recordOwnAnswer(asked, eventLoop.nowMs());
+      peerRenewals.recordOwnAnswer(heartbeat, eventLoop.nowMs());
     }
-    long abstainingForEpoch = promiseToAbstain(asked);
-    return answer.keeping(
-        status(true, 0, abstainingForEpoch, cancellations.entriesAfter(request.after())));
+    long abstainingForEpoch = promiseToAbstain(heartbeat);
+    return answer.withRenewal(
+        status(true, 0, abstainingForEpoch, cancellations.entriesAfter(request.logPosition())));
   }
 
   /**
@@ -133,7 +135,7 @@
       return 0;
     }
     follow(heartbeat.epoch());
-    if (!heartbeat.keep().hears()) {
+    if (!heartbeat.renewal().receiverHeard()) {
       // The leader will not get this answer either: workers that reach only us must not pay for it.
       return 0;
     }
@@ -147,12 +149,12 @@
     return leaderEpoch;
   }
 
-  private PeerHeartbeat.Keep status(
+  private RenewalStatus status(
       boolean receiverHeard,
       long logPosition,
       long abstainingForEpoch,
       CancellationLog.Page cancellationPage) {
-    return new PeerHeartbeat.Keep(
+    return new RenewalStatus(
         receiverHeard,
         logPosition,
         abstainingForEpoch,
@@ -164,13 +166,13 @@
   }
 
   @Override
-  public void acknowledged(String member, PeerHeartbeat reply, long sentAtMs) {
+  public void onAnswer(String member, PeerHeartbeat answer, long sentAtMs) {
     long nowMs = eventLoop.nowMs();
-    watermark.recordAnswer(member, reply, sentAtMs, nowMs);
+    watermark.recordAnswer(member, answer, sentAtMs, nowMs);
     if (leadership.isLeading()) {
-      peerRenewals.recordPeerAnswer(member, reply, leadership.ownEpoch(), sentAtMs, nowMs);
-    } else if (reply.leading() && reply.keep() != null && reply.epoch() >= leaderEpoch) {
-      follow(reply.epoch());
+      peerRenewals.recordPeerAnswer(member, answer, leadership.ownEpoch(), sentAtMs, nowMs);
+    } else if (answer.leading() && answer.renewal() != null && answer.epoch() >= leaderEpoch) {
+      follow(answer.epoch());
       lastExchangeAtMs = Math.max(lastExchangeAtMs, sentAtMs);
     }
   }
@@ -178,7 +180,7 @@
   private void follow(long epoch) {
     if (epoch > leaderEpoch) {
       leaderEpoch = epoch;
-      lastExchangeAtMs = LeaseRenewalConstants.NEVER_MS;
+      lastExchangeAtMs = PeerConstants.NEVER_MS;
       transitionTo(Phase.STANDBY);
     }
   }
--- a/src/main/java/fennelthread/leaserenewal/RenewalLog.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalLog.java
@@ -19,13 +19,13 @@
     String incarnation;
 
     /** When our latest heartbeat that it answered with a promise to abstain was sent, ms. */
-    long abstainsSinceMs = LeaseRenewalConstants.NEVER_MS;
+    long abstainsSinceMs = PeerConstants.NEVER_MS;
 
     /** When we last answered its heartbeat as the leader of this epoch, ms. */
-    long answeredAtMs = LeaseRenewalConstants.NEVER_MS;
+    long answeredAtMs = PeerConstants.NEVER_MS;
 
     /** When it last renewed a lease, as far as it has said or a predecessor of it may have, ms. */
-    long renewedAtMs = LeaseRenewalConstants.NEVER_MS;
+    long renewedAtMs = PeerConstants.NEVER_MS;
   }
 
   private final long maxPeerRenewalWindowMs;
@@ -58,16 +58,16 @@
   /** Records a peer's answer to the heartbeat that was sent at {@code sentAtMs}. */
   void recordPeerAnswer(String member, PeerHeartbeat reply, long epoch, long sentAtMs, long nowMs) {
     PeerRenewals renewals = renewalsByMember.get(member);
-    if (renewals == null || reply.keep() == null) {
+    if (renewals == null || reply.renewal() == null) {
       return;
     }
     observeIncarnation(renewals, reply.incarnation(), nowMs);
-    long renewedAgoMs = reply.keep().keptMsAgo();
+    long renewedAgoMs = reply.renewal().renewedAgoMs();
     if (renewedAgoMs != PeerConstants.NEVER_RENEWED) {
       long minRenewedAgoMs = (long) (renewedAgoMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT));
       renewals.renewedAtMs = Math.max(renewals.renewedAtMs, nowMs - minRenewedAgoMs);
     }
-    if (reply.keep().still() == epoch) {
+    if (reply.renewal().abstainingForEpoch() == epoch) {
       renewals.abstainsSinceMs = Math.max(renewals.abstainsSinceMs, sentAtMs);
     }
   }
@@ -76,8 +76,8 @@
   private void observeIncarnation(PeerRenewals renewals, String incarnation, long nowMs) {
     if (renewals.incarnation != null && !renewals.incarnation.equals(incarnation)) {
       renewals.renewedAtMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
-      renewals.answeredAtMs = LeaseRenewalConstants.NEVER_MS;
-      renewals.abstainsSinceMs = LeaseRenewalConstants.NEVER_MS;
+      renewals.answeredAtMs = PeerConstants.NEVER_MS;
+      renewals.abstainsSinceMs = PeerConstants.NEVER_MS;
     }
     renewals.incarnation = incarnation;
   }
@@ -89,13 +89,13 @@
                     * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
     return nowMs <= renewals.abstainsSinceMs + minAbstentionMs
-        ? LeaseRenewalConstants.NEVER_MS
+        ? PeerConstants.NEVER_MS
         : Math.min(nowMs, renewals.answeredAtMs + maxPeerRenewalWindowMs);
   }
 
   /** The last moment at which a peer may have renewed a lease in this epoch, ms. */
   long latestPossibleRenewalMs(long nowMs) {
-    long latestMs = LeaseRenewalConstants.NEVER_MS;
+    long latestMs = PeerConstants.NEVER_MS;
     for (PeerRenewals renewals : renewalsByMember.values()) {
       long peerLatestMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
       latestMs = Math.max(latestMs, peerLatestMs);
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -1,6 +1,5 @@
 package fennelthread.peers;
 
-import fennelthread.constants.PeerConstants;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
 import java.util.LinkedHashMap;
@@ -8,201 +7,115 @@
 import java.util.Map;
 
 /**
- * What a heartbeat says of its sender; {@code workers} and {@code gone} are what has changed of the
- * workers' addresses since the last heartbeat that the receiver has answered. {@code chains} is
- * true if the sender makes jobs wait for others, {@code relays} if it passes on reports and
- * commands: versions that do not, leave the fields out. {@code deaf} is true of a leader that does
- * not hear its workers itself. {@code promised}, in an answer, is the epoch to whose leader the
- * heartbeat brought a promise not to help anyone take over, {@code promises} of a version that
- * gives such. {@code keep} is null from a version that never keeps leases alive in a silent
- * leader's place.
+ * A heartbeat between controllers, or the answer to one.
+ *
+ * @param sender what the sender says of itself
+ * @param features what its version supports
+ * @param promisedEpoch in an answer: the epoch whose leader is promised that the sender helps
+ *     nobody take over, 0 for none
+ * @param renewal about the renewal of leases; null from a version that never renews any in a silent
+ *     leader's place
+ * @param addresses changes to the workers' addresses
  */
 public record PeerHeartbeat(
-    String member,
-    String incarnation,
-    long epoch,
-    boolean leading,
-    long servedAgoMs,
-    long reportsHeard,
-    boolean chains,
-    boolean relays,
-    boolean deaf,
-    boolean promises,
-    long promised,
-    Keep keep,
-    Map<String, String> workers,
-    List<String> gone) {
+    HeartbeatSender sender,
+    PeerFeatures features,
+    long promisedEpoch,
+    RenewalStatus renewal,
+    WorkerAddressUpdate addresses) {
 
-  /**
-   * What controllers tell one another about keeping leases alive without the leader. In a
-   * heartbeat: {@code hears} says that the receiver was heard lately, {@code after} how far its log
-   * of cancellations is known. In an answer: {@code still} is the epoch to whose leader the
-   * heartbeat brought a promise not to keep any lease for a while, {@code cancelled} goes on from
-   * {@code after}, up to {@code to}; {@code all} says that this is all there is. {@code keeping}
-   * and {@code keptMsAgo}, which is {@link PeerConstants#NEVER_RENEWED} of one that never did, are
-   * of the sender, at any time.
-   */
-  public record Keep(
-      boolean hears,
-      long after,
-      long still,
-      List<String> cancelled,
-      long to,
-      boolean all,
-      boolean keeping,
-      long keptMsAgo) {
+  /** A heartbeat of this version that promises nothing and shares no addresses. */
+  public static PeerHeartbeat of(HeartbeatSender sender) {
+    return new PeerHeartbeat(sender, PeerFeatures.current(), 0, null, WorkerAddressUpdate.none());
+  }
 
-    Fields write() {
-      Fields f =
-          Fields.create()
-              .with("hears", hears)
-              .with("after", after)
-              .with("still", still)
-              .with("withdrawn", cancelled)
-              .with("to", to)
-              .with("all", all)
-              .with("keeping", keeping);
-      return keptMsAgo == PeerConstants.NEVER_RENEWED ? f : f.with("kept_ms_ago", keptMsAgo);
-    }
+  /** The name of the controller that sends it. */
+  public String member() {
+    return sender.member();
+  }
 
-    static Keep read(Fields f) throws WireException {
-      return new Keep(
-          f.optFlag("hears"),
-          f.count("after", 0),
-          f.count("still", 0),
-          f.optTexts("withdrawn") == null ? List.of() : f.optTexts("withdrawn"),
-          f.count("to", 0),
-          f.optFlag("all"),
-          f.optFlag("keeping"),
-          f.has("kept_ms_ago") ? f.count("kept_ms_ago") : PeerConstants.NEVER_RENEWED);
-    }
+  /** The process of that controller. */
+  public String incarnation() {
+    return sender.incarnation();
   }
 
-  /** A heartbeat of this version that has promised nothing yet. */
-  public PeerHeartbeat(
-      String member,
-      String incarnation,
-      long epoch,
-      boolean leading,
-      long servedAgoMs,
-      long reportsHeard,
-      boolean deaf) {
-    this(
-        member,
-        incarnation,
-        epoch,
-        leading,
-        servedAgoMs,
-        reportsHeard,
-        true,
-        true,
-        deaf,
-        true,
-        0,
-        null,
-        Map.of(),
-        List.of());
+  /** The highest epoch that the sender knows of. */
+  public long epoch() {
+    return sender.epoch();
   }
 
-  /** The same with a promise not to help anyone take over from the leader of an epoch. */
-  public PeerHeartbeat promising(long forEpoch) {
-    return new PeerHeartbeat(
-        member,
-        incarnation,
-        epoch,
-        leading,
-        servedAgoMs,
-        reportsHeard,
-        chains,
-        relays,
-        deaf,
-        promises,
-        forEpoch,
-        keep,
-        workers,
-        gone);
+  /** True if the sender leads that epoch. */
+  public boolean leading() {
+    return sender.leading();
   }
 
-  /** The same with what is to be said of keeping leases. */
-  public PeerHeartbeat keeping(Keep note) {
-    return new PeerHeartbeat(
-        member,
-        incarnation,
-        epoch,
-        leading,
-        servedAgoMs,
-        reportsHeard,
-        chains,
-        relays,
-        deaf,
-        promises,
-        promised,
-        note,
-        workers,
-        gone);
+  /** The same with a promise to help nobody take over from the leader of {@code epoch}. */
+  public PeerHeartbeat withPromise(long epoch) {
+    return new PeerHeartbeat(sender, features, epoch, renewal, addresses);
   }
 
-  PeerHeartbeat with(Map<String, String> newWorkers, List<String> newGone) {
-    return new PeerHeartbeat(
-        member,
-        incarnation,
-        epoch,
-        leading,
-        servedAgoMs,
-        reportsHeard,
-        chains,
-        relays,
-        deaf,
-        promises,
-        promised,
-        keep,
-        newWorkers,
-        newGone);
+  /** The same with a status of the renewal of leases. */
+  public PeerHeartbeat withRenewal(RenewalStatus status) {
+    return new PeerHeartbeat(sender, features, promisedEpoch, status, addresses);
+  }
+
+  PeerHeartbeat withAddresses(WorkerAddressUpdate update) {
+    return new PeerHeartbeat(sender, features, promisedEpoch, renewal, update);
   }
 
   Fields write() {
-    Fields f =
+    Fields fields =
         Fields.create()
-            .with("member", member)
-            .with("incarnation", incarnation)
-            .with("epoch", epoch)
-            .with("leading", leading)
-            .with("served_ago_ms", servedAgoMs)
-            .with("beats_heard", reportsHeard)
-            .with("chains", chains)
-            .with("relays", relays)
-            .with("deaf", deaf)
-            .with("promises", promises)
-            .with("promised", promised);
-    if (keep != null) {
-      f.with("keep", keep.write());
+            .with("member", sender.member())
+            .with("incarnation", sender.incarnation())
+            .with("epoch", sender.epoch())
+            .with("leading", sender.leading())
+            .with("served_ago_ms", sender.servedAgoMs())
+            .with("beats_heard", sender.reportsReceived())
+            .with("chains", features.dependencies())
+            .with("relays", features.relaying())
+            .with("deaf", sender.workersUnreachable())
+            .with("promises", features.promises())
+            .with("promised", promisedEpoch);
+    if (renewal != null) {
+      fields.with("keep", renewal.write());
     }
-    return f.with("workers", workers).with("gone", gone);
+    return fields.with("workers", addresses.changed()).with("gone", addresses.removed());
+  }
+
+  static PeerHeartbeat read(Fields fields) throws WireException {
+    Map<String, String> changedAddresses = readChangedAddresses(fields);
+    HeartbeatSender sender =
+        new HeartbeatSender(
+            fields.text("member"),
+            fields.text("incarnation"),
+            fields.count("epoch"),
+            fields.flag("leading"),
+            fields.count("served_ago_ms"),
+            fields.count("beats_heard"),
+            fields.optFlag("deaf"));
+    PeerFeatures features =
+        new PeerFeatures(
+            fields.optFlag("chains"), fields.optFlag("relays"), fields.optFlag("promises"));
+    return new PeerHeartbeat(
+        sender,
+        features,
+        fields.count("promised", 0),
+        fields.has("keep") ? RenewalStatus.read(fields.inner("keep")) : null,
+        new WorkerAddressUpdate(
+            changedAddresses,
+            fields.optTexts("gone") == null ? List.of() : fields.optTexts("gone")));
   }
 
-  static PeerHeartbeat read(Fields f) throws WireException {
-    Map<String, String> workers = new LinkedHashMap<>();
-    if (f.has("workers")) {
-      for (Map.Entry<String, Object> e : f.inner("workers").map().entrySet()) {
-        if (e.getValue() instanceof String address) {
-          workers.put(e.getKey(), address);
+  private static Map<String, String> readChangedAddresses(Fields fields) throws WireException {
+    Map<String, String> changed = new LinkedHashMap<>();
+    if (fields.has("workers")) {
+      for (Map.Entry<String, Object> entry : fields.inner("workers").map().entrySet()) {
+        if (entry.getValue() instanceof String address) {
+          changed.put(entry.getKey(), address);
         }
       }
     }
-    return new PeerHeartbeat(
-        f.text("member"),
-        f.text("incarnation"),
-        f.count("epoch"),
-        f.flag("leading"),
-        f.count("served_ago_ms"),
-        f.count("beats_heard"),
-        f.optFlag("chains"),
-        f.optFlag("relays"),
-        f.optFlag("deaf"),
-        f.optFlag("promises"),
-        f.count("promised", 0),
-        f.has("keep") ? Keep.read(f.inner("keep")) : null,
-        workers,
-        f.optTexts("gone") == null ? List.of() : f.optTexts("gone"));
+    return changed;
   }
 }
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -12,173 +12,100 @@
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import java.util.function.Predicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What controllers tell one another: heartbeats in JSON. A heartbeat that names an epoch
- * acknowledges it: from then on its sender answers no report for an older one.
+ * The heartbeats between this controller and its peers, and what follows from them about each peer.
+ * A heartbeat that names an epoch acknowledges it: from then on its sender answers no report for an
+ * older one. Used on the event loop's thread only.
  */
 public final class PeerHeartbeats implements Service {
   private static final Logger log = LoggerFactory.getLogger(PeerHeartbeats.class);
+  private static final String HEARTBEAT_PATH = "/hail";
 
-  /** A subsystem that has something to say in heartbeats, and to hear. */
-  public interface Guest {
-    /** Adds to a heartbeat that is about to leave for a peer. */
-    default PeerHeartbeat sendHeartbeat(String member, PeerHeartbeat heartbeat) {
-      return heartbeat;
-    }
-
-    /** Adds to the answer to a heartbeat that has just been taken note of. */
-    PeerHeartbeat answer(PeerHeartbeat asked, PeerHeartbeat answer);
+  private final EventLoop eventLoop;
+  private final LocalStatus localStatus;
+  private final Map<String, PeerConnection> peers = new LinkedHashMap<>();
+  private final PeerServices services = new PeerServices();
+  private final List<HeartbeatExtension> extensions = new ArrayList<>();
 
-    /** A peer has answered the heartbeat that left at {@code sentAtMs}, read before it was sent. */
-    void acknowledged(String member, PeerHeartbeat reply, long sentAtMs);
+  /** Creates the heartbeats of one controller; {@link #start} begins to send them. */
+  public PeerHeartbeats(EventLoop eventLoop, Settings settings, LocalStatus localStatus) {
+    this.eventLoop = eventLoop;
+    this.localStatus = localStatus;
+    settings.peers().forEach(peer -> peers.put(peer.member(), new PeerConnection(peer)));
   }
 
-  private static final class Peer {
-    final Settings.Peer peer;
-    PeerHeartbeat last;
-    long heardAt = Long.MIN_VALUE / 2;
-    long epochSince = Long.MAX_VALUE;
-    long missedAt = Long.MIN_VALUE / 2;
-    boolean heartbeat;
-    final Map<String, String> told = new HashMap<>();
-    String toldIncarnation = "";
-
-    Peer(Settings.Peer peer) {
-      this.peer = peer;
-    }
+  /** Adds a subsystem that takes part in heartbeats from now on. */
+  public void addExtension(HeartbeatExtension extension) {
+    extensions.add(extension);
   }
 
-  private final EventLoop eventLoop;
-  private final Map<String, Peer> peers = new LinkedHashMap<>();
-  private final java.util.function.Supplier<PeerHeartbeat> self;
-  private final java.util.function.Supplier<Map<String, String>> workers;
-  private final Consumer<PeerHeartbeat> heard;
-  private final Map<String, Service> services = new HashMap<>();
-  private final List<Guest> guests = new ArrayList<>();
-  private long malformed;
-
-  /**
-   * Creates the peer network of one controller; {@code workers} gives the addresses that peers
-   * should keep warm, none while another leads.
-   */
-  public PeerHeartbeats(
-      EventLoop eventLoop,
-      Settings settings,
-      java.util.function.Supplier<PeerHeartbeat> self,
-      java.util.function.Supplier<Map<String, String>> workers,
-      Consumer<PeerHeartbeat> heard) {
-    this.eventLoop = eventLoop;
-    this.self = self;
-    this.workers = workers;
-    this.heard = heard;
-    settings.peers().forEach(s -> peers.put(s.member(), new Peer(s)));
+  /** Adds a service that handles peers' requests under paths with this prefix. */
+  public void serve(String prefix, Service service) {
+    services.add(prefix, service);
   }
 
-  /** Begins to sendHeartbeat. */
+  // ---------------------------------------------------------------- sending
+
+  /** Sends a heartbeat to all peers, now and then periodically; call it once. */
   public void start() {
     sendHeartbeats();
-    eventLoop.after(
-        (long)
-            (PeerConstants.HEARTBEAT_INTERVAL_MS
-                * (1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble())),
-        this::start);
+    double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
+    eventLoop.after((long) (PeerConstants.HEARTBEAT_INTERVAL_MS * jitter), this::start);
   }
 
-  /** Greets all peers now: after a claim, every moment counts. */
+  /** Sends a heartbeat to all peers now: after a claim, every moment counts. */
   public void sendHeartbeats() {
     peers.values().forEach(this::sendHeartbeat);
   }
 
-  private void sendHeartbeat(Peer peer) {
-    if (peer.heartbeat) {
+  private void sendHeartbeat(PeerConnection peer) {
+    if (!peer.tryStartHeartbeat()) {
       return;
     }
-    peer.heartbeat = true;
-    PeerHeartbeat heartbeat = news(peer);
-    for (Guest guest : guests) {
-      heartbeat = guest.sendHeartbeat(peer.peer.member(), heartbeat);
+    WorkerAddressUpdate addresses = peer.addressUpdate(localStatus.workerAddresses());
+    PeerHeartbeat heartbeat = PeerHeartbeat.of(localStatus.sender()).withAddresses(addresses);
+    for (HeartbeatExtension extension : extensions) {
+      heartbeat = extension.extendHeartbeat(peer.member(), heartbeat);
     }
-    Map<String, String> told = heartbeat.workers();
-    List<String> gone = heartbeat.gone();
-    long sentAt = eventLoop.nowMs();
+    long sentAtMs = eventLoop.nowMs();
     eventLoop.call(
-        peer.peer.addr(),
-        Call.post("/hail", Codec.JSON, heartbeat.write()),
+        peer.address(),
+        Call.post(HEARTBEAT_PATH, Codec.JSON, heartbeat.write()),
         PeerConstants.HEARTBEAT_TIMEOUT_MS,
-        answer -> {
-          peer.heartbeat = false;
-          if (answer == null) {
-            peer.missedAt = eventLoop.nowMs();
-          }
-          if (answer != null && answer.status() == 200) {
-            try {
-              PeerHeartbeat reply = PeerHeartbeat.read(Codec.JSON.decode(answer.body()));
-              if (!reply.incarnation().equals(peer.toldIncarnation)) {
-                // A new process knows nothing yet but what this heartbeat said.
-                peer.toldIncarnation = reply.incarnation();
-                peer.told.clear();
-              }
-              peer.told.putAll(told);
-              gone.forEach(peer.told::remove);
-              took(reply);
-              for (Guest guest : guests) {
-                guest.acknowledged(peer.peer.member(), reply, sentAt);
-              }
-            } catch (WireException e) {
-              malformed++;
-              log.info("malformed heartbeat of {}: {}", peer.peer.member(), e.getMessage());
-            }
-          }
-        });
+        answer -> onHeartbeatAnswer(peer, addresses, sentAtMs, answer));
   }
 
-  /**
-   * A heartbeat with what the peer was not told yet: the addresses of hundreds of workers in each
-   * would be tens of kilobytes a second, to be written and read on a small processor.
-   */
-  private PeerHeartbeat news(Peer peer) {
-    Map<String, String> current = workers.get();
-    if (current.isEmpty()) {
-      peer.told.clear();
-      return self.get();
+  private void onHeartbeatAnswer(
+      PeerConnection peer, WorkerAddressUpdate addresses, long sentAtMs, Answer answer) {
+    if (answer == null) {
+      peer.onHeartbeatUnanswered(eventLoop.nowMs());
+      return;
     }
-    Map<String, String> fresh = new LinkedHashMap<>();
-    for (Map.Entry<String, String> e : current.entrySet()) {
-      if (fresh.size() >= PeerConstants.ADDRESSES_PER_HEARTBEAT) {
-        break;
-      }
-      if (!e.getValue().equals(peer.told.get(e.getKey()))) {
-        fresh.put(e.getKey(), e.getValue());
-      }
+    peer.onHeartbeatAnswered();
+    if (answer.status() != 200) {
+      return;
     }
-    List<String> gone = new ArrayList<>();
-    for (String name : peer.told.keySet()) {
-      if (!current.containsKey(name) && gone.size() < PeerConstants.ADDRESSES_PER_HEARTBEAT) {
-        gone.add(name);
+    try {
+      PeerHeartbeat reply = PeerHeartbeat.read(Codec.JSON.decode(answer.body()));
+      peer.acknowledgeAddresses(reply.incarnation(), addresses);
+      record(reply);
+      for (HeartbeatExtension extension : extensions) {
+        extension.onAnswer(peer.member(), reply, sentAtMs);
       }
+    } catch (WireException e) {
+      log.info("peer heartbeat answer malformed peer={} reason={}", peer.member(), e.getMessage());
     }
-    return self.get().with(fresh, gone);
-  }
-
-  /** Lets a subsystem say something in heartbeats from now on. */
-  public void join(Guest guest) {
-    guests.add(guest);
   }
 
-  /** Lets a subsystem answer what peers ask under a path with this prefix. */
-  public void serve(String prefix, Service service) {
-    services.put(prefix, service);
-  }
-
-  /** Asks a peer something, as {@link EventLoop#call} says. */
+  /** Sends a request to a peer's service, as {@link EventLoop#call} says. */
   public void call(
       String member,
       String path,
@@ -187,187 +114,188 @@
       Consumer<Answer> done,
       EventLoop.Unsent unsent) {
     eventLoop.call(
-        peers.get(member).peer.addr(), Call.post(path, Codec.JSON, body), timeoutMs, done, unsent);
+        peers.get(member).address(), Call.post(path, Codec.JSON, body), timeoutMs, done, unsent);
   }
 
-  /** The same for whoever need not know whether an unanswered one was sent at all. */
+  /** The same for a caller that need not know whether an unanswered request was sent at all. */
   public void call(String member, String path, Fields body, long timeoutMs, Consumer<Answer> done) {
     call(member, path, body, timeoutMs, done, tried -> done.accept(null));
   }
 
-  /** True if a peer passes on reports and commands, and was reached or heard the last time. */
-  public boolean relaysFor(String member) {
-    Peer p = peers.get(member);
-    return p != null && relays(p);
+  // ---------------------------------------------------------------- receiving
+
+  /** Handles a peer's request: a heartbeat, or one for a service. */
+  @Override
+  public void handle(Request request, Consumer<Answer> reply) {
+    if (services.tryHandle(request, reply)) {
+      return;
+    }
+    if (!request.path().equals(HEARTBEAT_PATH)) {
+      reply.accept(error(404, "unknown path"));
+      return;
+    }
+    if (!request.method().equals("POST")) {
+      reply.accept(error(405, "use POST"));
+      return;
+    }
+    handleHeartbeat(request, reply);
   }
 
-  /** The peers of which that is true. */
-  public List<String> relays() {
-    return peers.values().stream().filter(this::relays).map(p -> p.peer.member()).toList();
+  private void handleHeartbeat(Request request, Consumer<Answer> reply) {
+    PeerHeartbeat heartbeat;
+    try {
+      heartbeat = PeerHeartbeat.read(Codec.JSON.decode(request.body()));
+      record(heartbeat);
+    } catch (WireException e) {
+      reply.accept(error(400, e.getMessage()));
+      return;
+    }
+    // After it was recorded: the answer acknowledges the epoch that the heartbeat has brought.
+    PeerHeartbeat answer = PeerHeartbeat.of(localStatus.sender());
+    for (HeartbeatExtension extension : extensions) {
+      answer = extension.extendAnswer(heartbeat, answer);
+    }
+    reply.accept(Answer.of(200, Codec.JSON, answer.write()));
   }
 
-  private boolean relays(Peer p) {
-    return isHeard(p) && p.last.relays() && p.heardAt > p.missedAt;
+  private static Answer error(int status, String message) {
+    return Answer.of(status, Codec.JSON, Fields.create().with("error", message));
   }
 
-  /** A peer that passes on commands and hears most workers; null if there is none. */
-  public String anyRelay() {
-    Peer best = null;
-    for (Peer p : peers.values()) {
-      if (relays(p) && (best == null || p.last.reportsHeard() > best.last.reportsHeard())) {
-        best = p;
-      }
+  private void record(PeerHeartbeat heartbeat) {
+    PeerConnection peer = peers.get(heartbeat.member());
+    if (peer != null && peer.record(heartbeat, eventLoop.nowMs())) {
+      localStatus.onHeartbeat(heartbeat);
     }
-    return best == null ? null : best.peer.member();
   }
 
-  /**
-   * A peer heard lately that keeps leases alive in the place of a silent leader; null if none does.
-   */
-  public String anyKeeping() {
-    for (Peer p : peers.values()) {
-      if (isHeard(p) && p.last.keep() != null && p.last.keep().keeping()) {
-        return p.peer.member();
+  // ---------------------------------------------------------------- relays
+
+  /** True if a peer relays reports and commands, and was reached or heard from the last time. */
+  public boolean canRelayThrough(String member) {
+    PeerConnection peer = peers.get(member);
+    return peer != null && peer.canRelay(eventLoop.nowMs());
+  }
+
+  /** The members through which this controller can relay. */
+  public List<String> relayingMembers() {
+    long nowMs = eventLoop.nowMs();
+    return peers.values().stream()
+        .filter(peer -> peer.canRelay(nowMs))
+        .map(PeerConnection::member)
+        .toList();
+  }
+
+  /** The relaying peer that receives reports of the most workers, or null if no peer relays. */
+  public String bestRelay() {
+    long nowMs = eventLoop.nowMs();
+    PeerConnection best = null;
+    for (PeerConnection peer : peers.values()) {
+      if (peer.canRelay(nowMs)
+          && (best == null || reportsReceivedBy(peer) > reportsReceivedBy(best))) {
+        best = peer;
       }
     }
-    return null;
+    return best == null ? null : best.member();
   }
 
-  /** True if this peer says that it leads and does not hear its workers itself. */
-  public boolean isDeaf(String member) {
-    Peer p = peers.get(member);
-    return p != null && isHeard(p) && p.last.leading() && p.last.deaf();
+  private static long reportsReceivedBy(PeerConnection peer) {
+    return peer.latest().sender().reportsReceived();
   }
 
-  /** For how long a peer was not heard, ms; 0 of one that is none. */
-  public long silentMs(String member) {
-    Peer p = peers.get(member);
-    return p == null ? 0 : eventLoop.nowMs() - p.heardAt;
+  /** The number of workers whose reports the peers receive, of those peers heard from lately. */
+  public long reportsReceivedByPeers() {
+    long nowMs = eventLoop.nowMs();
+    long reports = 0;
+    for (PeerConnection peer : peers.values()) {
+      if (peer.isHeard(nowMs)) {
+        reports += reportsReceivedBy(peer);
+      }
+    }
+    return reports;
   }
 
-  private boolean isHeard(Peer p) {
-    return p.last != null && eventLoop.nowMs() - p.heardAt < PeerConstants.PEER_SILENT_MS;
+  /** True if this peer says that it leads and receives no reports from its workers itself. */
+  public boolean leadsWithWorkersUnreachable(String member) {
+    PeerConnection peer = peers.get(member);
+    return peer != null
+        && peer.isHeard(eventLoop.nowMs())
+        && peer.latest().leading()
+        && peer.latest().sender().workersUnreachable();
   }
 
-  @Override
-  public void handle(Request request, Consumer<Answer> reply) {
-    for (Map.Entry<String, Service> e : services.entrySet()) {
-      if (request.path().startsWith(e.getKey()) && request.method().equals("POST")) {
-        e.getValue().handle(request, reply);
-        return;
+  /** A peer heard from lately that renews leases in a silent leader's place, or null if none. */
+  public String anyRenewingPeer() {
+    long nowMs = eventLoop.nowMs();
+    for (PeerConnection peer : peers.values()) {
+      if (peer.isHeard(nowMs)
+          && peer.latest().renewal() != null
+          && peer.latest().renewal().renewing()) {
+        return peer.member();
       }
     }
-    if (!request.path().equals("/hail")) {
-      reply.accept(Answer.of(404, Codec.JSON, Fields.create().with("error", "unknown path")));
-      return;
-    }
-    if (!request.method().equals("POST")) {
-      reply.accept(Answer.of(405, Codec.JSON, Fields.create().with("error", "use POST")));
-      return;
-    }
-    PeerHeartbeat heartbeat;
-    try {
-      heartbeat = PeerHeartbeat.read(Codec.JSON.decode(request.body()));
-      took(heartbeat);
-    } catch (WireException e) {
-      malformed++;
-      reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
-      return;
-    }
-    // After taking note: the answer acknowledges the epoch that was just heard.
-    PeerHeartbeat answer = self.get();
-    for (Guest guest : guests) {
-      answer = guest.answer(heartbeat, answer);
-    }
-    reply.accept(Answer.of(200, Codec.JSON, answer.write()));
+    return null;
   }
 
-  private void took(PeerHeartbeat heartbeat) {
-    Peer peer = peers.get(heartbeat.member());
-    if (peer == null) {
-      return;
-    }
-    long now = eventLoop.nowMs();
-    if (peer.last == null || heartbeat.epoch() > peer.last.epoch()) {
-      peer.epochSince = now;
-    } else if (heartbeat.epoch() < peer.last.epoch()
-        && heartbeat.incarnation().equals(peer.last.incarnation())) {
-      // A packet that was held back: it says nothing of the present.
-      return;
-    } else if (heartbeat.epoch() < peer.last.epoch()) {
-      peer.epochSince = Long.MAX_VALUE;
-    }
-    peer.last = heartbeat;
-    peer.heardAt = now;
-    heard.accept(heartbeat);
+  // ---------------------------------------------------------------- silence and epochs
+
+  /** The time since a peer was last heard from, ms; 0 for a member that is no peer. */
+  public long silentMs(String member) {
+    PeerConnection peer = peers.get(member);
+    return peer == null ? 0 : eventLoop.nowMs() - peer.lastHeardAtMs();
   }
 
   /**
-   * Since when every peer has acknowledged {@code epoch}, or can't answer reports for an older one
-   * any more: those that bound themselves, from {@code boundMs} on. {@code Long.MAX_VALUE} while
-   * one counts as still answering.
+   * The moment since which each peer either acknowledges {@code epoch} or can answer no report for
+   * an older one, ms; {@code Long.MAX_VALUE} while one may.
    *
-   * @param unbounded the last epoch whose leader may be of a version that does not bound itself, or
-   *     0
+   * @param boundMs the moment from which peers that bound their renewals answer none
+   * @param unboundedEpoch the last epoch whose leader may be of a version that does not, 0 for none
    */
-  public long acknowledgedSince(long epoch, long boundMs, long unbounded) {
-    long since = Long.MIN_VALUE;
-    for (Peer p : peers.values()) {
-      if (p.last != null && p.last.epoch() >= epoch) {
-        since = Math.max(since, p.epochSince);
-      } else if (unbounded == 0 || bounds(p, unbounded)) {
-        since = Math.max(since, boundMs);
+  public long acknowledgedSince(long epoch, long boundMs, long unboundedEpoch) {
+    long sinceMs = Long.MIN_VALUE;
+    for (PeerConnection peer : peers.values()) {
+      if (peer.latest() != null && peer.latest().epoch() >= epoch) {
+        sinceMs = Math.max(sinceMs, peer.epochSinceMs());
+      } else if (unboundedEpoch == 0 || peer.boundsRenewals(unboundedEpoch)) {
+        sinceMs = Math.max(sinceMs, boundMs);
       } else {
         return Long.MAX_VALUE;
       }
     }
-    return since;
+    return sinceMs;
   }
 
   /**
-   * True if no peer can be the leader of that epoch or an older one of a version that knows no
-   * bound.
+   * True if no peer can be the leader of that epoch, or of an older one, in a version that renews
+   * leases without bound.
    */
-  public boolean allBound(long unbounded) {
-    return peers.values().stream().allMatch(p -> bounds(p, unbounded));
-  }
-
-  private static boolean bounds(Peer p, long unbounded) {
-    return p.last != null && p.last.keep() != null && p.last.epoch() >= unbounded;
+  public boolean allBoundRenewals(long unboundedEpoch) {
+    return peers.values().stream().allMatch(peer -> peer.boundsRenewals(unboundedEpoch));
   }
 
   /**
-   * True if the state service has answered some peer after {@code time}. A peer's word that it is
+   * True if the state service has served some peer after {@code timeMs}. That a peer says it is
    * served is not enough: in an outage that has just begun, it may not have noticed yet.
    */
-  public boolean peerServedAfter(long time) {
-    return peers.values().stream()
-        .anyMatch(p -> p.last != null && p.heardAt - p.last.servedAgoMs() > time);
+  public boolean peerServedAfter(long timeMs) {
+    return anyPeer(peer -> peer.lastHeardAtMs() - peer.latest().sender().servedAgoMs() > timeMs);
   }
 
   /**
-   * True if a peer that was heard lately does not make jobs wait for others. One that is silent
-   * does not count: it may be gone for good.
+   * True if a peer heard from lately is of a version that does not hold jobs back for their
+   * dependencies. One that is silent does not count: it may be gone for good.
    */
   public boolean hasHeardOutdatedPeer() {
-    for (Peer p : peers.values()) {
-      if (p.last != null
-          && !p.last.chains()
-          && eventLoop.nowMs() - p.heardAt < PeerConstants.OLD_PEER_MS) {
-        return true;
-      }
-    }
-    return false;
+    long nowMs = eventLoop.nowMs();
+    return anyPeer(
+        peer ->
+            !peer.latest().features().dependencies()
+                && nowMs - peer.lastHeardAtMs() < PeerConstants.OUTDATED_PEER_MS);
   }
 
-  /** Reports that peers heard lately say they get and redirect. */
-  public long peersHearWorkers() {
-    long heardReports = 0;
-    for (Peer p : peers.values()) {
-      if (isHeard(p)) {
-        heardReports += p.last.reportsHeard();
-      }
-    }
-    return heardReports;
+  /** True if the condition holds of a peer that was ever heard from. */
+  private boolean anyPeer(Predicate<PeerConnection> condition) {
+    return peers.values().stream().anyMatch(peer -> peer.latest() != null && condition.test(peer));
   }
 }
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -96,7 +96,7 @@
       Runnable notPassedOn = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
       long relayedMs = timeoutMs + RelayConstants.RELAY_SLACK_MS;
       around(peer, address, call, relayedMs, done, unsent, notPassedOn);
-    } else if (call.spare() && peers.anyRelay() != null) {
+    } else if (call.spare() && peers.bestRelay() != null) {
       new Question(m, address, call, timeoutMs, done, unsent).ask();
     } else {
       eventLoop.call(address, call, timeoutMs, done, unsent);
@@ -140,7 +140,7 @@
       eventLoop.after(
           Math.min(RelayConstants.HEDGE_MS, timeoutMs / 2),
           () -> {
-            String peer = over ? null : peers.anyRelay();
+            String peer = over ? null : peers.bestRelay();
             if (peer != null) {
               open++;
               around(
@@ -230,12 +230,12 @@
     if (via != null) {
       if (eventLoop.nowMs() - via.atMs
               <= settings.workers().reportMs() * RelayConstants.SILENT_REPORTS
-          && peers.relaysFor(via.member)) {
+          && peers.canRelayThrough(via.member)) {
         return via.member;
       }
       vias.remove(m.name());
     }
-    return hearing.isDeaf() ? peers.anyRelay() : null;
+    return hearing.isDeaf() ? peers.bestRelay() : null;
   }
 
   /**
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -80,10 +80,10 @@
       workers.clear();
     }
     boolean left = hasLeft(report, now);
-    if (!left && !peers.isDeaf(leader.member())) {
+    if (!left && !peers.leadsWithWorkersUnreachable(leader.member())) {
       return Decision.TO_LEADER;
     }
-    if (!isOpen(now) || !peers.relaysFor(leader.member())) {
+    if (!isOpen(now) || !peers.canRelayThrough(leader.member())) {
       // To send it back would cost it the time it waits for the leader's answer, most of its lease.
       return left ? Decision.TO_NEXT : Decision.TO_LEADER;
     }
--- a/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
+++ b/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The one form that passes between controllers: older and newer ones must read it. */
+/** The wire form of heartbeats between controllers, which older and newer versions must read. */
 class PeerHeartbeatTest {
   private static final String NOW =
       "{\"member\":\"nodo-0\",\"incarnation\":\"a1\",\"epoch\":7,\"leading\":true,"
@@ -23,45 +23,40 @@
           + "\"all\":true,\"keeping\":false,\"kept_ms_ago\":900},"
           + "\"workers\":{\"n-1\":\"10.1.0.1:9000\"},\"gone\":[\"n-2\"]}";
 
-  private static final PeerHeartbeat.Keep KEEP =
-      new PeerHeartbeat.Keep(true, 4, 7, List.of("job-000001"), 5, true, false, 900);
+  private static final RenewalStatus RENEWAL =
+      new RenewalStatus(true, 4, 7, List.of("job-000001"), 5, true, false, 900);
 
   private static PeerHeartbeat read(String json) throws WireException {
     return PeerHeartbeat.read(Codec.JSON.decode(json.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void writtenAsBefore() throws WireException {
+  void theWireFormIsUnchanged() throws WireException {
     PeerHeartbeat heartbeat =
         new PeerHeartbeat(
-            "nodo-0",
-            "a1",
-            7,
-            true,
-            12,
-            3,
-            true,
-            true,
-            false,
-            true,
+            new HeartbeatSender("nodo-0", "a1", 7, true, 12, 3, false),
+            new PeerFeatures(true, true, true),
             0,
-            KEEP,
-            Map.of("n-1", "10.1.0.1:9000"),
-            List.of("n-2"));
+            RENEWAL,
+            new WorkerAddressUpdate(Map.of("n-1", "10.1.0.1:9000"), List.of("n-2")));
     assertEquals(NOW, new String(Codec.JSON.encode(heartbeat.write()), StandardCharsets.UTF_8));
     assertEquals(heartbeat, read(NOW));
   }
 
   /**
-   * The version in production says nothing of chained jobs; what a newer one says more is ignored.
+   * The version in production says nothing of dependencies; unknown fields of a newer one are
+   * ignored.
    */
   @Test
-  void olderAndNewerAreRead() throws WireException {
-    assertFalse(read(NOW.replace("\"chains\":true,", "")).chains());
-    assertTrue(read(NOW.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],")).chains());
-    assertNull(read(NOW.replace("keep", "kept")).keep());
+  void formsOfOlderAndNewerVersionsAreRead() throws WireException {
+    assertFalse(read(NOW.replace("\"chains\":true,", "")).features().dependencies());
+    assertTrue(
+        read(NOW.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],"))
+            .features()
+            .dependencies());
+    assertNull(read(NOW.replace("keep", "kept")).renewal());
     assertEquals(
         PeerConstants.NEVER_RENEWED,
-        read(NOW.replace(",\"kept_ms_ago\":900", "")).keep().keptMsAgo());
+        read(NOW.replace(",\"kept_ms_ago\":900", "")).renewal().renewedAgoMs());
   }
 }
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -14,6 +14,8 @@
 import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
 import fennelthread.net.StallDetector;
+import fennelthread.peers.HeartbeatSender;
+import fennelthread.peers.LocalStatus;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.settings.Settings;
@@ -87,9 +89,20 @@
       new PeerHeartbeats(
           eventLoop,
           settings,
-          () -> new PeerHeartbeat("nodo-0", "a", 7, true, 0, 0, false),
-          Map::of,
-          g -> {});
+          new LocalStatus() {
+            @Override
+            public HeartbeatSender sender() {
+              return new HeartbeatSender("nodo-0", "a", 7, true, 0, 0, false);
+            }
+
+            @Override
+            public Map<String, String> workerAddresses() {
+              return Map.of();
+            }
+
+            @Override
+            public void onHeartbeat(PeerHeartbeat heartbeat) {}
+          });
   private final LeaderReachability hearing = new LeaderReachability(1_500);
   private final CommandSender courier =
       new CommandSender(eventLoop, settings, peers, hearing, () -> 7);
