--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -162,7 +162,7 @@
     }
   }
 
-  /** Adds a job's chunks of finished tasks while the transaction has room; true if all fit. */
+  /** Adds a job's chunks of finished tasks while they fit into the transaction; true if all do. */
   private boolean addFinishedTasks(ActiveJob activeJob, Batch batch) {
     Txn txn = batch.txn();
     Job job = activeJob.job();
@@ -177,7 +177,7 @@
       anyAdded = true;
       String key = Keys.finished(activeJob.id(), chunk);
       // A transaction without an answer may be applied after a newer one: it must not take back
-      // what that one holds, since the workers were told to clear those tasks.
+      // what that one holds, since the workers have cleared those tasks.
       txn.when(key, replica.revisionOf(key))
           .write(
               key,
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -19,14 +19,14 @@
  * The right of this controller to lead: a state machine over a time-limited lease at the state
  * service and the epoch, which rises at each claim and never expires.
  *
- * <p>Claims are {@link LeadershipClaim}; {@link LeaseRenewal} keeps the lease alive and counts the
- * local one. Used on the event loop's thread.
+ * <p>{@link ClaimSchedule} says when to claim, {@link LeadershipClaim} submits the claim, {@link
+ * LeaseRenewal} keeps the lease alive and counts the local one. Used on the event loop's thread.
  */
 public final class Lease {
   private static final Logger log = LoggerFactory.getLogger(Lease.class);
 
   /** Whether this controller leads. */
-  public enum Phase {
+  private enum Phase {
     /** Another controller leads, or nobody does yet. */
     FOLLOWING,
     /** A claim is under way. */
@@ -49,19 +49,16 @@
   private final Replica replica;
   private final LeaderRecords records;
   private final LeadershipClaim claim;
+  private final ClaimSchedule schedule;
   private final LeaseRenewal renewal;
   private final PeerAssurance peers;
   private final Listener listener;
   private final String member;
-  private final String incarnation;
   private Phase phase = Phase.FOLLOWING;
   private long epoch;
   private long epochRevision;
   private long highestEpoch;
   private long unboundedEpoch;
-  private long earliestClaimMs;
-  private boolean claimScheduled;
-  private boolean revokingPredecessor;
 
   /**
    * Creates the lease of one process, which follows at first.
@@ -84,7 +81,7 @@
     this.peers = peers;
     this.listener = listener;
     this.member = settings.member();
-    this.incarnation = incarnation;
+    this.schedule = new ClaimSchedule(eventLoop, state, member, incarnation, new VacancyClaim());
     this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
     this.renewal = new LeaseRenewal(eventLoop, state, settings, options, new RenewalOwner());
     replica.listen(this::onRecordChanged);
@@ -209,13 +206,13 @@
     if (phase != Phase.LEADING) {
       return;
     }
-    earliestClaimMs = eventLoop.nowMs() + pauseMs;
+    schedule.pauseFor(pauseMs);
     renewal.invalidate();
     long heldLeaseId = renewal.storeLeaseId();
     transitionTo(Phase.FOLLOWING, reason);
     state.revokeLease(heldLeaseId, status -> {});
     listener.onDeposed(reason);
-    eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::claimIfVacant);
+    schedule.retryAfter(pauseMs + ProtocolConstants.RETRY_MS);
   }
 
   /**
@@ -230,51 +227,13 @@
       records
           .leader()
           .ifPresentOrElse(
-              this::revokeLeaseOfPredecessor,
+              schedule::revokeIfPredecessor,
               () -> log.error("record unreadable key={}", Keys.LEAD));
-    } else if (!claimScheduled) {
-      scheduleClaim();
+    } else {
+      schedule.scheduleClaim();
     }
   }
 
-  private void scheduleClaim() {
-    claimScheduled = true;
-    long waitMs = Math.max(0, earliestClaimMs - eventLoop.nowMs());
-    eventLoop.after(
-        waitMs + (long) (LeaderConstants.CLAIM_JITTER_MS * eventLoop.random().nextDouble()),
-        () -> {
-          claimScheduled = false;
-          if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
-            startClaim("no leader", new Txn().when(Keys.LEAD, 0));
-          }
-        });
-  }
-
-  private void revokeLeaseOfPredecessor(LeaderRecord leader) {
-    if (revokingPredecessor
-        || !leader.member().equals(member)
-        || leader.incarnation().equals(incarnation)) {
-      return;
-    }
-    revokingPredecessor = true;
-    if (Math.abs(eventLoop.wallMs() - leader.claimedAtWallMs())
-        < LeaderConstants.CRASH_LOOP_WINDOW_MS) {
-      // The predecessor ended soon after its claim, and so may this process: a member that runs
-      // well goes first. A process that ends at once each time would otherwise lead for ever, a
-      // moment at a time.
-      earliestClaimMs =
-          Math.max(earliestClaimMs, eventLoop.nowMs() + LeaderConstants.CRASH_LOOP_PAUSE_MS);
-    }
-    state.revokeLease(
-        leader.storeLeaseId(),
-        status -> {
-          revokingPredecessor = false;
-          if (status != 200 && status != 404) {
-            eventLoop.after(ProtocolConstants.RETRY_MS, this::claimIfVacant);
-          }
-        });
-  }
-
   /**
    * True if another member leads under this epoch, and its version starts tasks only while its
    * peers' promises back it: then a majority of them may replace it while its lease still runs.
@@ -306,8 +265,6 @@
     }
   }
 
-  // ---------------------------------------------------------------- claim and renewal
-
   private void startClaim(String reason, Txn conditions) {
     transitionTo(Phase.CLAIMING, reason);
     long sentAtMs = eventLoop.nowMs();
@@ -324,6 +281,20 @@
         });
   }
 
+  private final class VacancyClaim implements ClaimSchedule.Claimant {
+    @Override
+    public void onClaimDue() {
+      if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
+        startClaim("no leader", new Txn().when(Keys.LEAD, 0));
+      }
+    }
+
+    @Override
+    public void claimIfVacant() {
+      Lease.this.claimIfVacant();
+    }
+  }
+
   private final class NextEpoch implements LeadershipClaim.EpochSource {
     @Override
     public long nextEpoch() {
@@ -339,9 +310,8 @@
 
   private void onClaimFailed(String reason) {
     transitionTo(Phase.FOLLOWING, reason);
-    eventLoop.after(
-        (long) (ProtocolConstants.RETRY_MS * (0.5 + eventLoop.random().nextDouble())),
-        this::claimIfVacant);
+    schedule.retryAfter(
+        (long) (ProtocolConstants.RETRY_MS * (0.5 + eventLoop.random().nextDouble())));
   }
 
   private void onClaimCommitted(LeadershipClaim.Outcome.Committed committed, long sentAtMs) {
