--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -36,7 +36,7 @@
 import fennelthread.relay.UnreachableLeaderNotice;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
-import fennelthread.zones.Zones;
+import fennelthread.zones.ZoneMonitor;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -65,7 +65,7 @@
   private final MemoryPressureMonitor memory;
   private final LeaderElection election;
   private final FollowerLeaseRenewer renewer;
-  private final Zones zones;
+  private final ZoneMonitor zones;
   private final StallDetector stalls;
   private final StateServiceCheck stateServiceCheck;
   private final WorkerReachabilityCheck reachabilityCheck;
@@ -104,7 +104,7 @@
         new LeaderElection(eventLoop, settings, peers, records.state(), records.replica(), lease);
     Handover handover = new Handover(records.state(), peers);
     this.renewer = createLeaseRenewer();
-    this.zones = new Zones(settings);
+    this.zones = new ZoneMonitor(settings);
     this.stalls = new StallDetector(eventLoop);
     this.stateServiceCheck =
         new StateServiceCheck(eventLoop, records.state(), records.replica(), peers);
@@ -132,7 +132,7 @@
   private MachineTypes createMachineTypes() {
     MachineTypes types =
         new MachineTypes(eventLoop, cloud, records.state(), records.replica(), lease);
-    records.replica().listen((key, value, revision) -> types.onRecordChanged(key, value));
+    records.replica().addListener((key, value, revision) -> types.onRecordChanged(key, value));
     return types;
   }
 
@@ -203,7 +203,7 @@
     log.info("controller started member={} incarnation={}", settings.member(), incarnation);
     warnIfCancelTimeoutTooShort();
     records.replica().start();
-    records.replica().onAdvance(this::onReplicaLoaded);
+    records.replica().onNextAdvance(this::onReplicaLoaded);
     stalls.start();
     peers.start();
     election.start();
@@ -278,7 +278,7 @@
       commands.begin(epoch);
       election.beginTerm(epoch);
       renewer.elected();
-      zones.begin(now);
+      zones.beginTerm(now);
       currentTerm.begin(now, () -> newTerm(epoch, now));
       peers.sendHeartbeats();
     }
@@ -321,7 +321,7 @@
         incarnation,
         lease.highestEpoch(),
         lease.isLeading(),
-        eventLoop.nowMs() - records.state().servedAtMs(),
+        eventLoop.nowMs() - records.state().lastServedAtMs(),
         workers.recentReporters(),
         lease.isLeading() && reachability.isDeaf());
   }
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -7,6 +7,7 @@
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.wire.Codec;
@@ -108,7 +109,7 @@
       return;
     }
     Txn txn = new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.MACHINE_TYPES, value);
-    state.txn(StateClient.Lane.UPKEEP, txn, result -> {});
+    state.txn(RequestPriority.MAINTENANCE, txn, result -> {});
   }
 
   /** Leaves out the prices: they change all the time, and would be stored each time. */
--- a/src/main/java/fennelthread/control/StateServiceCheck.java
+++ b/src/main/java/fennelthread/control/StateServiceCheck.java
@@ -35,21 +35,18 @@
   void confirmReplicaIfSilent() {
     long now = eventLoop.nowMs();
     boolean silent =
-        now - Math.min(state.servedAtMs(), replica.readAtMs())
+        now - Math.min(state.lastServedAtMs(), replica.currentAsOfMs())
             > ControlConstants.STATE_SILENCE_CHECK_MS;
     if (replica.isReady() && silent) {
-      state.changes(
-          changes -> {
-            if (changes >= 0) {
-              replica.confirmed(changes, now);
-            }
-          });
+      state.readStoreRevision(
+          revision -> revision.ifPresent(reached -> replica.confirmRevision(reached, now)));
     }
   }
 
   /** True if the state service refuses this controller and has served a peer since. */
   public boolean isRefusedOnlyHere() {
-    return state.refusedForMs() > ControlConstants.REFUSED_ONLY_HERE_MS
-        && peers.peerServedAfter(state.servedAtMs() + ControlConstants.REFUSED_ONLY_HERE_MS / 2);
+    return state.failingForMs() > ControlConstants.REFUSED_ONLY_HERE_MS
+        && peers.peerServedAfter(
+            state.lastServedAtMs() + ControlConstants.REFUSED_ONLY_HERE_MS / 2);
   }
 }
--- a/src/main/java/fennelthread/election/TakeoverCoordinator.java
+++ b/src/main/java/fennelthread/election/TakeoverCoordinator.java
@@ -122,7 +122,7 @@
     // Nobody can claim without the state service: a controller that is cut off from it together
     // with a peer would otherwise ask that peer every second.
     if (!requestingAgreement
-        && state.answersSoon(0)
+        && state.canAnswerInTime(0)
         && nowMs - suspectedSinceMs >= successorRank() * ElectionConstants.SUCCESSOR_STEP_MS) {
       requestAgreement();
     }
--- a/src/main/java/fennelthread/jobs/JobCanceller.java
+++ b/src/main/java/fennelthread/jobs/JobCanceller.java
@@ -3,8 +3,9 @@
 import fennelthread.constants.JobConstants;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -25,7 +26,7 @@
   private final FinalRecords finalRecords;
   private final JobQueries queries;
   private final DependencyGraph graph;
-  private final Limits limits;
+  private final SizeLimits limits;
   private boolean cancellingDependents;
 
   JobCanceller(
@@ -85,11 +86,11 @@
     }
 
     void send() {
-      state.txn(StateClient.Lane.ANSWER, txn, this::onOverdue, this::onResult);
+      state.txn(RequestPriority.INTERACTIVE, txn, this::onOverdue, this::onResult);
     }
 
     private void onOverdue() {
-      if (triesLeft > 1 && state.answersSoon(JobConstants.CHANGES_PER_FINAL_RECORD)) {
+      if (triesLeft > 1 && state.canAnswerInTime(JobConstants.CHANGES_PER_FINAL_RECORD)) {
         retry();
       }
     }
@@ -128,7 +129,7 @@
     Txn txn = new Txn();
     Map<String, FinalRecord> written = new LinkedHashMap<>();
     for (Job job : graph.jobsToCancel()) {
-      if (txn.ops() + JobConstants.CHANGES_PER_FINAL_RECORD > limits.txnOps()) {
+      if (txn.changes() + JobConstants.CHANGES_PER_FINAL_RECORD > limits.txnChanges()) {
         break;
       }
       FinalRecord finalRecord = cancelledRecord(job);
@@ -137,7 +138,7 @@
     }
     cancellingDependents = true;
     state.txn(
-        StateClient.Lane.ROUND,
+        RequestPriority.SCHEDULING,
         txn,
         result -> {
           cancellingDependents = false;
@@ -164,6 +165,6 @@
   void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
     // All of them first: the replica's listeners look up why a job was removed.
     written.forEach(finalRecords::add);
-    replica.applied(txn, revision);
+    replica.applyCommitted(txn, revision);
   }
 }
--- a/src/main/java/fennelthread/leader/ClaimSchedule.java
+++ b/src/main/java/fennelthread/leader/ClaimSchedule.java
@@ -83,9 +83,9 @@
     }
     state.revokeLease(
         leader.storeLeaseId(),
-        status -> {
+        revocation -> {
           isRevoking = false;
-          if (status != 200 && status != 404) {
+          if (!revocation.isConfirmed()) {
             retryAfter(ProtocolConstants.RETRY_MS);
           }
         });
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -9,8 +9,9 @@
 import fennelthread.jobs.JobStore;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -54,7 +55,7 @@
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final Lease lease;
   private final JobStore store;
   private final ActiveJobs activeJobs;
@@ -127,14 +128,14 @@
             >= LeaderConstants.FINISHED_TASKS_FLUSH_INTERVAL_MS) {
       addFinishedTasks(batch);
     }
-    if (batch.txn().ops() == 0) {
+    if (batch.txn().changes() == 0) {
       transitionTo(Phase.IDLE);
       return;
     }
     transitionTo(Phase.WRITING);
     batches = batch.number();
     state.txn(
-        batch.ends().isEmpty() ? StateClient.Lane.UPKEEP : StateClient.Lane.ROUND,
+        batch.ends().isEmpty() ? RequestPriority.MAINTENANCE : RequestPriority.SCHEDULING,
         batch.txn(),
         () -> onAnswerOverdue(batch),
         result -> onAnswered(batch, result));
@@ -143,7 +144,7 @@
   private void addDoneJobs(Batch batch) {
     for (ActiveJob activeJob : unstored) {
       if (activeJob.unfinishedCount() == 0
-          && batch.txn().ops() + JobConstants.CHANGES_PER_FINAL_RECORD <= limits.txnOps()) {
+          && batch.txn().changes() + JobConstants.CHANGES_PER_FINAL_RECORD <= limits.txnChanges()) {
         Job job = activeJob.job();
         FinalRecord end = new FinalRecord(JobState.DONE, job.spec().tasks(), eventLoop.wallMs());
         JobStore.addFinalRecord(batch.txn(), job, end);
@@ -170,7 +171,7 @@
     boolean allFit = true;
     boolean anyAdded = false;
     for (int chunk : activeJob.unstoredChunks()) {
-      if (txn.ops() >= limits.txnOps() || txn.conditions() >= limits.conditions()) {
+      if (txn.changes() >= limits.txnChanges() || txn.conditions() >= limits.txnConditions()) {
         allFit = false;
         break;
       }
--- a/src/main/java/fennelthread/leader/LeaderRecords.java
+++ b/src/main/java/fennelthread/leader/LeaderRecords.java
@@ -21,12 +21,12 @@
 
   /** True if the copy holds a leader's record, readable or not. */
   boolean hasLeader() {
-    return replica.get(Keys.LEAD) != null;
+    return replica.get(Keys.LEADER) != null;
   }
 
   /** The current leader's record; empty if nobody leads or it can't be read. */
   Optional<LeaderRecord> leader() {
-    Fields stored = replica.get(Keys.LEAD);
+    Fields stored = replica.get(Keys.LEADER);
     try {
       return stored == null ? Optional.empty() : Optional.of(LeaderRecord.decode(stored));
     } catch (WireException e) {
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -84,7 +84,7 @@
     this.schedule = new ClaimSchedule(eventLoop, state, member, incarnation, new VacancyClaim());
     this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
     this.renewal = new LeaseRenewal(eventLoop, state, settings, options, new RenewalOwner());
-    replica.listen(this::onRecordChanged);
+    replica.addListener(this::onRecordChanged);
   }
 
   // ---------------------------------------------------------------- questions
@@ -176,7 +176,7 @@
       } catch (WireException e) {
         log.error("record unreadable key={} error={}", key, e.getMessage());
       }
-    } else if (key.equals(Keys.LEAD)) {
+    } else if (key.equals(Keys.LEADER)) {
       if (phase == Phase.LEADING && value == null && revision > epochRevision) {
         stepDown("lease at the state service expired", 0);
       }
@@ -210,7 +210,7 @@
     renewal.invalidate();
     long heldLeaseId = renewal.storeLeaseId();
     transitionTo(Phase.FOLLOWING, reason);
-    state.revokeLease(heldLeaseId, status -> {});
+    state.revokeLease(heldLeaseId, revocation -> {});
     listener.onDeposed(reason);
     schedule.retryAfter(pauseMs + ProtocolConstants.RETRY_MS);
   }
@@ -228,7 +228,7 @@
           .leader()
           .ifPresentOrElse(
               schedule::revokeIfPredecessor,
-              () -> log.error("record unreadable key={}", Keys.LEAD));
+              () -> log.error("record unreadable key={}", Keys.LEADER));
     } else {
       schedule.scheduleClaim();
     }
@@ -260,8 +260,8 @@
       startClaim(
           "leader silent",
           new Txn()
-              .when(Keys.LEAD, replica.revisionOf(Keys.LEAD))
-              .when(Keys.SOLO, unilateralRevision));
+              .when(Keys.LEADER, replica.revisionOf(Keys.LEADER))
+              .when(Keys.UNILATERAL_LEADERSHIP, unilateralRevision));
     }
   }
 
@@ -285,7 +285,7 @@
     @Override
     public void onClaimDue() {
       if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
-        startClaim("no leader", new Txn().when(Keys.LEAD, 0));
+        startClaim("no leader", new Txn().when(Keys.LEADER, 0));
       }
     }
 
@@ -323,7 +323,7 @@
     highestEpoch = Math.max(highestEpoch, claimedEpoch);
     transitionTo(Phase.LEADING, "claim committed");
     listener.onElected(claimedEpoch);
-    replica.applied(committed.txn(), committed.epochRevision());
+    replica.applyCommitted(committed.txn(), committed.epochRevision());
     // The listener, or what the copy of the state brought, may have ended the term already.
     if (isLeadingUnder(claimedEpoch)) {
       renewal.scheduleFirst(claimedEpoch);
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -7,7 +7,7 @@
 import fennelthread.plan.Aging;
 import fennelthread.plan.Snapshot;
 import fennelthread.settings.Settings;
-import fennelthread.state.Limits;
+import fennelthread.state.SizeLimits;
 import fennelthread.wire.MachineType;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -52,10 +52,10 @@
     this.maxStarts = maxStarts(context.state().limits());
   }
 
-  private static int maxStarts(Limits limits) {
+  private static int maxStarts(SizeLimits limits) {
     return Math.min(
         LeaderConstants.MAX_STARTS_PER_ROUND,
-        limits.txnOps() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
+        limits.txnChanges() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
   /** Builds a snapshot of this moment; empty if no task may be started. */
