--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -96,7 +96,9 @@
     return rounds(epoch) + String.format("-%08d", seq);
   }
 
-  /** The job that a key of several per job belongs to: {@link #FINISHED} or {@link #NEEDS}. */
+  /**
+   * The job that a key of several per job belongs to: {@link #FINISHED} or {@link #DEPENDENCIES}.
+   */
   public static String jobOf(String prefix, String key) {
     return key.substring(prefix.length(), key.lastIndexOf('/'));
   }
