--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -120,14 +120,12 @@
     Snapshot.Machine snapshotOf(Machine machine, MachineType type) {
       return new Snapshot.Machine(
           machine.name(),
-          machine.type(),
+          type,
           machine.zone(),
           machine.spot(),
-          type.cpus(),
           freeCpus,
           freeCards,
           freeMemGb,
-          type.fetchGbPerS(),
           Set.copyOf(machine.images()),
           fetchingImages,
           tasksByClass,
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -119,7 +119,7 @@
   private static double totalCpus(List<Snapshot.Machine> machines) {
     double cpus = 0;
     for (Snapshot.Machine machine : machines) {
-      cpus += machine.cpusTotal();
+      cpus += machine.type().cpus();
     }
     return cpus;
   }
--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -142,7 +142,7 @@
 
   /** How many tasks of a class are there, those that this round starts included. */
   int tasksOfClass(String jobClass) {
-    return (tasksByClass == null ? machine.classes() : tasksByClass).getOrDefault(jobClass, 0);
+    return (tasksByClass == null ? machine.tasksByClass() : tasksByClass).getOrDefault(jobClass, 0);
   }
 
   /** Allocates capacity to a task that starts now. */
@@ -153,7 +153,7 @@
     slots--;
     if (tasksByClass == null) {
       // Copied only here: most machines get nothing in a round.
-      tasksByClass = new HashMap<>(machine.classes());
+      tasksByClass = new HashMap<>(machine.tasksByClass());
       fetching = new HashSet<>(machine.fetching());
     }
     tasksByClass.merge(spec.jobClass(), 1, Integer::sum);
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -52,7 +52,7 @@
     }
     double undisturbedS =
         spec.imageGb()
-            / Math.max(PlanConstants.MIN_FETCH_GB_PER_S, machine.machine().fetchGbPerS());
+            / Math.max(PlanConstants.MIN_FETCH_GB_PER_S, machine.machine().type().fetchGbPerS());
     return machine.fetching().contains(spec.image())
         ? undisturbedS * (spec.service() ? 1 : PlanConstants.REMAINING_FETCH_SHARE)
         : undisturbedS * (1 + machine.fetching().size());
@@ -66,7 +66,7 @@
     JobSpec spec = pendingJob.spec();
     double fetchS = fetchSeconds(spec, machine);
     double freeShare =
-        (machine.freeCpus() - spec.cpus()) / Math.max(1, machine.machine().cpusTotal());
+        (machine.freeCpus() - spec.cpus()) / Math.max(1, machine.machine().type().cpus());
     if (spec.service()) {
       // A replica that must wait for its image anyway brings it to a machine with few others: the
       // loss of one machine then costs little, and later replicas find the image on machines with
--- a/src/main/java/fennelthread/plan/PlacementConstraints.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -32,7 +32,7 @@
   }
 
   private static boolean allowKind(JobSpec spec, Snapshot.Machine machine) {
-    return (spec.types() == null || spec.types().contains(machine.type()))
+    return (spec.types() == null || spec.types().contains(machine.type().name()))
         && (spec.zone() == null || spec.zone().equals(machine.zone()))
         && (!machine.spot() || spec.spotAllowed());
   }
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -86,7 +86,7 @@
     return waitsWithoutCandidates;
   }
 
-  /** How many machines may be reserved at once for tasks that need a whole one to drain. */
+  /** How many machines may be reserved at once for tasks of aged jobs that fit nowhere else. */
   static int maxReservedMachines(Snapshot snapshot) {
     int share = (int) (snapshot.machines().size() * PlanConstants.RESERVED_MACHINES_SHARE);
     return Math.max(1, share);
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -3,6 +3,7 @@
 import fennelthread.constants.PlanConstants;
 import fennelthread.constants.ProtocolConstants;
 import fennelthread.wire.JobSpec;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.Priority;
 import java.util.List;
 import java.util.Map;
@@ -42,33 +43,29 @@
    * A machine that may take tasks.
    *
    * @param name its name
-   * @param type the name of its machine type
+   * @param type its machine type
    * @param zone its zone
    * @param spot true if it is a spot instance
-   * @param cpusTotal the CPUs of its type
    * @param cpus free CPUs
    * @param cards free accelerator cards
    * @param memGb free memory, GB
-   * @param fetchGbPerS how fast it fetches images, GB/s
    * @param images the images in its cache
    * @param fetching the images that it is fetching
-   * @param classes the number of its tasks by job class
+   * @param tasksByClass the number of its tasks by job class
    * @param running the tasks that may be preempted, and those that are stopping already
    * @param slots for how many more tasks its worker's reports have space
    */
   public record Machine(
       String name,
-      String type,
+      MachineType type,
       String zone,
       boolean spot,
-      double cpusTotal,
       double cpus,
       double cards,
       double memGb,
-      double fetchGbPerS,
       Set<String> images,
       Set<String> fetching,
-      Map<String, Integer> classes,
+      Map<String, Integer> tasksByClass,
       List<RunningTask> running,
       int slots) {}
 
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/PlainPlanner.java
@@ -45,7 +45,7 @@
       this.memGb = machine.memGb();
       this.slots = machine.slots();
       this.fetching = new HashSet<>(machine.fetching());
-      this.classes = new HashMap<>(machine.classes());
+      this.classes = new HashMap<>(machine.tasksByClass());
     }
 
     boolean fitsIgnoringReservations(JobSpec spec) {
@@ -202,7 +202,7 @@
 
   /** True if the job's own rules let a task of it start there now. */
   static boolean allowed(JobSpec spec, Map<String, Integer> zones, Snapshot.Machine machine) {
-    if (spec.types() != null && !spec.types().contains(machine.type())) {
+    if (spec.types() != null && !spec.types().contains(machine.type().name())) {
       return false;
     }
     if (spec.zone() != null && !spec.zone().equals(machine.zone())) {
@@ -250,7 +250,7 @@
     if (capacity.machine.images().contains(spec.image())) {
       return 0;
     }
-    double alone = spec.imageGb() / Math.max(0.01, capacity.machine.fetchGbPerS());
+    double alone = spec.imageGb() / Math.max(0.01, capacity.machine.type().fetchGbPerS());
     return capacity.fetching.contains(spec.image())
         ? alone * (spec.service() ? 1 : REMAINING_FETCH_SHARE)
         : alone * (1 + capacity.fetching.size());
@@ -262,7 +262,7 @@
   private static double score(Snapshot.PendingJob pendingJob, FreeCapacity capacity) {
     JobSpec spec = pendingJob.spec();
     double fetch = fetchSeconds(spec, capacity);
-    double left = (capacity.cpus - spec.cpus()) / Math.max(1, capacity.machine.cpusTotal());
+    double left = (capacity.cpus - spec.cpus()) / Math.max(1, capacity.machine.type().cpus());
     if (spec.service()) {
       // A replica that must wait for its image anyway brings it to a machine with few others: one
       // death then costs little, and later replicas find the image on machines with capacity.
--- a/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
@@ -192,14 +192,12 @@
         h.type(),
         h.zone(),
         h.spot(),
-        h.cpusTotal(),
         h.cpus(),
         h.cards(),
         h.memGb(),
-        h.fetchGbPerS(),
         h.images(),
         h.fetching(),
-        h.classes(),
+        h.tasksByClass(),
         h.running(),
         slots);
   }
@@ -240,7 +238,7 @@
       team[1] += spec.cards();
       Snapshot.TeamUsage use = s.teams().get(spec.team());
       assertTrue(use.cpus() + team[0] <= use.cpusMax() && use.cards() + team[1] <= use.cardsMax());
-      assertTrue(spec.types() == null || spec.types().contains(machine.type()));
+      assertTrue(spec.types() == null || spec.types().contains(machine.type().name()));
       assertTrue(spec.zone() == null || spec.zone().equals(machine.zone()));
       assertTrue(spec.spotAllowed() || !machine.spot());
       Map<String, Integer> at = zones.get(spec.id());
--- a/src/test/java/fennelthread/plan/SnapshotFixtures.java
+++ b/src/test/java/fennelthread/plan/SnapshotFixtures.java
@@ -1,6 +1,7 @@
 package fennelthread.plan;
 
 import fennelthread.wire.JobSpec;
+import fennelthread.wire.MachineType;
 import fennelthread.wire.Priority;
 import java.util.ArrayList;
 import java.util.List;
@@ -47,21 +48,21 @@
       double fetchGbPerS,
       Set<String> images,
       Set<String> fetching,
-      Map<String, Integer> classes,
+      Map<String, Integer> tasksByClass,
       List<Snapshot.RunningTask> running) {
+    MachineType machineType =
+        new MachineType(type, cpusTotal, 0, 0, 0, fetchGbPerS, 0, 0, 0, List.of());
     return new Snapshot.Machine(
         name,
-        type,
+        machineType,
         zone,
         spot,
-        cpusTotal,
         cpus,
         cards,
         memGb,
-        fetchGbPerS,
         images,
         fetching,
-        classes,
+        tasksByClass,
         running,
         Integer.MAX_VALUE);
   }
