--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -5,6 +5,7 @@
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -65,13 +66,13 @@
 
   /** The revision of the declaration in the local replica, 0 if there is none. */
   long recordedRevision() {
-    return replica.revisionOf(Keys.SOLO);
+    return replica.revisionOf(Keys.UNILATERAL_LEADERSHIP);
   }
 
   /** True if the local replica holds a declaration for this epoch, or an unreadable one. */
   boolean isRecordedFor(long epoch) {
     try {
-      Fields declaration = replica.get(Keys.SOLO);
+      Fields declaration = replica.get(Keys.UNILATERAL_LEADERSHIP);
       return declaration != null && declaration.count(EPOCH_FIELD) == epoch;
     } catch (WireException e) {
       return true;
@@ -108,9 +109,13 @@
     long epoch = lease.epoch();
     transitionTo(declared ? Phase.DECLARING : Phase.REVOKING, epoch);
     Fields declaration = Fields.create().with(EPOCH_FIELD, declared ? epoch : 0L);
-    Txn txn = lease.fencedTxn().when(Keys.SOLO, recordedRevision()).write(Keys.SOLO, declaration);
+    Txn txn =
+        lease
+            .fencedTxn()
+            .when(Keys.UNILATERAL_LEADERSHIP, recordedRevision())
+            .write(Keys.UNILATERAL_LEADERSHIP, declaration);
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         txn,
         result -> {
           if (termOfWrite != term) {
@@ -119,7 +124,7 @@
           boolean applied = result instanceof TxnResult.Applied;
           transitionTo(declared && applied ? Phase.DECLARED : Phase.NOT_DECLARED, epoch);
           if (result instanceof TxnResult.Applied success) {
-            replica.applied(txn, success.revision());
+            replica.applyCommitted(txn, success.revision());
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -51,9 +51,10 @@
       }
       cancelled |= isCancelled(dependency, finalRecord.orElse(null));
     }
-    Unavailability why = toRead.isEmpty() ? null : state.whyNotSoon(0);
-    if (why != null) {
-      done.accept(new DependencyCheckResult.Unavailable(why));
+    Optional<Unavailability> unavailability =
+        toRead.isEmpty() ? Optional.empty() : state.unavailability(0);
+    if (unavailability.isPresent()) {
+      done.accept(new DependencyCheckResult.Unavailable(unavailability.get()));
     } else {
       readFrom(toRead, 0, cancelled, done);
     }
--- a/src/main/java/fennelthread/jobs/JobRecordReader.java
+++ b/src/main/java/fennelthread/jobs/JobRecordReader.java
@@ -1,6 +1,9 @@
 package fennelthread.jobs;
 
+import fennelthread.state.KeyPage;
+import fennelthread.state.KeyValue;
 import fennelthread.state.Keys;
+import fennelthread.state.ReadResult;
 import fennelthread.state.Replica;
 import fennelthread.state.StateClient;
 import fennelthread.state.Unavailability;
@@ -12,7 +15,7 @@
   /** Receives the live record of a job that has one. */
   @FunctionalInterface
   private interface LiveRecordHandler {
-    void onLiveRecord(StateClient.Entry record);
+    void onLiveRecord(KeyValue record);
   }
 
   private final StateClient state;
@@ -52,17 +55,17 @@
     state.get(
         Keys.job(id),
         live -> {
-          if (live == null) {
+          if (live instanceof ReadResult.Unavailable) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
-          } else if (live.value() == null) {
-            finalRecords.read(id, done);
+          } else if (live instanceof ReadResult.Found found) {
+            onLiveRecord.onLiveRecord(found.entry());
           } else {
-            onLiveRecord.onLiveRecord(live);
+            finalRecords.read(id, done);
           }
         });
   }
 
-  private void readProgressOf(String id, StateClient.Entry live, Consumer<LookupResult> done) {
+  private void readProgressOf(String id, KeyValue live, Consumer<LookupResult> done) {
     try {
       Job job =
           table.get(id) != null
@@ -81,16 +84,17 @@
   private void readChunks(Job job, String afterKey, Consumer<LookupResult> done) {
     String id = job.spec().id();
     state.list(
-        Keys.finishedOf(id),
+        Keys.finishedPrefix(id),
         afterKey,
-        page -> {
-          if (page == null) {
+        result -> {
+          if (result.isEmpty()) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
             return;
           }
+          KeyPage page = result.get();
           try {
-            for (StateClient.Entry chunk : page.items()) {
-              replica.learned(chunk);
+            for (KeyValue chunk : page.items()) {
+              replica.applyRead(chunk);
               job.addFinishedChunk(Keys.partOf(chunk.key()), chunk.value());
             }
           } catch (WireException e) {
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -96,7 +96,7 @@
   }
 
   @Override
-  public void changed(String key, Fields value, long revision) {
+  public void onChange(String key, Fields value, long revision) {
     try {
       if (key.startsWith(Keys.JOB)) {
         onJobRecord(key.substring(Keys.JOB.length()), value, revision);
@@ -104,7 +104,7 @@
         onFinishedChunk(key, value);
       } else if (key.startsWith(Keys.DEPENDENCIES)) {
         onDependencyPart(key, value);
-      } else if (key.startsWith(Keys.ROUND)) {
+      } else if (key.startsWith(Keys.START_RECORD)) {
         onStartRecord(key, value);
       }
     } catch (WireException e) {
@@ -140,7 +140,7 @@
   }
 
   private void onDependencyPart(String key, Fields value) throws WireException {
-    String id = Keys.jobOf(Keys.DEPENDENCIES, key);
+    String id = Keys.jobIdOf(Keys.DEPENDENCIES, key);
     int part = Keys.partOf(key);
     if (value == null) {
       dependencyParts.computeIfPresent(
@@ -187,7 +187,7 @@
     if (value == null) {
       return;
     }
-    String id = Keys.jobOf(Keys.FINISHED, key);
+    String id = Keys.jobIdOf(Keys.FINISHED, key);
     Job job = jobs.get(id);
     if (job == null) {
       // Keys arrive in order of their names when the replica loads: chunks come before jobs.
--- a/src/main/java/fennelthread/jobs/TransactionPipeline.java
+++ b/src/main/java/fennelthread/jobs/TransactionPipeline.java
@@ -1,5 +1,6 @@
 package fennelthread.jobs;
 
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -50,7 +51,7 @@
     B batch = handler.nextBatch();
     inFlight++;
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         batch.txn,
         () -> {
           releaseSlot(batch);
--- a/src/main/java/fennelthread/leader/LeaseRenewal.java
+++ b/src/main/java/fennelthread/leader/LeaseRenewal.java
@@ -5,6 +5,7 @@
 import fennelthread.net.EventLoop;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
+import fennelthread.state.LeaseRenewalResult;
 import fennelthread.state.StateClient;
 
 /**
@@ -92,18 +93,18 @@
       return;
     }
     long sentAtMs = eventLoop.nowMs();
-    state.renewLease(storeLeaseId, status -> onAnswered(epoch, sentAtMs, status));
+    state.renewLease(storeLeaseId, result -> onAnswered(epoch, sentAtMs, result));
   }
 
-  private void onAnswered(long epoch, long sentAtMs, int status) {
+  private void onAnswered(long epoch, long sentAtMs, LeaseRenewalResult result) {
     if (!owner.isLeadingUnder(epoch)) {
       return;
     }
-    if (status == 404) {
+    if (result == LeaseRenewalResult.EXPIRED) {
       owner.onStoreLeaseExpired();
       return;
     }
-    boolean isRenewed = status == 200;
+    boolean isRenewed = result == LeaseRenewalResult.RENEWED;
     if (isRenewed) {
       localExpiryMs = Math.max(localExpiryMs, sentAtMs + localTtlMs);
     }
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -8,8 +8,9 @@
 import fennelthread.jobs.StartRecordPacker;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -30,7 +31,7 @@
 
   private final EventLoop eventLoop;
   private final StateClient state;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final Replica replica;
   private final JobTable table;
   private final Lease lease;
@@ -49,7 +50,7 @@
     this.lease = context.lease();
     this.fleet = fleet;
     this.keys = keys;
-    this.maxOps = limits.txnOps();
+    this.maxOps = limits.txnChanges();
   }
 
   /** What one pass over all start records found. */
@@ -78,14 +79,15 @@
     addObsoleteRecords(survey, txn);
     addLeftovers(Keys.FINISHED, txn);
     addLeftovers(Keys.DEPENDENCIES, txn);
-    boolean isCompacting = isBacklogged && txn.ops() <= maxOps / 2 && addCompaction(survey, txn);
-    if (txn.ops() == 0) {
+    boolean isCompacting =
+        isBacklogged && txn.changes() <= maxOps / 2 && addCompaction(survey, txn);
+    if (txn.changes() == 0) {
       return;
     }
     isWriting = true;
     state.txn(
         // Removals can wait, but not until the records are more than the processes can hold.
-        isBacklogged ? StateClient.Lane.ROUND : StateClient.Lane.UPKEEP,
+        isBacklogged ? RequestPriority.SCHEDULING : RequestPriority.MAINTENANCE,
         txn,
         result -> onAnswered(txn, result, isCompacting, survey));
   }
@@ -96,7 +98,7 @@
       lease.onTxnRejected(result);
       return;
     }
-    replica.applied(txn, applied.revision());
+    replica.applyCommitted(txn, applied.revision());
     if (isCompacting) {
       log.debug(
           "start records compacted records={} starts={} liveStarts={}",
@@ -104,7 +106,7 @@
           survey.starts,
           survey.liveStarts);
     }
-    if (txn.ops() >= maxOps) {
+    if (txn.changes() >= maxOps) {
       // More is left: records are written faster than one collection per interval removes them.
       lastCollectionMs = Long.MIN_VALUE / 2;
     }
@@ -167,11 +169,11 @@
   /** Removes obsolete records of earlier terms, and own ones beyond those kept for reuse. */
   private void addObsoleteRecords(Survey survey, Txn txn) {
     for (String key : survey.obsolete) {
-      if (txn.ops() < maxOps) {
+      if (txn.changes() < maxOps) {
         txn.remove(key);
       }
     }
-    while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS && txn.ops() < maxOps) {
+    while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS && txn.changes() < maxOps) {
       // A removal without an answer may be applied late: it must not remove what a round has
       // written there since.
       String key = keys.takeFree();
@@ -191,8 +193,8 @@
     StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), 1);
     List<String> replaced = new ArrayList<>();
     for (Map.Entry<String, List<StartRecord.Start>> record : survey.sparse.entrySet()) {
-      if (txn.ops() + replaced.size() + 2 > maxOps
-          || txn.conditions() + replaced.size() + 2 > limits.conditions()
+      if (txn.changes() + replaced.size() + 2 > maxOps
+          || txn.conditions() + replaced.size() + 2 > limits.txnConditions()
           || !packer.addAll(record.getValue())) {
         break;
       }
@@ -209,11 +211,11 @@
 
   /** Removes the records under a prefix whose jobs have no live record. */
   private void addLeftovers(String prefix, Txn txn) {
-    for (String key : replica.keys(prefix).keySet()) {
-      if (txn.ops() >= maxOps || txn.conditions() >= limits.conditions()) {
+    for (String key : replica.revisionsUnder(prefix).keySet()) {
+      if (txn.changes() >= maxOps || txn.conditions() >= limits.txnConditions()) {
         return;
       }
-      String id = Keys.jobOf(prefix, key);
+      String id = Keys.jobIdOf(prefix, key);
       if (table.get(id) == null) {
         // Its job is over, or is yet to arrive in the replica: the condition tells which.
         txn.when(Keys.job(id), 0).remove(key);
