--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -132,7 +132,7 @@
   private MachineTypes createMachineTypes() {
     MachineTypes types =
         new MachineTypes(eventLoop, cloud, records.state(), records.replica(), lease);
-    records.replica().listen((key, value, revision) -> types.onRecordChanged(key, value));
+    records.replica().addListener((key, value, revision) -> types.onRecordChanged(key, value));
     return types;
   }
 
@@ -203,7 +203,7 @@
     log.info("controller started member={} incarnation={}", settings.member(), incarnation);
     warnIfCancelTimeoutTooShort();
     records.replica().start();
-    records.replica().onAdvance(this::onReplicaLoaded);
+    records.replica().onNextAdvance(this::onReplicaLoaded);
     stalls.start();
     peers.start();
     election.start();
@@ -321,7 +321,7 @@
         incarnation,
         lease.highestEpoch(),
         lease.isLeading(),
-        eventLoop.nowMs() - records.state().servedAtMs(),
+        eventLoop.nowMs() - records.state().lastServedAtMs(),
         workers.recentReporters(),
         lease.isLeading() && reachability.isDeaf());
   }
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -39,7 +39,7 @@
         new TakeoverCoordinator(eventLoop, settings, peers, state, replica, lease, declaration);
     peers.serve("/member/", takeover::handleAgreementRequest);
     peers.join(new HeartbeatListener());
-    replica.listen(
+    replica.addListener(
         (key, value, revision) -> {
           if (key.equals(Keys.EPOCH) && takeover.isReady()) {
             takeover.followRecordedEpoch();
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -5,6 +5,7 @@
 import fennelthread.net.Answer;
 import fennelthread.net.Request;
 import fennelthread.peers.PeerHeartbeats;
+import fennelthread.state.LeaseRevocation;
 import fennelthread.state.StateClient;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
@@ -38,14 +39,15 @@
   private void handleRevocation(Request request, Consumer<Answer> reply) {
     try {
       long leaseId = Codec.JSON.decode(request.body()).count(LEASE_ID_FIELD);
-      state.revokeLease(leaseId, status -> reply.accept(revocationResult(status)));
+      state.revokeLease(leaseId, revocation -> reply.accept(encode(revocation)));
     } catch (WireException e) {
       reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
     }
   }
 
-  private static Answer revocationResult(int status) {
-    return Answer.of(200, Codec.JSON, Fields.create().with(STATUS_FIELD, (long) status));
+  private static Answer encode(LeaseRevocation revocation) {
+    return Answer.of(
+        200, Codec.JSON, Fields.create().with(STATUS_FIELD, (long) revocation.status()));
   }
 
   /** Asks all reachable peers to revoke a lease under which this controller no longer leads. */
@@ -55,7 +57,7 @@
           member,
           REVOKE_PATH,
           Fields.create().with(LEASE_ID_FIELD, leaseId),
-          StateConstants.STATE_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
+          StateConstants.REQUEST_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
           answer ->
               log.info(
                   "lease revocation requested peer={} lease={} status={}",
--- a/src/main/java/fennelthread/jobs/FinalRecords.java
+++ b/src/main/java/fennelthread/jobs/FinalRecords.java
@@ -4,6 +4,7 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
+import fennelthread.state.ReadResult;
 import fennelthread.state.StateClient;
 import fennelthread.state.Unavailability;
 import fennelthread.wire.JobState;
@@ -70,19 +71,19 @@
   void read(String id, Consumer<LookupResult> done) {
     state.get(
         Keys.finalJob(id),
-        entry -> {
-          if (entry == null) {
+        result -> {
+          if (result instanceof ReadResult.Unavailable) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
-          } else if (entry.value() == null) {
-            done.accept(new LookupResult.Unknown());
-          } else {
+          } else if (result instanceof ReadResult.Found found) {
             try {
-              FinalRecord record = FinalRecord.read(entry.value());
+              FinalRecord record = FinalRecord.read(found.entry().value());
               add(id, record);
               done.accept(record);
             } catch (WireException e) {
               done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
             }
+          } else {
+            done.accept(new LookupResult.Unknown());
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/JobRecordCodec.java
+++ b/src/main/java/fennelthread/jobs/JobRecordCodec.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
+import fennelthread.state.SizeLimits;
 import fennelthread.wire.Fields;
 import fennelthread.wire.JobSpec;
 import fennelthread.wire.WireException;
@@ -31,9 +31,10 @@
    *
    * @throws WireException naming the field that is too large for the state service
    */
-  static Map<String, Fields> write(JobSpec spec, long wallMs, Limits limits) throws WireException {
+  static Map<String, Fields> write(JobSpec spec, long wallMs, SizeLimits limits)
+      throws WireException {
     Fields record = spec.withDependencies(List.of()).write().with(ACCEPTED_AT, wallMs);
-    int bytes = Limits.bytes(record);
+    int bytes = SizeLimits.encodedBytes(record);
     if (bytes > limits.valueBytes()) {
       throw new WireException("body", "is too large");
     }
@@ -42,7 +43,7 @@
       bytes += addDependencies(spec, record, bytes, records, limits);
     }
     records.put(Keys.job(spec.id()), record);
-    if (records.size() > limits.txnOps() || bytes > limits.txnBytes()) {
+    if (records.size() > limits.txnChanges() || bytes > limits.txnBytes()) {
       throw tooManyDependencies();
     }
     return records;
@@ -53,7 +54,7 @@
    * records. Returns the size of the further records, bytes.
    */
   private static int addDependencies(
-      JobSpec spec, Fields record, int recordBytes, Map<String, Fields> records, Limits limits)
+      JobSpec spec, Fields record, int recordBytes, Map<String, Fields> records, SizeLimits limits)
       throws WireException {
     List<String> dependencies = spec.dependencies();
     int bytesPerPart = limits.valueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
@@ -63,12 +64,12 @@
     int parts = 0;
     while (next < dependencies.size()) {
       int end = fitting(dependencies, next, bytesPerPart);
-      if (end == next || parts >= limits.txnOps()) {
+      if (end == next || parts >= limits.txnChanges()) {
         throw tooManyDependencies();
       }
       List<Object> ids = new ArrayList<>(dependencies.subList(next, end));
       Fields part = Fields.create().with(JobSpec.DEPENDENCIES, ids);
-      partsBytes += Limits.bytes(part);
+      partsBytes += SizeLimits.encodedBytes(part);
       records.put(Keys.dependencies(spec.id(), parts++), part);
       next = end;
     }
--- a/src/main/java/fennelthread/leader/LeadershipClaim.java
+++ b/src/main/java/fennelthread/leader/LeadershipClaim.java
@@ -2,7 +2,9 @@
 
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
+import fennelthread.state.LeaseGrant;
 import fennelthread.state.Replica;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -57,11 +59,11 @@
   void submit(long ttlMs, Txn conditions, EpochSource epochs, Consumer<Outcome> done) {
     state.createLease(
         ttlMs,
-        storeLeaseId -> {
-          if (storeLeaseId == 0) {
-            done.accept(new Outcome.Failed("no lease from the state service"));
+        grant -> {
+          if (grant instanceof LeaseGrant.Granted granted) {
+            commit(granted.leaseId(), conditions, epochs, done);
           } else {
-            commit(storeLeaseId, conditions, epochs, done);
+            done.accept(new Outcome.Failed("no lease from the state service"));
           }
         });
   }
@@ -75,10 +77,10 @@
     Txn txn =
         conditions
             .when(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
-            .writeBound(Keys.LEAD, leader.encode(), storeLeaseId)
+            .writeWithLease(Keys.LEADER, leader.encode(), storeLeaseId)
             .write(Keys.EPOCH, epoch.encode());
     state.txn(
-        StateClient.Lane.ANSWER,
+        RequestPriority.INTERACTIVE,
         txn,
         result -> {
           if (result instanceof TxnResult.Applied applied) {
@@ -87,7 +89,7 @@
                     epoch.epoch(), applied.revision(), storeLeaseId, epoch.unboundedEpoch(), txn));
           } else {
             // Without an answer the claim may still be applied: ending its lease undoes it.
-            state.revokeLease(storeLeaseId, status -> {});
+            state.revokeLease(storeLeaseId, revocation -> {});
             done.accept(new Outcome.Failed(result.toString()));
           }
         });
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -87,7 +87,7 @@
     this.incarnation = incarnation;
     this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
     this.renewal = new LeaseRenewal(eventLoop, state, settings, options, new RenewalOwner());
-    replica.listen(this::onRecordChanged);
+    replica.addListener(this::onRecordChanged);
   }
 
   // ---------------------------------------------------------------- questions
@@ -179,7 +179,7 @@
       } catch (WireException e) {
         log.error("record unreadable key={} error={}", key, e.getMessage());
       }
-    } else if (key.equals(Keys.LEAD)) {
+    } else if (key.equals(Keys.LEADER)) {
       if (phase == Phase.LEADING && value == null && revision > epochRevision) {
         stepDown("lease at the state service expired", 0);
       }
@@ -213,7 +213,7 @@
     renewal.invalidate();
     long heldLeaseId = renewal.storeLeaseId();
     transitionTo(Phase.FOLLOWING, reason);
-    state.revokeLease(heldLeaseId, status -> {});
+    state.revokeLease(heldLeaseId, revocation -> {});
     listener.onDeposed(reason);
     eventLoop.after(pauseMs + ProtocolConstants.RETRY_MS, this::claimIfVacant);
   }
@@ -231,7 +231,7 @@
           .leader()
           .ifPresentOrElse(
               this::revokeLeaseOfPredecessor,
-              () -> log.error("record unreadable key={}", Keys.LEAD));
+              () -> log.error("record unreadable key={}", Keys.LEADER));
     } else if (!claimScheduled) {
       scheduleClaim();
     }
@@ -245,7 +245,7 @@
         () -> {
           claimScheduled = false;
           if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
-            startClaim("no leader", new Txn().when(Keys.LEAD, 0));
+            startClaim("no leader", new Txn().when(Keys.LEADER, 0));
           }
         });
   }
@@ -267,9 +267,9 @@
     }
     state.revokeLease(
         leader.storeLeaseId(),
-        status -> {
+        revocation -> {
           revokingPredecessor = false;
-          if (status != 200 && status != 404) {
+          if (!revocation.isConfirmed()) {
             eventLoop.after(ProtocolConstants.RETRY_MS, this::claimIfVacant);
           }
         });
@@ -301,8 +301,8 @@
       startClaim(
           "leader silent",
           new Txn()
-              .when(Keys.LEAD, replica.revisionOf(Keys.LEAD))
-              .when(Keys.SOLO, unilateralRevision));
+              .when(Keys.LEADER, replica.revisionOf(Keys.LEADER))
+              .when(Keys.UNILATERAL_LEADERSHIP, unilateralRevision));
     }
   }
 
@@ -353,7 +353,7 @@
     highestEpoch = Math.max(highestEpoch, claimedEpoch);
     transitionTo(Phase.LEADING, "claim committed");
     listener.onElected(claimedEpoch);
-    replica.applied(committed.txn(), committed.epochRevision());
+    replica.applyCommitted(committed.txn(), committed.epochRevision());
     // The listener, or what the copy of the state brought, may have ended the term already.
     if (isLeadingUnder(claimedEpoch)) {
       renewal.scheduleFirst(claimedEpoch);
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -9,7 +9,7 @@
 import fennelthread.plan.Plan;
 import fennelthread.plan.Planner;
 import fennelthread.plan.Snapshot;
-import fennelthread.state.StateClient;
+import fennelthread.state.RequestPriority;
 import fennelthread.state.TxnResult;
 import fennelthread.wire.TaskRef;
 import java.util.LinkedHashSet;
@@ -174,7 +174,10 @@
     transitionTo(Phase.WRITING);
     context
         .state()
-        .txn(StateClient.Lane.ROUND, batch.txn(), result -> onStartRecordAnswered(batch, result));
+        .txn(
+            RequestPriority.SCHEDULING,
+            batch.txn(),
+            result -> onStartRecordAnswered(batch, result));
   }
 
   private void onStartRecordAnswered(StartBatches.Batch batch, TxnResult result) {
@@ -184,7 +187,7 @@
     transitionTo(Phase.IDLE);
     keys.clearBeingWritten();
     if (result instanceof TxnResult.Applied applied) {
-      context.replica().applied(batch.txn(), applied.revision());
+      context.replica().applyCommitted(batch.txn(), applied.revision());
       batches.send(batch);
     } else {
       log.info("round abandoned epoch={} reason={}", lease.epoch(), result);
