--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -240,7 +240,7 @@
 
   private void onProbeResponse(Machine machine, WorkerReport report, ReportPosition known) {
     onCommandResponse(machine, report, known);
-    if (context.isOverdue(machine.reportAnsweredAtMs())) {
+    if (context.isOverdue(machine.contact().reportAnsweredAtMs())) {
       // No report of its own will fetch the commands that are due: its cancelled tasks once held
       // their team's quota until their lease was over.
       sendCommands(machine);
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -133,11 +133,6 @@
     return described;
   }
 
-  /** Returns when the machine was first known to this leader, ms. */
-  public long createdAtMs() {
-    return createdAtMs;
-  }
-
   // ---------------------------------------------------------------- tokens and contact
 
   MachineFencingTokens tokens() {
@@ -158,18 +153,6 @@
     return tokens.isConfirmed(epoch);
   }
 
-  /** Records that an answer to its report is about to leave. */
-  void onUnacknowledgedAnswer(long epoch, long nowMs) {
-    if (!isConfirmed(epoch)) {
-      contact.onUnacknowledgedAnswer(nowMs);
-    }
-  }
-
-  /** Returns when a report of the machine last arrived, ms, or -1. */
-  public long lastReportAtMs() {
-    return contact.lastReportAtMs();
-  }
-
   /**
    * Returns when this leader and the machine were last in contact, ms, or -1: a report showed that
    * what was sent before had arrived. That reports arrive shows only that the way from the machine
@@ -184,14 +167,6 @@
     return Math.max(contact.lastContactAtMs(), createdAtMs);
   }
 
-  /**
-   * Returns when this leader last answered a report that the machine sent by itself, or first knew
-   * the machine, ms.
-   */
-  public long reportAnsweredAtMs() {
-    return contact.reportAnsweredAtMs();
-  }
-
   // ---------------------------------------------------------------- reports
 
   /** Returns the session (incarnation number) of the worker in its newest report. */
--- a/src/main/java/fennelthread/fleet/MachineReadiness.java
+++ b/src/main/java/fennelthread/fleet/MachineReadiness.java
@@ -37,7 +37,7 @@
   private boolean isRenewingLease(Machine machine, long nowMs) {
     double maxSilenceMs = context.reportMs() * RelayConstants.SILENT_REPORTS;
     return nowMs - machine.lastContactAtMs() <= maxSilenceMs
-        && nowMs - machine.reportAnsweredAtMs() <= maxSilenceMs;
+        && nowMs - machine.contact().reportAnsweredAtMs() <= maxSilenceMs;
   }
 
   /**
@@ -57,7 +57,7 @@
    * be over, though it may carry out commands.
    */
   boolean isUnanswered(Machine machine) {
-    return context.nowMs() - machine.reportAnsweredAtMs() > context.maxLeaseMs();
+    return context.nowMs() - machine.contact().reportAnsweredAtMs() > context.maxLeaseMs();
   }
 
   /**
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -143,7 +143,7 @@
     }
     for (Machine machine : unanswered) {
       if (machine.isEmpty()
-          && nowMs - machine.reportAnsweredAtMs()
+          && nowMs - machine.contact().reportAnsweredAtMs()
               > leaseMs * FleetConstants.UNANSWERED_RETURN_LEASES) {
         beginReturn(machine, ReturnReason.REPORTS_LOST);
       }
@@ -186,7 +186,7 @@
   private boolean isInterrupted(Machine machine, long nowMs) {
     return machine.interruptionAtMs() >= 0
         && nowMs > machine.interruptionAtMs()
-        && nowMs - machine.lastReportAtMs() > reportMs * 2;
+        && nowMs - machine.contact().lastReportAtMs() > reportMs * 2;
   }
 
   private boolean isIdle(Machine machine, long nowMs) {
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -21,7 +21,7 @@
 final class ReportProcessor {
   private static final Logger log = LoggerFactory.getLogger(ReportProcessor.class);
 
-  /** Who sent a report of its own accord, and who only because it was asked. */
+  /** Why a worker sent a report. */
   private enum Source {
     /** The worker reported by itself: its lease is renewed by the answer. */
     UNSOLICITED,
@@ -104,7 +104,8 @@
     // A report may be overtaken by the answer to a probe that was sent a moment later.
     boolean overtaken =
         report.session() == machine.session()
-            && context.nowMs() - machine.lastReportAtMs() < ProtocolConstants.WORKER_WAITS_MS;
+            && context.nowMs() - machine.contact().lastReportAtMs()
+                < ProtocolConstants.WORKER_WAITS_MS;
     return machine.isOfOtherIncarnation(report) && !overtaken;
   }
 
@@ -124,7 +125,9 @@
     }
     long nowMs = context.nowMs();
     machine.contact().onReportAnswered(nowMs);
-    machine.onUnacknowledgedAnswer(context.epoch(), nowMs);
+    if (!machine.isConfirmed(context.epoch())) {
+      machine.contact().onUnacknowledgedAnswer(nowMs);
+    }
     if (newest) {
       starts.markUnshownUnconfirmed(machine);
     }
@@ -147,9 +150,10 @@
         context.reportMs() * FleetConstants.LATE_REPORT_INTERVALS
             + FleetConstants.LATE_REPORT_SLACK_MS;
     boolean late =
-        context.nowMs() - machine.lastReportAtMs() > maxIntervalMs && !context.isCatchingUp();
+        context.nowMs() - machine.contact().lastReportAtMs() > maxIntervalMs
+            && !context.isCatchingUp();
     boolean sessionChanged = report.session() > machine.session();
-    if (machine.lastReportAtMs() >= 0
+    if (machine.contact().lastReportAtMs() >= 0
         && machine.isConfirmed(context.epoch())
         && (pathChanged || sessionChanged || late)) {
       machine.tokens().raise();
