--- a/src/main/java/fennelthread/jobs/JobAcceptor.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -11,6 +11,7 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -50,7 +51,7 @@
   }
 
   private final StateClient state;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final AcceptedJobs acceptedJobs;
   private final AppliedListener listener;
   private final TransactionPipeline<Batch> pipeline;
@@ -84,12 +85,12 @@
       earlier.addCaller(done);
       return;
     }
-    Unavailability why =
+    Optional<Unavailability> unavailability =
         queue.size() >= JobConstants.MAX_QUEUED_SUBMISSIONS
-            ? Unavailability.BUSY
-            : state.whyNotSoon(1 + queue.size());
-    if (why != null) {
-      done.accept(new AcceptResult.Unavailable(why));
+            ? Optional.of(Unavailability.BUSY)
+            : state.unavailability(1 + queue.size());
+    if (unavailability.isPresent()) {
+      done.accept(new AcceptResult.Unavailable(unavailability.get()));
       return;
     }
     PendingSubmission next = new PendingSubmission(submission);
@@ -130,7 +131,7 @@
       boolean fits =
           !sentAlone
               && !next.isSentAlone()
-              && batch.txn.ops() + next.submission().records().size() <= limits.txnOps()
+              && batch.txn.changes() + next.submission().records().size() <= limits.txnChanges()
               && bytes <= limits.txnBytes();
       if (!batch.sendNumbers.isEmpty() && !fits) {
         break;
@@ -156,7 +157,7 @@
       if (acceptedJobs.isAccepted(submission.id())) {
         complete(submission, new AcceptResult.AlreadyAccepted());
       } else if (submission.sends() < JobConstants.MAX_SENDS
-          && state.answersSoon(submission.submission().records().size())) {
+          && state.canAnswerInTime(submission.submission().records().size())) {
         requeue(submission);
       }
     }
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -2,8 +2,8 @@
 
 import fennelthread.constants.JobConstants;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.state.TxnResult;
@@ -35,7 +35,7 @@
   private final Replica replica;
   private final JobTable table;
   private final FinalRecords finalRecords;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final JobRecordReader reader;
   private final TransactionPipeline<Batch> pipeline;
   private final Map<String, JobQuery> queue = new LinkedHashMap<>();
@@ -68,15 +68,15 @@
       done.accept(finalRecord.get());
       return;
     }
-    Unavailability why = state.whyNotSoon(0);
-    if (why != null) {
-      done.accept(new LookupResult.Unavailable(why));
+    Optional<Unavailability> unavailability = state.unavailability(0);
+    if (unavailability.isPresent()) {
+      done.accept(new LookupResult.Unavailable(unavailability.get()));
       return;
     }
     Job job = table.get(id);
     if (job == null) {
       reader.read(id, done);
-    } else if (job.chunks() >= limits.conditions()) {
+    } else if (job.chunks() >= limits.txnConditions()) {
       reader.readProgress(id, done);
     } else {
       queue.computeIfAbsent(id, JobQuery::new).addCaller(done);
@@ -111,7 +111,7 @@
     for (JobQuery query : new ArrayList<>(queue.values())) {
       Job job = table.get(query.id());
       int conditions = job == null ? 0 : 1 + job.chunks();
-      if (!batch.jobs.isEmpty() && batch.txn.conditions() + conditions > limits.conditions()) {
+      if (!batch.jobs.isEmpty() && batch.txn.conditions() + conditions > limits.txnConditions()) {
         break;
       }
       queue.remove(query.id());
@@ -136,7 +136,9 @@
   /** Without a result in time, the batch's queries go with the next transaction. */
   private void requeueUnanswered(Batch batch) {
     for (JobQuery query : batch.jobs.keySet()) {
-      if (query.isAnswered() || query.sends() >= JobConstants.MAX_SENDS || !state.answersSoon(0)) {
+      if (query.isAnswered()
+          || query.sends() >= JobConstants.MAX_SENDS
+          || !state.canAnswerInTime(0)) {
         continue;
       }
       batch.requeued.add(query);
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -3,8 +3,8 @@
 import fennelthread.net.EventLoop;
 import fennelthread.settings.Settings;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.StateClient;
 import fennelthread.state.Txn;
 import fennelthread.wire.JobSpec;
@@ -17,7 +17,7 @@
  * Accepts, cancels and looks up jobs on any controller, leading or not. Each of these is a
  * comparison with the job's one record in the state service, so that no controller can give an
  * older answer than another gave. What happens when an answer of the state service is lost:
- * docs/answers.md.
+ * docs/lost-answers.md.
  *
  * <p>Used on the event loop's thread alone. Callbacks are called there once, possibly before the
  * method returns.
@@ -25,7 +25,7 @@
 public final class JobStore {
   private final EventLoop eventLoop;
   private final JobTable table;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final FinalRecords finalRecords;
   private final JobQueries queries;
   private final DependencyTracker dependencies;
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -196,7 +196,7 @@
       return;
     }
     if (context.replica().revision() < lease.epochRevision()) {
-      context.replica().onAdvance(this::onReplicaAdvanced);
+      context.replica().onNextAdvance(this::onReplicaAdvanced);
       return;
     }
     restoreFromRecords();
