--- a/src/main/java/fennelthread/ReplicatedRecords.java
+++ b/src/main/java/fennelthread/ReplicatedRecords.java
@@ -24,7 +24,7 @@
   ReplicatedRecords(EventLoop eventLoop, Settings settings) {
     this.state = new StateClient(eventLoop, settings);
     this.replica = new Replica(eventLoop, state);
-    replica.listen(table);
+    replica.addListener(table);
     Settings.Workers workers = settings.workers();
     this.cancellations =
         new CancellationLog(eventLoop, 2 * (workers.cancelMs() + workers.leaseMs()));
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -7,8 +7,8 @@
 import fennelthread.jobs.StartRecordPacker;
 import fennelthread.plan.Plan;
 import fennelthread.state.Keys;
-import fennelthread.state.Limits;
 import fennelthread.state.Replica;
+import fennelthread.state.SizeLimits;
 import fennelthread.state.Txn;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -30,7 +30,7 @@
   record Batch(Txn txn, Map<Machine, List<Attempt>> attemptsByMachine) {}
 
   private final Replica replica;
-  private final Limits limits;
+  private final SizeLimits limits;
   private final Lease lease;
   private final Fleet fleet;
   private final ActiveJobs activeJobs;
@@ -48,7 +48,7 @@
   /** Creates the attempts of as many starts as one transaction holds; the next round plans more. */
   Batch prepare(List<Plan.Start> starts) {
     Batch batch = new Batch(lease.fencedTxn(), new LinkedHashMap<>());
-    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), limits.txnOps());
+    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), limits.txnChanges());
     Set<String> jobs = new HashSet<>();
     for (Plan.Start start : starts) {
       addIfItFits(start, batch, packer, jobs);
@@ -65,7 +65,7 @@
     Txn txn = batch.txn();
     Machine machine = fleet.machine(start.machine());
     boolean needsCondition = !jobs.contains(id);
-    if ((needsCondition && txn.conditions() + limits.txnOps() >= limits.conditions())
+    if ((needsCondition && txn.conditions() + limits.txnChanges() >= limits.txnConditions())
         || !packer.tryReserve(start.spec(), start.task(), machine.name(), machine.session())) {
       return;
     }
--- a/src/main/java/fennelthread/leader/StartRecordKeys.java
+++ b/src/main/java/fennelthread/leader/StartRecordKeys.java
@@ -21,12 +21,12 @@
 
   StartRecordKeys(long epoch) {
     this.epoch = epoch;
-    this.ownPrefix = Keys.rounds(epoch);
+    this.ownPrefix = Keys.startRecordPrefix(epoch);
   }
 
   /** Returns a key that was never used. */
   String allocate() {
-    return Keys.round(epoch, ++allocated);
+    return Keys.startRecord(epoch, ++allocated);
   }
 
   /** True if the key was allocated in this term. */
