--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -13,7 +13,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -27,12 +26,19 @@
 public final class MachineProvisioner {
   private static final Logger log = LoggerFactory.getLogger(MachineProvisioner.class);
 
+  /** Receives the machine types and prices whenever they were read from the cloud. */
+  @FunctionalInterface
+  public interface MachineTypesListener {
+    /** Called with all types, at least one. */
+    void onMachineTypes(List<MachineType> types);
+  }
+
   private final ProvisioningContext context;
   private final EventLoop eventLoop;
   private final CloudClient cloud;
   private final Fleet fleet;
   private final String requestPrefix;
-  private final Consumer<List<MachineType>> onMachineTypes;
+  private final MachineTypesListener machineTypesListener;
   private final MachineReturns returns;
   private final ScaleOutPolicy policy;
   private final BootingMachines booting;
@@ -50,20 +56,20 @@
    *
    * @param requestPrefix makes the names of rental requests unique for ever
    * @param machineTypes the machine types that are known from before, by name
-   * @param onMachineTypes receives the types whenever they were read from the cloud
+   * @param machineTypesListener receives the types whenever they were read from the cloud
    */
   public MachineProvisioner(
       ProvisioningContext context,
       String requestPrefix,
       Map<String, MachineType> machineTypes,
-      Consumer<List<MachineType>> onMachineTypes) {
+      MachineTypesListener machineTypesListener) {
     this.context = context;
     this.eventLoop = context.eventLoop();
     this.cloud = context.cloud();
     this.fleet = context.fleet();
     this.requestPrefix = requestPrefix;
     this.machineTypes = machineTypes;
-    this.onMachineTypes = onMachineTypes;
+    this.machineTypesListener = machineTypesListener;
     this.returns = new MachineReturns(context, this::onReturned);
     this.policy =
         new ScaleOutPolicy(context.settings().priceMatters(), context.options(), context.zones());
@@ -99,7 +105,7 @@
       Map<String, MachineType> byName = new LinkedHashMap<>();
       types.forEach(type -> byName.put(type.name(), type));
       machineTypes = byName;
-      onMachineTypes.accept(types);
+      machineTypesListener.onMachineTypes(types);
     }
     long delayMs =
         fetched.isEmpty()
--- a/src/main/java/fennelthread/fleet/ReportEvidence.java
+++ b/src/main/java/fennelthread/fleet/ReportEvidence.java
@@ -4,7 +4,6 @@
 import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Function;
 
 /**
  * Applies a report that is newer than all before to the attempts on its machine. Until the machine
@@ -21,6 +20,12 @@
    */
   record Outcome(List<Attempt> ended, List<Attempt> discovered) {}
 
+  /** Finds the start that belongs to a reported task which this term did not start. */
+  @FunctionalInterface
+  interface StartLookup {
+    StartRecord.Start startOf(WorkerReport.Task task);
+  }
+
   private final Machine machine;
   private final WorkerReport report;
   private final boolean ofOurEpoch;
@@ -39,21 +44,17 @@
    * Applies a report to a machine.
    *
    * @param epoch the epoch of our term
-   * @param startOfTask returns the start that belongs to a task which this term did not start
+   * @param starts finds the starts of tasks that this term did not start
    */
   static Outcome apply(
-      Machine machine,
-      WorkerReport report,
-      long epoch,
-      long nowMs,
-      Function<WorkerReport.Task, StartRecord.Start> startOfTask) {
+      Machine machine, WorkerReport report, long epoch, long nowMs, StartLookup starts) {
     ReportEvidence evidence = new ReportEvidence(machine, report, epoch, nowMs);
     if (evidence.ofOurEpoch) {
       evidence.dropEarlierSessions();
     }
     long reportNumber = machine.onReport(report, epoch, nowMs);
     for (WorkerReport.Task task : report.tasks()) {
-      evidence.applyTask(task, reportNumber, startOfTask);
+      evidence.applyTask(task, reportNumber, starts);
     }
     if (evidence.ofOurEpoch) {
       evidence.dropAbsent(reportNumber);
@@ -71,13 +72,10 @@
     }
   }
 
-  private void applyTask(
-      WorkerReport.Task task,
-      long reportNumber,
-      Function<WorkerReport.Task, StartRecord.Start> startOfTask) {
+  private void applyTask(WorkerReport.Task task, long reportNumber, StartLookup starts) {
     Attempt attempt = machine.find(task.ref(), task.attempt());
     if (attempt == null) {
-      StartRecord.Start start = startOfTask.apply(task);
+      StartRecord.Start start = starts.startOf(task);
       attempt = new Attempt(machine, start, Attempt.Phase.UNCONFIRMED, 0, nowMs);
       machine.add(attempt);
       discovered.add(attempt);
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -7,7 +7,6 @@
 import fennelthread.wire.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,29 +28,31 @@
     COMMAND_RESPONSE
   }
 
+  /** Finds machines by name. */
+  @FunctionalInterface
+  interface MachineRegistry {
+    /** Returns the machine of a name and adds it if it is not known. */
+    Machine getOrAdd(String name);
+  }
+
   private final FleetContext context;
   private final HeartbeatResponder responder;
-  private final Function<String, Machine> machineOfName;
+  private final MachineRegistry machines;
   private final MachineProbes probes;
   private final StartSender starts;
   private final CommandQueue commands;
   private long lastReportAtMs = -1;
 
-  /**
-   * Creates the processor of one term.
-   *
-   * @param machineOfName returns the machine of a name and adds it if it is not known
-   */
   ReportProcessor(
       FleetContext context,
       HeartbeatResponder responder,
-      Function<String, Machine> machineOfName,
+      MachineRegistry machines,
       MachineProbes probes,
       StartSender starts,
       CommandQueue commands) {
     this.context = context;
     this.responder = responder;
-    this.machineOfName = machineOfName;
+    this.machines = machines;
     this.probes = probes;
     this.starts = starts;
     this.commands = commands;
@@ -74,7 +75,7 @@
       // not live on. A leader in a zone that was cut off for 75 s once kept them for all of it.
       return null;
     }
-    Machine machine = machineOfName.apply(report.machine());
+    Machine machine = machines.getOrAdd(report.machine());
     if (isFencedOff(report)) {
       return null;
     }
