--- a/src/main/java/fennelthread/jobs/JobAcceptor.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -24,7 +24,7 @@
  * The conditions make that idempotent: however often a job is sent, it is applied at most once, and
  * never after it has ended.
  */
-final class JobAcceptor {
+final class JobAcceptor implements TransactionPipeline.Handler<JobAcceptor.Batch> {
   /** Receives the transactions that were applied. */
   @FunctionalInterface
   interface AppliedListener {
@@ -40,7 +40,7 @@
   }
 
   /** The jobs of one transaction, each with the number of its sending. */
-  private static final class Batch extends TransactionPipeline.Batch {
+  static final class Batch extends TransactionPipeline.Batch {
     final Map<PendingSubmission, Integer> sendNumbers = new LinkedHashMap<>();
 
     /** True if this is the latest sending of the job, and its callers still wait. */
@@ -63,8 +63,7 @@
     this.limits = state.limits();
     this.acceptedJobs = acceptedJobs;
     this.listener = listener;
-    this.pipeline =
-        new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_ACCEPTS, new BatchHandler());
+    this.pipeline = new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_ACCEPTS, this);
   }
 
   /** How many submissions wait for a transaction. */
@@ -100,29 +99,13 @@
     pipeline.sendNext();
   }
 
-  private final class BatchHandler implements TransactionPipeline.Handler<Batch> {
-    @Override
-    public boolean hasWaiting() {
-      return !queue.isEmpty();
-    }
-
-    @Override
-    public Batch nextBatch() {
-      return takeBatch();
-    }
-
-    @Override
-    public void onOverdue(Batch batch) {
-      settleOverdue(batch);
-    }
-
-    @Override
-    public void onResult(Batch batch, TxnResult result) {
-      settle(batch, result);
-    }
+  @Override
+  public boolean hasWaiting() {
+    return !queue.isEmpty();
   }
 
-  private Batch takeBatch() {
+  @Override
+  public Batch nextBatch() {
     Batch batch = new Batch();
     int bytes = 0;
     boolean sentAlone = false;
@@ -149,7 +132,8 @@
   }
 
   /** Without a result in time, a job counts as accepted if the replica holds it by now. */
-  private void settleOverdue(Batch batch) {
+  @Override
+  public void onOverdue(Batch batch) {
     for (PendingSubmission submission : batch.sendNumbers.keySet()) {
       if (!batch.isLatestFor(submission)) {
         continue;
@@ -163,7 +147,8 @@
     }
   }
 
-  private void settle(Batch batch, TxnResult result) {
+  @Override
+  public void onResult(Batch batch, TxnResult result) {
     if (result instanceof TxnResult.Applied applied) {
       settleApplied(batch, applied.revision());
     } else if (result instanceof TxnResult.Conflict conflict) {
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -24,9 +24,9 @@
  * tasks, than another gave before. Queries that wait at the same time share a transaction; one
  * without a result is sent again while its users still wait.
  */
-final class JobQueries {
+final class JobQueries implements TransactionPipeline.Handler<JobQueries.Batch> {
   /** The queries of one transaction, each with the job as the replica held it, or null. */
-  private static final class Batch extends TransactionPipeline.Batch {
+  static final class Batch extends TransactionPipeline.Batch {
     final Map<JobQuery, Job> jobs = new LinkedHashMap<>();
     final Set<JobQuery> requeued = new HashSet<>();
   }
@@ -47,8 +47,7 @@
     this.finalRecords = finalRecords;
     this.limits = state.limits();
     this.reader = new JobRecordReader(state, replica, table, finalRecords);
-    this.pipeline =
-        new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_CONFIRMS, new BatchHandler());
+    this.pipeline = new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_CONFIRMS, this);
   }
 
   /** How many jobs have queries that wait for a transaction. */
@@ -84,29 +83,13 @@
     }
   }
 
-  private final class BatchHandler implements TransactionPipeline.Handler<Batch> {
-    @Override
-    public boolean hasWaiting() {
-      return !queue.isEmpty();
-    }
-
-    @Override
-    public Batch nextBatch() {
-      return takeBatch();
-    }
-
-    @Override
-    public void onOverdue(Batch batch) {
-      requeueUnanswered(batch);
-    }
-
-    @Override
-    public void onResult(Batch batch, TxnResult result) {
-      answer(batch, result);
-    }
+  @Override
+  public boolean hasWaiting() {
+    return !queue.isEmpty();
   }
 
-  private Batch takeBatch() {
+  @Override
+  public Batch nextBatch() {
     Batch batch = new Batch();
     for (JobQuery query : new ArrayList<>(queue.values())) {
       Job job = table.get(query.id());
@@ -134,7 +117,8 @@
   }
 
   /** Without a result in time, the batch's queries go with the next transaction. */
-  private void requeueUnanswered(Batch batch) {
+  @Override
+  public void onOverdue(Batch batch) {
     for (JobQuery query : batch.jobs.keySet()) {
       if (query.isAnswered()
           || query.sends() >= JobConstants.MAX_SENDS
@@ -146,7 +130,8 @@
     }
   }
 
-  private void answer(Batch batch, TxnResult result) {
+  @Override
+  public void onResult(Batch batch, TxnResult result) {
     Set<String> failedKeys =
         result instanceof TxnResult.Conflict conflict ? new HashSet<>(conflict.failed()) : Set.of();
     batch.jobs.forEach(
--- a/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
+++ b/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
@@ -19,6 +19,23 @@
 
 /** Which running tasks are preempted for which waiting ones. */
 class PlannerPreemptionTest {
+  private static Snapshot.PendingJob inheriting(
+      JobSpec spec, Priority inherited, Priority preemptsAs) {
+    return new Snapshot.PendingJob(
+        spec,
+        inherited,
+        preemptsAs,
+        List.of(0),
+        Map.of(),
+        false,
+        false,
+        false,
+        1,
+        0,
+        AgingBoost.NONE,
+        1);
+  }
+
   @Test
   void lessUrgentWorkIsPreempted() {
     Snapshot.RunningTask low = running("job-8", "azul", Priority.BEST_EFFORT, 5);
@@ -40,37 +57,12 @@
   void anInheritedPriorityPreemptsAndProtects() {
     JobSpec bestEffort = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
     Snapshot.RunningTask other = running("job-9", "azul", Priority.STANDARD, 1);
-    Snapshot.PendingJob inheriting =
-        new Snapshot.PendingJob(
-            bestEffort,
-            Priority.URGENT,
-            Priority.URGENT,
-            List.of(0),
-            Map.of(),
-            false,
-            false,
-            false,
-            1,
-            0,
-            AgingBoost.NONE,
-            1);
+    Snapshot.PendingJob inheriting = inheriting(bestEffort, Priority.URGENT, Priority.URGENT);
     List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, other));
     assertEquals(
         List.of(other), Planner.plan(snapshot(machines, inheriting, Set.of())).preemptions());
     Snapshot.PendingJob withTimeLeft =
-        new Snapshot.PendingJob(
-            bestEffort,
-            Priority.URGENT,
-            Priority.BEST_EFFORT,
-            List.of(0),
-            Map.of(),
-            false,
-            false,
-            false,
-            1,
-            0,
-            AgingBoost.NONE,
-            1);
+        inheriting(bestEffort, Priority.URGENT, Priority.BEST_EFFORT);
     assertTrue(Planner.plan(snapshot(machines, withTimeLeft, Set.of())).preemptions().isEmpty());
     Snapshot.RunningTask dependency =
         new Snapshot.RunningTask(
--- a/src/test/java/fennelthread/plan/PlannerRankingTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRankingTest.java
@@ -19,6 +19,23 @@
 
 /** The order of jobs and the choice of machines. */
 class PlannerRankingTest {
+  private static Snapshot.PendingJob withWork(
+      JobSpec spec, boolean late, double agedWork, long order) {
+    return new Snapshot.PendingJob(
+        spec,
+        spec.priority(),
+        spec.priority(),
+        List.of(0),
+        Map.of(),
+        false,
+        false,
+        late,
+        agedWork,
+        0,
+        AgingBoost.NONE,
+        order);
+  }
+
   @Test
   void aCachedImageComesBeforeBestFit() {
     Snapshot snapshot =
@@ -47,45 +64,9 @@
     JobSpec small = job("job-3", "roja", Priority.STANDARD, 1, 4);
     List<Snapshot.PendingJob> pendingJobs =
         List.of(
-            new Snapshot.PendingJob(
-                late,
-                late.priority(),
-                late.priority(),
-                List.of(0),
-                Map.of(),
-                false,
-                false,
-                true,
-                10,
-                0,
-                AgingBoost.NONE,
-                1),
-            new Snapshot.PendingJob(
-                large,
-                large.priority(),
-                large.priority(),
-                List.of(0),
-                Map.of(),
-                false,
-                false,
-                false,
-                900,
-                0,
-                AgingBoost.NONE,
-                2),
-            new Snapshot.PendingJob(
-                small,
-                small.priority(),
-                small.priority(),
-                List.of(0),
-                Map.of(),
-                false,
-                false,
-                false,
-                90,
-                0,
-                AgingBoost.NONE,
-                3));
+            withWork(late, true, 10, 1),
+            withWork(large, false, 900, 2),
+            withWork(small, false, 90, 3));
     Plan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
--- a/src/test/java/fennelthread/plan/PlannerReservationTest.java
+++ b/src/test/java/fennelthread/plan/PlannerReservationTest.java
@@ -80,6 +80,15 @@
     return pendingJob(spec, true, tasks);
   }
 
+  private static Snapshot withStarved(
+      Set<String> starvedJobs,
+      List<Snapshot.Machine> machines,
+      List<Snapshot.PendingJob> pendingJobs,
+      Map<String, Snapshot.TeamUsage> teams) {
+    return new Snapshot(
+        machines, pendingJobs, Set.of(), Set.of(), teams, NOW_MS, 10, starvedJobs, Set.of());
+  }
+
   /**
    * Capacity that is released piece by piece for a large task must not go to a smaller one of less
    * urgent work: that one was preempted for the large task again, a thousand times a minute.
@@ -207,33 +216,17 @@
                 machines, pendingJobs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
     assertEquals(List.of(), first.starts());
     assertEquals(Set.of("job-2"), first.passedOver());
-    Plan later =
-        Planner.plan(
-            new Snapshot(
-                machines,
-                pendingJobs,
-                Set.of(),
-                Set.of(),
-                teams(10),
-                NOW_MS,
-                10,
-                first.passedOver(),
-                Set.of()));
+    Plan later = Planner.plan(withStarved(first.passedOver(), machines, pendingJobs, teams(10)));
     assertEquals(3, later.starts().size());
     assertEquals(Set.of(), later.passedOver());
     // What runs counts in any case.
     Plan full =
         Planner.plan(
-            new Snapshot(
+            withStarved(
+                Set.of("job-2"),
                 machines,
                 pendingJobs,
-                Set.of(),
-                Set.of(),
-                Map.of("roja", SnapshotFixtures.usage(9, 0, 10, 0)),
-                NOW_MS,
-                10,
-                Set.of("job-2"),
-                Set.of()));
+                Map.of("roja", SnapshotFixtures.usage(9, 0, 10, 0))));
     assertEquals(1, full.starts().size());
   }
 
@@ -250,17 +243,7 @@
         SnapshotFixtures.snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
     assertEquals(Set.of("job-2"), Planner.plan(reserved).passedOver());
     assertEquals(List.of(), Planner.plan(reserved).starts());
-    Snapshot starved =
-        new Snapshot(
-            machines,
-            pendingJobs,
-            Set.of(),
-            Set.of(),
-            teams(0),
-            NOW_MS,
-            10,
-            Set.of("job-2"),
-            Set.of());
+    Snapshot starved = withStarved(Set.of("job-2"), machines, pendingJobs, teams(0));
     assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(starved).starts());
   }
 }
