--- a/src/main/java/fennelthread/constants/EmulationConstants.java
+++ b/src/main/java/fennelthread/constants/EmulationConstants.java
@@ -2,9 +2,6 @@
 
 /** Constants of the command {@code emulate}; each with its unit and its reason. */
 public final class EmulationConstants {
-  /** Most items asked for in one page of a list: the protocol's bound is 1,000. */
-  public static final int PAGE = 500;
-
   /** Buffer that an event loop reads into, bytes: a whole report of a full machine. */
   public static final int READ_BUFFER_BYTES = 64 * 1024;
 
@@ -167,5 +164,8 @@
   /** Height of a plot, pixels. */
   public static final int PLOT_HEIGHT = 260;
 
+  /** Most machines in one page of the emulated cloud's list; clients ask for as many. */
+  public static final int LIST_PAGE = 500;
+
   private EmulationConstants() {}
 }
--- a/src/main/java/fennelthread/constants/StateConstants.java
+++ b/src/main/java/fennelthread/constants/StateConstants.java
@@ -98,5 +98,8 @@
   /** Smallest limit on values after rejections, bytes: below that no job fits any more. */
   public static final int MIN_VALUE_BYTES = 768;
 
+  /** Most items asked for in one page of a list: the protocol's bound is 1,000. */
+  public static final int KEYS_PER_PAGE = 500;
+
   private StateConstants() {}
 }
--- a/src/main/java/fennelthread/emulate/EmulatedCloud.java
+++ b/src/main/java/fennelthread/emulate/EmulatedCloud.java
@@ -205,7 +205,7 @@
     for (Object entry : shown.entries) {
       String name = (String) ((Map<?, ?>) entry).get("name_id");
       if (name.compareTo(since) > 0) {
-        if (page.size() == EmulationConstants.PAGE) {
+        if (page.size() == EmulationConstants.LIST_PAGE) {
           more = true;
           break;
         }
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -37,7 +37,6 @@
   private final Lease lease;
   private final Fleet fleet;
   private final StartRecordKeys keys;
-  private final int maxOps;
   private boolean isWriting;
   private long lastCollectionMs;
 
@@ -50,7 +49,6 @@
     this.lease = context.lease();
     this.fleet = fleet;
     this.keys = keys;
-    this.maxOps = limits.txnChanges();
   }
 
   /** What one pass over all start records found. */
@@ -80,7 +78,7 @@
     addLeftovers(Keys.FINISHED, txn);
     addLeftovers(Keys.DEPENDENCIES, txn);
     boolean isCompacting =
-        isBacklogged && txn.changes() <= maxOps / 2 && addCompaction(survey, txn);
+        isBacklogged && txn.changes() <= limits.txnChanges() / 2 && addCompaction(survey, txn);
     if (txn.changes() == 0) {
       return;
     }
@@ -106,7 +104,7 @@
           survey.starts,
           survey.liveStarts);
     }
-    if (txn.changes() >= maxOps) {
+    if (txn.changes() >= limits.txnChanges()) {
       // More is left: records are written faster than one collection per interval removes them.
       lastCollectionMs = Long.MIN_VALUE / 2;
     }
@@ -169,11 +167,12 @@
   /** Removes obsolete records of earlier terms, and own ones beyond those kept for reuse. */
   private void addObsoleteRecords(Survey survey, Txn txn) {
     for (String key : survey.obsolete) {
-      if (txn.changes() < maxOps) {
+      if (txn.changes() < limits.txnChanges()) {
         txn.remove(key);
       }
     }
-    while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS && txn.changes() < maxOps) {
+    while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS
+        && txn.changes() < limits.txnChanges()) {
       // A removal without an answer may be applied late: it must not remove what a round has
       // written there since.
       String key = keys.takeFree();
@@ -193,7 +192,7 @@
     StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), 1);
     List<String> replaced = new ArrayList<>();
     for (Map.Entry<String, List<StartRecord.Start>> record : survey.sparse.entrySet()) {
-      if (txn.changes() + replaced.size() + 2 > maxOps
+      if (txn.changes() + replaced.size() + 2 > limits.txnChanges()
           || txn.conditions() + replaced.size() + 2 > limits.txnConditions()
           || !packer.addAll(record.getValue())) {
         break;
@@ -212,7 +211,7 @@
   /** Removes the records under a prefix whose jobs have no live record. */
   private void addLeftovers(String prefix, Txn txn) {
     for (String key : replica.revisionsUnder(prefix).keySet()) {
-      if (txn.changes() >= maxOps || txn.conditions() >= limits.txnConditions()) {
+      if (txn.changes() >= limits.txnChanges() || txn.conditions() >= limits.txnConditions()) {
         return;
       }
       String id = Keys.jobIdOf(prefix, key);
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -33,7 +33,7 @@
   private final MachineTypeCatalog machineTypes;
   private final PassedOverJobs passedOver;
   private final CpuDemandListener demandListener;
-  private final int maxStarts;
+  private final SizeLimits limits;
   private final IdentityHashMap<Machine, MachineLoad> loads = new IdentityHashMap<>();
 
   SnapshotBuilder(
@@ -49,10 +49,11 @@
     this.machineTypes = machineTypes;
     this.passedOver = passedOver;
     this.demandListener = demandListener;
-    this.maxStarts = maxStarts(context.state().limits());
+    this.limits = context.state().limits();
   }
 
-  private static int maxStarts(SizeLimits limits) {
+  /** The limits shrink when the state service rejects a transaction: asked anew each round. */
+  private int maxStarts() {
     return Math.min(
         LeaderConstants.MAX_STARTS_PER_ROUND,
         limits.txnChanges() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
@@ -61,6 +62,7 @@
   /** Builds a snapshot of this moment; empty if no task may be started. */
   Optional<Snapshot> build() {
     demandListener.onCpuDemand(demand.cpus());
+    int maxStarts = maxStarts();
     Map<ActiveJob, List<Integer>> startable = demand.startableTasks(maxStarts * 4);
     if (startable.isEmpty()) {
       return Optional.empty();
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -1,6 +1,5 @@
 package fennelthread.state;
 
-import fennelthread.constants.EmulationConstants;
 import fennelthread.constants.StateConstants;
 import fennelthread.net.Answer;
 import fennelthread.net.Call;
@@ -112,7 +111,7 @@
             + prefix
             + (afterKey == null ? "" : "&since=" + afterKey)
             + "&most="
-            + EmulationConstants.PAGE;
+            + StateConstants.KEYS_PER_PAGE;
     submitRead(
         StateRequest.of(Call.get(path), StateConstants.REQUEST_TIMEOUT_MS * 2),
         answer -> done.accept(ResponseDecoder.keyPage(answer)));
--- a/src/main/java/fennelthread/wire/JobSpec.java
+++ b/src/main/java/fennelthread/wire/JobSpec.java
@@ -44,52 +44,6 @@
 
   private static final Pattern ID = Pattern.compile("job-[0-9]{1,32}");
 
-  /** A job without dependencies; kept until the last tests use the builder. */
-  public JobSpec(
-      String id,
-      String jobClass,
-      String team,
-      boolean service,
-      Priority priority,
-      int tasks,
-      double cpus,
-      double cards,
-      double memGb,
-      String image,
-      double imageGb,
-      List<String> types,
-      String zone,
-      boolean onePlace,
-      boolean apart,
-      boolean spotAllowed,
-      double estimateS,
-      double checkpointS,
-      double saveS,
-      double deadlineS) {
-    this(
-        id,
-        jobClass,
-        team,
-        service,
-        priority,
-        tasks,
-        cpus,
-        cards,
-        memGb,
-        image,
-        imageGb,
-        types,
-        zone,
-        onePlace,
-        apart,
-        spotAllowed,
-        estimateS,
-        checkpointS,
-        saveS,
-        deadlineS,
-        List.of());
-  }
-
   /** Begins a job array of one task of standard priority, without dependencies or a deadline. */
   public static Builder builder(String id) {
     return new Builder(id);
--- a/src/test/java/fennelthread/jobs/DependencyGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -59,28 +59,20 @@
 
   private Job job(int number, Priority priority, double deadlineS, List<String> dependencies) {
     return new Job(
-        new JobSpec(
-            "job-" + number,
-            "lote",
-            "roja",
-            false,
-            priority,
-            1,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            10,
-            0,
-            0,
-            deadlineS,
-            dependencies),
+        JobSpec.builder("job-" + number)
+            .jobClass("lote")
+            .team("roja")
+            .priority(priority)
+            .tasks(1)
+            .cpus(1)
+            .memGb(1)
+            .image("img")
+            .imageGb(1)
+            .spotAllowed(true)
+            .estimateS(10)
+            .deadlineS(deadlineS)
+            .dependencies(dependencies)
+            .build(),
         number,
         1_000L * number);
   }
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -6,7 +6,6 @@
 
 import fennelthread.state.Keys;
 import fennelthread.wire.JobSpec;
-import fennelthread.wire.Priority;
 import fennelthread.wire.TaskRef;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -18,27 +17,17 @@
   private static final int TASKS = JobSpec.MAX_TASKS;
   private static final int PER_RECORD = 40;
   private static final JobSpec HUGE =
-      new JobSpec(
-          "job-000001",
-          "padron",
-          "roja",
-          false,
-          Priority.STANDARD,
-          TASKS,
-          0.25,
-          0,
-          0.5,
-          "img",
-          1,
-          null,
-          null,
-          false,
-          false,
-          true,
-          4,
-          0,
-          0,
-          JobSpec.NO_DEADLINE);
+      JobSpec.builder("job-000001")
+          .jobClass("padron")
+          .team("roja")
+          .tasks(TASKS)
+          .cpus(0.25)
+          .memGb(0.5)
+          .image("img")
+          .imageGb(1)
+          .spotAllowed(true)
+          .estimateS(4)
+          .build();
 
   private final JobTable table = new JobTable();
 
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -44,28 +44,22 @@
   }
 
   private static JobSpec spec(String id, String team, List<String> dependencies) {
-    return new JobSpec(
-        id,
-        "lote",
-        team,
-        false,
-        Priority.URGENT,
-        3,
-        1.5,
-        0,
-        2,
-        "img",
-        1,
-        List.of("mesa"),
-        null,
-        false,
-        true,
-        true,
-        9,
-        0,
-        0,
-        60,
-        dependencies);
+    return JobSpec.builder(id)
+        .jobClass("lote")
+        .team(team)
+        .priority(Priority.URGENT)
+        .tasks(3)
+        .cpus(1.5)
+        .memGb(2)
+        .image("img")
+        .imageGb(1)
+        .types(List.of("mesa"))
+        .apart(true)
+        .spotAllowed(true)
+        .estimateS(9)
+        .deadlineS(60)
+        .dependencies(dependencies)
+        .build();
   }
 
   private static String json(Fields value) {
--- a/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
+++ b/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
@@ -34,27 +34,18 @@
   private static final int LONGEST_STEPS = 700;
 
   private static JobSpec spec(long order, Priority priority, double cpus) {
-    return new JobSpec(
-        "job-" + order,
-        "lote",
-        "roja",
-        false,
-        priority,
-        1,
-        cpus,
-        0,
-        0,
-        "img",
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        10,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder("job-" + order)
+        .jobClass("lote")
+        .team("roja")
+        .priority(priority)
+        .tasks(1)
+        .cpus(cpus)
+        .memGb(0)
+        .image("img")
+        .imageGb(1)
+        .spotAllowed(true)
+        .estimateS(10)
+        .build();
   }
 
   private static Snapshot.PendingJob pendingJob(
--- a/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
@@ -107,27 +107,24 @@
       int tasks = 1 + r.nextInt(9);
       boolean apart = r.nextInt(3) == 0;
       JobSpec spec =
-          new JobSpec(
-              "job-" + i,
-              "lote",
-              r.nextBoolean() ? "roja" : "azul",
-              r.nextBoolean(),
-              PRIORITIES.get(r.nextInt(4)),
-              tasks,
-              r.nextInt(5),
-              r.nextInt(4) == 3 ? 1 : 0,
-              r.nextInt(8),
-              "img" + r.nextInt(3),
-              2,
-              r.nextBoolean() ? null : List.of("torre"),
-              r.nextInt(4) == 0 ? "z1" : null,
-              !apart && r.nextInt(3) == 0,
-              apart,
-              r.nextBoolean(),
-              5,
-              0,
-              0,
-              JobSpec.NO_DEADLINE);
+          JobSpec.builder("job-" + i)
+              .jobClass("lote")
+              .team(r.nextBoolean() ? "roja" : "azul")
+              .service(r.nextBoolean())
+              .priority(PRIORITIES.get(r.nextInt(4)))
+              .tasks(tasks)
+              .cpus(r.nextInt(5))
+              .cards(r.nextInt(4) == 3 ? 1 : 0)
+              .memGb(r.nextInt(8))
+              .image("img" + r.nextInt(3))
+              .imageGb(2)
+              .types(r.nextBoolean() ? null : List.of("torre"))
+              .zone(r.nextInt(4) == 0 ? "z1" : null)
+              .onePlace(!apart && r.nextInt(3) == 0)
+              .apart(apart)
+              .spotAllowed(r.nextBoolean())
+              .estimateS(5)
+              .build();
       Map<String, Integer> zones = r.nextInt(3) == 0 ? Map.of("z" + r.nextInt(3), 1) : Map.of();
       List<Integer> list = new ArrayList<>();
       for (int t = zones.isEmpty() ? 0 : 1; t < tasks; t++) {
--- a/src/test/java/fennelthread/plan/PlannerRankingTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRankingTest.java
@@ -85,27 +85,17 @@
   @Test
   void aReplicaPreemptsLessUrgentWorkWhereItsImageIs() {
     JobSpec service =
-        new JobSpec(
-            "job-1",
-            "servicio",
-            "roja",
-            true,
-            Priority.CRITICAL,
-            1,
-            4,
-            0,
-            1,
-            "img",
-            3,
-            null,
-            null,
-            false,
-            false,
-            false,
-            0,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder("job-1")
+            .jobClass("servicio")
+            .team("roja")
+            .service(true)
+            .priority(Priority.CRITICAL)
+            .tasks(1)
+            .cpus(4)
+            .memGb(1)
+            .image("img")
+            .imageGb(3)
+            .build();
     Snapshot.RunningTask low = running("job-8", "azul", Priority.STANDARD, 5);
     Plan plan =
         Planner.plan(
--- a/src/test/java/fennelthread/plan/PlannerReservationTest.java
+++ b/src/test/java/fennelthread/plan/PlannerReservationTest.java
@@ -56,27 +56,19 @@
       String id, Priority priority, int tasks, String zone) {
     JobSpec any = job(id, "roja", priority, tasks, 1);
     JobSpec spec =
-        new JobSpec(
-            id,
-            any.jobClass(),
-            any.team(),
-            false,
-            priority,
-            tasks,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            zone,
-            false,
-            false,
-            true,
-            10,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpec.builder(id)
+            .jobClass(any.jobClass())
+            .team(any.team())
+            .priority(priority)
+            .tasks(tasks)
+            .cpus(1)
+            .memGb(1)
+            .image("img")
+            .imageGb(1)
+            .zone(zone)
+            .spotAllowed(true)
+            .estimateS(10)
+            .build();
     return pendingJob(spec, true, tasks);
   }
 
--- a/src/test/java/fennelthread/plan/SnapshotFixtures.java
+++ b/src/test/java/fennelthread/plan/SnapshotFixtures.java
@@ -73,27 +73,18 @@
   }
 
   static JobSpec job(String id, String team, Priority priority, int tasks, double cpus) {
-    return new JobSpec(
-        id,
-        "lote",
-        team,
-        false,
-        priority,
-        tasks,
-        cpus,
-        0,
-        1,
-        "img",
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        10,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return JobSpec.builder(id)
+        .jobClass("lote")
+        .team(team)
+        .priority(priority)
+        .tasks(tasks)
+        .cpus(cpus)
+        .memGb(1)
+        .image("img")
+        .imageGb(1)
+        .spotAllowed(true)
+        .estimateS(10)
+        .build();
   }
 
   static Snapshot.Machine machine(
