--- a/src/main/java/fennelthread/fleet/BootingPool.java
+++ b/src/main/java/fennelthread/fleet/BootingPool.java
@@ -1,6 +1,6 @@
 package fennelthread.fleet;
 
-import fennelthread.plan.Plan;
+import fennelthread.plan.PlacementPlan;
 import fennelthread.wire.MachineType;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -19,12 +19,12 @@
   }
 
   /** Returns what a job's waiting tasks require, CPUs. */
-  static double cpusOf(Plan.Unplaced waiting) {
-    return waiting.tasks() * Math.max(0.1, waiting.spec().cpus());
+  static double cpusOf(PlacementPlan.UnplacedTasks waiting) {
+    return waiting.count() * Math.max(0.1, waiting.spec().cpus());
   }
 
   /** Reserves what a job's waiting tasks require, as far as it is there; returns the rest, CPUs. */
-  double cover(Plan.Unplaced waiting) {
+  double cover(PlacementPlan.UnplacedTasks waiting) {
     double restCpus = cpusOf(waiting);
     for (Map.Entry<MachineKind, Double> entry : cpusByKind.entrySet()) {
       if (restCpus > 0 && mayUse(entry.getKey(), waiting)) {
@@ -36,7 +36,7 @@
     return restCpus;
   }
 
-  private boolean mayUse(MachineKind kind, Plan.Unplaced waiting) {
+  private boolean mayUse(MachineKind kind, PlacementPlan.UnplacedTasks waiting) {
     return ScaleOutPolicy.fits(types.get(kind.type()), waiting)
         && (!kind.spot() || waiting.spec().spotAllowed())
         && waiting.mayUseZone(kind.zone());
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.FleetConstants;
 import fennelthread.net.EventLoop;
-import fennelthread.plan.Plan;
+import fennelthread.plan.PlacementPlan;
 import fennelthread.wire.MachineEntry;
 import fennelthread.wire.MachineType;
 import fennelthread.wire.Rental;
@@ -169,7 +169,7 @@
    *
    * @param unplaced the tasks for which the last round found no capacity, in scheduling order
    */
-  public void tick(List<Plan.Unplaced> unplaced) {
+  public void tick(List<PlacementPlan.UnplacedTasks> unplaced) {
     if (closed) {
       return;
     }
@@ -205,7 +205,7 @@
 
   // ---------------------------------------------------------------- renting
 
-  private void scaleOut(List<Plan.Unplaced> unplaced, long nowMs) {
+  private void scaleOut(List<PlacementPlan.UnplacedTasks> unplaced, long nowMs) {
     if (renting) {
       return;
     }
--- a/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
+++ b/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
@@ -1,7 +1,7 @@
 package fennelthread.fleet;
 
 import fennelthread.constants.FleetConstants;
-import fennelthread.plan.Plan;
+import fennelthread.plan.PlacementPlan;
 import fennelthread.settings.Options;
 import fennelthread.wire.MachineType;
 import java.util.ArrayList;
@@ -76,7 +76,10 @@
    * @param refused the kinds that the cloud does not have at the moment
    */
   Optional<Request> nextRequest(
-      Stock stock, List<Plan.Unplaced> unplaced, double peakCpus, RefusedKinds refused) {
+      Stock stock,
+      List<PlacementPlan.UnplacedTasks> unplaced,
+      double peakCpus,
+      RefusedKinds refused) {
     if (stock.machines >= options.maxMachines()) {
       return Optional.empty();
     }
@@ -90,10 +93,10 @@
    * again and again, of which this job takes none.
    */
   private Optional<Request> requestForConstrainedJob(
-      Stock stock, List<Plan.Unplaced> unplaced, RefusedKinds refused) {
+      Stock stock, List<PlacementPlan.UnplacedTasks> unplaced, RefusedKinds refused) {
     BootingPool pool = new BootingPool();
     stock.expected.forEach(kind -> pool.add(kind, stock.types.get(kind.type())));
-    for (Plan.Unplaced waiting : unplaced) {
+    for (PlacementPlan.UnplacedTasks waiting : unplaced) {
       double uncoveredCpus = pool.cover(waiting);
       if (uncoveredCpus > 0 && waiting.hasConstraints()) {
         Optional<Request> request =
@@ -108,10 +111,13 @@
 
   /** Returns a request for the sum of all waiting tasks, or for the peak demand if it is higher. */
   private Optional<Request> requestForTotalDemand(
-      Stock stock, List<Plan.Unplaced> unplaced, double peakCpus, RefusedKinds refused) {
+      Stock stock,
+      List<PlacementPlan.UnplacedTasks> unplaced,
+      double peakCpus,
+      RefusedKinds refused) {
     double waitingCpus = 0;
     Set<String> wantedTypes = new HashSet<>();
-    for (Plan.Unplaced waiting : unplaced) {
+    for (PlacementPlan.UnplacedTasks waiting : unplaced) {
       waitingCpus += BootingPool.cpusOf(waiting);
       for (MachineType type : stock.types.values()) {
         if (fits(type, waiting)) {
@@ -156,7 +162,7 @@
   }
 
   /** Returns the kinds that a job's next task may run on: on-demand first, of them the cheapest. */
-  private List<MachineKind> kindsFor(Plan.Unplaced waiting, Stock stock) {
+  private List<MachineKind> kindsFor(PlacementPlan.UnplacedTasks waiting, Stock stock) {
     List<MachineType> types = new ArrayList<>(stock.types.values());
     types.removeIf(type -> !fits(type, waiting));
     types.sort(Comparator.comparingDouble(ScaleOutPolicy::pricePerCpu));
@@ -193,7 +199,7 @@
   }
 
   /** Returns true if a job takes machines of the type, and a task of it fits one. */
-  static boolean fits(MachineType type, Plan.Unplaced waiting) {
+  static boolean fits(MachineType type, PlacementPlan.UnplacedTasks waiting) {
     return (waiting.spec().types() == null || waiting.spec().types().contains(type.name()))
         && waiting.spec().cpus() <= type.cpus()
         && waiting.spec().cards() <= type.cards()
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -122,11 +122,11 @@
         && !isReplicated;
   }
 
-  private Aging.Candidate agingCandidate(ActiveJob activeJob, long waitedMs, long now) {
+  private Aging.EligibleJob agingCandidate(ActiveJob activeJob, long waitedMs, long now) {
     JobSpec spec = activeJob.job().spec();
     Attempt longest = activeJob.longestRunningAttempt();
     boolean isRunning = longest != null && longest.runningSinceMs() >= 0;
-    return new Aging.Candidate(
+    return new Aging.EligibleJob(
         spec.id(),
         waitedMs,
         spec.cpus(),
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -22,7 +22,7 @@
 final class MachineLoad {
   private long version = -1;
   private MachineType machineType;
-  private Snapshot.Machine snapshot;
+  private Snapshot.MachineState snapshot;
   private final Map<String, ResourceSum> usedByTeam = new HashMap<>(4);
 
   /** Recomputes the load if the machine or its type has changed; the type may be null. */
@@ -90,7 +90,7 @@
   }
 
   /** The machine as a round sees it, or null if its type is not known. */
-  Snapshot.Machine snapshot() {
+  Snapshot.MachineState snapshot() {
     return snapshot;
   }
 
@@ -117,8 +117,8 @@
       freeMemGb = type == null ? 0 : type.memGb();
     }
 
-    Snapshot.Machine snapshotOf(Machine machine, MachineType type) {
-      return new Snapshot.Machine(
+    Snapshot.MachineState snapshotOf(Machine machine, MachineType type) {
+      return new Snapshot.MachineState(
           machine.name(),
           type,
           machine.zone(),
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -6,7 +6,7 @@
 import fennelthread.fleet.Fleet;
 import fennelthread.fleet.Machine;
 import fennelthread.net.EventLoop;
-import fennelthread.plan.Plan;
+import fennelthread.plan.PlacementPlan;
 import fennelthread.plan.Planner;
 import fennelthread.plan.Snapshot;
 import fennelthread.state.RequestPriority;
@@ -52,7 +52,7 @@
   private Phase phase = Phase.NOT_STARTED;
   private long lastRoundMs;
   private long earliestRoundMs;
-  private List<Plan.Unplaced> unplaced = List.of();
+  private List<PlacementPlan.UnplacedTasks> unplaced = List.of();
 
   SchedulingLoop(
       LeaderContext context,
@@ -98,7 +98,7 @@
   }
 
   /** The tasks that the last round could not place. */
-  List<Plan.Unplaced> unplaced() {
+  List<PlacementPlan.UnplacedTasks> unplaced() {
     return unplaced;
   }
 
@@ -138,9 +138,9 @@
       transitionTo(Phase.IDLE);
       return;
     }
-    Plan plan = Planner.plan(snapshot.get());
+    PlacementPlan plan = Planner.plan(snapshot.get());
     unplaced = plan.unplaced();
-    passedOver.update(plan.passedOver(), eventLoop.nowMs());
+    passedOver.update(plan.passedOverJobs(), eventLoop.nowMs());
     if (log.isDebugEnabled() && !unplaced.isEmpty()) {
       log.debug(
           "round left tasks unplaced jobs={} starts={} teamUsage={}",
@@ -169,7 +169,7 @@
     machines.forEach(fleet::sendCommands);
   }
 
-  private void writeStarts(List<Plan.Start> starts) {
+  private void writeStarts(List<PlacementPlan.Start> starts) {
     StartBatches.Batch batch = batches.prepare(starts);
     transitionTo(Phase.WRITING);
     context
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -68,7 +68,7 @@
       return Optional.empty();
     }
     Map<String, ResourceSum> usedByTeam = new HashMap<>();
-    List<Snapshot.Machine> machines = readyMachines(usedByTeam);
+    List<Snapshot.MachineState> machines = readyMachines(usedByTeam);
     Map<String, Snapshot.TeamUsage> teams = teamUsage(usedByTeam);
     Set<String> guaranteed = demand.guaranteed();
     Aging aging = demand.aging(totalCpus(machines));
@@ -86,10 +86,10 @@
   }
 
   /** The machines that may take tasks; adds up what teams use on all machines. */
-  private List<Snapshot.Machine> readyMachines(Map<String, ResourceSum> usedByTeam) {
+  private List<Snapshot.MachineState> readyMachines(Map<String, ResourceSum> usedByTeam) {
     Fleet fleet = term.fleet();
     Map<String, MachineType> types = machineTypes.byName();
-    List<Snapshot.Machine> ready = new ArrayList<>();
+    List<Snapshot.MachineState> ready = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       MachineLoad load = loads.computeIfAbsent(machine, k -> new MachineLoad());
       load.update(machine, types.get(machine.type()), term);
@@ -118,9 +118,9 @@
     return usage;
   }
 
-  private static double totalCpus(List<Snapshot.Machine> machines) {
+  private static double totalCpus(List<Snapshot.MachineState> machines) {
     double cpus = 0;
-    for (Snapshot.Machine machine : machines) {
+    for (Snapshot.MachineState machine : machines) {
       cpus += machine.type().cpus();
     }
     return cpus;
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -5,7 +5,7 @@
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.StartRecord;
 import fennelthread.jobs.StartRecordPacker;
-import fennelthread.plan.Plan;
+import fennelthread.plan.PlacementPlan;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
 import fennelthread.state.SizeLimits;
@@ -46,11 +46,11 @@
   }
 
   /** Creates the attempts of as many starts as one transaction holds; the next round plans more. */
-  Batch prepare(List<Plan.Start> starts) {
+  Batch prepare(List<PlacementPlan.Start> starts) {
     Batch batch = new Batch(lease.fencedTxn(), new LinkedHashMap<>());
     StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), limits.txnChanges());
     Set<String> jobs = new HashSet<>();
-    for (Plan.Start start : starts) {
+    for (PlacementPlan.Start start : starts) {
       addIfItFits(start, batch, packer, jobs);
     }
     for (StartRecord record : packer.records()) {
@@ -60,7 +60,7 @@
   }
 
   private void addIfItFits(
-      Plan.Start start, Batch batch, StartRecordPacker packer, Set<String> jobs) {
+      PlacementPlan.Start start, Batch batch, StartRecordPacker packer, Set<String> jobs) {
     String id = start.spec().id();
     Txn txn = batch.txn();
     Machine machine = fleet.machine(start.machine());
--- a/src/main/java/fennelthread/plan/Aging.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -26,7 +26,7 @@
    * @param elapsedS how long that attempt has run, s
    * @param expectedRunS how long its tasks are expected to run, s; 0 of services
    */
-  public record Candidate(
+  public record EligibleJob(
       String id,
       long waitedMs,
       double cpus,
@@ -48,7 +48,7 @@
   }
 
   /** Decides on the next job; jobs have to come oldest first. */
-  public void consider(Candidate job) {
+  public void consider(EligibleJob job) {
     if (job.begun || job.waitedMs <= PlanConstants.AGING_THRESHOLD_MS) {
       return;
     }
--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -15,7 +15,7 @@
  * that are being stopped will release, and what of both is reserved for waiting tasks.
  */
 final class FreeCapacity {
-  private final Snapshot.Machine machine;
+  private final Snapshot.MachineState machine;
   private final int index;
   private int version;
   private double cpus;
@@ -34,16 +34,16 @@
   private double firstCompletionS = -1;
 
   /** Creates a machine's capacity; {@code index} is its place among the machines of the round. */
-  FreeCapacity(Snapshot.Machine machine, int index) {
+  FreeCapacity(Snapshot.MachineState machine, int index) {
     this.machine = machine;
     this.index = index;
-    this.cpus = machine.cpus();
-    this.cards = machine.cards();
-    this.memGb = machine.memGb();
-    this.slots = machine.slots();
+    this.cpus = machine.freeCpus();
+    this.cards = machine.freeCards();
+    this.memGb = machine.freeMemGb();
+    this.slots = machine.freeReportSlots();
   }
 
-  Snapshot.Machine machine() {
+  Snapshot.MachineState machine() {
     return machine;
   }
 
@@ -117,7 +117,7 @@
     if (firstCompletionS < 0) {
       firstCompletionS = Double.POSITIVE_INFINITY;
       for (Snapshot.RunningTask task : machine.running()) {
-        if (!task.stopping()) {
+        if (!task.isStopping()) {
           firstCompletionS = Math.min(firstCompletionS, task.remainingS(nowMs));
         }
       }
@@ -129,7 +129,7 @@
   List<Snapshot.RunningTask> runningByCompletion(long nowMs) {
     if (runningByCompletion == null) {
       runningByCompletion = new ArrayList<>(machine.running());
-      runningByCompletion.removeIf(Snapshot.RunningTask::stopping);
+      runningByCompletion.removeIf(Snapshot.RunningTask::isStopping);
       runningByCompletion.sort(Comparator.comparingDouble(task -> task.remainingS(nowMs)));
     }
     return runningByCompletion;
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -76,9 +76,9 @@
           ? sameClass * PlanConstants.SPREADING_PENALTY_CACHED + freeShare
           : PlanConstants.IMAGE_NOT_CACHED_PENALTY_S + fetchS + sameClass + freeShare;
     }
-    double spotBonus = machine.machine().spot() ? -PlanConstants.SPOT_BONUS : 0;
+    double spotBonus = machine.machine().isSpot() ? -PlanConstants.SPOT_BONUS : 0;
     double fetchWeight =
-        pendingJob.latencySensitive() ? PlanConstants.LATENCY_SENSITIVE_FETCH_WEIGHT : 1;
+        pendingJob.isLatencySensitive() ? PlanConstants.LATENCY_SENSITIVE_FETCH_WEIGHT : 1;
     return fetchS * fetchWeight + freeShare + spotBonus;
   }
 }
--- a/src/main/java/fennelthread/plan/PlacementConstraints.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -26,15 +26,15 @@
    * True if the job's constraints allow a task of it on the machine now; {@code zones} counts the
    * job's tasks that may be present, by zone.
    */
-  static boolean allow(JobSpec spec, Map<String, Integer> zones, Snapshot.Machine machine) {
+  static boolean allow(JobSpec spec, Map<String, Integer> zones, Snapshot.MachineState machine) {
     return allowKind(spec, machine)
         && (!dependOnOtherTasks(spec) || allowZone(spec, zones, machine.zone()));
   }
 
-  private static boolean allowKind(JobSpec spec, Snapshot.Machine machine) {
+  private static boolean allowKind(JobSpec spec, Snapshot.MachineState machine) {
     return (spec.types() == null || spec.types().contains(machine.type().name()))
         && (spec.zone() == null || spec.zone().equals(machine.zone()))
-        && (!machine.spot() || spec.spotAllowed());
+        && (!machine.isSpot() || spec.spotAllowed());
   }
 
   /** True if one more task in this zone breaks neither {@code same_place} nor {@code apart}. */
--- a/src/main/java/fennelthread/plan/Plan.java
+++ b/src/main/java/fennelthread/plan/PlacementPlan.java
@@ -11,14 +11,14 @@
  * @param starts the tasks to start, in the order in which they were placed
  * @param preemptions the running tasks to preempt, in the order in which they were chosen
  * @param unplaced the jobs with tasks that found no free capacity
- * @param passedOver the ids of jobs with tasks left for which a machine has free capacity and their
- *     team's limit allows one, but which are held back by what is reserved for others
+ * @param passedOverJobs the ids of jobs with tasks left for which a machine has free capacity and
+ *     their team's limit allows one, but which are held back by what is reserved for others
  */
-public record Plan(
+public record PlacementPlan(
     List<Start> starts,
     List<Snapshot.RunningTask> preemptions,
-    List<Unplaced> unplaced,
-    Set<String> passedOver) {
+    List<UnplacedTasks> unplaced,
+    Set<String> passedOverJobs) {
 
   /**
    * A task to start on a machine.
@@ -33,16 +33,17 @@
    * Tasks of a job that found no free capacity, though their team's limit would allow them.
    *
    * @param spec the job
-   * @param tasks how many
-   * @param zones the job's tasks that may be present, by zone, if it has a constraint on zones
+   * @param count how many
+   * @param tasksByZone the job's tasks that may be present, by zone, if it has a constraint on
+   *     zones
    */
-  public record Unplaced(JobSpec spec, int tasks, Map<String, Integer> zones) {
+  public record UnplacedTasks(JobSpec spec, int count, Map<String, Integer> tasksByZone) {
 
     /** True if the job's constraints let its next task start in this zone. */
     public boolean mayUseZone(String zone) {
       return (spec.zone() == null || spec.zone().equals(zone))
           && (!PlacementConstraints.dependOnOtherTasks(spec)
-              || PlacementConstraints.allowZone(spec, zones, zone));
+              || PlacementConstraints.allowZone(spec, tasksByZone, zone));
     }
 
     /** True if the job does not take just any machine that is large enough. */
--- a/src/main/java/fennelthread/plan/PlacementSearch.java
+++ b/src/main/java/fennelthread/plan/PlacementSearch.java
@@ -42,7 +42,7 @@
     this.spec = pendingJob.spec();
     this.starved = round.snapshot().starvedJobs().contains(spec.id());
     this.zoned = PlacementConstraints.dependOnOtherTasks(spec);
-    this.zones = zoned ? new HashMap<>(pendingJob.zones()) : Map.of();
+    this.zones = zoned ? new HashMap<>(pendingJob.tasksByZone()) : Map.of();
     this.shape = TaskShape.of(spec);
   }
 
@@ -267,7 +267,7 @@
         new RoundState.PreemptionClaim(
             shape,
             pendingJob.preemptsAs(),
-            pendingJob.withinGuarantee() ? spec.team() : null,
+            pendingJob.isWithinGuarantee() ? spec.team() : null,
             withImageOnly ? spec.image() : null);
     if (!round.preemption().isPossible(pendingJob)
         || (!zoned && round.claimsWithoutCandidates().contains(claim))) {
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -31,13 +31,13 @@
    */
   public static final Comparator<Snapshot.PendingJob> ORDER =
       Comparator.<Snapshot.PendingJob>comparingLong(
-              job -> job.agingBoost() == AgingBoost.ABOVE_ALL ? job.order() : Long.MAX_VALUE)
+              job -> job.agingBoost() == AgingBoost.ABOVE_ALL ? job.releaseOrder() : Long.MAX_VALUE)
           .thenComparing(Snapshot.PendingJob::priority)
           .thenComparing(job -> job.agingBoost() != AgingBoost.WITHIN_PRIORITY)
-          .thenComparing(Snapshot.PendingJob::late)
-          .thenComparing(job -> !job.withinGuarantee())
+          .thenComparing(Snapshot.PendingJob::isLate)
+          .thenComparing(job -> !job.isWithinGuarantee())
           .thenComparingDouble(Snapshot.PendingJob::agedWork)
-          .thenComparingLong(Snapshot.PendingJob::order);
+          .thenComparingLong(Snapshot.PendingJob::releaseOrder);
 
   /** A job with tasks that are not started. */
   private record Remaining(Snapshot.PendingJob pendingJob, PlacementSearch search) {}
@@ -45,8 +45,8 @@
   private final Snapshot snapshot;
   private final RoundState round;
   private final TeamBudgets budgets;
-  private final List<Plan.Start> starts = new ArrayList<>();
-  private final List<Plan.Unplaced> unplaced = new ArrayList<>();
+  private final List<PlacementPlan.Start> starts = new ArrayList<>();
+  private final List<PlacementPlan.UnplacedTasks> unplaced = new ArrayList<>();
   private final List<Remaining> remaining = new ArrayList<>();
 
   private Planner(Snapshot snapshot) {
@@ -56,12 +56,12 @@
   }
 
   /** Plans one round. */
-  public static Plan plan(Snapshot snapshot) {
+  public static PlacementPlan plan(Snapshot snapshot) {
     Planner planner = new Planner(snapshot);
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(snapshot.pendingJobs());
     pendingJobs.sort(ORDER);
     pendingJobs.forEach(planner::place);
-    return new Plan(
+    return new PlacementPlan(
         planner.starts,
         planner.round.preemption().preemptions(),
         planner.unplaced,
@@ -92,7 +92,7 @@
       if (best != null) {
         search.allocate(best);
         budgets.start(spec);
-        starts.add(new Plan.Start(spec, task, best.machine().name()));
+        starts.add(new PlacementPlan.Start(spec, task, best.machine().name()));
       } else if (mayRequest) {
         missing++;
         budgets.request(spec);
@@ -111,7 +111,7 @@
   private void noteRemaining(
       Snapshot.PendingJob pendingJob, PlacementSearch search, int missing, int notStarted) {
     if (missing > 0) {
-      unplaced.add(new Plan.Unplaced(pendingJob.spec(), missing, search.zones()));
+      unplaced.add(new PlacementPlan.UnplacedTasks(pendingJob.spec(), missing, search.zones()));
     }
     if (notStarted > 0) {
       remaining.add(new Remaining(pendingJob, search));
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -25,14 +25,14 @@
   Preemption(Snapshot snapshot) {
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
-    for (Snapshot.Machine machine : snapshot.machines()) {
+    for (Snapshot.MachineState machine : snapshot.machines()) {
       machine.running().stream()
-          .filter(Snapshot.RunningTask::stopping)
+          .filter(Snapshot.RunningTask::isStopping)
           .forEach(this::subtractFromTeam);
     }
-    for (Snapshot.Machine machine : snapshot.machines()) {
+    for (Snapshot.MachineState machine : snapshot.machines()) {
       for (Snapshot.RunningTask task : machine.running()) {
-        if (!task.stopping()) {
+        if (!task.isStopping()) {
           runningByPriority[task.priority().rank()]++;
         }
       }
@@ -66,7 +66,7 @@
   /** False if no running work anywhere may be preempted for the job, judged by priority alone. */
   boolean isPossible(Snapshot.PendingJob pendingJob) {
     int rank = pendingJob.preemptsAs().rank();
-    int first = pendingJob.withinGuarantee() ? rank : rank + 1;
+    int first = pendingJob.isWithinGuarantee() ? rank : rank + 1;
     for (int i = first; i < runningByPriority.length; i++) {
       if (runningByPriority[i] > 0) {
         return true;
@@ -112,7 +112,7 @@
       Snapshot.PendingJob pendingJob, FreeCapacity machine) {
     List<Snapshot.RunningTask> candidates = new ArrayList<>();
     for (Snapshot.RunningTask task : machine.machine().running()) {
-      if (!task.stopping()
+      if (!task.isStopping()
           && (isLessUrgent(pendingJob, task) || mayBeReclaimed(pendingJob, task))
           && !preempted.contains(task)
           && !snapshot.nonPreemptible().contains(task.attempt())) {
@@ -137,7 +137,7 @@
    */
   private boolean mayBeReclaimed(Snapshot.PendingJob pendingJob, Snapshot.RunningTask task) {
     return task.priority() == pendingJob.preemptsAs()
-        && pendingJob.withinGuarantee()
+        && pendingJob.isWithinGuarantee()
         && !snapshot.preemptibleOnlyByMoreUrgent().contains(task.attempt())
         && !snapshot.guaranteedJobs().contains(task.spec().id())
         && !task.spec().team().equals(pendingJob.spec().team());
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -38,11 +38,11 @@
     this.machines = new ArrayList<>(snapshot.machines().size());
     this.preemption = new Preemption(snapshot);
     this.maxReservedMachines = maxReservedMachines(snapshot);
-    for (Snapshot.Machine machine : snapshot.machines()) {
+    for (Snapshot.MachineState machine : snapshot.machines()) {
       FreeCapacity capacity = new FreeCapacity(machine, machines.size());
       machines.add(capacity);
       machine.running().stream()
-          .filter(Snapshot.RunningTask::stopping)
+          .filter(Snapshot.RunningTask::isStopping)
           .forEach(capacity::addRelease);
       updateReleases(capacity);
     }
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -26,7 +26,7 @@
  * @param preemptibleOnlyByMoreUrgent the attempts that are preempted for more urgent work alone
  */
 public record Snapshot(
-    List<Machine> machines,
+    List<MachineState> machines,
     List<PendingJob> pendingJobs,
     Set<String> guaranteedJobs,
     Set<Long> nonPreemptible,
@@ -45,29 +45,29 @@
    * @param name its name
    * @param type its machine type
    * @param zone its zone
-   * @param spot true if it is a spot instance
-   * @param cpus free CPUs
-   * @param cards free accelerator cards
-   * @param memGb free memory, GB
+   * @param isSpot true if it is a spot instance
+   * @param freeCpus free CPUs
+   * @param freeCards free accelerator cards
+   * @param freeMemGb free memory, GB
    * @param images the images in its cache
    * @param fetching the images that it is fetching
    * @param tasksByClass the number of its tasks by job class
    * @param running the tasks that may be preempted, and those that are stopping already
-   * @param slots for how many more tasks its worker's reports have space
+   * @param freeReportSlots for how many more tasks its worker's reports have space
    */
-  public record Machine(
+  public record MachineState(
       String name,
       MachineType type,
       String zone,
-      boolean spot,
-      double cpus,
-      double cards,
-      double memGb,
+      boolean isSpot,
+      double freeCpus,
+      double freeCards,
+      double freeMemGb,
       Set<String> images,
       Set<String> fetching,
       Map<String, Integer> tasksByClass,
       List<RunningTask> running,
-      int slots) {}
+      int freeReportSlots) {}
 
   /**
    * A job with tasks to place.
@@ -77,31 +77,32 @@
    * @param preemptsAs the priority with which it may preempt other work, no more urgent than {@code
    *     priority}
    * @param tasks the indexes of the tasks to place
-   * @param zones its tasks that may be present, by zone; filled for jobs with a constraint on zones
-   * @param withinGuarantee true if the job lies within its team's guarantee
-   * @param latencySensitive true if waiting for an image counts more than usual
-   * @param late true if it can't meet any of its deadlines any more
+   * @param tasksByZone its tasks that may be present, by zone; filled for jobs with a constraint on
+   *     zones
+   * @param isWithinGuarantee true if the job lies within its team's guarantee
+   * @param isLatencySensitive true if waiting for an image counts more than usual
+   * @param isLate true if it can't meet any of its deadlines any more
    * @param agedWork the CPU seconds that its waiting tasks still take, less the longer it has
    *     waited
    * @param maxWaitS how long it waits for running tasks to complete rather than have others
    *     preempted, s
    * @param agingBoost how far its first task is moved forward; {@code tasks} is that one alone
    *     unless this is {@link AgingBoost#NONE}
-   * @param order its place in the order in which jobs were released
+   * @param releaseOrder its place in the order in which jobs were released
    */
   public record PendingJob(
       JobSpec spec,
       Priority priority,
       Priority preemptsAs,
       List<Integer> tasks,
-      Map<String, Integer> zones,
-      boolean withinGuarantee,
-      boolean latencySensitive,
-      boolean late,
+      Map<String, Integer> tasksByZone,
+      boolean isWithinGuarantee,
+      boolean isLatencySensitive,
+      boolean isLate,
       double agedWork,
       double maxWaitS,
       AgingBoost agingBoost,
-      long order) {}
+      long releaseOrder) {}
 
   /**
    * A task that may be preempted, or is stopping.
@@ -111,7 +112,7 @@
    * @param task its index in the job
    * @param attempt the number of the attempt
    * @param machine the name of its machine
-   * @param stopping true if it is being stopped already
+   * @param isStopping true if it is being stopped already
    * @param cpus CPUs that it takes
    * @param cards accelerator cards that it takes
    * @param memGb memory that it takes, GB
@@ -124,7 +125,7 @@
       int task,
       long attempt,
       String machine,
-      boolean stopping,
+      boolean isStopping,
       double cpus,
       double cards,
       double memGb,
--- a/src/main/java/fennelthread/plan/package-info.java
+++ b/src/main/java/fennelthread/plan/package-info.java
@@ -3,9 +3,9 @@
  * running tasks are preempted for that.
  *
  * <p>{@link fennelthread.plan.Planner#plan} is the entry point. It is a pure function from a {@link
- * fennelthread.plan.Snapshot} to a {@link fennelthread.plan.Plan}: no clock, no randomness, nothing
- * sent or stored, so that any decision can be repeated in a test. {@link fennelthread.plan.Aging}
- * keeps large and unurgent jobs from starving.
+ * fennelthread.plan.Snapshot} to a {@link fennelthread.plan.PlacementPlan}: no clock, no
+ * randomness, nothing sent or stored, so that any decision can be repeated in a test. {@link
+ * fennelthread.plan.Aging} keeps large and unurgent jobs from starving.
  *
  * <p>A round runs on the leader's event loop, which also renews its lease. With thousands of tasks
  * and hundreds of machines on a tenth of a core its inner loops allocate as little as possible;
--- a/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
+++ b/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
@@ -94,8 +94,8 @@
                         numbered.size(),
                         n.priority(),
                         1,
-                        n.late(),
-                        n.withinGuarantee(),
+                        n.isLate(),
+                        n.isWithinGuarantee(),
                         n.agedWork(),
                         n.agingBoost()));
               }
@@ -201,7 +201,7 @@
     for (Job job : jobs) {
       boolean runs = job.startedAtMs >= 0;
       aging.consider(
-          new Aging.Candidate(
+          new Aging.EligibleJob(
               "job-" + job.order,
               now - job.arrivedAtMs,
               job.arrival.cpus,
@@ -227,7 +227,7 @@
                 aging.boostOf("job-" + job.order)));
       }
     }
-    List<Snapshot.Machine> machines = new ArrayList<>();
+    List<Snapshot.MachineState> machines = new ArrayList<>();
     for (int h = 0; h < 4; h++) {
       String name = "m" + h;
       double free = 16;
@@ -267,7 +267,7 @@
               runningHere));
     }
     Map<String, Snapshot.TeamUsage> teams = Map.of("roja", SnapshotFixtures.usage(0, 0, 0, 0));
-    Plan plan =
+    PlacementPlan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
                 machines, pendingJobs, Set.of(), aging.nonPreemptible(), teams, now, 1_000));
@@ -276,7 +276,7 @@
       running.remove(job);
       job.startedAtMs = -1;
     }
-    for (Plan.Start start : plan.starts()) {
+    for (PlacementPlan.Start start : plan.starts()) {
       Job job = byId.get(start.spec().id());
       job.startedAtMs = now;
       where.put(job, start.machine());
--- a/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
+++ b/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
@@ -45,7 +45,7 @@
             List.of(machine("a", 8, 0, null, same, low)),
             pendingJob(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
             Set.of("job-8", "job-9"));
-    Plan plan = Planner.plan(snapshot);
+    PlacementPlan plan = Planner.plan(snapshot);
     assertEquals(List.of(low), plan.preemptions());
     assertTrue(plan.starts().isEmpty());
   }
@@ -58,7 +58,7 @@
     JobSpec bestEffort = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
     Snapshot.RunningTask other = running("job-9", "azul", Priority.STANDARD, 1);
     Snapshot.PendingJob inheriting = inheriting(bestEffort, Priority.URGENT, Priority.URGENT);
-    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, other));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, other));
     assertEquals(
         List.of(other), Planner.plan(snapshot(machines, inheriting, Set.of())).preemptions());
     Snapshot.PendingJob withTimeLeft =
@@ -87,7 +87,7 @@
     Snapshot.RunningTask b = running("job-8", "azul", Priority.STANDARD, 2);
     Snapshot.RunningTask c = running("job-9", "azul", Priority.STANDARD, 3);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 3, 4);
-    List<Snapshot.Machine> machines = List.of(machine("a", 12, 0, null, a, b, c));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 12, 0, null, a, b, c));
     Map<Integer, List<Snapshot.RunningTask>> expected =
         Map.of(12, List.of(), 11, List.of(a), 8, List.of(a), 7, List.of(a, b), 0, List.of(a, b, c));
     expected.forEach(
@@ -114,7 +114,7 @@
     Snapshot.RunningTask borrowed = running("job-8", "azul", Priority.STANDARD, 5);
     Snapshot.RunningTask urgent = running("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
-    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, borrowed));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, borrowed));
     assertEquals(
         1,
         Planner.plan(snapshot(machines, pendingJob(spec, true, 1), Set.of())).preemptions().size());
@@ -140,7 +140,7 @@
   @Test
   void anAgedTaskIsNotPreemptedForWorkOfItsPriority() {
     Snapshot.RunningTask aged = running("job-8", "azul", Priority.STANDARD, 5);
-    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, aged));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, aged));
     for (Priority priority : Priority.values()) {
       Snapshot.PendingJob guaranteed = pendingJob(job("job-1", "roja", priority, 1, 4), true, 1);
       Snapshot snapshot =
@@ -164,7 +164,7 @@
   void theOnlyTaskOfAnAgedJobIsNotPreempted() {
     Snapshot.RunningTask only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
     Snapshot.PendingJob urgent = pendingJob(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
-    List<Snapshot.Machine> machines = List.of(machine("a", 4, 0, null, only));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, only));
     assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).preemptions());
     assertTrue(
         Planner.plan(
--- a/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
@@ -31,12 +31,12 @@
     int starvedStarts = 0;
     for (int seed = 0; seed < 3_000; seed++) {
       Snapshot s = randomSnapshot(seed, 1 + seed % 30);
-      Plan plan = Planner.plan(s);
-      assertEquals(PlainPlanner.plan(s), plan, "seed " + seed);
+      PlacementPlan plan = Planner.plan(s);
+      assertEquals(ReferencePlanner.plan(s), plan, "seed " + seed);
       preemptions += plan.preemptions().size();
       starts += plan.starts().size();
-      passedOver += plan.passedOver().size();
-      for (Plan.Start start : plan.starts()) {
+      passedOver += plan.passedOverJobs().size();
+      for (PlacementPlan.Start start : plan.starts()) {
         starvedStarts += s.starvedJobs().contains(start.spec().id()) ? 1 : 0;
       }
     }
@@ -57,7 +57,7 @@
 
   private static Snapshot randomSnapshot(int seed, int machineCount) {
     SplittableRandom r = new SplittableRandom(seed);
-    List<Snapshot.Machine> machines = new ArrayList<>();
+    List<Snapshot.MachineState> machines = new ArrayList<>();
     Set<String> guaranteed = new HashSet<>();
     for (int i = 0; i < machineCount; i++) {
       List<Snapshot.RunningTask> running = new ArrayList<>();
@@ -173,7 +173,7 @@
 
   /** What a team's running tasks use, with a limit above and a guarantee that may be below. */
   private static Snapshot.TeamUsage use(
-      SplittableRandom r, List<Snapshot.Machine> machines, String team) {
+      SplittableRandom r, List<Snapshot.MachineState> machines, String team) {
     double used =
         machines.stream()
             .flatMap(h -> h.running().stream())
@@ -183,15 +183,15 @@
     return new Snapshot.TeamUsage(used, 0, used + 2 + r.nextInt(40), 2, 1 + r.nextInt(30), 0);
   }
 
-  private static Snapshot.Machine withSlots(Snapshot.Machine h, int slots) {
-    return new Snapshot.Machine(
+  private static Snapshot.MachineState withSlots(Snapshot.MachineState h, int slots) {
+    return new Snapshot.MachineState(
         h.name(),
         h.type(),
         h.zone(),
-        h.spot(),
-        h.cpus(),
-        h.cards(),
-        h.memGb(),
+        h.isSpot(),
+        h.freeCpus(),
+        h.freeCards(),
+        h.freeMemGb(),
         h.images(),
         h.fetching(),
         h.tasksByClass(),
@@ -206,15 +206,15 @@
   }
 
   private static void check(Snapshot s, int seed) {
-    Plan plan = Planner.plan(s);
+    PlacementPlan plan = Planner.plan(s);
     assertTrue(plan.starts().size() <= s.maxStarts());
     Map<String, double[]> byMachine = new HashMap<>();
     Map<String, double[]> byTeam = new HashMap<>();
     Map<String, Map<String, Integer>> zones = new HashMap<>();
-    s.pendingJobs().forEach(n -> zones.put(n.spec().id(), new HashMap<>(n.zones())));
-    for (Plan.Start start : plan.starts()) {
+    s.pendingJobs().forEach(n -> zones.put(n.spec().id(), new HashMap<>(n.tasksByZone())));
+    for (PlacementPlan.Start start : plan.starts()) {
       JobSpec spec = start.spec();
-      Snapshot.Machine machine =
+      Snapshot.MachineState machine =
           s.machines().stream()
               .filter(h -> h.name().equals(start.machine()))
               .findFirst()
@@ -225,10 +225,10 @@
       used[1] += spec.cards();
       used[2] += spec.memGb();
       assertTrue(
-          used[0] <= machine.cpus()
-              && used[1] <= machine.cards()
-              && used[2] <= machine.memGb()
-              && used[3] <= machine.slots(),
+          used[0] <= machine.freeCpus()
+              && used[1] <= machine.freeCards()
+              && used[2] <= machine.freeMemGb()
+              && used[3] <= machine.freeReportSlots(),
           "seed " + seed);
       double[] team = byTeam.computeIfAbsent(spec.team(), k -> new double[2]);
       team[0] += spec.cpus();
@@ -237,7 +237,7 @@
       assertTrue(use.cpus() + team[0] <= use.cpusMax() && use.cards() + team[1] <= use.cardsMax());
       assertTrue(spec.types() == null || spec.types().contains(machine.type().name()));
       assertTrue(spec.zone() == null || spec.zone().equals(machine.zone()));
-      assertTrue(spec.spotAllowed() || !machine.spot());
+      assertTrue(spec.spotAllowed() || !machine.isSpot());
       Map<String, Integer> at = zones.get(spec.id());
       at.merge(machine.zone(), 1, Integer::sum);
       assertTrue(!spec.onePlace() || at.size() == 1, "seed " + seed);
--- a/src/test/java/fennelthread/plan/PlannerRankingTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRankingTest.java
@@ -67,7 +67,7 @@
             withWork(late, true, 10, 1),
             withWork(large, false, 900, 2),
             withWork(small, false, 90, 3));
-    Plan plan =
+    PlacementPlan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
                 List.of(machine("a", 8, 8, null)),
@@ -97,7 +97,7 @@
             .imageGb(3)
             .build();
     Snapshot.RunningTask low = running("job-8", "azul", Priority.STANDARD, 5);
-    Plan plan =
+    PlacementPlan plan =
         Planner.plan(
             snapshot(
                 List.of(machine("a", 8, 8, null), machine("b", 4, 0, "img", low)),
--- a/src/test/java/fennelthread/plan/PlannerReservationTest.java
+++ b/src/test/java/fennelthread/plan/PlannerReservationTest.java
@@ -74,7 +74,7 @@
 
   private static Snapshot withStarved(
       Set<String> starvedJobs,
-      List<Snapshot.Machine> machines,
+      List<Snapshot.MachineState> machines,
       List<Snapshot.PendingJob> pendingJobs,
       Map<String, Snapshot.TeamUsage> teams) {
     return new Snapshot(
@@ -104,7 +104,7 @@
         List.of(
             pendingJob(job("job-1", "roja", Priority.STANDARD, 1, 4), false, 1),
             pendingJob(job("job-2", "azul", Priority.BEST_EFFORT, 1, 2), false, 1));
-    Plan plan =
+    PlacementPlan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
                 List.of(machine("a", 4, 2, null, leaving)),
@@ -131,16 +131,17 @@
       soon.add(halfCpuTask(i, "a", 1, 4));
       later.add(halfCpuTask(10 + i, "b", 1, 40));
     }
-    List<Snapshot.Machine> machines =
+    List<Snapshot.MachineState> machines =
         List.of(
             machine("b", 4, 0, null, later.toArray(new Snapshot.RunningTask[0])),
             machine("a", 4, 0, null, soon.toArray(new Snapshot.RunningTask[0])));
     JobSpec four = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec halfCpu = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
-    Plan plan = Planner.plan(snapshot(machines, waiting(four, 5, AgingBoost.NONE), Set.of()));
+    PlacementPlan plan =
+        Planner.plan(snapshot(machines, waiting(four, 5, AgingBoost.NONE), Set.of()));
     assertTrue(plan.preemptions().isEmpty(), plan.preemptions().toString());
     // Half of them have ended since: the rest must not be given away again.
-    Plan next =
+    PlacementPlan next =
         Planner.plan(
             SnapshotFixtures.snapshot(
                 List.of(
@@ -169,12 +170,12 @@
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.RunningTask other = running("job-8", "azul", Priority.STANDARD, 1);
-    List<Snapshot.Machine> machines =
+    List<Snapshot.MachineState> machines =
         List.of(
             machine("a", 16, 12, null, other),
             machine("b", 16, 0, null, other, other, other, other));
     for (AgingBoost boost : AgingBoost.values()) {
-      Plan plan =
+      PlacementPlan plan =
           Planner.plan(
               SnapshotFixtures.snapshot(
                   machines,
@@ -185,7 +186,9 @@
                   NOW_MS,
                   10));
       assertEquals(
-          boost == AgingBoost.ABOVE_ALL ? List.of() : List.of(new Plan.Start(small, 0, "a")),
+          boost == AgingBoost.ABOVE_ALL
+              ? List.of()
+              : List.of(new PlacementPlan.Start(small, 0, "a")),
           plan.starts());
       assertTrue(plan.preemptions().isEmpty());
     }
@@ -197,22 +200,23 @@
    */
   @Test
   void unplacedWorkHoldsItsTeamsLimitForAWhileOnly() {
-    List<Snapshot.Machine> machines = List.of(machine("a", 8, 8, null));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 8, 8, null));
     List<Snapshot.PendingJob> pendingJobs =
         List.of(
             zoneBound("job-1", Priority.URGENT, 10, "elsewhere"),
             zoneBound("job-2", Priority.STANDARD, 3, null));
-    Plan first =
+    PlacementPlan first =
         Planner.plan(
             SnapshotFixtures.snapshot(
                 machines, pendingJobs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
     assertEquals(List.of(), first.starts());
-    assertEquals(Set.of("job-2"), first.passedOver());
-    Plan later = Planner.plan(withStarved(first.passedOver(), machines, pendingJobs, teams(10)));
+    assertEquals(Set.of("job-2"), first.passedOverJobs());
+    PlacementPlan later =
+        Planner.plan(withStarved(first.passedOverJobs(), machines, pendingJobs, teams(10)));
     assertEquals(3, later.starts().size());
-    assertEquals(Set.of(), later.passedOver());
+    assertEquals(Set.of(), later.passedOverJobs());
     // What runs counts in any case.
-    Plan full =
+    PlacementPlan full =
         Planner.plan(
             withStarved(
                 Set.of("job-2"),
@@ -228,14 +232,14 @@
     JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.RunningTask endless = running("job-8", "azul", Priority.STANDARD, 1);
-    List<Snapshot.Machine> machines = List.of(machine("a", 16, 12, null, endless));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 16, 12, null, endless));
     List<Snapshot.PendingJob> pendingJobs =
         List.of(waiting(small, 0, AgingBoost.NONE), waiting(whole, 0, AgingBoost.ABOVE_ALL));
     Snapshot reserved =
         SnapshotFixtures.snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
-    assertEquals(Set.of("job-2"), Planner.plan(reserved).passedOver());
+    assertEquals(Set.of("job-2"), Planner.plan(reserved).passedOverJobs());
     assertEquals(List.of(), Planner.plan(reserved).starts());
     Snapshot starved = withStarved(Set.of("job-2"), machines, pendingJobs, teams(0));
-    assertEquals(List.of(new Plan.Start(small, 0, "a")), Planner.plan(starved).starts());
+    assertEquals(List.of(new PlacementPlan.Start(small, 0, "a")), Planner.plan(starved).starts());
   }
 }
--- a/src/test/java/fennelthread/plan/PlainPlanner.java
+++ b/src/test/java/fennelthread/plan/ReferencePlanner.java
@@ -14,7 +14,7 @@
  * The planner without any of its shortcuts: each task looks at every machine and at all running
  * work. Slow and plain, so that it can be read; {@link Planner} must choose the same.
  */
-final class PlainPlanner {
+final class ReferencePlanner {
   private static final double EPSILON = 1e-9;
 
   /** What is left of a fetch under way, as a share: unknown, so a little more than the half. */
@@ -27,7 +27,7 @@
   private static final double IMAGE_NOT_CACHED_PENALTY_S = 1_000;
 
   private static final class FreeCapacity {
-    final Snapshot.Machine machine;
+    final Snapshot.MachineState machine;
     double cpus;
     double cards;
     double memGb;
@@ -38,12 +38,12 @@
     final Set<String> fetching;
     final Map<String, Integer> classes;
 
-    FreeCapacity(Snapshot.Machine machine) {
+    FreeCapacity(Snapshot.MachineState machine) {
       this.machine = machine;
-      this.cpus = machine.cpus();
-      this.cards = machine.cards();
-      this.memGb = machine.memGb();
-      this.slots = machine.slots();
+      this.cpus = machine.freeCpus();
+      this.cards = machine.freeCards();
+      this.memGb = machine.freeMemGb();
+      this.slots = machine.freeReportSlots();
       this.fetching = new HashSet<>(machine.fetching());
       this.classes = new HashMap<>(machine.tasksByClass());
     }
@@ -84,9 +84,9 @@
   private final Snapshot snapshot;
   private final List<FreeCapacity> machines = new ArrayList<>();
   private final Map<String, Snapshot.TeamUsage> teams;
-  private final List<Plan.Start> starts = new ArrayList<>();
+  private final List<PlacementPlan.Start> starts = new ArrayList<>();
   private final List<Snapshot.RunningTask> stops = new ArrayList<>();
-  private final List<Plan.Unplaced> unplaced = new ArrayList<>();
+  private final List<PlacementPlan.UnplacedTasks> unplaced = new ArrayList<>();
   private final Set<Snapshot.RunningTask> stopped = new HashSet<>();
   private final Map<String, Snapshot.TeamUsage> started;
   private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> zonesOf =
@@ -94,16 +94,16 @@
   private final IdentityHashMap<Snapshot.PendingJob, Integer> startsOf = new IdentityHashMap<>();
   private int reservedMachines;
 
-  private PlainPlanner(Snapshot snapshot) {
+  private ReferencePlanner(Snapshot snapshot) {
     this.snapshot = snapshot;
     this.teams = new HashMap<>(snapshot.teams());
     this.started = new HashMap<>(snapshot.teams());
-    for (Snapshot.Machine machine : snapshot.machines()) {
+    for (Snapshot.MachineState machine : snapshot.machines()) {
       machines.add(new FreeCapacity(machine));
     }
     for (FreeCapacity capacity : machines) {
       for (Snapshot.RunningTask r : capacity.machine.running()) {
-        if (r.stopping()) {
+        if (r.isStopping()) {
           capacity.releasingCpus += r.cpus();
           capacity.releasingCards += r.cards();
           capacity.releasingMemGb += r.memGb();
@@ -113,10 +113,10 @@
   }
 
   /** Plans one round. */
-  public static Plan plan(Snapshot snapshot) {
-    PlainPlanner planner = new PlainPlanner(snapshot);
+  public static PlacementPlan plan(Snapshot snapshot) {
+    ReferencePlanner planner = new ReferencePlanner(snapshot);
     planner.run();
-    return new Plan(planner.starts, planner.stops, planner.unplaced, planner.passedOver());
+    return new PlacementPlan(planner.starts, planner.stops, planner.unplaced, planner.passedOver());
   }
 
   private void run() {
@@ -130,7 +130,7 @@
   private void place(Snapshot.PendingJob pendingJob) {
     JobSpec spec = pendingJob.spec();
     boolean starved = snapshot.starvedJobs().contains(spec.id());
-    Map<String, Integer> zones = new HashMap<>(pendingJob.zones());
+    Map<String, Integer> zones = new HashMap<>(pendingJob.tasksByZone());
     zonesOf.put(pendingJob, zones);
     int missing = 0;
     for (int task : pendingJob.tasks()) {
@@ -157,7 +157,7 @@
       }
       if (best != null) {
         best.allocate(spec);
-        starts.add(new Plan.Start(spec, task, best.machine.name()));
+        starts.add(new PlacementPlan.Start(spec, task, best.machine.name()));
         started.put(spec.team(), startedUsage.plus(spec.cpus(), spec.cards()));
         startsOf.merge(pendingJob, 1, Integer::sum);
       } else if (!mayRequest) {
@@ -176,7 +176,8 @@
     }
     if (missing > 0) {
       unplaced.add(
-          new Plan.Unplaced(spec, missing, spec.onePlace() || spec.apart() ? zones : Map.of()));
+          new PlacementPlan.UnplacedTasks(
+              spec, missing, spec.onePlace() || spec.apart() ? zones : Map.of()));
     }
   }
 
@@ -201,14 +202,14 @@
   }
 
   /** True if the job's own rules let a task of it start there now. */
-  static boolean allowed(JobSpec spec, Map<String, Integer> zones, Snapshot.Machine machine) {
+  static boolean allowed(JobSpec spec, Map<String, Integer> zones, Snapshot.MachineState machine) {
     if (spec.types() != null && !spec.types().contains(machine.type().name())) {
       return false;
     }
     if (spec.zone() != null && !spec.zone().equals(machine.zone())) {
       return false;
     }
-    if (machine.spot() && !spec.spotAllowed()) {
+    if (machine.isSpot() && !spec.spotAllowed()) {
       return false;
     }
     if ((spec.onePlace() || spec.apart()) && zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
@@ -271,8 +272,8 @@
           ? sameClass * SPREADING_PENALTY_CACHED + left
           : IMAGE_NOT_CACHED_PENALTY_S + fetch + sameClass + left;
     }
-    double spot = capacity.machine.spot() ? -0.5 : 0;
-    return fetch * (pendingJob.latencySensitive() ? 10 : 1) + left + spot;
+    double spot = capacity.machine.isSpot() ? -0.5 : 0;
+    return fetch * (pendingJob.isLatencySensitive() ? 10 : 1) + left + spot;
   }
 
   /**
@@ -323,7 +324,7 @@
 
   private double secondsUntilFits(JobSpec spec, FreeCapacity capacity) {
     List<Snapshot.RunningTask> ending = new ArrayList<>(capacity.machine.running());
-    ending.removeIf(r -> r.stopping() || stopped.contains(r));
+    ending.removeIf(r -> r.isStopping() || stopped.contains(r));
     ending.sort(Comparator.comparingDouble(r -> r.remainingS(snapshot.nowMs())));
     double cpus = capacity.cpus + capacity.releasingCpus;
     double cards = capacity.cards + capacity.releasingCards;
@@ -417,7 +418,9 @@
     List<Snapshot.RunningTask> candidates = new ArrayList<>(capacity.machine.running());
     candidates.removeIf(
         r ->
-            r.stopping() || stopped.contains(r) || snapshot.nonPreemptible().contains(r.attempt()));
+            r.isStopping()
+                || stopped.contains(r)
+                || snapshot.nonPreemptible().contains(r.attempt()));
     candidates.sort(
         Comparator.comparing(Snapshot.RunningTask::priority)
             .reversed()
@@ -460,7 +463,7 @@
       return r.priority().compareTo(pendingJob.preemptsAs()) > 0;
     }
     String team = r.spec().team();
-    return pendingJob.withinGuarantee()
+    return pendingJob.isWithinGuarantee()
         && !snapshot.preemptibleOnlyByMoreUrgent().contains(r.attempt())
         && !snapshot.guaranteedJobs().contains(r.spec().id())
         && !team.equals(pendingJob.spec().team())
@@ -472,9 +475,10 @@
     Snapshot.TeamUsage usage = snapshot.teams().get(team);
     double cpus = usage.cpus();
     double cards = usage.cards();
-    for (Snapshot.Machine machine : snapshot.machines()) {
+    for (Snapshot.MachineState machine : snapshot.machines()) {
       for (Snapshot.RunningTask other : machine.running()) {
-        boolean ends = other.stopping() || stopped.contains(other) || stoppedBefore.contains(other);
+        boolean ends =
+            other.isStopping() || stopped.contains(other) || stoppedBefore.contains(other);
         if (ends && other.spec().team().equals(team)) {
           cpus -= other.cpus();
           cards -= other.cards();
--- a/src/test/java/fennelthread/plan/SnapshotFixtures.java
+++ b/src/test/java/fennelthread/plan/SnapshotFixtures.java
@@ -16,7 +16,7 @@
 
   /** A snapshot without starved jobs, in which more urgent work may preempt any attempt. */
   static Snapshot snapshot(
-      List<Snapshot.Machine> machines,
+      List<Snapshot.MachineState> machines,
       List<Snapshot.PendingJob> pendingJobs,
       Set<String> guaranteedJobs,
       Set<Long> nonPreemptible,
@@ -36,7 +36,7 @@
   }
 
   /** A machine whose worker's reports have space for any number of tasks. */
-  static Snapshot.Machine machine(
+  static Snapshot.MachineState machine(
       String name,
       String type,
       String zone,
@@ -52,7 +52,7 @@
       List<Snapshot.RunningTask> running) {
     MachineType machineType =
         new MachineType(type, cpusTotal, 0, 0, 0, fetchGbPerS, 0, 0, 0, List.of());
-    return new Snapshot.Machine(
+    return new Snapshot.MachineState(
         name,
         machineType,
         zone,
@@ -87,7 +87,7 @@
         .build();
   }
 
-  static Snapshot.Machine machine(
+  static Snapshot.MachineState machine(
       String name, double total, double free, String image, Snapshot.RunningTask... running) {
     return machine(
         name,
@@ -122,7 +122,9 @@
   }
 
   static Snapshot snapshot(
-      List<Snapshot.Machine> machines, Snapshot.PendingJob pendingJob, Set<String> guaranteed) {
+      List<Snapshot.MachineState> machines,
+      Snapshot.PendingJob pendingJob,
+      Set<String> guaranteed) {
     return snapshot(machines, List.of(pendingJob), guaranteed, Set.of(), teams(0), NOW_MS, 10);
   }
 
