--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -3,7 +3,7 @@
 import fennelthread.api.Api;
 import fennelthread.constants.RelayConstants;
 import fennelthread.control.CurrentTerm;
-import fennelthread.control.FollowerReports;
+import fennelthread.control.FollowerReportHandler;
 import fennelthread.control.KnownWorkers;
 import fennelthread.control.LeaderDirectory;
 import fennelthread.control.LeaderSupervisor;
@@ -173,8 +173,8 @@
   }
 
   private ReportRouter createReportRouter(Relay relay) {
-    FollowerReports follower =
-        new FollowerReports(
+    FollowerReportHandler follower =
+        new FollowerReportHandler(
             eventLoop,
             settings.member(),
             directory,
@@ -297,7 +297,7 @@
             cloud,
             machineTypes,
             zones,
-            new WorkerLink(commands, renewer.gate(), stalls),
+            new WorkerLink(commands, renewer.responseGate(), stalls),
             () -> othersSilentSinceMs(epoch, electedAtMs),
             workers.addresses()));
   }
--- a/src/main/java/fennelthread/control/FollowerReports.java
+++ b/src/main/java/fennelthread/control/FollowerReportHandler.java
@@ -17,7 +17,7 @@
  * What a follower does with a worker's report: renews the worker's lease in the place of a silent
  * leader, relays the report to the leader, or redirects the worker to another controller.
  */
-public final class FollowerReports {
+public final class FollowerReportHandler {
   private final EventLoop eventLoop;
   private final String member;
   private final LeaderDirectory directory;
@@ -32,7 +32,7 @@
    *
    * @param member the name of this controller
    */
-  public FollowerReports(
+  public FollowerReportHandler(
       EventLoop eventLoop,
       String member,
       LeaderDirectory directory,
--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -11,8 +11,8 @@
 
 /**
  * Routes workers' reports: to the term of this controller if it leads, and to {@link
- * FollowerReports} otherwise. A report that is a copy of an earlier one is redirected and changes
- * nothing.
+ * FollowerReportHandler} otherwise. A report that is a copy of an earlier one is redirected and
+ * changes nothing.
  */
 public final class ReportRouter {
   private final EventLoop eventLoop;
@@ -21,7 +21,7 @@
   private final CurrentTerm term;
   private final LeaderReachability reachability;
   private final CommandSender commands;
-  private final FollowerReports follower;
+  private final FollowerReportHandler follower;
   private final ReportOrder order = new ReportOrder();
 
   /**
@@ -37,7 +37,7 @@
       CurrentTerm term,
       LeaderReachability reachability,
       CommandSender commands,
-      FollowerReports follower) {
+      FollowerReportHandler follower) {
     this.eventLoop = eventLoop;
     this.member = member;
     this.lease = lease;
@@ -51,7 +51,7 @@
   public void handle(WorkerReport report, Consumer<Answer> reply) {
     if (order.isCopy(report)) {
       // Its sender no longer waits for an answer, and its content is out of date.
-      reply.accept(FollowerReports.redirectToNext());
+      reply.accept(FollowerReportHandler.redirectToNext());
       return;
     }
     Answer answer = term.answer(report, member);
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -21,8 +21,8 @@
  * between a leader's end and the next claim while the state service is down. It answers workers'
  * reports under the fencing token that they obey already, and stops tasks of jobs that are known to
  * have ended; it starts nothing. {@link RenewalBounds} and {@link CancellationWatermark} limit for
- * how long, and {@link RenewalLog} is what a leader may conclude meanwhile; docs/lease-renewal.md
- * has the reasons. Used on the event loop's thread only.
+ * how long, and {@link PeerRenewalTracker} is what a leader may conclude meanwhile;
+ * docs/lease-renewal.md has the reasons. Used on the event loop's thread only.
  */
 public final class FollowerLeaseRenewer implements HeartbeatExtension {
   private static final Logger log = LoggerFactory.getLogger(FollowerLeaseRenewer.class);
@@ -40,8 +40,8 @@
   private final LeadershipStatus leadership;
   private final CancellationLog cancellations;
   private final CancellationWatermark watermark;
-  private final HeartbeatResponseGate gate;
-  private final RenewalLog peerRenewals;
+  private final ReportResponseGate responseGate;
+  private final PeerRenewalTracker peerRenewals;
   private final long renewalWindowMs;
   private final long maxPeerRenewalWindowMs;
   private Phase phase = Phase.STANDBY;
@@ -67,14 +67,15 @@
     this.watermark = new CancellationWatermark(replica, members, cancellations);
     this.renewalWindowMs = RenewalBounds.renewalWindowMs(settings.workers());
     this.maxPeerRenewalWindowMs = RenewalBounds.maxPeerRenewalWindowMs(settings.workers());
-    this.gate = new HeartbeatResponseGate(eventLoop, watermark, cancellations, renewalWindowMs);
-    this.peerRenewals = new RenewalLog(members, maxPeerRenewalWindowMs);
+    this.responseGate =
+        new ReportResponseGate(eventLoop, watermark, cancellations, renewalWindowMs);
+    this.peerRenewals = new PeerRenewalTracker(members, maxPeerRenewalWindowMs);
     peers.addExtension(this);
   }
 
-  /** The gate that all answers to reports of this process pass, the leader's too. */
-  public HeartbeatResponseGate gate() {
-    return gate;
+  /** The responseGate that all answers to reports of this process pass, the leader's too. */
+  public ReportResponseGate responseGate() {
+    return responseGate;
   }
 
   // ---------------------------------------------------------------- as the leader
@@ -199,14 +200,14 @@
     if (!isLeaderSilentFor(report, nowMs)) {
       return null;
     }
-    if (nowMs >= lastExchangeAtMs + renewalWindowMs || !gate.mayRespond()) {
+    if (nowMs >= lastExchangeAtMs + renewalWindowMs || !responseGate.mayRespond()) {
       transitionTo(Phase.STANDBY);
       return null;
     }
     transitionTo(Phase.RENEWING);
     lastRenewalAtMs = nowMs;
     renewalCount++;
-    return gate.respond(report, report.token(), List.of());
+    return responseGate.respond(report, report.token(), List.of());
   }
 
   /** True if the worker obeys the leader that we follow, and we have promised nothing to it. */
--- a/src/main/java/fennelthread/leaserenewal/RenewalLog.java
+++ b/src/main/java/fennelthread/leaserenewal/PeerRenewalTracker.java
@@ -14,7 +14,7 @@
  * last exchange with the leader is recent enough. A peer's statement that it renewed nothing counts
  * only in such an answer, since a heartbeat may arrive late. Used on the event loop's thread only.
  */
-final class RenewalLog {
+final class PeerRenewalTracker {
   private static final class PeerRenewals {
     String incarnation;
 
@@ -36,7 +36,7 @@
    *
    * @param maxPeerRenewalWindowMs for how long after its last exchange with us a peer may renew, ms
    */
-  RenewalLog(Iterable<String> members, long maxPeerRenewalWindowMs) {
+  PeerRenewalTracker(Iterable<String> members, long maxPeerRenewalWindowMs) {
     this.maxPeerRenewalWindowMs = maxPeerRenewalWindowMs;
     members.forEach(member -> renewalsByMember.put(member, new PeerRenewals()));
   }
--- a/src/main/java/fennelthread/leaserenewal/HeartbeatResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/ReportResponseGate.java
@@ -22,13 +22,13 @@
  * <p>A leader that was refused by the state service right after its claim, and then with everybody,
  * once answered reports for the whole of an outage without a single stop.
  */
-public final class HeartbeatResponseGate implements HeartbeatResponder {
+public final class ReportResponseGate implements HeartbeatResponder {
   private final EventLoop eventLoop;
   private final CancellationWatermark watermark;
   private final CancellationLog cancellations;
   private final long renewalWindowMs;
 
-  HeartbeatResponseGate(
+  ReportResponseGate(
       EventLoop eventLoop,
       CancellationWatermark watermark,
       CancellationLog cancellations,
