--- a/src/main/java/fennelthread/api/JobRequests.java
+++ b/src/main/java/fennelthread/api/JobRequests.java
@@ -54,22 +54,22 @@
       return statusOf(id, live.job());
     }
     if (found instanceof FinalRecord end) {
-      return ok(new JobStatus(id, end.state(), end.done(), 0, List.of()));
+      return ok(new JobStatus(id, end.state(), end.finishedTaskCount(), 0, List.of()));
     }
     if (found instanceof LookupResult.Unknown) {
       return Answer.error(404, "unknown job");
     }
     return unavailabilities.answer(
         found instanceof LookupResult.Unavailable unavailable
-            ? unavailable.why().text()
+            ? unavailable.reason().text()
             : "the job's state is not known");
   }
 
   private Answer statusOf(String id, Job job) {
-    int started = table.startedTasks(job);
+    int started = table.startedTaskCount(job);
     JobState state = started > 0 ? JobState.RUNNING : JobState.PENDING;
-    List<String> unmet = store.dependencies().graph().unmetDependencies(id);
-    return ok(new JobStatus(id, state, job.finished().cardinality(), started, unmet));
+    List<String> unmet = store.dependencyTracker().graph().unmetDependencies(id);
+    return ok(new JobStatus(id, state, job.finishedTasks().cardinality(), started, unmet));
   }
 
   private static Answer ok(JobStatus status) {
--- a/src/main/java/fennelthread/api/Submissions.java
+++ b/src/main/java/fennelthread/api/Submissions.java
@@ -62,7 +62,7 @@
         rejectUnlessAccepted(id, rejection.get(), reply);
         return;
       }
-      job = store.prepare(spec);
+      job = store.prepareSubmission(spec);
     } catch (WireException e) {
       rejectUnlessAccepted(id, Answer.error(400, e.getMessage()), reply);
       return;
@@ -95,12 +95,12 @@
         job.spec(),
         result -> {
           if (result instanceof DependencyCheckResult.Valid valid) {
-            accept(valid.cancelled() ? store.cancelledOnAcceptance(job) : job, reply);
+            accept(valid.hasCancelledDependency() ? store.cancelledOnAcceptance(job) : job, reply);
           } else if (result instanceof DependencyCheckResult.Invalid invalid) {
-            String why = JobSpec.DEPENDENCIES + ": " + invalid.why();
+            String why = JobSpec.DEPENDENCIES + ": " + invalid.reason();
             rejectUnlessAccepted(id, Answer.error(422, why), reply);
           } else if (result instanceof DependencyCheckResult.Unavailable unavailable) {
-            reply.accept(unavailabilities.answer(unavailable.why().text()));
+            reply.accept(unavailabilities.answer(unavailable.reason().text()));
           }
         });
   }
@@ -118,7 +118,7 @@
           } else if (result instanceof AcceptResult.TooLarge) {
             rejectUnlessAccepted(id, Answer.error(400, "body: is too large"), reply);
           } else if (result instanceof AcceptResult.Unavailable unavailable) {
-            reply.accept(unavailabilities.answer(unavailable.why().text()));
+            reply.accept(unavailabilities.answer(unavailable.reason().text()));
           }
         });
   }
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -97,19 +97,22 @@
     replace(types);
     Fields value = MachineType.writeAll(types.stream().map(MachineTypes::withoutPrices).toList());
     byte[] encoded = Codec.JSON.encode(value);
-    if (encoded.length > state.limits().valueBytes()) {
+    if (encoded.length > state.limits().maxValueBytes()) {
       log.info(
           "machine types too large to store bytes={} limitBytes={}",
           encoded.length,
-          state.limits().valueBytes());
+          state.limits().maxValueBytes());
       return;
     }
     Fields stored = replica.get(Keys.MACHINE_TYPES);
     if (stored != null && Arrays.equals(Codec.JSON.encode(stored), encoded)) {
       return;
     }
-    Txn txn = new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.MACHINE_TYPES, value);
-    state.txn(RequestPriority.MAINTENANCE, txn, result -> {});
+    Txn txn =
+        new Txn()
+            .requireRevision(Keys.EPOCH, lease.epochRevision())
+            .write(Keys.MACHINE_TYPES, value);
+    state.submitTxn(RequestPriority.MAINTENANCE, txn, result -> {});
   }
 
   /** Leaves out the prices: they change all the time, and would be stored each time. */
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -112,9 +112,9 @@
     Txn txn =
         lease
             .fencedTxn()
-            .when(Keys.UNILATERAL_LEADERSHIP, recordedRevision())
+            .requireRevision(Keys.UNILATERAL_LEADERSHIP, recordedRevision())
             .write(Keys.UNILATERAL_LEADERSHIP, declaration);
-    state.txn(
+    state.submitTxn(
         RequestPriority.INTERACTIVE,
         txn,
         result -> {
--- a/src/main/java/fennelthread/jobs/AcceptResult.java
+++ b/src/main/java/fennelthread/jobs/AcceptResult.java
@@ -14,5 +14,5 @@
   record TooLarge() implements AcceptResult {}
 
   /** The outcome is not known: the job may have been written, or may still be. */
-  record Unavailable(Unavailability why) implements AcceptResult {}
+  record Unavailable(Unavailability reason) implements AcceptResult {}
 }
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -80,7 +80,7 @@
         dependency,
         found -> {
           if (found instanceof LookupResult.Unavailable unavailable) {
-            done.accept(new DependencyCheckResult.Unavailable(unavailable.why()));
+            done.accept(new DependencyCheckResult.Unavailable(unavailable.reason()));
           } else if (found instanceof LookupResult.Unknown) {
             done.accept(
                 new DependencyCheckResult.Invalid(
--- a/src/main/java/fennelthread/jobs/DependencyCheckResult.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheckResult.java
@@ -7,17 +7,17 @@
   /**
    * Every dependency was accepted, and none is a service.
    *
-   * @param cancelled true if one of them was cancelled, or is to be
+   * @param hasCancelledDependency true if one of them was cancelled, or is to be
    */
-  record Valid(boolean cancelled) implements DependencyCheckResult {}
+  record Valid(boolean hasCancelledDependency) implements DependencyCheckResult {}
 
   /**
    * A dependency was never accepted, or is a service.
    *
-   * @param why the rest of a sentence for the user that begins with the field's name
+   * @param reason the rest of a sentence for the user that begins with the field's name
    */
-  record Invalid(String why) implements DependencyCheckResult {}
+  record Invalid(String reason) implements DependencyCheckResult {}
 
   /** The state service could not be read; the submission may be repeated. */
-  record Unavailable(Unavailability why) implements DependencyCheckResult {}
+  record Unavailable(Unavailability reason) implements DependencyCheckResult {}
 }
--- a/src/main/java/fennelthread/jobs/DependencyTracker.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -24,7 +24,7 @@
   private final JobTable table;
   private final FinalRecords finalRecords;
   private final DependencyGraph graph;
-  private final DependencyGraph.KnownJobs knownJobs = new KnownHere();
+  private final DependencyGraph.KnownJobs knownJobs = new LocallyKnownJobs();
   private final Set<String> requested = new HashSet<>();
   private final List<DependencyGraph.Listener> listeners = new ArrayList<>();
   private int readsInFlight;
@@ -108,7 +108,7 @@
     List.copyOf(listeners).forEach(listener -> listener.onInheritedPriorityChanged(id));
   }
 
-  private final class KnownHere implements DependencyGraph.KnownJobs {
+  private final class LocallyKnownJobs implements DependencyGraph.KnownJobs {
     @Override
     public boolean isLive(String id) {
       return table.get(id) != null;
--- a/src/main/java/fennelthread/jobs/FinalRecord.java
+++ b/src/main/java/fennelthread/jobs/FinalRecord.java
@@ -9,16 +9,17 @@
  * never changes.
  *
  * @param state done or cancelled
- * @param done how many of its tasks had finished
+ * @param finishedTaskCount how many of its tasks had finished
  * @param endedWallMs the time of day when the record was written, ms; 0 in records of versions that
  *     did not write it
  */
-public record FinalRecord(JobState state, int done, long endedWallMs) implements LookupResult {
+public record FinalRecord(JobState state, int finishedTaskCount, long endedWallMs)
+    implements LookupResult {
   /** Returns the record in the state service's form. */
-  public Fields write() {
+  public Fields encode() {
     return Fields.create()
         .with("estado", state.wire())
-        .with("done", (long) done)
+        .with("done", (long) finishedTaskCount)
         .with("at_ms", endedWallMs);
   }
 
@@ -27,7 +28,7 @@
    *
    * @throws WireException naming the field that is missing or malformed
    */
-  public static FinalRecord read(Fields value) throws WireException {
+  public static FinalRecord decode(Fields value) throws WireException {
     return new FinalRecord(
         JobState.of(value.text("estado")), (int) value.count("done", 0), value.count("at_ms", 0));
   }
--- a/src/main/java/fennelthread/jobs/FinalRecords.java
+++ b/src/main/java/fennelthread/jobs/FinalRecords.java
@@ -76,7 +76,7 @@
             done.accept(new LookupResult.Unavailable(Unavailability.UNANSWERED));
           } else if (result instanceof ReadResult.Found found) {
             try {
-              FinalRecord record = FinalRecord.read(found.entry().value());
+              FinalRecord record = FinalRecord.decode(found.entry().value());
               add(id, record);
               done.accept(record);
             } catch (WireException e) {
--- a/src/main/java/fennelthread/jobs/FinishedTasksCodec.java
+++ b/src/main/java/fennelthread/jobs/FinishedTasksCodec.java
@@ -19,7 +19,7 @@
    * Encodes the finished tasks of one chunk, as many ranges as fit into {@code maxBytes}; the tasks
    * that are encoded are added to {@code covered}.
    */
-  public static Fields write(int chunk, BitSet finished, int maxBytes, BitSet covered) {
+  public static Fields encode(int chunk, BitSet finished, int maxBytes, BitSet covered) {
     int base = chunk * JobConstants.TASKS_PER_CHUNK;
     int end = base + JobConstants.TASKS_PER_CHUNK;
     List<Object> ranges = new ArrayList<>();
@@ -39,7 +39,7 @@
   }
 
   /** Adds the tasks of one chunk's record to {@code finished}; malformed ranges are skipped. */
-  static void readInto(BitSet finished, int chunk, Fields value) throws WireException {
+  static void decodeInto(BitSet finished, int chunk, Fields value) throws WireException {
     int base = chunk * JobConstants.TASKS_PER_CHUNK;
     List<?> ranges = value.list("r");
     for (int i = 0; i + 1 < ranges.size(); i += 2) {
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -36,7 +36,7 @@
   }
 
   /** The tasks whose completion is durable, by index. */
-  public BitSet finished() {
+  public BitSet finishedTasks() {
     return finished;
   }
 
@@ -54,6 +54,6 @@
 
   /** Adds the finished tasks of one chunk's record. */
   void addFinishedChunk(int chunk, Fields value) throws WireException {
-    FinishedTasksCodec.readInto(finished, chunk, value);
+    FinishedTasksCodec.decodeInto(finished, chunk, value);
   }
 }
--- a/src/main/java/fennelthread/jobs/JobAcceptor.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -114,13 +114,17 @@
       boolean fits =
           !sentAlone
               && !next.isSentAlone()
-              && batch.txn.changes() + next.submission().records().size() <= limits.txnChanges()
-              && bytes <= limits.txnBytes();
+              && batch.txn.changeCount() + next.submission().records().size()
+                  <= limits.maxTxnChanges()
+              && bytes <= limits.maxTxnBytes();
       if (!batch.sendNumbers.isEmpty() && !fits) {
         break;
       }
       sentAlone = next.isSentAlone();
-      batch.txn.when(Keys.job(next.id()), 0).when(Keys.finalJob(next.id()), 0);
+      batch
+          .txn
+          .requireRevision(Keys.job(next.id()), 0)
+          .requireRevision(Keys.finalJob(next.id()), 0);
       next.submission().records().forEach(batch.txn::write);
       batch.sendNumbers.put(next, next.countSend());
     }
--- a/src/main/java/fennelthread/jobs/JobCanceller.java
+++ b/src/main/java/fennelthread/jobs/JobCanceller.java
@@ -86,7 +86,7 @@
     }
 
     void send() {
-      state.txn(RequestPriority.INTERACTIVE, txn, this::onOverdue, this::onResult);
+      state.submitTxn(RequestPriority.INTERACTIVE, txn, this::onOverdue, this::onResult);
     }
 
     private void onOverdue() {
@@ -129,7 +129,7 @@
     Txn txn = new Txn();
     Map<String, FinalRecord> written = new LinkedHashMap<>();
     for (Job job : graph.jobsToCancel()) {
-      if (txn.changes() + JobConstants.CHANGES_PER_FINAL_RECORD > limits.txnChanges()) {
+      if (txn.changeCount() + JobConstants.CHANGES_PER_FINAL_RECORD > limits.maxTxnChanges()) {
         break;
       }
       FinalRecord finalRecord = cancelledRecord(job);
@@ -137,7 +137,7 @@
       written.put(job.spec().id(), finalRecord);
     }
     cancellingDependents = true;
-    state.txn(
+    state.submitTxn(
         RequestPriority.SCHEDULING,
         txn,
         result -> {
@@ -150,15 +150,16 @@
   }
 
   private FinalRecord cancelledRecord(Job job) {
-    return new FinalRecord(JobState.CANCELLED, job.finished().cardinality(), eventLoop.wallMs());
+    return new FinalRecord(
+        JobState.CANCELLED, job.finishedTasks().cardinality(), eventLoop.wallMs());
   }
 
   /** Adds the changes that make a live job final, on condition that its record is unchanged. */
   static void addFinalRecord(Txn txn, Job job, FinalRecord finalRecord) {
     String id = job.spec().id();
-    txn.when(Keys.job(id), job.revision())
+    txn.requireRevision(Keys.job(id), job.revision())
         .remove(Keys.job(id))
-        .write(Keys.finalJob(id), finalRecord.write());
+        .write(Keys.finalJob(id), finalRecord.encode());
   }
 
   /** Takes note of a transaction that was applied at a revision and made these jobs final. */
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -75,7 +75,7 @@
     Job job = table.get(id);
     if (job == null) {
       reader.read(id, done);
-    } else if (job.chunks() >= limits.txnConditions()) {
+    } else if (job.chunks() >= limits.maxTxnConditions()) {
       reader.readProgress(id, done);
     } else {
       queue.computeIfAbsent(id, JobQuery::new).addCaller(done);
@@ -94,7 +94,8 @@
     for (JobQuery query : new ArrayList<>(queue.values())) {
       Job job = table.get(query.id());
       int conditions = job == null ? 0 : 1 + job.chunks();
-      if (!batch.jobs.isEmpty() && batch.txn.conditions() + conditions > limits.txnConditions()) {
+      if (!batch.jobs.isEmpty()
+          && batch.txn.conditionCount() + conditions > limits.maxTxnConditions()) {
         break;
       }
       queue.remove(query.id());
@@ -109,10 +110,10 @@
 
   private void addConditions(Txn txn, Job job) {
     String id = job.spec().id();
-    txn.when(Keys.job(id), job.revision());
+    txn.requireRevision(Keys.job(id), job.revision());
     for (int chunk = 0; chunk < job.chunks(); chunk++) {
-      String key = Keys.finished(id, chunk);
-      txn.when(key, replica.revisionOf(key));
+      String key = Keys.finishedTasks(id, chunk);
+      txn.requireRevision(key, replica.revisionOf(key));
     }
   }
 
@@ -153,7 +154,7 @@
   private static boolean hasNewProgress(Job job, Set<String> failedKeys) {
     Set<String> chunkKeys = new LinkedHashSet<>();
     for (int chunk = 0; chunk < job.chunks(); chunk++) {
-      chunkKeys.add(Keys.finished(job.spec().id(), chunk));
+      chunkKeys.add(Keys.finishedTasks(job.spec().id(), chunk));
     }
     return failedKeys.stream().anyMatch(chunkKeys::contains);
   }
--- a/src/main/java/fennelthread/jobs/JobRecordCodec.java
+++ b/src/main/java/fennelthread/jobs/JobRecordCodec.java
@@ -31,11 +31,11 @@
    *
    * @throws WireException naming the field that is too large for the state service
    */
-  static Map<String, Fields> write(JobSpec spec, long wallMs, SizeLimits limits)
+  static Map<String, Fields> encode(JobSpec spec, long wallMs, SizeLimits limits)
       throws WireException {
     Fields record = spec.withDependencies(List.of()).write().with(ACCEPTED_AT, wallMs);
     int bytes = SizeLimits.encodedBytes(record);
-    if (bytes > limits.valueBytes()) {
+    if (bytes > limits.maxValueBytes()) {
       throw new WireException("body", "is too large");
     }
     Map<String, Fields> records = new LinkedHashMap<>();
@@ -43,7 +43,7 @@
       bytes += addDependencies(spec, record, bytes, records, limits);
     }
     records.put(Keys.job(spec.id()), record);
-    if (records.size() > limits.txnChanges() || bytes > limits.txnBytes()) {
+    if (records.size() > limits.maxTxnChanges() || bytes > limits.maxTxnBytes()) {
       throw tooManyDependencies();
     }
     return records;
@@ -57,14 +57,14 @@
       JobSpec spec, Fields record, int recordBytes, Map<String, Fields> records, SizeLimits limits)
       throws WireException {
     List<String> dependencies = spec.dependencies();
-    int bytesPerPart = limits.valueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
+    int bytesPerPart = limits.maxValueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
     int next = fitting(dependencies, 0, bytesPerPart - recordBytes);
     List<Object> ownDependencies = new ArrayList<>(dependencies.subList(0, next));
     int partsBytes = 0;
     int parts = 0;
     while (next < dependencies.size()) {
       int end = fitting(dependencies, next, bytesPerPart);
-      if (end == next || parts >= limits.txnChanges()) {
+      if (end == next || parts >= limits.maxTxnChanges()) {
         throw tooManyDependencies();
       }
       List<Object> ids = new ArrayList<>(dependencies.subList(next, end));
@@ -105,7 +105,7 @@
   }
 
   /** Reads a job's own record, which may hold some of its dependencies only. */
-  static Job read(Fields value, long revision) throws WireException {
+  static Job decode(Fields value, long revision) throws WireException {
     return new Job(JobSpec.read(value), revision, value.count(ACCEPTED_AT, 0));
   }
 }
--- a/src/main/java/fennelthread/jobs/JobRecordReader.java
+++ b/src/main/java/fennelthread/jobs/JobRecordReader.java
@@ -70,7 +70,7 @@
       Job job =
           table.get(id) != null
               ? table.get(id)
-              : JobRecordCodec.read(live.value(), live.revision());
+              : JobRecordCodec.decode(live.value(), live.revision());
       if (job.chunks() == 0) {
         done.accept(new LookupResult.Live(job));
       } else {
@@ -84,7 +84,7 @@
   private void readChunks(Job job, String afterKey, Consumer<LookupResult> done) {
     String id = job.spec().id();
     state.list(
-        Keys.finishedPrefix(id),
+        Keys.finishedTasksPrefix(id),
         afterKey,
         result -> {
           if (result.isEmpty()) {
@@ -95,7 +95,7 @@
           try {
             for (KeyValue chunk : page.items()) {
               replica.applyRead(chunk);
-              job.addFinishedChunk(Keys.partOf(chunk.key()), chunk.value());
+              job.addFinishedChunk(Keys.partNumberOf(chunk.key()), chunk.value());
             }
           } catch (WireException e) {
             done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -55,7 +55,7 @@
   }
 
   /** The dependencies among live jobs. */
-  public DependencyTracker dependencies() {
+  public DependencyTracker dependencyTracker() {
     return dependencies;
   }
 
@@ -64,8 +64,8 @@
    *
    * @throws WireException naming the field that is too large for the state service
    */
-  public Submission prepare(JobSpec spec) throws WireException {
-    return new Submission(spec, JobRecordCodec.write(spec, eventLoop.wallMs(), limits), null);
+  public Submission prepareSubmission(JobSpec spec) throws WireException {
+    return new Submission(spec, JobRecordCodec.encode(spec, eventLoop.wallMs(), limits), null);
   }
 
   /**
@@ -76,7 +76,7 @@
   public Submission cancelledOnAcceptance(Submission submission) {
     FinalRecord finalRecord = new FinalRecord(JobState.CANCELLED, 0, eventLoop.wallMs());
     String key = Keys.finalJob(submission.spec().id());
-    return new Submission(submission.spec(), Map.of(key, finalRecord.write()), finalRecord);
+    return new Submission(submission.spec(), Map.of(key, finalRecord.encode()), finalRecord);
   }
 
   /** Drops what can be read again, to free memory. */
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -42,7 +42,7 @@
   private final Map<String, Map<String, Fields>> earlyChunks = new HashMap<>();
   private final Map<String, TreeMap<Integer, List<String>>> dependencyParts = new HashMap<>();
   private final Map<String, IncompleteJob> incomplete = new HashMap<>();
-  private final RecordedStarts recordedStarts = new RecordedStarts();
+  private final StartRecordIndex startRecordIndex = new StartRecordIndex();
   private final List<Listener> listeners = new ArrayList<>();
 
   /** Adds a listener. */
@@ -67,7 +67,7 @@
 
   /** The start records by key, in the order in which they became known; to be read only. */
   public Map<String, StartRecord> startRecords() {
-    return recordedStarts.records();
+    return startRecordIndex.records();
   }
 
   /** Describes what is held in memory, for one line of the log. */
@@ -75,9 +75,9 @@
     return "jobs="
         + jobs.size()
         + " startRecords="
-        + recordedStarts.records().size()
+        + startRecordIndex.records().size()
         + " recordedStarts="
-        + recordedStarts.count();
+        + startRecordIndex.count();
   }
 
   /**
@@ -85,26 +85,26 @@
    * records is one start.
    */
   public StartRecord.Start recordedStart(TaskRef task, long attempt, String machine) {
-    return recordedStarts.find(task, attempt, machine);
+    return startRecordIndex.find(task, attempt, machine);
   }
 
   /** How many tasks of a job are recorded as started and not known to be finished; for display. */
-  public int startedTasks(Job job) {
-    BitSet started = recordedStarts.startedTasks(job.spec().id());
-    started.andNot(job.finished());
+  public int startedTaskCount(Job job) {
+    BitSet started = startRecordIndex.startedTasks(job.spec().id());
+    started.andNot(job.finishedTasks());
     return started.cardinality();
   }
 
   @Override
   public void onChange(String key, Fields value, long revision) {
     try {
-      if (key.startsWith(Keys.JOB)) {
-        onJobRecord(key.substring(Keys.JOB.length()), value, revision);
-      } else if (key.startsWith(Keys.FINISHED)) {
+      if (key.startsWith(Keys.JOB_PREFIX)) {
+        onJobRecord(key.substring(Keys.JOB_PREFIX.length()), value, revision);
+      } else if (key.startsWith(Keys.FINISHED_TASKS_PREFIX)) {
         onFinishedChunk(key, value);
-      } else if (key.startsWith(Keys.DEPENDENCIES)) {
+      } else if (key.startsWith(Keys.DEPENDENCIES_PREFIX)) {
         onDependencyPart(key, value);
-      } else if (key.startsWith(Keys.START_RECORD)) {
+      } else if (key.startsWith(Keys.START_RECORD_PREFIX)) {
         onStartRecord(key, value);
       }
     } catch (WireException e) {
@@ -114,9 +114,9 @@
 
   private void onStartRecord(String key, Fields value) throws WireException {
     if (value == null) {
-      recordedStarts.remove(key);
+      startRecordIndex.remove(key);
     } else {
-      recordedStarts.put(key, StartRecord.read(value));
+      startRecordIndex.put(key, StartRecord.decode(value));
     }
   }
 
@@ -129,7 +129,7 @@
       }
       return;
     }
-    Job job = JobRecordCodec.read(value, revision);
+    Job job = JobRecordCodec.decode(value, revision);
     int parts = JobRecordCodec.partCount(value);
     if (parts > 0) {
       incomplete.put(id, new IncompleteJob(job, parts));
@@ -140,8 +140,8 @@
   }
 
   private void onDependencyPart(String key, Fields value) throws WireException {
-    String id = Keys.jobIdOf(Keys.DEPENDENCIES, key);
-    int part = Keys.partOf(key);
+    String id = Keys.jobIdOf(Keys.DEPENDENCIES_PREFIX, key);
+    int part = Keys.partNumberOf(key);
     if (value == null) {
       dependencyParts.computeIfPresent(
           id, (job, parts) -> parts.remove(part) != null && parts.isEmpty() ? null : parts);
@@ -187,7 +187,7 @@
     if (value == null) {
       return;
     }
-    String id = Keys.jobIdOf(Keys.FINISHED, key);
+    String id = Keys.jobIdOf(Keys.FINISHED_TASKS_PREFIX, key);
     Job job = jobs.get(id);
     if (job == null) {
       // Keys arrive in order of their names when the replica loads: chunks come before jobs.
@@ -197,6 +197,6 @@
       }
       return;
     }
-    job.addFinishedChunk(Keys.partOf(key), value);
+    job.addFinishedChunk(Keys.partNumberOf(key), value);
   }
 }
--- a/src/main/java/fennelthread/jobs/LookupResult.java
+++ b/src/main/java/fennelthread/jobs/LookupResult.java
@@ -15,5 +15,5 @@
   record Unknown() implements LookupResult {}
 
   /** The state service could not be read. */
-  record Unavailable(Unavailability why) implements LookupResult {}
+  record Unavailable(Unavailability reason) implements LookupResult {}
 }
--- a/src/main/java/fennelthread/jobs/StartRecord.java
+++ b/src/main/java/fennelthread/jobs/StartRecord.java
@@ -53,10 +53,10 @@
   }
 
   /** Returns the record in the state service's form: a list per job, its head, then its starts. */
-  public Fields write() {
+  public Fields encode() {
     Map<String, List<Object>> jobs = new LinkedHashMap<>();
     for (Start start : starts) {
-      List<Object> job = jobs.computeIfAbsent(start.task.job(), id -> writeHead(start));
+      List<Object> job = jobs.computeIfAbsent(start.task.job(), id -> encodeJobHeader(start));
       job.add((long) start.task.index());
       job.add(start.attempt);
       job.add(start.machine);
@@ -65,7 +65,7 @@
     return Fields.create().with("j", new ArrayList<Object>(jobs.values()));
   }
 
-  private static List<Object> writeHead(Start start) {
+  private static List<Object> encodeJobHeader(Start start) {
     List<Object> head = new ArrayList<>();
     head.add(start.task.job());
     head.add(start.team);
@@ -80,11 +80,11 @@
    *
    * @throws WireException if it is malformed
    */
-  public static StartRecord read(Fields value) throws WireException {
+  public static StartRecord decode(Fields value) throws WireException {
     List<Start> starts = new ArrayList<>();
     try {
       for (Object job : value.list("j")) {
-        readJob((List<?>) job, starts);
+        decodeJob((List<?>) job, starts);
       }
     } catch (ClassCastException | IndexOutOfBoundsException e) {
       throw new WireException("j", "is not a list of starts");
@@ -92,7 +92,7 @@
     return new StartRecord(starts);
   }
 
-  private static void readJob(List<?> job, List<Start> starts) {
+  private static void decodeJob(List<?> job, List<Start> starts) {
     String id = (String) job.get(0);
     String team = (String) job.get(1);
     double cpus = ((Number) job.get(2)).doubleValue();
--- a/src/main/java/fennelthread/jobs/RecordedStarts.java
+++ b/src/main/java/fennelthread/jobs/StartRecordIndex.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** The start records of the replica, with an index of their starts by job. */
-final class RecordedStarts {
+final class StartRecordIndex {
   private final Map<String, StartRecord> records = new LinkedHashMap<>();
 
   /**
--- a/src/main/java/fennelthread/jobs/TransactionPipeline.java
+++ b/src/main/java/fennelthread/jobs/TransactionPipeline.java
@@ -50,7 +50,7 @@
     }
     B batch = handler.nextBatch();
     inFlight++;
-    state.txn(
+    state.submitTxn(
         RequestPriority.INTERACTIVE,
         batch.txn,
         () -> {
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -42,8 +42,8 @@
   /** Creates the state of a job that waits until it is released. */
   ActiveJob(Job job) {
     this.job = job;
-    finished.or(job.finished());
-    stored.or(job.finished());
+    finished.or(job.finishedTasks());
+    stored.or(job.finishedTasks());
     idle.set(0, job.spec().tasks());
     idle.andNot(finished);
     unfinished = job.spec().tasks() - finished.cardinality();
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -128,13 +128,13 @@
             >= LeaderConstants.FINISHED_TASKS_FLUSH_INTERVAL_MS) {
       addFinishedTasks(batch);
     }
-    if (batch.txn().changes() == 0) {
+    if (batch.txn().changeCount() == 0) {
       transitionTo(Phase.IDLE);
       return;
     }
     transitionTo(Phase.WRITING);
     batches = batch.number();
-    state.txn(
+    state.submitTxn(
         batch.ends().isEmpty() ? RequestPriority.MAINTENANCE : RequestPriority.SCHEDULING,
         batch.txn(),
         () -> onAnswerOverdue(batch),
@@ -144,7 +144,8 @@
   private void addDoneJobs(Batch batch) {
     for (ActiveJob activeJob : unstored) {
       if (activeJob.unfinishedCount() == 0
-          && batch.txn().changes() + JobConstants.CHANGES_PER_FINAL_RECORD <= limits.txnChanges()) {
+          && batch.txn().changeCount() + JobConstants.CHANGES_PER_FINAL_RECORD
+              <= limits.maxTxnChanges()) {
         Job job = activeJob.job();
         FinalRecord end = new FinalRecord(JobState.DONE, job.spec().tasks(), eventLoop.wallMs());
         JobStore.addFinalRecord(batch.txn(), job, end);
@@ -167,26 +168,27 @@
   private boolean addFinishedTasks(ActiveJob activeJob, Batch batch) {
     Txn txn = batch.txn();
     Job job = activeJob.job();
-    BitSet covered = job.finished().get(0, job.spec().tasks());
+    BitSet covered = job.finishedTasks().get(0, job.spec().tasks());
     boolean allFit = true;
     boolean anyAdded = false;
     for (int chunk : activeJob.unstoredChunks()) {
-      if (txn.changes() >= limits.txnChanges() || txn.conditions() >= limits.txnConditions()) {
+      if (txn.changeCount() >= limits.maxTxnChanges()
+          || txn.conditionCount() >= limits.maxTxnConditions()) {
         allFit = false;
         break;
       }
       anyAdded = true;
-      String key = Keys.finished(activeJob.id(), chunk);
+      String key = Keys.finishedTasks(activeJob.id(), chunk);
       // A transaction without an answer may be applied after a newer one: it must not take back
       // what that one holds, since the workers have cleared those tasks.
-      txn.when(key, replica.revisionOf(key))
+      txn.requireRevision(key, replica.revisionOf(key))
           .write(
               key,
-              FinishedTasksCodec.write(
-                  chunk, activeJob.finishedTasks(), limits.valueBytes(), covered));
+              FinishedTasksCodec.encode(
+                  chunk, activeJob.finishedTasks(), limits.maxValueBytes(), covered));
     }
     if (anyAdded) {
-      txn.when(Keys.job(activeJob.id()), job.revision());
+      txn.requireRevision(Keys.job(activeJob.id()), job.revision());
       batch.storedTasks().put(activeJob, covered);
     }
     return allFit;
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -40,13 +40,13 @@
   /** Begins to apply changes. */
   void startListening() {
     table.addListener(this);
-    store.dependencies().addListener(this);
+    store.dependencyTracker().addListener(this);
   }
 
   /** Applies no more changes. */
   void stopListening() {
     table.removeListener(this);
-    store.dependencies().removeListener(this);
+    store.dependencyTracker().removeListener(this);
   }
 
   @Override
--- a/src/main/java/fennelthread/leader/LeadershipClaim.java
+++ b/src/main/java/fennelthread/leader/LeadershipClaim.java
@@ -76,10 +76,10 @@
             member, incarnation, epoch.epoch(), storeLeaseId, true, eventLoop.wallMs());
     Txn txn =
         conditions
-            .when(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
+            .requireRevision(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
             .writeWithLease(Keys.LEADER, leader.encode(), storeLeaseId)
             .write(Keys.EPOCH, epoch.encode());
-    state.txn(
+    state.submitTxn(
         RequestPriority.INTERACTIVE,
         txn,
         result -> {
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/Lease.java
@@ -151,7 +151,7 @@
    * writes of a leader begin with it.
    */
   public Txn fencedTxn() {
-    return new Txn().when(Keys.EPOCH, epochRevision);
+    return new Txn().requireRevision(Keys.EPOCH, epochRevision);
   }
 
   /** Steps down if a fenced transaction failed because the epoch has moved on. */
@@ -260,8 +260,8 @@
       startClaim(
           "leader silent",
           new Txn()
-              .when(Keys.LEADER, replica.revisionOf(Keys.LEADER))
-              .when(Keys.UNILATERAL_LEADERSHIP, unilateralRevision));
+              .requireRevision(Keys.LEADER, replica.revisionOf(Keys.LEADER))
+              .requireRevision(Keys.UNILATERAL_LEADERSHIP, unilateralRevision));
     }
   }
 
@@ -285,7 +285,7 @@
     @Override
     public void onClaimDue() {
       if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
-        startClaim("no leader", new Txn().when(Keys.LEADER, 0));
+        startClaim("no leader", new Txn().requireRevision(Keys.LEADER, 0));
       }
     }
 
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordCollector.java
@@ -75,15 +75,17 @@
     boolean isBacklogged = isBacklogged(survey);
     Txn txn = lease.fencedTxn();
     addObsoleteRecords(survey, txn);
-    addLeftovers(Keys.FINISHED, txn);
-    addLeftovers(Keys.DEPENDENCIES, txn);
+    addLeftovers(Keys.FINISHED_TASKS_PREFIX, txn);
+    addLeftovers(Keys.DEPENDENCIES_PREFIX, txn);
     boolean isCompacting =
-        isBacklogged && txn.changes() <= limits.txnChanges() / 2 && addCompaction(survey, txn);
-    if (txn.changes() == 0) {
+        isBacklogged
+            && txn.changeCount() <= limits.maxTxnChanges() / 2
+            && addCompaction(survey, txn);
+    if (txn.changeCount() == 0) {
       return;
     }
     isWriting = true;
-    state.txn(
+    state.submitTxn(
         // Removals can wait, but not until the records are more than the processes can hold.
         isBacklogged ? RequestPriority.SCHEDULING : RequestPriority.MAINTENANCE,
         txn,
@@ -104,7 +106,7 @@
           survey.starts,
           survey.liveStarts);
     }
-    if (txn.changes() >= limits.txnChanges()) {
+    if (txn.changeCount() >= limits.maxTxnChanges()) {
       // More is left: records are written faster than one collection per interval removes them.
       lastCollectionMs = Long.MIN_VALUE / 2;
     }
@@ -151,7 +153,7 @@
 
   /** How many starts a full record holds, approximately. */
   private int recordCapacity() {
-    return Math.max(1, limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
+    return Math.max(1, limits.maxValueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
   /** True if the records are many times what their live starts would fill. */
@@ -167,16 +169,16 @@
   /** Removes obsolete records of earlier terms, and own ones beyond those kept for reuse. */
   private void addObsoleteRecords(Survey survey, Txn txn) {
     for (String key : survey.obsolete) {
-      if (txn.changes() < limits.txnChanges()) {
+      if (txn.changeCount() < limits.maxTxnChanges()) {
         txn.remove(key);
       }
     }
     while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS
-        && txn.changes() < limits.txnChanges()) {
+        && txn.changeCount() < limits.maxTxnChanges()) {
       // A removal without an answer may be applied late: it must not remove what a round has
       // written there since.
       String key = keys.takeFree();
-      txn.when(key, replica.revisionOf(key)).remove(key);
+      txn.requireRevision(key, replica.revisionOf(key)).remove(key);
     }
   }
 
@@ -189,11 +191,11 @@
    * @return false if there is nothing to gain; nothing is added then
    */
   private boolean addCompaction(Survey survey, Txn txn) {
-    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), 1);
+    StartRecordPacker packer = new StartRecordPacker(limits.maxValueBytes(), 1);
     List<String> replaced = new ArrayList<>();
     for (Map.Entry<String, List<StartRecord.Start>> record : survey.sparse.entrySet()) {
-      if (txn.changes() + replaced.size() + 2 > limits.txnChanges()
-          || txn.conditions() + replaced.size() + 2 > limits.txnConditions()
+      if (txn.changeCount() + replaced.size() + 2 > limits.maxTxnChanges()
+          || txn.conditionCount() + replaced.size() + 2 > limits.maxTxnConditions()
           || !packer.addAll(record.getValue())) {
         break;
       }
@@ -203,21 +205,22 @@
       return false;
     }
     String key = keys.allocate();
-    txn.when(key, 0).write(key, packer.records().get(0).write());
-    replaced.forEach(old -> txn.when(old, replica.revisionOf(old)).remove(old));
+    txn.requireRevision(key, 0).write(key, packer.records().get(0).encode());
+    replaced.forEach(old -> txn.requireRevision(old, replica.revisionOf(old)).remove(old));
     return true;
   }
 
   /** Removes the records under a prefix whose jobs have no live record. */
   private void addLeftovers(String prefix, Txn txn) {
     for (String key : replica.revisionsUnder(prefix).keySet()) {
-      if (txn.changes() >= limits.txnChanges() || txn.conditions() >= limits.txnConditions()) {
+      if (txn.changeCount() >= limits.maxTxnChanges()
+          || txn.conditionCount() >= limits.maxTxnConditions()) {
         return;
       }
       String id = Keys.jobIdOf(prefix, key);
       if (table.get(id) == null) {
         // Its job is over, or is yet to arrive in the replica: the condition tells which.
-        txn.when(Keys.job(id), 0).remove(key);
+        txn.requireRevision(Keys.job(id), 0).remove(key);
       }
     }
   }
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -174,7 +174,7 @@
     transitionTo(Phase.WRITING);
     context
         .state()
-        .txn(
+        .submitTxn(
             RequestPriority.SCHEDULING,
             batch.txn(),
             result -> onStartRecordAnswered(batch, result));
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -56,7 +56,7 @@
   private int maxStarts() {
     return Math.min(
         LeaderConstants.MAX_STARTS_PER_ROUND,
-        limits.txnChanges() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
+        limits.maxTxnChanges() * limits.maxValueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
   /** Builds a snapshot of this moment; empty if no task may be started. */
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -48,7 +48,8 @@
   /** Creates the attempts of as many starts as one transaction holds; the next round plans more. */
   Batch prepare(List<PlacementPlan.Start> starts) {
     Batch batch = new Batch(lease.fencedTxn(), new LinkedHashMap<>());
-    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), limits.txnChanges());
+    StartRecordPacker packer =
+        new StartRecordPacker(limits.maxValueBytes(), limits.maxTxnChanges());
     Set<String> jobs = new HashSet<>();
     for (PlacementPlan.Start start : starts) {
       addIfItFits(start, batch, packer, jobs);
@@ -65,14 +66,15 @@
     Txn txn = batch.txn();
     Machine machine = fleet.machine(start.machine());
     boolean needsCondition = !jobs.contains(id);
-    if ((needsCondition && txn.conditions() + limits.txnChanges() >= limits.txnConditions())
+    if ((needsCondition
+            && txn.conditionCount() + limits.maxTxnChanges() >= limits.maxTxnConditions())
         || !packer.tryReserve(start.spec(), start.task(), machine.name(), machine.session())) {
       return;
     }
     ActiveJob activeJob = activeJobs.get(id);
     if (jobs.add(id)) {
       // A job that is cancelled meanwhile fails the whole transaction.
-      txn.when(Keys.job(id), activeJob.job().revision());
+      txn.requireRevision(Keys.job(id), activeJob.job().revision());
     }
     Attempt attempt = fleet.createAttempt(machine, start.spec(), start.task());
     activeJob.attach(attempt);
@@ -87,10 +89,10 @@
     } else {
       // The transaction of an earlier round that got no answer may be applied late: it must not
       // overwrite this record.
-      txn.when(key, replica.revisionOf(key));
+      txn.requireRevision(key, replica.revisionOf(key));
     }
     keys.markBeingWritten(key);
-    txn.write(key, record.write());
+    txn.write(key, record.encode());
   }
 
   /**
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -64,7 +64,7 @@
     this.epoch = lease.epoch();
     this.fleet = createFleet(environment);
     this.provisioner = createProvisioner(environment);
-    this.activeJobs = new ActiveJobs(records.store().dependencies().graph());
+    this.activeJobs = new ActiveJobs(records.store().dependencyTracker().graph());
     TermState state = new TermState(fleet, activeJobs, new RunTimes());
     StartRecordKeys startRecordKeys = new StartRecordKeys(epoch);
     this.commands = new WorkerCommands(eventLoop, state, records.endedJobs());
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -68,7 +68,7 @@
     writtenAtMs = now;
     log.info(
         "epoch {}: {} workers of a leader that can't be reached come here", epoch, comers.size());
-    state.txn(
+    state.submitTxn(
         RequestPriority.INTERACTIVE,
         // Not conditional on anything: it is a hint, and says itself which epoch it is about.
         new Txn()
@@ -80,7 +80,7 @@
 
   private void changed(String key, Fields value) {
     if (value == null
-        || !key.startsWith(Keys.UNREACHABLE_LEADER)
+        || !key.startsWith(Keys.UNREACHABLE_LEADER_PREFIX)
         || key.equals(Keys.unreachableLeader(member))) {
       return;
     }
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -6,46 +6,47 @@
  */
 public final class Keys {
   /** The prefix that every controller watches. */
-  public static final String LIVE = "live/";
+  public static final String LIVE_PREFIX = "live/";
 
   /** The leader's record, bound to its lease. */
-  public static final String LEADER = LIVE + "lead";
+  public static final String LEADER = LIVE_PREFIX + "lead";
 
   /** The highest epoch ever claimed; bound to no lease. */
-  public static final String EPOCH = LIVE + "epoch";
+  public static final String EPOCH = LIVE_PREFIX + "epoch";
 
   /**
    * The declaration of unilateral leadership: the epoch whose leader does without its peers'
    * promises, 0 for none. Bound to no lease.
    */
-  public static final String UNILATERAL_LEADERSHIP = LIVE + "solo";
+  public static final String UNILATERAL_LEADERSHIP = LIVE_PREFIX + "solo";
 
   /** The machine types, stored for starts during an outage of the cloud provider. */
-  public static final String MACHINE_TYPES = LIVE + "flavors";
+  public static final String MACHINE_TYPES = LIVE_PREFIX + "flavors";
 
   /** Prefix of the records of live jobs: accepted, and neither done nor cancelled. */
-  public static final String JOB = LIVE + "job/";
+  public static final String JOB_PREFIX = LIVE_PREFIX + "job/";
 
   /** Prefix of the finished tasks of live jobs, by job and chunk. */
-  public static final String FINISHED = LIVE + "finished/";
+  public static final String FINISHED_TASKS_PREFIX = LIVE_PREFIX + "finished/";
 
   /** Prefix of the start records of scheduling rounds. */
-  public static final String START_RECORD = LIVE + "round/";
+  public static final String START_RECORD_PREFIX = LIVE_PREFIX + "round/";
 
   /**
    * Prefix of the dependencies that did not fit into a live job's own record, by job and part. It
-   * sorts before {@link #JOB}: a replica that loads in order has the dependencies before the job.
+   * sorts before {@link #JOB_PREFIX}: a replica that loads in order has the dependencies before the
+   * job.
    */
-  public static final String DEPENDENCIES = LIVE + "chain/";
+  public static final String DEPENDENCIES_PREFIX = LIVE_PREFIX + "chain/";
 
   /**
    * Prefix of the notices by which followers say that workers of a leader reach them, and they
    * can't reach that leader.
    */
-  public static final String UNREACHABLE_LEADER = LIVE + "heard/";
+  public static final String UNREACHABLE_LEADER_PREFIX = LIVE_PREFIX + "heard/";
 
   /** A key that is never written: the answer to its read carries the store's revision. */
-  static final String NONEXISTENT = "none";
+  static final String NEVER_WRITTEN = "none";
 
   private static final String FINAL = "final/";
 
@@ -55,16 +56,16 @@
    * True for records that a listener decodes and keeps: the replica drops their values, since
    * thousands of start records held twice once made the larger part of the heap.
    */
-  static boolean isDecoded(String key) {
-    return key.startsWith(JOB)
-        || key.startsWith(FINISHED)
-        || key.startsWith(START_RECORD)
-        || key.startsWith(DEPENDENCIES);
+  static boolean isDecodedByListener(String key) {
+    return key.startsWith(JOB_PREFIX)
+        || key.startsWith(FINISHED_TASKS_PREFIX)
+        || key.startsWith(START_RECORD_PREFIX)
+        || key.startsWith(DEPENDENCIES_PREFIX);
   }
 
   /** The record of a live job. */
   public static String job(String jobId) {
-    return JOB + jobId;
+    return JOB_PREFIX + jobId;
   }
 
   /** The record of a job that is done or cancelled. */
@@ -74,27 +75,27 @@
 
   /** The notice of one member that it can't reach the leader of workers that reach it. */
   public static String unreachableLeader(String member) {
-    return UNREACHABLE_LEADER + member;
+    return UNREACHABLE_LEADER_PREFIX + member;
   }
 
   /** One part of a job's dependencies beyond those in its record. */
   public static String dependencies(String jobId, int part) {
-    return DEPENDENCIES + jobId + "/" + part;
+    return DEPENDENCIES_PREFIX + jobId + "/" + part;
   }
 
   /** Prefix of one job's finished tasks. */
-  public static String finishedPrefix(String jobId) {
-    return FINISHED + jobId + "/";
+  public static String finishedTasksPrefix(String jobId) {
+    return FINISHED_TASKS_PREFIX + jobId + "/";
   }
 
   /** One chunk of a job's finished tasks. */
-  public static String finished(String jobId, int chunk) {
-    return finishedPrefix(jobId) + chunk;
+  public static String finishedTasks(String jobId, int chunk) {
+    return finishedTasksPrefix(jobId) + chunk;
   }
 
   /** Prefix of the start records of one epoch. */
   public static String startRecordPrefix(long epoch) {
-    return START_RECORD + String.format("%010d", epoch);
+    return START_RECORD_PREFIX + String.format("%010d", epoch);
   }
 
   /** One start record; {@code sequence} counts within the epoch. */
@@ -103,7 +104,8 @@
   }
 
   /**
-   * The id of the job that a key under {@link #FINISHED} or {@link #DEPENDENCIES} belongs to.
+   * The id of the job that a key under {@link #FINISHED_TASKS_PREFIX} or {@link
+   * #DEPENDENCIES_PREFIX} belongs to.
    *
    * @param prefix the one of the two that the key begins with
    */
@@ -112,7 +114,7 @@
   }
 
   /** The number of the chunk or part that such a key holds. */
-  public static int partOf(String key) {
+  public static int partNumberOf(String key) {
     return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
   }
 }
--- a/src/main/java/fennelthread/state/TokenBucket.java
+++ b/src/main/java/fennelthread/state/RateLimitBucket.java
@@ -7,13 +7,13 @@
  * Tokens accrue with time up to the size of one burst. It may be overdrawn by a request that is
  * larger than a burst. Used on the event loop's thread only.
  */
-final class TokenBucket {
+final class RateLimitBucket {
   private final double tokensPerMs;
   private final double capacity;
   private double tokens;
 
   /** Creates a full bucket for a limit of the service, in requests or changes per second. */
-  TokenBucket(double limitPerS) {
+  RateLimitBucket(double limitPerS) {
     double sharePerS = limitPerS * StateConstants.RATE_LIMIT_SHARE;
     tokensPerMs = sharePerS / 1000;
     capacity = Math.max(StateConstants.MIN_BURST, sharePerS * StateConstants.BURST_S);
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller's replica of all keys under {@link Keys#LIVE}, loaded page by page and then followed
- * by watch. It may lag behind the store: whoever answers a user from it confirms revisions first.
- * Used on the event loop's thread only.
+ * A controller's replica of all keys under {@link Keys#LIVE_PREFIX}, loaded page by page and then
+ * followed by watch. It may lag behind the store: whoever answers a user from it confirms revisions
+ * first. Used on the event loop's thread only.
  */
 public final class Replica {
   private static final Logger log = LoggerFactory.getLogger(Replica.class);
@@ -39,7 +39,7 @@
     void onChange(String key, Fields value, long revision);
   }
 
-  /** The value is null for keys that listeners decode: see {@link Keys#isDecoded}. */
+  /** The value is null for keys that listeners decode: see {@link Keys#isDecodedByListener}. */
   private record Versioned(Fields value, long revision) {}
 
   private final EventLoop eventLoop;
@@ -106,7 +106,10 @@
     advanceCallbacks.add(callback);
   }
 
-  /** The value of a key that no listener decodes ({@link Keys#isDecoded}), null without one. */
+  /**
+   * The value of a key that no listener decodes ({@link Keys#isDecodedByListener}), null without
+   * one.
+   */
   public Fields get(String key) {
     Versioned entry = entries.get(key);
     return entry == null ? null : entry.value;
@@ -156,7 +159,7 @@
   // ---------------------------------------------------------------- loading
 
   private void loadPage(String afterKey) {
-    state.list(Keys.LIVE, afterKey, page -> onPage(afterKey, page));
+    state.list(Keys.LIVE_PREFIX, afterKey, page -> onPage(afterKey, page));
   }
 
   private void onPage(String afterKey, Optional<KeyPage> result) {
@@ -199,7 +202,8 @@
 
   private void watch(long afterRevision) {
     long sentAtMs = eventLoop.nowMs();
-    state.watch(Keys.LIVE, afterRevision, result -> onWatchResult(afterRevision, sentAtMs, result));
+    state.watch(
+        Keys.LIVE_PREFIX, afterRevision, result -> onWatchResult(afterRevision, sentAtMs, result));
   }
 
   private void onWatchResult(long afterRevision, long sentAtMs, WatchResult result) {
@@ -246,7 +250,7 @@
   // ---------------------------------------------------------------- entries
 
   private void put(String key, Fields value, long putRevision) {
-    if (!key.startsWith(Keys.LIVE)) {
+    if (!key.startsWith(Keys.LIVE_PREFIX)) {
       return;
     }
     Versioned known = entries.get(key);
@@ -255,12 +259,12 @@
         || (removedAt != null && removedAt >= putRevision)) {
       return;
     }
-    entries.put(key, new Versioned(Keys.isDecoded(key) ? null : value, putRevision));
+    entries.put(key, new Versioned(Keys.isDecodedByListener(key) ? null : value, putRevision));
     listeners.forEach(listener -> listener.onChange(key, value, putRevision));
   }
 
   private void remove(String key, long removeRevision) {
-    if (!key.startsWith(Keys.LIVE)) {
+    if (!key.startsWith(Keys.LIVE_PREFIX)) {
       return;
     }
     Versioned known = entries.get(key);
--- a/src/main/java/fennelthread/state/RequestQueue.java
+++ b/src/main/java/fennelthread/state/RequestQueue.java
@@ -16,8 +16,8 @@
   private record QueuedRequest(int changes, Runnable send, long queuedAtMs) {}
 
   private final EventLoop eventLoop;
-  private final TokenBucket requestTokens;
-  private final TokenBucket changeTokens;
+  private final RateLimitBucket requestTokens;
+  private final RateLimitBucket changeTokens;
   private final Map<RequestPriority, ArrayDeque<QueuedRequest>> lanes =
       new EnumMap<>(RequestPriority.class);
   private long refilledAtMs;
@@ -31,8 +31,8 @@
    */
   RequestQueue(EventLoop eventLoop, double requestsPerS, double changesPerS) {
     this.eventLoop = eventLoop;
-    this.requestTokens = new TokenBucket(requestsPerS);
-    this.changeTokens = new TokenBucket(changesPerS);
+    this.requestTokens = new RateLimitBucket(requestsPerS);
+    this.changeTokens = new RateLimitBucket(changesPerS);
     this.refilledAtMs = eventLoop.nowMs();
     for (RequestPriority priority : RequestPriority.values()) {
       lanes.put(priority, new ArrayDeque<>());
@@ -55,7 +55,7 @@
         && (changes == 0 || isAvailableInTime(changeTokens, queuedChanges + changes));
   }
 
-  private static boolean isAvailableInTime(TokenBucket bucket, double amount) {
+  private static boolean isAvailableInTime(RateLimitBucket bucket, double amount) {
     return bucket.msUntilAvailable(amount, 0) <= StateConstants.MAX_INTERACTIVE_WAIT_MS;
   }
 
--- a/src/main/java/fennelthread/state/SizeLimits.java
+++ b/src/main/java/fennelthread/state/SizeLimits.java
@@ -27,22 +27,22 @@
   }
 
   /** The largest value to write, bytes as {@link #encodedBytes} counts them. */
-  public int valueBytes() {
+  public int maxValueBytes() {
     return valueBytes - StateConstants.VALUE_OVERHEAD_BYTES;
   }
 
   /** The largest number of changes, puts and deletes, in a transaction. */
-  public int txnChanges() {
+  public int maxTxnChanges() {
     return txnChanges;
   }
 
   /** The largest number of conditions in a transaction. */
-  public int txnConditions() {
+  public int maxTxnConditions() {
     return StateConstants.CONDITIONS_PER_CHANGE * txnChanges;
   }
 
   /** The largest sum of the sizes of all values in a transaction, bytes. */
-  public int txnBytes() {
+  public int maxTxnBytes() {
     return StateConstants.MAX_TXN_BYTES;
   }
 
@@ -61,7 +61,8 @@
       largestBytes = Math.max(largestBytes, encodedBytes(value));
     }
     int perChange = StateConstants.CONDITIONS_PER_CHANGE;
-    int usedChanges = Math.max(txn.changes(), (txn.conditions() + perChange - 1) / perChange);
+    int usedChanges =
+        Math.max(txn.changeCount(), (txn.conditionCount() + perChange - 1) / perChange);
     if (usedChanges > StateConstants.MIN_TXN_CHANGES) {
       txnChanges = Math.min(txnChanges, Math.max(StateConstants.MIN_TXN_CHANGES, usedChanges / 2));
     } else {
@@ -71,10 +72,10 @@
     log.error(
         "transaction rejected as too large changes={} conditions={} largestValueBytes={} "
             + "newMaxChanges={} newMaxValueBytes={}",
-        txn.changes(),
-        txn.conditions(),
+        txn.changeCount(),
+        txn.conditionCount(),
         largestBytes,
         txnChanges,
-        valueBytes());
+        maxValueBytes());
   }
 }
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -54,7 +54,7 @@
    */
   public Optional<Unavailability> unavailability(int changes) {
     if (health.status(eventLoop.nowMs()) == ServiceHealth.Status.UNRESPONSIVE) {
-      return Optional.of(Unavailability.SILENT);
+      return Optional.of(Unavailability.UNRESPONSIVE);
     }
     return queue.canSendInTime(changes) ? Optional.empty() : Optional.of(Unavailability.BUSY);
   }
@@ -87,7 +87,7 @@
 
   /** Reads the revision that the store has reached; empty if nothing is known. */
   public void readStoreRevision(Consumer<OptionalLong> done) {
-    get(Keys.NONEXISTENT, result -> done.accept(storeRevisionOf(result)));
+    get(Keys.NEVER_WRITTEN, result -> done.accept(storeRevisionOf(result)));
   }
 
   private static OptionalLong storeRevisionOf(ReadResult result) {
@@ -146,8 +146,8 @@
   // ---------------------------------------------------------------- transactions
 
   /** Sends a transaction. */
-  public void txn(RequestPriority priority, Txn txn, Consumer<TxnResult> done) {
-    txn(priority, txn, () -> {}, done);
+  public void submitTxn(RequestPriority priority, Txn txn, Consumer<TxnResult> done) {
+    submitTxn(priority, txn, () -> {}, done);
   }
 
   /**
@@ -156,10 +156,11 @@
    * @param overdue run if there is no answer for several times as long as answers take of late. The
    *     answer may still arrive; meanwhile the caller may find out by other means.
    */
-  public void txn(RequestPriority priority, Txn txn, Runnable overdue, Consumer<TxnResult> done) {
+  public void submitTxn(
+      RequestPriority priority, Txn txn, Runnable overdue, Consumer<TxnResult> done) {
     queue.submit(
         priority,
-        txn.changes(),
+        txn.changeCount(),
         () -> sendTxn(txn, overdue, done),
         () -> done.accept(new TxnResult.Refused("too many requests wait")));
   }
--- a/src/main/java/fennelthread/state/Txn.java
+++ b/src/main/java/fennelthread/state/Txn.java
@@ -18,7 +18,7 @@
   private long leaseId;
 
   /** Adds the condition that {@code key} has this revision; 0 means that it must not exist. */
-  public Txn when(String key, long revision) {
+  public Txn requireRevision(String key, long revision) {
     revisionsByKey.put(key, revision);
     return this;
   }
@@ -48,12 +48,12 @@
   }
 
   /** The number of changes, puts and deletes. */
-  public int changes() {
+  public int changeCount() {
     return writesByKey.size() + removedKeys.size();
   }
 
   /** The number of conditions. */
-  public int conditions() {
+  public int conditionCount() {
     return revisionsByKey.size();
   }
 
--- a/src/main/java/fennelthread/state/TxnResult.java
+++ b/src/main/java/fennelthread/state/TxnResult.java
@@ -11,7 +11,7 @@
   record Conflict(List<String> failed) implements TxnResult {}
 
   /** Not applied: an outage, a rate limit, or too many requests queued here. */
-  record Refused(String why) implements TxnResult {}
+  record Refused(String reason) implements TxnResult {}
 
   /**
    * Not applied, and never will be as it is: rejected as malformed, which means too large, or bound
--- a/src/main/java/fennelthread/state/Unavailability.java
+++ b/src/main/java/fennelthread/state/Unavailability.java
@@ -3,7 +3,7 @@
 /** The reason why the state service can't serve a request now. */
 public enum Unavailability {
   /** The service answers no request of this controller. */
-  SILENT("the state service does not answer"),
+  UNRESPONSIVE("the state service does not answer"),
   /** Too many requests are queued within the rate limits. */
   BUSY("too many requests wait for the state service"),
   /** The service refused the request: an outage, or a limit that all controllers exceed. */
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -40,7 +40,7 @@
   }
 
   private int started() {
-    return table.startedTasks(new Job(HUGE, 1, 0));
+    return table.startedTaskCount(new Job(HUGE, 1, 0));
   }
 
   /**
@@ -56,7 +56,7 @@
           for (int i = 0; i < TASKS / PER_RECORD; i++) {
             table.onChange(
                 Keys.startRecord(1, i),
-                record(i * PER_RECORD, (i + 1) * PER_RECORD).write(),
+                record(i * PER_RECORD, (i + 1) * PER_RECORD).encode(),
                 1 + i);
           }
           assertEquals(TASKS, started());
@@ -72,8 +72,8 @@
    */
   @Test
   void aStartInTwoRecordsIsKnownUntilBothAreRemoved() {
-    table.onChange(Keys.startRecord(1, 1), record(0, 3).write(), 1);
-    table.onChange(Keys.startRecord(1, 2), record(2, 4).write(), 2);
+    table.onChange(Keys.startRecord(1, 1), record(0, 3).encode(), 1);
+    table.onChange(Keys.startRecord(1, 2), record(2, 4).encode(), 2);
     assertEquals(4, started());
     table.onChange(Keys.startRecord(1, 1), null, 3);
     assertEquals(2, started());
@@ -81,7 +81,7 @@
     assertEquals("n-2", table.recordedStart(second, 1_002, "n-2").machine());
     assertNull(table.recordedStart(second, 1_002, "n-3"));
     assertNull(table.recordedStart(new TaskRef(HUGE.id(), 0), 1_000, "n-0"));
-    table.onChange(Keys.startRecord(1, 2), record(5, 6).write(), 4);
+    table.onChange(Keys.startRecord(1, 2), record(5, 6).encode(), 4);
     assertEquals(1, started());
   }
 }
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -73,25 +73,25 @@
   @Test
   void formOfALiveJobsRecord() throws WireException {
     JobSpec plain = spec("job-000412", "roja", List.of());
-    Map<String, Fields> records = JobRecordCodec.write(plain, 1_234, WIDE);
+    Map<String, Fields> records = JobRecordCodec.encode(plain, 1_234, WIDE);
     assertEquals(List.of("live/job/job-000412"), List.copyOf(records.keySet()));
     assertEquals(JOB + "}", json(records.get(Keys.job("job-000412"))));
-    assertEquals(plain, JobRecordCodec.read(parsed(JOB + ",\"mas\":1}"), 5).spec());
+    assertEquals(plain, JobRecordCodec.decode(parsed(JOB + ",\"mas\":1}"), 5).spec());
 
     JobSpec chained = spec("job-000412", "roja", List.of("job-1", "job-2"));
-    Fields record = JobRecordCodec.write(chained, 1_234, WIDE).get(Keys.job("job-000412"));
+    Fields record = JobRecordCodec.encode(chained, 1_234, WIDE).get(Keys.job("job-000412"));
     assertEquals(JOB + ",\"espera\":[\"job-1\",\"job-2\"]}", json(record));
-    assertEquals(chained, JobRecordCodec.read(record, 5).spec());
+    assertEquals(chained, JobRecordCodec.decode(record, 5).spec());
   }
 
   @Test
   void formOfAFinalRecord() throws WireException {
     FinalRecord end = new FinalRecord(JobState.DONE, 3, 77);
-    assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", json(end.write()));
-    assertEquals(end, FinalRecord.read(end.write()));
+    assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", json(end.encode()));
+    assertEquals(end, FinalRecord.decode(end.encode()));
     assertEquals(
         new FinalRecord(JobState.CANCELLED, 2, 0),
-        FinalRecord.read(parsed("{\"estado\":\"withdrawn\",\"done\":2}")),
+        FinalRecord.decode(parsed("{\"estado\":\"withdrawn\",\"done\":2}")),
         "as the version in production writes it");
   }
 
@@ -102,7 +102,7 @@
     finished.set(300);
     BitSet covered = new BitSet();
     assertEquals(
-        "{\"r\":[0,2,44,44]}", json(FinishedTasksCodec.write(1, finished, 1_000, covered)));
+        "{\"r\":[0,2,44,44]}", json(FinishedTasksCodec.encode(1, finished, 1_000, covered)));
     assertEquals(finished, covered);
   }
 
@@ -116,8 +116,8 @@
                     new TaskRef("job-1", 1), 10, "n-2", 1, "roja", 1.5, 0.0, 2.0)));
     assertEquals(
         "{\"j\":[[\"job-1\",\"roja\",1.5,0.0,2.0,0,9,\"n-1\",2,1,10,\"n-2\",1]]}",
-        json(record.write()));
-    assertEquals(record, StartRecord.read(record.write()));
+        json(record.encode()));
+    assertEquals(record, StartRecord.decode(record.encode()));
   }
 
   /** The largest of each record at lower limits, and at the least that settings allow. */
@@ -136,7 +136,7 @@
       JobSpec spec = spec("job-" + "9".repeat(32), "t".repeat(1 + n % 100), dependencies);
       Map<String, Fields> records;
       try {
-        records = JobRecordCodec.write(spec, Long.MAX_VALUE, limits);
+        records = JobRecordCodec.encode(spec, Long.MAX_VALUE, limits);
       } catch (WireException e) {
         assertTrue(e.getMessage().startsWith("espera") && n > 0, e.getMessage());
         continue;
@@ -146,11 +146,11 @@
       List<String> read = new ArrayList<>();
       for (Map.Entry<String, Fields> e : records.entrySet()) {
         assertTrue(json(e.getValue()).length() <= valueBytes, e.getKey());
-        if (e.getKey().startsWith(Keys.DEPENDENCIES)) {
+        if (e.getKey().startsWith(Keys.DEPENDENCIES_PREFIX)) {
           read.addAll(e.getValue().optTexts("espera"));
         } else {
           assertEquals(records.size() - 1, JobRecordCodec.partCount(e.getValue()));
-          read.addAll(0, JobRecordCodec.read(e.getValue(), 1).spec().dependencies());
+          read.addAll(0, JobRecordCodec.decode(e.getValue(), 1).spec().dependencies());
         }
       }
       assertEquals(dependencies, read);
@@ -159,7 +159,7 @@
         largest >= Math.min(590, valueBytes * (ops - 1) / 60), "only " + largest + " dependencies");
     assertThrows(
         WireException.class,
-        () -> JobRecordCodec.write(spec("job-1", "t".repeat(valueBytes), List.of()), 1, limits));
+        () -> JobRecordCodec.encode(spec("job-1", "t".repeat(valueBytes), List.of()), 1, limits));
 
     for (int tries = 0; tries < 200; tries++) {
       startRecords(r, limits, valueBytes, ops);
@@ -168,11 +168,11 @@
         finished.set(i, tries == 0 ? i % 2 == 0 : r.nextBoolean());
       }
       BitSet covered = new BitSet();
-      Fields chunk = FinishedTasksCodec.write(0, finished, limits.valueBytes(), covered);
+      Fields chunk = FinishedTasksCodec.encode(0, finished, limits.maxValueBytes(), covered);
       assertTrue(json(chunk).length() <= valueBytes);
       Job job = new Job(spec("job-1", "roja", List.of()), 1, 1);
       job.addFinishedChunk(0, chunk);
-      assertEquals(covered, job.finished());
+      assertEquals(covered, job.finishedTasks());
       covered.andNot(finished);
       assertTrue(covered.isEmpty());
     }
@@ -180,7 +180,7 @@
 
   private static void startRecords(SplittableRandom r, SizeLimits limits, int valueBytes, int ops)
       throws WireException {
-    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), ops);
+    StartRecordPacker packer = new StartRecordPacker(limits.maxValueBytes(), ops);
     List<StartRecord.Start> starts = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
       int length = 1 + r.nextInt(32);
@@ -197,9 +197,9 @@
     assertTrue(packer.records().size() <= ops);
     List<StartRecord.Start> read = new ArrayList<>();
     for (StartRecord record : packer.records()) {
-      Fields value = record.write();
+      Fields value = record.encode();
       assertTrue(Codec.JSON.encode(value).length <= valueBytes);
-      read.addAll(StartRecord.read(value).starts());
+      read.addAll(StartRecord.decode(value).starts());
     }
     assertEquals(starts.size(), read.size());
     assertTrue(read.containsAll(starts));
--- a/src/test/java/fennelthread/simulation/QuickBootMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/QuickBootMeetingsTest.java
@@ -190,7 +190,7 @@
       Set<String> machines = new HashSet<>();
       try {
         for (Fields record : records) {
-          StartRecord.read(record).starts().forEach(s -> machines.add(s.machine()));
+          StartRecord.decode(record).starts().forEach(s -> machines.add(s.machine()));
         }
       } catch (WireException e) {
         throw new AssertionError(e);
--- a/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
+++ b/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
@@ -110,7 +110,7 @@
     try {
       int starts = 0;
       for (Fields value : c.state.values(ROUNDS)) {
-        starts += StartRecord.read(value).starts().size();
+        starts += StartRecord.decode(value).starts().size();
       }
       return starts;
     } catch (WireException e) {
@@ -146,7 +146,7 @@
     try {
       Set<String> recorded = new HashSet<>();
       for (Fields value : c.state.values(ROUNDS)) {
-        for (StartRecord.Start s : StartRecord.read(value).starts()) {
+        for (StartRecord.Start s : StartRecord.decode(value).starts()) {
           recorded.add(s.task() + "@" + s.machine());
         }
       }
--- a/src/test/java/fennelthread/simulation/StartRecordFormsTest.java
+++ b/src/test/java/fennelthread/simulation/StartRecordFormsTest.java
@@ -37,7 +37,7 @@
       long today = 0;
       long ranges = 0;
       for (Fields value : cell.startRecords) {
-        StartRecord record = StartRecord.read(value);
+        StartRecord record = StartRecord.decode(value);
         Fields asRanges = ranges(record);
         assertEquals(record.starts(), read(asRanges), "the range form holds the same starts");
         starts += record.starts().size();
