--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -1,6 +1,6 @@
 package fennelthread.control;
 
-import fennelthread.fleet.ReportOrder;
+import fennelthread.fleet.StaleReportFilter;
 import fennelthread.leader.Lease;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
@@ -22,7 +22,7 @@
   private final LeaderReachability reachability;
   private final CommandSender commands;
   private final FollowerReportHandler follower;
-  private final ReportOrder order = new ReportOrder();
+  private final StaleReportFilter order = new StaleReportFilter();
 
   /**
    * Creates the router of one controller.
@@ -49,7 +49,7 @@
 
   /** Answers a report that a worker sent to this controller; {@code reply} may be called later. */
   public void handle(WorkerReport report, Consumer<Answer> reply) {
-    if (order.isCopy(report)) {
+    if (order.rejects(report)) {
       // Its sender no longer waits for an answer, and its content is out of date.
       reply.accept(FollowerReportHandler.redirectToNext());
       return;
@@ -71,7 +71,7 @@
    */
   public Answer handleRelayed(WorkerReport report, long epoch, String peer) {
     lease.observeEpoch(epoch);
-    boolean accepted = epoch == lease.epoch() && !order.isCopy(report);
+    boolean accepted = epoch == lease.epoch() && !order.rejects(report);
     return accepted ? term.answer(report, peer) : null;
   }
 }
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -161,7 +161,7 @@
   }
 
   /** Returns why it ended, or null if no report has said so. */
-  public WorkerReport.Motive motive() {
+  public WorkerReport.Motive endReason() {
     return motive;
   }
 
--- a/src/main/java/fennelthread/fleet/BootingMachines.java
+++ b/src/main/java/fennelthread/fleet/BootingMachines.java
@@ -73,7 +73,7 @@
       StuckMachineListener listener) {
     boots.forEach(
         (name, boot) -> {
-          Machine machine = fleet.getOrAdd(name, null);
+          Machine machine = fleet.getOrAddMachine(name, null);
           boolean waiting =
               machine.phase() == Machine.Phase.AWAITING_REPORT
                   && nowMs - boot.knownSinceMs > minReportWaitMs;
@@ -103,7 +103,7 @@
     int late = 0;
     for (Map.Entry<String, Boot> entry : boots.entrySet()) {
       Boot boot = entry.getValue();
-      Machine machine = fleet.machine(entry.getKey());
+      Machine machine = fleet.findMachine(entry.getKey());
       if (machine != null && machine.phase() != Machine.Phase.AWAITING_REPORT) {
         continue;
       }
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -74,7 +74,12 @@
     this.commands = new CommandQueue(context, this::onCommandResponse);
     this.reports =
         new ReportProcessor(
-            context, link.responder(), name -> getOrAdd(name, null), probes, starts, commands);
+            context,
+            link.responder(),
+            name -> getOrAddMachine(name, null),
+            probes,
+            starts,
+            commands);
   }
 
   /** Ends the term: late answers change nothing any more. */
@@ -94,7 +99,7 @@
    *
    * @return the machine, or null if this term does not know it
    */
-  public Machine machine(String name) {
+  public Machine findMachine(String name) {
     return machines.get(name);
   }
 
@@ -103,7 +108,7 @@
    *
    * @param address its worker's address, or null to keep the known one
    */
-  public Machine getOrAdd(String name, String address) {
+  public Machine getOrAddMachine(String name, String address) {
     Machine machine = machines.computeIfAbsent(name, n -> new Machine(n, context.nowMs()));
     machine.setAddress(address);
     return machine;
@@ -161,7 +166,7 @@
    * the attempt is known from a report, the record replaces what was assumed of it.
    */
   public void restoreAttempt(StartRecord.Start start) {
-    Machine machine = getOrAdd(start.machine(), null);
+    Machine machine = getOrAddMachine(start.machine(), null);
     Attempt known = machine.find(start.task(), start.attempt());
     if (known != null) {
       known.replaceStart(start);
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -124,7 +124,7 @@
   }
 
   /** Returns true for a spot instance, which the cloud may take back at any time. */
-  public boolean spot() {
+  public boolean isSpot() {
     return spot;
   }
 
@@ -304,7 +304,7 @@
   }
 
   /** Returns the names of the images that it has cached, as far as is known. */
-  public Set<String> images() {
+  public Set<String> cachedImages() {
     return images.names();
   }
 
--- a/src/main/java/fennelthread/fleet/MachineKind.java
+++ b/src/main/java/fennelthread/fleet/MachineKind.java
@@ -8,6 +8,6 @@
 
   /** Returns the kind of a machine whose type, zone and kind are known. */
   static MachineKind of(Machine machine) {
-    return new MachineKind(machine.type(), machine.zone(), machine.spot());
+    return new MachineKind(machine.type(), machine.zone(), machine.isSpot());
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -135,11 +135,11 @@
   }
 
   private void onMachineListed(MachineEntry entry) {
-    Machine known = fleet.machine(entry.name());
+    Machine known = fleet.findMachine(entry.name());
     if (known != null && known.phase() == Machine.Phase.GONE) {
       return;
     }
-    Machine machine = fleet.getOrAdd(entry.name(), entry.address());
+    Machine machine = fleet.getOrAddMachine(entry.name(), entry.address());
     fleet.describeIfUnknown(machine, entry.type(), entry.zone(), entry.spot());
     if (entry.state().equals(MachineEntry.FAILED)) {
       machine.setListedFailed();
@@ -233,7 +233,7 @@
       }
       MachineType type = machineTypes.get(machine.type());
       if (type != null && (isUsable(machine) || expected.contains(machine.name()))) {
-        double cpus = type.cpus() * context.zones().countedShare(machine, nowMs);
+        double cpus = type.cpus() * context.zones().usableCapacityShare(machine, nowMs);
         cpusByZone.merge(String.valueOf(machine.zone()), cpus, Double::sum);
       }
     }
@@ -285,7 +285,7 @@
         kind.zone(),
         kind.spot());
     for (String name : names) {
-      Machine machine = fleet.getOrAdd(name, null);
+      Machine machine = fleet.getOrAddMachine(name, null);
       fleet.describeIfUnknown(machine, kind.type(), kind.zone(), kind.spot());
       if (machine.phase() == Machine.Phase.AWAITING_REPORT) {
         booting.addRented(name, kind, nowMs);
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -179,7 +179,7 @@
   private boolean isLost(Machine machine, long nowMs) {
     boolean silent =
         nowMs - machine.lastContactAtMs() > leaseMs + FleetConstants.LOST_RETURN_DELAY_MS;
-    return machine.phase() == Machine.Phase.LOST && silent && zones.mayReclaimLost(machine, nowMs);
+    return machine.phase() == Machine.Phase.LOST && silent && zones.mayReturnLost(machine, nowMs);
   }
 
   /** Returns true if a spot interruption notice has run out and the machine is silent since. */
@@ -233,7 +233,7 @@
   private void onConfirmed(List<String> names) {
     revocable.removeAll(names);
     for (String name : names) {
-      Machine machine = fleet.machine(name);
+      Machine machine = fleet.findMachine(name);
       returning.remove(name);
       fleet.completeReturn(machine);
       listener.onReturned(machine);
@@ -244,7 +244,7 @@
     for (String name : names) {
       if (revocable.remove(name)) {
         returning.remove(name);
-        fleet.cancelReturn(fleet.machine(name));
+        fleet.cancelReturn(fleet.findMachine(name));
       }
     }
   }
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -32,7 +32,7 @@
   @FunctionalInterface
   interface MachineRegistry {
     /** Returns the machine of a name and adds it if it is not known. */
-    Machine getOrAdd(String name);
+    Machine getOrAddMachine(String name);
   }
 
   private final FleetContext context;
@@ -75,7 +75,7 @@
       // not live on. A leader in a zone that was cut off for 75 s once kept them for all of it.
       return null;
     }
-    Machine machine = machines.getOrAdd(report.machine());
+    Machine machine = machines.getOrAddMachine(report.machine());
     if (isFencedOff(report)) {
       return null;
     }
@@ -265,7 +265,7 @@
       log.debug(
           "attempt ended attempt={} reason={} session={} seq={} token={}",
           attempt,
-          attempt.motive(),
+          attempt.endReason(),
           report.session(),
           report.seq(),
           report.token());
--- a/src/main/java/fennelthread/fleet/ReportOrder.java
+++ b/src/main/java/fennelthread/fleet/StaleReportFilter.java
@@ -16,7 +16,7 @@
  * may be a copy or a first report; only the answer to a probe that was sent since then decides
  * ({@link Fleet}). A report under a higher token is no copy.
  */
-public final class ReportOrder {
+public final class StaleReportFilter {
   private record Newest(long session, long seq, long token) {
     boolean isAtOrAfter(WorkerReport report) {
       boolean later =
@@ -33,7 +33,7 @@
    *
    * @return true if it is a copy: it, or a later one of the same machine, has arrived before
    */
-  public boolean isCopy(WorkerReport report) {
+  public boolean rejects(WorkerReport report) {
     Newest known = newestByMachine.get(report.machine());
     if (known != null && known.isAtOrAfter(report)) {
       return true;
--- a/src/main/java/fennelthread/fleet/ZoneHealth.java
+++ b/src/main/java/fennelthread/fleet/ZoneHealth.java
@@ -10,7 +10,7 @@
  */
 public interface ZoneHealth {
   /** The health where zones are not distinguished: every machine is judged by itself. */
-  ZoneHealth NONE =
+  ZoneHealth ALWAYS_HEALTHY =
       new ZoneHealth() {
         @Override
         public void observe(Collection<Machine> machines, long nowMs) {}
@@ -31,12 +31,12 @@
         }
 
         @Override
-        public boolean mayReclaimLost(Machine machine, long nowMs) {
+        public boolean mayReturnLost(Machine machine, long nowMs) {
           return true;
         }
 
         @Override
-        public double countedShare(Machine machine, long nowMs) {
+        public double usableCapacityShare(Machine machine, long nowMs) {
           return 1;
         }
 
@@ -63,10 +63,10 @@
   long lastUnreachableAtMs(Machine machine);
 
   /** Returns false if a machine whose lease is over is kept, since its zone may bring it back. */
-  boolean mayReclaimLost(Machine machine, long nowMs);
+  boolean mayReturnLost(Machine machine, long nowMs);
 
   /** Returns the share of the machine, 0 to 1, that counts as ours when deciding what to rent. */
-  double countedShare(Machine machine, long nowMs);
+  double usableCapacityShare(Machine machine, long nowMs);
 
   /**
    * Returns the zones to rent in, best first.
--- a/src/main/java/fennelthread/leader/AttemptEndHandler.java
+++ b/src/main/java/fennelthread/leader/AttemptEndHandler.java
@@ -40,17 +40,17 @@
       return;
     }
     activeJob.detach(attempt);
-    if (attempt.phase() == Attempt.Phase.GONE || attempt.motive() == null) {
+    if (attempt.phase() == Attempt.Phase.GONE || attempt.endReason() == null) {
       return;
     }
     int task = attempt.start().task().index();
-    switch (attempt.motive()) {
+    switch (attempt.endReason()) {
       case DONE -> onTaskDone(machine, attempt, activeJob);
       case ERROR -> onTaskFailed(machine, task, activeJob);
       case HALTED -> activeJob.onTaskStopped(task);
       case FULL, BUSY, NO_SUCH, OTHER ->
           activeJob.onTaskRefused(task, eventLoop.nowMs(), eventLoop.random().nextDouble());
-      default -> throw new IllegalStateException("ended with " + attempt.motive());
+      default -> throw new IllegalStateException("ended with " + attempt.endReason());
     }
   }
 
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/Demand.java
@@ -165,7 +165,7 @@
     Map<String, Integer> tasks = new HashMap<>();
     for (List<Attempt> attempts : activeJob.attempts().values()) {
       for (Attempt attempt : attempts) {
-        Machine machine = term.fleet().machine(attempt.start().machine());
+        Machine machine = term.fleet().findMachine(attempt.start().machine());
         if (machine != null && attempt.mayBePresent()) {
           String zone = machine.zone() == null ? Snapshot.UNKNOWN_ZONE : machine.zone();
           tasks.merge(zone, 1, Integer::sum);
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -104,7 +104,7 @@
     Set<Machine> machines = new LinkedHashSet<>();
     for (List<Attempt> attempts : activeJob.attempts().values()) {
       for (Attempt attempt : attempts) {
-        Machine machine = fleet.machine(attempt.start().machine());
+        Machine machine = fleet.findMachine(attempt.start().machine());
         if (machine != null) {
           machines.add(machine);
         }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -39,7 +39,7 @@
         addAttempt(machine, attempt, term, totals);
       }
     }
-    totals.fetchingImages.removeAll(machine.images());
+    totals.fetchingImages.removeAll(machine.cachedImages());
     snapshot = type == null ? null : totals.snapshotOf(machine, type);
     // Last: recording an image in the meantime may have changed the machine once more.
     version = machine.version();
@@ -122,11 +122,11 @@
           machine.name(),
           type,
           machine.zone(),
-          machine.spot(),
+          machine.isSpot(),
           freeCpus,
           freeCards,
           freeMemGb,
-          Set.copyOf(machine.images()),
+          Set.copyOf(machine.cachedImages()),
           fetchingImages,
           tasksByClass,
           running,
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -163,7 +163,7 @@
       Attempt attempt = fleet.findAttempt(task.machine(), ref, task.attempt());
       if (attempt != null) {
         attempt.requestStop();
-        machines.add(fleet.machine(task.machine()));
+        machines.add(fleet.findMachine(task.machine()));
       }
     }
     machines.forEach(fleet::sendCommands);
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -64,7 +64,7 @@
       PlacementPlan.Start start, Batch batch, StartRecordPacker packer, Set<String> jobs) {
     String id = start.spec().id();
     Txn txn = batch.txn();
-    Machine machine = fleet.machine(start.machine());
+    Machine machine = fleet.findMachine(start.machine());
     boolean needsCondition = !jobs.contains(id);
     if ((needsCondition
             && txn.conditionCount() + limits.maxTxnChanges() >= limits.maxTxnConditions())
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -77,7 +77,7 @@
     this.jobUpdates = new JobUpdates(records, state, completions, scheduling);
     environment
         .workerAddresses()
-        .forEach((name, address) -> fleet.probe(fleet.getOrAdd(name, address)));
+        .forEach((name, address) -> fleet.probe(fleet.getOrAddMachine(name, address)));
     onReplicaAdvanced();
     provisioner.start();
     tick();
--- a/src/main/java/fennelthread/zones/ZoneMonitor.java
+++ b/src/main/java/fennelthread/zones/ZoneMonitor.java
@@ -187,7 +187,7 @@
   }
 
   @Override
-  public boolean mayReclaimLost(Machine machine, long nowMs) {
+  public boolean mayReturnLost(Machine machine, long nowMs) {
     ZoneState zone = zoneOf(machine);
     return zone == null
         || !zone.isUnreachable()
@@ -195,7 +195,7 @@
   }
 
   @Override
-  public double countedShare(Machine machine, long nowMs) {
+  public double usableCapacityShare(Machine machine, long nowMs) {
     ZoneState zone = zoneOf(machine);
     if (zone == null || !zone.isUnreachable()) {
       return 1;
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -114,9 +114,9 @@
               null,
               () -> 0,
               Map::of,
-              ZoneHealth.NONE,
+              ZoneHealth.ALWAYS_HEALTHY,
               new WorkerLink(courier, null, new StallDetector(eventLoop)))
-          .getOrAdd("n-1", "10.1.0.1:9000");
+          .getOrAddMachine("n-1", "10.1.0.1:9000");
   private final List<Object> outcomes = new ArrayList<>();
 
   @BeforeEach
--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/CarriedStartsTest.java
@@ -67,7 +67,7 @@
           },
           () -> Long.MAX_VALUE,
           Map::of,
-          ZoneHealth.NONE,
+          ZoneHealth.ALWAYS_HEALTHY,
           new WorkerLink(
               (machine, address, call, timeoutMs, done, unsent) -> unsent.over(false),
               new HeartbeatResponder() {
@@ -115,8 +115,8 @@
             .spotAllowed(true)
             .estimateS(1)
             .build();
-    Attempt a = fleet.createAttempt(fleet.machine("n-1"), spec, 0);
-    fleet.sendStarts(fleet.machine("n-1"), new ArrayList<>(List.of(a)));
+    Attempt a = fleet.createAttempt(fleet.findMachine("n-1"), spec, 0);
+    fleet.sendStarts(fleet.findMachine("n-1"), new ArrayList<>(List.of(a)));
     assertEquals(Attempt.Phase.DEFERRED, a.phase());
     return a;
   }
