--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -11,19 +11,23 @@
 import java.util.Set;
 
 /**
- * The free capacity of one machine during a scheduling round: what is free now, what running tasks
- * that are being stopped will release, and what of both is reserved for waiting tasks.
+ * The free capacity of one machine during a scheduling round: what is free now, what tasks that are
+ * being stopped will release, and how much of both is reserved for waiting tasks. Not thread-safe:
+ * used on the event loop's thread within one round.
  */
 final class FreeCapacity {
   private final Snapshot.MachineState machine;
   private final int index;
   private int version;
-  private double cpus;
-  private double cards;
-  private double memGb;
-  private int slots;
+  private double freeCpus;
+  private double freeCards;
+  private double freeMemGb;
+  private int freeReportSlots;
 
-  /** What stopping tasks release, less what is reserved; negative if more is reserved. */
+  /**
+   * What stopping tasks release, less what is reserved, as the two fields below for cards and
+   * memory; negative if capacity that is free now is reserved too.
+   */
   private double releasingCpus;
 
   private double releasingCards;
@@ -33,14 +37,16 @@
   private List<Snapshot.RunningTask> runningByCompletion;
   private double firstCompletionS = -1;
 
-  /** Creates a machine's capacity; {@code index} is its place among the machines of the round. */
+  /**
+   * Creates a machine's capacity; {@code index} is its position among the machines of the round.
+   */
   FreeCapacity(Snapshot.MachineState machine, int index) {
     this.machine = machine;
     this.index = index;
-    this.cpus = machine.freeCpus();
-    this.cards = machine.freeCards();
-    this.memGb = machine.freeMemGb();
-    this.slots = machine.freeReportSlots();
+    this.freeCpus = machine.freeCpus();
+    this.freeCards = machine.freeCards();
+    this.freeMemGb = machine.freeMemGb();
+    this.freeReportSlots = machine.freeReportSlots();
   }
 
   Snapshot.MachineState machine() {
@@ -51,68 +57,75 @@
     return index;
   }
 
-  /** A number that rises with each change, so that an older ranking is recognized as outdated. */
+  /** A number that rises with each allocation and reservation: shows that a ranking is outdated. */
   int version() {
     return version;
   }
 
   double freeCpus() {
-    return cpus;
+    return freeCpus;
   }
 
   /**
-   * True if a task fits now, and still does when what is reserved is taken. Where capacity for a
-   * large task is released piece by piece, the first piece must not go to a smaller and less urgent
-   * one, which would be preempted for the large task again, over and over.
+   * Returns true if a task fits now beside all reservations. When capacity for a large task is
+   * released in parts, the first part must not go to a smaller and less urgent task, which would be
+   * preempted for the large one again, over and over.
    */
   boolean fits(JobSpec spec) {
     return isEnough(
         spec,
-        cpus + Math.min(0, releasingCpus),
-        cards + Math.min(0, releasingCards),
-        memGb + Math.min(0, releasingMemGb));
+        freeCpus + Math.min(0, releasingCpus),
+        freeCards + Math.min(0, releasingCards),
+        freeMemGb + Math.min(0, releasingMemGb));
   }
 
-  /** True if a task fits now, whatever is reserved for others. */
+  /** Returns true if a task fits now, whatever is reserved for others. */
   boolean fitsIgnoringReservations(JobSpec spec) {
-    return isEnough(spec, cpus, cards, memGb);
+    return isEnough(spec, freeCpus, freeCards, freeMemGb);
   }
 
-  /** True if a task fits beside all reservations once the stopping tasks are gone. */
+  /** Returns true if a task fits beside all reservations once the stopping tasks are gone. */
   boolean fitsAfterReleases(JobSpec spec) {
     return fitsAfterReleasesAnd(spec, 0, 0, 0);
   }
 
-  /** The same if so much more is released. */
+  /**
+   * Returns true if a task fits beside all reservations once the stopping tasks are gone and the
+   * given capacity is released in addition.
+   */
   boolean fitsAfterReleasesAnd(JobSpec spec, double moreCpus, double moreCards, double moreMemGb) {
     return isEnough(
         spec,
-        cpus + releasingCpus + moreCpus,
-        cards + releasingCards + moreCards,
-        memGb + releasingMemGb + moreMemGb);
+        freeCpus + releasingCpus + moreCpus,
+        freeCards + releasingCards + moreCards,
+        freeMemGb + releasingMemGb + moreMemGb);
   }
 
   /**
-   * Stopped tasks stay in their worker's reports for a while: their capacity comes free without a
-   * slot.
+   * Returns true if the given capacity is enough for a task and the worker's report has space for
+   * one. Stopped tasks stay in the report for a while after their capacity is released, so free
+   * capacity alone does not decide.
    */
-  private boolean isEnough(JobSpec spec, double cpus, double cards, double memGb) {
-    return slots > 0
-        && spec.cpus() <= cpus + ProtocolConstants.EPSILON
-        && spec.cards() <= cards + ProtocolConstants.EPSILON
-        && spec.memGb() <= memGb + ProtocolConstants.EPSILON;
+  private boolean isEnough(JobSpec spec, double freeCpus, double freeCards, double freeMemGb) {
+    return freeReportSlots > 0
+        && spec.cpus() <= freeCpus + ProtocolConstants.EPSILON
+        && spec.cards() <= freeCards + ProtocolConstants.EPSILON
+        && spec.memGb() <= freeMemGb + ProtocolConstants.EPSILON;
   }
 
   boolean hasImage(JobSpec spec) {
     return machine.images().contains(spec.image());
   }
 
-  /** True if capacity is being released that is not reserved yet. */
+  /** Returns true if CPUs or memory are being released that are not reserved yet. */
   boolean hasUnreservedReleases() {
     return releasingCpus > 0 || releasingMemGb > 0;
   }
 
-  /** When the first of the machine's tasks completes by itself, seconds from now. */
+  /**
+   * Returns when the first of the machine's tasks is expected to complete, seconds from now;
+   * infinite if none is. Tasks that are being stopped do not count.
+   */
   double firstCompletionS(long nowMs) {
     if (firstCompletionS < 0) {
       firstCompletionS = Double.POSITIVE_INFINITY;
@@ -125,7 +138,10 @@
     return firstCompletionS;
   }
 
-  /** The machine's tasks in the order in which they complete by themselves. */
+  /**
+   * Returns the machine's tasks in the order in which they are expected to complete, without those
+   * that are being stopped.
+   */
   List<Snapshot.RunningTask> runningByCompletion(long nowMs) {
     if (runningByCompletion == null) {
       runningByCompletion = new ArrayList<>(machine.running());
@@ -135,24 +151,24 @@
     return runningByCompletion;
   }
 
-  /** Images that are being fetched, those of tasks that this round starts included. */
+  /** The images that are being fetched, including those for tasks that this round starts. */
   Set<String> fetching() {
     return fetching == null ? machine.fetching() : fetching;
   }
 
-  /** How many tasks of a class are there, those that this round starts included. */
+  /** Returns the number of tasks of a class, including those that this round starts. */
   int tasksOfClass(String jobClass) {
     return (tasksByClass == null ? machine.tasksByClass() : tasksByClass).getOrDefault(jobClass, 0);
   }
 
   /** Allocates capacity to a task that starts now. */
   void allocate(JobSpec spec) {
-    cpus -= spec.cpus();
-    cards -= spec.cards();
-    memGb -= spec.memGb();
-    slots--;
+    freeCpus -= spec.cpus();
+    freeCards -= spec.cards();
+    freeMemGb -= spec.memGb();
+    freeReportSlots--;
     if (tasksByClass == null) {
-      // Copied only here: most machines get nothing in a round.
+      // Copied on first use only: most machines get no task in a round.
       tasksByClass = new HashMap<>(machine.tasksByClass());
       fetching = new HashSet<>(machine.fetching());
     }
@@ -163,14 +179,14 @@
     version++;
   }
 
-  /** Adds the capacity of a task that is being stopped. */
+  /** Adds the capacity that a task which is being stopped will release. */
   void addRelease(Snapshot.RunningTask task) {
     releasingCpus += task.cpus();
     releasingCards += task.cards();
     releasingMemGb += task.memGb();
   }
 
-  /** Reserves capacity that is free or will be for a waiting task. */
+  /** Reserves capacity that is free, or will be released, for a waiting task. */
   void reserve(JobSpec spec) {
     releasingCpus -= spec.cpus();
     releasingCards -= spec.cards();
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -5,23 +5,27 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** The cost of choosing a machine for a task: a machine that has the image comes first. */
+/**
+ * Computes the cost of placing a task on a machine. The time until the image is there counts most,
+ * then how much capacity would be left free (best fit).
+ */
 final class MachineRanking {
   private MachineRanking() {}
 
   /**
-   * A machine with the cost of choosing it; outdated once the machine's capacity has changed.
+   * A machine with the cost of placing a task there. Outdated once the machine's capacity changes;
+   * ordered by cost, then by the machine's index.
    *
    * @param cost lower is better
    * @param machine the machine's capacity
    * @param version the version of the capacity when the cost was computed
-   * @param preempted the tasks that have to be preempted there first, or null
+   * @param preempted the tasks that must be preempted there first, or null for none
    */
   record Candidate(
       double cost, FreeCapacity machine, int version, List<Snapshot.RunningTask> preempted)
       implements Comparable<Candidate> {
 
-    /** Creates a candidate of a machine as it is now, without preemption. */
+    /** Creates a candidate without preemption from the machine's current capacity. */
     static Candidate of(double cost, FreeCapacity machine) {
       return new Candidate(cost, machine, machine.version(), null);
     }
@@ -37,7 +41,9 @@
     }
   }
 
-  /** Returns the best candidate that is not outdated, or null; drops those before it. */
+  /**
+   * Returns the best candidate that is not outdated, or null; removes the outdated ones before it.
+   */
   static Candidate peekCurrent(PriorityQueue<Candidate> queue) {
     while (!queue.isEmpty() && queue.peek().isOutdated()) {
       queue.poll();
@@ -45,22 +51,26 @@
     return queue.peek();
   }
 
-  /** How long the machine takes to fetch the job's image, s; 0 if it has it. */
+  /**
+   * Returns how long the machine is expected to take to fetch the job's image, s; 0 if it has it.
+   * Fetches share the bandwidth, so a new one is taken to be slower by those in flight. For
+   * services a fetch in flight counts in full.
+   */
   static double fetchSeconds(JobSpec spec, FreeCapacity machine) {
     if (machine.hasImage(spec)) {
       return 0;
     }
-    double undisturbedS =
+    double soleFetchS =
         spec.imageGb()
             / Math.max(PlanConstants.MIN_FETCH_GB_PER_S, machine.machine().type().fetchGbPerS());
     return machine.fetching().contains(spec.image())
-        ? undisturbedS * (spec.service() ? 1 : PlanConstants.REMAINING_FETCH_SHARE)
-        : undisturbedS * (1 + machine.fetching().size());
+        ? soleFetchS * (spec.service() ? 1 : PlanConstants.REMAINING_FETCH_SHARE)
+        : soleFetchS * (1 + machine.fetching().size());
   }
 
   /**
-   * The cost of a machine, lower is better: seconds until the task would run, then the share of its
-   * CPUs that would be left free (best fit).
+   * Returns the cost of a machine, lower is better: seconds until the task would run, plus the
+   * share of the machine's CPUs that would be left free (best fit).
    */
   static double score(Snapshot.PendingJob pendingJob, FreeCapacity machine) {
     JobSpec spec = pendingJob.spec();
@@ -68,9 +78,9 @@
     double freeShare =
         (machine.freeCpus() - spec.cpus()) / Math.max(1, machine.machine().type().cpus());
     if (spec.service()) {
-      // A replica that must wait for its image anyway brings it to a machine with few others: the
-      // loss of one machine then costs little, and later replicas find the image on machines with
-      // free capacity.
+      // A replica that must wait for its image anyway goes to a machine with few replicas: the loss
+      // of one machine then costs little, and later replicas find the image on machines with free
+      // capacity.
       int sameClass = machine.tasksOfClass(spec.jobClass());
       return machine.hasImage(spec)
           ? sameClass * PlanConstants.SPREADING_PENALTY_CACHED + freeShare
--- a/src/main/java/fennelthread/plan/PlacementConstraints.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The machines that a job's own constraints allow: by type, zone, spot, and its other tasks. */
+/** Checks a job's own constraints: machine types, zone, spot, and where its other tasks are. */
 final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** What a task asks of a machine; tasks of equal shapes fit the same machines. */
+  /** What a task requires of a machine; tasks of equal shapes fit the same machines. */
   record TaskShape(
       double cpus, double cards, double memGb, List<String> types, String zone, boolean spot) {
     static TaskShape of(JobSpec spec) {
@@ -17,39 +17,47 @@
     }
   }
 
-  /** True if each task that is placed may forbid machines to the job's next one. */
-  static boolean dependOnOtherTasks(JobSpec spec) {
+  /**
+   * Returns true if the constraints depend on where the job's other tasks are: each task that is
+   * placed may rule out machines for the next one.
+   */
+  static boolean dependsOnOtherTasks(JobSpec spec) {
     return spec.onePlace() || spec.apart();
   }
 
   /**
-   * True if the job's constraints allow a task of it on the machine now; {@code zones} counts the
-   * job's tasks that may be present, by zone.
+   * Returns true if the job's constraints allow one more task on the machine now; {@code
+   * tasksByZone} is the number of the job's tasks that may be present in each zone.
    */
-  static boolean allow(JobSpec spec, Map<String, Integer> zones, Snapshot.MachineState machine) {
-    return allowKind(spec, machine)
-        && (!dependOnOtherTasks(spec) || allowZone(spec, zones, machine.zone()));
+  static boolean allowsMachine(
+      JobSpec spec, Map<String, Integer> tasksByZone, Snapshot.MachineState machine) {
+    return allowsKind(spec, machine)
+        && (!dependsOnOtherTasks(spec) || allowsZone(spec, tasksByZone, machine.zone()));
   }
 
-  private static boolean allowKind(JobSpec spec, Snapshot.MachineState machine) {
+  private static boolean allowsKind(JobSpec spec, Snapshot.MachineState machine) {
     return (spec.types() == null || spec.types().contains(machine.type().name()))
         && (spec.zone() == null || spec.zone().equals(machine.zone()))
         && (!machine.isSpot() || spec.spotAllowed());
   }
 
-  /** True if one more task in this zone breaks neither {@code same_place} nor {@code apart}. */
-  static boolean allowZone(JobSpec spec, Map<String, Integer> zones, String zone) {
-    if (zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
-      // That task may be in any zone: neither constraint is sure to hold until its machine reports.
+  /**
+   * Returns true if one more task in this zone violates neither {@code same_place} nor {@code
+   * apart}.
+   */
+  static boolean allowsZone(JobSpec spec, Map<String, Integer> tasksByZone, String zone) {
+    if (tasksByZone.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
+      // The task may be in any zone: neither constraint is certain to hold until its machine
+      // reports.
       return false;
     }
     if (spec.onePlace()) {
-      for (Map.Entry<String, Integer> tasksInZone : zones.entrySet()) {
-        if (tasksInZone.getValue() > 0 && !tasksInZone.getKey().equals(zone)) {
+      for (Map.Entry<String, Integer> zoneTasks : tasksByZone.entrySet()) {
+        if (zoneTasks.getValue() > 0 && !zoneTasks.getKey().equals(zone)) {
           return false;
         }
       }
     }
-    return !spec.apart() || zones.getOrDefault(zone, 0) + 1 <= (spec.tasks() + 1) / 2;
+    return !spec.apart() || tasksByZone.getOrDefault(zone, 0) + 1 <= (spec.tasks() + 1) / 2;
   }
 }
--- a/src/main/java/fennelthread/plan/PlacementPlan.java
+++ b/src/main/java/fennelthread/plan/PlacementPlan.java
@@ -10,9 +10,10 @@
  *
  * @param starts the tasks to start, in the order in which they were placed
  * @param preemptions the running tasks to preempt, in the order in which they were chosen
- * @param unplaced the jobs with tasks that found no free capacity
- * @param passedOverJobs the ids of jobs with tasks left for which a machine has free capacity and
- *     their team's limit allows one, but which are held back by what is reserved for others
+ * @param unplaced the jobs with tasks for which no free capacity was found
+ * @param passedOverJobs the ids of the jobs with tasks that are not started although a machine has
+ *     free capacity and their team's limit allows one more task: capacity that is reserved for
+ *     other jobs, or requested by jobs of their team, holds them back
  */
 public record PlacementPlan(
     List<Start> starts,
@@ -23,34 +24,36 @@
   /**
    * A task to start on a machine.
    *
-   * @param spec its job
+   * @param spec the task's job
    * @param task its index in the job
    * @param machine the machine's name
    */
   public record Start(JobSpec spec, int task, String machine) {}
 
   /**
-   * Tasks of a job that found no free capacity, though their team's limit would allow them.
+   * Tasks of one job for which no free capacity was found, although their team's limit allows them.
    *
    * @param spec the job
-   * @param count how many
-   * @param tasksByZone the job's tasks that may be present, by zone, if it has a constraint on
-   *     zones
+   * @param count the number of these tasks
+   * @param tasksByZone how many of the job's tasks may be present in each zone; empty for a job
+   *     without constraints on zones
    */
   public record UnplacedTasks(JobSpec spec, int count, Map<String, Integer> tasksByZone) {
 
-    /** True if the job's constraints let its next task start in this zone. */
+    /** Returns true if the job's constraints let its next task start in this zone. */
     public boolean mayUseZone(String zone) {
       return (spec.zone() == null || spec.zone().equals(zone))
-          && (!PlacementConstraints.dependOnOtherTasks(spec)
-              || PlacementConstraints.allowZone(spec, tasksByZone, zone));
+          && (!PlacementConstraints.dependsOnOtherTasks(spec)
+              || PlacementConstraints.allowsZone(spec, tasksByZone, zone));
     }
 
-    /** True if the job does not take just any machine that is large enough. */
+    /**
+     * Returns true if the job restricts machine types or zones, so that size alone does not decide.
+     */
     public boolean hasConstraints() {
       return spec.types() != null
           || spec.zone() != null
-          || PlacementConstraints.dependOnOtherTasks(spec);
+          || PlacementConstraints.dependsOnOtherTasks(spec);
     }
   }
 }
--- a/src/main/java/fennelthread/plan/PlacementSearch.java
+++ b/src/main/java/fennelthread/plan/PlacementSearch.java
@@ -11,51 +11,56 @@
 import java.util.PriorityQueue;
 
 /**
- * The search for places for one job's tasks in a scheduling round. The tasks of a job are alike, so
- * that machines are ranked once per job and not per task; a machine that changes is ranked anew. A
- * job with constraints on zones is the exception: each task placed may forbid machines to the next.
+ * Searches machines for the tasks of one job in a scheduling round. The tasks of a job are alike:
+ * machines are ranked once per job and not per task, and only a machine that changes is ranked
+ * again. Jobs with constraints on zones are the exception, since each task that is placed may rule
+ * out machines for the next one; for them all machines are ranked for each task.
  */
 final class PlacementSearch {
   private final RoundState round;
   private final Snapshot.PendingJob pendingJob;
   private final JobSpec spec;
-  private final boolean starved;
-  private final boolean zoned;
-  private final Map<String, Integer> zones;
+  private final boolean isStarved;
+  private final boolean hasZoneConstraint;
+  private final Map<String, Integer> tasksByZone;
   private final TaskShape shape;
 
-  /** Machines on which a task fits now; null until they are needed, as are the others. */
+  /**
+   * Machines on which a task fits now. This queue and those below are null until they are needed.
+   */
   private PriorityQueue<Candidate> fitting;
 
-  /** Machines with the image on which one fits after preemption. */
+  /** Machines with the job's image on which a task fits after preemption. */
   private PriorityQueue<Candidate> preemptibleWithImage;
 
-  /** Machines on which one fits after preemption. */
+  /** Machines on which a task fits after preemption. */
   private PriorityQueue<Candidate> preemptible;
 
-  /** Machines on which one fits soon since running tasks complete. */
-  private PriorityQueue<Candidate> completing;
+  /**
+   * Machines on which a task fits once running tasks complete, within the time that the job waits.
+   */
+  private PriorityQueue<Candidate> completingSoon;
 
   PlacementSearch(RoundState round, Snapshot.PendingJob pendingJob) {
     this.round = round;
     this.pendingJob = pendingJob;
     this.spec = pendingJob.spec();
-    this.starved = round.snapshot().starvedJobs().contains(spec.id());
-    this.zoned = PlacementConstraints.dependOnOtherTasks(spec);
-    this.zones = zoned ? new HashMap<>(pendingJob.tasksByZone()) : Map.of();
+    this.isStarved = round.snapshot().starvedJobs().contains(spec.id());
+    this.hasZoneConstraint = PlacementConstraints.dependsOnOtherTasks(spec);
+    this.tasksByZone = hasZoneConstraint ? new HashMap<>(pendingJob.tasksByZone()) : Map.of();
     this.shape = TaskShape.of(spec);
   }
 
   private boolean isAllowed(FreeCapacity machine) {
-    return PlacementConstraints.allow(spec, zones, machine.machine());
+    return PlacementConstraints.allowsMachine(spec, tasksByZone, machine.machine());
   }
 
-  /** A job that was passed over for long takes capacity that is reserved for others. */
+  /** Returns true if a task fits now; a starved job may take capacity reserved for others. */
   private boolean fits(FreeCapacity machine) {
-    return starved ? machine.fitsIgnoringReservations(spec) : machine.fits(spec);
+    return isStarved ? machine.fitsIgnoringReservations(spec) : machine.fits(spec);
   }
 
-  /** True if a task fits on some machine, whatever is reserved there for others. */
+  /** Returns true if a task fits on some machine when all reservations are ignored. */
   boolean fitsIgnoringReservations() {
     for (FreeCapacity machine : round.machines()) {
       if (machine.fitsIgnoringReservations(spec) && isAllowed(machine)) {
@@ -65,22 +70,25 @@
     return false;
   }
 
-  /** How many of the job's tasks are in each zone, those that this round starts included. */
-  Map<String, Integer> zones() {
-    return zones;
+  /**
+   * The number of the job's tasks that may be in each zone, including those that this round starts;
+   * empty if the job has no constraint on zones.
+   */
+  Map<String, Integer> tasksByZone() {
+    return tasksByZone;
   }
 
-  /** The best machine on which a task fits now, or null. */
+  /** Returns the best machine on which a task fits now, or null. */
   FreeCapacity bestMachine() {
-    boolean shared = !zoned && !starved;
-    if (shared && round.shapesWithoutCapacity().contains(shape)) {
+    boolean mayShareResult = !hasZoneConstraint && !isStarved;
+    if (mayShareResult && round.shapesWithoutCapacity().contains(shape)) {
       return null;
     }
-    if (fitting == null || zoned) {
+    if (fitting == null || hasZoneConstraint) {
       fitting = rankFitting();
     }
     Candidate best = MachineRanking.peekCurrent(fitting);
-    if (best == null && shared) {
+    if (best == null && mayShareResult) {
       round.shapesWithoutCapacity().add(shape);
     }
     return best == null ? null : best.machine();
@@ -99,27 +107,27 @@
   /** Allocates a machine's capacity to the job's next task. */
   void allocate(FreeCapacity machine) {
     machine.allocate(spec);
-    if (zoned) {
-      zones.merge(machine.machine().zone(), 1, Integer::sum);
+    if (hasZoneConstraint) {
+      tasksByZone.merge(machine.machine().zone(), 1, Integer::sum);
     }
-    rankAgain(machine);
+    updateCandidates(machine);
   }
 
   private void reserve(FreeCapacity machine) {
     machine.reserve(spec);
-    rankAgain(machine);
+    updateCandidates(machine);
   }
 
-  /** Puts a machine whose capacity has changed back among the candidates. */
-  private void rankAgain(FreeCapacity machine) {
+  /** Adds a machine whose capacity has changed to the queues again; older entries are outdated. */
+  private void updateCandidates(FreeCapacity machine) {
     round.updateReleases(machine);
-    if (zoned) {
+    if (hasZoneConstraint) {
       return;
     }
     if (fitting != null && fits(machine)) {
       fitting.add(Candidate.of(MachineRanking.score(pendingJob, machine), machine));
     }
-    if (completing != null) {
+    if (completingSoon != null) {
       offerCompleting(machine);
     }
     offerPreemptible(preemptible, machine, false);
@@ -137,10 +145,10 @@
   }
 
   /**
-   * Reserves capacity for a task that fits nowhere now: what is being released already, what
-   * running tasks release by themselves while the job waits (delay scheduling), what preemption
-   * releases, or else, for the first task of an aged job, a whole machine until the task fits.
-   * Returns false if there is none.
+   * Reserves capacity for a task that fits nowhere now. Tries in this order: capacity that is being
+   * released already; capacity of running tasks that complete while the job waits (delay
+   * scheduling); capacity released by preemption; and for the first task of an aged job a machine
+   * that is kept for it until it fits. Returns false if none of these is possible.
    */
   boolean reserveFutureCapacity() {
     return reserveRelease(false)
@@ -151,7 +159,10 @@
             && reserveMachine());
   }
 
-  /** The same on machines that have the image, by releases and preemption alone. */
+  /**
+   * Reserves capacity on a machine that has the job's image, if some is being released or can be
+   * released by preemption. Returns false if there is none.
+   */
   boolean reserveOnMachineWithImage() {
     return reserveRelease(true) || preempt(true);
   }
@@ -172,23 +183,24 @@
   }
 
   /**
-   * Reserves the machine on which running tasks complete first, if within the time that the job
-   * waits. A task of four CPUs once had sixteen of a quarter preempted that would have completed
-   * within seconds: a third of one team's starts was lost that way.
+   * Reserves capacity on the machine on which a task fits first because running tasks complete, if
+   * that is within the time that the job waits. Without this wait one task of four CPUs preempts
+   * sixteen tasks of a quarter CPU that would complete within seconds, which lost a third of one
+   * team's starts.
    */
   private boolean awaitCompletions() {
     double maxWaitS = pendingJob.maxWaitS();
     RoundState.CompletionWait wait = new RoundState.CompletionWait(shape, maxWaitS);
-    if (maxWaitS <= 0 || (!zoned && round.waitsWithoutCandidates().contains(wait))) {
+    if (maxWaitS <= 0 || (!hasZoneConstraint && round.waitsWithoutCandidates().contains(wait))) {
       return false;
     }
-    if (completing == null || zoned) {
-      completing = new PriorityQueue<>();
+    if (completingSoon == null || hasZoneConstraint) {
+      completingSoon = new PriorityQueue<>();
       round.machines().forEach(this::offerCompleting);
     }
-    Candidate best = MachineRanking.peekCurrent(completing);
+    Candidate best = MachineRanking.peekCurrent(completingSoon);
     if (best == null) {
-      if (!zoned) {
+      if (!hasZoneConstraint) {
         round.waitsWithoutCandidates().add(wait);
       }
       return false;
@@ -202,21 +214,24 @@
     if (machine.firstCompletionS(round.snapshot().nowMs()) <= maxWaitS && isAllowed(machine)) {
       double fitsInS = fitsInS(machine, maxWaitS);
       if (fitsInS <= maxWaitS) {
-        completing.add(Candidate.of(fitsInS, machine));
+        completingSoon.add(Candidate.of(fitsInS, machine));
       }
     }
   }
 
-  /** Reserves the machine on which a task fits first for this task alone, whenever that is. */
+  /**
+   * Reserves capacity on the machine on which a task fits first, however long that takes. Counts
+   * towards the limit of reserved machines.
+   */
   private boolean reserveMachine() {
     FreeCapacity best = null;
-    double bestS = Double.POSITIVE_INFINITY;
+    double bestFitsInS = Double.POSITIVE_INFINITY;
     for (FreeCapacity machine : round.machines()) {
       if (isAllowed(machine)) {
         double fitsInS = fitsInS(machine, Double.MAX_VALUE);
-        if (fitsInS < bestS) {
+        if (fitsInS < bestFitsInS) {
           best = machine;
-          bestS = fitsInS;
+          bestFitsInS = fitsInS;
         }
       }
     }
@@ -229,8 +244,8 @@
   }
 
   /**
-   * When a task would fit if nothing else were started on the machine, seconds from now; infinite
-   * if not within {@code maxS}.
+   * Returns when a task fits if nothing else starts on the machine, seconds from now; infinite if
+   * that is not within {@code maxS}.
    */
   private double fitsInS(FreeCapacity machine, double maxS) {
     long nowMs = round.snapshot().nowMs();
@@ -259,28 +274,28 @@
   }
 
   /**
-   * Preempts less urgent work, or borrowed work of other teams, where that lets a task start soon,
-   * and reserves its capacity. Returns false if there is none.
+   * Preempts less urgent work, or borrowed work of other teams, on the machine where that costs
+   * least, and reserves the released capacity. Returns false if no preemption lets a task fit.
    */
   private boolean preempt(boolean withImageOnly) {
-    RoundState.PreemptionClaim claim =
-        new RoundState.PreemptionClaim(
+    RoundState.PreemptionRequest request =
+        new RoundState.PreemptionRequest(
             shape,
             pendingJob.preemptsAs(),
             pendingJob.isWithinGuarantee() ? spec.team() : null,
             withImageOnly ? spec.image() : null);
-    if (!round.preemption().isPossible(pendingJob)
-        || (!zoned && round.claimsWithoutCandidates().contains(claim))) {
+    if (!round.preemption().mayPreemptAny(pendingJob)
+        || (!hasZoneConstraint && round.requestsWithoutCandidates().contains(request))) {
       return false;
     }
     Candidate best = MachineRanking.peekCurrent(preemptionCandidates(withImageOnly));
     if (best == null) {
-      if (!zoned) {
-        round.claimsWithoutCandidates().add(claim);
+      if (!hasZoneConstraint) {
+        round.requestsWithoutCandidates().add(request);
       }
       return false;
     }
-    // Preempted tasks release capacity: waits that found no candidate may find one now.
+    // Preemption adds capacity that will be released: waits that found no candidate may find one.
     round.waitsWithoutCandidates().clear();
     round.preemption().preempt(best.preempted(), best.machine());
     reserve(best.machine());
@@ -289,7 +304,7 @@
 
   private PriorityQueue<Candidate> preemptionCandidates(boolean withImageOnly) {
     PriorityQueue<Candidate> ranked = withImageOnly ? preemptibleWithImage : preemptible;
-    if (ranked != null && !zoned) {
+    if (ranked != null && !hasZoneConstraint) {
       return ranked;
     }
     List<Candidate> candidates = new ArrayList<>();
@@ -308,7 +323,10 @@
     return queue;
   }
 
-  /** The machine as a candidate for preemption, or null: the work lost, then the usual score. */
+  /**
+   * Returns the machine as a candidate for preemption, or null if none is possible there. The cost
+   * is the work that is lost, CPU seconds, plus the weighted score of the machine.
+   */
   private Candidate preemptionOn(FreeCapacity machine, boolean withImageOnly) {
     if ((withImageOnly && !machine.hasImage(spec)) || !isAllowed(machine)) {
       return null;
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -11,23 +11,24 @@
 import java.util.Set;
 
 /**
- * Decides which task goes where: a pure function of the snapshot. A machine that has the image
- * comes before one that must fetch it; among equals the one that is left fullest is taken (bin
- * packing, best fit).
+ * Decides which task goes to which machine; a pure function of the snapshot. Machines that already
+ * have the job's image are preferred to those that must fetch it; among equal ones the task goes to
+ * the machine that it fills most (bin packing, best fit).
  *
  * <p>Machines are ranked once per job and not per task ({@link PlacementSearch}), and a search that
- * found no capacity is not repeated in the round ({@link RoundState}). On a fleet of hundreds a
- * burst beyond its capacity would otherwise cost tasks times machines times running work, on the
- * one thread that also renews the lease. The tests hold a plain version, which must choose the
- * same.
+ * found no capacity is not repeated in the round ({@link RoundState}). With hundreds of machines, a
+ * burst beyond their capacity would otherwise cost tasks times machines times running tasks, on the
+ * thread that also renews the lease. The tests compare the result with a reference implementation
+ * without these shortcuts.
  */
 public final class Planner {
   /**
-   * The order of placement. Users count jobs that meet their deadlines: when capacity is short, a
-   * job that can't meet its own any more must not make the next one late too, and many small jobs
-   * come before one large one. That alone would put the largest off for ever. So work counts for
-   * less the longer it has waited, and the first task of a job that has waited long with nothing
-   * running comes first, whatever its priority: one task of each such job is the price.
+   * The order in which jobs are placed. What counts for users is how many jobs meet their
+   * deadlines: when capacity is short, a job that can no longer meet its own must not make the next
+   * one late too, and many small jobs come before one large one. That alone would starve the
+   * largest jobs. Therefore a job's work counts for less the longer it has waited, and the first
+   * task of a job that has waited long with nothing running comes first, whatever its priority. The
+   * cost is one task of each such job.
    */
   public static final Comparator<Snapshot.PendingJob> ORDER =
       Comparator.<Snapshot.PendingJob>comparingLong(
@@ -39,15 +40,15 @@
           .thenComparingDouble(Snapshot.PendingJob::agedWork)
           .thenComparingLong(Snapshot.PendingJob::releaseOrder);
 
-  /** A job with tasks that are not started. */
-  private record Remaining(Snapshot.PendingJob pendingJob, PlacementSearch search) {}
+  /** A job with tasks that the round does not start, and the search for their machines. */
+  private record RemainingTasks(Snapshot.PendingJob pendingJob, PlacementSearch search) {}
 
   private final Snapshot snapshot;
   private final RoundState round;
   private final TeamBudgets budgets;
   private final List<PlacementPlan.Start> starts = new ArrayList<>();
   private final List<PlacementPlan.UnplacedTasks> unplaced = new ArrayList<>();
-  private final List<Remaining> remaining = new ArrayList<>();
+  private final List<RemainingTasks> remaining = new ArrayList<>();
 
   private Planner(Snapshot snapshot) {
     this.snapshot = snapshot;
@@ -55,7 +56,7 @@
     this.budgets = new TeamBudgets(snapshot.teams());
   }
 
-  /** Plans one round. */
+  /** Plans one round. Deterministic: equal snapshots give equal plans. */
   public static PlacementPlan plan(Snapshot snapshot) {
     Planner planner = new Planner(snapshot);
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(snapshot.pendingJobs());
@@ -71,71 +72,77 @@
   private void place(Snapshot.PendingJob pendingJob) {
     PlacementSearch search = new PlacementSearch(round, pendingJob);
     JobSpec spec = pendingJob.spec();
-    boolean starved = snapshot.starvedJobs().contains(spec.id());
-    boolean mayAwaitImage = spec.service() && !starved;
-    boolean mayFindCapacity = true;
+    boolean isStarved = snapshot.starvedJobs().contains(spec.id());
+    boolean mayAwaitImage = spec.service() && !isStarved;
+    boolean mayReserveCapacity = true;
     int startsBefore = starts.size();
-    int missing = 0;
+    int unplacedCount = 0;
     for (int task : pendingJob.tasks()) {
       boolean mayRequest = budgets.allowsRequest(spec);
-      boolean mayStart = mayRequest || (starved && budgets.allowsStart(spec));
-      boolean mayLook = mayStart && missing == 0 && starts.size() < snapshot.maxStarts();
-      FreeCapacity best = mayLook ? search.bestMachine() : null;
-      if (best != null && mayAwaitImage && MachineRanking.fetchSeconds(spec, best) > 1) {
+      boolean mayStart = mayRequest || (isStarved && budgets.allowsStart(spec));
+      boolean mayPlace = mayStart && unplacedCount == 0 && starts.size() < snapshot.maxStarts();
+      FreeCapacity bestMachine = mayPlace ? search.bestMachine() : null;
+      if (bestMachine != null
+          && mayAwaitImage
+          && MachineRanking.fetchSeconds(spec, bestMachine) > 1) {
         mayAwaitImage = search.reserveOnMachineWithImage();
         if (mayAwaitImage) {
-          // Less urgent work leaves a machine that has the image: sooner than fetching it here.
-          budgets.request(spec);
+          // Capacity is reserved on a machine that has the image: sooner than fetching it here.
+          budgets.countRequest(spec);
           continue;
         }
       }
-      if (best != null) {
-        search.allocate(best);
-        budgets.start(spec);
-        starts.add(new PlacementPlan.Start(spec, task, best.machine().name()));
+      if (bestMachine != null) {
+        search.allocate(bestMachine);
+        budgets.countStart(spec);
+        starts.add(new PlacementPlan.Start(spec, task, bestMachine.machine().name()));
       } else if (mayRequest) {
-        missing++;
-        budgets.request(spec);
-        if (mayFindCapacity && starts.size() < snapshot.maxStarts()) {
-          mayFindCapacity = search.reserveFutureCapacity();
+        unplacedCount++;
+        budgets.countRequest(spec);
+        if (mayReserveCapacity && starts.size() < snapshot.maxStarts()) {
+          mayReserveCapacity = search.reserveFutureCapacity();
         }
       } else {
         break;
       }
     }
-    int notStarted = pendingJob.tasks().size() - (starts.size() - startsBefore);
-    noteRemaining(pendingJob, search, missing, notStarted);
+    int notStartedCount = pendingJob.tasks().size() - (starts.size() - startsBefore);
+    recordRemaining(pendingJob, search, unplacedCount, notStartedCount);
   }
 
-  /** Notes what has no place: {@code missing} tasks requested one, of all that are not started. */
-  private void noteRemaining(
-      Snapshot.PendingJob pendingJob, PlacementSearch search, int missing, int notStarted) {
-    if (missing > 0) {
-      unplaced.add(new PlacementPlan.UnplacedTasks(pendingJob.spec(), missing, search.zones()));
+  /** Records the job's {@code unplacedCount} tasks that need more capacity, and all not started. */
+  private void recordRemaining(
+      Snapshot.PendingJob pendingJob,
+      PlacementSearch search,
+      int unplacedCount,
+      int notStartedCount) {
+    if (unplacedCount > 0) {
+      unplaced.add(
+          new PlacementPlan.UnplacedTasks(pendingJob.spec(), unplacedCount, search.tasksByZone()));
     }
-    if (notStarted > 0) {
-      remaining.add(new Remaining(pendingJob, search));
+    if (notStartedCount > 0) {
+      remaining.add(new RemainingTasks(pendingJob, search));
     }
   }
 
   /**
-   * The jobs with tasks left for which some machine has free capacity and their team's limit allows
-   * one more task: only what is reserved for others, or requested by others of their team, holds
-   * them back.
+   * Returns the ids of the jobs with tasks that are not started although some machine has free
+   * capacity and their team's limit allows one more task. They are held back only by capacity that
+   * is reserved for other jobs, or by what other jobs of their team request.
    */
   private Set<String> passedOver() {
     Set<String> passedOver = new HashSet<>();
     Map<TaskShape, Boolean> fitsByShape = new HashMap<>();
-    for (Remaining left : remaining) {
-      JobSpec spec = left.pendingJob.spec();
+    for (RemainingTasks unstarted : remaining) {
+      JobSpec spec = unstarted.pendingJob.spec();
       if (!budgets.allowsStart(spec)) {
         continue;
       }
       boolean fits =
-          PlacementConstraints.dependOnOtherTasks(spec)
-              ? left.search.fitsIgnoringReservations()
+          PlacementConstraints.dependsOnOtherTasks(spec)
+              ? unstarted.search.fitsIgnoringReservations()
               : fitsByShape.computeIfAbsent(
-                  TaskShape.of(spec), shape -> left.search.fitsIgnoringReservations());
+                  TaskShape.of(spec), shape -> unstarted.search.fitsIgnoringReservations());
       if (fits) {
         passedOver.add(spec.id());
       }
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * Chooses the running tasks that are preempted for a waiting one: the least urgent first, among
- * equals the one with the least work to lose.
+ * Chooses the running tasks that are preempted for a waiting one: the least urgent first, and of
+ * equally urgent ones those that have run for the shortest time and so lose the least work.
  */
 final class Preemption {
   private final Snapshot snapshot;
@@ -28,7 +28,7 @@
     for (Snapshot.MachineState machine : snapshot.machines()) {
       machine.running().stream()
           .filter(Snapshot.RunningTask::isStopping)
-          .forEach(this::subtractFromTeam);
+          .forEach(this::subtractFromUsage);
     }
     for (Snapshot.MachineState machine : snapshot.machines()) {
       for (Snapshot.RunningTask task : machine.running()) {
@@ -39,12 +39,12 @@
     }
   }
 
-  /** A task that is being stopped no longer counts in what its team uses. */
-  private void subtractFromTeam(Snapshot.RunningTask task) {
-    teams.computeIfPresent(task.spec().team(), (team, usage) -> without(usage, task));
+  /** Subtracts a task that is being stopped from what its team uses. */
+  private void subtractFromUsage(Snapshot.RunningTask task) {
+    teams.computeIfPresent(task.spec().team(), (team, usage) -> usageWithout(usage, task));
   }
 
-  /** The tasks that this round preempts, in the order in which they were chosen. */
+  /** The tasks that this round preempts, in the order in which they are chosen. */
   List<Snapshot.RunningTask> preemptions() {
     return preemptions;
   }
@@ -53,22 +53,22 @@
     return preempted.contains(task);
   }
 
-  /** Preempts tasks of a machine, which will release their capacity. */
+  /** Marks tasks of a machine as preempted and adds their capacity to what it will release. */
   void preempt(List<Snapshot.RunningTask> tasks, FreeCapacity machine) {
     for (Snapshot.RunningTask task : tasks) {
       preempted.add(task);
       preemptions.add(task);
       machine.addRelease(task);
-      subtractFromTeam(task);
+      subtractFromUsage(task);
     }
   }
 
-  /** False if no running work anywhere may be preempted for the job, judged by priority alone. */
-  boolean isPossible(Snapshot.PendingJob pendingJob) {
+  /** Returns false if the priorities of all running tasks rule out any preemption for the job. */
+  boolean mayPreemptAny(Snapshot.PendingJob pendingJob) {
     int rank = pendingJob.preemptsAs().rank();
-    int first = pendingJob.isWithinGuarantee() ? rank : rank + 1;
-    for (int i = first; i < runningByPriority.length; i++) {
-      if (runningByPriority[i] > 0) {
+    int firstRank = pendingJob.isWithinGuarantee() ? rank : rank + 1;
+    for (int otherRank = firstRank; otherRank < runningByPriority.length; otherRank++) {
+      if (runningByPriority[otherRank] > 0) {
         return true;
       }
     }
@@ -76,11 +76,11 @@
   }
 
   /**
-   * The tasks to preempt on a machine so that one of the job's fits, or null if that is not
-   * possible.
+   * Returns the tasks to preempt on a machine so that a task of the job fits, or null if no
+   * preemption there is possible or enough.
    */
   List<Snapshot.RunningTask> chooseOn(FreeCapacity machine, Snapshot.PendingJob pendingJob) {
-    List<Snapshot.RunningTask> candidates = candidates(pendingJob, machine);
+    List<Snapshot.RunningTask> candidates = preemptibleTasks(pendingJob, machine);
     if (candidates.isEmpty()) {
       return null;
     }
@@ -100,7 +100,7 @@
         cpus += task.cpus();
         cards += task.cards();
         memGb += task.memGb();
-        usageLeft.put(team, without(usage, task));
+        usageLeft.put(team, usageWithout(usage, task));
       }
     }
     return machine.fitsAfterReleasesAnd(pendingJob.spec(), cpus, cards, memGb) && !chosen.isEmpty()
@@ -108,7 +108,7 @@
         : null;
   }
 
-  private List<Snapshot.RunningTask> candidates(
+  private List<Snapshot.RunningTask> preemptibleTasks(
       Snapshot.PendingJob pendingJob, FreeCapacity machine) {
     List<Snapshot.RunningTask> candidates = new ArrayList<>();
     for (Snapshot.RunningTask task : machine.machine().running()) {
@@ -131,9 +131,9 @@
   }
 
   /**
-   * True if the task may be preempted for a guarantee as long as its team uses more than its own.
-   * Only work that comes later in the order of placement is: a guarantee once preempted borrowed
-   * work of higher priority, which took the capacity back in the next round, over and over.
+   * Returns true if the task may be preempted for the job's guarantee while the task's team uses
+   * more than its own guarantee. Limited to work of the same priority: borrowed work of higher
+   * priority is placed first and would take the capacity back in the next round, over and over.
    */
   private boolean mayBeReclaimed(Snapshot.PendingJob pendingJob, Snapshot.RunningTask task) {
     return task.priority() == pendingJob.preemptsAs()
@@ -144,15 +144,16 @@
   }
 
   /**
-   * True if the task is part of what its team uses beyond its guarantee. That its job lies beyond
-   * it is not enough: a job that waits counts there too, and a team with a long queue had tasks
-   * preempted while it used next to nothing.
+   * Returns true if the task is part of what its team uses beyond its guarantee. It is not enough
+   * that the task's job lies beyond the guarantee: waiting jobs count towards that too, so a team
+   * with a long queue would have tasks preempted while it uses next to nothing.
    */
   private static boolean isBorrowed(Snapshot.TeamUsage usage, Snapshot.RunningTask task) {
     return usage == null || usage.isBeyondGuarantee(task.cpus(), task.cards());
   }
 
-  private static Snapshot.TeamUsage without(Snapshot.TeamUsage usage, Snapshot.RunningTask task) {
+  private static Snapshot.TeamUsage usageWithout(
+      Snapshot.TeamUsage usage, Snapshot.RunningTask task) {
     return usage == null ? null : usage.plus(-task.cpus(), -task.cards());
   }
 }
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -10,25 +10,31 @@
 import java.util.Set;
 
 /**
- * The state that the searches of one scheduling round share: the machines' free capacity, the
- * preempted tasks, and the searches that found nothing. Free capacity only shrinks within a round,
- * so that a search that found none is not repeated.
+ * State shared by the searches of one scheduling round: the machines' free capacity, the preempted
+ * tasks, and the searches that found nothing. Free capacity only shrinks within a round, so a
+ * search that found none is not repeated.
  */
 final class RoundState {
-  /** A shape, and the longest that it waits for running tasks to complete, s. */
+  /** A search for capacity of running tasks that complete within {@code maxWaitS} seconds. */
   record CompletionWait(TaskShape shape, double maxWaitS) {}
 
   /**
-   * A shape, and whose work may be preempted for it; {@code image} is null if any machine will do.
+   * A search for capacity that preemption can release.
+   *
+   * @param shape what the waiting task requires
+   * @param priority the priority with which it preempts
+   * @param guaranteedTeam its team if its job lies within the team's guarantee, else null
+   * @param image the image that the machine must have, or null if any machine will do
    */
-  record PreemptionClaim(TaskShape shape, Priority priority, String guaranteedTeam, String image) {}
+  record PreemptionRequest(
+      TaskShape shape, Priority priority, String guaranteedTeam, String image) {}
 
   private final Snapshot snapshot;
   private final List<FreeCapacity> machines;
   private final Preemption preemption;
   private final BitSet unreservedReleases = new BitSet();
   private final Set<TaskShape> shapesWithoutCapacity = new HashSet<>();
-  private final Set<PreemptionClaim> claimsWithoutCandidates = new HashSet<>();
+  private final Set<PreemptionRequest> requestsWithoutCandidates = new HashSet<>();
   private final Set<CompletionWait> waitsWithoutCandidates = new HashSet<>();
   private final int maxReservedMachines;
   private int reservedMachines;
@@ -61,7 +67,7 @@
     return preemption;
   }
 
-  /** The machines that release capacity which is not reserved yet, by index. */
+  /** The indexes of the machines that release capacity which is not reserved yet. */
   BitSet unreservedReleases() {
     return unreservedReleases;
   }
@@ -76,28 +82,30 @@
     return shapesWithoutCapacity;
   }
 
-  /** The claims for which nothing may be preempted. */
-  Set<PreemptionClaim> claimsWithoutCandidates() {
-    return claimsWithoutCandidates;
+  /** The preemption requests for which no machine has enough tasks that may be preempted. */
+  Set<PreemptionRequest> requestsWithoutCandidates() {
+    return requestsWithoutCandidates;
   }
 
-  /** The waits for which no running task completes in time. */
+  /** The waits for which no machine gets enough capacity in time. */
   Set<CompletionWait> waitsWithoutCandidates() {
     return waitsWithoutCandidates;
   }
 
-  /** How many machines may be reserved at once for tasks of aged jobs that fit nowhere else. */
+  /**
+   * Returns how many machines a round may reserve for first tasks of aged jobs that fit nowhere.
+   */
   static int maxReservedMachines(Snapshot snapshot) {
     int share = (int) (snapshot.machines().size() * PlanConstants.RESERVED_MACHINES_SHARE);
     return Math.max(1, share);
   }
 
-  /** True if one more machine may be reserved for a task that nothing else makes way for. */
+  /** Returns true if one more machine may be reserved for the first task of an aged job. */
   boolean mayReserveMachine() {
     return reservedMachines < maxReservedMachines;
   }
 
-  /** Counts a machine that is reserved. */
+  /** Counts one more reserved machine towards the limit. */
   void countReservedMachine() {
     reservedMachines++;
   }
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -10,20 +10,21 @@
 import java.util.Set;
 
 /**
- * The input of one scheduling round.
+ * The input of one scheduling round: machines, pending jobs and teams at one moment.
  *
  * @param machines the machines that may take tasks
  * @param pendingJobs the jobs with tasks to place
- * @param guaranteedJobs the ids of jobs that lie within their team's guarantee; all other work is
- *     borrowed
- * @param nonPreemptible the attempts that are all that an aged job has running: they are not
- *     preempted for any work
+ * @param guaranteedJobs the ids of the jobs that lie within their team's guarantee; all other work
+ *     is borrowed capacity
+ * @param nonPreemptible the numbers of the attempts of aged jobs that are not preempted for any
+ *     work
  * @param teams what each team uses and may use, by name
  * @param nowMs the time of the round on the leader's clock, ms
- * @param maxStarts how many tasks the round may start
- * @param starvedJobs the ids of jobs that were passed over for long although a machine had free
- *     capacity: what is reserved for others does not hold them back any more
- * @param preemptibleOnlyByMoreUrgent the attempts that are preempted for more urgent work alone
+ * @param maxStarts the most tasks that the round may start
+ * @param starvedJobs the ids of the jobs that have been passed over for long although a machine had
+ *     free capacity: reservations for others no longer hold them back
+ * @param preemptibleOnlyByMoreUrgent the numbers of the attempts that are preempted only for more
+ *     urgent work
  */
 public record Snapshot(
     List<MachineState> machines,
@@ -36,11 +37,14 @@
     Set<String> starvedJobs,
     Set<Long> preemptibleOnlyByMoreUrgent) {
 
-  /** The zone of tasks that an earlier leader started on a machine that has not reported yet. */
+  /**
+   * Stands for the zone of tasks whose machine's zone is not known: an earlier leader started them,
+   * and the machine has not reported yet.
+   */
   public static final String UNKNOWN_ZONE = "";
 
   /**
-   * A machine that may take tasks.
+   * The state of a machine that may take tasks.
    *
    * @param name its name
    * @param type its machine type
@@ -52,8 +56,8 @@
    * @param images the images in its cache
    * @param fetching the images that it is fetching
    * @param tasksByClass the number of its tasks by job class
-   * @param running the tasks that may be preempted, and those that are stopping already
-   * @param freeReportSlots for how many more tasks its worker's reports have space
+   * @param running the tasks that its worker has received, including those that are being stopped
+   * @param freeReportSlots the number of further tasks that fit into its worker's reports
    */
   public record MachineState(
       String name,
@@ -73,22 +77,22 @@
    * A job with tasks to place.
    *
    * @param spec the job
-   * @param priority its own priority, or a more urgent one that it inherits from a dependant
+   * @param priority its own priority, or a more urgent one that it inherits from a job that depends
+   *     on it
    * @param preemptsAs the priority with which it may preempt other work, no more urgent than {@code
    *     priority}
    * @param tasks the indexes of the tasks to place
-   * @param tasksByZone its tasks that may be present, by zone; filled for jobs with a constraint on
-   *     zones
+   * @param tasksByZone how many of its tasks may be present in each zone; empty for jobs without
+   *     constraints on zones
    * @param isWithinGuarantee true if the job lies within its team's guarantee
-   * @param isLatencySensitive true if waiting for an image counts more than usual
-   * @param isLate true if it can't meet any of its deadlines any more
-   * @param agedWork the CPU seconds that its waiting tasks still take, less the longer it has
+   * @param isLatencySensitive true if the time to fetch an image counts more than for other jobs
+   * @param isLate true if it can no longer meet any of its deadlines
+   * @param agedWork the CPU seconds that its waiting tasks still take, reduced the longer it has
    *     waited
-   * @param maxWaitS how long it waits for running tasks to complete rather than have others
-   *     preempted, s
-   * @param agingBoost how far its first task is moved forward; {@code tasks} is that one alone
-   *     unless this is {@link AgingBoost#NONE}
-   * @param releaseOrder its place in the order in which jobs were released
+   * @param maxWaitS how long it waits for running tasks to complete before it preempts others, s
+   * @param agingBoost how far its first task is moved forward; unless this is {@link
+   *     AgingBoost#NONE}, {@code tasks} holds only that task
+   * @param releaseOrder its position in the order in which jobs were released
    */
   public record PendingJob(
       JobSpec spec,
@@ -105,19 +109,19 @@
       long releaseOrder) {}
 
   /**
-   * A task that may be preempted, or is stopping.
+   * A task that may be preempted, or that is being stopped.
    *
    * @param spec its job
    * @param priority its job's own priority, or one that the job inherits
    * @param task its index in the job
-   * @param attempt the number of the attempt
+   * @param attempt the number of its attempt
    * @param machine the name of its machine
-   * @param isStopping true if it is being stopped already
+   * @param isStopping true if it is being stopped
    * @param cpus CPUs that it takes
    * @param cards accelerator cards that it takes
    * @param memGb memory that it takes, GB
-   * @param runningSinceMs when it began to run, ms, or -1
-   * @param expectedRunS how long it is expected to run, s; 0 if for ever
+   * @param runningSinceMs when it began to run on the leader's clock, ms, or -1 if it has not yet
+   * @param expectedRunS how long it is expected to run, s; 0 for a service, which never completes
    */
   public record RunningTask(
       JobSpec spec,
@@ -132,12 +136,12 @@
       long runningSinceMs,
       double expectedRunS) {
 
-    /** How long it has run, and the work that preemption would lose, s. */
+    /** Returns how long it has run, s: the time that a preemption loses. */
     double elapsedS(long nowMs) {
       return runningSinceMs < 0 ? 0 : (nowMs - runningSinceMs) / 1000.0;
     }
 
-    /** How much longer it is expected to run, s. */
+    /** Returns how much longer it is expected to run, s; infinite for a service. */
     double remainingS(long nowMs) {
       return expectedRunS <= 0
           ? Double.POSITIVE_INFINITY
@@ -149,8 +153,8 @@
   /**
    * What a team uses, its limit and its guarantee.
    *
-   * @param cpus CPUs that its tasks take at most
-   * @param cards accelerator cards that its tasks take at most
+   * @param cpus CPUs allocated to its tasks
+   * @param cards accelerator cards allocated to its tasks
    * @param cpusMax its limit of CPUs, 0 for none
    * @param cardsMax its limit of cards, 0 for none
    * @param cpusGuaranteed CPUs that are guaranteed to it, 0 for none
@@ -164,13 +168,13 @@
       double cpusGuaranteed,
       double cardsGuaranteed) {
 
-    /** True if another task of this size stays within the limit. */
+    /** Returns true if another task of this size stays within the limit. */
     public boolean allows(double moreCpus, double moreCards) {
       return (cpusMax <= 0 || cpus + moreCpus <= cpusMax + ProtocolConstants.EPSILON)
           && (cardsMax <= 0 || cards + moreCards <= cardsMax + ProtocolConstants.EPSILON);
     }
 
-    /** True if a task of this size is part of what the team uses beyond its guarantee. */
+    /** Returns true if a task of this size is part of what the team uses beyond its guarantee. */
     boolean isBeyondGuarantee(double taskCpus, double taskCards) {
       return (taskCpus > 0 && isBeyond(cpus, cpusGuaranteed))
           || (taskCards > 0 && isBeyond(cards, cardsGuaranteed));
@@ -180,7 +184,7 @@
       return guaranteed <= 0 || used > guaranteed + ProtocolConstants.EPSILON;
     }
 
-    /** The usage with so much more, or less if negative. */
+    /** Returns the usage with the given amounts added; negative amounts are subtracted. */
     TeamUsage plus(double moreCpus, double moreCards) {
       return new TeamUsage(
           cpus + moreCpus, cards + moreCards, cpusMax, cardsMax, cpusGuaranteed, cardsGuaranteed);
--- a/src/main/java/fennelthread/plan/TeamBudgets.java
+++ b/src/main/java/fennelthread/plan/TeamBudgets.java
@@ -5,9 +5,10 @@
 import java.util.Map;
 
 /**
- * The quota that each team has left in a round. Two sums are kept: the usage with the tasks that
- * the round starts, which must never exceed the limit, and the same with the tasks that found no
- * free capacity yet, so that neither capacity nor machines are requested beyond the limit.
+ * Tracks the quota that each team has left in a round. Keeps two sums: the usage including the
+ * tasks that the round starts, which must never exceed the team's limit, and the same including the
+ * tasks for which no free capacity was found, so that neither capacity nor machines are requested
+ * beyond the limit.
  */
 final class TeamBudgets {
   private final Map<String, Snapshot.TeamUsage> started;
@@ -18,12 +19,15 @@
     requested = new HashMap<>(usage);
   }
 
-  /** True if one more task of the job may be started. */
+  /** Returns true if one more task of the job may be started. */
   boolean allowsStart(JobSpec spec) {
     return allows(started, spec);
   }
 
-  /** True if one more task of the job may be started or requested beside all that wait. */
+  /**
+   * Returns true if one more task of the job may be started or requested beside all that are
+   * requested.
+   */
   boolean allowsRequest(JobSpec spec) {
     return allows(requested, spec);
   }
@@ -33,14 +37,14 @@
     return usage != null && usage.allows(spec.cpus(), spec.cards());
   }
 
-  /** Counts a task of the job that is started. */
-  void start(JobSpec spec) {
+  /** Counts a task of the job that the round starts; it counts as requested too. */
+  void countStart(JobSpec spec) {
     started.computeIfPresent(spec.team(), (team, usage) -> usage.plus(spec.cpus(), spec.cards()));
-    request(spec);
+    countRequest(spec);
   }
 
-  /** Counts a task of the job that has no place yet. */
-  void request(JobSpec spec) {
+  /** Counts a task of the job for which no free capacity was found. */
+  void countRequest(JobSpec spec) {
     requested.computeIfPresent(spec.team(), (team, usage) -> usage.plus(spec.cpus(), spec.cards()));
   }
 }
--- a/src/main/java/fennelthread/zones/ZoneMonitor.java
+++ b/src/main/java/fennelthread/zones/ZoneMonitor.java
@@ -17,46 +17,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Monitors the health of the zones, each with its {@link ZoneState}, and derives what follows for
- * placement, scaling out and scaling in. With a single zone there is nothing to compare it with,
- * and it always counts as healthy.
+ * Monitors the health of the zones, each with its {@link ZoneState}, and derives from it where
+ * tasks may be placed and which machines are rented and returned. A single zone has no other to be
+ * compared with and always counts as healthy.
  *
  * <p>Not thread-safe: all methods are called on the event loop's thread.
  */
 public final class ZoneMonitor implements ZoneHealth {
   private static final Logger log = LoggerFactory.getLogger(ZoneMonitor.class);
 
-  /** What is counted of a zone's machines in one observation. */
+  /** Counts of a zone's machines in one observation. */
   private static final class ZoneCount {
-    int known;
-    int silent;
-    int reporting;
+    int machines;
+    int silentMachines;
+    int reportingMachines;
     long lastContactAtMs = Long.MIN_VALUE / 2;
 
-    void add(Machine machine, boolean machineSilent) {
-      known++;
+    void add(Machine machine, boolean isSilent) {
+      machines++;
       lastContactAtMs = Math.max(lastContactAtMs, machine.lastContactAtMs());
-      reporting += machine.phase() == Machine.Phase.REPORTING ? 1 : 0;
-      silent += machineSilent ? 1 : 0;
+      reportingMachines += machine.phase() == Machine.Phase.REPORTING ? 1 : 0;
+      silentMachines += isSilent ? 1 : 0;
     }
   }
 
   private final long reportMs;
   private final long leaseMs;
-  private final boolean multipleZones;
+  private final boolean hasMultipleZones;
   private final Map<String, ZoneState> zones = new TreeMap<>();
   private long observedAtMs = Long.MIN_VALUE / 2;
   private long observingSinceMs = Long.MIN_VALUE / 2;
   private long termSinceMs = Long.MIN_VALUE / 2;
 
-  /** Creates a monitor of the zones that the settings name. */
+  /** Creates a monitor of the zones that the settings name, all of them healthy. */
   public ZoneMonitor(Settings settings) {
     this.reportMs = settings.workers().reportMs();
     this.leaseMs = settings.workers().leaseMs();
-    this.multipleZones = settings.zones().size() > 1;
+    this.hasMultipleZones = settings.zones().size() > 1;
   }
 
-  /** Begins a term of this controller: workers need a moment to report to it. */
+  /**
+   * Begins a term of this controller as leader at {@code nowMs}. Workers need some time to send it
+   * their first reports, so silence of a whole zone does not count until then.
+   */
   public void beginTerm(long nowMs) {
     termSinceMs = nowMs;
   }
@@ -65,11 +68,12 @@
 
   @Override
   public void observe(Collection<Machine> machines, long nowMs) {
-    if (!multipleZones) {
+    if (!hasMultipleZones) {
       return;
     }
     if (nowMs - observedAtMs > ZoneConstants.MAX_OBSERVATION_GAP_MS) {
-      // We have stalled ourselves: what arrived meanwhile waits to be read.
+      // This process has stalled: reports that arrived meanwhile are not read yet, so that silence
+      // counts only from now on.
       observingSinceMs = nowMs;
     }
     observedAtMs = nowMs;
@@ -84,19 +88,21 @@
       Collection<Machine> machines, ZoneCount total, long nowMs) {
     Map<String, ZoneCount> counts = new HashMap<>();
     for (Machine machine : machines) {
-      if (machine.zone() != null && isJudged(machine)) {
-        boolean silent =
+      if (machine.zone() != null && isCounted(machine)) {
+        boolean isSilent =
             nowMs - Math.max(machine.outOfContactSinceMs(), observingSinceMs)
                 > reportMs * FleetConstants.OVERDUE_REPORT_INTERVALS;
-        counts.computeIfAbsent(machine.zone(), k -> new ZoneCount()).add(machine, silent);
-        total.add(machine, silent);
+        counts.computeIfAbsent(machine.zone(), k -> new ZoneCount()).add(machine, isSilent);
+        total.add(machine, isSilent);
       }
     }
     return counts;
   }
 
-  /** Returns true if a machine reports, has reported, or holds tasks of a predecessor. */
-  private static boolean isJudged(Machine machine) {
+  /**
+   * Returns true if a machine reports, has reported, or has tasks that an earlier leader started.
+   */
+  private static boolean isCounted(Machine machine) {
     return switch (machine.phase()) {
       case REPORTING, LOST -> true;
       case AWAITING_REPORT -> !machine.isEmpty();
@@ -107,17 +113,17 @@
   private void observeZone(
       String name, Map<String, ZoneCount> counts, ZoneCount total, long nowMs) {
     ZoneCount count = counts.get(name);
-    int othersKnown = total.known - count.known;
-    int othersSilent = total.silent - count.silent;
-    boolean othersInContact =
-        othersKnown >= ZoneConstants.MIN_MACHINES
-            && othersSilent < othersKnown * ZoneConstants.MAX_OTHERS_SILENT_SHARE
+    int otherMachines = total.machines - count.machines;
+    int silentOtherMachines = total.silentMachines - count.silentMachines;
+    boolean areOthersInContact =
+        otherMachines >= ZoneConstants.MIN_MACHINES
+            && silentOtherMachines < otherMachines * ZoneConstants.MAX_OTHERS_SILENT_SHARE
             && isOtherZoneInContact(counts, name, nowMs);
     ZoneState zone = zones.computeIfAbsent(name, k -> new ZoneState());
     ZoneState.Phase before = zone.phase();
     ZoneState.Evidence evidence =
         new ZoneState.Evidence(
-            count.known, count.silent, zoneSilenceMs(count, nowMs), othersInContact);
+            count.machines, count.silentMachines, zoneSilenceMs(count, nowMs), areOthersInContact);
     if (zone.observe(evidence, leaseMs, nowMs)) {
       log.info(
           "zone phase changed zone={} from={} to={} silent={} machines={} othersSilent={}"
@@ -125,16 +131,16 @@
           name,
           before,
           zone.phase(),
-          count.silent,
-          count.known,
-          othersSilent,
-          othersKnown);
+          count.silentMachines,
+          count.machines,
+          silentOtherMachines,
+          otherMachines);
     }
   }
 
   /**
-   * Returns true if a machine of another zone was in contact in the last moment: then the fault is
-   * not this controller's own connection.
+   * Returns true if a machine of another zone has been in contact so recently that its zone does
+   * not count as silent: then the fault is not this controller's own connection.
    */
   private boolean isOtherZoneInContact(Map<String, ZoneCount> counts, String zone, long nowMs) {
     for (Map.Entry<String, ZoneCount> entry : counts.entrySet()) {
@@ -147,25 +153,26 @@
   }
 
   /**
-   * Returns for how long nothing at all has arrived from a zone, ms, if that is too long for
-   * chance: hundreds of workers report at random moments, so that one second without any of them
-   * says as much as their single silences do five seconds later. Returns 0 if it may be chance.
+   * Returns for how long nothing at all has arrived from a zone, ms, or 0 if that may be chance. It
+   * is not chance if {@link RelayConstants#DEAF_DUE} reports or more are due in that time: hundreds
+   * of workers report at random moments, so one second without any report tells as much as the
+   * silence of each single machine does five seconds later.
    */
   private long zoneSilenceMs(ZoneCount count, long nowMs) {
     long silentFromMs =
         Math.max(Math.max(count.lastContactAtMs, observingSinceMs), termSinceMs + 2 * reportMs);
     long silenceMs = nowMs - silentFromMs;
-    boolean tooLong =
+    boolean isTooLong =
         silenceMs >= ZoneConstants.MIN_ZONE_SILENCE_MS
-            && (double) count.reporting * silenceMs / reportMs >= RelayConstants.DEAF_DUE;
-    return tooLong ? silenceMs : 0;
+            && (double) count.reportingMachines * silenceMs / reportMs >= RelayConstants.DEAF_DUE;
+    return isTooLong ? silenceMs : 0;
   }
 
   // ---------------------------------------------------------------- consequences
 
-  /** Returns the state of a machine's zone, or null if it always counts as healthy. */
+  /** Returns the state of a machine's zone, or null if none is kept: the zone counts as healthy. */
   private ZoneState zoneOf(Machine machine) {
-    return multipleZones && machine.zone() != null ? zones.get(machine.zone()) : null;
+    return hasMultipleZones && machine.zone() != null ? zones.get(machine.zone()) : null;
   }
 
   @Override
@@ -200,15 +207,15 @@
     if (zone == null || !zone.isUnreachable()) {
       return 1;
     }
-    // An outage of ten seconds must not cost a second fleet, a lasting one must not leave its
-    // machines unreplaced for a minute.
+    // An outage of ten seconds must not rent a second fleet, and a lasting one must not leave its
+    // machines unreplaced for a minute: they are replaced gradually after a delay.
     double overdueMs = nowMs - zone.silentSinceMs() - ZoneConstants.REPLACEMENT_DELAY_MS;
     return Math.max(0, 1 - Math.max(0, overdueMs) / ZoneConstants.REPLACEMENT_RAMP_MS);
   }
 
   @Override
   public List<String> zonesToProvision(List<String> candidates, Map<String, Double> cpusByZone) {
-    if (!multipleZones) {
+    if (!hasMultipleZones) {
       return candidates;
     }
     List<String> reachable = new ArrayList<>();
@@ -218,7 +225,7 @@
         reachable.add(name);
       }
     }
-    // The sort is stable: among equals the cloud's order.
+    // The sort is stable: zones with equal capacity stay in the cloud's order.
     reachable.sort(Comparator.comparingDouble(name -> cpusByZone.getOrDefault(name, 0.0)));
     return reachable.isEmpty() ? candidates : reachable;
   }
--- a/src/main/java/fennelthread/zones/ZoneState.java
+++ b/src/main/java/fennelthread/zones/ZoneState.java
@@ -4,47 +4,54 @@
 import java.util.ArrayDeque;
 
 /**
- * The state machine of one zone as the leader sees it. A zone that is cut off and one that is dead
- * look alike from outside; what is done in each phase must be right for both (docs/zones.md).
+ * The state machine of one zone as the leader sees it. From outside a zone that is partitioned off
+ * looks like one that has failed, so what is done in each phase must be right for both
+ * (docs/zones.md).
  *
- * <p>Holds no clock: evidence and time are passed in.
+ * <p>Reads no clock: evidence and time are passed in. Not thread-safe.
  */
 final class ZoneState {
 
   /** The phases of a zone. */
   enum Phase {
-    /** Its machines are in contact. */
+    /** Its machines are in contact, apart from single ones. */
     HEALTHY,
-    /** Many machines are silent, but not most: a rack, or a partial cut. */
+    /** Many machines are silent, but not most: a rack has failed, or the network is partly cut. */
     DEGRADED,
-    /** Most or all machines are silent at once; they may be back at any moment. */
+    /** Most or all machines are silent at once; contact may return at any moment. */
     UNREACHABLE,
     /**
-     * Unreachable for longer than its machines' leases can have lasted: what was there has ended or
-     * will be ended.
+     * Unreachable for longer than its machines' leases last: the tasks there have ended or will be
+     * ended.
      */
     LOST,
-    /** Most machines are in contact again; trusted once that has been stable for a while. */
+    /**
+     * At least half of the machines are in contact again; the zone is healthy once that is stable.
+     */
     RECOVERING
   }
 
   /**
-   * What is observed of a zone at one moment.
+   * What is observed of a zone at one moment, as evidence for or against an outage.
    *
-   * @param known number of machines that are judged
-   * @param silent number of those that are silent
+   * @param machines number of its machines that are counted
+   * @param silentMachines number of those that are silent
    * @param zoneSilenceMs for how long nothing at all has arrived from the zone, ms, or 0 if that
    *     may be chance
-   * @param othersInContact whether the machines of other zones are in contact
+   * @param areOthersInContact whether the machines of other zones are in contact
    */
-  record Evidence(int known, int silent, long zoneSilenceMs, boolean othersInContact) {
+  record Evidence(
+      int machines, int silentMachines, long zoneSilenceMs, boolean areOthersInContact) {
     double silentShare() {
-      return known == 0 ? 0 : silent / (double) known;
+      return machines == 0 ? 0 : silentMachines / (double) machines;
     }
 
-    /** Returns true if the machines' silence means anything. */
+    /**
+     * Returns true if the silence of machines can be attributed to the zone: there are enough
+     * machines, and the fault is not on this controller's side.
+     */
     boolean isConclusive() {
-      return known >= ZoneConstants.MIN_MACHINES && othersInContact;
+      return machines >= ZoneConstants.MIN_MACHINES && areOthersInContact;
     }
 
     boolean showsUnreachable() {
@@ -68,7 +75,7 @@
   private long lastUnreachableAtMs = Long.MIN_VALUE / 2;
   private long stableSinceMs = -1;
 
-  /** Applies what is observed; returns true if the phase has changed. */
+  /** Applies what is observed at {@code nowMs}; returns true if the phase has changed. */
   boolean observe(Evidence evidence, long leaseMs, long nowMs) {
     Phase before = phase;
     switch (phase) {
@@ -113,7 +120,7 @@
   }
 
   /**
-   * Returns how long a zone that is back must be stable to be trusted, ms: twice as long for each
+   * Returns how long a recovering zone must be stable to count as healthy, ms; doubles with each
    * further outage that is remembered.
    */
   private long requiredStableMs(long nowMs) {
@@ -125,7 +132,7 @@
     return Math.min(requiredMs, ZoneConstants.MAX_STABLE_MS);
   }
 
-  /** Changes the phase; the only place that does. */
+  /** Changes the phase; no other method does. */
   private void transitionTo(Phase next, long nowMs) {
     if (next != phase) {
       phase = next;
@@ -138,22 +145,22 @@
     return phase;
   }
 
-  /** Returns true if its machines' silence is the zone's. */
+  /** Returns true if the silence of its machines is attributed to the zone as a whole. */
   boolean isUnreachable() {
     return phase == Phase.UNREACHABLE || phase == Phase.LOST;
   }
 
-  /** Returns when it was last seen unreachable, ms; in the far past if it never was. */
+  /** Returns when the zone was last observed unreachable, ms; in the far past if it never was. */
   long lastUnreachableAtMs() {
     return lastUnreachableAtMs;
   }
 
-  /** Returns since when it has been silent, ms; only meaningful while it is unreachable. */
+  /** Returns since when the zone has been silent, ms; only valid while it is unreachable. */
   long silentSinceMs() {
     return silentSinceMs;
   }
 
-  /** Returns since when it has been in its phase, ms. */
+  /** Returns when the zone entered its current phase, ms. */
   long phaseSinceMs() {
     return phaseSinceMs;
   }
--- a/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
+++ b/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
@@ -20,18 +20,19 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The order of placement and aging, over any jobs and any sequence of arrivals. */
+/** Properties of the order of placement and of aging, for random jobs and sequences of arrivals. */
 class PlacementOrderPropertyTest {
   private static final int TRIES = 300;
   private static final long STEP_MS = 5_000;
 
-  /** Tasks of one CPU and two steps that come with each step: 60 at once, of 64 CPUs. */
-  private static final int FLOOD = 30;
+  /** Critical tasks of one CPU that run for two steps and arrive in each step: 60 of 64 CPUs. */
+  private static final int CRITICAL_ARRIVALS_PER_STEP = 30;
 
   /**
-   * Longest play: at the worst 40 jobs of 12 steps, one after the other on the part for aged jobs.
+   * Most steps of a run. In the worst case 40 jobs of 12 steps run one after the other on the share
+   * of the fleet for aged jobs.
    */
-  private static final int LONGEST_STEPS = 700;
+  private static final int MAX_STEPS = 700;
 
   private static JobSpec spec(long order, Priority priority, double cpus) {
     return JobSpec.builder("job-" + order)
@@ -52,9 +53,9 @@
       long order,
       Priority priority,
       double cpus,
-      boolean late,
-      boolean guaranteed,
-      double work,
+      boolean isLate,
+      boolean isGuaranteed,
+      double agedWork,
       AgingBoost boost) {
     return new Snapshot.PendingJob(
         spec(order, priority, cpus),
@@ -62,10 +63,10 @@
         priority,
         List.of(0),
         Map.of(),
-        guaranteed,
+        isGuaranteed,
         false,
-        late,
-        work,
+        isLate,
+        agedWork,
         0,
         boost,
         order);
@@ -73,7 +74,7 @@
 
   @Provide
   Arbitrary<List<Snapshot.PendingJob>> pendingJobs() {
-    Arbitrary<Snapshot.PendingJob> one =
+    Arbitrary<Snapshot.PendingJob> element =
         Combinators.combine(
                 Arbitraries.of(Priority.class),
                 Arbitraries.of(true, false),
@@ -81,38 +82,41 @@
                 Arbitraries.of(0.1, 1.0, 1.0, 400.0),
                 Arbitraries.of(AgingBoost.class))
             .as(
-                (p, late, guaranteed, work, boost) ->
-                    pendingJob(0, p, 1, late, guaranteed, work, boost));
-    return one.list()
+                (priority, isLate, isGuaranteed, agedWork, boost) ->
+                    pendingJob(0, priority, 1, isLate, isGuaranteed, agedWork, boost));
+    return element
+        .list()
         .ofSize(3)
         .map(
             list -> {
               List<Snapshot.PendingJob> numbered = new ArrayList<>();
-              for (Snapshot.PendingJob n : list) {
+              for (Snapshot.PendingJob job : list) {
                 numbered.add(
                     pendingJob(
                         numbered.size(),
-                        n.priority(),
+                        job.priority(),
                         1,
-                        n.isLate(),
-                        n.isWithinGuarantee(),
-                        n.agedWork(),
-                        n.agingBoost()));
+                        job.isLate(),
+                        job.isWithinGuarantee(),
+                        job.agedWork(),
+                        job.agingBoost()));
               }
               return numbered;
             });
   }
 
   @Property(tries = TRIES, seed = "20261202")
-  void theOrderIsTotal(@ForAll("pendingJobs") List<Snapshot.PendingJob> three) {
+  void placementOrderIsTotal(@ForAll("pendingJobs") List<Snapshot.PendingJob> jobs) {
     Comparator<Snapshot.PendingJob> order = Planner.ORDER;
-    for (Snapshot.PendingJob a : three) {
-      for (Snapshot.PendingJob b : three) {
-        assertEquals(Integer.signum(order.compare(a, b)), -Integer.signum(order.compare(b, a)));
-        assertEquals(a.equals(b), order.compare(a, b) == 0);
-        for (Snapshot.PendingJob c : three) {
-          if (order.compare(a, b) < 0 && order.compare(b, c) < 0) {
-            assertTrue(order.compare(a, c) < 0, a + ", " + b + ", " + c);
+    for (Snapshot.PendingJob first : jobs) {
+      for (Snapshot.PendingJob second : jobs) {
+        assertEquals(
+            Integer.signum(order.compare(first, second)),
+            -Integer.signum(order.compare(second, first)));
+        assertEquals(first.equals(second), order.compare(first, second) == 0);
+        for (Snapshot.PendingJob third : jobs) {
+          if (order.compare(first, second) < 0 && order.compare(second, third) < 0) {
+            assertTrue(order.compare(first, third) < 0, first + ", " + second + ", " + third);
           }
         }
       }
@@ -120,19 +124,23 @@
   }
 
   /**
-   * One arrival: how urgent, how large, how long its one task runs, whether its team has a
-   * guarantee.
+   * A job of one task that arrives.
+   *
+   * @param priority its priority
+   * @param cpus CPUs that its task takes
+   * @param runSteps how long its task runs, steps
+   * @param isGuaranteed whether it lies within its team's guarantee
    */
-  private record Arrival(Priority priority, double cpus, int runsSteps, boolean guaranteed) {}
+  private record Arrival(Priority priority, double cpus, int runSteps, boolean isGuaranteed) {}
 
-  /** A job that waits or runs in the model below. */
-  private static final class Job {
+  /** A job that waits or runs in the model of a cluster below. */
+  private static final class ModelJob {
     final long order;
     final long arrivedAtMs;
     final Arrival arrival;
     long startedAtMs = -1;
 
-    Job(long order, long arrivedAtMs, Arrival arrival) {
+    ModelJob(long order, long arrivedAtMs, Arrival arrival) {
       this.order = order;
       this.arrivedAtMs = arrivedAtMs;
       this.arrival = arrival;
@@ -141,47 +149,45 @@
 
   @Provide
   Arbitrary<List<List<Arrival>>> arrivals() {
-    Arbitrary<Arrival> one =
+    Arbitrary<Arrival> element =
         Combinators.combine(
                 Arbitraries.of(Priority.class),
                 Arbitraries.of(0.25, 1.0, 4.0, 16.0),
                 Arbitraries.integers().between(1, 12),
                 Arbitraries.of(true, false))
             .as(Arrival::new);
-    return one.list().ofMaxSize(2).list().ofSize(20);
+    return element.list().ofMaxSize(2).list().ofSize(20);
   }
 
   /**
-   * Whatever arrives beside urgent small work of a guarantee, which comes without end and fills the
-   * fleet, each job's task is done in the end: no job starves.
+   * No job starves: small critical jobs within a guarantee keep arriving and fill nearly the whole
+   * fleet, and still the task of every other job completes.
    */
   @Property(tries = TRIES, seed = "20261202")
   void noJobStarves(@ForAll("arrivals") List<List<Arrival>> steps) {
-    List<Job> jobs = new ArrayList<>();
-    List<Job> running = new ArrayList<>();
-    Set<Job> unfinished = new HashSet<>();
-    Map<Job, String> where = new HashMap<>();
-    long now = 0;
+    List<ModelJob> jobs = new ArrayList<>();
+    List<ModelJob> running = new ArrayList<>();
+    Set<ModelJob> unfinished = new HashSet<>();
+    Map<ModelJob, String> machineByJob = new HashMap<>();
+    long nowMs = 0;
     long order = 0;
-    for (int step = 0;
-        step < LONGEST_STEPS && (step < steps.size() || !unfinished.isEmpty());
-        step++) {
+    for (int step = 0; step < MAX_STEPS && (step < steps.size() || !unfinished.isEmpty()); step++) {
       if (step < steps.size()) {
-        for (Arrival a : steps.get(step)) {
-          Job job = new Job(++order, now, a);
+        for (Arrival arrival : steps.get(step)) {
+          ModelJob job = new ModelJob(++order, nowMs, arrival);
           jobs.add(job);
           unfinished.add(job);
         }
       }
-      for (int k = 0; k < FLOOD; k++) {
-        jobs.add(new Job(++order, now, new Arrival(Priority.CRITICAL, 1, 2, true)));
+      for (int i = 0; i < CRITICAL_ARRIVALS_PER_STEP; i++) {
+        jobs.add(new ModelJob(++order, nowMs, new Arrival(Priority.CRITICAL, 1, 2, true)));
       }
-      place(jobs, running, where, now);
-      now += STEP_MS;
-      long time = now;
+      place(jobs, running, machineByJob, nowMs);
+      nowMs += STEP_MS;
+      long timeMs = nowMs;
       running.removeIf(
           job -> {
-            boolean done = time - job.startedAtMs >= job.arrival.runsSteps * STEP_MS;
+            boolean done = timeMs - job.startedAtMs >= job.arrival.runSteps * STEP_MS;
             if (done) {
               unfinished.remove(job);
               jobs.remove(job);
@@ -189,52 +195,53 @@
             return done;
           });
     }
-    for (Job job : unfinished) {
+    for (ModelJob job : unfinished) {
       throw new AssertionError(job.arrival + " of " + job.arrivedAtMs + " never ended");
     }
   }
 
-  private static void place(List<Job> jobs, List<Job> running, Map<Job, String> where, long now) {
+  private static void place(
+      List<ModelJob> jobs, List<ModelJob> running, Map<ModelJob, String> machineByJob, long nowMs) {
     Aging aging = new Aging(64);
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>();
-    Map<String, Job> byId = new HashMap<>();
-    for (Job job : jobs) {
-      boolean runs = job.startedAtMs >= 0;
+    Map<String, ModelJob> byId = new HashMap<>();
+    for (ModelJob job : jobs) {
+      boolean isRunning = job.startedAtMs >= 0;
       aging.consider(
           new Aging.EligibleJob(
               "job-" + job.order,
-              now - job.arrivedAtMs,
+              nowMs - job.arrivedAtMs,
               job.arrival.cpus,
               false,
-              runs ? job.order : null,
-              runs ? (now - job.startedAtMs) / 1000.0 : 0,
-              job.arrival.runsSteps * STEP_MS / 1000.0));
+              isRunning ? job.order : null,
+              isRunning ? (nowMs - job.startedAtMs) / 1000.0 : 0,
+              job.arrival.runSteps * STEP_MS / 1000.0));
     }
-    for (Job job : jobs) {
+    for (ModelJob job : jobs) {
       byId.put("job-" + job.order, job);
       if (job.startedAtMs < 0) {
-        double work =
+        double agedWork =
             job.arrival.cpus
-                * Math.pow(0.5, (now - job.arrivedAtMs) / LeaderConstants.WORK_HALF_LIFE_MS);
+                * Math.pow(0.5, (nowMs - job.arrivedAtMs) / LeaderConstants.WORK_HALF_LIFE_MS);
         pendingJobs.add(
             pendingJob(
                 job.order,
                 job.arrival.priority,
                 job.arrival.cpus,
                 false,
-                job.arrival.guaranteed,
-                work,
+                job.arrival.isGuaranteed,
+                agedWork,
                 aging.boostOf("job-" + job.order)));
       }
     }
     List<Snapshot.MachineState> machines = new ArrayList<>();
-    for (int h = 0; h < 4; h++) {
-      String name = "m" + h;
-      double free = 16;
+    for (int i = 0; i < 4; i++) {
+      String name = "m" + i;
+      double freeCpus = 16;
       List<Snapshot.RunningTask> runningHere = new ArrayList<>();
-      for (Job job : running) {
-        if (where.get(job).equals(name)) {
-          free -= job.arrival.cpus;
+      for (ModelJob job : running) {
+        if (machineByJob.get(job).equals(name)) {
+          freeCpus -= job.arrival.cpus;
           runningHere.add(
               new Snapshot.RunningTask(
                   spec(job.order, job.arrival.priority, job.arrival.cpus),
@@ -247,7 +254,7 @@
                   0,
                   0,
                   job.startedAtMs,
-                  job.arrival.runsSteps * STEP_MS / 1000.0));
+                  job.arrival.runSteps * STEP_MS / 1000.0));
         }
       }
       machines.add(
@@ -257,7 +264,7 @@
               "z",
               false,
               16,
-              free,
+              freeCpus,
               0,
               64,
               1,
@@ -270,16 +277,16 @@
     PlacementPlan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
-                machines, pendingJobs, Set.of(), aging.nonPreemptible(), teams, now, 1_000));
-    for (Snapshot.RunningTask stopped : plan.preemptions()) {
-      Job job = byId.get(stopped.spec().id());
+                machines, pendingJobs, Set.of(), aging.nonPreemptible(), teams, nowMs, 1_000));
+    for (Snapshot.RunningTask preempted : plan.preemptions()) {
+      ModelJob job = byId.get(preempted.spec().id());
       running.remove(job);
       job.startedAtMs = -1;
     }
     for (PlacementPlan.Start start : plan.starts()) {
-      Job job = byId.get(start.spec().id());
-      job.startedAtMs = now;
-      where.put(job, start.machine());
+      ModelJob job = byId.get(start.spec().id());
+      job.startedAtMs = nowMs;
+      machineByJob.put(job, start.machine());
       running.add(job);
     }
   }
--- a/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
+++ b/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
@@ -38,23 +38,24 @@
 
   @Test
   void lessUrgentWorkIsPreempted() {
-    Snapshot.RunningTask low = running("job-8", "azul", Priority.BEST_EFFORT, 5);
-    Snapshot.RunningTask same = running("job-9", "azul", Priority.CRITICAL, 1);
+    Snapshot.RunningTask bestEffortTask = running("job-8", "azul", Priority.BEST_EFFORT, 5);
+    Snapshot.RunningTask criticalTask = running("job-9", "azul", Priority.CRITICAL, 1);
     Snapshot snapshot =
         snapshot(
-            List.of(machine("a", 8, 0, null, same, low)),
+            List.of(machine("a", 8, 0, null, criticalTask, bestEffortTask)),
             pendingJob(job("job-1", "roja", Priority.CRITICAL, 2, 4), false, 2),
             Set.of("job-8", "job-9"));
     PlacementPlan plan = Planner.plan(snapshot);
-    assertEquals(List.of(low), plan.preemptions());
+    assertEquals(List.of(bestEffortTask), plan.preemptions());
     assertTrue(plan.starts().isEmpty());
   }
 
   /**
-   * Work on which an urgent job depends is as urgent: it preempts, and is not preempted for less.
+   * A job on which an urgent job depends inherits its priority: it preempts with that priority and
+   * is not preempted for less urgent work.
    */
   @Test
-  void anInheritedPriorityPreemptsAndProtects() {
+  void inheritedPriorityPreemptsAndProtectsFromPreemption() {
     JobSpec bestEffort = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
     Snapshot.RunningTask other = running("job-9", "azul", Priority.STANDARD, 1);
     Snapshot.PendingJob inheriting = inheriting(bestEffort, Priority.URGENT, Priority.URGENT);
@@ -78,20 +79,30 @@
   }
 
   /**
-   * A team with a long queue had tasks preempted for another's guarantee while it used next to
-   * nothing: its later jobs lie beyond its guarantee, but what it runs does not.
+   * A team with a long queue must not have tasks preempted for another team's guarantee while it
+   * uses no more than its own: its later jobs lie beyond its guarantee, but what it runs does not.
    */
   @Test
-  void onlyUsageBeyondATeamsGuaranteeIsReclaimed() {
-    Snapshot.RunningTask a = running("job-7", "azul", Priority.STANDARD, 1);
-    Snapshot.RunningTask b = running("job-8", "azul", Priority.STANDARD, 2);
-    Snapshot.RunningTask c = running("job-9", "azul", Priority.STANDARD, 3);
+  void onlyUsageBeyondTheTeamsGuaranteeIsReclaimed() {
+    Snapshot.RunningTask first = running("job-7", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask second = running("job-8", "azul", Priority.STANDARD, 2);
+    Snapshot.RunningTask third = running("job-9", "azul", Priority.STANDARD, 3);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 3, 4);
-    List<Snapshot.MachineState> machines = List.of(machine("a", 12, 0, null, a, b, c));
+    List<Snapshot.MachineState> machines = List.of(machine("a", 12, 0, null, first, second, third));
     Map<Integer, List<Snapshot.RunningTask>> expected =
-        Map.of(12, List.of(), 11, List.of(a), 8, List.of(a), 7, List.of(a, b), 0, List.of(a, b, c));
+        Map.of(
+            12,
+            List.of(),
+            11,
+            List.of(first),
+            8,
+            List.of(first),
+            7,
+            List.of(first, second),
+            0,
+            List.of(first, second, third));
     expected.forEach(
-        (guarantee, stops) -> {
+        (guarantee, expectedPreemptions) -> {
           Map<String, Snapshot.TeamUsage> teams =
               Map.of(
                   "roja", new Snapshot.TeamUsage(0, 0, 0, 0, 12, 0),
@@ -105,12 +116,13 @@
                   teams,
                   NOW_MS,
                   10);
-          assertEquals(stops, Planner.plan(snapshot).preemptions(), "guarantee " + guarantee);
+          assertEquals(
+              expectedPreemptions, Planner.plan(snapshot).preemptions(), "guarantee " + guarantee);
         });
   }
 
   @Test
-  void borrowedWorkIsPreemptedForAGuarantee() {
+  void borrowedWorkIsPreemptedForGuaranteedWork() {
     Snapshot.RunningTask borrowed = running("job-8", "azul", Priority.STANDARD, 5);
     Snapshot.RunningTask urgent = running("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
@@ -123,7 +135,7 @@
         Planner.plan(snapshot(machines, pendingJob(spec, false, 1), Set.of()))
             .preemptions()
             .size());
-    // Borrowed work of higher priority would be placed first and take the capacity back.
+    // Borrowed work of higher priority is placed first and would take the capacity back.
     assertEquals(
         0,
         Planner.plan(
@@ -134,11 +146,12 @@
   }
 
   /**
-   * A task that began before others of its priority, since its job had waited long, was preempted
-   * for one of them that lies within a guarantee, and began before it again, eight times a second.
+   * The task of an aged job, placed before others of its priority, must not be preempted for one of
+   * them that lies within a guarantee: it would be placed before it again, up to eight times a
+   * second.
    */
   @Test
-  void anAgedTaskIsNotPreemptedForWorkOfItsPriority() {
+  void agedTaskIsNotPreemptedForWorkOfItsPriority() {
     Snapshot.RunningTask aged = running("job-8", "azul", Priority.STANDARD, 5);
     List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, aged));
     for (Priority priority : Priority.values()) {
@@ -159,9 +172,12 @@
     }
   }
 
-  /** The only task of a job that has waited long is not preempted for any work. */
+  /**
+   * The only task of a job that has waited long must not be preempted, whatever the priority of
+   * other work.
+   */
   @Test
-  void theOnlyTaskOfAnAgedJobIsNotPreempted() {
+  void onlyTaskOfAgedJobIsNotPreempted() {
     Snapshot.RunningTask only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
     Snapshot.PendingJob urgent = pendingJob(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
     List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, only));
--- a/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
@@ -16,28 +16,32 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The planner on random snapshots. */
+/** The planner on random snapshots from fixed seeds. */
 class PlannerRandomSnapshotTest {
   private static final List<AgingBoost> BOOSTS = List.of(AgingBoost.values());
 
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
 
-  /** The shortcuts change nothing: the plain planner chooses the same, also under preemption. */
+  /**
+   * The planner's shortcuts must not change its plans: the reference planner, which has none, must
+   * choose the same. The bounds make sure that the snapshots lead to enough preemptions, starts and
+   * jobs that are passed over.
+   */
   @Test
-  void thePlannerChoosesWhatThePlainPlannerChooses() {
+  void plannerAgreesWithReferencePlanner() {
     int preemptions = 0;
     int starts = 0;
     int passedOver = 0;
     int starvedStarts = 0;
     for (int seed = 0; seed < 3_000; seed++) {
-      Snapshot s = randomSnapshot(seed, 1 + seed % 30);
-      PlacementPlan plan = Planner.plan(s);
-      assertEquals(ReferencePlanner.plan(s), plan, "seed " + seed);
+      Snapshot snapshot = randomSnapshot(seed, 1 + seed % 30);
+      PlacementPlan plan = Planner.plan(snapshot);
+      assertEquals(ReferencePlanner.plan(snapshot), plan, "seed " + seed);
       preemptions += plan.preemptions().size();
       starts += plan.starts().size();
       passedOver += plan.passedOverJobs().size();
       for (PlacementPlan.Start start : plan.starts()) {
-        starvedStarts += s.starvedJobs().contains(start.spec().id()) ? 1 : 0;
+        starvedStarts += snapshot.starvedJobs().contains(start.spec().id()) ? 1 : 0;
       }
     }
     assertTrue(
@@ -47,118 +51,122 @@
         passedOver + " passed over, " + starvedStarts + " starts of starved jobs");
   }
 
-  /** Random snapshots: no plan ever breaks a limit, a machine's size or a job's constraints. */
+  /** No plan may exceed a team's limit or a machine's capacity, or violate a job's constraints. */
   @Test
-  void randomPlansKeepEveryLimit() {
+  void randomPlansKeepAllLimitsAndConstraints() {
     for (int seed = 0; seed < 3_000; seed++) {
-      check(randomSnapshot(seed, 1 + seed % 8), seed);
+      assertKeepsLimits(randomSnapshot(seed, 1 + seed % 8), seed);
     }
   }
 
   private static Snapshot randomSnapshot(int seed, int machineCount) {
-    SplittableRandom r = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<Snapshot.MachineState> machines = new ArrayList<>();
     Set<String> guaranteed = new HashSet<>();
     for (int i = 0; i < machineCount; i++) {
       List<Snapshot.RunningTask> running = new ArrayList<>();
-      for (int k = r.nextInt(5); k > 0; k--) {
+      for (int task = random.nextInt(5); task > 0; task--) {
         JobSpec spec =
             job(
-                "job-9" + i + k,
-                r.nextBoolean() ? "roja" : "azul",
-                PRIORITIES.get(r.nextInt(4)),
+                "job-9" + i + task,
+                random.nextBoolean() ? "roja" : "azul",
+                PRIORITIES.get(random.nextInt(4)),
                 1,
-                1 + r.nextInt(4));
-        if (r.nextBoolean()) {
+                1 + random.nextInt(4));
+        if (random.nextBoolean()) {
           guaranteed.add(spec.id());
         }
         running.add(
             new Snapshot.RunningTask(
                 spec,
-                ownOrInherited(r, spec),
+                ownOrInherited(random, spec),
                 0,
-                k,
+                task,
                 "m" + i,
-                r.nextInt(5) == 0,
+                random.nextInt(5) == 0,
                 spec.cpus(),
                 0,
                 spec.memGb(),
-                r.nextInt(6) == 0 ? -1 : NOW_MS - r.nextInt(20) * 500L,
-                r.nextInt(3) == 0 ? 0 : 1 + r.nextInt(20)));
+                random.nextInt(6) == 0 ? -1 : NOW_MS - random.nextInt(20) * 500L,
+                random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(20)));
       }
       machines.add(
           SnapshotFixtures.machine(
               "m" + i,
-              r.nextBoolean() ? "mesa" : "torre",
-              "z" + r.nextInt(3),
-              r.nextBoolean(),
+              random.nextBoolean() ? "mesa" : "torre",
+              "z" + random.nextInt(3),
+              random.nextBoolean(),
               16,
-              r.nextInt(4) == 0 ? r.nextInt(17) : r.nextInt(3),
-              r.nextInt(3),
-              r.nextInt(40),
+              random.nextInt(4) == 0 ? random.nextInt(17) : random.nextInt(3),
+              random.nextInt(3),
+              random.nextInt(40),
               1,
-              Set.of("img" + r.nextInt(3)),
+              Set.of("img" + random.nextInt(3)),
               Set.of(),
-              Map.of("lote", r.nextInt(3)),
+              Map.of("lote", random.nextInt(3)),
               running));
     }
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>();
-    for (int i = 0; i < 1 + r.nextInt(6); i++) {
-      int tasks = 1 + r.nextInt(9);
-      boolean apart = r.nextInt(3) == 0;
+    for (int i = 0; i < 1 + random.nextInt(6); i++) {
+      int tasks = 1 + random.nextInt(9);
+      boolean apart = random.nextInt(3) == 0;
       JobSpec spec =
           JobSpec.builder("job-" + i)
               .jobClass("lote")
-              .team(r.nextBoolean() ? "roja" : "azul")
-              .service(r.nextBoolean())
-              .priority(PRIORITIES.get(r.nextInt(4)))
+              .team(random.nextBoolean() ? "roja" : "azul")
+              .service(random.nextBoolean())
+              .priority(PRIORITIES.get(random.nextInt(4)))
               .tasks(tasks)
-              .cpus(r.nextInt(5))
-              .cards(r.nextInt(4) == 3 ? 1 : 0)
-              .memGb(r.nextInt(8))
-              .image("img" + r.nextInt(3))
+              .cpus(random.nextInt(5))
+              .cards(random.nextInt(4) == 3 ? 1 : 0)
+              .memGb(random.nextInt(8))
+              .image("img" + random.nextInt(3))
               .imageGb(2)
-              .types(r.nextBoolean() ? null : List.of("torre"))
-              .zone(r.nextInt(4) == 0 ? "z1" : null)
-              .onePlace(!apart && r.nextInt(3) == 0)
+              .types(random.nextBoolean() ? null : List.of("torre"))
+              .zone(random.nextInt(4) == 0 ? "z1" : null)
+              .onePlace(!apart && random.nextInt(3) == 0)
               .apart(apart)
-              .spotAllowed(r.nextBoolean())
+              .spotAllowed(random.nextBoolean())
               .estimateS(5)
               .build();
-      Map<String, Integer> zones = r.nextInt(3) == 0 ? Map.of("z" + r.nextInt(3), 1) : Map.of();
-      List<Integer> list = new ArrayList<>();
+      Map<String, Integer> zones =
+          random.nextInt(3) == 0 ? Map.of("z" + random.nextInt(3), 1) : Map.of();
+      List<Integer> taskIndexes = new ArrayList<>();
       for (int t = zones.isEmpty() ? 0 : 1; t < tasks; t++) {
-        list.add(t);
+        taskIndexes.add(t);
       }
-      Priority priority = ownOrInherited(r, spec);
+      Priority priority = ownOrInherited(random, spec);
       pendingJobs.add(
           new Snapshot.PendingJob(
               spec,
               priority,
-              r.nextBoolean() ? priority : spec.priority(),
-              list,
+              random.nextBoolean() ? priority : spec.priority(),
+              taskIndexes,
               zones,
-              r.nextBoolean(),
-              r.nextBoolean(),
-              r.nextInt(4) == 0,
-              r.nextInt(9),
-              r.nextInt(3) * 2.5,
-              BOOSTS.get(r.nextInt(3)),
+              random.nextBoolean(),
+              random.nextBoolean(),
+              random.nextInt(4) == 0,
+              random.nextInt(9),
+              random.nextInt(3) * 2.5,
+              BOOSTS.get(random.nextInt(3)),
               i));
     }
     Map<String, Snapshot.TeamUsage> teams =
         Map.of(
-            "roja", SnapshotFixtures.usage(3, 0, 5 + r.nextInt(40), 2),
-            "azul", SnapshotFixtures.usage(0, 0, 5 + r.nextInt(40), 2));
-    Set<Long> nonPreemptible = r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
-    int maxStarts = 1 + r.nextInt(30);
-    machines.replaceAll(h -> r.nextInt(5) == 0 ? withSlots(h, r.nextInt(3)) : h);
-    Set<String> starved = r.nextInt(3) == 0 ? Set.of("job-" + r.nextInt(6)) : Set.of();
-    if (r.nextInt(3) == 0) {
-      teams = Map.of("roja", use(r, machines, "roja"), "azul", use(r, machines, "azul"));
+            "roja", SnapshotFixtures.usage(3, 0, 5 + random.nextInt(40), 2),
+            "azul", SnapshotFixtures.usage(0, 0, 5 + random.nextInt(40), 2));
+    Set<Long> nonPreemptible = random.nextInt(3) == 0 ? Set.of(1L + random.nextInt(4)) : Set.of();
+    int maxStarts = 1 + random.nextInt(30);
+    machines.replaceAll(
+        machine -> random.nextInt(5) == 0 ? withReportSlots(machine, random.nextInt(3)) : machine);
+    Set<String> starved = random.nextInt(3) == 0 ? Set.of("job-" + random.nextInt(6)) : Set.of();
+    if (random.nextInt(3) == 0) {
+      teams =
+          Map.of(
+              "roja", usageOf(random, machines, "roja"), "azul", usageOf(random, machines, "azul"));
     }
     Set<Long> preemptibleOnlyByMoreUrgent =
-        r.nextInt(3) == 0 ? Set.of(1L + r.nextInt(4)) : Set.of();
+        random.nextInt(3) == 0 ? Set.of(1L + random.nextInt(4)) : Set.of();
     return new Snapshot(
         machines,
         pendingJobs,
@@ -171,77 +179,91 @@
         preemptibleOnlyByMoreUrgent);
   }
 
-  /** What a team's running tasks use, with a limit above and a guarantee that may be below. */
-  private static Snapshot.TeamUsage use(
-      SplittableRandom r, List<Snapshot.MachineState> machines, String team) {
-    double used =
+  /**
+   * The usage of a team's running tasks, with a limit above it and a guarantee that may be below.
+   */
+  private static Snapshot.TeamUsage usageOf(
+      SplittableRandom random, List<Snapshot.MachineState> machines, String team) {
+    double usedCpus =
         machines.stream()
-            .flatMap(h -> h.running().stream())
+            .flatMap(machine -> machine.running().stream())
             .filter(running -> running.spec().team().equals(team))
             .mapToDouble(Snapshot.RunningTask::cpus)
             .sum();
-    return new Snapshot.TeamUsage(used, 0, used + 2 + r.nextInt(40), 2, 1 + r.nextInt(30), 0);
+    return new Snapshot.TeamUsage(
+        usedCpus, 0, usedCpus + 2 + random.nextInt(40), 2, 1 + random.nextInt(30), 0);
   }
 
-  private static Snapshot.MachineState withSlots(Snapshot.MachineState h, int slots) {
+  private static Snapshot.MachineState withReportSlots(
+      Snapshot.MachineState machine, int freeReportSlots) {
     return new Snapshot.MachineState(
-        h.name(),
-        h.type(),
-        h.zone(),
-        h.isSpot(),
-        h.freeCpus(),
-        h.freeCards(),
-        h.freeMemGb(),
-        h.images(),
-        h.fetching(),
-        h.tasksByClass(),
-        h.running(),
-        slots);
+        machine.name(),
+        machine.type(),
+        machine.zone(),
+        machine.isSpot(),
+        machine.freeCpus(),
+        machine.freeCards(),
+        machine.freeMemGb(),
+        machine.images(),
+        machine.fetching(),
+        machine.tasksByClass(),
+        machine.running(),
+        freeReportSlots);
   }
 
-  /** Now and then a job inherits the priority of a dependant. */
-  private static Priority ownOrInherited(SplittableRandom r, JobSpec spec) {
-    Priority other = PRIORITIES.get(r.nextInt(4));
-    return r.nextInt(3) == 0 && other.compareTo(spec.priority()) < 0 ? other : spec.priority();
+  /**
+   * Returns the job's own priority, or for some jobs one inherited from a job that depends on it.
+   */
+  private static Priority ownOrInherited(SplittableRandom random, JobSpec spec) {
+    Priority other = PRIORITIES.get(random.nextInt(4));
+    return random.nextInt(3) == 0 && other.compareTo(spec.priority()) < 0 ? other : spec.priority();
   }
 
-  private static void check(Snapshot s, int seed) {
-    PlacementPlan plan = Planner.plan(s);
-    assertTrue(plan.starts().size() <= s.maxStarts());
+  private static void assertKeepsLimits(Snapshot snapshot, int seed) {
+    PlacementPlan plan = Planner.plan(snapshot);
+    assertTrue(plan.starts().size() <= snapshot.maxStarts());
     Map<String, double[]> byMachine = new HashMap<>();
     Map<String, double[]> byTeam = new HashMap<>();
-    Map<String, Map<String, Integer>> zones = new HashMap<>();
-    s.pendingJobs().forEach(n -> zones.put(n.spec().id(), new HashMap<>(n.tasksByZone())));
+    Map<String, Map<String, Integer>> zonesByJob = new HashMap<>();
+    snapshot
+        .pendingJobs()
+        .forEach(
+            pendingJob ->
+                zonesByJob.put(pendingJob.spec().id(), new HashMap<>(pendingJob.tasksByZone())));
     for (PlacementPlan.Start start : plan.starts()) {
       JobSpec spec = start.spec();
       Snapshot.MachineState machine =
-          s.machines().stream()
-              .filter(h -> h.name().equals(start.machine()))
+          snapshot.machines().stream()
+              .filter(candidate -> candidate.name().equals(start.machine()))
               .findFirst()
               .orElseThrow();
-      double[] used = byMachine.computeIfAbsent(machine.name(), k -> new double[4]);
-      used[3]++;
-      used[0] += spec.cpus();
-      used[1] += spec.cards();
-      used[2] += spec.memGb();
+      double[] usedOnMachine = byMachine.computeIfAbsent(machine.name(), key -> new double[4]);
+      usedOnMachine[3]++;
+      usedOnMachine[0] += spec.cpus();
+      usedOnMachine[1] += spec.cards();
+      usedOnMachine[2] += spec.memGb();
       assertTrue(
-          used[0] <= machine.freeCpus()
-              && used[1] <= machine.freeCards()
-              && used[2] <= machine.freeMemGb()
-              && used[3] <= machine.freeReportSlots(),
+          usedOnMachine[0] <= machine.freeCpus()
+              && usedOnMachine[1] <= machine.freeCards()
+              && usedOnMachine[2] <= machine.freeMemGb()
+              && usedOnMachine[3] <= machine.freeReportSlots(),
           "seed " + seed);
-      double[] team = byTeam.computeIfAbsent(spec.team(), k -> new double[2]);
-      team[0] += spec.cpus();
-      team[1] += spec.cards();
-      Snapshot.TeamUsage use = s.teams().get(spec.team());
-      assertTrue(use.cpus() + team[0] <= use.cpusMax() && use.cards() + team[1] <= use.cardsMax());
+      double[] usedByTeam = byTeam.computeIfAbsent(spec.team(), key -> new double[2]);
+      usedByTeam[0] += spec.cpus();
+      usedByTeam[1] += spec.cards();
+      Snapshot.TeamUsage usage = snapshot.teams().get(spec.team());
+      assertTrue(
+          usage.cpus() + usedByTeam[0] <= usage.cpusMax()
+              && usage.cards() + usedByTeam[1] <= usage.cardsMax());
       assertTrue(spec.types() == null || spec.types().contains(machine.type().name()));
       assertTrue(spec.zone() == null || spec.zone().equals(machine.zone()));
       assertTrue(spec.spotAllowed() || !machine.isSpot());
-      Map<String, Integer> at = zones.get(spec.id());
-      at.merge(machine.zone(), 1, Integer::sum);
-      assertTrue(!spec.onePlace() || at.size() == 1, "seed " + seed);
-      assertTrue(!spec.apart() || at.get(machine.zone()) <= (spec.tasks() + 1) / 2, "seed " + seed);
+      Map<String, Integer> tasksByZone = zonesByJob.get(spec.id());
+      tasksByZone.merge(machine.zone(), 1, Integer::sum);
+      assertTrue(!spec.onePlace() || tasksByZone.size() == 1, "seed " + seed);
+      assertTrue(
+          !spec.apart() || tasksByZone.get(machine.zone()) <= (spec.tasks() + 1) / 2,
+          "seed " + seed);
     }
   }
 }
--- a/src/test/java/fennelthread/plan/PlannerRankingTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRankingTest.java
@@ -17,10 +17,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The order of jobs and the choice of machines. */
+/** The order in which jobs are placed and the choice of machines. */
 class PlannerRankingTest {
-  private static Snapshot.PendingJob withWork(
-      JobSpec spec, boolean late, double agedWork, long order) {
+  private static Snapshot.PendingJob pendingJobWithWork(
+      JobSpec spec, boolean isLate, double agedWork, long order) {
     return new Snapshot.PendingJob(
         spec,
         spec.priority(),
@@ -29,7 +29,7 @@
         Map.of(),
         false,
         false,
-        late,
+        isLate,
         agedWork,
         0,
         AgingBoost.NONE,
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aCachedImageComesBeforeBestFit() {
+  void cachedImageIsPreferredToBestFit() {
     Snapshot snapshot =
         snapshot(
             List.of(machine("a", 8, 2, null), machine("b", 8, 8, "img")),
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void theFullestMachineIsTakenAmongEquals() {
+  void fullestOfEqualMachinesIsChosen() {
     Snapshot snapshot =
         snapshot(
             List.of(machine("a", 8, 8, null), machine("b", 8, 3, null)),
@@ -56,17 +56,20 @@
     assertEquals("b", Planner.plan(snapshot).starts().get(0).machine());
   }
 
-  /** A backlog once made every job late, each by what those before it took. */
+  /**
+   * A job that is late already must not delay one that can still meet its deadline: otherwise a
+   * backlog makes every job late by the time that those before it take.
+   */
   @Test
-  void jobsThatCanMeetTheirDeadlineComeFirstThenSmallOnes() {
+  void jobsThatCanMeetTheirDeadlineComeFirstThenSmallerOnes() {
     JobSpec late = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec large = job("job-2", "roja", Priority.STANDARD, 1, 4);
     JobSpec small = job("job-3", "roja", Priority.STANDARD, 1, 4);
     List<Snapshot.PendingJob> pendingJobs =
         List.of(
-            withWork(late, true, 10, 1),
-            withWork(large, false, 900, 2),
-            withWork(small, false, 90, 3));
+            pendingJobWithWork(late, true, 10, 1),
+            pendingJobWithWork(large, false, 900, 2),
+            pendingJobWithWork(small, false, 90, 3));
     PlacementPlan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
@@ -81,9 +84,12 @@
         List.of("job-3", "job-2"), plan.starts().stream().map(s -> s.spec().id()).toList());
   }
 
-  /** A replica goes where its image is, at the cost of less urgent work, not where it must wait. */
+  /**
+   * A replica preempts less urgent work on a machine that has its image rather than wait for the
+   * image on a free machine.
+   */
   @Test
-  void aReplicaPreemptsLessUrgentWorkWhereItsImageIs() {
+  void replicaPreemptsLessUrgentWorkOnMachineWithItsImage() {
     JobSpec service =
         JobSpec.builder("job-1")
             .jobClass("servicio")
--- a/src/test/java/fennelthread/plan/PlannerReservationTest.java
+++ b/src/test/java/fennelthread/plan/PlannerReservationTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Capacity that is reserved for waiting tasks, and for how long. */
+/** Capacity that is reserved for waiting tasks, and which jobs it does not hold back. */
 class PlannerReservationTest {
   private static Snapshot.RunningTask halfCpuTask(
       int attempt, String machine, double elapsedS, double expectedRunS) {
@@ -54,11 +54,11 @@
 
   private static Snapshot.PendingJob zoneBound(
       String id, Priority priority, int tasks, String zone) {
-    JobSpec any = job(id, "roja", priority, tasks, 1);
+    JobSpec template = job(id, "roja", priority, tasks, 1);
     JobSpec spec =
         JobSpec.builder(id)
-            .jobClass(any.jobClass())
-            .team(any.team())
+            .jobClass(template.jobClass())
+            .team(template.team())
             .priority(priority)
             .tasks(tasks)
             .cpus(1)
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Capacity that is released piece by piece for a large task must not go to a smaller one of less
-   * urgent work: that one was preempted for the large task again, a thousand times a minute.
+   * Capacity that is released in parts for a large task must not go to a smaller and less urgent
+   * task: that one would be preempted for the large task again, a thousand times a minute.
    */
   @Test
   void releasedCapacityIsNotGivenToLessUrgentWork() {
@@ -119,35 +119,40 @@
   }
 
   /**
-   * A third of a team's starts was lost to tasks of four CPUs that had sixteen small ones
-   * preempted, each of which would have ended within seconds. Who has the time waits for them, and
-   * nobody else gets their capacity.
+   * A task that may wait must wait for running tasks that complete within seconds, and their
+   * capacity must not go to others. Otherwise a task of four CPUs preempts sixteen small ones,
+   * which lost a third of a team's starts.
    */
   @Test
   void capacityReleasedByCompletionsIsAwaited() {
-    List<Snapshot.RunningTask> soon = new ArrayList<>();
-    List<Snapshot.RunningTask> later = new ArrayList<>();
+    List<Snapshot.RunningTask> completingSoon = new ArrayList<>();
+    List<Snapshot.RunningTask> completingLater = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      soon.add(halfCpuTask(i, "a", 1, 4));
-      later.add(halfCpuTask(10 + i, "b", 1, 40));
+      completingSoon.add(halfCpuTask(i, "a", 1, 4));
+      completingLater.add(halfCpuTask(10 + i, "b", 1, 40));
     }
     List<Snapshot.MachineState> machines =
         List.of(
-            machine("b", 4, 0, null, later.toArray(new Snapshot.RunningTask[0])),
-            machine("a", 4, 0, null, soon.toArray(new Snapshot.RunningTask[0])));
-    JobSpec four = job("job-1", "roja", Priority.STANDARD, 1, 4);
+            machine("b", 4, 0, null, completingLater.toArray(new Snapshot.RunningTask[0])),
+            machine("a", 4, 0, null, completingSoon.toArray(new Snapshot.RunningTask[0])));
+    JobSpec fourCpus = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec halfCpu = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
     PlacementPlan plan =
-        Planner.plan(snapshot(machines, waiting(four, 5, AgingBoost.NONE), Set.of()));
+        Planner.plan(snapshot(machines, waiting(fourCpus, 5, AgingBoost.NONE), Set.of()));
     assertTrue(plan.preemptions().isEmpty(), plan.preemptions().toString());
-    // Half of them have ended since: the rest must not be given away again.
+    // In the next round half of them have completed: the capacity must not go to another task.
     PlacementPlan next =
         Planner.plan(
             SnapshotFixtures.snapshot(
                 List.of(
                     machine(
-                        "a", 4, 2, null, soon.subList(0, 4).toArray(new Snapshot.RunningTask[0]))),
-                List.of(waiting(four, 5, AgingBoost.NONE), waiting(halfCpu, 5, AgingBoost.NONE)),
+                        "a",
+                        4,
+                        2,
+                        null,
+                        completingSoon.subList(0, 4).toArray(new Snapshot.RunningTask[0]))),
+                List.of(
+                    waiting(fourCpus, 5, AgingBoost.NONE), waiting(halfCpu, 5, AgingBoost.NONE)),
                 Set.of(),
                 Set.of(),
                 teams(0),
@@ -156,18 +161,18 @@
     assertTrue(next.starts().isEmpty() && next.preemptions().isEmpty(), next.toString());
     assertEquals(
         8,
-        Planner.plan(snapshot(machines, waiting(four, 0, AgingBoost.NONE), Set.of()))
+        Planner.plan(snapshot(machines, waiting(fourCpus, 0, AgingBoost.NONE), Set.of()))
             .preemptions()
             .size());
   }
 
   /**
-   * A task as large as a machine never finds one free while small ones keep coming: one is reserved
-   * for it.
+   * A task as large as a machine never finds one free while small tasks keep arriving: for an aged
+   * job a machine is reserved.
    */
   @Test
-  void aMachineIsReservedForTheLargestTask() {
-    JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
+  void machineIsReservedForTaskAsLargeAsAMachine() {
+    JobSpec wholeMachine = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.RunningTask other = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.MachineState> machines =
@@ -179,7 +184,7 @@
           Planner.plan(
               SnapshotFixtures.snapshot(
                   machines,
-                  List.of(waiting(small, 0, AgingBoost.NONE), waiting(whole, 0, boost)),
+                  List.of(waiting(small, 0, AgingBoost.NONE), waiting(wholeMachine, 0, boost)),
                   Set.of(),
                   Set.of(),
                   teams(0),
@@ -195,11 +200,11 @@
   }
 
   /**
-   * An array that waits for a zone without capacity once held the rest of its team's limit for
-   * ever, though its next job would have fitted elsewhere.
+   * An array that waits for a zone without capacity must not hold the rest of its team's limit
+   * without end, when the team's next job fits elsewhere: once that job is starved, it starts.
    */
   @Test
-  void unplacedWorkHoldsItsTeamsLimitForAWhileOnly() {
+  void unplacedWorkDoesNotHoldBackStarvedJobsOfItsTeam() {
     List<Snapshot.MachineState> machines = List.of(machine("a", 8, 8, null));
     List<Snapshot.PendingJob> pendingJobs =
         List.of(
@@ -211,11 +216,11 @@
                 machines, pendingJobs, Set.of(), Set.of(), teams(10), NOW_MS, 10));
     assertEquals(List.of(), first.starts());
     assertEquals(Set.of("job-2"), first.passedOverJobs());
-    PlacementPlan later =
+    PlacementPlan onceStarved =
         Planner.plan(withStarved(first.passedOverJobs(), machines, pendingJobs, teams(10)));
-    assertEquals(3, later.starts().size());
-    assertEquals(Set.of(), later.passedOverJobs());
-    // What runs counts in any case.
+    assertEquals(3, onceStarved.starts().size());
+    assertEquals(Set.of(), onceStarved.passedOverJobs());
+    // Running tasks count towards the limit in any case.
     PlacementPlan full =
         Planner.plan(
             withStarved(
@@ -226,15 +231,17 @@
     assertEquals(1, full.starts().size());
   }
 
-  /** A machine is reserved for a large task for a while, not as long as it takes. */
+  /**
+   * A machine that is reserved for a large task holds other jobs back only until they are starved.
+   */
   @Test
-  void aMachineIsReservedForAWhileOnly() {
-    JobSpec whole = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
+  void machineReservationDoesNotHoldBackStarvedJobs() {
+    JobSpec wholeMachine = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
     Snapshot.RunningTask endless = running("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.MachineState> machines = List.of(machine("a", 16, 12, null, endless));
     List<Snapshot.PendingJob> pendingJobs =
-        List.of(waiting(small, 0, AgingBoost.NONE), waiting(whole, 0, AgingBoost.ABOVE_ALL));
+        List.of(waiting(small, 0, AgingBoost.NONE), waiting(wholeMachine, 0, AgingBoost.ABOVE_ALL));
     Snapshot reserved =
         SnapshotFixtures.snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
     assertEquals(Set.of("job-2"), Planner.plan(reserved).passedOverJobs());
--- a/src/test/java/fennelthread/plan/ReferencePlanner.java
+++ b/src/test/java/fennelthread/plan/ReferencePlanner.java
@@ -11,19 +11,22 @@
 import java.util.Set;
 
 /**
- * The planner without any of its shortcuts: each task looks at every machine and at all running
- * work. Slow and plain, so that it can be read; {@link Planner} must choose the same.
+ * A reference implementation of the planner without its shortcuts: for each task it looks at every
+ * machine and at all running tasks. Slow, but simple enough to be checked by reading; {@link
+ * Planner} must choose the same.
  */
 final class ReferencePlanner {
   private static final double EPSILON = 1e-9;
 
-  /** What is left of a fetch under way, as a share: unknown, so a little more than the half. */
+  /** What remains of a fetch in flight, as a share: unknown, so a little more than half. */
   private static final double REMAINING_FETCH_SHARE = 0.6;
 
-  /** What one more replica of the class on a machine with the image counts, in emptiness. */
+  /**
+   * Penalty of one more replica of the class on a machine with the image, as a share of free CPUs.
+   */
   private static final double SPREADING_PENALTY_CACHED = 0.2;
 
-  /** Above any score of a machine that has the image. */
+  /** Higher than any score of a machine that has the image, s. */
   private static final double IMAGE_NOT_CACHED_PENALTY_S = 1_000;
 
   private static final class FreeCapacity {
@@ -36,7 +39,7 @@
     double releasingMemGb;
     int slots;
     final Set<String> fetching;
-    final Map<String, Integer> classes;
+    final Map<String, Integer> tasksByClass;
 
     FreeCapacity(Snapshot.MachineState machine) {
       this.machine = machine;
@@ -45,7 +48,7 @@
       this.memGb = machine.freeMemGb();
       this.slots = machine.freeReportSlots();
       this.fetching = new HashSet<>(machine.fetching());
-      this.classes = new HashMap<>(machine.tasksByClass());
+      this.tasksByClass = new HashMap<>(machine.tasksByClass());
     }
 
     boolean fitsIgnoringReservations(JobSpec spec) {
@@ -74,7 +77,7 @@
       cards -= spec.cards();
       memGb -= spec.memGb();
       slots--;
-      classes.merge(spec.jobClass(), 1, Integer::sum);
+      tasksByClass.merge(spec.jobClass(), 1, Integer::sum);
       if (!machine.images().contains(spec.image())) {
         fetching.add(spec.image());
       }
@@ -83,30 +86,30 @@
 
   private final Snapshot snapshot;
   private final List<FreeCapacity> machines = new ArrayList<>();
-  private final Map<String, Snapshot.TeamUsage> teams;
+  private final Map<String, Snapshot.TeamUsage> requested;
   private final List<PlacementPlan.Start> starts = new ArrayList<>();
-  private final List<Snapshot.RunningTask> stops = new ArrayList<>();
+  private final List<Snapshot.RunningTask> preemptions = new ArrayList<>();
   private final List<PlacementPlan.UnplacedTasks> unplaced = new ArrayList<>();
-  private final Set<Snapshot.RunningTask> stopped = new HashSet<>();
+  private final Set<Snapshot.RunningTask> preemptedTasks = new HashSet<>();
   private final Map<String, Snapshot.TeamUsage> started;
-  private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> zonesOf =
+  private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> zonesByJob =
       new IdentityHashMap<>();
-  private final IdentityHashMap<Snapshot.PendingJob, Integer> startsOf = new IdentityHashMap<>();
+  private final IdentityHashMap<Snapshot.PendingJob, Integer> startsByJob = new IdentityHashMap<>();
   private int reservedMachines;
 
   private ReferencePlanner(Snapshot snapshot) {
     this.snapshot = snapshot;
-    this.teams = new HashMap<>(snapshot.teams());
+    this.requested = new HashMap<>(snapshot.teams());
     this.started = new HashMap<>(snapshot.teams());
     for (Snapshot.MachineState machine : snapshot.machines()) {
       machines.add(new FreeCapacity(machine));
     }
     for (FreeCapacity capacity : machines) {
-      for (Snapshot.RunningTask r : capacity.machine.running()) {
-        if (r.isStopping()) {
-          capacity.releasingCpus += r.cpus();
-          capacity.releasingCards += r.cards();
-          capacity.releasingMemGb += r.memGb();
+      for (Snapshot.RunningTask task : capacity.machine.running()) {
+        if (task.isStopping()) {
+          capacity.releasingCpus += task.cpus();
+          capacity.releasingCards += task.cards();
+          capacity.releasingMemGb += task.memGb();
         }
       }
     }
@@ -116,7 +119,8 @@
   public static PlacementPlan plan(Snapshot snapshot) {
     ReferencePlanner planner = new ReferencePlanner(snapshot);
     planner.run();
-    return new PlacementPlan(planner.starts, planner.stops, planner.unplaced, planner.passedOver());
+    return new PlacementPlan(
+        planner.starts, planner.preemptions, planner.unplaced, planner.passedOver());
   }
 
   private void run() {
@@ -129,29 +133,32 @@
 
   private void place(Snapshot.PendingJob pendingJob) {
     JobSpec spec = pendingJob.spec();
-    boolean starved = snapshot.starvedJobs().contains(spec.id());
-    Map<String, Integer> zones = new HashMap<>(pendingJob.tasksByZone());
-    zonesOf.put(pendingJob, zones);
-    int missing = 0;
+    boolean isStarved = snapshot.starvedJobs().contains(spec.id());
+    Map<String, Integer> tasksByZone = new HashMap<>(pendingJob.tasksByZone());
+    zonesByJob.put(pendingJob, tasksByZone);
+    int unplacedCount = 0;
     for (int task : pendingJob.tasks()) {
-      Snapshot.TeamUsage usage = teams.get(spec.team());
+      Snapshot.TeamUsage requestedUsage = requested.get(spec.team());
       Snapshot.TeamUsage startedUsage = started.get(spec.team());
-      boolean mayRequest = usage != null && usage.allows(spec.cpus(), spec.cards());
+      boolean mayRequest =
+          requestedUsage != null && requestedUsage.allows(spec.cpus(), spec.cards());
       if (!mayRequest
-          && !(starved && startedUsage != null && startedUsage.allows(spec.cpus(), spec.cards()))) {
+          && !(isStarved
+              && startedUsage != null
+              && startedUsage.allows(spec.cpus(), spec.cards()))) {
         break;
       }
       FreeCapacity best = null;
-      if (missing == 0 && starts.size() < snapshot.maxStarts()) {
-        best = bestMachine(pendingJob, zones);
+      if (unplacedCount == 0 && starts.size() < snapshot.maxStarts()) {
+        best = bestMachine(pendingJob, tasksByZone);
         if (best != null
             && spec.service()
-            && !starved
+            && !isStarved
             && fetchSeconds(spec, best) > 1
-            && reserveOrPreempt(pendingJob, zones, true)) {
-          // Less urgent work leaves a machine that has the image: sooner than fetching it here.
+            && reserveOrPreempt(pendingJob, tasksByZone, true)) {
+          // Capacity is reserved on a machine that has the image: sooner than fetching it here.
           best = null;
-          teams.put(spec.team(), usage.plus(spec.cpus(), spec.cards()));
+          requested.put(spec.team(), requestedUsage.plus(spec.cpus(), spec.cards()));
           continue;
         }
       }
@@ -159,50 +166,54 @@
         best.allocate(spec);
         starts.add(new PlacementPlan.Start(spec, task, best.machine.name()));
         started.put(spec.team(), startedUsage.plus(spec.cpus(), spec.cards()));
-        startsOf.merge(pendingJob, 1, Integer::sum);
+        startsByJob.merge(pendingJob, 1, Integer::sum);
       } else if (!mayRequest) {
         break;
       } else {
-        missing++;
+        unplacedCount++;
         if (starts.size() < snapshot.maxStarts()) {
-          reserveFutureCapacity(pendingJob, zones);
+          reserveFutureCapacity(pendingJob, tasksByZone);
         }
       }
-      // A task without a place yet is counted too: rooms asked for must not exceed the cap.
-      teams.put(spec.team(), usage.plus(spec.cpus(), spec.cards()));
+      // Tasks that are not placed count too: capacity is not requested beyond the team's limit.
+      requested.put(spec.team(), requestedUsage.plus(spec.cpus(), spec.cards()));
       if (best != null && (spec.onePlace() || spec.apart())) {
-        zones.merge(best.machine.zone(), 1, Integer::sum);
+        tasksByZone.merge(best.machine.zone(), 1, Integer::sum);
       }
     }
-    if (missing > 0) {
+    if (unplacedCount > 0) {
       unplaced.add(
           new PlacementPlan.UnplacedTasks(
-              spec, missing, spec.onePlace() || spec.apart() ? zones : Map.of()));
+              spec, unplacedCount, spec.onePlace() || spec.apart() ? tasksByZone : Map.of()));
     }
   }
 
-  /** Jobs with tasks left although some machine has room and their team may start one. */
+  /**
+   * Returns the ids of the jobs with tasks that are not started although some machine has free
+   * capacity and their team's limit allows one more.
+   */
   private Set<String> passedOver() {
     Set<String> passedOver = new HashSet<>();
     for (Snapshot.PendingJob pendingJob : snapshot.pendingJobs()) {
       JobSpec spec = pendingJob.spec();
       Snapshot.TeamUsage startedUsage = started.get(spec.team());
-      if (startsOf.getOrDefault(pendingJob, 0) < pendingJob.tasks().size()
+      if (startsByJob.getOrDefault(pendingJob, 0) < pendingJob.tasks().size()
           && startedUsage != null
           && startedUsage.allows(spec.cpus(), spec.cards())
           && machines.stream()
               .anyMatch(
-                  r ->
-                      r.fitsIgnoringReservations(spec)
-                          && allowed(spec, zonesOf.get(pendingJob), r.machine))) {
+                  capacity ->
+                      capacity.fitsIgnoringReservations(spec)
+                          && allowsMachine(spec, zonesByJob.get(pendingJob), capacity.machine))) {
         passedOver.add(spec.id());
       }
     }
     return passedOver;
   }
 
-  /** True if the job's own rules let a task of it start there now. */
-  static boolean allowed(JobSpec spec, Map<String, Integer> zones, Snapshot.MachineState machine) {
+  /** Returns true if the job's own constraints allow one more task on the machine now. */
+  static boolean allowsMachine(
+      JobSpec spec, Map<String, Integer> tasksByZone, Snapshot.MachineState machine) {
     if (spec.types() != null && !spec.types().contains(machine.type().name())) {
       return false;
     }
@@ -212,30 +223,34 @@
     if (machine.isSpot() && !spec.spotAllowed()) {
       return false;
     }
-    if ((spec.onePlace() || spec.apart()) && zones.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
-      // It may be in any zone: neither rule can be kept for sure until the machine is heard.
+    if ((spec.onePlace() || spec.apart())
+        && tasksByZone.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
+      // The task may be in any zone: neither constraint is certain to hold until its machine
+      // reports.
       return false;
     }
     if (spec.onePlace()) {
-      for (Map.Entry<String, Integer> e : zones.entrySet()) {
-        if (e.getValue() > 0 && !e.getKey().equals(machine.zone())) {
+      for (Map.Entry<String, Integer> zoneTasks : tasksByZone.entrySet()) {
+        if (zoneTasks.getValue() > 0 && !zoneTasks.getKey().equals(machine.zone())) {
           return false;
         }
       }
     }
-    return !spec.apart() || zones.getOrDefault(machine.zone(), 0) + 1 <= (spec.tasks() + 1) / 2;
+    return !spec.apart()
+        || tasksByZone.getOrDefault(machine.zone(), 0) + 1 <= (spec.tasks() + 1) / 2;
   }
 
-  private FreeCapacity bestMachine(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
+  private FreeCapacity bestMachine(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone) {
     FreeCapacity best = null;
     double bestScore = 0;
     for (FreeCapacity capacity : machines) {
-      boolean starved = snapshot.starvedJobs().contains(pendingJob.spec().id());
-      boolean free =
-          starved
+      boolean isStarved = snapshot.starvedJobs().contains(pendingJob.spec().id());
+      boolean fits =
+          isStarved
               ? capacity.fitsIgnoringReservations(pendingJob.spec())
               : capacity.fits(pendingJob.spec());
-      if (!free || !allowed(pendingJob.spec(), zones, capacity.machine)) {
+      if (!fits || !allowsMachine(pendingJob.spec(), tasksByZone, capacity.machine)) {
         continue;
       }
       double score = score(pendingJob, capacity);
@@ -251,63 +266,68 @@
     if (capacity.machine.images().contains(spec.image())) {
       return 0;
     }
-    double alone = spec.imageGb() / Math.max(0.01, capacity.machine.type().fetchGbPerS());
+    double soleFetchS = spec.imageGb() / Math.max(0.01, capacity.machine.type().fetchGbPerS());
     return capacity.fetching.contains(spec.image())
-        ? alone * (spec.service() ? 1 : REMAINING_FETCH_SHARE)
-        : alone * (1 + capacity.fetching.size());
+        ? soleFetchS * (spec.service() ? 1 : REMAINING_FETCH_SHARE)
+        : soleFetchS * (1 + capacity.fetching.size());
   }
 
   /**
-   * Lower is better: seconds until the task would run, then how empty the machine would be left.
+   * Returns the cost of a machine, lower is better: seconds until the task would run, plus the
+   * share of the machine's CPUs that would be left free.
    */
   private static double score(Snapshot.PendingJob pendingJob, FreeCapacity capacity) {
     JobSpec spec = pendingJob.spec();
-    double fetch = fetchSeconds(spec, capacity);
-    double left = (capacity.cpus - spec.cpus()) / Math.max(1, capacity.machine.type().cpus());
+    double fetchS = fetchSeconds(spec, capacity);
+    double freeShare = (capacity.cpus - spec.cpus()) / Math.max(1, capacity.machine.type().cpus());
     if (spec.service()) {
-      // A replica that must wait for its image anyway brings it to a machine with few others: one
-      // death then costs little, and later replicas find the image on machines with capacity.
-      int sameClass = capacity.classes.getOrDefault(spec.jobClass(), 0);
+      // A replica that must wait for its image anyway goes to a machine with few replicas: the loss
+      // of one machine then costs little, and later replicas find the image on machines with free
+      // capacity.
+      int sameClass = capacity.tasksByClass.getOrDefault(spec.jobClass(), 0);
       return capacity.machine.images().contains(spec.image())
-          ? sameClass * SPREADING_PENALTY_CACHED + left
-          : IMAGE_NOT_CACHED_PENALTY_S + fetch + sameClass + left;
+          ? sameClass * SPREADING_PENALTY_CACHED + freeShare
+          : IMAGE_NOT_CACHED_PENALTY_S + fetchS + sameClass + freeShare;
     }
-    double spot = capacity.machine.isSpot() ? -0.5 : 0;
-    return fetch * (pendingJob.isLatencySensitive() ? 10 : 1) + left + spot;
+    double spotBonus = capacity.machine.isSpot() ? -0.5 : 0;
+    return fetchS * (pendingJob.isLatencySensitive() ? 10 : 1) + freeShare + spotBonus;
   }
 
   /**
-   * Room that is being made, or comes by itself in time, or is made by stopping others, or is kept
-   * free.
+   * Reserves capacity for a task: what is being released, or what running tasks release while the
+   * job waits, or what preemption releases, or else a machine for the first task of an aged job.
    */
-  private void reserveFutureCapacity(Snapshot.PendingJob pendingJob, Map<String, Integer> zones) {
+  private void reserveFutureCapacity(
+      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone) {
     boolean found =
-        reserveRelease(pendingJob, zones, false)
+        reserveRelease(pendingJob, tasksByZone, false)
             || (pendingJob.maxWaitS() > 0
-                && reserveFirstToFit(pendingJob, zones, pendingJob.maxWaitS()))
-            || preempt(pendingJob, zones, false);
+                && reserveFirstToFit(pendingJob, tasksByZone, pendingJob.maxWaitS()))
+            || preempt(pendingJob, tasksByZone, false);
     if (!found
         && pendingJob.agingBoost() == AgingBoost.ABOVE_ALL
         && reservedMachines < RoundState.maxReservedMachines(snapshot)
-        && reserveFirstToFit(pendingJob, zones, Double.MAX_VALUE)) {
+        && reserveFirstToFit(pendingJob, tasksByZone, Double.MAX_VALUE)) {
       reservedMachines++;
     }
   }
 
   private boolean reserveOrPreempt(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean withImageOnly) {
-    return reserveRelease(pendingJob, zones, withImageOnly)
-        || preempt(pendingJob, zones, withImageOnly);
+      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, boolean withImageOnly) {
+    return reserveRelease(pendingJob, tasksByZone, withImageOnly)
+        || preempt(pendingJob, tasksByZone, withImageOnly);
   }
 
-  /** Reserves the room that comes free first, if within so many seconds. */
+  /**
+   * Reserves capacity on the machine on which a task fits first, if within {@code maxS} seconds.
+   */
   private boolean reserveFirstToFit(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, double maxS) {
+      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, double maxS) {
     FreeCapacity best = null;
     double bestS = Double.POSITIVE_INFINITY;
     for (FreeCapacity capacity : machines) {
       double fitsInS =
-          allowed(pendingJob.spec(), zones, capacity.machine)
+          allowsMachine(pendingJob.spec(), tasksByZone, capacity.machine)
               ? secondsUntilFits(pendingJob.spec(), capacity)
               : bestS;
       if (fitsInS < bestS) {
@@ -323,36 +343,36 @@
   }
 
   private double secondsUntilFits(JobSpec spec, FreeCapacity capacity) {
-    List<Snapshot.RunningTask> ending = new ArrayList<>(capacity.machine.running());
-    ending.removeIf(r -> r.isStopping() || stopped.contains(r));
-    ending.sort(Comparator.comparingDouble(r -> r.remainingS(snapshot.nowMs())));
+    List<Snapshot.RunningTask> byCompletion = new ArrayList<>(capacity.machine.running());
+    byCompletion.removeIf(task -> task.isStopping() || preemptedTasks.contains(task));
+    byCompletion.sort(Comparator.comparingDouble(task -> task.remainingS(snapshot.nowMs())));
     double cpus = capacity.cpus + capacity.releasingCpus;
     double cards = capacity.cards + capacity.releasingCards;
     double memGb = capacity.memGb + capacity.releasingMemGb;
     double fitsInS = 0;
-    for (int i = 0; i <= ending.size(); i++) {
+    for (int i = 0; i <= byCompletion.size(); i++) {
       if (capacity.slots > 0
           && spec.cpus() <= cpus + EPSILON
           && spec.cards() <= cards + EPSILON
           && spec.memGb() <= memGb + EPSILON) {
         return fitsInS;
       }
-      if (i < ending.size()) {
-        Snapshot.RunningTask r = ending.get(i);
-        fitsInS = r.remainingS(snapshot.nowMs());
-        cpus += r.cpus();
-        cards += r.cards();
-        memGb += r.memGb();
+      if (i < byCompletion.size()) {
+        Snapshot.RunningTask task = byCompletion.get(i);
+        fitsInS = task.remainingS(snapshot.nowMs());
+        cpus += task.cpus();
+        cards += task.cards();
+        memGb += task.memGb();
       }
     }
     return Double.POSITIVE_INFINITY;
   }
 
   private boolean reserveRelease(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean withImageOnly) {
+      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, boolean withImageOnly) {
     JobSpec spec = pendingJob.spec();
     for (FreeCapacity capacity : machines) {
-      if (allowed(spec, zones, capacity.machine)
+      if (allowsMachine(spec, tasksByZone, capacity.machine)
           && (!withImageOnly || capacity.machine.images().contains(spec.image()))
           && (capacity.releasingCpus > 0 || capacity.releasingMemGb > 0)
           && capacity.fitsAfterReleases(spec)) {
@@ -364,17 +384,18 @@
   }
 
   /**
-   * Stops less urgent work, or borrowed work of others, where that lets this task start soon; only
-   * on machines that have its image, if so asked. True if room is being made.
+   * Preempts less urgent work, or borrowed work of other teams, where that costs least, and
+   * reserves the released capacity; if {@code withImageOnly}, only on machines that have the job's
+   * image. Returns false if no preemption lets the task fit.
    */
   private boolean preempt(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> zones, boolean withImageOnly) {
+      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, boolean withImageOnly) {
     JobSpec spec = pendingJob.spec();
     FreeCapacity best = null;
     List<Snapshot.RunningTask> bestPreempted = null;
     double bestCost = Double.MAX_VALUE;
     for (FreeCapacity capacity : machines) {
-      if (!allowed(spec, zones, capacity.machine)
+      if (!allowsMachine(spec, tasksByZone, capacity.machine)
           || (withImageOnly && !capacity.machine.images().contains(spec.image()))) {
         continue;
       }
@@ -382,11 +403,11 @@
       if (preempted == null) {
         continue;
       }
-      double lost =
+      double lostCpuS =
           preempted.stream()
-              .mapToDouble(v -> v.elapsedS(snapshot.nowMs()) * Math.max(1, v.cpus()))
+              .mapToDouble(task -> task.elapsedS(snapshot.nowMs()) * Math.max(1, task.cpus()))
               .sum();
-      double cost = lost + 100 * score(pendingJob, capacity);
+      double cost = lostCpuS + 100 * score(pendingJob, capacity);
       if (cost < bestCost) {
         best = capacity;
         bestPreempted = preempted;
@@ -394,12 +415,12 @@
       }
     }
     if (best != null) {
-      for (Snapshot.RunningTask v : bestPreempted) {
-        stopped.add(v);
-        stops.add(v);
-        best.releasingCpus += v.cpus();
-        best.releasingCards += v.cards();
-        best.releasingMemGb += v.memGb();
+      for (Snapshot.RunningTask task : bestPreempted) {
+        preemptedTasks.add(task);
+        preemptions.add(task);
+        best.releasingCpus += task.cpus();
+        best.releasingCards += task.cards();
+        best.releasingMemGb += task.memGb();
       }
       reserve(best, spec);
     }
@@ -417,18 +438,18 @@
     JobSpec spec = pendingJob.spec();
     List<Snapshot.RunningTask> candidates = new ArrayList<>(capacity.machine.running());
     candidates.removeIf(
-        r ->
-            r.isStopping()
-                || stopped.contains(r)
-                || snapshot.nonPreemptible().contains(r.attempt()));
+        task ->
+            task.isStopping()
+                || preemptedTasks.contains(task)
+                || snapshot.nonPreemptible().contains(task.attempt()));
     candidates.sort(
         Comparator.comparing(Snapshot.RunningTask::priority)
             .reversed()
-            .thenComparingDouble(r -> r.elapsedS(snapshot.nowMs())));
+            .thenComparingDouble(task -> task.elapsedS(snapshot.nowMs())));
     List<Snapshot.RunningTask> preempted = new ArrayList<>();
-    for (Snapshot.RunningTask r : candidates) {
-      if (!isEnough(spec, capacity, preempted) && mayPreempt(pendingJob, r, preempted)) {
-        preempted.add(r);
+    for (Snapshot.RunningTask task : candidates) {
+      if (!isEnough(spec, capacity, preempted) && mayPreempt(pendingJob, task, preempted)) {
+        preempted.add(task);
       }
     }
     return isEnough(spec, capacity, preempted) && !preempted.isEmpty() ? preempted : null;
@@ -439,10 +460,10 @@
     double cpus = capacity.cpus + capacity.releasingCpus;
     double cards = capacity.cards + capacity.releasingCards;
     double memGb = capacity.memGb + capacity.releasingMemGb;
-    for (Snapshot.RunningTask r : preempted) {
-      cpus += r.cpus();
-      cards += r.cards();
-      memGb += r.memGb();
+    for (Snapshot.RunningTask task : preempted) {
+      cpus += task.cpus();
+      cards += task.cards();
+      memGb += task.memGb();
     }
     return capacity.slots > 0
         && spec.cpus() <= cpus + EPSILON
@@ -451,43 +472,44 @@
   }
 
   /**
-   * Less urgent work may be stopped; and for a guarantee work as urgent of another team's job that
-   * is beyond its own guarantee, as long as that team uses more than it without all that is being
+   * Returns true if a task may be preempted for the job. Less urgent tasks may. For a guarantee,
+   * tasks of the same priority may too, if their job belongs to another team and lies beyond its
+   * guarantee, as long as that team uses more than its guarantee without the tasks that are being
    * stopped.
    */
   private boolean mayPreempt(
       Snapshot.PendingJob pendingJob,
-      Snapshot.RunningTask r,
-      List<Snapshot.RunningTask> stoppedBefore) {
-    if (r.priority() != pendingJob.preemptsAs()) {
-      return r.priority().compareTo(pendingJob.preemptsAs()) > 0;
+      Snapshot.RunningTask task,
+      List<Snapshot.RunningTask> chosenBefore) {
+    if (task.priority() != pendingJob.preemptsAs()) {
+      return task.priority().compareTo(pendingJob.preemptsAs()) > 0;
     }
-    String team = r.spec().team();
+    String team = task.spec().team();
     return pendingJob.isWithinGuarantee()
-        && !snapshot.preemptibleOnlyByMoreUrgent().contains(r.attempt())
-        && !snapshot.guaranteedJobs().contains(r.spec().id())
+        && !snapshot.preemptibleOnlyByMoreUrgent().contains(task.attempt())
+        && !snapshot.guaranteedJobs().contains(task.spec().id())
         && !team.equals(pendingJob.spec().team())
-        && (snapshot.teams().get(team) == null || isBeyond(team, r, stoppedBefore));
+        && (snapshot.teams().get(team) == null || isBeyond(team, task, chosenBefore));
   }
 
   private boolean isBeyond(
-      String team, Snapshot.RunningTask r, List<Snapshot.RunningTask> stoppedBefore) {
+      String team, Snapshot.RunningTask task, List<Snapshot.RunningTask> chosenBefore) {
     Snapshot.TeamUsage usage = snapshot.teams().get(team);
     double cpus = usage.cpus();
     double cards = usage.cards();
     for (Snapshot.MachineState machine : snapshot.machines()) {
       for (Snapshot.RunningTask other : machine.running()) {
-        boolean ends =
-            other.isStopping() || stopped.contains(other) || stoppedBefore.contains(other);
-        if (ends && other.spec().team().equals(team)) {
+        boolean isStopping =
+            other.isStopping() || preemptedTasks.contains(other) || chosenBefore.contains(other);
+        if (isStopping && other.spec().team().equals(team)) {
           cpus -= other.cpus();
           cards -= other.cards();
         }
       }
     }
-    return (r.cpus() > 0
+    return (task.cpus() > 0
             && (usage.cpusGuaranteed() <= 0 || cpus > usage.cpusGuaranteed() + EPSILON))
-        || (r.cards() > 0
+        || (task.cards() > 0
             && (usage.cardsGuaranteed() <= 0 || cards > usage.cardsGuaranteed() + EPSILON));
   }
 }
--- a/src/test/java/fennelthread/plan/SnapshotFixtures.java
+++ b/src/test/java/fennelthread/plan/SnapshotFixtures.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Snapshots and their parts for tests that do not care about every component. */
+/** Builds snapshots and their parts with defaults for what most tests do not need. */
 final class SnapshotFixtures {
   static final long NOW_MS = 1_000_000;
 
@@ -40,26 +40,26 @@
       String name,
       String type,
       String zone,
-      boolean spot,
-      double cpusTotal,
-      double cpus,
-      double cards,
-      double memGb,
+      boolean isSpot,
+      double totalCpus,
+      double freeCpus,
+      double freeCards,
+      double freeMemGb,
       double fetchGbPerS,
       Set<String> images,
       Set<String> fetching,
       Map<String, Integer> tasksByClass,
       List<Snapshot.RunningTask> running) {
     MachineType machineType =
-        new MachineType(type, cpusTotal, 0, 0, 0, fetchGbPerS, 0, 0, 0, List.of());
+        new MachineType(type, totalCpus, 0, 0, 0, fetchGbPerS, 0, 0, 0, List.of());
     return new Snapshot.MachineState(
         name,
         machineType,
         zone,
-        spot,
-        cpus,
-        cards,
-        memGb,
+        isSpot,
+        freeCpus,
+        freeCards,
+        freeMemGb,
         images,
         fetching,
         tasksByClass,
@@ -88,14 +88,18 @@
   }
 
   static Snapshot.MachineState machine(
-      String name, double total, double free, String image, Snapshot.RunningTask... running) {
+      String name,
+      double totalCpus,
+      double freeCpus,
+      String image,
+      Snapshot.RunningTask... running) {
     return machine(
         name,
         "mesa",
         "z",
         false,
-        total,
-        free,
+        totalCpus,
+        freeCpus,
         0,
         64,
         1,
@@ -105,8 +109,8 @@
         List.of(running));
   }
 
-  /** A task of 4 CPUs that runs on machine a since {@code runS} seconds. */
-  static Snapshot.RunningTask running(String id, String team, Priority priority, long runS) {
+  /** A task of 4 CPUs that has run on machine a for {@code elapsedS} seconds. */
+  static Snapshot.RunningTask running(String id, String team, Priority priority, long elapsedS) {
     return new Snapshot.RunningTask(
         job(id, team, priority, 1, 4),
         priority,
@@ -117,7 +121,7 @@
         4,
         0,
         1,
-        NOW_MS - runS * 1000,
+        NOW_MS - elapsedS * 1000,
         60);
   }
 
@@ -148,7 +152,7 @@
         1);
   }
 
-  static Map<String, Snapshot.TeamUsage> teams(double cap) {
-    return Map.of("roja", usage(0, 0, cap, 0), "azul", usage(0, 0, cap, 0));
+  static Map<String, Snapshot.TeamUsage> teams(double cpusMax) {
+    return Map.of("roja", usage(0, 0, cpusMax, 0), "azul", usage(0, 0, cpusMax, 0));
   }
 }
