--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * The term of this controller while it leads, and its last one until another controller leads. A
- * resigned term takes no decisions, but goes on answering reports so that the workers' leases do
- * not expire and their tasks go on.
+ * Holds this controller's active term while it leads, and its resigned term until another
+ * controller leads. A resigned term makes no scheduling decisions, but it still answers reports so
+ * that the workers' leases do not expire and their tasks keep running. Used on the event loop's
+ * thread only.
  */
 public final class CurrentTerm {
 
@@ -30,14 +31,18 @@
     this.lease = lease;
   }
 
-  /** Begins a term, after closing the resigned one if there is one. */
+  /**
+   * Begins a term, after closing the resigned one if there is one.
+   *
+   * @param nowMs the time of the election, ms of the local clock
+   */
   public void begin(long nowMs, TermFactory factory) {
     electedAtMs = nowMs;
     closeResigned();
     active = factory.createTerm();
   }
 
-  /** Resigns the active term; does nothing without one. */
+  /** Resigns the active term, which still answers reports; does nothing without one. */
   public void resign() {
     if (active != null) {
       active.resign();
@@ -57,7 +62,8 @@
    * Answers a report if this controller leads, or led last and has observed no later epoch.
    *
    * @param receivedBy the controller that received the report
-   * @return null if this controller must not answer; not an Optional, as every report passes here
+   * @return null if this controller must not answer; not an Optional, because this runs for every
+   *     report
    */
   Answer answer(WorkerReport report, String receivedBy) {
     if (active != null && lease.isLeading() && lease.epoch() >= lease.highestEpoch()) {
@@ -91,7 +97,7 @@
     return active == null ? Map.of() : active.addresses();
   }
 
-  /** Describes what is held in memory, for one line of the log. */
+  /** Describes the number of objects that the active term holds, for one log line. */
   public String memoryUsage() {
     return active == null ? "leading=false" : active.memoryUsage();
   }
--- a/src/main/java/fennelthread/control/FollowerReportHandler.java
+++ b/src/main/java/fennelthread/control/FollowerReportHandler.java
@@ -14,8 +14,9 @@
 import java.util.function.Consumer;
 
 /**
- * What a follower does with a worker's report: renews the worker's lease in the place of a silent
- * leader, relays the report to the leader, or redirects the worker to another controller.
+ * Handles workers' reports on a follower: renews the worker's lease in place of a silent leader,
+ * relays the report to the leader, or redirects the worker to another controller. Used on the event
+ * loop's thread only.
  */
 public final class FollowerReportHandler {
   private final EventLoop eventLoop;
@@ -51,7 +52,7 @@
     this.unreachableLeader = unreachableLeader;
   }
 
-  /** Handles one report; a relayed one is answered once the leader has answered. */
+  /** Handles one report; {@code reply} is called later if the report is relayed. */
   void handle(WorkerReport report, Consumer<Answer> reply) {
     workers.recordReport(report, eventLoop.nowMs());
     Leader leader = directory.currentLeader();
@@ -71,7 +72,9 @@
     }
   }
 
-  /** The controller to redirect a worker to, null for the next one in the worker's own order. */
+  /**
+   * Returns the controller to redirect a worker to, null for the next in the worker's own order.
+   */
   private String redirectTarget(Leader leader, boolean peerLeads, Relay.Decision decision) {
     boolean leaderSilent =
         !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.RENEWAL_ABSTENTION_MS;
@@ -82,7 +85,7 @@
     return decision == Relay.Decision.TO_LEADER ? leader.member() : null;
   }
 
-  /** The answer that redirects to the next controller in the worker's own order. */
+  /** Returns the answer that redirects to the next controller in the worker's own order. */
   static Answer redirectToNext() {
     return redirectTo(null);
   }
--- a/src/main/java/fennelthread/control/KnownWorkers.java
+++ b/src/main/java/fennelthread/control/KnownWorkers.java
@@ -10,23 +10,25 @@
 /**
  * The workers that a follower knows, so that it can probe them at once when it is elected: their
  * addresses, from reports and from the leader's heartbeats, and which of them have reported to this
- * controller lately. Bounded by {@link RelayConstants#KNOWN_ADDRESSES}.
+ * controller within {@link PeerConstants#PEER_SILENT_MS}. Holds at most {@link
+ * RelayConstants#KNOWN_ADDRESSES} addresses. Used on the event loop's thread only.
  */
 public final class KnownWorkers {
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private final Map<String, Long> reportedAtMs = new LinkedHashMap<>();
 
-  /** Records a report that a worker sent here although another controller leads. */
+  /** Records a report that a worker sent to this controller while it follows. */
   void recordReport(WorkerReport report, long nowMs) {
     reportedAtMs.put(report.machine(), nowMs);
     addresses.put(report.machine(), report.address());
     evictOldest();
   }
 
-  /** Applies a heartbeat of the leader: addresses of workers, and names of those that are gone. */
-  public void updateFromLeader(Map<String, String> reporting, Collection<String> gone) {
-    addresses.putAll(reporting);
-    gone.forEach(addresses::remove);
+  /** Applies the leader's heartbeat: changed addresses by machine name, and removed machines. */
+  public void updateFromLeader(
+      Map<String, String> changedAddresses, Collection<String> removedMachines) {
+    addresses.putAll(changedAddresses);
+    removedMachines.forEach(addresses::remove);
     evictOldest();
   }
 
@@ -36,12 +38,12 @@
     }
   }
 
-  /** Forgets reports that are no longer recent; their addresses stay. */
+  /** Forgets reports that are no longer recent; the addresses of their machines stay. */
   void forgetOldReports(long nowMs) {
     reportedAtMs.values().removeIf(reportedAt -> nowMs - reportedAt > PeerConstants.PEER_SILENT_MS);
   }
 
-  /** The number of workers that have reported here lately. */
+  /** The number of workers that have recently reported to this controller. */
   public int recentReporters() {
     return reportedAtMs.size();
   }
--- a/src/main/java/fennelthread/control/LeaderDirectory.java
+++ b/src/main/java/fennelthread/control/LeaderDirectory.java
@@ -5,8 +5,9 @@
 import fennelthread.relay.Leader;
 
 /**
- * Which controller leads, by the latest of two sources: the leader's record in the replica, and the
- * heartbeats of a peer whose claim the replica has not reached yet.
+ * Determines which controller leads, from whichever of two sources has the higher epoch: the
+ * leader's record in the replica, and the heartbeats of a peer whose claim the replica has not
+ * reached yet. Used on the event loop's thread only.
  */
 public final class LeaderDirectory {
   private final Lease lease;
@@ -17,7 +18,9 @@
     this.lease = lease;
   }
 
-  /** Records the sender of a heartbeat as leader if it leads under the highest epoch so far. */
+  /**
+   * Records the heartbeat's sender as leader if its epoch is the highest in any heartbeat so far.
+   */
   public void observeHeartbeat(PeerHeartbeat heartbeat) {
     if (heartbeat.leading() && heartbeat.epoch() >= fromHeartbeats.epoch()) {
       fromHeartbeats = new Leader(heartbeat.member(), heartbeat.epoch());
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -8,8 +8,8 @@
 
 /**
  * Checks periodically whether this controller should lead. A follower claims the lease if nobody
- * leads. A leader steps down when the state service refuses only it, or when the workers reach only
- * its peers.
+ * leads. A leader steps down when the state service refuses requests of this controller only, or
+ * when workers reach only its peers. Used on the event loop's thread only.
  */
 public final class LeaderSupervisor {
   private final EventLoop eventLoop;
@@ -20,7 +20,7 @@
   private final WorkerReachabilityCheck reachability;
   private final UnreachableLeaderPublisher unreachableLeader;
 
-  /** Creates a supervisor; {@link #runChecks} is to be called periodically. */
+  /** Creates a supervisor; the caller schedules {@link #runChecks}. */
   public LeaderSupervisor(
       EventLoop eventLoop,
       Lease lease,
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -23,8 +23,8 @@
 
 /**
  * The cloud's machine types, which every controller needs to validate submissions. They are fetched
- * from the cloud; the leader also stores them in the state service, so that a controller that
- * starts during an outage of the cloud has them.
+ * from the cloud; the leader also stores them in the state service, for controllers that start
+ * during a cloud outage. Used on the event loop's thread only.
  */
 public final class MachineTypes implements MachineTypeCatalog {
   private static final Logger log = LoggerFactory.getLogger(MachineTypes.class);
@@ -37,7 +37,7 @@
   private Map<String, MachineType> byName = new LinkedHashMap<>();
   private boolean fetching;
 
-  /** Creates an empty set of types; {@link #fetchFromCloud} and the replica fill it. */
+  /** Creates an empty catalog, which {@link #fetchFromCloud} and the replica fill. */
   public MachineTypes(
       EventLoop eventLoop, CloudClient cloud, StateClient state, Replica replica, Lease lease) {
     this.eventLoop = eventLoop;
@@ -70,7 +70,7 @@
         });
   }
 
-  /** Takes over the types from the state service, unless the types are known already. */
+  /** Applies the types stored in the state service, unless types are known already. */
   public void onRecordChanged(String key, Fields value) {
     if (!key.equals(Keys.MACHINE_TYPES) || value == null || !byName.isEmpty()) {
       return;
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Takes over the types that this controller, as leader, has fetched from the cloud, and stores
-   * them if they differ from what is stored.
+   * Replaces the types by those that this controller, as leader, has fetched from the cloud, and
+   * stores them if they differ from the stored ones.
    */
   @Override
   public void replaceAndStore(List<MachineType> types) {
@@ -115,7 +115,7 @@
     state.submitTxn(RequestPriority.MAINTENANCE, txn, result -> {});
   }
 
-  /** Leaves out the prices: they change all the time, and would be stored each time. */
+  /** Omits the prices, which change often: each change would cause another write. */
   private static MachineType withoutPrices(MachineType type) {
     return new MachineType(
         type.name(),
--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -11,8 +11,8 @@
 
 /**
  * Routes workers' reports: to the term of this controller if it leads, and to {@link
- * FollowerReportHandler} otherwise. A report that is a copy of an earlier one is redirected and
- * changes nothing.
+ * FollowerReportHandler} otherwise. A duplicate of an earlier report is answered with a redirect
+ * and has no other effect. Used on the event loop's thread only.
  */
 public final class ReportRouter {
   private final EventLoop eventLoop;
@@ -50,7 +50,7 @@
   /** Answers a report that a worker sent to this controller; {@code reply} may be called later. */
   public void handle(WorkerReport report, Consumer<Answer> reply) {
     if (order.rejects(report)) {
-      // Its sender no longer waits for an answer, and its content is out of date.
+      // The worker no longer waits for an answer to a duplicate, and its content is out of date.
       reply.accept(FollowerReportHandler.redirectToNext());
       return;
     }
@@ -67,11 +67,12 @@
   /**
    * Answers a report that a peer relays to this controller as the leader of {@code epoch}.
    *
-   * @return null if this controller must not answer; not an Optional, as every report passes here
+   * @return null if this controller must not answer; not an Optional, because this runs for every
+   *     report
    */
   public Answer handleRelayed(WorkerReport report, long epoch, String peer) {
     lease.observeEpoch(epoch);
-    boolean accepted = epoch == lease.epoch() && !order.rejects(report);
-    return accepted ? term.answer(report, peer) : null;
+    boolean isAccepted = epoch == lease.epoch() && !order.rejects(report);
+    return isAccepted ? term.answer(report, peer) : null;
   }
 }
--- a/src/main/java/fennelthread/control/StateServiceCheck.java
+++ b/src/main/java/fennelthread/control/StateServiceCheck.java
@@ -7,9 +7,9 @@
 import fennelthread.state.StateClient;
 
 /**
- * Whether the state service serves this controller: confirms that the replica is current while
- * nothing changes, and tells an outage, which all controllers see, from a refusal that only this
- * one sees.
+ * Checks whether the state service serves this controller: confirms that the replica is current
+ * while nothing changes, and distinguishes an outage, which affects all controllers, from a refusal
+ * that affects only this one. Used on the event loop's thread only.
  */
 public final class StateServiceCheck {
   private final EventLoop eventLoop;
@@ -17,7 +17,7 @@
   private final Replica replica;
   private final PeerHeartbeats peers;
 
-  /** Creates a check; {@code peers} know whether the state service serves the others. */
+  /** Creates a check; {@code peers} tells whether the state service serves the others. */
   public StateServiceCheck(
       EventLoop eventLoop, StateClient state, Replica replica, PeerHeartbeats peers) {
     this.eventLoop = eventLoop;
@@ -27,23 +27,27 @@
   }
 
   /**
-   * Asks the state service for its number of changes if it has been silent for a while. An open
-   * watch gets no answer during an outage, and none while nothing changes: peers rely on the answer
-   * to tell an outage from a refusal, and how current the replica is decides how long leases may be
-   * renewed.
+   * Reads the store revision if the state service has been silent for {@link
+   * ControlConstants#STATE_SILENCE_CHECK_MS}. An open watch gets no answer during an outage, and
+   * none while nothing changes. The answer tells peers an outage from a refusal, and confirms how
+   * current the replica is, which limits how long leases may be renewed.
    */
   void confirmReplicaIfSilent() {
-    long now = eventLoop.nowMs();
-    boolean silent =
-        now - Math.min(state.lastServedAtMs(), replica.currentAsOfMs())
+    long nowMs = eventLoop.nowMs();
+    boolean isSilent =
+        nowMs - Math.min(state.lastServedAtMs(), replica.currentAsOfMs())
             > ControlConstants.STATE_SILENCE_CHECK_MS;
-    if (replica.isReady() && silent) {
+    if (replica.isReady() && isSilent) {
       state.readStoreRevision(
-          revision -> revision.ifPresent(reached -> replica.confirmRevision(reached, now)));
+          revision ->
+              revision.ifPresent(storeRevision -> replica.confirmRevision(storeRevision, nowMs)));
     }
   }
 
-  /** True if the state service refuses this controller and has served a peer since. */
+  /**
+   * True if requests of this controller keep failing and the state service has served a peer since
+   * they began to fail.
+   */
   public boolean isRefusedOnlyHere() {
     return state.failingForMs() > ControlConstants.REFUSED_ONLY_HERE_MS
         && peers.peerServedAfter(
--- a/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
+++ b/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
@@ -6,8 +6,9 @@
 import fennelthread.relay.UnreachableLeaderNotice;
 
 /**
- * Publishes, through the state service, that workers of the leader report to this follower. It does
- * so while the leader is silent on the peer network; through heartbeats the leader would know.
+ * Publishes, through the state service, that the leader's workers report to this follower. It does
+ * so only while the leader is silent on the peer network; otherwise heartbeats tell the leader.
+ * Used on the event loop's thread only.
  */
 public final class UnreachableLeaderPublisher {
   private final String member;
@@ -34,13 +35,13 @@
     this.notice = notice;
   }
 
-  /** Records that a worker under the current leader's token reported here, and publishes if due. */
+  /** Records that a worker under the current leader's epoch reported here, and publishes if due. */
   void recordLeadersWorker(String machine) {
     notice.came(machine);
     publishIfDue();
   }
 
-  /** Publishes if a peer leads and can't be reached; otherwise forgets what was recorded. */
+  /** Publishes if a peer leads and is silent on the peer network; otherwise clears the record. */
   void publishIfDue() {
     Leader leader = directory.currentLeader();
     boolean peerLeads = leader.member() != null && !leader.member().equals(member);
--- a/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -12,8 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether the workers' reports still reach this leader. While they do not, it probes some workers
- * directly, and steps down if a peer says that the workers report to the peer.
+ * Checks whether workers' reports still reach this leader. While they do not, it probes some
+ * workers directly, and steps down if a peer publishes that the workers report to the peer. Used on
+ * the event loop's thread only.
  */
 public final class WorkerReachabilityCheck {
   private static final Logger log = LoggerFactory.getLogger(WorkerReachabilityCheck.class);
@@ -52,14 +53,14 @@
                 reportMs * ControlConstants.NO_REPORTS_INTERVALS);
   }
 
-  /** Checks whether reports still reach this leader, and probes some workers if none does. */
+  /** Checks whether reports still reach this leader, and probes some workers if none do. */
   void probeIfUnreachable() {
     if (!term.isActive()) {
       return;
     }
     if (reachability.look(eventLoop.nowMs(), term.reportingWorkers())) {
       log.info(
-          "no report reaches the leader, workers are reached through peers epoch={}",
+          "leader receives no worker reports and sends commands through peers epoch={}",
           lease.epoch());
       peers.sendHeartbeats();
     }
@@ -89,18 +90,18 @@
   }
 
   /**
-   * Steps down if no report reaches this leader, and a peer that can't reach it either says through
-   * the state service that the workers report to the peer.
+   * Steps down if no report reaches this leader, and a peer that can't reach it on the peer network
+   * publishes through the state service that workers report to the peer.
    */
   public void stepDownOnNotice() {
     if (lease.isLeading() && reachability.isDeaf() && notice.wasRead(lease.epoch())) {
       lease.stepDown(
-          "workers reach only peers, by a notice in the state service",
+          "a peer reports through the state service that workers reach only peers",
           ControlConstants.STEP_DOWN_PAUSE_MS);
     }
   }
 
-  /** True if workers have reported to peers, and none for long to this leader. */
+  /** True if workers report to peers, and none has reported to this leader within the limit. */
   boolean workersReachOnlyPeers() {
     return eventLoop.nowMs() - term.lastReportAtMs() > noReportsLimitMs
         && peers.reportsReceivedByPeers() > 0;
--- a/src/main/java/fennelthread/control/package-info.java
+++ b/src/main/java/fennelthread/control/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What a controller does beside scheduling: it routes the workers' reports ({@link
+ * A controller's work beside scheduling: routes the workers' reports ({@link
  * fennelthread.control.ReportRouter}), steps down when it can't serve as leader ({@link
- * fennelthread.control.LeaderSupervisor}, a good place to begin) and keeps what a follower must
+ * fennelthread.control.LeaderSupervisor}, the class to read first) and keeps what a follower must
  * know to take over. Everything runs on the event loop's thread.
  */
 package fennelthread.control;
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -12,10 +12,10 @@
 import fennelthread.state.StateClient;
 
 /**
- * Fast failover of the leader. Followers of which a majority agrees that the leader is silent take
- * over with one transaction, before the leader's lease at the state service expires. {@link
- * LeaderProtection} is the leader's part, {@link TakeoverCoordinator} the follower's; {@link
- * LeadershipPromises} explains why that is safe.
+ * Fast failover of the leader. Once a majority of the controllers agrees that the leader is silent,
+ * a follower takes over with one transaction, before the leader's lease at the state service
+ * expires. {@link LeaderProtection} is the leader's part, {@link TakeoverCoordinator} the
+ * follower's; {@link LeadershipPromises} explains why that is safe.
  */
 public final class LeaderElection {
   private final EventLoop eventLoop;
@@ -23,7 +23,7 @@
   private final LeaderProtection protection;
   private final TakeoverCoordinator takeover;
 
-  /** Creates one controller's part in elections, and registers with the heartbeats and replica. */
+  /** Creates one controller's part in elections, and registers with its heartbeats and replica. */
   public LeaderElection(
       EventLoop eventLoop,
       Settings settings,
@@ -48,7 +48,7 @@
         });
   }
 
-  /** Starts the periodic checks, every {@link ElectionConstants#CHECK_INTERVAL_MS}. */
+  /** Runs the checks now and then every {@link ElectionConstants#CHECK_INTERVAL_MS}; call once. */
   public void start() {
     eventLoop.after(ElectionConstants.CHECK_INTERVAL_MS, this::start);
     if (!takeover.isReady()) {
@@ -63,17 +63,17 @@
     }
   }
 
-  /** Begins a term of this controller. */
+  /** Begins a term that this controller leads under {@code epoch}. */
   public void beginTerm(long epoch) {
     protection.beginTerm(epoch);
   }
 
-  /** True if no other controller can have taken over by now; only meaningful while leading. */
+  /** True if no other controller can have taken over yet; only meaningful while leading. */
   public boolean excludesTakeover() {
     return protection.excludesTakeover();
   }
 
-  /** Adds promises to the answers to heartbeats, and reads those of the followers. */
+  /** Adds promises to this follower's answers, and records those that this leader receives. */
   private final class HeartbeatListener implements HeartbeatExtension {
     @Override
     public PeerHeartbeat extendAnswer(PeerHeartbeat heartbeat, PeerHeartbeat answer) {
--- a/src/main/java/fennelthread/election/LeaderProtection.java
+++ b/src/main/java/fennelthread/election/LeaderProtection.java
@@ -6,9 +6,8 @@
 import fennelthread.peers.PeerHeartbeat;
 
 /**
- * The leader's part of failover: makes sure that no takeover can be applied while it starts work,
- * by its followers' {@link LeadershipPromises} or else by a {@link UnilateralLeadership}
- * declaration.
+ * The leader's part of failover: ensures that no takeover can be applied while it starts tasks, by
+ * its followers' {@link LeadershipPromises} or else by a {@link UnilateralLeadership} declaration.
  */
 final class LeaderProtection {
 
@@ -31,17 +30,20 @@
     this.declaration = declaration;
   }
 
-  /** Begins a term of this controller. */
+  /** Begins a term that this controller leads under {@code epoch}. */
   void beginTerm(long epoch) {
     promises.beginEpoch(epoch);
     declaration.beginTerm();
     promiseWithheldSinceMs = ElectionConstants.NEVER;
     enoughPromisesSinceMs = ElectionConstants.NEVER;
-    // Promises come with the next heartbeats, and peers must have seen the epoch first.
+    // No promise is in force yet: peers give promises only in answers to heartbeats, and only for
+    // an
+    // epoch that they have observed.
+
     declaration.declare();
   }
 
-  /** True if no takeover can have been applied by now. */
+  /** True if no takeover can have been applied yet. */
   boolean excludesTakeover() {
     return declaration.isDeclared() || eventLoop.nowMs() < promises.protectedUntilMs();
   }
@@ -81,7 +83,8 @@
         && nowMs - enoughPromisesSinceMs > ElectionConstants.REVOKE_DECLARATION_AFTER_MS) {
       declaration.revoke();
     } else if (!declaration.isDeclared() && isPromiseWithheldTooLong(nowMs)) {
-      // A follower that may have agreed to a takeover: rewriting the key frees it to promise again.
+      // The follower may have agreed to a takeover: it promises again once the key is rewritten.
+
       promiseWithheldSinceMs = ElectionConstants.NEVER;
       declaration.revoke();
     }
@@ -93,9 +96,9 @@
   }
 
   /**
-   * True if the declaration may be recorded: known to be, or found in the replica because the
-   * answer to its write or its revocation was lost. While it is, nobody can take over should this
-   * leader fail.
+   * True if the declaration is known to be recorded, or is in the replica because the answer to its
+   * write or its revocation was lost. While it is recorded, nobody can take over if this leader
+   * fails.
    */
   private boolean mayBeDeclared() {
     return declaration.isDeclared() || declaration.isRecordedFor(lease.epoch());
--- a/src/main/java/fennelthread/election/LeaderView.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -5,8 +5,8 @@
 
 /**
  * One follower's failure detector for the leader of one epoch: what the follower has promised that
- * leader, and whether it may support a takeover from it. Has no clock of its own: each call passes
- * the time, ms of the local clock.
+ * leader, and whether it may agree to a takeover. Has no clock of its own: each call passes the
+ * time, ms of the local clock.
  */
 public final class LeaderView {
 
@@ -14,12 +14,15 @@
   public enum Phase {
     /** Heartbeats arrive, and a promise is in force. */
     TRUSTED,
-    /** None has arrived for longer than ever before: the follower asks the others. */
+    /**
+     * No heartbeat has arrived for the silence timeout and no promise is in force: the follower
+     * asks the others for agreement to a takeover.
+     */
     SUSPECTED,
     /**
-     * The follower has agreed to a takeover, or may have done so before this process started. It
-     * promises nothing until the leader has rewritten its {@link UnilateralLeadership} declaration,
-     * which makes every takeover that was agreed on before inapplicable.
+     * The follower has agreed to a takeover, or may have done so before this process started. It *
+     * makes no promise until the leader has rewritten its {@link UnilateralLeadership} declaration,
+     * after which no takeover that was agreed on before can be applied.
      */
     AGREED_TO_TAKEOVER
   }
@@ -36,8 +39,8 @@
   private int gapCount;
 
   /**
-   * Begins the view of a new process in the middle of an epoch. It knows nothing of what its
-   * predecessor promised or agreed to, so it counts as having agreed to a takeover.
+   * Begins the view of a new process, possibly in the middle of an epoch. The process can't know
+   * what its predecessor promised or agreed to, so it counts as having agreed to a takeover.
    *
    * @param stateRevision the revision of the state that this process has read
    */
@@ -82,8 +85,8 @@
 
   /**
    * Checks whether the leader is silent; to be called every {@link
-   * ElectionConstants#CHECK_INTERVAL_MS}. A check that runs late means that this process was
-   * stalled and has heartbeats still to read: the silence is counted from that check on.
+   * ElectionConstants#CHECK_INTERVAL_MS}. A late check means that this process was stalled and may
+   * have unread heartbeats: silence then counts from that check.
    *
    * @return true if the leader is suspected
    */
@@ -92,14 +95,17 @@
       lateCheckAtMs = nowMs;
     }
     lastCheckAtMs = nowMs;
-    boolean silent = isSilent(nowMs);
-    if (phase == Phase.TRUSTED && silent) {
+    boolean isSilent = isSilent(nowMs);
+    if (phase == Phase.TRUSTED && isSilent) {
       transitionTo(Phase.SUSPECTED);
     }
-    return silent;
+    return isSilent;
   }
 
-  /** True if the leader is silent for longer than ever before, and the last promise has expired. */
+  /**
+   * True if the last promise has expired, the epoch is old enough, and no heartbeat has arrived for
+   * the silence timeout: a multiple of the longest recent gap, but no less than a promise lasts.
+   */
   private boolean isSilent(long nowMs) {
     long longestGapMs = 0;
     for (int i = 0; i < Math.min(gapCount, heartbeatGapsMs.length); i++) {
@@ -115,8 +121,8 @@
   }
 
   /**
-   * Agrees to a takeover from the leader of an epoch, if the leader is silent here too. From then
-   * on nothing is promised until the leader's declaration is newer than {@code
+   * Agrees to a takeover from the leader of an epoch, if that leader is silent for this follower
+   * too. From then on it makes no promise until the leader's declaration is newer than {@code
    * declarationRevision}, on which the takeover is conditional.
    *
    * @return true if this follower agrees
@@ -143,7 +149,7 @@
     return phase;
   }
 
-  /** The epoch whose leader this is the view of, -1 before the first. */
+  /** The epoch of the observed leader, -1 before the first. */
   public long epoch() {
     return epoch;
   }
--- a/src/main/java/fennelthread/election/LeadershipPromises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /**
- * The promises of followers that allow a leader to start work although a majority may end its term
- * before its lease expires. A follower that answers a heartbeat promises not to support a takeover
- * for {@link ElectionConstants#PROMISE_MS}. While enough promises are in force no majority is free
- * to take over. Without enough, the leader must first declare in the state service that it acts
- * without them ({@link UnilateralLeadership}); every takeover is conditional on the absence of that
- * declaration.
+ * Records the followers' promises that allow a leader to start tasks although a majority may end
+ * its term before its lease expires. A follower that answers a heartbeat promises not to support a
+ * takeover for {@link ElectionConstants#PROMISE_MS}. While enough promises are in force, no
+ * majority can agree to a takeover. Without enough, the leader must first declare in the state
+ * service that it acts without them ({@link UnilateralLeadership}); every takeover is conditional
+ * on the absence of that declaration.
  *
- * <p>A promise is not a vote. A vote elects: it goes to a candidate, at most one in each term, and
- * has no end. A promise elects nobody: it goes to the controller that leads already, is given anew
- * with each heartbeat, expires by itself, and only keeps the follower from agreeing to a takeover
- * meanwhile. In other protocols this is called a leader lease or a quorum check.
+ * <p>A promise is not a vote. A vote goes to a candidate, at most one in each term, and does not
+ * expire. A promise goes to the controller that leads already, is renewed with each heartbeat,
+ * expires by itself, and only keeps the follower from agreeing to a takeover meanwhile. Other
+ * protocols call this a leader lease or a quorum check.
  *
- * <p>The leader counts a promise from before its heartbeat was sent and the follower from when it
- * arrived, so that it ends for the leader first. That needs a bound on the drift of the followers'
- * clocks ({@link ProtocolConstants#CLOCK_DRIFT}) as well as of the leader's.
+ * <p>The leader counts a promise from when it sent the heartbeat, and the follower from when it
+ * arrived, so that the promise ends first for the leader. This relies on a bound on the drift of
+ * the followers' clocks and the leader's ({@link ProtocolConstants#CLOCK_DRIFT}).
  */
 public final class LeadershipPromises {
   private final Map<String, Long> heartbeatSentAtMs = new HashMap<>();
@@ -37,7 +37,7 @@
     this.required = controllers - majority(controllers);
   }
 
-  /** The number of controllers that must agree to a takeover from one that is not among them. */
+  /** The number of controllers that must agree to a takeover, the candidate included. */
   static int majority(int controllers) {
     return controllers / 2 + 1;
   }
@@ -75,7 +75,7 @@
     return sentAtMs[sentAtMs.length - required] + validForMs();
   }
 
-  /** How long the leader relies on a promise, ms: less than its follower keeps it. */
+  /** How long the leader relies on a promise, ms: less than the time for which it binds. */
   private static long validForMs() {
     return (long) (ElectionConstants.PROMISE_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
         - ProtocolConstants.LEASE_MARGIN_MS;
--- a/src/main/java/fennelthread/election/TakeoverCoordinator.java
+++ b/src/main/java/fennelthread/election/TakeoverCoordinator.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The follower's part of failover: promises the leader not to support a takeover, suspects it when
- * it falls silent, asks the other followers whether it is silent for them too, and takes over with
- * one transaction once a majority agrees.
+ * The follower's part of failover: promises the leader not to agree to a takeover, suspects it when
+ * its heartbeats cease, asks the other controllers for agreement, and takes over with one
+ * transaction once a majority agrees.
  */
 final class TakeoverCoordinator {
   private static final Logger log = LoggerFactory.getLogger(TakeoverCoordinator.class);
@@ -67,7 +67,7 @@
     Collections.sort(members);
   }
 
-  /** True once the replica was loaded; before that nothing is promised or agreed to. */
+  /** True once the replica has been loaded; before that this controller promises nothing. */
   boolean isReady() {
     return replicaLoaded;
   }
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Moves the view on to the epoch that the replica records, if that is a later one. */
+  /** Advances the view to the epoch that the replica records, if that is a later one. */
   void followRecordedEpoch() {
     if (lease.recordedEpoch() > view.epoch()) {
       view.beginEpoch(lease.recordedEpoch(), eventLoop.nowMs());
@@ -100,7 +100,9 @@
         : 0;
   }
 
-  /** Checks whether the leader is silent, and asks the others for agreement once it is time. */
+  /**
+   * Checks whether the leader is silent, and requests agreement when this controller's turn comes.
+   */
   void checkLeader(long nowMs) {
     LeaderView.Phase before = view.phase();
     boolean suspected = view.checkSilence(nowMs);
@@ -119,8 +121,9 @@
     if (suspectedSinceMs == ElectionConstants.NEVER) {
       suspectedSinceMs = nowMs;
     }
-    // Nobody can claim without the state service: a controller that is cut off from it together
+    // No claim can succeed without the state service: a controller that is cut off from it together
     // with a peer would otherwise ask that peer every second.
+
     if (!requestingAgreement
         && state.canAnswerInTime(0)
         && nowMs - suspectedSinceMs >= successorRank() * ElectionConstants.SUCCESSOR_STEP_MS) {
@@ -128,12 +131,12 @@
     }
   }
 
-  /** True if the viewed epoch's leader honours promises and has not declared that it needs none. */
+  /** True if the leader honors promises and has not declared that it acts without them. */
   private boolean isTakeoverAllowed() {
     return lease.isTakeoverPossible(view.epoch()) && !declaration.isRecordedFor(view.epoch());
   }
 
-  /** How many controllers take over before this one: successors follow in the order of names. */
+  /** How many controllers precede this one as successors: they follow the leader in name order. */
   private int successorRank() {
     int leader = members.indexOf(lease.leaderMember());
     int own = members.indexOf(settings.member());
@@ -163,7 +166,7 @@
     eventLoop.after(ElectionConstants.AGREEMENT_PAUSE_MS, () -> requestingAgreement = false);
   }
 
-  /** The answers to one request for agreement; this controller agrees with itself. */
+  /** Counts the answers to one request for agreement; this controller counts as agreeing. */
   private final class AgreementRound {
     private final long epoch;
     private final long declarationRevision;
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -16,15 +16,15 @@
 
 /**
  * The leader's declaration, recorded in the state service, that it acts without its peers'
- * promises. Every takeover is conditional on the declaration's revision when the peers agreed to
- * it: once it is rewritten, no takeover that was agreed on before can be applied, and while it
- * stands peers agree to none.
+ * promises. Every takeover is conditional on the revision that the declaration had when the peers
+ * agreed: once it is rewritten, no takeover that was agreed on before can be applied. While it is
+ * in force, peers agree to none.
  */
 final class UnilateralLeadership {
   private static final Logger log = LoggerFactory.getLogger(UnilateralLeadership.class);
   private static final String EPOCH_FIELD = "epoch";
 
-  /** The state of the declaration. Only DECLARED entitles the leader to start work. */
+  /** The state of the declaration. Only DECLARED lets the leader start tasks without promises. */
   enum Phase {
     /** Not recorded, or recorded by a write that got no answer. */
     NOT_DECLARED,
@@ -32,7 +32,9 @@
     DECLARING,
     /** Recorded. */
     DECLARED,
-    /** A write that revokes it is in flight: from when it was sent the declaration is void here. */
+    /**
+     * A revocation is in flight: from its sending on, the leader does not rely on the declaration.
+     */
     REVOKING
   }
 
@@ -52,14 +54,14 @@
     this.lease = lease;
   }
 
-  /** Begins a term: what earlier ones recorded names another epoch. */
+  /** Begins a term: declarations recorded in earlier terms name another epoch. */
   void beginTerm() {
     term++;
     phase = Phase.NOT_DECLARED;
     lastWriteAtMs = Long.MIN_VALUE / 2;
   }
 
-  /** True if the declaration is known to be recorded and was not revoked since. */
+  /** True if the declaration is known to be recorded, and no revocation was sent since. */
   boolean isDeclared() {
     return phase == Phase.DECLARED;
   }
@@ -79,7 +81,7 @@
     }
   }
 
-  /** Records the declaration unless it is recorded or a write is in flight or was just made. */
+  /** Writes the declaration, unless it is recorded, or a write is in flight or was just made. */
   void declare() {
     if (phase == Phase.NOT_DECLARED) {
       write(true);
@@ -97,8 +99,8 @@
   }
 
   /**
-   * Writes the declaration or its revocation, conditional on the revision of the write before: one
-   * without an answer may be applied late, after the next.
+   * Writes the declaration or its revocation. The write is conditional on the revision in the
+   * replica, so that an earlier write without an answer can't be applied after this one.
    */
   private void write(boolean declared) {
     if (eventLoop.nowMs() - lastWriteAtMs < ElectionConstants.DECLARATION_RETRY_MS) {
--- a/src/main/java/fennelthread/leaserenewal/CancellationLog.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -12,22 +12,22 @@
 import java.util.Set;
 
 /**
- * The jobs that are known to have ended of late, with a numbered log of those among them whose
- * cancellation this controller may have disclosed to users; peers read that log by heartbeat.
- * Entries expire: a user who was answered longer ago than any task may live on has nothing left to
- * be stopped. Used on the event loop's thread only.
+ * The jobs that are known to have ended recently, and a numbered log of those whose cancellation
+ * this controller may have disclosed to users. Peers read the log through heartbeats. Entries
+ * expire after the retention time: by then no task of the job may still run. Used on the event
+ * loop's thread only.
  */
 public final class CancellationLog {
   private record Cancellation(long number, String jobId, long loggedAtMs) {}
 
   /**
-   * A part of the log.
+   * A part of the log, oldest entry first.
    *
-   * @param lastNumber the number of the last entry in it
+   * @param lastNumber the number of the last entry in the page
    * @param complete true if no entries follow
    */
   record Page(List<String> jobIds, long lastNumber, boolean complete) {
-    /** What is sent where nothing of the log was asked for. */
+    /** Returns the page for messages that answer no request for entries. */
     static Page none() {
       return new Page(List.of(), 0, false);
     }
@@ -40,13 +40,13 @@
   private final ArrayDeque<Cancellation> log = new ArrayDeque<>();
   private long lastNumber;
 
-  /** Creates an empty log whose entries expire after {@code retentionMs}. */
+  /** Creates an empty log whose entries expire after {@code retentionMs}, ms. */
   public CancellationLog(EventLoop eventLoop, long retentionMs) {
     this.eventLoop = eventLoop;
     this.retentionMs = retentionMs;
   }
 
-  /** Records that a job has ended, done or cancelled: no task of it may run on. */
+  /** Records that a job has completed or was cancelled: none of its tasks may run any longer. */
   public void recordEnded(String jobId) {
     endedAtMsById.putIfAbsent(jobId, eventLoop.nowMs());
     expireOld();
@@ -66,8 +66,9 @@
   }
 
   /**
-   * The log after an entry's number, oldest first. Empty and not complete if this log has no such
-   * number, or if the entries that follow it have expired.
+   * Returns the entries after a number, at most {@link
+   * LeaseRenewalConstants#CANCELLATIONS_PER_HEARTBEAT}. The page is empty and not complete if this
+   * log has no such number, or if entries that follow it have expired.
    */
   Page entriesAfter(long number) {
     long lastExpired = log.isEmpty() ? lastNumber : log.peek().number - 1;
--- a/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationWatermark.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 
 /**
- * The moment up to which this controller knows of every cancellation that was disclosed to a user.
- * The replica of the state gives one such moment. In an outage of the state service no new
- * cancellation is recorded, and the peers together give another: each lists those that it may have
- * disclosed, and it can't disclose any that it does not know of.
+ * Tracks the moment up to which this controller knows every cancellation disclosed to a user. The
+ * replica of the state gives one such moment. During an outage of the state service no new
+ * cancellation is recorded, and the peers together give another: each lists the cancellations that
+ * it may have disclosed, and it can't disclose one that it does not know.
  *
- * <p>A new process of a peer can't list what its predecessor disclosed before it ended. Its list
- * counts only once the state was read after that process was first heard from. Used on the event
+ * <p>A new process of a peer can't list what its predecessor disclosed. Its list counts only once
+ * the replica is current as of a moment after that process was first heard from. Used on the event
  * loop's thread only.
  */
 final class CancellationWatermark {
@@ -24,10 +24,10 @@
     /** When this incarnation was first heard from, ms. */
     long firstHeardAtMs = Long.MAX_VALUE;
 
-    /** The number of the last entry of its log that is known here. */
+    /** The number of the last entry received from its log. */
     long logPosition;
 
-    /** The moment up to which its list is known here in full, ms. */
+    /** The moment up to which all entries of its log have been received, ms. */
     long completeUntilMs = PeerConstants.NEVER_MS;
   }
 
@@ -41,15 +41,14 @@
     members.forEach(member -> progressByMember.put(member, new PeerProgress()));
   }
 
-  /** The moment up to which all disclosed cancellations are known, ms of our clock. */
+  /** The moment up to which all disclosed cancellations are known, ms of the local clock. */
   long completeUntilMs() {
     long replicaMs = replica.currentAsOfMs();
-    // Without peers, all disclosures are our own.
+    // Without peers, only this controller discloses cancellations.
     long peersMs = Long.MAX_VALUE / 2;
     for (PeerProgress progress : progressByMember.values()) {
-      boolean countsAlready = progress.firstHeardAtMs < replicaMs;
-      peersMs =
-          Math.min(peersMs, countsAlready ? progress.completeUntilMs : PeerConstants.NEVER_MS);
+      boolean isListValid = progress.firstHeardAtMs < replicaMs;
+      peersMs = Math.min(peersMs, isListValid ? progress.completeUntilMs : PeerConstants.NEVER_MS);
     }
     return Math.max(replicaMs, peersMs);
   }
@@ -70,9 +69,9 @@
       return;
     }
     status.cancelledJobIds().forEach(cancellations::recordEnded);
-    boolean entriesMissing = !status.complete() && status.cancelledJobIds().isEmpty();
-    if (entriesMissing || !reply.incarnation().equals(progress.incarnation)) {
-      // Its log starts anew here: only the state can tell what came before.
+    boolean hasMissingEntries = !status.complete() && status.cancelledJobIds().isEmpty();
+    if (hasMissingEntries || !reply.incarnation().equals(progress.incarnation)) {
+      // Entries may be missing: only the replica covers what came before this answer.
       progress.incarnation = reply.incarnation();
       progress.firstHeardAtMs = nowMs;
       progress.logPosition = status.lastNumber();
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -18,20 +18,22 @@
 
 /**
  * Renews workers' leases as a follower while the leader is silent: in a zone that is cut off, or
- * between a leader's end and the next claim while the state service is down. It answers workers'
- * reports under the fencing token that they obey already, and stops tasks of jobs that are known to
- * have ended; it starts nothing. {@link RenewalBounds} and {@link CancellationWatermark} limit for
- * how long, and {@link PeerRenewalTracker} is what a leader may conclude meanwhile;
- * docs/lease-renewal.md has the reasons. Used on the event loop's thread only.
+ * between a leader's failure and the next claim while the state service is down. It answers
+ * workers' reports under the fencing token that they already obey, and stops tasks of jobs that are
+ * known to have ended; it starts none. {@link RenewalBounds} and {@link CancellationWatermark}
+ * limit for how long. {@link PeerRenewalTracker} bounds, on the leader, when a follower may last
+ * have renewed. docs/lease-renewal.md has the reasons. Used on the event loop's thread only.
  */
 public final class FollowerLeaseRenewer implements HeartbeatExtension {
   private static final Logger log = LoggerFactory.getLogger(FollowerLeaseRenewer.class);
 
-  /** Whether this controller renews leases in the place of a leader that is not itself. */
+  /** Whether this controller renews leases in place of another controller that leads. */
   private enum Phase {
-    /** The leader is heard from, or no report has arrived since it fell silent. */
+    /**
+     * It renews none: the leader is heard from, renewal is not allowed, or no report has arrived.
+     */
     STANDBY,
-    /** Reports are answered in the silent leader's place. */
+    /** It answers reports in place of the silent leader. */
     RENEWING
   }
 
@@ -73,30 +75,30 @@
     peers.addExtension(this);
   }
 
-  /** The responseGate that all answers to reports of this process pass, the leader's too. */
+  /** The gate for all of this process's answers to reports, whether it leads or follows. */
   public ReportResponseGate responseGate() {
     return responseGate;
   }
 
   // ---------------------------------------------------------------- as the leader
 
-  /** Starts a term of this controller as the leader. */
+  /** Starts a term of this controller: peers' renewals are tracked anew. */
   public void onElected() {
     peerRenewals.startTerm();
     transitionTo(Phase.STANDBY);
   }
 
-  /** The last moment at which a peer may have answered a report in our epoch, ms. */
+  /** The latest moment at which a peer may have renewed a lease in this leader's epoch, ms. */
   public long latestPossiblePeerRenewalMs() {
     return peerRenewals.latestPossibleRenewalMs(eventLoop.nowMs());
   }
 
   /**
    * The moment since which no controller answers reports for an epoch older than {@code epoch}, ms;
-   * {@code Long.MAX_VALUE} if one may do so for ever.
+   * {@code Long.MAX_VALUE} while one may do so without a time limit.
    *
-   * @param unboundedEpoch the last epoch whose leader may be of a version that answers without
-   *     bound, 0 for none
+   * @param unboundedEpoch the last epoch whose leader may be of a version that answers without a
+   *     time limit, 0 for none
    */
   public long olderEpochsSilentSinceMs(long epoch, long electedAtMs, long unboundedEpoch) {
     return peers.acknowledgedSince(epoch, electedAtMs + maxPeerRenewalWindowMs, unboundedEpoch);
@@ -126,10 +128,11 @@
   }
 
   /**
-   * Promises a leader to renew no lease in its place for a while, unless that leader does not hear
-   * from us.
+   * Promises a leader to renew no lease in its place for {@link
+   * LeaseRenewalConstants#RENEWAL_ABSTENTION_MS}, unless that leader does not hear from this
+   * controller.
    *
-   * @return the epoch that the promise is given to, 0 for none
+   * @return the epoch whose leader gets the promise, 0 for none
    */
   private long promiseToAbstain(PeerHeartbeat heartbeat) {
     if (!heartbeat.leading() || heartbeat.epoch() < leaderEpoch) {
@@ -137,7 +140,9 @@
     }
     follow(heartbeat.epoch());
     if (!heartbeat.renewal().receiverHeard()) {
-      // The leader will not get this answer either: workers that reach only us must not pay for it.
+      // The leader will not receive this answer either: abstaining would only let the leases of
+      // workers that reach only this controller expire.
+
       return 0;
     }
     abstainUntilMs =
@@ -189,9 +194,9 @@
   // ---------------------------------------------------------------- as a follower
 
   /**
-   * Answers a report in the place of a silent leader, which renews the worker's lease. The fencing
-   * token is the worker's own: an equal one is obeyed from any controller, and the answer holds
-   * nothing but stops.
+   * Answers a report in place of a silent leader, which renews the worker's lease. The answer
+   * carries the worker's own fencing token, which a worker obeys from any controller, and only stop
+   * commands.
    *
    * @return the answer, or null if this controller may not renew the lease now
    */
@@ -210,7 +215,7 @@
     return responseGate.respond(report, report.token(), List.of());
   }
 
-  /** True if the worker obeys the leader that we follow, and we have promised nothing to it. */
+  /** True if the worker obeys the followed leader, and no promise to that leader is in force. */
   private boolean isLeaderSilentFor(WorkerReport report, long nowMs) {
     boolean obeysLeader =
         leaderEpoch > 0 && report.token() >> ProtocolConstants.TOKEN_BITS == leaderEpoch;
--- a/src/main/java/fennelthread/leaserenewal/LeadershipStatus.java
+++ b/src/main/java/fennelthread/leaserenewal/LeadershipStatus.java
@@ -1,11 +1,11 @@
 package fennelthread.leaserenewal;
 
-/** What this controller knows of leadership, as the renewal of leases needs it. */
+/** The leadership state of this controller that lease renewal depends on. */
 public interface LeadershipStatus {
   /** True if this controller leads. */
   boolean isLeading();
 
-  /** The epoch that this controller leads; without meaning while it does not lead. */
+  /** The epoch that this controller leads; only meaningful while it leads. */
   long ownEpoch();
 
   /** The highest epoch that this controller knows of. */
--- a/src/main/java/fennelthread/leaserenewal/PeerRenewalTracker.java
+++ b/src/main/java/fennelthread/leaserenewal/PeerRenewalTracker.java
@@ -8,23 +8,25 @@
 import java.util.Map;
 
 /**
- * A leader's upper bound on the moment at which a peer may last have renewed a worker's lease in
- * its place. A peer that answers a heartbeat promises to abstain from that for a while, which the
- * leader counts from when the heartbeat was sent. After that the peer may renew, for as long as its
- * last exchange with the leader is recent enough. A peer's statement that it renewed nothing counts
- * only in such an answer, since a heartbeat may arrive late. Used on the event loop's thread only.
+ * Computes a leader's upper bound on when a peer may last have renewed a worker's lease in its
+ * place. A peer that answers a heartbeat can promise to abstain from renewals for a while, which
+ * the leader counts from when the heartbeat was sent. After that the peer may renew while its last
+ * exchange with the leader is recent enough. A peer's statement about its renewals counts only in
+ * such an answer, because a heartbeat may arrive late. Used on the event loop's thread only.
  */
 final class PeerRenewalTracker {
   private static final class PeerRenewals {
     String incarnation;
 
-    /** When our latest heartbeat that it answered with a promise to abstain was sent, ms. */
+    /** When the latest heartbeat that it answered with a promise to abstain was sent, ms. */
     long abstainsSinceMs = PeerConstants.NEVER_MS;
 
-    /** When we last answered its heartbeat as the leader of this epoch, ms. */
+    /** When this leader last answered a heartbeat of the peer in this epoch, ms. */
     long answeredAtMs = PeerConstants.NEVER_MS;
 
-    /** When it last renewed a lease, as far as it has said or a predecessor of it may have, ms. */
+    /**
+     * When it last renewed a lease by its own account, or an earlier process of it may have, ms.
+     */
     long renewedAtMs = PeerConstants.NEVER_MS;
   }
 
@@ -32,21 +34,22 @@
   private final Map<String, PeerRenewals> renewalsByMember = new HashMap<>();
 
   /**
-   * Creates a log without renewals.
+   * Creates a tracker without renewals.
    *
-   * @param maxPeerRenewalWindowMs for how long after its last exchange with us a peer may renew, ms
+   * @param maxPeerRenewalWindowMs how long after its last exchange with the leader a peer may
+   *     renew, ms
    */
   PeerRenewalTracker(Iterable<String> members, long maxPeerRenewalWindowMs) {
     this.maxPeerRenewalWindowMs = maxPeerRenewalWindowMs;
     members.forEach(member -> renewalsByMember.put(member, new PeerRenewals()));
   }
 
-  /** Starts a term of ours: nobody can have renewed anything in its leader's place yet. */
+  /** Starts a term of this controller: no peer can have renewed a lease in its place yet. */
   void startTerm() {
     renewalsByMember.replaceAll((member, renewals) -> new PeerRenewals());
   }
 
-  /** Records that we answer a peer's heartbeat as the leader. */
+  /** Records that this controller, as the leader, answers a peer's heartbeat. */
   void recordOwnAnswer(PeerHeartbeat heartbeat, long nowMs) {
     PeerRenewals renewals = renewalsByMember.get(heartbeat.member());
     if (renewals != null) {
@@ -72,7 +75,7 @@
     }
   }
 
-  /** A new process can't say what its predecessor renewed: the worst is assumed. */
+  /** A new process can't say what its predecessor renewed: the latest possible is assumed. */
   private void observeIncarnation(PeerRenewals renewals, String incarnation, long nowMs) {
     if (renewals.incarnation != null && !renewals.incarnation.equals(incarnation)) {
       renewals.renewedAtMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
@@ -93,7 +96,7 @@
         : Math.min(nowMs, renewals.answeredAtMs + maxPeerRenewalWindowMs);
   }
 
-  /** The last moment at which a peer may have renewed a lease in this epoch, ms. */
+  /** The latest moment at which a peer may have renewed a lease in this epoch, ms. */
   long latestPossibleRenewalMs(long nowMs) {
     long latestMs = PeerConstants.NEVER_MS;
     for (PeerRenewals renewals : renewalsByMember.values()) {
--- a/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
@@ -6,10 +6,10 @@
 
 /**
  * The time for which a controller may renew workers' leases without knowing of new cancellations. A
- * worker's tasks run on for a lease after the last report that was answered, and all tasks of a
- * cancelled job must have ended within {@code cancel_s} of the moment at which its user was
- * answered. So a controller that last knew of all cancellations at some moment answers no report
- * later than {@code cancel_s} less a lease after it.
+ * worker's tasks keep running for one lease after the last answered report, and all tasks of a
+ * cancelled job must have ended within {@code cancel_s} of the answer to its user. So a controller
+ * answers no report later than {@code cancel_s} minus one lease, less margins, after the moment up
+ * to which it knows all cancellations.
  */
 public final class RenewalBounds {
   private RenewalBounds() {}
@@ -19,27 +19,28 @@
    * clock.
    */
   public static long renewalWindowMs(Settings.Workers workers) {
-    return Math.max(LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS, unboundedWindowMs(workers));
+    return Math.max(LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS, windowBeforeMinimumMs(workers));
   }
 
   /**
-   * By how much a cancelled job's task may outlive its deadline at the worst, ms; 0 if {@code
-   * cancel_s} is long enough beside {@code lease_s}. A controller that answered no report at all
-   * would serve nobody.
+   * The most by which a cancelled job's task may outlive its deadline, ms; 0 if {@code cancel_s}
+   * exceeds {@code lease_s} by enough. The window has a minimum despite that, because a controller
+   * that answers no reports serves nobody.
    */
   public static long shortfallMs(Settings.Workers workers) {
-    return Math.max(0, LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS - unboundedWindowMs(workers));
+    return Math.max(
+        0, LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS - windowBeforeMinimumMs(workers));
   }
 
-  private static long unboundedWindowMs(Settings.Workers workers) {
+  private static long windowBeforeMinimumMs(Settings.Workers workers) {
     return (long) (workers.cancelMs() * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
         - (long) (workers.leaseMs() * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
         - LeaseRenewalConstants.RENEWAL_MARGIN_MS;
   }
 
   /**
-   * The upper bound on the same window of a peer, whose clock may be slower than ours, ms of our
-   * clock.
+   * The upper bound on a peer's renewal window, ms of the local clock, which may run faster than
+   * the peer's.
    */
   public static long maxPeerRenewalWindowMs(Settings.Workers workers) {
     return (long) (renewalWindowMs(workers) * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
--- a/src/main/java/fennelthread/leaserenewal/ReportResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/ReportResponseGate.java
@@ -12,15 +12,17 @@
 import java.util.Set;
 
 /**
- * The only place that lets out answers to reports, which renew workers' leases, whoever gives them:
- * a leader, one whose replica has not reached its claim yet, one that has resigned, a follower that
- * renews in a silent leader's place; directly or through a peer. Whoever answers knows of every
- * cancellation that was disclosed to users up to a moment so late that the lease, were it the last,
- * ends in time for all later ones; and the answer stops all tasks in the report that are known to
- * be cancelled. docs/lease-renewal.md has the inequality and the list of places.
+ * The only place that creates the answers to reports that renew a worker's lease. Every sender uses
+ * it: a leader, one whose replica has not reached its claim yet, one that has resigned, and a
+ * follower that renews in place of a silent leader; directly or through a peer. It ensures two
+ * things. The sender knows every cancellation disclosed to users up to a moment recent enough that
+ * the renewed lease ends before the deadline of any later one. And the answer stops all tasks in
+ * the report whose jobs are known to have ended. docs/lease-renewal.md has the inequality and the
+ * list of senders.
  *
- * <p>A leader that was refused by the state service right after its claim, and then with everybody,
- * once answered reports for the whole of an outage without a single stop.
+ * <p>Without this check, a leader that the state service refuses right after its claim, and that
+ * then shares an outage with all others, would answer reports for the whole outage without stopping
+ * cancelled tasks.
  */
 public final class ReportResponseGate implements HeartbeatResponder {
   private final EventLoop eventLoop;
@@ -39,7 +41,7 @@
     this.renewalWindowMs = renewalWindowMs;
   }
 
-  /** True if whoever is otherwise entitled to may answer reports at this moment. */
+  /** True if cancellations are known recently enough for reports to be answered now. */
   @Override
   public boolean mayRespond() {
     return eventLoop.nowMs() < watermark.completeUntilMs() + renewalWindowMs;
@@ -48,15 +50,16 @@
   /**
    * {@inheritDoc}
    *
-   * <p>Stops of all tasks in the report whose jobs have ended come first. Commands beyond what an
-   * answer holds are left to the next one, except starts.
+   * <p>Stop commands for tasks whose jobs have ended come first. At {@link
+   * LeaseRenewalConstants#COMMANDS_PER_ANSWER}, further commands except starts are omitted and left
+   * to a later answer.
    *
    * @throws IllegalStateException unless {@link #mayRespond}
    */
   @Override
   public Answer respond(WorkerReport report, long token, List<WorkerCommand> commands) {
     if (!mayRespond()) {
-      throw new IllegalStateException("reports may not be answered now");
+      throw new IllegalStateException("last known cancellations too old to answer reports");
     }
     Set<WorkerCommand> answered = new LinkedHashSet<>();
     for (WorkerReport.Task task : report.tasks()) {
--- a/src/main/java/fennelthread/leaserenewal/package-info.java
+++ b/src/main/java/fennelthread/leaserenewal/package-info.java
@@ -2,8 +2,8 @@
  * Renewal of workers' leases by followers while the leader is silent, and the rules that keep a
  * cancelled job's tasks from outliving their deadline meanwhile. {@link
  * fennelthread.leaserenewal.FollowerLeaseRenewer} decides whether a follower answers a worker's
- * report: begin there. {@link fennelthread.leaserenewal.ReportResponseGate} is what every answer to
- * a report passes, the leader's too. Everything runs on the controller's event loop;
+ * report; read it first. {@link fennelthread.leaserenewal.ReportResponseGate} creates every answer
+ * that renews a lease, the leader's included. Everything runs on the controller's event loop;
  * docs/lease-renewal.md has the reasons.
  */
 package fennelthread.leaserenewal;
--- a/src/test/java/fennelthread/election/TakeoverModel.java
+++ b/src/test/java/fennelthread/election/TakeoverModel.java
@@ -5,8 +5,8 @@
 import static fennelthread.election.TakeoverState.NONE;
 import static fennelthread.election.TakeoverState.PROMISE;
 
+import fennelthread.election.TakeoverState.DeclarationWrite;
 import fennelthread.election.TakeoverState.Follower;
-import fennelthread.election.TakeoverState.Write;
 import fennelthread.simulation.Search;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,7 +22,8 @@
   private static final int TICKS = Integer.getInteger("model.ticks", 2);
 
   /**
-   * Longest sequences of steps that are searched; the longest that breaks an omitted rule has 8.
+   * Longest sequences of steps that are searched; the longest counterexample to an omitted rule has
+   * 8.
    */
   static final int DEPTH = Integer.getInteger("model.depth", 11);
 
@@ -55,7 +56,7 @@
     this.checksEpochs = omitted != Omitted.EPOCHS;
   }
 
-  /** Searches for the shortest way to two leaders that may start work, without one of the rules. */
+  /** Searches for the shortest trace to two leaders that may start work, without one rule. */
   static Search.Result search(Omitted omitted) {
     TakeoverModel model = new TakeoverModel(omitted);
     return new Search<TakeoverState>(
@@ -230,7 +231,7 @@
     if (state.writesSent < MAX_WRITES && state.leaderEpoch != 0) {
       for (int declares = 0; declares < 2; declares++) {
         TakeoverState next = state.copy();
-        Write write = next.writes[state.writesSent];
+        DeclarationWrite write = next.writes[state.writesSent];
         write.declares = declares;
         write.condition = state.leaderRevision;
         write.epoch = state.leaderEpoch;
@@ -251,7 +252,7 @@
     }
   }
 
-  private boolean mayBeApplied(Write write, TakeoverState state) {
+  private boolean mayBeApplied(DeclarationWrite write, TakeoverState state) {
     return write.condition != NONE
         && state.storedEpoch == write.epoch
         && (omitted == Omitted.CHAINED_DECLARATIONS || write.condition == state.storedRevision);
@@ -259,7 +260,7 @@
 
   private static void addAppliedWrite(
       TakeoverState state, int i, List<Search.Step<TakeoverState>> steps) {
-    Write write = state.writes[i];
+    DeclarationWrite write = state.writes[i];
     TakeoverState next = state.copy();
     next.writes[i].condition = NONE;
     next.storedRevision++;
@@ -274,7 +275,7 @@
     }
   }
 
-  private static String nameOf(Write write) {
+  private static String nameOf(DeclarationWrite write) {
     return write.declares == 1 ? "declaration" : "revocation";
   }
 }
--- a/src/test/java/fennelthread/election/TakeoverModelTest.java
+++ b/src/test/java/fennelthread/election/TakeoverModelTest.java
@@ -13,8 +13,8 @@
 
 /**
  * The rules of failover, searched exhaustively in {@link TakeoverModel}: the leader must never
- * believe that it may start work once a takeover was applied. Without one of the rules the search
- * prints the shortest way to two leaders that may start work.
+ * conclude that it may start work once a takeover was applied. Without any one of the rules the
+ * search finds two leaders that may start work, and the test prints the shortest trace.
  */
 class TakeoverModelTest {
   @Test
@@ -31,7 +31,7 @@
     Search.Result result = TakeoverModel.search(omitted);
     assertTrue(
         result.trace() != null,
-        "without " + omitted + " nothing happens in " + result.states() + " states");
+        "without " + omitted + " no violation is found in " + result.states() + " states");
     System.out.printf(
         "without %s, %d steps: %s%n",
         omitted, result.trace().size(), String.join("; ", result.trace()));
@@ -39,10 +39,12 @@
 
   @Test
   void majorityAndRequiredPromisesOverlap() {
-    for (int n = 2; n <= 9; n++) {
+    for (int controllers = 2; controllers <= 9; controllers++) {
       assertTrue(
-          LeadershipPromises.majority(n) + (n - LeadershipPromises.majority(n)) > n - 1,
-          n + " controllers");
+          LeadershipPromises.majority(controllers)
+                  + (controllers - LeadershipPromises.majority(controllers))
+              > controllers - 1,
+          controllers + " controllers");
     }
     assertEquals(
         List.of(2, 2, 3, 3, 4),
--- a/src/test/java/fennelthread/election/TakeoverState.java
+++ b/src/test/java/fennelthread/election/TakeoverState.java
@@ -1,8 +1,8 @@
 package fennelthread.election;
 
 /**
- * A state of {@link TakeoverModel}. All values are small numbers: times are ticks, a flag is 0 or
- * 1, and {@link #NONE} stands for what does not exist.
+ * A state of {@link TakeoverModel}. All values are small numbers: times are ticks, flags are 0 or
+ * 1, and {@link #NONE} stands for a value that does not exist.
  */
 final class TakeoverState {
   static final int NONE = -1;
@@ -11,7 +11,7 @@
   /** How long a promise lasts, ticks. */
   static final int PROMISE = Integer.getInteger("model.promise", 1);
 
-  /** Most writes of the unilateral declaration. */
+  /** Most writes of the {@link UnilateralLeadership} declaration that the leader sends. */
   static final int MAX_WRITES = 2;
 
   /** One follower, and the messages in flight between it and the leader. */
@@ -78,8 +78,10 @@
     }
   }
 
-  /** One write of the unilateral declaration by the leader. */
-  static final class Write {
+  /**
+   * One write of the {@link UnilateralLeadership} declaration, or its revocation, by the leader.
+   */
+  static final class DeclarationWrite {
     int declares;
 
     /** The declaration's revision that it is conditional on; NONE once it was applied. */
@@ -87,8 +89,8 @@
 
     int epoch;
 
-    Write copy() {
-      Write copy = new Write();
+    DeclarationWrite copy() {
+      DeclarationWrite copy = new DeclarationWrite();
       copy.declares = declares;
       copy.condition = condition;
       copy.epoch = epoch;
@@ -98,7 +100,7 @@
 
   int now;
   final Follower[] followers = new Follower[FOLLOWERS];
-  final Write[] writes = new Write[MAX_WRITES];
+  final DeclarationWrite[] writes = new DeclarationWrite[MAX_WRITES];
   int writesSent;
   int followerRestarts;
   int leaderRestarts;
@@ -121,7 +123,7 @@
       state.followers[i] = new Follower();
     }
     for (int i = 0; i < MAX_WRITES; i++) {
-      state.writes[i] = new Write();
+      state.writes[i] = new DeclarationWrite();
     }
     return state;
   }
@@ -152,7 +154,7 @@
     for (Follower follower : followers) {
       follower.appendKey(key);
     }
-    for (Write write : writes) {
+    for (DeclarationWrite write : writes) {
       append(key, write.declares, write.condition, write.epoch);
     }
     append(key, now, writesSent, followerRestarts, leaderRestarts);
@@ -161,7 +163,7 @@
     return key.toString();
   }
 
-  /** True if the leader believes that it may start work. */
+  /** True if the leader concludes that it may start work. */
   boolean mayStart() {
     if (leaderEpoch == 0) {
       return false;
--- a/src/test/java/fennelthread/leaserenewal/GapModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/GapModelTest.java
@@ -11,66 +11,64 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules by which an answer to a report is let out, searched through: L answers reports, F tells
- * a user that the job is cancelled, each may be unable to read the state at any time, and what they
- * say to one another arrives at any later time or never. F may end and be back at once, knowing
- * nothing of what it told. Never may the task be there longer after the user was told than it is
- * allowed to.
+ * Exhaustive search of the rules in {@link ReportResponseGate} and {@link CancellationWatermark}.
+ * Controller L answers the worker's reports, which renews its lease; controller F discloses to a
+ * user that the job is cancelled. L may be unable to read the state at any time, and messages
+ * arrive at any later time or never. F may restart at once and then knows nothing of what its
+ * predecessor disclosed. The task must never run longer than the cancel timeout after the
+ * disclosure. Times are ticks.
  */
 class GapModelTest {
   private static final int LEASE = 2;
-  private static final int KEEP = 2;
-  private static final int CANCEL = KEEP + LEASE;
+  private static final int RENEWAL_WINDOW = 2;
+  private static final int CANCEL_TIMEOUT = RENEWAL_WINDOW + LEASE;
   private static final int TICKS = 9;
   private static final int DEPTH = 16;
   private static final int NONE = -9;
 
-  /** What is left out. */
-  private enum Without {
+  /** The rule that a search leaves out. */
+  private enum OmittedRule {
     NOTHING,
-    /** An answer stops what is known to be cancelled, in whatever phase the term is. */
-    STOPS,
-    /** Without word from the state service or F, reports are answered only for so long. */
-    BOUND,
-    /** What L read counts from when it was asked for, not from when it came. */
-    READ_T0,
-    /** F's word counts from when it was asked for, not from when it came. */
-    WORD_T0,
-    /** F's word counts only if it named all that it told. */
-    ALL_NAMED,
+    /** An answer stops every task whose job is known to be cancelled, whoever gives it. */
+    STOP_CANCELLED_TASKS,
+    /** Reports are answered only for a limited time after the state service or F was heard. */
+    RESPONSE_WINDOW,
+    /** A read of the state counts from when it was requested, not from when it arrived. */
+    READ_COUNTED_FROM_REQUEST,
+    /** F's answer counts from when the heartbeat was sent, not from when the answer arrived. */
+    ANSWER_COUNTED_FROM_HEARTBEAT,
+    /** F's answer counts only if it lists all cancellations that F disclosed. */
+    ONLY_COMPLETE_LISTS,
     /**
-     * A new process of F says nothing of what the one before it told: the state has to be read
-     * after it.
+     * A new process of F can't list what its predecessor disclosed: its answers count only once the
+     * state was read after it was first heard from.
      */
-    BORN
+    STATE_READ_AFTER_RESTART
   }
 
   private static final class State implements Cloneable {
     int now;
-    int leaseFrom;
+    int leaseStart;
 
-    /**
-     * L: until when it knows everything by reading, by F's word, and whether it knows of the
-     * cancellation.
-     */
-    int readL;
+    /** L: up to when it knows all cancellations, by reading the state and by F's answers. */
+    int replicaCurrentAsOf;
 
-    int wordL;
-    int bornL;
-    int asked = NONE;
-    boolean knows;
-    int incarnationHeard;
-    int heartbeat = NONE;
-    int reply = NONE;
-    boolean replyNames;
-    boolean replyAll;
-    int replyIncarnation;
+    int peerCompleteUntil;
+    int incarnationFirstHeardAt;
+    int readRequestedAt = NONE;
+    boolean knowsCancellation;
+    int knownIncarnation;
+    int heartbeatSentAt = NONE;
+    int answeredHeartbeatSentAt = NONE;
+    boolean isJobInAnswer;
+    boolean isAnswerComplete;
+    int answerIncarnation;
 
-    /** F. */
-    int told = NONE;
+    /** F: when it disclosed the cancellation, what its log holds, and which process it is. */
+    int disclosedAt = NONE;
 
-    boolean inLog;
-    int incarnation;
+    boolean isInPeerLog;
+    int peerIncarnation;
 
     State copy() {
       try {
@@ -81,134 +79,157 @@
     }
 
     String key() {
-      StringBuilder b = new StringBuilder(24);
-      for (int v :
+      StringBuilder key = new StringBuilder(24);
+      for (int value :
           new int[] {
             now,
-            leaseFrom,
-            readL,
-            wordL,
-            bornL,
-            asked,
-            knows ? 1 : 0,
-            incarnationHeard,
-            heartbeat,
-            reply,
-            replyNames ? 1 : 0,
-            replyAll ? 1 : 0,
-            replyIncarnation,
-            told,
-            inLog ? 1 : 0,
-            incarnation
+            leaseStart,
+            replicaCurrentAsOf,
+            peerCompleteUntil,
+            incarnationFirstHeardAt,
+            readRequestedAt,
+            knowsCancellation ? 1 : 0,
+            knownIncarnation,
+            heartbeatSentAt,
+            answeredHeartbeatSentAt,
+            isJobInAnswer ? 1 : 0,
+            isAnswerComplete ? 1 : 0,
+            answerIncarnation,
+            disclosedAt,
+            isInPeerLog ? 1 : 0,
+            peerIncarnation
           }) {
-        b.append((char) ('J' + v));
+        key.append((char) ('J' + value));
       }
-      return b.toString();
+      return key.toString();
     }
 
-    boolean runs() {
-      return leaseFrom != NONE && now <= leaseFrom + LEASE;
+    boolean isTaskRunning() {
+      return leaseStart != NONE && now <= leaseStart + LEASE;
     }
   }
 
-  private static boolean isBad(State s) {
-    return s.runs() && s.told != NONE && s.now > s.told + CANCEL;
+  private static boolean outlivesDeadline(State state) {
+    return state.isTaskRunning()
+        && state.disclosedAt != NONE
+        && state.now > state.disclosedAt + CANCEL_TIMEOUT;
   }
 
-  private static List<Search.Step<State>> steps(State s, Without w) {
+  private static List<Search.Step<State>> steps(State state, OmittedRule omitted) {
     List<Search.Step<State>> steps = new ArrayList<>();
-    if (s.now < TICKS) {
-      State t = s.copy();
-      t.now++;
-      steps.add(new Search.Step<>("tick " + t.now, t));
+    if (state.now < TICKS) {
+      State next = state.copy();
+      next.now++;
+      steps.add(new Search.Step<>("tick " + next.now, next));
     }
-    if (!s.runs()) {
+    if (!state.isTaskRunning()) {
       return steps;
     }
-    int word = w == Without.BORN || s.bornL < s.readL ? s.wordL : NONE;
-    if (w == Without.BOUND || s.now < Math.max(s.readL, word) + KEEP) {
-      State t = s.copy();
-      t.leaseFrom = s.knows && w != Without.STOPS ? NONE : s.now;
-      steps.add(new Search.Step<>("L answers W", t));
+    int peerKnownUntil =
+        omitted == OmittedRule.STATE_READ_AFTER_RESTART
+                || state.incarnationFirstHeardAt < state.replicaCurrentAsOf
+            ? state.peerCompleteUntil
+            : NONE;
+    if (omitted == OmittedRule.RESPONSE_WINDOW
+        || state.now < Math.max(state.replicaCurrentAsOf, peerKnownUntil) + RENEWAL_WINDOW) {
+      State next = state.copy();
+      next.leaseStart =
+          state.knowsCancellation && omitted != OmittedRule.STOP_CANCELLED_TASKS ? NONE : state.now;
+      steps.add(new Search.Step<>("L answers the worker", next));
     }
-    if (s.told == NONE) {
-      State t = s.copy();
-      t.told = s.now;
-      t.inLog = true;
-      steps.add(new Search.Step<>("F tells a user", t));
+    if (state.disclosedAt == NONE) {
+      State next = state.copy();
+      next.disclosedAt = state.now;
+      next.isInPeerLog = true;
+      steps.add(new Search.Step<>("F discloses the cancellation", next));
     }
-    if (s.incarnation == 0) {
-      State t = s.copy();
-      t.incarnation = 1;
-      t.inLog = false;
-      steps.add(new Search.Step<>("F ends and is back", t));
+    if (state.peerIncarnation == 0) {
+      State next = state.copy();
+      next.peerIncarnation = 1;
+      next.isInPeerLog = false;
+      steps.add(new Search.Step<>("F restarts", next));
     }
-    reads(s, w, steps);
-    words(s, w, steps);
+    addReadSteps(state, omitted, steps);
+    addHeartbeatSteps(state, omitted, steps);
     return steps;
   }
 
-  private static void reads(State s, Without w, List<Search.Step<State>> steps) {
-    if (s.asked == NONE && s.readL < s.now) {
-      State t = s.copy();
-      t.asked = s.now;
-      // What was told at the very moment may or may not be in it: it counts as known from the next
-      // on.
-      t.knows = s.knows;
-      steps.add(new Search.Step<>("L asks the state", t));
+  private static void addReadSteps(
+      State state, OmittedRule omitted, List<Search.Step<State>> steps) {
+    if (state.readRequestedAt == NONE && state.replicaCurrentAsOf < state.now) {
+      State next = state.copy();
+      next.readRequestedAt = state.now;
+      // A disclosure within the same tick may be missing from this read: only earlier ones count as
+      // known.
+
+      next.knowsCancellation = state.knowsCancellation;
+      steps.add(new Search.Step<>("L requests the state", next));
     }
-    if (s.asked != NONE) {
-      State t = s.copy();
-      t.readL = w == Without.READ_T0 ? s.now : s.asked;
-      t.knows = s.knows || (s.told != NONE && s.told < s.asked);
-      t.asked = NONE;
-      steps.add(new Search.Step<>("L reads the state", t));
+    if (state.readRequestedAt != NONE) {
+      State next = state.copy();
+      next.replicaCurrentAsOf =
+          omitted == OmittedRule.READ_COUNTED_FROM_REQUEST ? state.now : state.readRequestedAt;
+      next.knowsCancellation =
+          state.knowsCancellation
+              || (state.disclosedAt != NONE && state.disclosedAt < state.readRequestedAt);
+      next.readRequestedAt = NONE;
+      steps.add(new Search.Step<>("L reads the state", next));
     }
   }
 
-  private static void words(State s, Without w, List<Search.Step<State>> steps) {
-    if (s.heartbeat == NONE && s.reply == NONE) {
-      State t = s.copy();
-      t.heartbeat = s.now;
-      steps.add(new Search.Step<>("L sends a heartbeat to F", t));
+  private static void addHeartbeatSteps(
+      State state, OmittedRule omitted, List<Search.Step<State>> steps) {
+    if (state.heartbeatSentAt == NONE && state.answeredHeartbeatSentAt == NONE) {
+      State next = state.copy();
+      next.heartbeatSentAt = state.now;
+      steps.add(new Search.Step<>("L sends a heartbeat to F", next));
     }
-    if (s.heartbeat != NONE && s.reply == NONE) {
-      for (boolean all : new boolean[] {true, false}) {
-        State t = s.copy();
-        t.reply = s.heartbeat;
-        t.heartbeat = NONE;
-        t.replyAll = all;
-        t.replyNames = all && s.inLog;
-        t.replyIncarnation = s.incarnation;
-        steps.add(new Search.Step<>(all ? "F names all" : "F names a part", t));
+    if (state.heartbeatSentAt != NONE && state.answeredHeartbeatSentAt == NONE) {
+      for (boolean isComplete : new boolean[] {true, false}) {
+        State next = state.copy();
+        next.answeredHeartbeatSentAt = state.heartbeatSentAt;
+        next.heartbeatSentAt = NONE;
+        next.isAnswerComplete = isComplete;
+        next.isJobInAnswer = isComplete && state.isInPeerLog;
+        next.answerIncarnation = state.peerIncarnation;
+        steps.add(
+            new Search.Step<>(
+                isComplete ? "F lists all cancellations" : "F lists some cancellations", next));
       }
     }
-    if (s.reply != NONE) {
-      State t = s.copy();
-      t.knows = s.knows || s.replyNames;
-      if (s.replyIncarnation != s.incarnationHeard) {
-        t.incarnationHeard = s.replyIncarnation;
-        t.bornL = s.now;
-        t.wordL = w == Without.BORN ? s.reply : NONE;
-      } else if (s.replyAll || w == Without.ALL_NAMED) {
-        t.wordL = Math.max(s.wordL, w == Without.WORD_T0 ? s.now : s.reply);
+    if (state.answeredHeartbeatSentAt != NONE) {
+      State next = state.copy();
+      next.knowsCancellation = state.knowsCancellation || state.isJobInAnswer;
+      if (state.answerIncarnation != state.knownIncarnation) {
+        next.knownIncarnation = state.answerIncarnation;
+        next.incarnationFirstHeardAt = state.now;
+        next.peerCompleteUntil =
+            omitted == OmittedRule.STATE_READ_AFTER_RESTART ? state.answeredHeartbeatSentAt : NONE;
+      } else if (state.isAnswerComplete || omitted == OmittedRule.ONLY_COMPLETE_LISTS) {
+        next.peerCompleteUntil =
+            Math.max(
+                state.peerCompleteUntil,
+                omitted == OmittedRule.ANSWER_COUNTED_FROM_HEARTBEAT
+                    ? state.now
+                    : state.answeredHeartbeatSentAt);
       }
-      t.reply = NONE;
-      t.replyNames = false;
-      t.replyAll = false;
-      t.replyIncarnation = 0;
-      steps.add(new Search.Step<>("L hears F's word", t));
+      next.answeredHeartbeatSentAt = NONE;
+      next.isJobInAnswer = false;
+      next.isAnswerComplete = false;
+      next.answerIncarnation = 0;
+      steps.add(new Search.Step<>("L receives F's answer", next));
     }
   }
 
-  private static Search.Result search(Without w, int depth) {
-    return new Search<State>(State::key, s -> steps(s, w), GapModelTest::isBad)
+  private static Search.Result search(OmittedRule omitted, int depth) {
+    return new Search<State>(
+            State::key, state -> steps(state, omitted), GapModelTest::outlivesDeadline)
         .run(new State(), depth);
   }
 
   @Test
-  void nothingOutlivesItsCancellation() {
-    Search.Result result = search(Without.NOTHING, DEPTH);
+  void noTaskOutlivesItsCancellation() {
+    Search.Result result = search(OmittedRule.NOTHING, DEPTH);
     System.out.printf("%d states in sequences of %d steps%n", result.states(), DEPTH);
     assertNull(result.trace(), () -> String.join("; ", result.trace()));
     assertTrue(result.states() > 10_000, result.states() + " states");
@@ -216,12 +237,13 @@
 
   @ParameterizedTest
   @EnumSource(names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
-  void eachRuleIsNeeded(Without w) {
-    Search.Result result = search(w, DEPTH + 1);
+  void eachRuleIsNeeded(OmittedRule omitted) {
+    Search.Result result = search(omitted, DEPTH + 1);
     assertTrue(
         result.trace() != null,
-        "without " + w + " nothing happens in " + result.states() + " states");
+        "without " + omitted + " no violation is found in " + result.states() + " states");
     System.out.printf(
-        "without %s, %d steps: %s%n", w, result.trace().size(), String.join("; ", result.trace()));
+        "without %s, %d steps: %s%n",
+        omitted, result.trace().size(), String.join("; ", result.trace()));
   }
 }
--- a/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
@@ -11,85 +11,92 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of keeping leases, searched through: a leader L, a peer S, one worker's task, and
- * messages that arrive at any later time or never. Another leader N may claim, and a user may be
- * told, by a controller that neither L nor S hears, that the job is cancelled. Never may L or N
- * take the task for gone while it runs, and never may it run longer after the user was told than it
- * is allowed to.
+ * Exhaustive search of the rules by which a follower renews leases in a silent leader's place: a
+ * leader L, a peer S, one worker's task, and messages that arrive at any later time or never.
+ * Another leader N may claim, and a controller that neither L nor S hears from may disclose to a
+ * user that the job is cancelled. Neither L nor N may conclude that the task has ended while it
+ * runs, and the task must never run longer than the cancel timeout after the disclosure. Times are
+ * ticks.
  */
 class LeaseRenewalModelTest {
   private static final int LEASE = 2;
-  private static final int KEEP = 2;
-  private static final int STILL = 1;
-  private static final int CANCEL = KEEP + LEASE;
+  private static final int RENEWAL_WINDOW = 2;
+  private static final int ABSTENTION = 1;
+  private static final int CANCEL_TIMEOUT = RENEWAL_WINDOW + LEASE;
   private static final int TICKS = 6;
 
-  /** Longest sequences that are looked at; the longest that breaks a rule left out has 12. */
+  /**
+   * Longest sequences of steps that are searched; the longest counterexample to an omitted rule has
+   * 12.
+   */
   private static final int DEPTH = Integer.getInteger("model.depth", 11);
 
   private static final int NONE = -9;
 
-  /** What is left out. */
-  private enum Without {
+  /** The rule that a search leaves out. */
+  private enum OmittedRule {
     NOTHING,
-    /** A controller answers reports only for so long after it last read the state. */
-    READ_BOUND,
-    /** The same, counted from when the answer came instead of from when it was asked for. */
-    READ_T0,
-    /** S keeps only for so long after its last word from L. */
+    /** A controller answers reports only for a limited time after it last read the state. */
+    STATE_AGE_BOUND,
+    /** A read of the state counts from when it was requested, not from when it arrived. */
+    READ_COUNTED_FROM_REQUEST,
+    /** S renews leases only for a limited time after its last exchange with L. */
     EXCHANGE_BOUND,
-    /** The same, counted from when L's answer came. */
-    EXCHANGE_T0,
-    /** L counts S's promise from before its heartbeat left. */
-    STILL_T0,
-    /** L takes a peer that has promised nothing for one that may be keeping. */
-    LEDGER,
-    /** A new process does not say what the one before it kept. */
-    BORN,
-    /** That S kept nothing counts only in an answer, not in a heartbeat, which may be old. */
-    ANSWERS_ONLY,
-    /** N waits until those that do not know of it can keep nothing any more. */
-    CLAIM_BOUND,
-    /** S stops what it knows to be cancelled. */
-    STOPS
+    /** An exchange counts from when S sent its heartbeat, not from when L's answer arrived. */
+    EXCHANGE_COUNTED_FROM_HEARTBEAT,
+    /** L counts S's promise to abstain from when its heartbeat was sent. */
+    PROMISE_COUNTED_FROM_HEARTBEAT,
+    /** L assumes that a peer without a promise in force may renew leases. */
+    UNPROMISED_PEER_MAY_RENEW,
+    /** A new process of S can't say what its predecessor renewed: L assumes the latest possible. */
+    RESTARTED_PEER_MAY_HAVE_RENEWED,
+    /** S's statement that it renewed nothing counts only in an answer: a heartbeat may be old. */
+    STATUS_ONLY_IN_ANSWERS,
+    /** N waits until controllers that do not know of its claim can no longer renew leases. */
+    NEW_LEADER_WAITS,
+    /** S stops tasks whose job it knows to be cancelled. */
+    STOP_CANCELLED_TASKS
   }
 
   private static final class State implements Cloneable {
     int now;
 
-    /** The worker: its lease counts from here, NONE once its task has ended. */
-    int leaseFrom;
+    /** The worker: when its lease was last renewed, NONE once its task has ended. */
+    int leaseStart;
 
-    /** L: what it knows is of {@code knowsL}, what it counts from is {@code readL}. */
-    int readL;
+    /**
+     * L: {@code leaderReadAt} is when it counts its last read of the state from; it knows what was
+     * recorded before {@code leaderKnowsUntil}.
+     */
+    int leaderReadAt;
 
-    int knowsL;
-    int askedL = NONE;
-    int answeredByL;
-    int still = NONE;
-    int answeredS = NONE;
-    int keptKnown = NONE;
-    int heartbeat = NONE;
-    int ack = NONE;
-    int ackKept = NONE;
+    int leaderKnowsUntil;
+    int leaderReadRequestedAt = NONE;
+    int leaderRenewedAt;
+    int abstainsSince = NONE;
+    int peerAnsweredAt = NONE;
+    int knownPeerRenewalAt = NONE;
+    int leaderHeartbeatSentAt = NONE;
+    int promisedHeartbeatSentAt = NONE;
+    int promiseRenewedAt = NONE;
 
-    /** S. */
-    int readS;
+    /** S, and its messages in flight. */
+    int peerReadAt;
 
-    int knowsS;
-    int exchanged = NONE;
-    int stillUntil = NONE;
-    int kept = NONE;
-    int hail = NONE;
-    int hailKept = NONE;
-    int hailAnswered = NONE;
-    int restarts;
-    boolean bornKnown = true;
+    int peerKnowsUntil;
+    int lastExchangeAt = NONE;
+    int abstainsUntil = NONE;
+    int peerRenewedAt = NONE;
+    int peerHeartbeatSentAt = NONE;
+    int peerHeartbeatRenewedAt = NONE;
+    int answeredHeartbeatSentAt = NONE;
+    int peerRestarts;
+    boolean isPeerIncarnationKnown = true;
 
-    /** The rest of the world. */
-    int told = NONE;
+    /** When the cancellation was disclosed, and when N claimed. */
+    int disclosedAt = NONE;
 
-    int claimed = NONE;
+    int claimedAt = NONE;
 
     State copy() {
       try {
@@ -100,226 +107,262 @@
     }
 
     String key() {
-      StringBuilder b = new StringBuilder(32);
-      for (int v :
+      StringBuilder key = new StringBuilder(32);
+      for (int value :
           new int[] {
             now,
-            leaseFrom,
-            readL,
-            knowsL,
-            askedL,
-            knowsS,
-            answeredByL,
-            still,
-            answeredS,
-            keptKnown,
-            heartbeat,
-            ack,
-            ackKept,
-            readS,
-            exchanged,
-            stillUntil,
-            kept,
-            hail,
-            hailKept,
-            hailAnswered,
-            restarts,
-            told,
-            claimed,
-            bornKnown ? 1 : 0
+            leaseStart,
+            leaderReadAt,
+            leaderKnowsUntil,
+            leaderReadRequestedAt,
+            peerKnowsUntil,
+            leaderRenewedAt,
+            abstainsSince,
+            peerAnsweredAt,
+            knownPeerRenewalAt,
+            leaderHeartbeatSentAt,
+            promisedHeartbeatSentAt,
+            promiseRenewedAt,
+            peerReadAt,
+            lastExchangeAt,
+            abstainsUntil,
+            peerRenewedAt,
+            peerHeartbeatSentAt,
+            peerHeartbeatRenewedAt,
+            answeredHeartbeatSentAt,
+            peerRestarts,
+            disclosedAt,
+            claimedAt,
+            isPeerIncarnationKnown ? 1 : 0
           }) {
-        b.append((char) ('J' + v));
+        key.append((char) ('J' + value));
       }
-      return b.toString();
+      return key.toString();
     }
 
-    boolean runs() {
-      return leaseFrom != NONE && now <= leaseFrom + LEASE;
+    boolean isTaskRunning() {
+      return leaseStart != NONE && now <= leaseStart + LEASE;
     }
   }
 
-  private static int mayHaveKept(State s, Without w) {
-    if (w == Without.LEDGER || s.answeredS == NONE) {
+  private static int latestPossiblePeerRenewal(State state, OmittedRule omitted) {
+    if (omitted == OmittedRule.UNPROMISED_PEER_MAY_RENEW || state.peerAnsweredAt == NONE) {
       return NONE;
     }
-    return s.still != NONE && s.now <= s.still + STILL ? NONE : Math.min(s.now, s.answeredS + KEEP);
+    return state.abstainsSince != NONE && state.now <= state.abstainsSince + ABSTENTION
+        ? NONE
+        : Math.min(state.now, state.peerAnsweredAt + RENEWAL_WINDOW);
   }
 
-  private static boolean isBad(State s, Without w) {
-    if (!s.runs()) {
+  private static boolean isUnsafe(State state, OmittedRule omitted) {
+    if (!state.isTaskRunning()) {
       return false;
     }
-    int base = Math.max(s.answeredByL, Math.max(s.keptKnown, mayHaveKept(s, w)));
-    boolean leaderErrs = s.claimed == NONE && s.now - base > LEASE;
-    int bound = w == Without.CLAIM_BOUND ? s.claimed : s.claimed + KEEP;
-    boolean nextErrs = s.claimed != NONE && s.now - bound > LEASE;
-    boolean outlives = s.told != NONE && s.now > s.told + CANCEL;
-    return leaderErrs || nextErrs || outlives;
+    int latestRenewal =
+        Math.max(
+            state.leaderRenewedAt,
+            Math.max(state.knownPeerRenewalAt, latestPossiblePeerRenewal(state, omitted)));
+    boolean isExpiredTooEarlyByLeader =
+        state.claimedAt == NONE && state.now - latestRenewal > LEASE;
+    int silentFrom =
+        omitted == OmittedRule.NEW_LEADER_WAITS
+            ? state.claimedAt
+            : state.claimedAt + RENEWAL_WINDOW;
+    boolean isExpiredTooEarlyByNewLeader =
+        state.claimedAt != NONE && state.now - silentFrom > LEASE;
+    boolean isPastCancelDeadline =
+        state.disclosedAt != NONE && state.now > state.disclosedAt + CANCEL_TIMEOUT;
+    return isExpiredTooEarlyByLeader || isExpiredTooEarlyByNewLeader || isPastCancelDeadline;
   }
 
-  private static boolean isCurrent(State s, int read, Without w) {
-    return w == Without.READ_BOUND || s.now < read + KEEP;
+  private static boolean isStateCurrent(State state, int readAt, OmittedRule omitted) {
+    return omitted == OmittedRule.STATE_AGE_BOUND || state.now < readAt + RENEWAL_WINDOW;
   }
 
-  private static List<Search.Step<State>> steps(State s, Without w) {
+  private static List<Search.Step<State>> steps(State state, OmittedRule omitted) {
     List<Search.Step<State>> steps = new ArrayList<>();
-    if (s.now < TICKS) {
-      State t = s.copy();
-      t.now++;
-      steps.add(new Search.Step<>("tick " + t.now, t));
+    if (state.now < TICKS) {
+      State next = state.copy();
+      next.now++;
+      steps.add(new Search.Step<>("tick " + next.now, next));
     }
-    if (!s.runs()) {
+    if (!state.isTaskRunning()) {
       return steps;
     }
-    worker(s, w, steps);
-    reads(s, w, steps);
-    heartbeats(s, w, steps);
-    if (s.told == NONE) {
-      State t = s.copy();
-      t.told = s.now;
-      steps.add(new Search.Step<>("a user is told elsewhere", t));
+    addReportSteps(state, omitted, steps);
+    addReadSteps(state, omitted, steps);
+    addHeartbeatSteps(state, omitted, steps);
+    if (state.disclosedAt == NONE) {
+      State next = state.copy();
+      next.disclosedAt = state.now;
+      steps.add(new Search.Step<>("another controller discloses the cancellation", next));
     }
-    if (s.claimed == NONE) {
-      State t = s.copy();
-      t.claimed = s.now;
-      steps.add(new Search.Step<>("N claims", t));
+    if (state.claimedAt == NONE) {
+      State next = state.copy();
+      next.claimedAt = state.now;
+      steps.add(new Search.Step<>("N claims", next));
     }
-    if (s.restarts == 0) {
-      State t = s.copy();
-      t.restarts = 1;
-      t.kept = NONE;
-      t.exchanged = NONE;
-      t.stillUntil = NONE;
-      t.readS = s.now;
-      t.knowsS = s.now;
-      t.hail = NONE;
-      t.hailAnswered = NONE;
-      t.ack = NONE;
-      t.bornKnown = false;
-      steps.add(new Search.Step<>("S restarts", t));
+    if (state.peerRestarts == 0) {
+      State next = state.copy();
+      next.peerRestarts = 1;
+      next.peerRenewedAt = NONE;
+      next.lastExchangeAt = NONE;
+      next.abstainsUntil = NONE;
+      next.peerReadAt = state.now;
+      next.peerKnowsUntil = state.now;
+      next.peerHeartbeatSentAt = NONE;
+      next.answeredHeartbeatSentAt = NONE;
+      next.promisedHeartbeatSentAt = NONE;
+      next.isPeerIncarnationKnown = false;
+      steps.add(new Search.Step<>("S restarts", next));
     }
     return steps;
   }
 
   /**
-   * Reports that are answered. An answer that comes late does no more than one that comes at once:
-   * the lease counts from when the report was sent, and the later that was the worse for the rules.
+   * L or S answers a report. Delayed answers need no steps of their own: the lease counts from when
+   * the report was sent, and the latest possible sending is the worst case.
    */
-  private static void worker(State s, Without w, List<Search.Step<State>> steps) {
-    boolean leaderKnowsN = s.claimed != NONE && s.knowsL > s.claimed;
-    if (!leaderKnowsN && isCurrent(s, s.readL, w)) {
-      State t = s.copy();
-      t.leaseFrom = s.told != NONE && s.told < s.knowsL ? NONE : s.now;
-      t.answeredByL = s.now;
-      steps.add(new Search.Step<>("L answers W", t));
+  private static void addReportSteps(
+      State state, OmittedRule omitted, List<Search.Step<State>> steps) {
+    boolean leaderKnowsOfClaim =
+        state.claimedAt != NONE && state.leaderKnowsUntil > state.claimedAt;
+    if (!leaderKnowsOfClaim && isStateCurrent(state, state.leaderReadAt, omitted)) {
+      State next = state.copy();
+      next.leaseStart =
+          state.disclosedAt != NONE && state.disclosedAt < state.leaderKnowsUntil
+              ? NONE
+              : state.now;
+      next.leaderRenewedAt = state.now;
+      steps.add(new Search.Step<>("L answers the worker", next));
     }
-    boolean peerKnowsN = s.claimed != NONE && s.knowsS > s.claimed;
-    boolean bound = w == Without.EXCHANGE_BOUND || s.now < s.exchanged + KEEP;
-    if (!peerKnowsN
-        && s.exchanged != NONE
-        && s.now > s.stillUntil
-        && bound
-        && isCurrent(s, s.readS, w)) {
-      State t = s.copy();
-      boolean stops = w != Without.STOPS && s.told != NONE && s.told < s.knowsS;
-      t.leaseFrom = stops ? NONE : s.now;
-      t.kept = s.now;
-      steps.add(new Search.Step<>("S keeps W", t));
+    boolean peerKnowsOfClaim = state.claimedAt != NONE && state.peerKnowsUntil > state.claimedAt;
+    boolean isExchangeRecent =
+        omitted == OmittedRule.EXCHANGE_BOUND || state.now < state.lastExchangeAt + RENEWAL_WINDOW;
+    if (!peerKnowsOfClaim
+        && state.lastExchangeAt != NONE
+        && state.now > state.abstainsUntil
+        && isExchangeRecent
+        && isStateCurrent(state, state.peerReadAt, omitted)) {
+      State next = state.copy();
+      boolean isStopped =
+          omitted != OmittedRule.STOP_CANCELLED_TASKS
+              && state.disclosedAt != NONE
+              && state.disclosedAt < state.peerKnowsUntil;
+      next.leaseStart = isStopped ? NONE : state.now;
+      next.peerRenewedAt = state.now;
+      steps.add(new Search.Step<>("S renews the worker's lease", next));
     }
   }
 
-  private static void reads(State s, Without w, List<Search.Step<State>> steps) {
-    if (s.askedL == NONE && s.knowsL < s.now) {
-      State t = s.copy();
-      t.askedL = s.now;
-      steps.add(new Search.Step<>("L asks the state", t));
+  private static void addReadSteps(
+      State state, OmittedRule omitted, List<Search.Step<State>> steps) {
+    if (state.leaderReadRequestedAt == NONE && state.leaderKnowsUntil < state.now) {
+      State next = state.copy();
+      next.leaderReadRequestedAt = state.now;
+      steps.add(new Search.Step<>("L requests the state", next));
     }
-    if (s.askedL != NONE) {
-      State t = s.copy();
-      t.readL = w == Without.READ_T0 ? s.now : s.askedL;
-      t.knowsL = s.askedL;
-      t.askedL = NONE;
-      steps.add(new Search.Step<>("L reads the state", t));
+    if (state.leaderReadRequestedAt != NONE) {
+      State next = state.copy();
+      next.leaderReadAt =
+          omitted == OmittedRule.READ_COUNTED_FROM_REQUEST
+              ? state.now
+              : state.leaderReadRequestedAt;
+      next.leaderKnowsUntil = state.leaderReadRequestedAt;
+      next.leaderReadRequestedAt = NONE;
+      steps.add(new Search.Step<>("L reads the state", next));
     }
-    if (s.knowsS < s.now) {
-      State t = s.copy();
-      t.readS = s.now;
-      t.knowsS = s.now;
-      steps.add(new Search.Step<>("S reads the state", t));
+    if (state.peerKnowsUntil < state.now) {
+      State next = state.copy();
+      next.peerReadAt = state.now;
+      next.peerKnowsUntil = state.now;
+      steps.add(new Search.Step<>("S reads the state", next));
     }
   }
 
-  private static void heartbeats(State s, Without w, List<Search.Step<State>> steps) {
-    boolean leaderKnowsN = s.claimed != NONE && s.knowsL > s.claimed;
-    if (s.heartbeat == NONE && s.ack == NONE) {
-      State t = s.copy();
-      t.heartbeat = s.now;
-      steps.add(new Search.Step<>("L sends a heartbeat to S", t));
+  private static void addHeartbeatSteps(
+      State state, OmittedRule omitted, List<Search.Step<State>> steps) {
+    boolean leaderKnowsOfClaim =
+        state.claimedAt != NONE && state.leaderKnowsUntil > state.claimedAt;
+    if (state.leaderHeartbeatSentAt == NONE && state.promisedHeartbeatSentAt == NONE) {
+      State next = state.copy();
+      next.leaderHeartbeatSentAt = state.now;
+      steps.add(new Search.Step<>("L sends a heartbeat to S", next));
     }
-    if (s.heartbeat != NONE && s.ack == NONE) {
-      State t = s.copy();
-      t.ack = s.heartbeat;
-      t.ackKept = s.kept;
-      t.heartbeat = NONE;
-      t.stillUntil = s.now + STILL;
-      steps.add(new Search.Step<>("S promises", t));
+    if (state.leaderHeartbeatSentAt != NONE && state.promisedHeartbeatSentAt == NONE) {
+      State next = state.copy();
+      next.promisedHeartbeatSentAt = state.leaderHeartbeatSentAt;
+      next.promiseRenewedAt = state.peerRenewedAt;
+      next.leaderHeartbeatSentAt = NONE;
+      next.abstainsUntil = state.now + ABSTENTION;
+      steps.add(new Search.Step<>("S promises", next));
     }
-    if (s.ack != NONE) {
-      State t = s.copy();
-      heardFrom(t, w);
-      t.still = Math.max(t.still, w == Without.STILL_T0 ? s.now : s.ack);
-      t.keptKnown = Math.max(t.keptKnown, s.ackKept);
-      t.ack = NONE;
-      t.ackKept = NONE;
-      steps.add(new Search.Step<>("L hears S's promise", t));
+    if (state.promisedHeartbeatSentAt != NONE) {
+      State next = state.copy();
+      observeIncarnation(next, omitted);
+      next.abstainsSince =
+          Math.max(
+              next.abstainsSince,
+              omitted == OmittedRule.PROMISE_COUNTED_FROM_HEARTBEAT
+                  ? state.now
+                  : state.promisedHeartbeatSentAt);
+      next.knownPeerRenewalAt = Math.max(next.knownPeerRenewalAt, state.promiseRenewedAt);
+      next.promisedHeartbeatSentAt = NONE;
+      next.promiseRenewedAt = NONE;
+      steps.add(new Search.Step<>("L receives S's promise", next));
     }
-    if (s.hail == NONE && s.hailAnswered == NONE) {
-      State t = s.copy();
-      t.hail = s.now;
-      t.hailKept = s.kept;
-      steps.add(new Search.Step<>("S sends a heartbeat to L", t));
+    if (state.peerHeartbeatSentAt == NONE && state.answeredHeartbeatSentAt == NONE) {
+      State next = state.copy();
+      next.peerHeartbeatSentAt = state.now;
+      next.peerHeartbeatRenewedAt = state.peerRenewedAt;
+      steps.add(new Search.Step<>("S sends a heartbeat to L", next));
     }
-    if (s.hail != NONE && !leaderKnowsN) {
-      State t = s.copy();
-      heardFrom(t, w);
-      if (w == Without.ANSWERS_ONLY) {
-        t.keptKnown = Math.max(t.keptKnown, s.hailKept);
-        t.still = s.now;
+    if (state.peerHeartbeatSentAt != NONE && !leaderKnowsOfClaim) {
+      State next = state.copy();
+      observeIncarnation(next, omitted);
+      if (omitted == OmittedRule.STATUS_ONLY_IN_ANSWERS) {
+        next.knownPeerRenewalAt = Math.max(next.knownPeerRenewalAt, state.peerHeartbeatRenewedAt);
+        next.abstainsSince = state.now;
       }
-      t.answeredS = s.now;
-      t.hailAnswered = s.hail;
-      t.hail = NONE;
-      t.hailKept = NONE;
-      steps.add(new Search.Step<>("L answers S", t));
+      next.peerAnsweredAt = state.now;
+      next.answeredHeartbeatSentAt = state.peerHeartbeatSentAt;
+      next.peerHeartbeatSentAt = NONE;
+      next.peerHeartbeatRenewedAt = NONE;
+      steps.add(new Search.Step<>("L answers S", next));
     }
-    if (s.hailAnswered != NONE) {
-      State t = s.copy();
-      t.exchanged = w == Without.EXCHANGE_T0 ? s.now : s.hailAnswered;
-      t.hailAnswered = NONE;
-      steps.add(new Search.Step<>("S hears L's answer", t));
+    if (state.answeredHeartbeatSentAt != NONE) {
+      State next = state.copy();
+      next.lastExchangeAt =
+          omitted == OmittedRule.EXCHANGE_COUNTED_FROM_HEARTBEAT
+              ? state.now
+              : state.answeredHeartbeatSentAt;
+      next.answeredHeartbeatSentAt = NONE;
+      steps.add(new Search.Step<>("S receives L's answer", next));
     }
   }
 
-  /** L hears a new process of S for the first time. */
-  private static void heardFrom(State t, Without w) {
-    if (!t.bornKnown) {
-      if (w != Without.BORN) {
-        t.keptKnown = Math.max(t.keptKnown, mayHaveKept(t, w));
+  /** Applies that L hears from S, possibly from a new process for the first time. */
+  private static void observeIncarnation(State next, OmittedRule omitted) {
+    if (!next.isPeerIncarnationKnown) {
+      if (omitted != OmittedRule.RESTARTED_PEER_MAY_HAVE_RENEWED) {
+        next.knownPeerRenewalAt =
+            Math.max(next.knownPeerRenewalAt, latestPossiblePeerRenewal(next, omitted));
       }
-      t.bornKnown = true;
-      t.answeredS = NONE;
-      t.still = NONE;
+      next.isPeerIncarnationKnown = true;
+      next.peerAnsweredAt = NONE;
+      next.abstainsSince = NONE;
     }
   }
 
-  private static Search.Result search(Without w, int depth) {
-    return new Search<State>(State::key, s -> steps(s, w), s -> isBad(s, w))
+  private static Search.Result search(OmittedRule omitted, int depth) {
+    return new Search<State>(
+            State::key, state -> steps(state, omitted), state -> isUnsafe(state, omitted))
         .run(new State(), depth);
   }
 
   @Test
-  void nothingIsTakenForGoneThatRuns() {
-    Search.Result result = search(Without.NOTHING, DEPTH);
+  void noRunningTaskIsTakenForEndedOrOutlivesItsCancellation() {
+    Search.Result result = search(OmittedRule.NOTHING, DEPTH);
     System.out.printf("%d states in sequences of %d steps%n", result.states(), DEPTH);
     assertNull(result.trace(), () -> String.join("; ", result.trace()));
     assertTrue(result.states() > 10_000, result.states() + " states");
@@ -327,12 +370,13 @@
 
   @ParameterizedTest
   @EnumSource(names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
-  void eachRuleIsNeeded(Without w) {
-    Search.Result result = search(w, DEPTH + 1);
+  void eachRuleIsNeeded(OmittedRule omitted) {
+    Search.Result result = search(omitted, DEPTH + 1);
     assertTrue(
         result.trace() != null,
-        "without " + w + " nothing happens in " + result.states() + " states");
+        "without " + omitted + " no violation is found in " + result.states() + " states");
     System.out.printf(
-        "without %s, %d steps: %s%n", w, result.trace().size(), String.join("; ", result.trace()));
+        "without %s, %d steps: %s%n",
+        omitted, result.trace().size(), String.join("; ", result.trace()));
   }
 }
--- a/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
+++ b/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The inequality of docs/lease-renewal.md, for the settings as they are given. */
+/** The inequality of docs/lease-renewal.md, for the lease and cancel timeouts listed below. */
 class RenewalBoundsTest {
 
   /**
-   * The last lease that an answer renews ends in time, by whichever clocks, as far as there is room
-   * for one.
+   * The last lease that a controller renews ends within the cancel timeout at any permitted clock
+   * drift, except for the shortfall where the cancel timeout leaves too little room.
    */
   @ParameterizedTest
   @CsvSource({
@@ -28,17 +28,17 @@
     "22000,22000,3724",
     "22000,10000,15724"
   })
-  void whatIsAnsweredLastEndsInTime(long leaseMs, long cancelMs, long shortMs) {
+  void lastRenewedLeaseEndsWithinCancelTimeout(long leaseMs, long cancelMs, long shortfallMs) {
     Settings.Workers workers = new Settings.Workers(4_000, leaseMs, cancelMs);
-    double fast = 1 + 2 * ProtocolConstants.CLOCK_DRIFT;
-    double slow = 1 - 2 * ProtocolConstants.CLOCK_DRIFT;
-    double end = RenewalBounds.renewalWindowMs(workers) + leaseMs * fast;
+    double fastClock = 1 + 2 * ProtocolConstants.CLOCK_DRIFT;
+    double slowClock = 1 - 2 * ProtocolConstants.CLOCK_DRIFT;
+    double latestLeaseEndMs = RenewalBounds.renewalWindowMs(workers) + leaseMs * fastClock;
     assertTrue(
         RenewalBounds.renewalWindowMs(workers) >= LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS);
-    assertEquals((double) shortMs, (double) RenewalBounds.shortfallMs(workers), 60);
+    assertEquals((double) shortfallMs, (double) RenewalBounds.shortfallMs(workers), 60);
     assertTrue(
-        end + LeaseRenewalConstants.RENEWAL_MARGIN_MS
-            <= cancelMs * slow + RenewalBounds.shortfallMs(workers) + 1,
-        "ends at " + end);
+        latestLeaseEndMs + LeaseRenewalConstants.RENEWAL_MARGIN_MS
+            <= cancelMs * slowClock + RenewalBounds.shortfallMs(workers) + 1,
+        "lease ends at ms " + latestLeaseEndMs);
   }
 }
