--- a/src/main/java/fennelthread/control/LeaderDirectory.java
+++ b/src/main/java/fennelthread/control/LeaderDirectory.java
@@ -19,7 +19,8 @@
   }
 
   /**
-   * Records the heartbeat's sender as leader if its epoch is the highest in any heartbeat so far.
+   * Records the heartbeat's sender as leader if it leads under the highest epoch of any leader's
+   * heartbeat so far.
    */
   public void observeHeartbeat(PeerHeartbeat heartbeat) {
     if (heartbeat.leading() && heartbeat.epoch() >= fromHeartbeats.epoch()) {
--- a/src/main/java/fennelthread/control/StateServiceCheck.java
+++ b/src/main/java/fennelthread/control/StateServiceCheck.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * True if requests of this controller keep failing and the state service has served a peer since
-   * they began to fail.
+   * True if requests of this controller keep failing and the state service has served a peer well
+   * after it last served this one.
    */
   public boolean isRefusedOnlyHere() {
     return state.failingForMs() > ControlConstants.REFUSED_ONLY_HERE_MS
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -48,7 +48,9 @@
         });
   }
 
-  /** Runs the checks now and then every {@link ElectionConstants#CHECK_INTERVAL_MS}; call once. */
+  /**
+   * Runs the checks and repeats them every {@link ElectionConstants#CHECK_INTERVAL_MS}; call once.
+   */
   public void start() {
     eventLoop.after(ElectionConstants.CHECK_INTERVAL_MS, this::start);
     if (!takeover.isReady()) {
--- a/src/main/java/fennelthread/election/LeaderProtection.java
+++ b/src/main/java/fennelthread/election/LeaderProtection.java
@@ -36,10 +36,8 @@
     declaration.beginTerm();
     promiseWithheldSinceMs = ElectionConstants.NEVER;
     enoughPromisesSinceMs = ElectionConstants.NEVER;
-    // No promise is in force yet: peers give promises only in answers to heartbeats, and only for
-    // an
-    // epoch that they have observed.
-
+    // No promise is in force yet: peers give promises only in answers to heartbeats, and only
+    // for an epoch that they have observed.
     declaration.declare();
   }
 
@@ -84,7 +82,6 @@
       declaration.revoke();
     } else if (!declaration.isDeclared() && isPromiseWithheldTooLong(nowMs)) {
       // The follower may have agreed to a takeover: it promises again once the key is rewritten.
-
       promiseWithheldSinceMs = ElectionConstants.NEVER;
       declaration.revoke();
     }
--- a/src/main/java/fennelthread/election/LeaderView.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -20,7 +20,7 @@
      */
     SUSPECTED,
     /**
-     * The follower has agreed to a takeover, or may have done so before this process started. It *
+     * The follower has agreed to a takeover, or may have done so before this process started. It
      * makes no promise until the leader has rewritten its {@link UnilateralLeadership} declaration,
      * after which no takeover that was agreed on before can be applied.
      */
@@ -95,11 +95,11 @@
       lateCheckAtMs = nowMs;
     }
     lastCheckAtMs = nowMs;
-    boolean isSilent = isSilent(nowMs);
-    if (phase == Phase.TRUSTED && isSilent) {
+    boolean isLeaderSilent = isSilent(nowMs);
+    if (phase == Phase.TRUSTED && isLeaderSilent) {
       transitionTo(Phase.SUSPECTED);
     }
-    return isSilent;
+    return isLeaderSilent;
   }
 
   /**
--- a/src/main/java/fennelthread/election/LeadershipPromises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -37,7 +37,7 @@
     this.required = controllers - majority(controllers);
   }
 
-  /** The number of controllers that must agree to a takeover, the candidate included. */
+  /** The number of controllers that must agree to a takeover; the leader is not one of them. */
   static int majority(int controllers) {
     return controllers / 2 + 1;
   }
--- a/src/main/java/fennelthread/election/TakeoverCoordinator.java
+++ b/src/main/java/fennelthread/election/TakeoverCoordinator.java
@@ -67,7 +67,7 @@
     Collections.sort(members);
   }
 
-  /** True once the replica has been loaded; before that this controller promises nothing. */
+  /** True once the replica has been loaded; before that nothing is promised or agreed to. */
   boolean isReady() {
     return replicaLoaded;
   }
@@ -123,7 +123,6 @@
     }
     // No claim can succeed without the state service: a controller that is cut off from it together
     // with a peer would otherwise ask that peer every second.
-
     if (!requestingAgreement
         && state.canAnswerInTime(0)
         && nowMs - suspectedSinceMs >= successorRank() * ElectionConstants.SUCCESSOR_STEP_MS) {
@@ -131,7 +130,7 @@
     }
   }
 
-  /** True if the leader honors promises and has not declared that it acts without them. */
+  /** True if the viewed epoch's leader honors promises and has not declared to act without them. */
   private boolean isTakeoverAllowed() {
     return lease.isTakeoverPossible(view.epoch()) && !declaration.isRecordedFor(view.epoch());
   }
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -142,7 +142,6 @@
     if (!heartbeat.renewal().receiverHeard()) {
       // The leader will not receive this answer either: abstaining would only let the leases of
       // workers that reach only this controller expire.
-
       return 0;
     }
     abstainUntilMs =
--- a/src/test/java/fennelthread/leaserenewal/GapModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/GapModelTest.java
@@ -159,9 +159,7 @@
     if (state.readRequestedAt == NONE && state.replicaCurrentAsOf < state.now) {
       State next = state.copy();
       next.readRequestedAt = state.now;
-      // A disclosure within the same tick may be missing from this read: only earlier ones count as
-      // known.
-
+      // This read may miss a disclosure within the same tick: only earlier ones count as known.
       next.knowsCancellation = state.knowsCancellation;
       steps.add(new Search.Step<>("L requests the state", next));
     }
