--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -20,8 +20,8 @@
 import fennelthread.leader.FleetEnvironment;
 import fennelthread.leader.JobRecords;
 import fennelthread.leader.LeaderContext;
-import fennelthread.leader.Lease;
-import fennelthread.leader.PeerAssurance;
+import fennelthread.leader.LeaderLease;
+import fennelthread.leader.PeerKnowledge;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
 import fennelthread.leaserenewal.LeadershipStatus;
@@ -58,7 +58,7 @@
   private final ReplicatedRecords records;
   private final CloudClient cloud;
   private final MachineTypes machineTypes;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final CurrentTerm currentTerm;
   private final LeaderDirectory directory;
   private final KnownWorkers workers = new KnownWorkers();
@@ -118,8 +118,8 @@
     this.api = createApi();
   }
 
-  private Lease createLease() {
-    return new Lease(
+  private LeaderLease createLease() {
+    return new LeaderLease(
         eventLoop,
         records.state(),
         records.replica(),
@@ -255,20 +255,20 @@
   // ---------------------------------------------------------------- leading
 
   /** Answers the lease's questions about the peers. */
-  private final class PeerState implements PeerAssurance {
+  private final class PeerState implements PeerKnowledge {
     @Override
     public boolean excludesOtherLeader() {
       return election.excludesTakeover();
     }
 
     @Override
-    public long stillUnbounded(long epoch) {
+    public long epochIfUnbounded(long epoch) {
       return peers.allBoundRenewals(epoch) ? 0 : epoch;
     }
   }
 
   /** Begins a term when this controller is elected, and resigns it when it steps down. */
-  private final class LeadershipListener implements Lease.Listener {
+  private final class LeadershipListener implements LeaderLease.Listener {
     @Override
     public void onElected(long epoch) {
       log.info("leader elected epoch={} member={}", epoch, settings.member());
@@ -283,7 +283,7 @@
     }
 
     @Override
-    public void onDeposed(String reason) {
+    public void onSteppedDown(String reason) {
       log.info("leader stepped down member={} reason={}", settings.member(), reason);
       currentTerm.resign();
     }
--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -1,6 +1,6 @@
 package fennelthread.control;
 
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.leader.Term;
 import fennelthread.net.Answer;
 import fennelthread.wire.WorkerReport;
@@ -21,13 +21,13 @@
     Term createTerm();
   }
 
-  private final Lease lease;
+  private final LeaderLease lease;
   private Term active;
   private Term resigned;
   private long electedAtMs;
 
   /** Creates a holder without a term; {@code lease} says whether this controller leads. */
-  public CurrentTerm(Lease lease) {
+  public CurrentTerm(LeaderLease lease) {
     this.lease = lease;
   }
 
@@ -94,7 +94,7 @@
 
   /** The addresses of the active term's workers by machine name, empty without a term. */
   public Map<String, String> workerAddresses() {
-    return active == null ? Map.of() : active.addresses();
+    return active == null ? Map.of() : active.workerAddresses();
   }
 
   /** Describes the number of objects that the active term holds, for one log line. */
--- a/src/main/java/fennelthread/control/LeaderDirectory.java
+++ b/src/main/java/fennelthread/control/LeaderDirectory.java
@@ -1,6 +1,6 @@
 package fennelthread.control;
 
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.relay.Leader;
 
@@ -10,11 +10,11 @@
  * reached yet. Used on the event loop's thread only.
  */
 public final class LeaderDirectory {
-  private final Lease lease;
+  private final LeaderLease lease;
   private Leader fromHeartbeats = new Leader(null, 0);
 
   /** Creates a directory that has observed no heartbeat; {@code lease} reads the replica. */
-  public LeaderDirectory(Lease lease) {
+  public LeaderDirectory(LeaderLease lease) {
     this.lease = lease;
   }
 
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -3,7 +3,7 @@
 import fennelthread.constants.ControlConstants;
 import fennelthread.constants.RelayConstants;
 import fennelthread.handover.Handover;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.EventLoop;
 
 /**
@@ -13,7 +13,7 @@
  */
 public final class LeaderSupervisor {
   private final EventLoop eventLoop;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final KnownWorkers workers;
   private final Handover handover;
   private final StateServiceCheck stateService;
@@ -23,7 +23,7 @@
   /** Creates a supervisor; the caller schedules {@link #runChecks}. */
   public LeaderSupervisor(
       EventLoop eventLoop,
-      Lease lease,
+      LeaderLease lease,
       KnownWorkers workers,
       Handover handover,
       StateServiceCheck stateService,
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.ControlConstants;
 import fennelthread.fleet.CloudClient;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.leader.MachineTypeCatalog;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
@@ -33,13 +33,17 @@
   private final CloudClient cloud;
   private final StateClient state;
   private final Replica replica;
-  private final Lease lease;
+  private final LeaderLease lease;
   private Map<String, MachineType> byName = new LinkedHashMap<>();
   private boolean fetching;
 
   /** Creates an empty catalog, which {@link #fetchFromCloud} and the replica fill. */
   public MachineTypes(
-      EventLoop eventLoop, CloudClient cloud, StateClient state, Replica replica, Lease lease) {
+      EventLoop eventLoop,
+      CloudClient cloud,
+      StateClient state,
+      Replica replica,
+      LeaderLease lease) {
     this.eventLoop = eventLoop;
     this.cloud = cloud;
     this.state = state;
--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -1,7 +1,7 @@
 package fennelthread.control;
 
 import fennelthread.fleet.StaleReportFilter;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
 import fennelthread.relay.CommandSender;
@@ -17,7 +17,7 @@
 public final class ReportRouter {
   private final EventLoop eventLoop;
   private final String member;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final CurrentTerm term;
   private final LeaderReachability reachability;
   private final CommandSender commands;
@@ -33,7 +33,7 @@
   public ReportRouter(
       EventLoop eventLoop,
       String member,
-      Lease lease,
+      LeaderLease lease,
       CurrentTerm term,
       LeaderReachability reachability,
       CommandSender commands,
--- a/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -1,7 +1,7 @@
 package fennelthread.control;
 
 import fennelthread.constants.ControlConstants;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.Call;
 import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
@@ -20,7 +20,7 @@
   private static final Logger log = LoggerFactory.getLogger(WorkerReachabilityCheck.class);
 
   private final EventLoop eventLoop;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final CurrentTerm term;
   private final PeerHeartbeats peers;
   private final LeaderReachability reachability;
@@ -34,7 +34,7 @@
    */
   public WorkerReachabilityCheck(
       EventLoop eventLoop,
-      Lease lease,
+      LeaderLease lease,
       CurrentTerm term,
       PeerHeartbeats peers,
       LeaderReachability reachability,
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -1,7 +1,7 @@
 package fennelthread.election;
 
 import fennelthread.constants.ElectionConstants;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.EventLoop;
 import fennelthread.peers.HeartbeatExtension;
 import fennelthread.peers.PeerHeartbeat;
@@ -19,7 +19,7 @@
  */
 public final class LeaderElection {
   private final EventLoop eventLoop;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final LeaderProtection protection;
   private final TakeoverCoordinator takeover;
 
@@ -30,7 +30,7 @@
       PeerHeartbeats peers,
       StateClient state,
       Replica replica,
-      Lease lease) {
+      LeaderLease lease) {
     this.eventLoop = eventLoop;
     this.lease = lease;
     UnilateralLeadership declaration = new UnilateralLeadership(eventLoop, state, replica, lease);
--- a/src/main/java/fennelthread/election/LeaderProtection.java
+++ b/src/main/java/fennelthread/election/LeaderProtection.java
@@ -1,7 +1,7 @@
 package fennelthread.election;
 
 import fennelthread.constants.ElectionConstants;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeat;
 
@@ -12,7 +12,7 @@
 final class LeaderProtection {
 
   private final EventLoop eventLoop;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final LeadershipPromises promises;
   private final UnilateralLeadership declaration;
   private long promiseWithheldSinceMs = ElectionConstants.NEVER;
@@ -21,7 +21,7 @@
   /** Creates the protection of one controller, for whenever it leads. */
   LeaderProtection(
       EventLoop eventLoop,
-      Lease lease,
+      LeaderLease lease,
       LeadershipPromises promises,
       UnilateralLeadership declaration) {
     this.eventLoop = eventLoop;
--- a/src/main/java/fennelthread/election/TakeoverCoordinator.java
+++ b/src/main/java/fennelthread/election/TakeoverCoordinator.java
@@ -1,7 +1,7 @@
 package fennelthread.election;
 
 import fennelthread.constants.ElectionConstants;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
 import fennelthread.net.Request;
@@ -38,7 +38,7 @@
   private final PeerHeartbeats peers;
   private final StateClient state;
   private final Replica replica;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final UnilateralLeadership declaration;
   private final LeaderView view = new LeaderView();
   private final List<String> members = new ArrayList<>();
@@ -53,7 +53,7 @@
       PeerHeartbeats peers,
       StateClient state,
       Replica replica,
-      Lease lease,
+      LeaderLease lease,
       UnilateralLeadership declaration) {
     this.eventLoop = eventLoop;
     this.settings = settings;
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -1,7 +1,7 @@
 package fennelthread.election;
 
 import fennelthread.constants.ElectionConstants;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
@@ -41,13 +41,13 @@
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
-  private final Lease lease;
+  private final LeaderLease lease;
   private Phase phase = Phase.NOT_DECLARED;
   private long term;
   private long lastWriteAtMs = Long.MIN_VALUE / 2;
 
   /** Creates the declaration of one controller; nothing is written before the first term. */
-  UnilateralLeadership(EventLoop eventLoop, StateClient state, Replica replica, Lease lease) {
+  UnilateralLeadership(EventLoop eventLoop, StateClient state, Replica replica, LeaderLease lease) {
     this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
--- a/src/main/java/fennelthread/leader/AttemptEndHandler.java
+++ b/src/main/java/fennelthread/leader/AttemptEndHandler.java
@@ -18,7 +18,7 @@
   private final EventLoop eventLoop;
   private final Fleet fleet;
   private final ActiveJobs activeJobs;
-  private final RunTimes runTimes;
+  private final RunTimeEstimator runTimes;
   private final CompletionWriter completions;
 
   AttemptEndHandler(EventLoop eventLoop, TermState term, CompletionWriter completions) {
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -56,7 +56,7 @@
   private final StateClient state;
   private final Replica replica;
   private final SizeLimits limits;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final JobStore store;
   private final ActiveJobs activeJobs;
   private final RoundTrigger rounds;
--- a/src/main/java/fennelthread/leader/LeaderContext.java
+++ b/src/main/java/fennelthread/leader/LeaderContext.java
@@ -20,4 +20,4 @@
     Options options,
     StateClient state,
     Replica replica,
-    Lease lease) {}
+    LeaderLease lease) {}
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/LeaderLease.java
@@ -22,8 +22,8 @@
  * <p>{@link ClaimSchedule} says when to claim, {@link LeadershipClaim} submits the claim, {@link
  * LeaseRenewal} keeps the lease alive and counts the local one. Used on the event loop's thread.
  */
-public final class Lease {
-  private static final Logger log = LoggerFactory.getLogger(Lease.class);
+public final class LeaderLease {
+  private static final Logger log = LoggerFactory.getLogger(LeaderLease.class);
 
   /** Whether this controller leads. */
   private enum Phase {
@@ -41,17 +41,17 @@
     void onElected(long epoch);
 
     /** This controller no longer leads; {@code reason} is for the log. */
-    void onDeposed(String reason);
+    void onSteppedDown(String reason);
   }
 
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
-  private final LeaderRecords records;
+  private final LeaderRecordReader records;
   private final LeadershipClaim claim;
   private final ClaimSchedule schedule;
   private final LeaseRenewal renewal;
-  private final PeerAssurance peers;
+  private final PeerKnowledge peers;
   private final Listener listener;
   private final String member;
   private Phase phase = Phase.FOLLOWING;
@@ -65,19 +65,19 @@
    *
    * @param incarnation distinguishes the process from earlier ones of the same member
    */
-  public Lease(
+  public LeaderLease(
       EventLoop eventLoop,
       StateClient state,
       Replica replica,
       Settings settings,
       Options options,
       String incarnation,
-      PeerAssurance peers,
+      PeerKnowledge peers,
       Listener listener) {
     this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
-    this.records = new LeaderRecords(replica);
+    this.records = new LeaderRecordReader(replica);
     this.peers = peers;
     this.listener = listener;
     this.member = settings.member();
@@ -211,7 +211,7 @@
     long heldLeaseId = renewal.storeLeaseId();
     transitionTo(Phase.FOLLOWING, reason);
     state.revokeLease(heldLeaseId, revocation -> {});
-    listener.onDeposed(reason);
+    listener.onSteppedDown(reason);
     schedule.retryAfter(pauseMs + ProtocolConstants.RETRY_MS);
   }
 
@@ -291,7 +291,7 @@
 
     @Override
     public void claimIfVacant() {
-      Lease.this.claimIfVacant();
+      LeaderLease.this.claimIfVacant();
     }
   }
 
@@ -304,7 +304,9 @@
     @Override
     public long unboundedEpoch() {
       long last = records.unboundedEpoch();
-      return last == 0 || last == LeaderConstants.UNKNOWN_EPOCH ? last : peers.stillUnbounded(last);
+      return last == 0 || last == LeaderConstants.UNKNOWN_EPOCH
+          ? last
+          : peers.epochIfUnbounded(last);
     }
   }
 
@@ -337,7 +339,7 @@
   private final class RenewalOwner implements LeaseRenewal.Owner {
     @Override
     public boolean isLeadingUnder(long ofEpoch) {
-      return Lease.this.isLeadingUnder(ofEpoch);
+      return LeaderLease.this.isLeadingUnder(ofEpoch);
     }
 
     @Override
--- a/src/main/java/fennelthread/leader/LeaderRecords.java
+++ b/src/main/java/fennelthread/leader/LeaderRecordReader.java
@@ -12,10 +12,10 @@
  * behind; a claim is conditional on the revisions that it was derived from. Used on the event
  * loop's thread.
  */
-final class LeaderRecords {
+final class LeaderRecordReader {
   private final Replica replica;
 
-  LeaderRecords(Replica replica) {
+  LeaderRecordReader(Replica replica) {
     this.replica = replica;
   }
 
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -72,7 +72,7 @@
   }
 
   private static Snapshot.RunningTask runningTask(
-      Machine machine, Attempt attempt, ActiveJob activeJob, RunTimes runTimes) {
+      Machine machine, Attempt attempt, ActiveJob activeJob, RunTimeEstimator runTimes) {
     StartRecord.Start start = attempt.start();
     JobSpec spec = activeJob.job().spec();
     return new Snapshot.RunningTask(
--- a/src/main/java/fennelthread/leader/PeerAssurance.java
+++ b/src/main/java/fennelthread/leader/PeerKnowledge.java
@@ -1,7 +1,7 @@
 package fennelthread.leader;
 
 /** What the heartbeats of the peers say that a leader's lease depends on. */
-public interface PeerAssurance {
+public interface PeerKnowledge {
   /** True if no peer can have become leader while the local lease is valid. */
   boolean excludesOtherLeader();
 
@@ -10,5 +10,5 @@
    *
    * @return {@code epoch}, or 0 if every peer is known to have learned of a later one
    */
-  long stillUnbounded(long epoch);
+  long epochIfUnbounded(long epoch);
 }
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordGarbageCollector.java
@@ -26,21 +26,21 @@
  * service runs: removes start records without live attempts and what is left of jobs that are
  * final, and compacts start records with few live attempts.
  */
-final class RecordCollector {
-  private static final Logger log = LoggerFactory.getLogger(RecordCollector.class);
+final class RecordGarbageCollector {
+  private static final Logger log = LoggerFactory.getLogger(RecordGarbageCollector.class);
 
   private final EventLoop eventLoop;
   private final StateClient state;
   private final SizeLimits limits;
   private final Replica replica;
   private final JobTable table;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final Fleet fleet;
   private final StartRecordKeys keys;
   private boolean isWriting;
   private long lastCollectionMs;
 
-  RecordCollector(LeaderContext context, JobTable table, Fleet fleet, StartRecordKeys keys) {
+  RecordGarbageCollector(LeaderContext context, JobTable table, Fleet fleet, StartRecordKeys keys) {
     this.eventLoop = context.eventLoop();
     this.state = context.state();
     this.limits = state.limits();
--- a/src/main/java/fennelthread/leader/RunTimes.java
+++ b/src/main/java/fennelthread/leader/RunTimeEstimator.java
@@ -10,7 +10,7 @@
  * class have exceeded theirs, with exponential decay. Owners err by half and more, and on some days
  * all in one direction.
  */
-final class RunTimes {
+final class RunTimeEstimator {
   private static final class Ratio {
     double sum = LeaderConstants.RUN_TIME_PRIOR_WEIGHT;
     double weight = LeaderConstants.RUN_TIME_PRIOR_WEIGHT;
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -43,7 +43,7 @@
 
   private final LeaderContext context;
   private final EventLoop eventLoop;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final Fleet fleet;
   private final SnapshotBuilder snapshots;
   private final StartBatches batches;
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -29,7 +29,7 @@
   private final EventLoop eventLoop;
   private final Settings settings;
   private final TermState term;
-  private final Demand demand;
+  private final TaskDemand demand;
   private final MachineTypeCatalog machineTypes;
   private final PassedOverJobs passedOver;
   private final CpuDemandListener demandListener;
@@ -45,7 +45,7 @@
     this.eventLoop = context.eventLoop();
     this.settings = context.settings();
     this.term = term;
-    this.demand = new Demand(eventLoop, settings, term);
+    this.demand = new TaskDemand(eventLoop, settings, term);
     this.machineTypes = machineTypes;
     this.passedOver = passedOver;
     this.demandListener = demandListener;
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -31,7 +31,7 @@
 
   private final Replica replica;
   private final SizeLimits limits;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final Fleet fleet;
   private final ActiveJobs activeJobs;
   private final StartRecordKeys keys;
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/TaskDemand.java
@@ -19,13 +19,13 @@
 import java.util.Set;
 
 /** The tasks that the released jobs want to have placed, as input of a scheduling round. */
-final class Demand {
+final class TaskDemand {
   private final EventLoop eventLoop;
   private final Settings settings;
   private final TermState term;
   private final JobUrgency urgency;
 
-  Demand(EventLoop eventLoop, Settings settings, TermState term) {
+  TaskDemand(EventLoop eventLoop, Settings settings, TermState term) {
     this.eventLoop = eventLoop;
     this.settings = settings;
     this.term = term;
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -42,7 +42,7 @@
   private final LeaderContext context;
   private final EventLoop eventLoop;
   private final JobRecords records;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final long epoch;
   private final Fleet fleet;
   private final MachineProvisioner provisioner;
@@ -51,7 +51,7 @@
   private final SchedulingLoop scheduling;
   private final CompletionWriter completions;
   private final AttemptEndHandler attemptEnds;
-  private final RecordCollector collector;
+  private final RecordGarbageCollector collector;
   private final JobUpdates jobUpdates;
   private Phase phase = Phase.CATCHING_UP;
 
@@ -65,7 +65,7 @@
     this.fleet = createFleet(environment);
     this.provisioner = createProvisioner(environment);
     this.activeJobs = new ActiveJobs(records.store().dependencyTracker().graph());
-    TermState state = new TermState(fleet, activeJobs, new RunTimes());
+    TermState state = new TermState(fleet, activeJobs, new RunTimeEstimator());
     StartRecordKeys startRecordKeys = new StartRecordKeys(epoch);
     this.commands = new WorkerCommands(eventLoop, state, records.endedJobs());
     this.scheduling =
@@ -73,7 +73,7 @@
             context, state, environment.machineTypes(), startRecordKeys, provisioner::recordDemand);
     this.completions = new CompletionWriter(context, records.store(), activeJobs, scheduling);
     this.attemptEnds = new AttemptEndHandler(eventLoop, state, completions);
-    this.collector = new RecordCollector(context, records.table(), fleet, startRecordKeys);
+    this.collector = new RecordGarbageCollector(context, records.table(), fleet, startRecordKeys);
     this.jobUpdates = new JobUpdates(records, state, completions, scheduling);
     environment
         .workerAddresses()
@@ -120,7 +120,7 @@
   }
 
   /** The addresses of the workers that report, by name; peers keep them for a failover. */
-  public Map<String, String> addresses() {
+  public Map<String, String> workerAddresses() {
     Map<String, String> known = new LinkedHashMap<>();
     for (Machine machine : fleet.machines()) {
       if (machine.phase() == Machine.Phase.REPORTING && machine.address() != null) {
--- a/src/main/java/fennelthread/leader/TermState.java
+++ b/src/main/java/fennelthread/leader/TermState.java
@@ -9,4 +9,4 @@
  * @param activeJobs the live jobs and their progress
  * @param runTimes how long tasks take in comparison with their estimates
  */
-record TermState(Fleet fleet, ActiveJobs activeJobs, RunTimes runTimes) {}
+record TermState(Fleet fleet, ActiveJobs activeJobs, RunTimeEstimator runTimes) {}
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -19,7 +19,7 @@
   private final EventLoop eventLoop;
   private final Fleet fleet;
   private final ActiveJobs activeJobs;
-  private final RunTimes runTimes;
+  private final RunTimeEstimator runTimes;
   private final JobRecords.EndedJobs endedJobs;
 
   WorkerCommands(EventLoop eventLoop, TermState term, JobRecords.EndedJobs endedJobs) {
--- a/src/main/java/fennelthread/leader/package-info.java
+++ b/src/main/java/fennelthread/leader/package-info.java
@@ -2,10 +2,10 @@
  * Leadership: the lease that entitles this controller to lead, and the term of a leader, which
  * places tasks and records their ends.
  *
- * <p>{@link fennelthread.leader.Lease} lives as long as the process; {@link
+ * <p>{@link fennelthread.leader.LeaderLease} lives as long as the process; {@link
  * fennelthread.leader.Term} is created at each election and wires the parts of a term together. The
  * scheduling loop plans and records starts, the completion writer records ends, the record
  * collector removes what is obsolete. Everything runs on the event loop's thread. Start reading at
- * {@code Lease}, then at {@code Term}.
+ * {@code LeaderLease}, then at {@code Term}.
  */
 package fennelthread.leader;
