--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -126,7 +126,7 @@
         settings,
         options,
         incarnation,
-        new PeerState(),
+        new PeerHeartbeatKnowledge(),
         new LeadershipListener());
   }
 
@@ -153,7 +153,7 @@
         peers,
         records.cancellations(),
         records.replica(),
-        new LeaseLeadership());
+        new LeaderLeaseStatus());
   }
 
   private WorkerReachabilityCheck createReachabilityCheck(UnreachableLeaderNotice notice) {
@@ -248,14 +248,15 @@
   }
 
   private void onReplicaLoaded() {
-    log.info("state loaded member={} revision={}", settings.member(), records.replica().revision());
+    log.info(
+        "replica loaded member={} revision={}", settings.member(), records.replica().revision());
     lease.claimIfVacant();
   }
 
-  // ---------------------------------------------------------------- leading
+  // ---------------------------------------------------------------- leadership
 
-  /** Answers the lease's questions about the peers. */
-  private final class PeerState implements PeerKnowledge {
+  /** What this controller knows about its peers that its leader lease depends on. */
+  private final class PeerHeartbeatKnowledge implements PeerKnowledge {
     @Override
     public boolean excludesOtherLeader() {
       return election.excludesTakeover();
@@ -267,7 +268,9 @@
     }
   }
 
-  /** Begins a term when this controller is elected, and resigns it when it steps down. */
+  /**
+   * Begins a term when this controller is elected; the term resigns when the controller steps down.
+   */
   private final class LeadershipListener implements LeaderLease.Listener {
     @Override
     public void onElected(long epoch) {
@@ -303,7 +306,7 @@
   }
 
   /**
-   * The time since when no other controller can have answered a report, ms of the local clock;
+   * Since when no other controller can have answered a worker's report, ms of the local clock;
    * {@code Long.MAX_VALUE} while one may still do so.
    */
   private long othersSilentSinceMs(long epoch, long electedAtMs) {
@@ -314,7 +317,7 @@
 
   // ---------------------------------------------------------------- peers
 
-  /** What this controller shares with its peers, and does with their heartbeats. */
+  /** Supplies the content of this controller's heartbeats and applies those of its peers. */
   private final class HeartbeatStatus implements LocalStatus {
     @Override
     public HeartbeatSender sender() {
@@ -343,8 +346,10 @@
     }
   }
 
-  /** What the renewal of leases by followers needs to know of our lease. */
-  private final class LeaseLeadership implements LeadershipStatus {
+  /**
+   * Tells the follower's renewal of worker leases whether this controller leads, and its epochs.
+   */
+  private final class LeaderLeaseStatus implements LeadershipStatus {
     @Override
     public boolean isLeading() {
       return lease.isLeading();
--- a/src/main/java/fennelthread/ControllerConditions.java
+++ b/src/main/java/fennelthread/ControllerConditions.java
@@ -9,7 +9,7 @@
 import fennelthread.wire.MachineType;
 import java.util.Map;
 
-/** What the service for users asks of one controller's other subsystems. */
+/** The conditions under which the user API serves requests, read from the other subsystems. */
 final class ControllerConditions implements ServingConditions {
   private final Replica replica;
   private final StateServiceCheck stateServiceCheck;
--- a/src/main/java/fennelthread/ControllerMemory.java
+++ b/src/main/java/fennelthread/ControllerMemory.java
@@ -4,7 +4,7 @@
 import fennelthread.control.KnownWorkers;
 import fennelthread.health.MemoryConsumer;
 
-/** What one controller's subsystems hold in memory. */
+/** The heap use of one controller's subsystems; the caches of the job store can be evicted. */
 final class ControllerMemory implements MemoryConsumer {
   private final ReplicatedRecords records;
   private final KnownWorkers workers;
@@ -24,9 +24,9 @@
   @Override
   public String memoryUsage() {
     return records.memoryUsage()
-        + ", knownAddresses="
+        + " knownAddresses="
         + workers.addressCount()
-        + ", "
+        + " "
         + term.memoryUsage();
   }
 }
--- a/src/main/java/fennelthread/ReplicatedRecords.java
+++ b/src/main/java/fennelthread/ReplicatedRecords.java
@@ -48,22 +48,22 @@
     return table;
   }
 
-  /** The jobs that are known to be over, whether or not their records say so yet. */
+  /** The jobs that are known to be done or cancelled, even if their records do not show it yet. */
   CancellationLog cancellations() {
     return cancellations;
   }
 
-  /** What submits, cancels and looks up jobs. */
+  /** Submits, cancels and looks up jobs. */
   JobStore store() {
     return store;
   }
 
-  /** Describes what is held in memory, for one line of the log. */
+  /** Describes the memory use as key=value pairs for a log line. */
   String memoryUsage() {
-    return table.memoryUsage() + ", " + store.memoryUsage();
+    return table.memoryUsage() + " " + store.memoryUsage();
   }
 
-  /** Records jobs as over once their records are removed. */
+  /** Enters jobs into the cancellation log as ended once their records are removed. */
   private final class RemovedJobs implements JobTable.Listener {
     @Override
     public void onJobAdded(Job job) {}
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -13,16 +13,16 @@
 import java.util.TreeSet;
 
 /**
- * What the leader knows of a live job beyond its record: attempts of its tasks, finished tasks that
- * are not stored yet, and backoff.
+ * The state of a live job that its record does not hold: release, inherited priority, attempts of
+ * its tasks, finished tasks that are not stored yet, and backoff.
  */
 final class ActiveJob {
 
   /** Whether the job's tasks may be placed. */
   enum Phase {
-    /** Its dependencies are not proven to be done: it counts in no demand, quota or round. */
+    /** Not all dependencies are known to be done: the job counts in no demand, quota or round. */
     WAITING,
-    /** It waits for no other job. */
+    /** The job waits for no other job. */
     RELEASED
   }
 
@@ -63,7 +63,7 @@
    * Releases a waiting job; there is no way back.
    *
    * @param order its place among the released jobs of the term
-   * @param wallMs the time of day from which it no longer waited
+   * @param wallMs the time of day at which it stopped waiting for other jobs, ms
    */
   void release(long order, long wallMs) {
     if (phase != Phase.WAITING) {
@@ -82,17 +82,20 @@
     return releaseOrder;
   }
 
-  /** The time of day from which the job's times count, its deadline apart. */
+  /**
+   * The time of day, ms, at which the job stopped waiting for others; its age in scheduling counts
+   * from it, while its deadline counts from its submission.
+   */
   long releasedWallMs() {
     return releasedWallMs;
   }
 
-  /** Sets what the job inherits from its dependents; null if nothing. */
+  /** Sets the priority and due times that the job inherits from its dependents; null if none. */
   void setInheritedPriority(InheritedPriority fromDependents) {
     inherited = fromDependents;
   }
 
-  /** What the job inherits from its dependents, or null. */
+  /** The priority and due times that the job inherits from its dependents, or null. */
   InheritedPriority inheritedPriority() {
     return inherited;
   }
@@ -107,7 +110,9 @@
 
   // ---------------------------------------------------------------- attempts
 
-  /** Adds an attempt that may be on a machine: its task is not placed meanwhile. */
+  /**
+   * Adds an attempt that may be on a machine; its task is not placed until the attempt is detached.
+   */
   void attach(Attempt attempt) {
     int task = attempt.start().task().index();
     List<Attempt> ofTask = attempts.computeIfAbsent(task, k -> new ArrayList<>(1));
@@ -117,7 +122,7 @@
     idle.clear(task);
   }
 
-  /** Removes an attempt that is proven to be on no machine. */
+  /** Removes an attempt that is on no machine, which makes its task idle unless it is finished. */
   void detach(Attempt attempt) {
     int task = attempt.start().task().index();
     List<Attempt> ofTask = attempts.get(task);
@@ -151,18 +156,18 @@
     return longest;
   }
 
-  private static boolean hasRunLonger(Attempt a, Attempt b) {
-    if ((a.runningSinceMs() < 0) != (b.runningSinceMs() < 0)) {
-      return a.runningSinceMs() >= 0;
+  private static boolean hasRunLonger(Attempt attempt, Attempt other) {
+    if ((attempt.runningSinceMs() < 0) != (other.runningSinceMs() < 0)) {
+      return attempt.runningSinceMs() >= 0;
     }
-    return a.runningSinceMs() != b.runningSinceMs()
-        ? a.runningSinceMs() < b.runningSinceMs()
-        : a.start().attempt() < b.start().attempt();
+    return attempt.runningSinceMs() != other.runningSinceMs()
+        ? attempt.runningSinceMs() < other.runningSinceMs()
+        : attempt.start().attempt() < other.start().attempt();
   }
 
   // ---------------------------------------------------------------- finished tasks
 
-  /** Notes a finished task, which is to be stored. */
+  /** Marks a task finished; it is to be stored, and is not started again. */
   void markFinished(int task) {
     if (task < job.spec().tasks() && !finished.get(task)) {
       finished.set(task);
@@ -188,17 +193,17 @@
     return !finished.isEmpty();
   }
 
-  /** True if none of its tasks is done or has failed. */
-  boolean hasNotBegun() {
-    return finished.isEmpty() && !backoff.hasFailures();
+  /** True if one of its tasks is finished or has failed at some time in the term. */
+  boolean hasFinishedOrFailedTasks() {
+    return !finished.isEmpty() || backoff.hasFailures();
   }
 
-  /** True if the task is finished and the state service says so. */
+  /** True if the state service holds that the task is finished. */
   boolean isStored(int task) {
     return stored.get(task);
   }
 
-  /** The chunks of tasks of which some finished one is not stored. */
+  /** The chunks that hold a finished task which is not stored yet. */
   Iterable<Integer> unstoredChunks() {
     return unstoredChunks;
   }
@@ -207,7 +212,7 @@
     return !unstoredChunks.isEmpty();
   }
 
-  /** Notes finished tasks that the state service holds now. */
+  /** Marks finished tasks that the state service now holds. */
   void markStored(BitSet tasks) {
     stored.or(tasks);
     unstoredChunks.removeIf(this::isChunkStored);
@@ -230,7 +235,10 @@
     return !idle.isEmpty();
   }
 
-  /** Tasks that may be started now: unfinished, proven to be on no machine, not in backoff. */
+  /**
+   * The tasks, at most {@code maxTasks}, that may be started now: unfinished, on no machine, and
+   * not in backoff.
+   */
   List<Integer> startableTasks(long nowMs, int maxTasks) {
     List<Integer> tasks = new ArrayList<>();
     for (int task = idle.nextSetBit(0);
@@ -243,7 +251,7 @@
     return tasks;
   }
 
-  /** Lets a task that was stopped be started again at once. */
+  /** Lifts the backoff of a task that was stopped: it may be started again at once. */
   void onTaskStopped(int task) {
     backoff.reset(task);
   }
@@ -256,7 +264,7 @@
   /**
    * Delays the next attempt of a task that has failed.
    *
-   * @return true if the job, and not the machine, must be faulty
+   * @return true if the job rather than the machine counts as faulty
    */
   boolean onTaskFailed(int task, String machine, long nowMs, double jitter) {
     return backoff.onFailed(task, machine, hasFinishedTasks(), nowMs, jitter);
--- a/src/main/java/fennelthread/leader/ActiveJobs.java
+++ b/src/main/java/fennelthread/leader/ActiveJobs.java
@@ -11,7 +11,7 @@
 final class ActiveJobs {
   private final DependencyGraph dependencies;
   private final Map<String, ActiveJob> byId = new LinkedHashMap<>();
-  private long releases;
+  private long releaseCount;
 
   ActiveJobs(DependencyGraph dependencies) {
     this.dependencies = dependencies;
@@ -41,24 +41,27 @@
     }
   }
 
-  /** Releases a job: as the last one of its team, however long ago it was submitted. */
+  /**
+   * Releases a job, which becomes the last in the order of release however long ago it was
+   * submitted.
+   */
   void release(ActiveJob activeJob) {
     byId.remove(activeJob.id());
     byId.put(activeJob.id(), activeJob);
-    activeJob.release(++releases, dependencies.releasedAtMs(activeJob.job()));
+    activeJob.release(++releaseCount, dependencies.releasedAtMs(activeJob.job()));
   }
 
-  /** Takes over what the job inherits from its dependents. */
+  /** Updates the priority and due times that the job inherits from its dependents. */
   void updateInheritedPriority(ActiveJob activeJob) {
     activeJob.setInheritedPriority(dependencies.inheritedPriority(activeJob.id()));
   }
 
-  /** Removes a job that is final; returns it, or null if it was not known. */
+  /** Removes a job that is done or cancelled; returns it, or null if it was not live. */
   ActiveJob remove(String id) {
     return byId.remove(id);
   }
 
-  /** Notes that an attempt may be on its machine, if its job is live. */
+  /** Attaches an attempt to its job if the job is live and the attempt may be on its machine. */
   void attach(Attempt attempt) {
     ActiveJob activeJob = jobOf(attempt);
     if (activeJob != null && attempt.mayBePresent()) {
--- a/src/main/java/fennelthread/leader/AttemptEndHandler.java
+++ b/src/main/java/fennelthread/leader/AttemptEndHandler.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Draws the conclusions from the end of an attempt: its task is finished, or is tried again after a
- * backoff, and a machine on which tasks fail is cordoned.
+ * Handles the ends of attempts: marks the task finished, or delays its retry after a failure or a
+ * refusal, and cordons a machine on which too many tasks fail.
  */
 final class AttemptEndHandler {
   private static final Logger log = LoggerFactory.getLogger(AttemptEndHandler.class);
@@ -50,7 +50,8 @@
       case HALTED -> activeJob.onTaskStopped(task);
       case FULL, BUSY, NO_SUCH, OTHER ->
           activeJob.onTaskRefused(task, eventLoop.nowMs(), eventLoop.random().nextDouble());
-      default -> throw new IllegalStateException("ended with " + attempt.endReason());
+      default ->
+          throw new IllegalStateException("unexpected end of an attempt: " + attempt.endReason());
     }
   }
 
--- a/src/main/java/fennelthread/leader/ClaimSchedule.java
+++ b/src/main/java/fennelthread/leader/ClaimSchedule.java
@@ -6,17 +6,17 @@
 import fennelthread.state.StateClient;
 
 /**
- * Decides when a follower claims a vacant leadership: after a random wait, later after it has
- * stepped down or seems to be in a crash loop. Revokes the lease of an earlier process of the same
- * member, so that its expiry need not be waited for.
+ * Decides when a follower claims a vacant leadership: after a random wait, and after an additional
+ * pause if the controller has stepped down or its process seems to be in a crash loop. Also revokes
+ * the lease of an earlier process of the same member, instead of waiting for its expiry.
  */
 final class ClaimSchedule {
-  /** The state machine that claims. */
+  /** Submits the claims that are scheduled here. */
   interface Claimant {
     /** Called when a scheduled claim is due; the leadership may have been taken meanwhile. */
     void onClaimDue();
 
-    /** Called when the vacancy is to be checked once more. */
+    /** Called to check again whether the leadership is vacant. */
     void claimIfVacant();
   }
 
@@ -42,12 +42,12 @@
     this.claimant = claimant;
   }
 
-  /** Allows no claim for {@code pauseMs} from now. */
+  /** Delays claims until {@code pauseMs} from now. */
   void pauseFor(long pauseMs) {
     earliestClaimMs = eventLoop.nowMs() + pauseMs;
   }
 
-  /** Schedules a claim, unless one is scheduled. */
+  /** Schedules a claim unless one is scheduled already. */
   void scheduleClaim() {
     if (isScheduled) {
       return;
@@ -62,7 +62,7 @@
         });
   }
 
-  /** Checks the vacancy once more after a fixed pause. */
+  /** Checks again after a fixed pause whether the leadership is vacant. */
   void retryAfter(long pauseMs) {
     eventLoop.after(pauseMs, claimant::claimIfVacant);
   }
@@ -75,9 +75,9 @@
     isRevoking = true;
     if (Math.abs(eventLoop.wallMs() - leader.claimedAtWallMs())
         < LeaderConstants.CRASH_LOOP_WINDOW_MS) {
-      // The predecessor ended soon after its claim, and so may this process: a member that runs
-      // well goes first. A process that ends at once each time would otherwise lead for ever, a
-      // moment at a time.
+      // The previous process ended soon after its claim, and this one may do the same: let a
+      // healthy member claim first. Otherwise a process in a crash loop would win each election and
+      // lead for only a moment each time.
       earliestClaimMs =
           Math.max(earliestClaimMs, eventLoop.nowMs() + LeaderConstants.CRASH_LOOP_PAUSE_MS);
     }
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -23,14 +23,15 @@
 import java.util.Set;
 
 /**
- * Writes finished tasks to the state service. Jobs that are done are written at once; finished
- * tasks of other jobs are batched: each chunk of them is a write, and there are hundreds of ends a
- * minute against a few dozen writes a second for everything. An end that is not stored is not
- * cleared at the worker either, so that nothing is lost.
+ * Writes finished tasks to the state service. Jobs that are done are written almost at once.
+ * Finished tasks of other jobs are batched, since each chunk of them costs a write: hundreds of
+ * tasks end each minute, and the state service accepts a few dozen writes a second for all
+ * purposes. A worker is not told to clear a finished task before it is stored, so that no result is
+ * lost.
  */
 final class CompletionWriter {
 
-  /** What the writer is doing. */
+  /** The stages of the writer. */
   private enum Phase {
     /** Nothing is due. */
     IDLE,
@@ -45,7 +46,7 @@
   /**
    * One transaction.
    *
-   * @param number its place among this writer's transactions: only the last one is waited for
+   * @param number counts this writer's transactions: only the answer to the last one is awaited
    * @param storedTasks per job all finished tasks that the state service holds once it is applied
    * @param ends the final records in it, by job
    */
@@ -63,7 +64,7 @@
   private final Set<ActiveJob> unstored = new LinkedHashSet<>();
   private Phase phase = Phase.IDLE;
   private long lastTasksWriteMs;
-  private long batches;
+  private long lastBatchNumber;
 
   /** Creates the writer of a term; rounds are requested when a write may let them place more. */
   CompletionWriter(
@@ -86,7 +87,8 @@
   /** The only place where the phase changes. */
   private void transitionTo(Phase next) {
     if (phase == Phase.CLOSED) {
-      throw new IllegalStateException("completion writer: " + phase + " -> " + next);
+      throw new IllegalStateException(
+          "illegal transition of the completion writer: " + phase + " -> " + next);
     }
     phase = next;
   }
@@ -95,7 +97,8 @@
   void add(ActiveJob activeJob) {
     unstored.add(activeJob);
     if (activeJob.unfinishedCount() == 0 && phase == Phase.IDLE) {
-      // Its user waits for this one; finished tasks of other jobs can wait for one another.
+      // The job's user waits for its completion; finished tasks of other jobs can wait to be
+      // batched.
       transitionTo(Phase.GATHERING);
       eventLoop.after(
           LeaderConstants.DONE_JOB_FLUSH_DELAY_MS,
@@ -107,12 +110,12 @@
     }
   }
 
-  /** Drops a job that is final. */
-  void forget(ActiveJob activeJob) {
+  /** Removes a job that is done or cancelled: its finished tasks need not be stored. */
+  void remove(ActiveJob activeJob) {
     unstored.remove(activeJob);
   }
 
-  /** Writes what is due, unless a write is under way or about to begin. */
+  /** Writes what is due, unless a write is in flight or about to begin. */
   void writeIfIdle() {
     if (phase == Phase.IDLE) {
       write();
@@ -121,7 +124,8 @@
 
   private void write() {
     Batch batch =
-        new Batch(batches + 1, lease.fencedTxn(), new LinkedHashMap<>(), new LinkedHashMap<>());
+        new Batch(
+            lastBatchNumber + 1, lease.fencedTxn(), new LinkedHashMap<>(), new LinkedHashMap<>());
     addDoneJobs(batch);
     if (batch.ends().isEmpty()
         && eventLoop.nowMs() - lastTasksWriteMs
@@ -133,7 +137,7 @@
       return;
     }
     transitionTo(Phase.WRITING);
-    batches = batch.number();
+    lastBatchNumber = batch.number();
     state.submitTxn(
         batch.ends().isEmpty() ? RequestPriority.MAINTENANCE : RequestPriority.SCHEDULING,
         batch.txn(),
@@ -179,8 +183,8 @@
       }
       anyAdded = true;
       String key = Keys.finishedTasks(activeJob.id(), chunk);
-      // A transaction without an answer may be applied after a newer one: it must not take back
-      // what that one holds, since the workers have cleared those tasks.
+      // A transaction without an answer may be applied after a newer one. It must not undo the
+      // newer one, since workers may have cleared the tasks that it stored.
       txn.requireRevision(key, replica.revisionOf(key))
           .write(
               key,
@@ -195,13 +199,13 @@
   }
 
   private boolean isAwaited(Batch batch) {
-    return phase == Phase.WRITING && batch.number() == batches;
+    return phase == Phase.WRITING && batch.number() == lastBatchNumber;
   }
 
   /**
-   * The answer is overdue: other jobs' ends must not wait for it. If the transaction was applied,
-   * the copy of the state shows those jobs as over by now; if not, they are written again, on the
-   * same conditions.
+   * Stops awaiting an overdue answer, so that the completions of other jobs are not delayed. If the
+   * transaction was applied, the replica shows its jobs as over by now; if not, they are written
+   * again under the same conditions.
    */
   private void onAnswerOverdue(Batch batch) {
     if (isAwaited(batch)) {
@@ -223,7 +227,7 @@
     } else {
       lease.onTxnRejected(result);
       if (result instanceof TxnResult.Conflict conflict) {
-        // A job that was cancelled has no record any more: its tasks need not be stored.
+        // A cancelled job no longer has a record: its finished tasks need not be stored.
         unstored.removeIf(job -> conflict.failed().contains(Keys.job(job.id())));
       }
       if (isAwaited) {
--- a/src/main/java/fennelthread/leader/FleetEnvironment.java
+++ b/src/main/java/fennelthread/leader/FleetEnvironment.java
@@ -7,15 +7,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the machines of a term are reached, rented and judged by.
+ * The dependencies with which a term rents machines, reaches their workers and judges whether zones
+ * and workers' leases have failed.
  *
- * @param cloud the provider that machines are rented from
+ * @param cloud the client of the provider that machines are rented from
  * @param machineTypes the types of machines it offers
  * @param zoneHealth which zones are thought to have failed
  * @param workerLink the ways to communicate with workers
- * @param othersSilentSinceMs the time since when no other controller can have answered a report, ms
- *     of the local clock; {@code Long.MAX_VALUE} while one still could
- * @param workerAddresses addresses, by name, of workers that peers or predecessors knew
+ * @param othersSilentSinceMs since when no other controller can have answered a worker's report, ms
+ *     of the local clock; {@code Long.MAX_VALUE} while one still may
+ * @param workerAddresses addresses by name of the workers that this controller knew before the
+ *     term, also from its peers and earlier leaders
  */
 public record FleetEnvironment(
     CloudClient cloud,
--- a/src/main/java/fennelthread/leader/JobRecords.java
+++ b/src/main/java/fennelthread/leader/JobRecords.java
@@ -4,14 +4,14 @@
 import fennelthread.jobs.JobTable;
 
 /**
- * The jobs as a leader's term sees them.
+ * Access of a leader's term to the jobs.
  *
  * @param table the live jobs and the start records in the local copy of the state
  * @param store writes the ends of jobs
- * @param endedJobs knows of ends that no record says yet
+ * @param endedJobs tells which jobs are over, even before their records show it
  */
 public record JobRecords(JobTable table, JobStore store, EndedJobs endedJobs) {
-  /** Tells which jobs are over although their records may not say so yet. */
+  /** Tells which jobs are over, even before their records show it. */
   @FunctionalInterface
   public interface EndedJobs {
     /** True if the job is known to be done or cancelled. */
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -79,7 +79,7 @@
       return;
     }
     activeJobs.updateInheritedPriority(activeJob);
-    // The load of a machine is recomputed only if the machine has changed.
+    // MachineLoad recomputes the priorities of running tasks only if the machine has changed.
     machinesOf(activeJob).forEach(Machine::markChanged);
     rounds.requestRound();
   }
@@ -88,7 +88,7 @@
   public void onJobRemoved(Job job) {
     ActiveJob activeJob = activeJobs.remove(job.spec().id());
     if (activeJob != null) {
-      completions.forget(activeJob);
+      completions.remove(activeJob);
       for (Machine machine : machinesOf(activeJob)) {
         machine.markChanged();
         if (machine.phase() == Machine.Phase.REPORTING) {
--- a/src/main/java/fennelthread/leader/JobUrgency.java
+++ b/src/main/java/fennelthread/leader/JobUrgency.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * How urgent a released job is at this moment: its slack, its remaining work, and when and with
- * which priority it may preempt. {@code expectedS} is the time that one of its tasks is expected to
- * run, s.
+ * Computes how urgent a released job is now: its slack, its remaining work, and when and with which
+ * priority it may preempt. {@code expectedS} is the time that one of its tasks is expected to run,
+ * s.
  */
 final class JobUrgency {
   private final EventLoop eventLoop;
@@ -22,14 +22,15 @@
     this.settings = settings;
   }
 
-  /** True if the time until the job's start matters to its owner. */
+  /** True for a service, and for a job whose class has an objective on the time to start. */
   boolean isLatencySensitive(JobSpec spec) {
     return spec.service() || settings.waitsMatter(spec.jobClass());
   }
 
   /**
-   * The work of so many waiting tasks, CPU seconds, with exponential decay while the job waits: any
-   * job's falls below any new one's in the end, so that none waits for ever behind smaller ones.
+   * The work of {@code tasks} pending tasks, CPU seconds, with exponential decay while the job
+   * waits. The decay prevents starvation: the work of a waiting job eventually falls below that of
+   * any new one, so that it does not stay behind smaller jobs for ever.
    */
   double remainingWork(ActiveJob activeJob, int tasks, double expectedS) {
     double work = tasks * Math.max(0.1, activeJob.job().spec().cpus()) * Math.max(1, expectedS);
@@ -49,8 +50,8 @@
   }
 
   /**
-   * The priority with which a job may preempt others: an inherited one only once the time runs
-   * short in which its dependents can still be done.
+   * The priority with which a job may preempt others. An inherited priority counts only once little
+   * is left of the slack that the job had at its release for its dependents' deadlines.
    */
   Priority preemptionPriority(ActiveJob activeJob, double expectedS) {
     InheritedPriority inherited = activeJob.inheritedPriority();
@@ -59,36 +60,37 @@
     }
     double latestStartMs = inherited.dueMs() - expectedS * 1000;
     double slackWhenReleasedMs = latestStartMs - activeJob.releasedWallMs();
-    boolean hasTime =
+    boolean hasEnoughSlack =
         latestStartMs - eventLoop.wallMs()
             > slackWhenReleasedMs * (1 - LeaderConstants.INHERITED_PRIORITY_SLACK_SHARE);
-    return hasTime ? activeJob.job().spec().priority() : activeJob.priority();
+    return hasEnoughSlack ? activeJob.job().spec().priority() : activeJob.priority();
   }
 
   /**
-   * What is left, s, until a task must start for the job to meet the next of the times that its
-   * deadline, the objectives and its dependents' deadlines set; negative if it is too late for all
-   * of them. A job that has been late for long counts as in time again: it must not wait for ever.
+   * The time, s, until a task must start for the job to be done by the next due time it can still
+   * meet; due times follow from its deadline, the objectives and its dependents' deadlines.
+   * Negative if it is too late for all of them. A job that has been late for long has unlimited
+   * slack again, since it must not wait for ever.
    */
   double slackS(ActiveJob activeJob, double expectedS) {
     if (activeJob.job().spec().service()) {
       return Double.MAX_VALUE;
     }
     double ageS = (eventLoop.wallMs() - activeJob.job().acceptedWallMs()) / 1000.0;
-    double last = 0;
-    double next = Double.MAX_VALUE;
+    double lastDueS = 0;
+    double nextDueS = Double.MAX_VALUE;
     for (double dueS : dueTimesS(activeJob)) {
-      last = Math.max(last, dueS);
+      lastDueS = Math.max(lastDueS, dueS);
       if (dueS - ageS - expectedS >= 0) {
-        next = Math.min(next, dueS);
+        nextDueS = Math.min(nextDueS, dueS);
       }
     }
-    if (next != Double.MAX_VALUE) {
-      return next - ageS - expectedS;
+    if (nextDueS != Double.MAX_VALUE) {
+      return nextDueS - ageS - expectedS;
     }
-    return last == 0 || ageS > last * LeaderConstants.MAX_LATENESS_FACTOR
+    return lastDueS == 0 || ageS > lastDueS * LeaderConstants.MAX_LATENESS_FACTOR
         ? Double.MAX_VALUE
-        : last - ageS - expectedS;
+        : lastDueS - ageS - expectedS;
   }
 
   /** The times by which the job should be done, s after it was accepted. */
--- a/src/main/java/fennelthread/leader/LeaderLease.java
+++ b/src/main/java/fennelthread/leader/LeaderLease.java
@@ -16,11 +16,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The right of this controller to lead: a state machine over a time-limited lease at the state
- * service and the epoch, which rises at each claim and never expires.
+ * The state machine of this controller's leadership. Leadership takes a time-limited lease at the
+ * state service and an epoch, which rises at each claim, never expires and serves as fencing token.
  *
  * <p>{@link ClaimSchedule} says when to claim, {@link LeadershipClaim} submits the claim, {@link
- * LeaseRenewal} keeps the lease alive and counts the local one. Used on the event loop's thread.
+ * LeaderLeaseRenewer} keeps the lease alive and tracks its local expiry. Used on the event loop's
+ * thread.
  */
 public final class LeaderLease {
   private static final Logger log = LoggerFactory.getLogger(LeaderLease.class);
@@ -29,15 +30,15 @@
   private enum Phase {
     /** Another controller leads, or nobody does yet. */
     FOLLOWING,
-    /** A claim is under way. */
+    /** A claim is in flight. */
     CLAIMING,
-    /** The claim was applied. The local lease may have expired all the same. */
+    /** The claim was applied. The local lease may have expired since. */
     LEADING
   }
 
-  /** Is called when this controller begins and ceases to lead. */
+  /** Is notified when this controller begins and ceases to lead. */
   public interface Listener {
-    /** The claim of {@code epoch} was applied; nothing was read under it yet. */
+    /** The claim of {@code epoch} was applied at the state service, but not yet to the replica. */
     void onElected(long epoch);
 
     /** This controller no longer leads; {@code reason} is for the log. */
@@ -50,7 +51,7 @@
   private final LeaderRecordReader records;
   private final LeadershipClaim claim;
   private final ClaimSchedule schedule;
-  private final LeaseRenewal renewal;
+  private final LeaderLeaseRenewer renewal;
   private final PeerKnowledge peers;
   private final Listener listener;
   private final String member;
@@ -83,18 +84,20 @@
     this.member = settings.member();
     this.schedule = new ClaimSchedule(eventLoop, state, member, incarnation, new VacancyClaim());
     this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
-    this.renewal = new LeaseRenewal(eventLoop, state, settings, options, new RenewalOwner());
+    this.renewal = new LeaderLeaseRenewer(eventLoop, state, settings, options, new RenewalOwner());
     replica.addListener(this::onRecordChanged);
   }
 
-  // ---------------------------------------------------------------- questions
+  // ---------------------------------------------------------------- queries
 
-  /** True from a claim to the step-down, even while the local lease has expired. */
+  /** True from an applied claim to the step-down, even while the local lease has expired. */
   public boolean isLeading() {
     return phase == Phase.LEADING;
   }
 
-  /** True if tasks may be started at this very moment. */
+  /**
+   * True if tasks may be started now: the local lease is valid and no peer can have become leader.
+   */
   public boolean mayStartTasks() {
     return phase == Phase.LEADING && renewal.isLocallyValid() && peers.excludesOtherLeader();
   }
@@ -139,7 +142,7 @@
     return phase == Phase.LEADING ? epoch : records.leader().map(LeaderRecord::epoch).orElse(0L);
   }
 
-  /** The highest epoch in this controller's copy of the state, 0 before the first. */
+  /** The highest epoch in the replica, 0 before the first. */
   public long recordedEpoch() {
     return records.recordedEpoch();
   }
@@ -161,7 +164,7 @@
     }
   }
 
-  /** Takes note of an epoch; a leader of a lower one steps down at once. */
+  /** Records an observed epoch; a leader of a lower epoch steps down at once. */
   public void observeEpoch(long observed) {
     highestEpoch = Math.max(highestEpoch, observed);
     if (phase == Phase.LEADING && observed > epoch) {
@@ -169,12 +172,22 @@
     }
   }
 
+  /** Describes a rejected transaction for the log. */
+  static String describe(TxnResult result) {
+    if (result instanceof TxnResult.Conflict conflict) {
+      return "conflict on " + String.join(" ", conflict.failed());
+    }
+    return result instanceof TxnResult.Refused refused
+        ? "refused: " + refused.reason()
+        : result.getClass().getSimpleName();
+  }
+
   private void onRecordChanged(String key, Fields value, long revision) {
     if (key.equals(Keys.EPOCH) && value != null) {
       try {
         observeEpoch(EpochRecord.decode(value).epoch());
       } catch (WireException e) {
-        log.error("record unreadable key={} error={}", key, e.getMessage());
+        log.error("record unreadable key={} reason={}", key, e.getMessage());
       }
     } else if (key.equals(Keys.LEADER)) {
       if (phase == Phase.LEADING && value == null && revision > epochRevision) {
@@ -195,7 +208,8 @@
           case LEADING -> next == Phase.FOLLOWING;
         };
     if (!allowed) {
-      throw new IllegalStateException("leadership: " + phase + " -> " + next);
+      throw new IllegalStateException(
+          "illegal transition of the leadership: " + phase + " -> " + next);
     }
     log.info("leadership changed from={} to={} epoch={} reason={}", phase, next, epoch, reason);
     phase = next;
@@ -235,8 +249,9 @@
   }
 
   /**
-   * True if another member leads under this epoch, and its version starts tasks only while its
-   * peers' promises back it: then a majority of them may replace it while its lease still runs.
+   * True if another member leads under this epoch, and its version starts tasks only while it holds
+   * its peers' promises. Only then is it safe for a majority to replace it before its lease
+   * expires.
    */
   public boolean isTakeoverPossible(long ofEpoch) {
     return phase == Phase.FOLLOWING
@@ -249,7 +264,7 @@
   }
 
   /**
-   * Claims from a silent leader whose lease still runs.
+   * Claims the leadership from a silent leader whose lease has not expired.
    *
    * @param fromEpoch the leader's epoch, which a majority has agreed to end
    * @param unilateralRevision the revision that the leader's declaration of unilateral leadership
@@ -326,7 +341,7 @@
     transitionTo(Phase.LEADING, "claim committed");
     listener.onElected(claimedEpoch);
     replica.applyCommitted(committed.txn(), committed.epochRevision());
-    // The listener, or what the copy of the state brought, may have ended the term already.
+    // The listener, or a change that reached the replica, may have ended the term already.
     if (isLeadingUnder(claimedEpoch)) {
       renewal.scheduleFirst(claimedEpoch);
     }
@@ -336,7 +351,7 @@
     return phase == Phase.LEADING && epoch == ofEpoch;
   }
 
-  private final class RenewalOwner implements LeaseRenewal.Owner {
+  private final class RenewalOwner implements LeaderLeaseRenewer.Owner {
     @Override
     public boolean isLeadingUnder(long ofEpoch) {
       return LeaderLease.this.isLeadingUnder(ofEpoch);
--- a/src/main/java/fennelthread/leader/LeaseRenewal.java
+++ b/src/main/java/fennelthread/leader/LeaderLeaseRenewer.java
@@ -9,15 +9,15 @@
 import fennelthread.state.StateClient;
 
 /**
- * Renews a leader's lease at the state service, and counts the local lease that entitles it to
- * start tasks. The local lease is counted from a clock reading taken <em>before</em> the claim or
- * renewal was sent, so that it expires before the lease at the state service does, however long the
- * request took.
+ * Renews a leader's lease at the state service and tracks the local lease, during which the leader
+ * may start tasks. The local lease begins at a clock reading taken <em>before</em> the claim or
+ * renewal is sent, so that it expires before the lease at the state service, however long the
+ * request takes.
  */
-final class LeaseRenewal {
-  /** The state machine whose lease is renewed. */
+final class LeaderLeaseRenewer {
+  /** The leadership whose lease is renewed. */
   interface Owner {
-    /** True if this controller leads under that epoch; renewals for others end. */
+    /** True if this controller leads under the epoch; renewals stop if it does not. */
     boolean isLeadingUnder(long epoch);
 
     /** Called when the state service says that the lease is no longer held. */
@@ -32,7 +32,7 @@
   private long storeLeaseId;
   private long localExpiryMs = Long.MIN_VALUE;
 
-  LeaseRenewal(
+  LeaderLeaseRenewer(
       EventLoop eventLoop, StateClient state, Settings settings, Options options, Owner owner) {
     this.eventLoop = eventLoop;
     this.state = state;
@@ -58,7 +58,7 @@
     return storeTtlMs;
   }
 
-  /** The lease at the state service that is or was held last; 0 before the first. */
+  /** The lease at the state service that is held, or was held last; 0 before the first. */
   long storeLeaseId() {
     return storeLeaseId;
   }
@@ -68,7 +68,7 @@
     return eventLoop.nowMs() < localExpiryMs;
   }
 
-  /** Takes up a lease whose claim was sent at {@code sentAtMs}, ms of the local clock. */
+  /** Adopts a lease whose claim was sent at {@code sentAtMs}, ms of the local clock. */
   void begin(long leaseId, long sentAtMs) {
     storeLeaseId = leaseId;
     localExpiryMs = sentAtMs + localTtlMs;
@@ -93,10 +93,10 @@
       return;
     }
     long sentAtMs = eventLoop.nowMs();
-    state.renewLease(storeLeaseId, result -> onAnswered(epoch, sentAtMs, result));
+    state.renewLease(storeLeaseId, result -> onRenewalAnswered(epoch, sentAtMs, result));
   }
 
-  private void onAnswered(long epoch, long sentAtMs, LeaseRenewalResult result) {
+  private void onRenewalAnswered(long epoch, long sentAtMs, LeaseRenewalResult result) {
     if (!owner.isLeadingUnder(epoch)) {
       return;
     }
--- a/src/main/java/fennelthread/leader/LeaderRecordReader.java
+++ b/src/main/java/fennelthread/leader/LeaderRecordReader.java
@@ -8,9 +8,8 @@
 import java.util.Optional;
 
 /**
- * Reads who leads, and under which epoch, from this controller's copy of the state. The copy may be
- * behind; a claim is conditional on the revisions that it was derived from. Used on the event
- * loop's thread.
+ * Reads the current leader and epoch from the replica. The replica may be behind; claims are
+ * therefore conditional on the revisions that were read. Used on the event loop's thread.
  */
 final class LeaderRecordReader {
   private final Replica replica;
@@ -19,7 +18,7 @@
     this.replica = replica;
   }
 
-  /** True if the copy holds a leader's record, readable or not. */
+  /** True if the replica holds a leader's record, readable or not. */
   boolean hasLeader() {
     return replica.get(Keys.LEADER) != null;
   }
@@ -45,8 +44,8 @@
   }
 
   /**
-   * The last epoch so far whose leader may answer reports without bound; 0 if there is none, {@link
-   * LeaderConstants#UNKNOWN_EPOCH} if it can't be read.
+   * The last epoch whose leader may answer reports for an unbounded time after it was replaced; 0
+   * if there is none, {@link LeaderConstants#UNKNOWN_EPOCH} if it can't be read.
    */
   long unboundedEpoch() {
     Fields stored = replica.get(Keys.EPOCH);
--- a/src/main/java/fennelthread/leader/LeadershipClaim.java
+++ b/src/main/java/fennelthread/leader/LeadershipClaim.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * Submits claims of the leadership. A claim is a lease at the state service, then a transaction
- * that writes the leader's record, bound to that lease, and raises the epoch.
+ * Submits claims to the leadership. A claim creates a lease at the state service, then commits a
+ * transaction that writes the leader's record, bound to that lease, and raises the epoch.
  */
 final class LeadershipClaim {
   /** How a claim ended. */
@@ -22,16 +22,16 @@
         long epoch, long epochRevision, long storeLeaseId, long unboundedEpoch, Txn txn)
         implements Outcome {}
 
-    /** Nothing was written, or what may have been written is undone by ending its lease. */
+    /** Nothing was written, or the lease is revoked to remove a record that may be written. */
     record Failed(String reason) implements Outcome {}
   }
 
-  /** Supplies the epoch to claim, asked once the lease at the state service is created. */
+  /** Supplies the epochs of a claim; called once the lease at the state service is created. */
   interface EpochSource {
     /** The epoch to claim. */
     long nextEpoch();
 
-    /** The last earlier epoch whose leader may answer reports without bound, 0 if none. */
+    /** The last earlier epoch whose leader may answer reports for an unbounded time, 0 if none. */
     long unboundedEpoch();
   }
 
@@ -88,9 +88,10 @@
                 new Outcome.Committed(
                     epoch.epoch(), applied.revision(), storeLeaseId, epoch.unboundedEpoch(), txn));
           } else {
-            // Without an answer the claim may still be applied: ending its lease undoes it.
+            // Without an answer, the claim may still be applied: revoking its lease removes the
+            // leader's record.
             state.revokeLease(storeLeaseId, revocation -> {});
-            done.accept(new Outcome.Failed(result.toString()));
+            done.accept(new Outcome.Failed(LeaderLease.describe(result)));
           }
         });
   }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * The load of one machine, cached until the machine changes: with hundreds of machines a round
- * touches few of them, and going through all attempts on each would be most of its work.
+ * The load of one machine, cached until the machine changes. Few of several hundred machines change
+ * between two rounds, and visiting all attempts on each would be most of the work of a round.
  */
 final class MachineLoad {
   private long version = -1;
@@ -41,7 +41,7 @@
     }
     totals.fetchingImages.removeAll(machine.cachedImages());
     snapshot = type == null ? null : totals.snapshotOf(machine, type);
-    // Last: recording an image in the meantime may have changed the machine once more.
+    // Read last: recording cached images above may have changed the version.
     version = machine.version();
   }
 
@@ -89,19 +89,19 @@
         spec.service() ? 0 : runTimes.expectedS(spec));
   }
 
-  /** The machine as a round sees it, or null if its type is not known. */
+  /** The machine in the form that a scheduling snapshot holds, or null if its type is not known. */
   Snapshot.MachineState snapshot() {
     return snapshot;
   }
 
-  /** Adds what each team's tasks may use on this machine to the sums by team. */
+  /** Adds the resources that each team's tasks may use on this machine to the sums by team. */
   void addTeamUsageTo(Map<String, ResourceSum> sums) {
-    for (Map.Entry<String, ResourceSum> used : usedByTeam.entrySet()) {
-      sums.computeIfAbsent(used.getKey(), k -> new ResourceSum()).add(used.getValue());
+    for (Map.Entry<String, ResourceSum> teamUsage : usedByTeam.entrySet()) {
+      sums.computeIfAbsent(teamUsage.getKey(), k -> new ResourceSum()).add(teamUsage.getValue());
     }
   }
 
-  /** What is added up over the attempts on a machine. */
+  /** Sums over the attempts on a machine. */
   private static final class Totals {
     double freeCpus;
     double freeCards;
--- a/src/main/java/fennelthread/leader/PassedOverJobs.java
+++ b/src/main/java/fennelthread/leader/PassedOverJobs.java
@@ -9,19 +9,22 @@
 /**
  * Tracks the jobs that rounds pass over in favour of others although a machine has free capacity
  * for them. Capacity is reserved for tasks that wait for more of it, and a team's quota for its
- * more urgent jobs; neither has a bound of its own, since running tasks may take far longer than
- * estimated. Has no clock: callers pass the time, ms of the local clock.
+ * more urgent jobs. Neither reservation has a time limit of its own, and running tasks may take far
+ * longer than estimated. Has no clock: callers pass the time, ms of the local clock.
  */
 final class PassedOverJobs {
   private final Map<String, Long> sinceMs = new HashMap<>();
 
-  /** Records the ids of the jobs that a round has passed over; it passed over no other. */
+  /** Records the ids of all jobs that a round has passed over. */
   void update(Set<String> ids, long nowMs) {
     sinceMs.keySet().retainAll(ids);
     ids.forEach(id -> sinceMs.putIfAbsent(id, nowMs));
   }
 
-  /** The ids of the jobs that each round has passed over for longer than is allowed. */
+  /**
+   * The ids of the jobs that every round has passed over for longer than {@link
+   * LeaderConstants#MAX_PASSED_OVER_MS}.
+   */
   Set<String> overdue(long nowMs) {
     Set<String> overdue = new HashSet<>();
     sinceMs.forEach(
--- a/src/main/java/fennelthread/leader/RecordGarbageCollector.java
+++ b/src/main/java/fennelthread/leader/RecordGarbageCollector.java
@@ -22,9 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Garbage collection of the live records, so that their size follows what is live, however long the
- * service runs: removes start records without live attempts and what is left of jobs that are
- * final, and compacts start records with few live attempts.
+ * Garbage collector of the live records: keeps their size proportional to what is live, however
+ * long the service runs. Removes start records without live attempts and leftover records of jobs
+ * that are over, and compacts start records with few live attempts.
  */
 final class RecordGarbageCollector {
   private static final Logger log = LoggerFactory.getLogger(RecordGarbageCollector.class);
@@ -51,7 +51,7 @@
     this.keys = keys;
   }
 
-  /** What one pass over all start records found. */
+  /** The result of one pass over all start records. */
   private static final class Survey {
     /** Keys of records of earlier terms that hold no live start. */
     final List<String> obsolete = new ArrayList<>();
@@ -63,7 +63,7 @@
     int liveStarts;
   }
 
-  /** Starts a collection if one is due and none is under way. */
+  /** Starts a collection if one is due and none is in flight. */
   void collectIfDue() {
     if (isWriting
         || !lease.mayStartTasks()
@@ -75,8 +75,8 @@
     boolean isBacklogged = isBacklogged(survey);
     Txn txn = lease.fencedTxn();
     addObsoleteRecords(survey, txn);
-    addLeftovers(Keys.FINISHED_TASKS_PREFIX, txn);
-    addLeftovers(Keys.DEPENDENCIES_PREFIX, txn);
+    addOrphanedRecords(Keys.FINISHED_TASKS_PREFIX, txn);
+    addOrphanedRecords(Keys.DEPENDENCIES_PREFIX, txn);
     boolean isCompacting =
         isBacklogged
             && txn.changeCount() <= limits.maxTxnChanges() / 2
@@ -86,13 +86,14 @@
     }
     isWriting = true;
     state.submitTxn(
-        // Removals can wait, but not until the records are more than the processes can hold.
+        // Removals are not urgent, unless the records threaten to outgrow the controllers' memory.
         isBacklogged ? RequestPriority.SCHEDULING : RequestPriority.MAINTENANCE,
         txn,
-        result -> onAnswered(txn, result, isCompacting, survey));
+        result -> onCollectionAnswered(txn, result, isCompacting, survey));
   }
 
-  private void onAnswered(Txn txn, TxnResult result, boolean isCompacting, Survey survey) {
+  private void onCollectionAnswered(
+      Txn txn, TxnResult result, boolean isCompacting, Survey survey) {
     isWriting = false;
     if (!(result instanceof TxnResult.Applied applied)) {
       lease.onTxnRejected(result);
@@ -107,19 +108,20 @@
           survey.liveStarts);
     }
     if (txn.changeCount() >= limits.maxTxnChanges()) {
-      // More is left: records are written faster than one collection per interval removes them.
+      // The transaction was full: collect again without waiting for the interval, since records are
+      // written faster than one collection per interval removes them.
       lastCollectionMs = Long.MIN_VALUE / 2;
     }
   }
 
-  /** Inspects all start records; puts the keys of this term's obsolete ones on the free list. */
+  /** Inspects all start records, and releases the keys of this term's obsolete ones for reuse. */
   private Survey surveyRecords() {
     Survey survey = new Survey();
     int maxSparse = recordCapacity() / LeaderConstants.SPARSE_RECORD_DIVISOR;
     for (Map.Entry<String, StartRecord> entry : table.startRecords().entrySet()) {
       String key = entry.getKey();
       if (keys.isBeingWritten(key)) {
-        // It may be in the replica before its attempts are sent.
+        // The record may be in the replica before its attempts are sent.
         continue;
       }
       List<StartRecord.Start> starts = entry.getValue().starts();
@@ -175,8 +177,8 @@
     }
     while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS
         && txn.changeCount() < limits.maxTxnChanges()) {
-      // A removal without an answer may be applied late: it must not remove what a round has
-      // written there since.
+      // A removal without an answer may be applied late: it must not remove what a later round has
+      // written under the key.
       String key = keys.takeFree();
       txn.requireRevision(key, replica.revisionOf(key)).remove(key);
     }
@@ -184,9 +186,9 @@
 
   /**
    * Moves the live starts of sparse records into one new record and removes the old ones in the
-   * same transaction, so that a successor reads either. Each old record must be what was read here,
-   * and the new key unused: a transaction without an answer may be applied late, when the same
-   * starts were compacted once more and have ended since.
+   * same transaction, so that the next leader reads either the old or the new ones. The transaction
+   * requires that the old records are unchanged and the new key is unused: without an answer it may
+   * be applied late, after the same starts were compacted again and have ended.
    *
    * @return false if there is nothing to gain; nothing is added then
    */
@@ -210,8 +212,8 @@
     return true;
   }
 
-  /** Removes the records under a prefix whose jobs have no live record. */
-  private void addLeftovers(String prefix, Txn txn) {
+  /** Removes the records under a prefix whose jobs no longer have a record. */
+  private void addOrphanedRecords(String prefix, Txn txn) {
     for (String key : replica.revisionsUnder(prefix).keySet()) {
       if (txn.changeCount() >= limits.maxTxnChanges()
           || txn.conditionCount() >= limits.maxTxnConditions()) {
@@ -219,7 +221,8 @@
       }
       String id = Keys.jobIdOf(prefix, key);
       if (table.get(id) == null) {
-        // Its job is over, or is yet to arrive in the replica: the condition tells which.
+        // The job is over, or its record has not reached the replica yet: the condition lets the
+        // removal fail in the second case.
         txn.requireRevision(Keys.job(id), 0).remove(key);
       }
     }
--- a/src/main/java/fennelthread/leader/ResourceSum.java
+++ b/src/main/java/fennelthread/leader/ResourceSum.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-/** A running sum of CPUs and accelerator cards, of one team for instance. */
+/** A mutable sum of CPUs and accelerator cards, for example of one team. */
 final class ResourceSum {
   private double cpus;
   private double cards;
--- a/src/main/java/fennelthread/leader/RoundTrigger.java
+++ b/src/main/java/fennelthread/leader/RoundTrigger.java
@@ -1,8 +1,8 @@
 package fennelthread.leader;
 
-/** Requests a scheduling round because something has changed that it may depend on. */
+/** Requests a scheduling round after a change that may affect its outcome. */
 @FunctionalInterface
 interface RoundTrigger {
-  /** Requests a round; requests that come before it begins share it. */
+  /** Requests a round; all requests before it begins are served by the same round. */
   void requestRound();
 }
--- a/src/main/java/fennelthread/leader/RunTimeEstimator.java
+++ b/src/main/java/fennelthread/leader/RunTimeEstimator.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Estimates how long tasks run: the owner's estimate times the ratio by which tasks of the same
- * class have exceeded theirs, with exponential decay. Owners err by half and more, and on some days
- * all in one direction.
+ * Estimates how long tasks run: the owner's estimate times the average ratio of run time to
+ * estimate among finished tasks of the class, with exponential decay. Owners' estimates are off by
+ * half and more, on some days all in one direction.
  */
 final class RunTimeEstimator {
   private static final class Ratio {
@@ -18,7 +18,10 @@
 
   private final Map<String, Ratio> byClass = new HashMap<>();
 
-  /** Learns from a task that ran to its end in {@code seconds}. */
+  /**
+   * Records that a task of the job ran to its end in {@code seconds}; its estimate must be
+   * positive.
+   */
   void recordRun(JobSpec spec, double seconds) {
     Ratio ratio = byClass.computeIfAbsent(spec.jobClass(), k -> new Ratio());
     ratio.sum =
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -14,8 +14,10 @@
 import fennelthread.wire.TaskRef;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -27,15 +29,15 @@
 final class SchedulingLoop implements RoundTrigger {
   private static final Logger log = LoggerFactory.getLogger(SchedulingLoop.class);
 
-  /** What the loop is doing. */
+  /** The stages of the scheduling loop. */
   private enum Phase {
     /** No round may run yet: records of earlier terms may be missing. */
     NOT_STARTED,
-    /** Nothing has happened since the last round. */
+    /** No round is requested. */
     IDLE,
     /** The next round is due soon. */
     SCHEDULED,
-    /** A start record is being written: nothing is placed before its fate is known. */
+    /** Start records are being written: no round runs until the transaction has ended. */
     WRITING,
     /** The term is over. */
     CLOSED
@@ -70,13 +72,13 @@
     this.keys = keys;
   }
 
-  /** Begins to run rounds, once all records of earlier terms are known. */
+  /** Begins to run rounds; to be called once all records of earlier terms are in the replica. */
   void start() {
     transitionTo(Phase.IDLE);
     requestRound();
   }
 
-  /** Runs no more rounds, and sends no more starts of the one that is being written. */
+  /** Runs no more rounds, and sends no starts of a round that is still being written. */
   void close() {
     transitionTo(Phase.CLOSED);
   }
@@ -92,7 +94,8 @@
           case CLOSED -> false;
         };
     if (!allowed) {
-      throw new IllegalStateException("scheduling loop: " + phase + " -> " + next);
+      throw new IllegalStateException(
+          "illegal transition of the scheduling loop: " + phase + " -> " + next);
     }
     phase = next;
   }
@@ -102,7 +105,7 @@
     return unplaced;
   }
 
-  /** Requests a round if none has run for long: covers changes that no event announces. */
+  /** Requests a round if the last one is long ago: covers changes that trigger no event. */
   void requestRoundIfOverdue() {
     if (eventLoop.nowMs() - lastRoundMs >= LeaderConstants.MAX_ROUND_INTERVAL_MS) {
       requestRound();
@@ -143,10 +146,10 @@
     passedOver.update(plan.passedOverJobs(), eventLoop.nowMs());
     if (log.isDebugEnabled() && !unplaced.isEmpty()) {
       log.debug(
-          "round left tasks unplaced jobs={} starts={} teamUsage={}",
+          "round left tasks unplaced jobs={} starts={} teamCpusAndCards={}",
           unplaced.size(),
           plan.starts().size(),
-          snapshot.get().teams());
+          formatUsage(snapshot.get().teams()));
     }
     requestStops(plan.preemptions());
     if (plan.starts().isEmpty()) {
@@ -156,6 +159,12 @@
     }
   }
 
+  private static String formatUsage(Map<String, Snapshot.TeamUsage> teams) {
+    return teams.entrySet().stream()
+        .map(team -> team.getKey() + ":" + team.getValue().cpus() + "/" + team.getValue().cards())
+        .collect(Collectors.joining(";"));
+  }
+
   private void requestStops(List<Snapshot.RunningTask> preemptions) {
     Set<Machine> machines = new LinkedHashSet<>();
     for (Snapshot.RunningTask task : preemptions) {
@@ -177,10 +186,10 @@
         .submitTxn(
             RequestPriority.SCHEDULING,
             batch.txn(),
-            result -> onStartRecordAnswered(batch, result));
+            result -> onStartRecordsAnswered(batch, result));
   }
 
-  private void onStartRecordAnswered(StartBatches.Batch batch, TxnResult result) {
+  private void onStartRecordsAnswered(StartBatches.Batch batch, TxnResult result) {
     if (phase == Phase.CLOSED) {
       return;
     }
@@ -190,7 +199,7 @@
       context.replica().applyCommitted(batch.txn(), applied.revision());
       batches.send(batch);
     } else {
-      log.info("round abandoned epoch={} reason={}", lease.epoch(), result);
+      log.info("round abandoned epoch={} reason={}", lease.epoch(), LeaderLease.describe(result));
       batches.discard(batch);
       lease.onTxnRejected(result);
       earliestRoundMs = eventLoop.nowMs() + ProtocolConstants.RETRY_MS;
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -19,7 +19,7 @@
 
 /** Builds the snapshot of machines, teams and pending jobs that a scheduling round plans on. */
 final class SnapshotBuilder {
-  /** Receives the demand that each round sees. */
+  /** Receives the CPU demand of each round. */
   @FunctionalInterface
   interface CpuDemandListener {
     /** Called with the CPUs that all unfinished tasks of released jobs take together. */
@@ -52,14 +52,17 @@
     this.limits = context.state().limits();
   }
 
-  /** The limits shrink when the state service rejects a transaction: asked anew each round. */
+  /**
+   * The most starts of one round; not cached, since the limits shrink when the state service
+   * rejects a transaction.
+   */
   private int maxStarts() {
     return Math.min(
         LeaderConstants.MAX_STARTS_PER_ROUND,
         limits.maxTxnChanges() * limits.maxValueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
-  /** Builds a snapshot of this moment; empty if no task may be started. */
+  /** Builds a snapshot of the current state; empty if no task may be started. */
   Optional<Snapshot> build() {
     demandListener.onCpuDemand(demand.cpus());
     int maxStarts = maxStarts();
@@ -70,7 +73,7 @@
     Map<String, ResourceSum> usedByTeam = new HashMap<>();
     List<Snapshot.MachineState> machines = readyMachines(usedByTeam);
     Map<String, Snapshot.TeamUsage> teams = teamUsage(usedByTeam);
-    Set<String> guaranteed = demand.guaranteed();
+    Set<String> guaranteed = demand.guaranteedJobs();
     Aging aging = demand.aging(totalCpus(machines));
     return Optional.of(
         new Snapshot(
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -45,14 +45,16 @@
     this.keys = keys;
   }
 
-  /** Creates the attempts of as many starts as one transaction holds; the next round plans more. */
+  /**
+   * Creates the attempts of as many starts as one transaction holds; later rounds plan the rest.
+   */
   Batch prepare(List<PlacementPlan.Start> starts) {
     Batch batch = new Batch(lease.fencedTxn(), new LinkedHashMap<>());
     StartRecordPacker packer =
         new StartRecordPacker(limits.maxValueBytes(), limits.maxTxnChanges());
     Set<String> jobs = new HashSet<>();
     for (PlacementPlan.Start start : starts) {
-      addIfItFits(start, batch, packer, jobs);
+      addIfFits(start, batch, packer, jobs);
     }
     for (StartRecord record : packer.records()) {
       addRecord(record, batch.txn());
@@ -60,7 +62,7 @@
     return batch;
   }
 
-  private void addIfItFits(
+  private void addIfFits(
       PlacementPlan.Start start, Batch batch, StartRecordPacker packer, Set<String> jobs) {
     String id = start.spec().id();
     Txn txn = batch.txn();
@@ -73,7 +75,7 @@
     }
     ActiveJob activeJob = activeJobs.get(id);
     if (jobs.add(id)) {
-      // A job that is cancelled meanwhile fails the whole transaction.
+      // The whole transaction fails if the job is cancelled meanwhile.
       txn.requireRevision(Keys.job(id), activeJob.job().revision());
     }
     Attempt attempt = fleet.createAttempt(machine, start.spec(), start.task());
@@ -87,7 +89,7 @@
     if (key == null) {
       key = keys.allocate();
     } else {
-      // The transaction of an earlier round that got no answer may be applied late: it must not
+      // An earlier round's transaction without an answer may still be applied: it must not
       // overwrite this record.
       txn.requireRevision(key, replica.revisionOf(key));
     }
@@ -96,12 +98,12 @@
   }
 
   /**
-   * Sends the starts of a committed batch, unless the local lease has expired since: between the
-   * claim or the last renewal and this moment it may have, however well the write went.
+   * Sends the starts of a committed batch, unless the lease no longer allows starts: the local
+   * lease may have expired while the transaction was in flight, even though it was committed.
    */
   void send(Batch batch) {
     if (!lease.mayStartTasks()) {
-      log.info("round abandoned epoch={} reason=localLeaseExpired", lease.epoch());
+      log.info("round abandoned epoch={} reason=leaseDoesNotAllowStarts", lease.epoch());
       discard(batch);
       return;
     }
--- a/src/main/java/fennelthread/leader/StartRecordKeys.java
+++ b/src/main/java/fennelthread/leader/StartRecordKeys.java
@@ -8,9 +8,9 @@
 
 /**
  * The keys of one term's start records: allocates them and keeps a free list of those whose records
- * are obsolete. A round reuses a free key instead of allocating one: overwriting is one change
- * where a new key and the removal of an old one are two, and records can't pile up while the state
- * service is too busy for removals.
+ * are obsolete. A round reuses a free key instead of allocating one: overwriting a record takes one
+ * change instead of a write and a removal, and records don't pile up while the state service is too
+ * busy for removals.
  */
 final class StartRecordKeys {
   private final long epoch;
@@ -55,17 +55,20 @@
     return free.size();
   }
 
-  /** Marks a key whose record is part of a transaction that was not answered yet. */
+  /** Marks a key whose record is part of the transaction in flight. */
   void markBeingWritten(String key) {
     beingWritten.add(key);
   }
 
-  /** The transaction was answered: none of its records is being written any more. */
+  /** Unmarks all keys, once the transaction is answered. */
   void clearBeingWritten() {
     beingWritten.clear();
   }
 
-  /** True while the attempts of the key's record are not sent, or may already be dropped. */
+  /**
+   * True while the key's record is being written: its attempts are not sent yet, or may already be
+   * discarded.
+   */
   boolean isBeingWritten(String key) {
     return beingWritten.contains(key);
   }
--- a/src/main/java/fennelthread/leader/TaskBackoff.java
+++ b/src/main/java/fennelthread/leader/TaskBackoff.java
@@ -8,8 +8,9 @@
 import java.util.Set;
 
 /**
- * When the tasks of one job may be tried again after failures and refusals: exponential backoff
- * with jitter. All times are ms of the local clock; {@code jitter} is a random number from 0 to 1.
+ * Decides when the tasks of one job may be tried again after failures and refusals: exponential
+ * backoff with jitter. All times are ms of the local clock; {@code jitter} is a random number from
+ * 0 to 1.
  */
 final class TaskBackoff {
   private final Int2LongOpenHashMap retryAtMs = new Int2LongOpenHashMap();
@@ -35,7 +36,7 @@
 
   /** Delays a task that a worker has refused, longer each time. */
   void onRefused(int task, long nowMs, double jitter) {
-    forgetOldIncidents(nowMs);
+    recordIncident(nowMs);
     int times = refusals.addTo(task, 1);
     retryAtMs.put(task, nowMs + backoffMs(times, jitter));
   }
@@ -43,15 +44,15 @@
   /**
    * Delays a task that has failed.
    *
-   * @return true if the job has failed on so many machines that it, and not a machine, must be
-   *     faulty; then its delays grow
+   * @return true if the job has failed on so many machines that the job rather than a machine
+   *     counts as faulty; then its delays grow
    */
-  boolean onFailed(int task, String machine, boolean anyTaskDone, long nowMs, double jitter) {
-    forgetOldIncidents(nowMs);
+  boolean onFailed(int task, String machine, boolean hasDoneTasks, long nowMs, double jitter) {
+    recordIncident(nowMs);
     failedMachines.add(machine);
     failures++;
     boolean isJobFaulty =
-        failedMachines.size() >= LeaderConstants.FAULTY_JOB_MACHINES && !anyTaskDone;
+        failedMachines.size() >= LeaderConstants.FAULTY_JOB_MACHINES && !hasDoneTasks;
     long delayMs =
         isJobFaulty ? backoffMs(failures, jitter) : LeaderConstants.MIN_TASK_BACKOFF_MS / 3;
     retryAtMs.put(task, nowMs + delayMs);
@@ -59,10 +60,11 @@
   }
 
   /**
-   * Old incidents say nothing of the present: a service that three faulty machines have failed in
-   * the course of a day is not faulty.
+   * Records the time of a failure or refusal, and resets the counts first if the last one is long
+   * ago: a service that fails on three faulty machines in the course of a day is not faulty itself.
+   * {@link #hasFailures} is not reset.
    */
-  private void forgetOldIncidents(long nowMs) {
+  private void recordIncident(long nowMs) {
     if (nowMs - lastIncidentMs > LeaderConstants.FAILURE_WINDOW_MS) {
       failedMachines.clear();
       refusals.clear();
--- a/src/main/java/fennelthread/leader/TaskDemand.java
+++ b/src/main/java/fennelthread/leader/TaskDemand.java
@@ -18,7 +18,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The tasks that the released jobs want to have placed, as input of a scheduling round. */
+/**
+ * Computes the input of a scheduling round that depends on the released jobs: tasks to place,
+ * guarantees, and boosts for aged jobs.
+ */
 final class TaskDemand {
   private final EventLoop eventLoop;
   private final Settings settings;
@@ -32,7 +35,7 @@
     this.urgency = new JobUrgency(eventLoop, settings);
   }
 
-  /** CPUs that all unfinished tasks of released jobs take together. */
+  /** The sum of the CPUs that all unfinished tasks of released jobs take. */
   double cpus() {
     double total = 0;
     for (ActiveJob activeJob : term.activeJobs().all()) {
@@ -45,12 +48,12 @@
 
   /** The tasks that may be started now, at most {@code maxTasks} of each job. */
   Map<ActiveJob, List<Integer>> startableTasks(int maxTasks) {
-    long now = eventLoop.nowMs();
+    long nowMs = eventLoop.nowMs();
     Map<ActiveJob, List<Integer>> startable = new LinkedHashMap<>();
     for (ActiveJob activeJob : term.activeJobs().all()) {
-      // Jobs with unmet dependencies are kept out of rounds here, and only here.
+      // The only place that keeps jobs with unmet dependencies out of rounds.
       if (activeJob.isReleased() && activeJob.hasIdleTasks()) {
-        List<Integer> tasks = activeJob.startableTasks(now, maxTasks);
+        List<Integer> tasks = activeJob.startableTasks(nowMs, maxTasks);
         if (!tasks.isEmpty()) {
           startable.put(activeJob, tasks);
         }
@@ -59,7 +62,10 @@
     return startable;
   }
 
-  /** The same in the form in which a snapshot holds it. */
+  /**
+   * Converts startable tasks to pending jobs of a snapshot; an aged job is boosted for its first
+   * task only.
+   */
   List<Snapshot.PendingJob> pendingJobs(
       Map<ActiveJob, List<Integer>> startable, Set<String> guaranteed, Aging aging) {
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(startable.size());
@@ -71,8 +77,8 @@
             return;
           }
           pendingJobs.add(pendingJob(activeJob, tasks.subList(0, 1), guaranteed, boost));
-          // Which zones its other tasks may be in follows from where the first one is placed, which
-          // the next round knows.
+          // With a zone rule, the zone of the first task limits those of the other tasks, so they
+          // wait for the next round, which knows it.
           if (tasks.size() > 1 && !hasZoneRule(activeJob.job().spec())) {
             pendingJobs.add(
                 pendingJob(activeJob, tasks.subList(1, tasks.size()), guaranteed, AgingBoost.NONE));
@@ -101,28 +107,28 @@
         activeJob.releaseOrder());
   }
 
-  /** Ages the released jobs, in a fleet with so many CPUs. */
+  /** Determines which released jobs are aged, in a fleet of {@code fleetCpus} CPUs. */
   Aging aging(double fleetCpus) {
     Aging aging = new Aging(fleetCpus);
-    long now = eventLoop.nowMs();
+    long nowMs = eventLoop.nowMs();
     for (ActiveJob activeJob : term.activeJobs().all()) {
       long waitedMs = eventLoop.wallMs() - activeJob.releasedWallMs();
-      if (waitedMs > PlanConstants.AGING_THRESHOLD_MS && mayAge(activeJob)) {
-        aging.consider(agingCandidate(activeJob, waitedMs, now));
+      if (waitedMs > PlanConstants.AGING_THRESHOLD_MS && isEligibleForAging(activeJob)) {
+        aging.consider(agingCandidate(activeJob, waitedMs, nowMs));
       }
     }
     return aging;
   }
 
-  private static boolean mayAge(ActiveJob activeJob) {
-    // If a service has several replicas, another one goes on whichever is stopped.
+  private static boolean isEligibleForAging(ActiveJob activeJob) {
+    // A service with several replicas keeps running while one of them is stopped.
     boolean isReplicated = activeJob.job().spec().service() && activeJob.attempts().size() > 1;
     return activeJob.isReleased()
         && (activeJob.hasIdleTasks() || !activeJob.hasFinishedTasks())
         && !isReplicated;
   }
 
-  private Aging.EligibleJob agingCandidate(ActiveJob activeJob, long waitedMs, long now) {
+  private Aging.EligibleJob agingCandidate(ActiveJob activeJob, long waitedMs, long nowMs) {
     JobSpec spec = activeJob.job().spec();
     Attempt longest = activeJob.longestRunningAttempt();
     boolean isRunning = longest != null && longest.runningSinceMs() >= 0;
@@ -130,9 +136,9 @@
         spec.id(),
         waitedMs,
         spec.cpus(),
-        !activeJob.hasNotBegun(),
+        activeJob.hasFinishedOrFailedTasks(),
         longest == null ? null : longest.start().attempt(),
-        isRunning ? (now - longest.runningSinceMs()) / 1000.0 : 0,
+        isRunning ? (nowMs - longest.runningSinceMs()) / 1000.0 : 0,
         spec.service() ? 0 : term.runTimes().expectedS(spec));
   }
 
@@ -140,8 +146,11 @@
     return spec.onePlace() || spec.apart();
   }
 
-  /** The ids of each team's oldest jobs, as far as they fit into its guarantee together. */
-  Set<String> guaranteed() {
+  /**
+   * The ids of the jobs that fit into their team's guarantee together with all jobs of the team
+   * that were released before them.
+   */
+  Set<String> guaranteedJobs() {
     Set<String> guaranteed = new HashSet<>();
     Map<String, ResourceSum> demandByTeam = new HashMap<>();
     for (ActiveJob activeJob : term.activeJobs().all()) {
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -20,22 +20,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One leader's term: everything the leader knows beyond the state service, created at each election
- * and dropped when the controller steps down. Used on the event loop's thread; a reader begins with
- * {@link #onReplicaAdvanced} and {@link #tick}.
+ * One leader's term: the components of a leader and its state beyond the state service. It is
+ * created at each election; after the controller steps down, it still answers reports until it is
+ * closed. Used on the event loop's thread. Start reading at {@link #onReplicaAdvanced} and {@link
+ * #tick}.
  */
 public final class Term implements FleetListener {
   private static final Logger log = LoggerFactory.getLogger(Term.class);
 
-  /** How far the term is. */
+  /** The stages of a term. */
   private enum Phase {
-    /** The replica has not reached the claim: records of earlier terms may be missing. */
+    /** The replica is behind the claim's revision: records of earlier terms may be missing. */
     CATCHING_UP,
     /** Scheduling rounds run. */
     ACTIVE,
-    /** No decisions any more, but reports are answered until another leads: tasks keep running. */
+    /** Decides nothing more, but answers reports until another controller leads: tasks run on. */
     RESIGNED,
-    /** Over. */
+    /** The term has ended: reports are not answered. */
     CLOSED
   }
 
@@ -112,7 +113,7 @@
         machineTypes::replaceAndStore);
   }
 
-  // ---------------------------------------------------------------- questions
+  // ---------------------------------------------------------------- queries
 
   /** The epoch of this term. */
   public long epoch() {
@@ -130,13 +131,13 @@
     return known;
   }
 
-  /** Describes what is held in memory, for one line of the log. */
+  /** Describes the memory use as key=value pairs for a log line. */
   public String memoryUsage() {
     int occupied = 0;
     for (Machine machine : fleet.machines()) {
       occupied += machine.isEmpty() ? 0 : 1;
     }
-    return fleet.machines().size() + " machines, " + occupied + " of them with tasks";
+    return "machines=" + fleet.machines().size() + " machinesWithTasks=" + occupied;
   }
 
   /** The number of workers that report, directly or through a peer. */
@@ -156,9 +157,9 @@
   // ---------------------------------------------------------------- life cycle
 
   /**
-   * Makes no more decisions, and goes on answering reports. Otherwise, with an outage of the state
-   * service right after a leader stepped down, nobody could claim, and all tasks would end with
-   * their workers' leases.
+   * Stops making decisions but keeps answering reports. If reports went unanswered and the state
+   * service failed right after the step-down, nobody could claim the leadership, and all tasks
+   * would end as their workers' leases expire.
    */
   public void resign() {
     transitionTo(Phase.RESIGNED);
@@ -180,7 +181,8 @@
   /** The only place where the phase changes. */
   private void transitionTo(Phase next) {
     if (phase == Phase.CLOSED || (phase == Phase.RESIGNED && next != Phase.CLOSED)) {
-      throw new IllegalStateException("term " + epoch + ": " + phase + " -> " + next);
+      throw new IllegalStateException(
+          "illegal transition of term " + epoch + ": " + phase + " -> " + next);
     }
     log.info("term changed epoch={} from={} to={}", epoch, phase, next);
     phase = next;
@@ -280,7 +282,8 @@
       return StartRecord.Start.of(
           job.spec(), task.ref().index(), task.attempt(), machine.name(), machine.session());
     }
-    // A cancelled job's task: its start record still says which resources it takes.
+    // The job's record is gone, after a cancellation for instance: the start record still holds the
+    // resources that the task takes.
     StartRecord.Start recorded =
         records.table().recordedStart(task.ref(), task.attempt(), machine.name());
     return recorded != null
@@ -313,7 +316,7 @@
   public List<WorkerCommand> commandsFor(Machine machine) {
     return switch (phase) {
       case ACTIVE -> commands.commandsFor(machine);
-      // Jobs known to be over are stopped all the same: by whoever lets the answers out.
+      // ReportResponseGate, which all answers pass, still stops tasks of jobs known to be over.
       case CATCHING_UP, RESIGNED, CLOSED -> List.of();
     };
   }
--- a/src/main/java/fennelthread/leader/TermState.java
+++ b/src/main/java/fennelthread/leader/TermState.java
@@ -3,7 +3,7 @@
 import fennelthread.fleet.Fleet;
 
 /**
- * What a term has learned since it began; shared by its parts and dropped with it.
+ * The in-memory state of one term, shared by the term's components and discarded with it.
  *
  * @param fleet the machines and the attempts that may be on them
  * @param activeJobs the live jobs and their progress
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * Decides which attempts workers are to clear and to stop, beyond those that rounds preempt: ended
- * ones, unwanted ones, and ones that can't finish before their spot instance is taken.
+ * Creates the commands by which workers clear ended attempts and stop unwanted or preempted ones,
+ * and requests stops of attempts that can't finish before their spot instance is interrupted.
  */
 final class WorkerCommands {
   private final EventLoop eventLoop;
@@ -31,7 +31,8 @@
   }
 
   /**
-   * The clear and stop commands that are due for a machine's attempts, as many as one answer has.
+   * The clear and stop commands that are due for a machine's attempts, at most as many as one
+   * answer may have.
    */
   List<WorkerCommand> commandsFor(Machine machine) {
     List<WorkerCommand> commands = new ArrayList<>();
@@ -40,7 +41,7 @@
         case ENDED -> addClear(commands, attempt);
         case FETCHING, RUNNING, FLUSHING -> addStop(commands, attempt);
         default -> {
-          // There is no command for attempts that the worker has not reported.
+          // Attempts that the worker has not reported, or that are gone, need no command.
         }
       }
       if (commands.size() >= LeaseRenewalConstants.COMMANDS_PER_ANSWER) {
@@ -50,7 +51,10 @@
     return commands;
   }
 
-  /** Lets the worker forget an ended attempt, unless that would lose a result not yet stored. */
+  /**
+   * Adds a command to clear an ended attempt, unless its result is not stored yet and would be
+   * lost.
+   */
   private void addClear(List<WorkerCommand> commands, Attempt attempt) {
     ActiveJob activeJob = activeJobs.jobOf(attempt);
     // Each start is sent exactly once, so no start of an ended attempt can be in flight.
@@ -78,36 +82,36 @@
     }
   }
 
-  /** Stops the attempts that can't finish before their spot instance is taken. */
+  /** Stops the attempts that can't finish before their spot instance is interrupted. */
   void stopBeforeInterruptions() {
-    long now = eventLoop.nowMs();
+    long nowMs = eventLoop.nowMs();
     for (Machine machine : fleet.machines()) {
       if (machine.phase() != Machine.Phase.REPORTING || machine.interruptionAtMs() < 0) {
         continue;
       }
-      double remainingS = (machine.interruptionAtMs() - now) / 1000.0;
-      boolean anyStopped = false;
+      double remainingS = (machine.interruptionAtMs() - nowMs) / 1000.0;
+      boolean isAnyStopRequested = false;
       for (Attempt attempt : machine.attempts()) {
         ActiveJob activeJob = activeJobs.jobOf(attempt);
         if (activeJob == null || attempt.isStopRequested() || !attempt.mayBePresent()) {
           continue;
         }
-        if (!finishesWithin(remainingS, attempt, activeJob.job().spec(), now)) {
+        if (!finishesWithin(remainingS, attempt, activeJob.job().spec(), nowMs)) {
           attempt.requestStop();
-          anyStopped = true;
+          isAnyStopRequested = true;
         }
       }
-      if (anyStopped) {
+      if (isAnyStopRequested) {
         fleet.sendCommands(machine);
       }
     }
   }
 
-  private boolean finishesWithin(double remainingS, Attempt attempt, JobSpec spec, long now) {
+  private boolean finishesWithin(double remainingS, Attempt attempt, JobSpec spec, long nowMs) {
     if (spec.service() || attempt.phase() != Attempt.Phase.RUNNING) {
       return false;
     }
-    double ranS = attempt.runningSinceMs() < 0 ? 0 : (now - attempt.runningSinceMs()) / 1000.0;
+    double ranS = attempt.runningSinceMs() < 0 ? 0 : (nowMs - attempt.runningSinceMs()) / 1000.0;
     return runTimes.expectedS(spec) - ranS < remainingS;
   }
 }
--- a/src/test/java/fennelthread/LayersTest.java
+++ b/src/test/java/fennelthread/LayersTest.java
@@ -15,19 +15,19 @@
 import fennelthread.wire.Fields;
 import java.util.Set;
 
-/** The layering of docs/design.md, held to by the build. */
+/** Enforces the layering of packages that docs/design.md describes. */
 @AnalyzeClasses(packages = "fennelthread", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayersTest {
-  private static final Set<String> NUMBERS = Set.of("int", "long", "double", "float");
-  private static final DescribedPredicate<JavaClass> NUMERIC =
-      DescribedPredicate.describe("a number", c -> NUMBERS.contains(c.getName()));
+  private static final Set<String> NUMERIC_TYPES = Set.of("int", "long", "double", "float");
+  private static final DescribedPredicate<JavaClass> IS_NUMERIC =
+      DescribedPredicate.describe("a number", type -> NUMERIC_TYPES.contains(type.getName()));
 
   @ArchTest
-  static final ArchRule noCycles =
+  static final ArchRule packagesHaveNoCyclicDependencies =
       slices().matching("fennelthread.(*)..").should().beFreeOfCycles();
 
   @ArchTest
-  static final ArchRule wireKnowsNothingAbove =
+  static final ArchRule wireDependsOnNoOtherPackage =
       classes()
           .that()
           .resideInAPackage("..wire..")
@@ -36,7 +36,7 @@
           .resideInAnyPackage("fennelthread.wire..", "java..", "com.fasterxml.jackson..");
 
   @ArchTest
-  static final ArchRule planKnowsOnlyWire =
+  static final ArchRule planDependsOnNoSubsystem =
       noClasses()
           .that()
           .resideInAPackage("..plan..")
@@ -53,9 +53,9 @@
               "..settings..",
               "..state..");
 
-  /** Subsystems are wired in by the controller; nothing below it knows it, or the command line. */
+  /** The controller creates the subsystems; they depend neither on it nor on the command line. */
   @ArchTest
-  static final ArchRule nothingKnowsTheController =
+  static final ArchRule onlyCommandLineAndSimulationDependOnController =
       noClasses()
           .that()
           .resideOutsideOfPackages("fennelthread", "..cli..", "..simulation..")
@@ -66,9 +66,9 @@
           .dependOnClassesThat()
           .belongToAnyOf(Controller.class);
 
-  /** What the service is tried in is no part of it: nothing of it is loaded where it runs. */
+  /** The simulation is a test environment: the running service must load none of its classes. */
   @ArchTest
-  static final ArchRule nothingKnowsTheLab =
+  static final ArchRule productionCodeDoesNotDependOnSimulation =
       noClasses()
           .that()
           .resideOutsideOfPackage("..simulation..")
@@ -78,7 +78,7 @@
 
   /** The emulation, and the libraries that it alone uses, are loaded by its own command only. */
   @ArchTest
-  static final ArchRule onlyItsCommandKnowsTheEmulation =
+  static final ArchRule onlyItsCommandDependsOnTheEmulation =
       noClasses()
           .that()
           .resideOutsideOfPackage("..emulate..")
@@ -88,9 +88,9 @@
           .dependOnClassesThat()
           .resideInAnyPackage("..emulate..", "org.HdrHistogram..", "org.knowm..");
 
-  /** Bodies for users, workers and the cloud are put together in {@code wire} alone. */
+  /** Message bodies for users, workers and the cloud are built in {@code wire} only. */
   @ArchTest
-  static final ArchRule wireNamesOnlyInWire =
+  static final ArchRule messageFieldsAreWrittenOnlyInWire =
       noClasses()
           .that()
           .resideInAnyPackage("fennelthread", "..api..", "..fleet..")
@@ -98,10 +98,10 @@
           .callMethod(Fields.class, "with", String.class, Object.class);
 
   @ArchTest
-  static final ArchRule constantsInOnePlace =
+  static final ArchRule numericConstantsAreDeclaredInTheirPackages =
       fields()
           .that()
-          .haveRawType(NUMERIC)
+          .haveRawType(IS_NUMERIC)
           .and()
           .areFinal()
           .and()
--- a/src/test/java/fennelthread/leader/EpochRecordTest.java
+++ b/src/test/java/fennelthread/leader/EpochRecordTest.java
@@ -10,14 +10,14 @@
 
 class EpochRecordTest {
   @Test
-  void storedFormKeepsItsFieldNames() {
+  void encodedFormHasTheStoredFieldNames() {
     assertEquals(
         Fields.create().with("epoch", 9L).with("keeps", true).with("unbounded", 4L),
         new EpochRecord(9, 4).encode());
   }
 
   @Test
-  void storedFormIsReadBack() throws WireException {
+  void decodedRecordEqualsEncodedOne() throws WireException {
     assertEquals(new EpochRecord(9, 4), EpochRecord.decode(new EpochRecord(9, 4).encode()));
   }
 
--- a/src/test/java/fennelthread/leader/LeaderRecordTest.java
+++ b/src/test/java/fennelthread/leader/LeaderRecordTest.java
@@ -21,12 +21,12 @@
   }
 
   @Test
-  void storedFormKeepsItsFieldNames() {
+  void encodedFormHasTheStoredFieldNames() {
     assertEquals(stored(), RECORD.encode());
   }
 
   @Test
-  void storedFormIsReadBack() throws WireException {
+  void storedFormIsDecodedToTheSameRecord() throws WireException {
     assertEquals(RECORD, LeaderRecord.decode(stored()));
   }
 
--- a/src/test/java/fennelthread/leader/StartRecordKeysTest.java
+++ b/src/test/java/fennelthread/leader/StartRecordKeysTest.java
@@ -11,7 +11,7 @@
   private final StartRecordKeys keys = new StartRecordKeys(3);
 
   @Test
-  void allocatedKeysCountWithinTheEpoch() {
+  void allocatedKeysAreNumberedWithinTheEpoch() {
     assertEquals("live/round/0000000003-00000001", keys.allocate());
     assertEquals("live/round/0000000003-00000002", keys.allocate());
   }
--- a/src/test/java/fennelthread/leader/TaskBackoffTest.java
+++ b/src/test/java/fennelthread/leader/TaskBackoffTest.java
@@ -23,7 +23,7 @@
   @Test
   void eachRefusalDoublesTheDelayUpToABound() {
     long expectedMs = LeaderConstants.MIN_TASK_BACKOFF_MS;
-    for (int i = 0; i < 12; i++) {
+    for (int refusal = 0; refusal < 12; refusal++) {
       backoff.onRefused(TASK, 0, 0);
       assertEquals(Math.min(LeaderConstants.MAX_TASK_BACKOFF_MS, expectedMs), delayMs(0));
       expectedMs *= 2;
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void refusalsAreForgottenAfterAWhileWithoutIncidents() {
+  void refusalCountIsResetAfterAWindowWithoutIncidents() {
     backoff.onRefused(TASK, 0, 0);
     backoff.onRefused(TASK, 0, 0);
     long laterMs = LeaderConstants.FAILURE_WINDOW_MS + 1;
