--- a/src/main/java/fennelthread/jobs/AcceptResult.java
+++ b/src/main/java/fennelthread/jobs/AcceptResult.java
@@ -2,7 +2,7 @@
 
 import fennelthread.state.Unavailability;
 
-/** The outcome of a submission. */
+/** The outcome of a submission, as far as this controller knows it. */
 public sealed interface AcceptResult {
   /** The job was written by this request. */
   record Accepted() implements AcceptResult {}
@@ -10,9 +10,12 @@
   /** The job was written earlier, or by another request; its current state has to be looked up. */
   record AlreadyAccepted() implements AcceptResult {}
 
-  /** The job's records are larger than the state service takes. */
+  /** The job's records are larger than the state service accepts. */
   record TooLarge() implements AcceptResult {}
 
-  /** The outcome is not known: the job may have been written, or may still be. */
+  /**
+   * Not known to be accepted: the job may not have been sent to the state service, may have been
+   * written, or may still be written.
+   */
   record Unavailable(Unavailability reason) implements AcceptResult {}
 }
--- a/src/main/java/fennelthread/jobs/CancellationListener.java
+++ b/src/main/java/fennelthread/jobs/CancellationListener.java
@@ -1,8 +1,11 @@
 package fennelthread.jobs;
 
-/** Receives cancelled jobs, each before any user is told that it is cancelled. */
+/** Receives the ids of cancelled jobs, each before any user is told of the cancellation. */
 @FunctionalInterface
 public interface CancellationListener {
-  /** Called when a job's cancellation becomes known here; may be called twice for one job. */
+  /**
+   * Called when this controller learns of a job's cancellation; may be called several times for one
+   * job.
+   */
   void onJobCancelled(String jobId);
 }
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheck.java
@@ -10,10 +10,10 @@
 import java.util.function.Consumer;
 
 /**
- * Checks that every dependency of a submission was accepted. The submission is written later than
- * it is checked, which is safe: an id once accepted stays accepted, whatever becomes of its job. A
- * job that is missing in the replica proves nothing, since the replica may be behind; then the
- * state service is read.
+ * Checks that every dependency of a submission was accepted. The submission is written after the
+ * check, without a condition on its dependencies. That is safe: an accepted id stays accepted,
+ * whatever becomes of its job. A dependency that neither the replica nor the cache of final records
+ * holds is read from the state service, since the replica may lag behind.
  */
 final class DependencyCheck {
   private final StateClient state;
@@ -37,26 +37,26 @@
 
   /** Checks a submission; {@code done} is called once, possibly before this returns. */
   void check(JobSpec spec, Consumer<DependencyCheckResult> done) {
-    List<String> toRead = new ArrayList<>();
+    List<String> unknownDependencies = new ArrayList<>();
     boolean cancelled = false;
     for (String dependency : spec.dependencies()) {
       Job job = table.get(dependency);
       if (job != null && job.spec().service()) {
-        done.accept(namesService(dependency));
+        done.accept(invalidService(dependency));
         return;
       }
       Optional<FinalRecord> finalRecord = finalRecords.cached(dependency);
       if (job == null && finalRecord.isEmpty()) {
-        toRead.add(dependency);
+        unknownDependencies.add(dependency);
       }
       cancelled |= isCancelled(dependency, finalRecord.orElse(null));
     }
     Optional<Unavailability> unavailability =
-        toRead.isEmpty() ? Optional.empty() : state.unavailability(0);
+        unknownDependencies.isEmpty() ? Optional.empty() : state.unavailability(0);
     if (unavailability.isPresent()) {
       done.accept(new DependencyCheckResult.Unavailable(unavailability.get()));
     } else {
-      readFrom(toRead, 0, cancelled, done);
+      readRemaining(unknownDependencies, 0, cancelled, done);
     }
   }
 
@@ -65,8 +65,10 @@
         || (found instanceof FinalRecord record && record.state() == JobState.CANCELLED);
   }
 
-  /** Reads the dependencies from an index on, one after the other. */
-  private void readFrom(
+  /**
+   * Reads the dependencies from an index on, one at a time, until one of them decides the result.
+   */
+  private void readRemaining(
       List<String> dependencies,
       int index,
       boolean cancelled,
@@ -86,15 +88,15 @@
                 new DependencyCheckResult.Invalid(
                     "names " + dependency + ", which was never accepted"));
           } else if (found instanceof LookupResult.Live live && live.job().spec().service()) {
-            done.accept(namesService(dependency));
+            done.accept(invalidService(dependency));
           } else {
             boolean cancelledSoFar = cancelled || isCancelled(dependency, found);
-            readFrom(dependencies, index + 1, cancelledSoFar, done);
+            readRemaining(dependencies, index + 1, cancelledSoFar, done);
           }
         });
   }
 
-  private static DependencyCheckResult namesService(String dependency) {
+  private static DependencyCheckResult invalidService(String dependency) {
     return new DependencyCheckResult.Invalid("names the service " + dependency);
   }
 }
--- a/src/main/java/fennelthread/jobs/DependencyCheckResult.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheckResult.java
@@ -14,10 +14,11 @@
   /**
    * A dependency was never accepted, or is a service.
    *
-   * @param reason the rest of a sentence for the user that begins with the field's name
+   * @param reason a predicate for the error message to the user, which puts the field's name before
+   *     it
    */
   record Invalid(String reason) implements DependencyCheckResult {}
 
-  /** The state service could not be read; the submission may be repeated. */
+  /** The dependencies could not be read from the state service; the user may submit again. */
   record Unavailable(Unavailability reason) implements DependencyCheckResult {}
 }
--- a/src/main/java/fennelthread/jobs/DependencyGraph.java
+++ b/src/main/java/fennelthread/jobs/DependencyGraph.java
@@ -18,17 +18,19 @@
  * The dependencies among live jobs (a directed acyclic graph), and what follows from them: which
  * jobs may run, which are to be cancelled, and which priority each inherits.
  *
- * <p>A dependency is met by a final record that says done and by nothing else; that a job is no
- * longer live proves nothing, for it may have been cancelled. All of the graph follows from the
- * records, so that every controller has the same one and no step is lost when a controller ends.
+ * <p>A dependency is met only by a final record with the state done. That a job is no longer live
+ * is not enough, since it may have been cancelled. The graph is derived from the stored records
+ * alone, so that every controller arrives at the same graph and no step is lost when a controller
+ * stops.
  *
- * <p>Used on the event loop's thread alone. Nothing here recurses, since chains may be long.
+ * <p>Used on the event loop's thread only. All traversals are iterative, since a chain of
+ * dependencies may be too long for recursion.
  */
 public final class DependencyGraph {
 
   /** The phases of a live job with dependencies. */
   public enum Phase {
-    /** Some dependency is not proven to be done. */
+    /** At least one dependency is not known to be done. */
     WAITING,
     /** All dependencies are done: tasks may start. */
     RELEASED,
@@ -36,28 +38,28 @@
     TO_CANCEL
   }
 
-  /** Receives every change that follows from the graph. */
+  /** Receives changes of phases and of inherited priorities. */
   public interface Listener {
-    /** A live job has moved to a phase. */
+    /** Called after a live job has moved to a phase. */
     void onPhaseChanged(Job job, Phase phase);
 
-    /** What a job inherits from its dependants has changed. */
+    /** Called after the priority or a deadline that a job inherits has changed. */
     void onInheritedPriorityChanged(String id);
   }
 
-  /** The last of the deadlines that the settings derive from a job's own. */
+  /** Computes the latest of the deadlines that the settings derive from a job's own deadline. */
   @FunctionalInterface
   public interface LastDeadline {
-    /** Seconds from the job's acceptance. */
+    /** The latest deadline, seconds after the job's acceptance. */
     double seconds(JobSpec spec);
   }
 
-  /** What is known of a job's state without a read of the state service. */
+  /** What this controller knows of jobs without reading the state service. */
   public interface KnownJobs {
     /** True if the job is live in the replica. */
     boolean isLive(String id);
 
-    /** The job's final record if it was read or written here already. */
+    /** The job's final record if this controller has read or written it and still caches it. */
     Optional<FinalRecord> finalRecord(String id);
   }
 
@@ -74,7 +76,9 @@
     this.inheritance = new PriorityInheritance(lastDeadline, nodes, dependants, listener);
   }
 
-  /** Adds a job that became live. */
+  /**
+   * Adds a job that has become live, and derives its phase from what is known of its dependencies.
+   */
   public void add(Job job, KnownJobs knownJobs) {
     String id = job.spec().id();
     unresolved.remove(id);
@@ -99,7 +103,10 @@
     inheritance.recompute(node.unmet);
   }
 
-  /** Removes a job that is no longer live: {@link #onFinalRecord} says whether it is done. */
+  /**
+   * Removes a job that is no longer live. Its dependants keep waiting until {@link #onFinalRecord}
+   * tells whether it is done or cancelled.
+   */
   public void remove(String id) {
     toCancel.remove(id);
     DependencyNode node = nodes.remove(id);
@@ -122,20 +129,20 @@
   /** Releases or cancels the dependants of a job whose final record became known. */
   public void onFinalRecord(String id, FinalRecord finalRecord) {
     unresolved.remove(id);
-    Set<String> waiting = dependants.get(id);
-    if (waiting == null) {
+    Set<String> waitingDependants = dependants.get(id);
+    if (waitingDependants == null) {
       return;
     }
     if (finalRecord.state() != JobState.DONE) {
-      markToCancel(waiting);
+      markToCancel(waitingDependants);
       return;
     }
     dependants.remove(id);
     inheritance.remove(id);
-    for (String dependant : waiting) {
+    for (String dependant : waitingDependants) {
       DependencyNode node = nodes.get(dependant);
       node.unmet.remove(id);
-      // Where the record does not say when, the job counts as released when it was accepted.
+      // A record without a time holds 0: the job then counts as released when it was accepted.
       node.releasedAtMs = Math.max(node.releasedAtMs, finalRecord.endedWallMs());
       if (node.unmet.isEmpty() && node.phase == Phase.WAITING) {
         transitionTo(node, Phase.RELEASED);
@@ -143,12 +150,18 @@
     }
   }
 
-  /** The dependencies that are neither known to be live nor known to be final: to be read. */
+  /**
+   * The dependencies that are known neither to be live nor to be final, so that their final records
+   * have to be read.
+   */
   public Collection<String> unresolvedDependencies() {
     return Collections.unmodifiableSet(unresolved);
   }
 
-  /** The live jobs that are to be cancelled, each after its dependencies. */
+  /**
+   * The live jobs that are to be cancelled because of a dependency, each after the live
+   * dependencies that are to be cancelled too.
+   */
   public Collection<Job> jobsToCancel() {
     return Collections.unmodifiableCollection(toCancel.values());
   }
@@ -162,32 +175,39 @@
     return node != null && node.phase == Phase.RELEASED;
   }
 
-  /** True if a live job is to be cancelled with one of its dependencies. */
+  /** True if a live job is to be cancelled because a dependency, direct or not, was cancelled. */
   public boolean isToBeCancelled(String id) {
     return toCancel.containsKey(id);
   }
 
-  /** The dependencies of a live job that are not proven to be done. */
+  /** The dependencies of a live job that are not known to be done. */
   public List<String> unmetDependencies(String id) {
     DependencyNode node = nodes.get(id);
     return node == null ? List.of() : List.copyOf(node.unmet);
   }
 
-  /** The time of day from which a released job no longer waited for others, ms. */
+  /**
+   * The wall-clock time at which a released job became free to run, ms: the end of its last
+   * dependency, or its own acceptance if that is later.
+   */
   public long releasedAtMs(Job job) {
     DependencyNode node = nodes.get(job.spec().id());
     return node == null ? job.acceptedWallMs() : node.releasedAtMs;
   }
 
-  /** What a job inherits from its dependants, or null if no job waits for it. */
+  /**
+   * The priority and deadlines that a job inherits from its dependants, or null if no job waits for
+   * it.
+   */
   public InheritedPriority inheritedPriority(String id) {
     return inheritance.of(id);
   }
 
-  /** Moves a job to another phase: the one place where it changes. */
+  /** Moves a waiting job to another phase. The phase changes nowhere else. */
   private void transitionTo(DependencyNode node, Phase next) {
     if (node.phase != Phase.WAITING || next == Phase.WAITING) {
-      throw new IllegalStateException(node.id() + ": " + node.phase + " -> " + next);
+      throw new IllegalStateException(
+          "job " + node.id() + " can't move from phase " + node.phase + " to " + next);
     }
     node.phase = next;
     if (next == Phase.TO_CANCEL) {
@@ -196,20 +216,20 @@
     listener.onPhaseChanged(node.job, next);
   }
 
-  /** Marks waiting jobs, and all that depend on them, as to be cancelled. */
+  /** Marks these jobs, and all that depend on them, as to be cancelled if they still wait. */
   private void markToCancel(Collection<String> ids) {
-    Deque<String> open = new ArrayDeque<>(ids);
-    Set<String> lessUrgent = new LinkedHashSet<>();
-    while (!open.isEmpty()) {
-      String id = open.poll();
+    Deque<String> pending = new ArrayDeque<>(ids);
+    Set<String> affectedDependencies = new LinkedHashSet<>();
+    while (!pending.isEmpty()) {
+      String id = pending.poll();
       DependencyNode node = nodes.get(id);
       if (node.phase != Phase.WAITING) {
         continue;
       }
       transitionTo(node, Phase.TO_CANCEL);
-      lessUrgent.addAll(node.unmet);
-      open.addAll(dependants.getOrDefault(id, Set.of()));
+      affectedDependencies.addAll(node.unmet);
+      pending.addAll(dependants.getOrDefault(id, Set.of()));
     }
-    inheritance.recompute(lessUrgent);
+    inheritance.recompute(affectedDependencies);
   }
 }
--- a/src/main/java/fennelthread/jobs/DependencyNode.java
+++ b/src/main/java/fennelthread/jobs/DependencyNode.java
@@ -7,13 +7,16 @@
 final class DependencyNode {
   final Job job;
 
-  /** The dependencies that are not proven to be done. */
+  /** The ids of the dependencies that are not known to be done. */
   final Set<String> unmet;
 
   /** Changed by {@link DependencyGraph} alone, in its {@code transitionTo}. */
   DependencyGraph.Phase phase = DependencyGraph.Phase.WAITING;
 
-  /** The time of day when the latest of the dependencies was done, ms. */
+  /**
+   * The wall-clock time when the last of the dependencies known to be done had ended, or of the
+   * job's own acceptance if that is later, ms.
+   */
   long releasedAtMs;
 
   DependencyNode(Job job) {
--- a/src/main/java/fennelthread/jobs/DependencyTracker.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -13,9 +13,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the dependency graph up to date on every controller, leading or not, so that a new leader
- * has nothing to read first. Jobs are added and removed as the replica changes; final records that
- * were not written here are read from the state service, few at a time, until they are known.
+ * Keeps the dependency graph up to date on every controller, whether or not it leads, so that a new
+ * leader need not read anything first. Jobs are added and removed as the replica changes. Final
+ * records that other controllers wrote are read from the state service, a few at a time, and again
+ * after a pause until they are found.
  */
 public final class DependencyTracker implements JobTable.Listener, DependencyGraph.Listener {
   private static final Logger log = LoggerFactory.getLogger(DependencyTracker.class);
@@ -25,7 +26,7 @@
   private final FinalRecords finalRecords;
   private final DependencyGraph graph;
   private final DependencyGraph.KnownJobs knownJobs = new LocallyKnownJobs();
-  private final Set<String> requested = new HashSet<>();
+  private final Set<String> requestedIds = new HashSet<>();
   private final List<DependencyGraph.Listener> listeners = new ArrayList<>();
   private int readsInFlight;
 
@@ -38,7 +39,7 @@
     table.addListener(this);
   }
 
-  /** The graph, to be read and not changed. */
+  /** The graph; callers must not change it. */
   public DependencyGraph graph() {
     return graph;
   }
@@ -72,7 +73,7 @@
       if (readsInFlight >= JobConstants.MAX_CONCURRENT_FINAL_READS) {
         return;
       }
-      if (requested.add(id)) {
+      if (requestedIds.add(id)) {
         readsInFlight++;
         finalRecords.read(id, found -> onRead(id, found));
       }
@@ -82,17 +83,18 @@
   private void onRead(String id, LookupResult found) {
     readsInFlight--;
     if (found instanceof FinalRecord) {
-      requested.remove(id);
+      requestedIds.remove(id);
       readUnresolved();
       return;
     }
-    // The state service is not available, or the job is live and the replica behind: read again
-    // later. Never at once, since a refusal for want of budget may come before the call returns.
+    // The state service is unavailable, or the job is live and the replica lags behind: read again
+    // after a pause. An immediate read could recurse, since a request that a full queue rejects
+    // fails before the call returns.
     double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
     eventLoop.after(
         (long) (JobConstants.FINAL_READ_RETRY_MS * jitter),
         () -> {
-          requested.remove(id);
+          requestedIds.remove(id);
           readUnresolved();
         });
   }
--- a/src/main/java/fennelthread/jobs/FinalRecord.java
+++ b/src/main/java/fennelthread/jobs/FinalRecord.java
@@ -5,17 +5,17 @@
 import fennelthread.wire.WireException;
 
 /**
- * The final record of a job that is done or cancelled. It is kept in the state service for ever and
+ * The final record of a job that is done or cancelled. It stays in the state service for ever and
  * never changes.
  *
  * @param state done or cancelled
  * @param finishedTaskCount how many of its tasks had finished
- * @param endedWallMs the time of day when the record was written, ms; 0 in records of versions that
- *     did not write it
+ * @param endedWallMs the wall-clock time when the record was written, ms; 0 in records of versions
+ *     that don't write the field
  */
 public record FinalRecord(JobState state, int finishedTaskCount, long endedWallMs)
     implements LookupResult {
-  /** Returns the record in the state service's form. */
+  /** Encodes the record as the value that the state service stores. */
   public Fields encode() {
     return Fields.create()
         .with("estado", state.wire())
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Reads a record from the state service's form.
+   * Decodes a stored value.
    *
    * @throws WireException naming the field that is missing or malformed
    */
--- a/src/main/java/fennelthread/jobs/FinalRecords.java
+++ b/src/main/java/fennelthread/jobs/FinalRecords.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * The final records of jobs, kept in the state service for ever and here in a bounded cache. A
- * final record never changes, so that a cached one is as good as one just read.
+ * Reads the final records of jobs from the state service and caches a bounded number of them. A
+ * final record never changes, so that a cached one is always current.
  */
 final class FinalRecords {
-  /** Receives each final record that was read or written here. */
+  /** Receives each final record that this controller has read or written. */
   @FunctionalInterface
   interface Listener {
     /** Called for each record, possibly several times for one job. */
@@ -38,7 +38,7 @@
     this.cancellationListener = cancellationListener;
   }
 
-  /** Sets the listener; there is one. */
+  /** Sets the only listener. */
   void setListener(Listener listener) {
     this.listener = listener;
   }
@@ -48,17 +48,20 @@
     return Optional.ofNullable(cache.getIfPresent(id));
   }
 
-  /** Empties the cache to free memory: its records can be read again. */
+  /** Empties the cache to free memory; its records can be read again. */
   void evictAll() {
     cache.invalidateAll();
   }
 
-  /** How many records are in the cache, about. */
+  /** The approximate number of records in the cache. */
   long size() {
     return cache.estimatedSize();
   }
 
-  /** Adds a record that was read or written here: the one place where records become known. */
+  /**
+   * Adds a record that this controller has read or written. Every record passes through here, so
+   * that the cancellation listener runs before any user learns of a cancellation.
+   */
   void add(String id, FinalRecord record) {
     cache.put(id, record);
     if (record.state() == JobState.CANCELLED) {
@@ -67,7 +70,10 @@
     listener.onFinalRecord(id, record);
   }
 
-  /** Reads a job's final record from the state service. */
+  /**
+   * Reads a job's final record from the state service; the result is the record, {@code Unknown} if
+   * there is none, or {@code Unavailable}.
+   */
   void read(String id, Consumer<LookupResult> done) {
     state.get(
         Keys.finalJob(id),
--- a/src/main/java/fennelthread/jobs/FinishedTasksCodec.java
+++ b/src/main/java/fennelthread/jobs/FinishedTasksCodec.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * The stored form of a job's finished tasks. A record holds one chunk of {@link
- * JobConstants#TASKS_PER_CHUNK} tasks as a list of first and last task of each range, relative to
- * the chunk's first task.
+ * Encodes and decodes the finished tasks of a job. One record holds a chunk of {@link
+ * JobConstants#TASKS_PER_CHUNK} tasks as a flat list of ranges: the first and the last task of
+ * each, inclusive, relative to the chunk's first task.
  */
 public final class FinishedTasksCodec {
   private FinishedTasksCodec() {}
@@ -38,7 +38,10 @@
     return Fields.create().with("r", ranges);
   }
 
-  /** Adds the tasks of one chunk's record to {@code finished}; malformed ranges are skipped. */
+  /**
+   * Decodes one chunk's record and adds its tasks to {@code finished}; malformed ranges are
+   * skipped.
+   */
   static void decodeInto(BitSet finished, int chunk, Fields value) throws WireException {
     int base = chunk * JobConstants.TASKS_PER_CHUNK;
     List<?> ranges = value.list("r");
--- a/src/main/java/fennelthread/jobs/InheritedPriority.java
+++ b/src/main/java/fennelthread/jobs/InheritedPriority.java
@@ -3,13 +3,13 @@
 import fennelthread.wire.Priority;
 
 /**
- * The urgency that a job inherits from the jobs that depend on it, directly or through others
- * (priority inheritance along dependencies).
+ * The priority and deadlines that a job inherits from the waiting jobs that depend on it, directly
+ * or through others (priority inheritance along dependencies).
  *
  * @param priority the most urgent priority among the dependants
- * @param dueMs the earliest time of day by which the job must be done so that every dependant can
- *     meet its deadline, ms; 0 if none has a deadline
- * @param lastDueMs the same for the last deadlines that the settings derive from theirs, ms; 0 if
- *     there are none
+ * @param dueMs the earliest wall-clock time by which the job must be done so that every dependant
+ *     can meet its deadline, ms; 0 if none has a deadline
+ * @param lastDueMs the same time for the latest deadlines that the settings derive from those of
+ *     the dependants, ms; 0 if none has a deadline
  */
 public record InheritedPriority(Priority priority, long dueMs, long lastDueMs) {}
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -7,7 +7,10 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** An accepted job that is neither done nor cancelled, as the state service holds it. */
+/**
+ * A live job: accepted, and neither done nor cancelled. Decoded from its records in the state
+ * service.
+ */
 public final class Job {
   private final JobSpec spec;
   private final long revision;
@@ -25,29 +28,32 @@
     return spec;
   }
 
-  /** The revision of its record: the condition for making it final. */
+  /** The revision of its live record, which must be unchanged when the job is made final. */
   public long revision() {
     return revision;
   }
 
-  /** The time of day at which it was accepted, ms. */
+  /** The wall-clock time at which it was accepted, ms. */
   public long acceptedWallMs() {
     return acceptedWallMs;
   }
 
-  /** The tasks whose completion is durable, by index. */
+  /** The tasks whose completion is stored in the state service, by index. */
   public BitSet finishedTasks() {
     return finished;
   }
 
-  /** The number of keys for its finished tasks; none if its final record is all that is written. */
-  int chunks() {
+  /**
+   * The number of keys that hold its finished tasks; 0 for a service and for a single task, of
+   * which only the final record is written.
+   */
+  int chunkCount() {
     return spec.service() || spec.tasks() == 1
         ? 0
         : (spec.tasks() + JobConstants.TASKS_PER_CHUNK - 1) / JobConstants.TASKS_PER_CHUNK;
   }
 
-  /** The same job with all its dependencies. */
+  /** Returns the same job with these dependencies, without finished tasks. */
   Job withDependencies(List<String> dependencies) {
     return new Job(spec.withDependencies(dependencies), revision, acceptedWallMs);
   }
--- a/src/main/java/fennelthread/jobs/JobAcceptor.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -16,37 +16,44 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts validated jobs. Each job takes one durable write, on condition that neither a live nor a
- * final record of its id exists; submissions that wait at the same time share a transaction.
+ * Accepts validated jobs. The records of a job are written in one transaction, on condition that
+ * neither a live nor a final record of its id exists; submissions that wait at the same time share
+ * a transaction.
  *
- * <p>If the answer to a transaction is lost, its submissions are settled while their users still
- * wait: a job whose record has reached the replica by then was accepted, any other is sent again.
- * The conditions make that idempotent: however often a job is sent, it is applied at most once, and
- * never after it has ended.
+ * <p>If the answer to a transaction is overdue, its submissions are resolved while their users
+ * still wait: a job whose record has reached the replica by then was accepted, any other is sent
+ * again. The conditions make that idempotent: however often a job is sent, it is applied at most
+ * once, and never after it has become final.
  */
 final class JobAcceptor implements TransactionPipeline.Handler<JobAcceptor.Batch> {
-  /** Receives the transactions that were applied. */
+  /** Receives the transactions of submissions that were applied. */
   @FunctionalInterface
   interface AppliedListener {
-    /** Called once a transaction was applied at a revision; it wrote these final records. */
+    /**
+     * Called when a transaction was applied at a revision, with the final records that it wrote by
+     * job id.
+     */
     void onApplied(Txn txn, long revision, Map<String, FinalRecord> finalRecords);
   }
 
-  /** Answers whether a job is known to be accepted without a read of the state service. */
+  /** Tells whether a job is known to be accepted without reading the state service. */
   @FunctionalInterface
   interface AcceptedJobs {
     /** True if the replica or the cache of final records holds the job. */
     boolean isAccepted(String jobId);
   }
 
-  /** The jobs of one transaction, each with the number of its sending. */
+  /**
+   * The submissions of one transaction, each with the number of transactions it had been sent in
+   * then, this one included.
+   */
   static final class Batch extends TransactionPipeline.Batch {
     final Map<PendingSubmission, Integer> sendNumbers = new LinkedHashMap<>();
 
-    /** True if this is the latest sending of the job, and its callers still wait. */
-    boolean isLatestFor(PendingSubmission submission) {
+    /** True if the submission was sent in no later transaction and its callers still wait. */
+    boolean isLatestSendOf(PendingSubmission submission) {
       return submission.phase() == PendingSubmission.Phase.SENT
-          && submission.sends() == sendNumbers.get(submission);
+          && submission.sendCount() == sendNumbers.get(submission);
     }
   }
 
@@ -66,7 +73,7 @@
     this.pipeline = new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_ACCEPTS, this);
   }
 
-  /** How many submissions wait for a transaction. */
+  /** The number of submissions that wait for a transaction. */
   int queuedSubmissions() {
     return queue.size();
   }
@@ -75,7 +82,8 @@
   void accept(Submission submission, Consumer<AcceptResult> done) {
     String id = submission.spec().id();
     if (acceptedJobs.isAccepted(id)) {
-      // A transaction would fail with all that share it, and count against the write limit too.
+      // Its conditions would fail the transaction for all submissions that share it, and the
+      // attempt would still use up part of the rate limit on writes.
       done.accept(new AcceptResult.AlreadyAccepted());
       return;
     }
@@ -108,19 +116,19 @@
   public Batch nextBatch() {
     Batch batch = new Batch();
     int bytes = 0;
-    boolean sentAlone = false;
+    boolean isFull = false;
     for (PendingSubmission next : queue.values()) {
       bytes += next.bytes();
       boolean fits =
-          !sentAlone
-              && !next.isSentAlone()
+          !isFull
+              && !next.needsOwnTransaction()
               && batch.txn.changeCount() + next.submission().records().size()
                   <= limits.maxTxnChanges()
               && bytes <= limits.maxTxnBytes();
       if (!batch.sendNumbers.isEmpty() && !fits) {
         break;
       }
-      sentAlone = next.isSentAlone();
+      isFull = next.needsOwnTransaction();
       batch
           .txn
           .requireRevision(Keys.job(next.id()), 0)
@@ -135,16 +143,19 @@
     return batch;
   }
 
-  /** Without a result in time, a job counts as accepted if the replica holds it by now. */
+  /**
+   * Completes the submissions that are known to be accepted by now, and sends the others again if
+   * an answer can still come in time.
+   */
   @Override
   public void onOverdue(Batch batch) {
     for (PendingSubmission submission : batch.sendNumbers.keySet()) {
-      if (!batch.isLatestFor(submission)) {
+      if (!batch.isLatestSendOf(submission)) {
         continue;
       }
       if (acceptedJobs.isAccepted(submission.id())) {
         complete(submission, new AcceptResult.AlreadyAccepted());
-      } else if (submission.sends() < JobConstants.MAX_SENDS
+      } else if (submission.sendCount() < JobConstants.MAX_SENDS
           && state.canAnswerInTime(submission.submission().records().size())) {
         requeue(submission);
       }
@@ -154,17 +165,17 @@
   @Override
   public void onResult(Batch batch, TxnResult result) {
     if (result instanceof TxnResult.Applied applied) {
-      settleApplied(batch, applied.revision());
+      completeApplied(batch, applied.revision());
     } else if (result instanceof TxnResult.Conflict conflict) {
-      settleConflict(batch, new HashSet<>(conflict.failed()));
+      resolveConflict(batch, new HashSet<>(conflict.failed()));
     } else if (result instanceof TxnResult.TooLarge) {
-      settleTooLarge(batch);
+      resolveTooLarge(batch);
     } else {
       completeUnavailable(batch, Unavailability.of(result));
     }
   }
 
-  private void settleApplied(Batch batch, long revision) {
+  private void completeApplied(Batch batch, long revision) {
     Map<String, FinalRecord> finalRecords = new HashMap<>();
     for (PendingSubmission accepted : batch.sendNumbers.keySet()) {
       if (accepted.submission().finalRecord() != null) {
@@ -175,8 +186,9 @@
     batch.sendNumbers.keySet().forEach(job -> complete(job, new AcceptResult.Accepted()));
   }
 
-  private void settleConflict(Batch batch, Set<String> failedKeys) {
+  private void resolveConflict(Batch batch, Set<String> failedKeys) {
     if (failedKeys.isEmpty()) {
+      // Without the failed keys it is unknown which submission the conflict is about.
       completeUnavailable(batch, Unavailability.REFUSED);
       return;
     }
@@ -184,22 +196,23 @@
       String id = submission.id();
       if (failedKeys.contains(Keys.job(id)) || failedKeys.contains(Keys.finalJob(id))) {
         complete(submission, new AcceptResult.AlreadyAccepted());
-      } else if (batch.isLatestFor(submission)) {
+      } else if (batch.isLatestSendOf(submission)) {
         requeue(submission);
       }
     }
   }
 
-  private void settleTooLarge(Batch batch) {
+  private void resolveTooLarge(Batch batch) {
     for (PendingSubmission submission : batch.sendNumbers.keySet()) {
-      if (!batch.isLatestFor(submission)) {
+      if (!batch.isLatestSendOf(submission)) {
         continue;
       }
       if (batch.sendNumbers.size() == 1) {
         complete(submission, new AcceptResult.TooLarge());
       } else {
-        // Whichever is too large must not be refused together with the others for ever.
-        submission.sendAlone();
+        // Any one of them may be the one that is too large: each is sent alone from now on, so that
+        // the others are not rejected with it for ever.
+        submission.requireOwnTransaction();
         requeue(submission);
       }
     }
@@ -207,7 +220,7 @@
 
   private void completeUnavailable(Batch batch, Unavailability why) {
     for (PendingSubmission submission : batch.sendNumbers.keySet()) {
-      if (batch.isLatestFor(submission)) {
+      if (batch.isLatestSendOf(submission)) {
         complete(submission, new AcceptResult.Unavailable(why));
       }
     }
--- a/src/main/java/fennelthread/jobs/JobCanceller.java
+++ b/src/main/java/fennelthread/jobs/JobCanceller.java
@@ -16,8 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * Moves jobs from their live to their final records: cancels them by request of a user or with a
- * dependency, and takes note of completions.
+ * Makes jobs final: cancels them at a user's request or because a dependency was cancelled, and
+ * brings the replica and the cache up to date after any transaction that made jobs final,
+ * completions included.
  */
 final class JobCanceller {
   private final EventLoop eventLoop;
@@ -27,7 +28,7 @@
   private final JobQueries queries;
   private final DependencyGraph graph;
   private final SizeLimits limits;
-  private boolean cancellingDependents;
+  private boolean isCancellingDependents;
 
   JobCanceller(
       EventLoop eventLoop,
@@ -45,41 +46,44 @@
     this.limits = state.limits();
   }
 
-  /** Cancels a job unless it is final; {@code done} gets the job's state from then on. */
+  /**
+   * Cancels a job unless it is final; {@code done} is called once with its final record, or with
+   * {@code Unknown} or {@code Unavailable}.
+   */
   void cancel(String id, Consumer<LookupResult> done) {
     cancel(id, JobConstants.MAX_CANCEL_TRIES, new OnceConsumer<>(done));
   }
 
-  private void cancel(String id, int triesLeft, OnceConsumer<LookupResult> done) {
+  private void cancel(String id, int attemptsLeft, OnceConsumer<LookupResult> done) {
     queries.lookup(
         id,
         found -> {
           if (!(found instanceof LookupResult.Live live)) {
             done.accept(found);
-          } else if (triesLeft == 0) {
+          } else if (attemptsLeft == 0) {
             done.accept(new LookupResult.Unavailable(Unavailability.CONTENDED));
           } else {
-            new CancelTry(live.job(), triesLeft, done).send();
+            new CancelAttempt(live.job(), attemptsLeft, done).send();
           }
         });
   }
 
   /**
-   * One try to cancel a job. If its result is overdue, the next try begins while this one may still
-   * be applied: that one then finds the final record, or writes the same. At most one of all tries
-   * is applied, since each is conditional on the live record.
+   * One attempt to cancel a job. If its result is overdue, the next attempt begins while this one
+   * may still be applied: the next one then finds the final record, or cancels the job itself. At
+   * most one of all attempts is applied, since each is conditional on the live record.
    */
-  private final class CancelTry {
+  private final class CancelAttempt {
     private final Job job;
-    private final int triesLeft;
+    private final int attemptsLeft;
     private final OnceConsumer<LookupResult> done;
     private final FinalRecord finalRecord;
     private final Txn txn = new Txn();
-    private boolean retried;
+    private boolean isRetried;
 
-    CancelTry(Job job, int triesLeft, OnceConsumer<LookupResult> done) {
+    CancelAttempt(Job job, int attemptsLeft, OnceConsumer<LookupResult> done) {
       this.job = job;
-      this.triesLeft = triesLeft;
+      this.attemptsLeft = attemptsLeft;
       this.done = done;
       this.finalRecord = cancelledRecord(job);
       addFinalRecord(txn, job, finalRecord);
@@ -90,7 +94,7 @@
     }
 
     private void onOverdue() {
-      if (triesLeft > 1 && state.canAnswerInTime(JobConstants.CHANGES_PER_FINAL_RECORD)) {
+      if (attemptsLeft > 1 && state.canAnswerInTime(JobConstants.CHANGES_PER_FINAL_RECORD)) {
         retry();
       }
     }
@@ -99,7 +103,7 @@
       if (result instanceof TxnResult.Applied applied) {
         onJobsFinal(txn, applied.revision(), Map.of(job.spec().id(), finalRecord));
         done.accept(finalRecord);
-      } else if (retried) {
+      } else if (isRetried) {
         return;
       } else if (result instanceof TxnResult.Refused || result instanceof TxnResult.TooLarge) {
         done.accept(new LookupResult.Unavailable(Unavailability.REFUSED));
@@ -109,21 +113,21 @@
     }
 
     private void retry() {
-      if (!retried) {
-        retried = true;
-        cancel(job.spec().id(), triesLeft - 1, done);
+      if (!isRetried) {
+        isRetried = true;
+        cancel(job.spec().id(), attemptsLeft - 1, done);
       }
     }
   }
 
   /**
-   * Cancels the jobs that are to be cancelled with a dependency, as many as fit into a transaction
-   * at a time. Calls while one is in flight do nothing; callers repeat the call until no such job
-   * is left. Nothing is remembered between two calls: what is to be cancelled follows from the
+   * Cancels the jobs that are to be cancelled because of a dependency, as many in each transaction
+   * as fit. A call while one is in flight does nothing; callers repeat the call until no such job
+   * is left. Nothing is stored between two calls: which jobs are to be cancelled follows from the
    * records.
    */
   void cancelDependentJobs() {
-    if (cancellingDependents || graph.jobsToCancel().isEmpty()) {
+    if (isCancellingDependents || graph.jobsToCancel().isEmpty()) {
       return;
     }
     Txn txn = new Txn();
@@ -136,12 +140,12 @@
       addFinalRecord(txn, job, finalRecord);
       written.put(job.spec().id(), finalRecord);
     }
-    cancellingDependents = true;
+    isCancellingDependents = true;
     state.submitTxn(
         RequestPriority.SCHEDULING,
         txn,
         result -> {
-          cancellingDependents = false;
+          isCancellingDependents = false;
           if (result instanceof TxnResult.Applied applied) {
             onJobsFinal(txn, applied.revision(), written);
             cancelDependentJobs();
@@ -162,9 +166,14 @@
         .write(Keys.finalJob(id), finalRecord.encode());
   }
 
-  /** Takes note of a transaction that was applied at a revision and made these jobs final. */
+  /**
+   * Updates the cache of final records and the replica after a transaction that was applied at a
+   * revision and made these jobs final.
+   */
   void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
-    // All of them first: the replica's listeners look up why a job was removed.
+    // All final records come first: when the replica's listeners see a job removed, they look up
+    // its
+    // final record in the cache.
     written.forEach(finalRecords::add);
     replica.applyCommitted(txn, revision);
   }
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -18,17 +18,19 @@
 import java.util.function.Consumer;
 
 /**
- * Looks up the current state of jobs with linearizable reads. What the replica holds is answered
- * only after a transaction that merely compares has confirmed the revisions of the job's record and
- * of its finished tasks, so that no controller gives an older state, or a lower count of finished
- * tasks, than another gave before. Queries that wait at the same time share a transaction; one
- * without a result is sent again while its users still wait.
+ * Looks up the current state of jobs with linearizable reads. The replica's state of a job is
+ * returned only after a transaction without changes has confirmed the revisions of the job's record
+ * and of its finished tasks, so that no controller reports an older state, or a lower count of
+ * finished tasks, than another has reported before. Queries that wait at the same time share a
+ * transaction; a query whose result is overdue is sent again while its users still wait.
  */
 final class JobQueries implements TransactionPipeline.Handler<JobQueries.Batch> {
-  /** The queries of one transaction, each with the job as the replica held it, or null. */
+  /**
+   * The queries of one transaction, each with the job as the replica held it, null if it held none.
+   */
   static final class Batch extends TransactionPipeline.Batch {
     final Map<JobQuery, Job> jobs = new LinkedHashMap<>();
-    final Set<JobQuery> requeued = new HashSet<>();
+    final Set<JobQuery> requeuedQueries = new HashSet<>();
   }
 
   private final StateClient state;
@@ -50,12 +52,12 @@
     this.pipeline = new TransactionPipeline<>(state, JobConstants.MAX_CONCURRENT_CONFIRMS, this);
   }
 
-  /** How many jobs have queries that wait for a transaction. */
+  /** The number of jobs with queries that wait for a transaction. */
   int queuedQueries() {
     return queue.size();
   }
 
-  /** Reads a job's records from the state service, whatever the replica holds. */
+  /** Reads a job's records from the state service without a confirming transaction. */
   void read(String id, Consumer<LookupResult> done) {
     reader.read(id, done);
   }
@@ -75,7 +77,7 @@
     Job job = table.get(id);
     if (job == null) {
       reader.read(id, done);
-    } else if (job.chunks() >= limits.maxTxnConditions()) {
+    } else if (job.chunkCount() >= limits.maxTxnConditions()) {
       reader.readProgress(id, done);
     } else {
       queue.computeIfAbsent(id, JobQuery::new).addCaller(done);
@@ -93,7 +95,7 @@
     Batch batch = new Batch();
     for (JobQuery query : new ArrayList<>(queue.values())) {
       Job job = table.get(query.id());
-      int conditions = job == null ? 0 : 1 + job.chunks();
+      int conditions = job == null ? 0 : 1 + job.chunkCount();
       if (!batch.jobs.isEmpty()
           && batch.txn.conditionCount() + conditions > limits.maxTxnConditions()) {
         break;
@@ -111,22 +113,22 @@
   private void addConditions(Txn txn, Job job) {
     String id = job.spec().id();
     txn.requireRevision(Keys.job(id), job.revision());
-    for (int chunk = 0; chunk < job.chunks(); chunk++) {
+    for (int chunk = 0; chunk < job.chunkCount(); chunk++) {
       String key = Keys.finishedTasks(id, chunk);
       txn.requireRevision(key, replica.revisionOf(key));
     }
   }
 
-  /** Without a result in time, the batch's queries go with the next transaction. */
+  /** Queues the unanswered queries for the next transaction if an answer can still come in time. */
   @Override
   public void onOverdue(Batch batch) {
     for (JobQuery query : batch.jobs.keySet()) {
       if (query.isAnswered()
-          || query.sends() >= JobConstants.MAX_SENDS
+          || query.sendCount() >= JobConstants.MAX_SENDS
           || !state.canAnswerInTime(0)) {
         continue;
       }
-      batch.requeued.add(query);
+      batch.requeuedQueries.add(query);
       queue.computeIfAbsent(query.id(), JobQuery::new).merge(query);
     }
   }
@@ -142,18 +144,19 @@
           } else if (hasNewProgress(job, failedKeys)) {
             reader.readProgress(query.id(), query::answer);
           } else if (result instanceof TxnResult.Applied || !failedKeys.isEmpty()) {
-            // Also if another's condition failed: all were compared at the same moment.
+            // A conflict over other keys confirms this job too: all conditions are compared at
+            // once.
             query.answer(new LookupResult.Live(job));
-          } else if (!batch.requeued.contains(query)) {
+          } else if (!batch.requeuedQueries.contains(query)) {
             query.answer(new LookupResult.Unavailable(Unavailability.of(result)));
           }
         });
   }
 
-  /** True if tasks of the job have finished that the replica does not hold yet. */
+  /** True if the stored finished tasks of the job differ from those in the replica. */
   private static boolean hasNewProgress(Job job, Set<String> failedKeys) {
     Set<String> chunkKeys = new LinkedHashSet<>();
-    for (int chunk = 0; chunk < job.chunks(); chunk++) {
+    for (int chunk = 0; chunk < job.chunkCount(); chunk++) {
       chunkKeys.add(Keys.finishedTasks(job.spec().id(), chunk));
     }
     return failedKeys.stream().anyMatch(chunkKeys::contains);
--- a/src/main/java/fennelthread/jobs/JobQuery.java
+++ b/src/main/java/fennelthread/jobs/JobQuery.java
@@ -8,7 +8,7 @@
 final class JobQuery {
   private final String id;
   private final List<OnceConsumer<LookupResult>> callers = new ArrayList<>();
-  private int sends;
+  private int sendCount;
 
   JobQuery(String id) {
     this.id = id;
@@ -23,18 +23,21 @@
     callers.add(new OnceConsumer<>(caller));
   }
 
-  /** In how many transactions the query was sent so far. */
-  int sends() {
-    return sends;
+  /** The number of transactions in which the query has been sent so far. */
+  int sendCount() {
+    return sendCount;
   }
 
   void countSend() {
-    sends++;
+    sendCount++;
   }
 
-  /** Takes over the callers of an earlier query for the same job, with its count of sendings. */
+  /**
+   * Takes over the callers of an earlier query for the same job, and its send count if that is
+   * higher.
+   */
   void merge(JobQuery earlier) {
-    sends = Math.max(sends, earlier.sends);
+    sendCount = Math.max(sendCount, earlier.sendCount);
     callers.addAll(earlier.callers);
   }
 
--- a/src/main/java/fennelthread/jobs/JobRecordCodec.java
+++ b/src/main/java/fennelthread/jobs/JobRecordCodec.java
@@ -12,22 +12,22 @@
 import java.util.Map;
 
 /**
- * The stored form of a live job: its own record, and further records with the dependencies for
- * which that one has no space. The record of a job without dependencies is what it was before there
- * were any: older versions read it and run the job.
+ * Encodes and decodes the records of a live job: the job's own record, and further records (parts)
+ * with the dependencies that don't fit into it. The record of a job without dependencies has no
+ * field for them, so that versions without dependencies can read it and run the job.
  */
 final class JobRecordCodec {
-  /** The field with the number of further records that hold dependencies. */
+  /** The field with the number of parts that hold further dependencies. */
   private static final String PART_COUNT = "espera_parts";
 
-  /** The field with the time of day of acceptance, ms. */
+  /** The field with the wall-clock time of acceptance, ms. */
   private static final String ACCEPTED_AT = "at_ms";
 
   private JobRecordCodec() {}
 
   /**
-   * Encodes the records of a job that is to be accepted, by key. Records with further dependencies
-   * come before the job's own.
+   * Encodes the records of a job that is to be accepted, by key. The parts come before the job's
+   * own record.
    *
    * @throws WireException naming the field that is too large for the state service
    */
@@ -50,20 +50,20 @@
   }
 
   /**
-   * Adds the dependencies to the job's own record as far as they fit, and the rest to further
-   * records. Returns the size of the further records, bytes.
+   * Adds the dependencies to the job's own record as far as they fit, and the rest to parts.
+   * Returns the size of all parts, bytes.
    */
   private static int addDependencies(
       JobSpec spec, Fields record, int recordBytes, Map<String, Fields> records, SizeLimits limits)
       throws WireException {
     List<String> dependencies = spec.dependencies();
     int bytesPerPart = limits.maxValueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
-    int next = fitting(dependencies, 0, bytesPerPart - recordBytes);
+    int next = endOfFitting(dependencies, 0, bytesPerPart - recordBytes);
     List<Object> ownDependencies = new ArrayList<>(dependencies.subList(0, next));
     int partsBytes = 0;
     int parts = 0;
     while (next < dependencies.size()) {
-      int end = fitting(dependencies, next, bytesPerPart);
+      int end = endOfFitting(dependencies, next, bytesPerPart);
       if (end == next || parts >= limits.maxTxnChanges()) {
         throw tooManyDependencies();
       }
@@ -80,8 +80,10 @@
     return partsBytes;
   }
 
-  /** The end of the dependencies from {@code from} on that fit into so many bytes. */
-  private static int fitting(List<String> dependencies, int from, int bytes) {
+  /**
+   * The end index, exclusive, of the dependencies from {@code from} on that fit into {@code bytes}.
+   */
+  private static int endOfFitting(List<String> dependencies, int from, int bytes) {
     int end = from;
     int bytesLeft = bytes;
     while (end < dependencies.size()) {
@@ -99,12 +101,12 @@
     return new WireException(JobSpec.DEPENDENCIES, "names too many jobs");
   }
 
-  /** In how many further records a job's dependencies go on. */
+  /** The number of parts that hold further dependencies of a job. */
   static int partCount(Fields value) throws WireException {
     return (int) Math.min(Integer.MAX_VALUE, value.count(PART_COUNT, 0));
   }
 
-  /** Reads a job's own record, which may hold some of its dependencies only. */
+  /** Decodes a job's own record, which holds only the dependencies that fit into it. */
   static Job decode(Fields value, long revision) throws WireException {
     return new Job(JobSpec.read(value), revision, value.count(ACCEPTED_AT, 0));
   }
--- a/src/main/java/fennelthread/jobs/JobRecordReader.java
+++ b/src/main/java/fennelthread/jobs/JobRecordReader.java
@@ -10,9 +10,9 @@
 import fennelthread.wire.WireException;
 import java.util.function.Consumer;
 
-/** Reads a job's records from the state service where the replica holds none, or older ones. */
+/** Reads a job's records from the state service where the replica holds none or older ones. */
 final class JobRecordReader {
-  /** Receives the live record of a job that has one. */
+  /** Receives the live record that was read. */
   @FunctionalInterface
   private interface LiveRecordHandler {
     void onLiveRecord(KeyValue record);
@@ -30,12 +30,14 @@
     this.finalRecords = finalRecords;
   }
 
-  /** Reads a job's state with the tasks that have finished. */
+  /** Reads a job's live or final record, and its finished tasks if it is live. */
   void read(String id, Consumer<LookupResult> done) {
     readLiveOrFinal(id, done, record -> readProgressOf(id, record, done));
   }
 
-  /** Reads the finished tasks of a job that the replica holds, then whether it is still live. */
+  /**
+   * Reads the finished tasks of a job that the replica holds, then checks that it is still live.
+   */
   void readProgress(String id, Consumer<LookupResult> done) {
     Job job = table.get(id);
     if (job == null) {
@@ -46,9 +48,9 @@
   }
 
   /**
-   * Reads the live record, then, if there is none, the final one. The order matters: a record moves
-   * from live to final in one transaction, so that a job found in neither was unknown when the
-   * first was read.
+   * Reads the live record, then, if there is none, the final one. The order matters: a job moves
+   * from its live to its final record in one transaction, so that a job found in neither was not
+   * accepted yet when the live record was read.
    */
   private void readLiveOrFinal(
       String id, Consumer<LookupResult> done, LiveRecordHandler onLiveRecord) {
@@ -71,7 +73,7 @@
           table.get(id) != null
               ? table.get(id)
               : JobRecordCodec.decode(live.value(), live.revision());
-      if (job.chunks() == 0) {
+      if (job.chunkCount() == 0) {
         done.accept(new LookupResult.Live(job));
       } else {
         readChunks(job, null, done);
@@ -101,10 +103,12 @@
             done.accept(new LookupResult.Unavailable(Unavailability.UNREADABLE));
             return;
           }
-          if (page.more() && !page.items().isEmpty()) {
+          if (page.hasMore() && !page.items().isEmpty()) {
             readChunks(job, page.items().get(page.items().size() - 1).key(), done);
           } else {
-            // The finished tasks of a job that has ended may be removed already.
+            // Once a job is final its finished tasks may be removed, so the list is valid only if
+            // the
+            // job is still live.
             readLiveOrFinal(id, done, record -> done.accept(new LookupResult.Live(job)));
           }
         });
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -14,13 +14,13 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts, cancels and looks up jobs on any controller, leading or not. Each of these is a
- * comparison with the job's one record in the state service, so that no controller can give an
- * older answer than another gave. What happens when an answer of the state service is lost:
- * docs/lost-answers.md.
+ * Accepts, cancels and looks up jobs on any controller, whether or not it is the leader. Each
+ * operation compares the revision of the job's one record in the state service, so that no
+ * controller reports an older state than another has reported. docs/lost-answers.md explains what
+ * happens when an answer of the state service is lost.
  *
- * <p>Used on the event loop's thread alone. Callbacks are called there once, possibly before the
- * method returns.
+ * <p>Used on the event loop's thread only. Each callback is called once on that thread, possibly
+ * before the method returns.
  */
 public final class JobStore {
   private final EventLoop eventLoop;
@@ -33,7 +33,7 @@
   private final JobCanceller canceller;
   private final JobAcceptor acceptor;
 
-  /** Creates a store over the given replica and the table that it fills. */
+  /** Creates a store over the replica and the table that decodes its records. */
   public JobStore(
       EventLoop eventLoop,
       StateClient state,
@@ -69,9 +69,9 @@
   }
 
   /**
-   * The same submission for a job that depends on a cancelled one: it is accepted and cancelled in
-   * one write. Accepted as pending first, it would be reported as pending after its user was told
-   * of the cancellation.
+   * Returns the submission of a job that depends on a cancelled one: it is accepted and cancelled
+   * in one write. If it were accepted as pending first, it could be reported as pending after its
+   * user was told of the cancellation.
    */
   public Submission cancelledOnAcceptance(Submission submission) {
     FinalRecord finalRecord = new FinalRecord(JobState.CANCELLED, 0, eventLoop.wallMs());
@@ -79,12 +79,12 @@
     return new Submission(submission.spec(), Map.of(key, finalRecord.encode()), finalRecord);
   }
 
-  /** Drops what can be read again, to free memory. */
+  /** Empties the caches to free memory; their contents can be read again. */
   public void evictCaches() {
     finalRecords.evictAll();
   }
 
-  /** Describes what is held in memory, for one line of the log. */
+  /** The number of records, submissions and queries in memory, as key=value pairs for the log. */
   public String memoryUsage() {
     return "finalRecords="
         + finalRecords.size()
@@ -94,7 +94,10 @@
         + queries.queuedQueries();
   }
 
-  /** True if the job was accepted as far as the replica and the cache say; false proves nothing. */
+  /**
+   * True if the replica or the cache of final records holds the job. If false, the job may still
+   * have been accepted, since the replica may lag behind.
+   */
   public boolean isKnownAccepted(String id) {
     return table.get(id) != null || finalRecords.cached(id).isPresent();
   }
@@ -104,14 +107,14 @@
     dependencyCheck.check(spec, done);
   }
 
-  /** Accepts a validated job with one durable write. */
+  /** Accepts a validated job with one transaction. */
   public void accept(Submission submission, Consumer<AcceptResult> done) {
     acceptor.accept(submission, done);
   }
 
   /**
-   * Looks up a job's current state. A job that is to be cancelled with a dependency is cancelled
-   * before the answer, so that the answer does not depend on a leader being there.
+   * Looks up a job's current state. A job that is to be cancelled because of a dependency is
+   * cancelled before the answer, so that the answer does not depend on whether there is a leader.
    */
   public void lookup(String id, Consumer<LookupResult> done) {
     queries.lookup(
@@ -125,12 +128,18 @@
         });
   }
 
-  /** Cancels a job unless it is final; {@code done} gets the job's state from then on. */
+  /**
+   * Cancels a job unless it is final; {@code done} gets its final record, {@code Unknown} or {@code
+   * Unavailable}.
+   */
   public void cancel(String id, Consumer<LookupResult> done) {
     canceller.cancel(id, done);
   }
 
-  /** Cancels some of the jobs that are to be cancelled with a dependency; to be repeated. */
+  /**
+   * Cancels jobs that are to be cancelled because of a dependency; callers repeat the call until
+   * none is left.
+   */
   public void cancelDependentJobs() {
     canceller.cancelDependentJobs();
   }
@@ -140,7 +149,10 @@
     JobCanceller.addFinalRecord(txn, job, finalRecord);
   }
 
-  /** Takes note of a transaction that was applied at a revision and made these jobs final. */
+  /**
+   * Updates the cache of final records and the replica after a transaction that was applied at a
+   * revision and made these jobs final.
+   */
   public void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
     canceller.onJobsFinal(txn, revision, written);
   }
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -19,23 +19,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The live jobs and the start records of the replica, decoded. Used on the event loop's thread
- * alone.
+ * The live jobs and the start records, decoded from the replica. Used on the event loop's thread
+ * only.
  */
 public final class JobTable implements Replica.Listener {
   private static final Logger log = LoggerFactory.getLogger(JobTable.class);
 
-  /** Receives the jobs that become live and that cease to be. */
+  /** Receives the jobs that become live and those that cease to be live. */
   public interface Listener {
-    /** A job was accepted somewhere, and all its dependencies are known. */
+    /**
+     * Called when a job that any controller has accepted is in the replica with all its
+     * dependencies.
+     */
     void onJobAdded(Job job);
 
-    /** A job is done or was cancelled. */
+    /** Called when a job is no longer live: it is done or was cancelled. */
     void onJobRemoved(Job job);
   }
 
-  /** A job whose dependencies have not all arrived: nothing may be done about it yet. */
-  private record IncompleteJob(Job job, int parts) {}
+  /**
+   * A job of whose dependencies some parts have not reached the replica; it is not live to
+   * listeners until they have.
+   */
+  private record IncompleteJob(Job job, int partCount) {}
 
   private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
       new Object2ObjectLinkedOpenHashMap<>();
@@ -65,12 +71,15 @@
     return jobs.values();
   }
 
-  /** The start records by key, in the order in which they became known; to be read only. */
+  /**
+   * The start records by key, in the order in which they became known; callers must not change the
+   * map.
+   */
   public Map<String, StartRecord> startRecords() {
     return startRecordIndex.records();
   }
 
-  /** Describes what is held in memory, for one line of the log. */
+  /** The number of jobs, records and starts in memory, as key=value pairs for the log. */
   public String memoryUsage() {
     return "jobs="
         + jobs.size()
@@ -82,13 +91,16 @@
 
   /**
    * The recorded start of an attempt at a task on a machine, or null; the same attempt in two
-   * records is one start.
+   * records counts as one start.
    */
   public StartRecord.Start recordedStart(TaskRef task, long attempt, String machine) {
     return startRecordIndex.find(task, attempt, machine);
   }
 
-  /** How many tasks of a job are recorded as started and not known to be finished; for display. */
+  /**
+   * The number of tasks of a job that are recorded as started and not known to be finished; for
+   * display only.
+   */
   public int startedTaskCount(Job job) {
     BitSet started = startRecordIndex.startedTasks(job.spec().id());
     started.andNot(job.finishedTasks());
@@ -156,13 +168,13 @@
   }
 
   /**
-   * Adds a job once all its dependencies have arrived: the pages of a list may be of different
-   * moments.
+   * Adds a job once all parts of its dependencies have arrived. They may arrive after the job's own
+   * record, since the pages of one load are not read at the same revision.
    */
   private void addIfComplete(String id) throws WireException {
     IncompleteJob candidate = incomplete.get(id);
     if (candidate == null
-        || dependencyParts.getOrDefault(id, new TreeMap<>()).size() < candidate.parts) {
+        || dependencyParts.getOrDefault(id, new TreeMap<>()).size() < candidate.partCount) {
       return;
     }
     incomplete.remove(id);
@@ -190,7 +202,7 @@
     String id = Keys.jobIdOf(Keys.FINISHED_TASKS_PREFIX, key);
     Job job = jobs.get(id);
     if (job == null) {
-      // Keys arrive in order of their names when the replica loads: chunks come before jobs.
+      // A load delivers keys in the order of their names, so that chunks come before their jobs.
       earlyChunks.computeIfAbsent(id, k -> new HashMap<>()).put(key, value);
       if (earlyChunks.size() > JobConstants.MAX_JOBS_WITH_EARLY_CHUNKS) {
         earlyChunks.clear();
--- a/src/main/java/fennelthread/jobs/LookupResult.java
+++ b/src/main/java/fennelthread/jobs/LookupResult.java
@@ -11,9 +11,12 @@
   /** The job was accepted, and is neither done nor cancelled. */
   record Live(Job job) implements LookupResult {}
 
-  /** No job of this id was ever accepted. */
+  /** No job of this id had been accepted when the state service was read. */
   record Unknown() implements LookupResult {}
 
-  /** The state service could not be read. */
+  /**
+   * The state is unknown: the state service could not be asked, did not answer, or returned a
+   * record that can't be decoded.
+   */
   record Unavailable(Unavailability reason) implements LookupResult {}
 }
--- a/src/main/java/fennelthread/jobs/OnceConsumer.java
+++ b/src/main/java/fennelthread/jobs/OnceConsumer.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** Passes on the first result only: a request that is sent twice may be answered twice. */
+/** Passes on only the first result, since a request that is sent twice may be answered twice. */
 final class OnceConsumer<T> implements Consumer<T> {
   private final Consumer<T> delegate;
-  private boolean called;
+  private boolean isCalled;
 
   OnceConsumer(Consumer<T> delegate) {
     this.delegate = delegate;
@@ -13,13 +13,13 @@
 
   /** True once a result was passed on. */
   boolean isCalled() {
-    return called;
+    return isCalled;
   }
 
   @Override
   public void accept(T result) {
-    if (!called) {
-      called = true;
+    if (!isCalled) {
+      isCalled = true;
       delegate.accept(result);
     }
   }
--- a/src/main/java/fennelthread/jobs/PendingSubmission.java
+++ b/src/main/java/fennelthread/jobs/PendingSubmission.java
@@ -6,7 +6,7 @@
 
 /** A submission whose outcome is not known yet, with the callers that wait for it. */
 final class PendingSubmission {
-  /** The stages of a submission. */
+  /** The stages of a submission, which may alternate between the first two. */
   enum Phase {
     /** Waits for its first or next transaction. */
     QUEUED,
@@ -21,8 +21,8 @@
   private final List<Consumer<AcceptResult>> callers = new ArrayList<>();
   private final List<Consumer<AcceptResult>> lateCallers = new ArrayList<>();
   private Phase phase = Phase.QUEUED;
-  private int sends;
-  private boolean sentAlone;
+  private int sendCount;
+  private boolean needsOwnTransaction;
 
   PendingSubmission(Submission submission) {
     this.submission = submission;
@@ -46,19 +46,22 @@
     return phase;
   }
 
-  /** In how many transactions the job was sent so far. */
-  int sends() {
-    return sends;
+  /** The number of transactions in which the submission has been sent so far. */
+  int sendCount() {
+    return sendCount;
   }
 
-  /** True if the job was refused together with others for its size or theirs. */
-  boolean isSentAlone() {
-    return sentAlone;
+  /**
+   * True if the submission must not share a transaction, since one that it shared was rejected as
+   * too large.
+   */
+  boolean needsOwnTransaction() {
+    return needsOwnTransaction;
   }
 
-  /** From now on the job gets a transaction of its own. */
-  void sendAlone() {
-    sentAlone = true;
+  /** Makes every later transaction of the submission hold no other one. */
+  void requireOwnTransaction() {
+    needsOwnTransaction = true;
   }
 
   /**
@@ -67,23 +70,24 @@
    * AcceptResult.AlreadyAccepted} in place of {@link AcceptResult.Accepted}.
    */
   void addCaller(Consumer<AcceptResult> caller) {
-    (sends == 0 ? callers : lateCallers).add(caller);
+    (sendCount == 0 ? callers : lateCallers).add(caller);
   }
 
-  /** Moves to another phase: the one place where it changes. */
+  /** Moves to another phase. The phase changes nowhere else. */
   void transitionTo(Phase next) {
     if (phase == Phase.ANSWERED || phase == next) {
-      throw new IllegalStateException(id() + ": " + phase + " -> " + next);
+      throw new IllegalStateException(
+          "submission " + id() + " can't move from phase " + phase + " to " + next);
     }
     phase = next;
   }
 
-  /** Counts a sending and returns its number, from 1. */
+  /** Counts one more transaction and returns the new send count. */
   int countSend() {
-    return ++sends;
+    return ++sendCount;
   }
 
-  /** Gives all callers the outcome. */
+  /** Gives all callers the outcome; call it once. */
   void answer(AcceptResult outcome) {
     callers.forEach(caller -> caller.accept(outcome));
     AcceptResult late =
--- a/src/main/java/fennelthread/jobs/PriorityInheritance.java
+++ b/src/main/java/fennelthread/jobs/PriorityInheritance.java
@@ -11,7 +11,8 @@
 
 /**
  * Computes which priority and deadline each job inherits from the jobs that wait for it. Changes
- * are propagated from dependants to dependencies without recursion, since chains may be long.
+ * propagate from dependants to dependencies without recursion, since a chain may be too long for
+ * the stack.
  */
 final class PriorityInheritance {
   private final DependencyGraph.LastDeadline lastDeadline;
@@ -20,7 +21,7 @@
   private final DependencyGraph.Listener listener;
   private final Map<String, InheritedPriority> inherited = new HashMap<>();
 
-  /** Creates an empty computation over the graph's own maps of nodes and of dependants by id. */
+  /** Creates an instance that reads the graph's own maps of nodes and of dependants by id. */
   PriorityInheritance(
       DependencyGraph.LastDeadline lastDeadline,
       Map<String, DependencyNode> nodes,
@@ -32,21 +33,24 @@
     this.listener = listener;
   }
 
-  /** What a job inherits, or null if no job waits for it. */
+  /** The priority and deadlines that a job inherits, or null if no job waits for it. */
   InheritedPriority of(String id) {
     return inherited.get(id);
   }
 
-  /** Drops what a job inherits: nobody waits for it any more. */
+  /** Removes what a job inherits, once no job waits for it any more. */
   void remove(String id) {
     inherited.remove(id);
   }
 
-  /** Computes anew what these jobs inherit, and then the jobs that they depend on. */
+  /**
+   * Recomputes what these jobs inherit, and wherever that changes, what their unmet dependencies
+   * inherit.
+   */
   void recompute(Collection<String> ids) {
-    Deque<String> open = new ArrayDeque<>(ids);
-    while (!open.isEmpty()) {
-      String id = open.poll();
+    Deque<String> pending = new ArrayDeque<>(ids);
+    while (!pending.isEmpty()) {
+      String id = pending.poll();
       InheritedPriority now = compute(id);
       InheritedPriority before = now == null ? inherited.remove(id) : inherited.put(id, now);
       if (now == null ? before == null : now.equals(before)) {
@@ -55,7 +59,7 @@
       listener.onInheritedPriorityChanged(id);
       DependencyNode node = nodes.get(id);
       if (node != null) {
-        open.addAll(node.unmet);
+        pending.addAll(node.unmet);
       }
     }
   }
@@ -78,24 +82,25 @@
         dueMs = earlier(dueMs, acceptedMs + (long) (spec.deadlineS() * 1000) - expectedRunMs);
         lastDueMs = earlier(lastDueMs, acceptedMs + lastDeadlineMs - expectedRunMs);
       }
-      InheritedPriority further = inherited.get(dependantId);
-      if (further != null) {
-        priority = moreUrgent(priority, further.priority());
-        if (further.dueMs() > 0) {
-          dueMs = earlier(dueMs, further.dueMs() - expectedRunMs);
-          lastDueMs = earlier(lastDueMs, further.lastDueMs() - expectedRunMs);
+      InheritedPriority inheritedByDependant = inherited.get(dependantId);
+      if (inheritedByDependant != null) {
+        priority = moreUrgent(priority, inheritedByDependant.priority());
+        if (inheritedByDependant.dueMs() > 0) {
+          dueMs = earlier(dueMs, inheritedByDependant.dueMs() - expectedRunMs);
+          lastDueMs = earlier(lastDueMs, inheritedByDependant.lastDueMs() - expectedRunMs);
         }
       }
     }
     return priority == null ? null : new InheritedPriority(priority, dueMs, lastDueMs);
   }
 
-  private static Priority moreUrgent(Priority a, Priority b) {
-    return a == null || b.compareTo(a) < 0 ? b : a;
+  /** The more urgent of two priorities of which the first may be null. */
+  private static Priority moreUrgent(Priority current, Priority candidate) {
+    return current == null || candidate.compareTo(current) < 0 ? candidate : current;
   }
 
-  /** The earlier of two times of which the first may be 0, for none. */
-  private static long earlier(long a, long b) {
-    return a == 0 ? b : Math.min(a, b);
+  /** The earlier of two times of which the first may be 0 for none, ms. */
+  private static long earlier(long currentMs, long candidateMs) {
+    return currentMs == 0 ? candidateMs : Math.min(currentMs, candidateMs);
   }
 }
--- a/src/main/java/fennelthread/jobs/StartRecord.java
+++ b/src/main/java/fennelthread/jobs/StartRecord.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 
 /**
- * The tasks that one scheduling round is about to start, written before any start is sent. It holds
- * the team and the resources too: after a failover the new leader must count the tasks of a
- * cancelled job, whose own record is gone by then.
+ * The tasks that one scheduling round is about to start, written before any start is sent to a
+ * worker. It also holds each job's team and resources: after a failover the new leader must count
+ * the tasks of a cancelled job, whose own record is gone by then.
  */
 public record StartRecord(List<Start> starts) {
   /**
-   * One start.
+   * One attempt to start a task on a machine.
    *
    * @param task the task to start
    * @param attempt the number of the attempt, which no other attempt has
@@ -38,7 +38,7 @@
       double cards,
       double memGb) {
 
-    /** Creates the start of a task whose job is known. */
+    /** Creates the start of a task, with team and resources from its job. */
     public static Start of(JobSpec spec, int index, long attempt, String machine, long session) {
       return new Start(
           new TaskRef(spec.id(), index),
@@ -52,7 +52,10 @@
     }
   }
 
-  /** Returns the record in the state service's form: a list per job, its head, then its starts. */
+  /**
+   * Encodes the record as the value that the state service stores: one list for each job, which
+   * holds the header and then the starts.
+   */
   public Fields encode() {
     Map<String, List<Object>> jobs = new LinkedHashMap<>();
     for (Start start : starts) {
@@ -66,17 +69,17 @@
   }
 
   private static List<Object> encodeJobHeader(Start start) {
-    List<Object> head = new ArrayList<>();
-    head.add(start.task.job());
-    head.add(start.team);
-    head.add(start.cpus);
-    head.add(start.cards);
-    head.add(start.memGb);
-    return head;
+    List<Object> header = new ArrayList<>();
+    header.add(start.task.job());
+    header.add(start.team);
+    header.add(start.cpus);
+    header.add(start.cards);
+    header.add(start.memGb);
+    return header;
   }
 
   /**
-   * Reads a record from the state service's form.
+   * Decodes a stored value.
    *
    * @throws WireException if it is malformed
    */
--- a/src/main/java/fennelthread/jobs/StartRecordIndex.java
+++ b/src/main/java/fennelthread/jobs/StartRecordIndex.java
@@ -13,12 +13,14 @@
   private final Map<String, StartRecord> records = new LinkedHashMap<>();
 
   /**
-   * Starts by job and by the key of their record: removing a record must not search all starts of a
-   * job of thousands.
+   * Starts by job and by the key of their record, so that removing a record does not search all
+   * starts of a job with thousands of tasks.
    */
   private final Map<String, Map<String, List<StartRecord.Start>>> startsByJob = new HashMap<>();
 
-  /** The records by key, in the order in which they became known; to be read and not changed. */
+  /**
+   * The records by key, in the order in which they became known; callers must not change the map.
+   */
   Map<String, StartRecord> records() {
     return records;
   }
@@ -50,7 +52,7 @@
     }
   }
 
-  /** How many starts the records hold; one in two records counts twice. */
+  /** The number of starts in all records; a start in two records counts twice. */
   int count() {
     int starts = 0;
     for (StartRecord record : records.values()) {
--- a/src/main/java/fennelthread/jobs/StartRecordPacker.java
+++ b/src/main/java/fennelthread/jobs/StartRecordPacker.java
@@ -9,8 +9,8 @@
 
 /**
  * Packs the starts of one scheduling round into as many start records as needed, each of which fits
- * into a value; all are written in one transaction. Each record is complete by itself, as it was
- * when a round had a single one: a successor of any version reads them the same.
+ * into a value; all are written in one transaction. Each record is complete by itself, so that a
+ * new leader of a version that expects a single record for a round reads them too.
  */
 public final class StartRecordPacker {
   private final int maxRecordBytes;
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Reserves space for a start, which {@link #add} must then add. Returns false, and reserves
-   * nothing, if the records have no space left.
+   * Reserves space for a start, which the caller must then pass to {@link #add}. Returns false, and
+   * reserves nothing, if the records have no space left.
    */
   public boolean tryReserve(JobSpec spec, int task, String machine, long session) {
     return tryReserve(StartRecord.Start.of(spec, task, 0, machine, session));
@@ -38,7 +38,10 @@
     records.get(records.size() - 1).add(start);
   }
 
-  /** Adds all starts of an earlier record, or none of them if they don't all fit. */
+  /**
+   * Adds all starts of an earlier record and returns true, or adds none and returns false if they
+   * don't all fit.
+   */
   public boolean addAll(List<StartRecord.Start> starts) {
     int bytesLeftBefore = bytesLeft;
     int recordsBefore = records.size();
@@ -66,24 +69,24 @@
 
   private boolean tryReserve(StartRecord.Start start) {
     int startBytes = startBytes(start);
-    int headBytes = headBytes(start);
-    boolean hasHead = jobsInLastRecord.contains(start.task().job());
-    if (records.isEmpty() || startBytes + (hasHead ? 0 : headBytes) > bytesLeft) {
+    int headerBytes = headerBytes(start);
+    boolean hasHeader = jobsInLastRecord.contains(start.task().job());
+    if (records.isEmpty() || startBytes + (hasHeader ? 0 : headerBytes) > bytesLeft) {
       int emptyRecordBytes = maxRecordBytes - JobConstants.RECORD_BYTES_PER_ENTRY;
-      if (records.size() >= maxRecords || startBytes + headBytes > emptyRecordBytes) {
+      if (records.size() >= maxRecords || startBytes + headerBytes > emptyRecordBytes) {
         return false;
       }
       records.add(new ArrayList<>());
       jobsInLastRecord.clear();
       bytesLeft = emptyRecordBytes;
-      hasHead = false;
+      hasHeader = false;
     }
-    bytesLeft -= startBytes + (hasHead ? 0 : headBytes);
+    bytesLeft -= startBytes + (hasHeader ? 0 : headerBytes);
     jobsInLastRecord.add(start.task().job());
     return true;
   }
 
-  /** The most that a start takes in a record beside its job's head, bytes. */
+  /** Upper bound on the size of a start in a record, without its job's header, bytes. */
   private static int startBytes(StartRecord.Start start) {
     return digits(start.task().index())
         + JobConstants.MAX_ATTEMPT_BYTES
@@ -92,8 +95,8 @@
         + JobConstants.RECORD_BYTES_PER_ENTRY;
   }
 
-  /** The most that a job's head takes, which stands once in a record before its starts, bytes. */
-  private static int headBytes(StartRecord.Start start) {
+  /** Upper bound on the size of a job's header, which precedes its starts in each record, bytes. */
+  private static int headerBytes(StartRecord.Start start) {
     return start.task().job().length()
         + JobConstants.MAX_BYTES_PER_CHARACTER * start.team().length()
         + Double.toString(start.cpus()).length()
--- a/src/main/java/fennelthread/jobs/Submission.java
+++ b/src/main/java/fennelthread/jobs/Submission.java
@@ -8,11 +8,12 @@
 import java.util.Map;
 
 /**
- * A validated submission.
+ * A validated submission with its encoded records.
  *
  * @param spec what the user submitted
  * @param records the records that will be written for it, by key
- * @param finalRecord null, or the job's final record if it is final as soon as it is accepted
+ * @param finalRecord the job's final record if it is final as soon as it is accepted, otherwise
+ *     null
  */
 public record Submission(JobSpec spec, Map<String, Fields> records, FinalRecord finalRecord) {
   /** The state of the job once it is accepted. */
@@ -20,7 +21,10 @@
     return finalRecord == null ? JobState.PENDING : finalRecord.state();
   }
 
-  /** The size of the records in a transaction, bytes. */
+  /**
+   * The size that the records take in a transaction, bytes; an estimate that includes their keys
+   * and conditions.
+   */
   int bytes() {
     int bytes = 0;
     for (Fields record : records.values()) {
--- a/src/main/java/fennelthread/jobs/TransactionPipeline.java
+++ b/src/main/java/fennelthread/jobs/TransactionPipeline.java
@@ -6,9 +6,9 @@
 import fennelthread.state.TxnResult;
 
 /**
- * Sends batches of requests that users wait for, each batch as one transaction and a bounded number
- * of them at a time. A batch whose result is overdue frees its slot, so that one lost answer does
- * not hold up the others; its result may still arrive.
+ * Sends batches of requests that users wait for, each batch as one transaction, with a bounded
+ * number of transactions in flight. A batch whose result is overdue frees its slot, so that one
+ * lost answer does not delay the others; its result may still arrive.
  */
 final class TransactionPipeline<B extends TransactionPipeline.Batch> {
   /** The requests that share one transaction. */
@@ -17,7 +17,7 @@
     private boolean holdsSlot = true;
   }
 
-  /** Assembles the batches and takes their results. */
+  /** Assembles the batches and handles their results. */
   interface Handler<B extends Batch> {
     /** True if requests wait for a transaction. */
     boolean hasWaiting();
@@ -25,7 +25,9 @@
     /** Takes the next requests out of the queue. */
     B nextBatch();
 
-    /** Called if a batch has no result in the usual time. */
+    /**
+     * Called if a batch has no result by the time {@link StateClient#submitTxn} calls it overdue.
+     */
     void onOverdue(B batch);
 
     /** Called with a batch's result, also after it was overdue. */
@@ -35,7 +37,7 @@
   private final StateClient state;
   private final int maxInFlight;
   private final Handler<B> handler;
-  private int inFlight;
+  private int transactionsInFlight;
 
   TransactionPipeline(StateClient state, int maxInFlight, Handler<B> handler) {
     this.state = state;
@@ -45,11 +47,11 @@
 
   /** Sends the next batch if any request waits and a slot is free. */
   void sendNext() {
-    if (inFlight >= maxInFlight || !handler.hasWaiting()) {
+    if (transactionsInFlight >= maxInFlight || !handler.hasWaiting()) {
       return;
     }
     B batch = handler.nextBatch();
-    inFlight++;
+    transactionsInFlight++;
     state.submitTxn(
         RequestPriority.INTERACTIVE,
         batch.txn,
@@ -68,7 +70,7 @@
   private void releaseSlot(Batch batch) {
     if (batch.holdsSlot) {
       batch.holdsSlot = false;
-      inFlight--;
+      transactionsInFlight--;
     }
   }
 }
--- a/src/main/java/fennelthread/jobs/package-info.java
+++ b/src/main/java/fennelthread/jobs/package-info.java
@@ -1,12 +1,14 @@
 /**
- * Jobs and their records in the consensus-backed store, on every controller, leading or not.
+ * Jobs and their records in the state service, on every controller, whether or not it is the
+ * leader.
  *
  * <p>The package owns the stored form of jobs ({@link fennelthread.jobs.FinalRecord}, {@link
  * fennelthread.jobs.StartRecord} and the codecs beside them), their decoded copy in the replica
  * ({@link fennelthread.jobs.JobTable}), and the dependencies among them ({@link
  * fennelthread.jobs.DependencyGraph}). {@link fennelthread.jobs.JobStore} is the entry point: it
- * accepts, cancels and looks up jobs. Each of these is a compare-and-swap on the job's one record,
- * so that submissions are idempotent and no controller answers with an older state than another.
+ * accepts, cancels and looks up jobs. Each of these compares the revision of the job's one record
+ * in the state service, so that submissions are idempotent and no controller answers with an older
+ * state than another has given.
  *
  * <p>All of it runs on the controller's event loop; nothing here is thread-safe, and nothing
  * blocks.
--- a/src/main/java/fennelthread/state/KeyPage.java
+++ b/src/main/java/fennelthread/state/KeyPage.java
@@ -5,7 +5,7 @@
 /**
  * One page of the keys with a common prefix, in the order of the keys.
  *
- * @param more true if further keys follow the last one of this page
+ * @param hasMore true if further keys with the prefix follow the last one of this page
  * @param revision the revision of the store at which the page was read
  */
-public record KeyPage(List<KeyValue> items, boolean more, long revision) {}
+public record KeyPage(List<KeyValue> items, boolean hasMore, long revision) {}
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -1,11 +1,11 @@
 package fennelthread.state;
 
 /**
- * The layout of the keys in the state service. Everything that controllers follow by watch is under
- * one prefix; final records are outside of it, so that a start reads only jobs that are live.
+ * The layout of the keys in the state service. All keys that controllers watch are under one
+ * prefix. Final records are outside of it, so that a controller that starts loads only live jobs.
  */
 public final class Keys {
-  /** The prefix that every controller watches. */
+  /** Prefix of all keys that every controller watches. */
   public static final String LIVE_PREFIX = "live/";
 
   /** The leader's record, bound to its lease. */
@@ -15,15 +15,15 @@
   public static final String EPOCH = LIVE_PREFIX + "epoch";
 
   /**
-   * The declaration of unilateral leadership: the epoch whose leader does without its peers'
-   * promises, 0 for none. Bound to no lease.
+   * The declaration of unilateral leadership: the epoch whose leader needs no promises of its
+   * peers, 0 for none. Bound to no lease.
    */
   public static final String UNILATERAL_LEADERSHIP = LIVE_PREFIX + "solo";
 
-  /** The machine types, stored for starts during an outage of the cloud provider. */
+  /** The machine types, for controllers that start during an outage of the cloud provider. */
   public static final String MACHINE_TYPES = LIVE_PREFIX + "flavors";
 
-  /** Prefix of the records of live jobs: accepted, and neither done nor cancelled. */
+  /** Prefix of the records of live jobs, which are accepted and neither done nor cancelled. */
   public static final String JOB_PREFIX = LIVE_PREFIX + "job/";
 
   /** Prefix of the finished tasks of live jobs, by job and chunk. */
@@ -40,12 +40,12 @@
   public static final String DEPENDENCIES_PREFIX = LIVE_PREFIX + "chain/";
 
   /**
-   * Prefix of the notices by which followers say that workers of a leader reach them, and they
-   * can't reach that leader.
+   * Prefix of the notices of followers that can't reach the leader themselves while workers of that
+   * leader reach them.
    */
   public static final String UNREACHABLE_LEADER_PREFIX = LIVE_PREFIX + "heard/";
 
-  /** A key that is never written: the answer to its read carries the store's revision. */
+  /** A key that is never written: a read of it returns the revision that the store has reached. */
   static final String NEVER_WRITTEN = "none";
 
   private static final String FINAL = "final/";
@@ -53,8 +53,8 @@
   private Keys() {}
 
   /**
-   * True for records that a listener decodes and keeps: the replica drops their values, since
-   * thousands of start records held twice once made the larger part of the heap.
+   * True for records that a listener decodes and keeps. The replica holds no values for them, since
+   * thousands of start records held twice can take most of the heap.
    */
   static boolean isDecodedByListener(String key) {
     return key.startsWith(JOB_PREFIX)
@@ -73,12 +73,12 @@
     return FINAL + jobId;
   }
 
-  /** The notice of one member that it can't reach the leader of workers that reach it. */
+  /** The notice of a member that it can't reach the leader whose workers reach it. */
   public static String unreachableLeader(String member) {
     return UNREACHABLE_LEADER_PREFIX + member;
   }
 
-  /** One part of a job's dependencies beyond those in its record. */
+  /** One part of a job's dependencies that don't fit into the job's own record. */
   public static String dependencies(String jobId, int part) {
     return DEPENDENCIES_PREFIX + jobId + "/" + part;
   }
@@ -113,7 +113,10 @@
     return key.substring(prefix.length(), key.lastIndexOf('/'));
   }
 
-  /** The number of the chunk or part that such a key holds. */
+  /**
+   * The number of the chunk or part that a key under {@link #FINISHED_TASKS_PREFIX} or {@link
+   * #DEPENDENCIES_PREFIX} holds.
+   */
   public static int partNumberOf(String key) {
     return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
   }
--- a/src/main/java/fennelthread/state/LeaseGrant.java
+++ b/src/main/java/fennelthread/state/LeaseGrant.java
@@ -5,6 +5,6 @@
   /** The service has granted a lease with this id. */
   record Granted(long leaseId) implements LeaseGrant {}
 
-  /** No lease is known to be granted; one whose answer was lost expires by itself. */
+  /** No lease is known to be granted. If one was and the answer got lost, it expires by itself. */
   record Failed() implements LeaseGrant {}
 }
--- a/src/main/java/fennelthread/state/RateLimitBucket.java
+++ b/src/main/java/fennelthread/state/RateLimitBucket.java
@@ -4,8 +4,8 @@
 
 /**
  * A token bucket that enforces this controller's share of one of the state service's rate limits.
- * Tokens accrue with time up to the size of one burst. It may be overdrawn by a request that is
- * larger than a burst. Used on the event loop's thread only.
+ * Tokens accrue with time up to the size of one burst. A request larger than a burst may overdraw
+ * it. Used on the event loop's thread only.
  */
 final class RateLimitBucket {
   private final double tokensPerMs;
@@ -30,7 +30,7 @@
     tokens = Math.min(capacity, tokens + elapsedMs * tokensPerMs);
   }
 
-  /** Takes tokens without regard to how many there are. */
+  /** Takes tokens; more than there are overdraw the bucket. */
   void take(double amount) {
     tokens -= amount;
   }
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -18,36 +18,39 @@
 
 /**
  * A controller's replica of all keys under {@link Keys#LIVE_PREFIX}, loaded page by page and then
- * followed by watch. It may lag behind the store: whoever answers a user from it confirms revisions
- * first. Used on the event loop's thread only.
+ * followed by watch. It may lag behind the store: before a user is answered from it, the revisions
+ * must be confirmed with the state service. Used on the event loop's thread only.
  */
 public final class Replica {
   private static final Logger log = LoggerFactory.getLogger(Replica.class);
 
-  /** Whether all keys are present. */
+  /** Whether all keys have been read. */
   private enum Phase {
     /** Pages of keys are being read. */
     LOADING,
-    /** All keys were read; changes arrive by watch. */
+    /** All keys have been read; changes arrive by watch. */
     FOLLOWING
   }
 
   /** Receives every change of a key after it was applied to the replica. */
   @FunctionalInterface
   public interface Listener {
-    /** Handles a change; {@code value} is null for a removal. */
+    /** Handles a change of a key; {@code value} is null if the key was removed. */
     void onChange(String key, Fields value, long revision);
   }
 
-  /** The value is null for keys that listeners decode: see {@link Keys#isDecodedByListener}. */
-  private record Versioned(Fields value, long revision) {}
+  /** A value and its revision; the value is null for keys with {@link Keys#isDecodedByListener}. */
+  private record VersionedValue(Fields value, long revision) {}
 
   private final EventLoop eventLoop;
   private final StateClient state;
-  private final TreeMap<String, Versioned> entries = new TreeMap<>();
+  private final TreeMap<String, VersionedValue> entries = new TreeMap<>();
+
+  /** Revisions of removals that the watch has not reached, by key: older writes are ignored. */
   private final Map<String, Long> removalRevisions = new HashMap<>();
+
   private final List<Listener> listeners = new ArrayList<>();
-  private final List<Runnable> advanceCallbacks = new ArrayList<>();
+  private final List<Runnable> callbacksOnAdvance = new ArrayList<>();
   private Phase phase = Phase.LOADING;
   private Set<String> loadedKeys = Set.of();
   private long revision;
@@ -66,7 +69,7 @@
     listeners.add(listener);
   }
 
-  /** Starts to load all keys and then to follow their changes. */
+  /** Loads all keys and then follows their changes; also restarts after the watch was compacted. */
   public void start() {
     transitionTo(Phase.LOADING);
     loadedKeys = new HashSet<>();
@@ -75,7 +78,7 @@
     loadPage(null);
   }
 
-  /** True once all keys were read. */
+  /** True if all keys have been read; false again while they are reloaded. */
   public boolean isReady() {
     return phase == Phase.FOLLOWING;
   }
@@ -87,8 +90,8 @@
 
   /**
    * Records that the store had reached {@code storeRevision} when it was asked at {@code
-   * askedAtMs}: a replica that has reached it too is as current as if it had been read then. An
-   * open watch says nothing while nothing changes.
+   * askedAtMs}: a replica that has reached it too is as current as if it had been read then. The
+   * watch alone does not tell, since it is silent while nothing changes.
    */
   public void confirmRevision(long storeRevision, long askedAtMs) {
     if (storeRevision <= revision) {
@@ -96,14 +99,16 @@
     }
   }
 
-  /** The moment before which every change that was committed is in the replica, ms. */
+  /**
+   * The time before which every committed change is in the replica, ms of the event loop's clock.
+   */
   public long currentAsOfMs() {
     return currentAsOfMs;
   }
 
-  /** Runs {@code callback} once, after the next time that the watch or a load has advanced. */
+  /** Runs {@code callback} once, after the next result of the watch or the next completed load. */
   public void onNextAdvance(Runnable callback) {
-    advanceCallbacks.add(callback);
+    callbacksOnAdvance.add(callback);
   }
 
   /**
@@ -111,13 +116,13 @@
    * one.
    */
   public Fields get(String key) {
-    Versioned entry = entries.get(key);
+    VersionedValue entry = entries.get(key);
     return entry == null ? null : entry.value;
   }
 
   /** The revision of a key, 0 if it is not in the replica. */
   public long revisionOf(String key) {
-    Versioned entry = entries.get(key);
+    VersionedValue entry = entries.get(key);
     return entry == null ? 0 : entry.revision;
   }
 
@@ -133,22 +138,25 @@
   /** Applies a transaction of this controller that was committed, ahead of the watch. */
   public void applyCommitted(Txn txn, long commitRevision) {
     if (commitRevision <= revision) {
-      // The watch has brought this change already, and perhaps a later one that undid it: applying
-      // it again would bring a removed job back to life.
+      // The watch has already delivered this change, and perhaps a later one that undid it:
+      // applying
+      // it again could restore a removed job.
       return;
     }
     txn.writesByKey().forEach((key, value) -> put(key, value, commitRevision));
     txn.removedKeys().forEach(key -> remove(key, commitRevision));
   }
 
-  /** Applies an entry that was read by itself, unless the replica has passed its revision. */
+  /**
+   * Applies an entry that was read on its own, unless the replica has reached its revision already.
+   */
   public void applyRead(KeyValue entry) {
     if (entry.revision() > revision) {
       put(entry.key(), entry.value(), entry.revision());
     }
   }
 
-  /** The only place where the phase changes. */
+  /** Changes the phase, which changes nowhere else. */
   private void transitionTo(Phase next) {
     if (phase != next) {
       log.debug("replica phase changed from={} to={} revision={}", phase, next, revision);
@@ -172,11 +180,11 @@
       loadRevision = page.revision();
     }
     for (KeyValue entry : page.items()) {
-      // Applied page by page: all values at once are a large part of a small heap.
+      // Applied page by page: all values at once would take a large part of a small heap.
       loadedKeys.add(entry.key());
       put(entry.key(), entry.value(), entry.revision());
     }
-    if (page.more() && !page.items().isEmpty()) {
+    if (page.hasMore() && !page.items().isEmpty()) {
       loadPage(page.items().get(page.items().size() - 1).key());
       return;
     }
@@ -185,7 +193,8 @@
 
   private void finishLoad() {
     for (String key : new ArrayList<>(entries.keySet())) {
-      // Entries that this controller wrote after the list was read have newer revisions, and stay.
+      // Entries that this controller wrote after the first page was read have newer revisions:
+      // kept.
       if (!loadedKeys.contains(key) && entries.get(key).revision <= loadRevision) {
         remove(key, loadRevision);
       }
@@ -237,8 +246,8 @@
   }
 
   private void runAdvanceCallbacks() {
-    List<Runnable> callbacks = new ArrayList<>(advanceCallbacks);
-    advanceCallbacks.clear();
+    List<Runnable> callbacks = new ArrayList<>(callbacksOnAdvance);
+    callbacksOnAdvance.clear();
     callbacks.forEach(Runnable::run);
   }
 
@@ -253,13 +262,13 @@
     if (!key.startsWith(Keys.LIVE_PREFIX)) {
       return;
     }
-    Versioned known = entries.get(key);
+    VersionedValue known = entries.get(key);
     Long removedAt = removalRevisions.get(key);
     if ((known != null && known.revision >= putRevision)
         || (removedAt != null && removedAt >= putRevision)) {
       return;
     }
-    entries.put(key, new Versioned(Keys.isDecodedByListener(key) ? null : value, putRevision));
+    entries.put(key, new VersionedValue(Keys.isDecodedByListener(key) ? null : value, putRevision));
     listeners.forEach(listener -> listener.onChange(key, value, putRevision));
   }
 
@@ -267,7 +276,7 @@
     if (!key.startsWith(Keys.LIVE_PREFIX)) {
       return;
     }
-    Versioned known = entries.get(key);
+    VersionedValue known = entries.get(key);
     if (known != null && known.revision > removeRevision) {
       return;
     }
--- a/src/main/java/fennelthread/state/RequestPriority.java
+++ b/src/main/java/fennelthread/state/RequestPriority.java
@@ -1,16 +1,19 @@
 package fennelthread.state;
 
 /**
- * The priority lane of a request to the state service, most urgent first. It decides the order in
- * which requests are sent while they exceed the rate limits. Requests about leases have no priority
- * since they bypass the queue.
+ * The priority of a request to the state service, most urgent first. While requests exceed the rate
+ * limits it decides the order in which they are sent. Requests about leases have no priority, since
+ * they bypass the queue.
  */
 public enum RequestPriority {
-  /** A user waits for the answer, or a replica of the state that answers are confirmed against. */
+  /** Requests that a user waits for, all reads and watches, and writes about leadership. */
   INTERACTIVE(0),
-  /** Start records of scheduling rounds: tasks wait for them. */
+  /**
+   * Start records of scheduling rounds, which tasks wait for, and final records that no user waits
+   * for.
+   */
   SCHEDULING(1),
-  /** Records of finished tasks and removals of records that are no longer needed. */
+  /** Records of finished tasks, and removals of records that are no longer needed. */
   MAINTENANCE(2);
 
   private final int rank;
@@ -19,7 +22,7 @@
     this.rank = rank;
   }
 
-  /** The number of lanes that are more urgent than this one. */
+  /** The number of priorities that are more urgent than this one. */
   int rank() {
     return rank;
   }
--- a/src/main/java/fennelthread/state/RequestQueue.java
+++ b/src/main/java/fennelthread/state/RequestQueue.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * The rate-limited queue of requests to the state service, one lane for each {@link
- * RequestPriority}. The most urgent lane is served first; a lane whose oldest request has waited
- * too long is served before all others, since a flood of submissions would otherwise starve the
- * rest. Used on the event loop's thread only.
+ * The rate-limited queue of requests to the state service, with one lane for each {@link
+ * RequestPriority}. The most urgent lane is served first. A lane whose oldest request has waited
+ * too long is served before all others, since a burst of submissions would otherwise starve the
+ * less urgent lanes. Used on the event loop's thread only.
  */
 final class RequestQueue {
   private record QueuedRequest(int changes, Runnable send, long queuedAtMs) {}
@@ -21,7 +21,7 @@
   private final Map<RequestPriority, ArrayDeque<QueuedRequest>> lanes =
       new EnumMap<>(RequestPriority.class);
   private long refilledAtMs;
-  private boolean wakeUpScheduled;
+  private boolean isWakeUpScheduled;
 
   /**
    * Creates an empty queue with full token buckets.
@@ -40,8 +40,8 @@
   }
 
   /**
-   * True if an interactive request with so many changes, submitted now, would be sent within {@link
-   * StateConstants#MAX_INTERACTIVE_WAIT_MS}.
+   * True if an interactive request with {@code changes} puts and deletes, submitted now, would be
+   * sent within {@link StateConstants#MAX_INTERACTIVE_WAIT_MS}.
    */
   boolean canSendInTime(int changes) {
     refill();
@@ -63,8 +63,8 @@
    * Queues a request and sends it once the rate limits allow.
    *
    * @param changes the number of puts and deletes that it holds
-   * @param send sends the request; run at once if nothing stands in the way
-   * @param reject run at once in the place of {@code send} if the lane is full
+   * @param send sends the request; run before this method returns if the rate limits allow
+   * @param reject run instead of {@code send}, before this method returns, if the lane is full
    */
   void submit(RequestPriority priority, int changes, Runnable send, Runnable reject) {
     ArrayDeque<QueuedRequest> lane = lanes.get(priority);
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Empties the token buckets: the service has answered that all controllers together exceed its
-   * limits.
+   * Empties the token buckets, after the service has answered that all controllers together exceed
+   * its limits.
    */
   void backOff() {
     requestTokens.drain();
@@ -109,7 +109,7 @@
   }
 
   private double msUntilSendable(RequestPriority lane, QueuedRequest request) {
-    // Each lane leaves a part of the burst to the more urgent ones, unless it is overdue.
+    // Each lane leaves a share of the burst to the more urgent ones, unless it is overdue.
     double reservedShare =
         isOverdue(lane) ? 0 : lane.rank() * StateConstants.BURST_RESERVE_PER_PRIORITY;
     return Math.max(
@@ -145,12 +145,12 @@
   }
 
   private void scheduleWakeUp(double waitMs) {
-    if (!wakeUpScheduled) {
-      wakeUpScheduled = true;
+    if (!isWakeUpScheduled) {
+      isWakeUpScheduled = true;
       eventLoop.after(
           (long) Math.ceil(waitMs),
           () -> {
-            wakeUpScheduled = false;
+            isWakeUpScheduled = false;
             sendQueued();
           });
     }
--- a/src/main/java/fennelthread/state/ResponseDecoder.java
+++ b/src/main/java/fennelthread/state/ResponseDecoder.java
@@ -12,7 +12,7 @@
 
 /**
  * Decodes the state service's answers. A malformed answer is logged and treated like a missing one.
- * Answers are null where there was none in time.
+ * An answer is null if there was none in time.
  */
 final class ResponseDecoder {
   private static final Logger log = LoggerFactory.getLogger(ResponseDecoder.class);
@@ -33,7 +33,7 @@
     return result.orElseGet(ReadResult.Unavailable::new);
   }
 
-  /** Decodes a page of keys; empty if nothing is known. */
+  /** Decodes a page of keys; empty if there is no valid answer. */
   static Optional<KeyPage> keyPage(Answer answer) {
     return decode(
         answer,
@@ -78,7 +78,7 @@
       case 409 -> {
         Optional<TxnResult> conflict =
             decode(answer, body -> new TxnResult.Conflict(textsOrNone(body, "failed")));
-        yield conflict.orElseGet(() -> new TxnResult.Refused("conflict"));
+        yield conflict.orElseGet(() -> new TxnResult.Refused("conflict with malformed answer"));
       }
       case 400 -> new TxnResult.TooLarge();
       case 429, 503 -> new TxnResult.Refused("status " + answer.status());
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -5,17 +5,20 @@
 import java.util.Map;
 
 /**
- * Judges from requests and their answers whether the state service responds. A lost answer is weak
- * evidence: it counts only if nothing was answered since its request was sent, and only together
- * with a second one. An answer of any status clears the evidence. Reads no clock: times are handed
- * in, in milliseconds. Not thread-safe.
+ * Determines from requests and their answers whether the state service responds. A missing answer
+ * is weak evidence against it: it counts only if nothing was answered since its request was sent,
+ * and only together with a second one. An answer of any status clears the evidence. Reads no clock:
+ * callers pass the time, in milliseconds. Not thread-safe.
  */
 public final class ServiceHealth {
-  /** What the evidence says of the service. */
+  /** The state of the service according to the evidence. */
   public enum Status {
-    /** It answers, or has had no time to. */
+    /** It answers, or no request is overdue. */
     RESPONSIVE,
-    /** One request is overdue, and nothing was answered since it was sent: a probe will tell. */
+    /**
+     * One request is overdue, and nothing was answered since it was sent; the answer to a probe
+     * decides.
+     */
     SUSPECT,
     /** Several requests are overdue, and nothing was answered since they were sent. */
     UNRESPONSIVE
@@ -29,13 +32,15 @@
   private int timeoutsSinceAnswer;
   private double averageLatencyMs;
 
-  /** Creates the health of a service that was not asked yet and counts as serving until now. */
+  /**
+   * Creates the health of a service that has not been asked yet and counts as serving until now.
+   */
   public ServiceHealth(long nowMs) {
     this.lastAnswerAtMs = nowMs;
     this.lastServedAtMs = nowMs;
   }
 
-  /** Records that a request was sent, and gives the id by which its outcome is recorded. */
+  /** Records that a request was sent, and returns the id by which its outcome is recorded. */
   public long recordSent(long nowMs) {
     sentAtMsById.put(++lastRequestId, nowMs);
     return lastRequestId;
@@ -67,7 +72,9 @@
     }
   }
 
-  /** Records that a long poll was served: it was never recorded as sent, and has no latency. */
+  /**
+   * Records that a long poll was served; long polls are not recorded as sent and have no latency.
+   */
   public void recordLongPollSuccess(long nowMs) {
     recordAnswer(nowMs);
     lastServedAtMs = nowMs;
@@ -87,21 +94,26 @@
     }
   }
 
-  /** What the evidence says of the service now. */
+  /** The state of the service according to the evidence at this time. */
   public Status status(long nowMs) {
-    int evidence = timeoutsSinceAnswer;
+    int overdueRequests = timeoutsSinceAnswer;
     for (long sentAtMs : sentAtMsById.values()) {
       if (sentAtMs >= lastAnswerAtMs && nowMs - sentAtMs >= StateConstants.REQUEST_OVERDUE_MS) {
-        evidence++;
+        overdueRequests++;
       }
     }
-    if (evidence == 0) {
+    if (overdueRequests == 0) {
       return Status.RESPONSIVE;
     }
-    return evidence < StateConstants.UNRESPONSIVE_EVIDENCE ? Status.SUSPECT : Status.UNRESPONSIVE;
+    return overdueRequests < StateConstants.UNRESPONSIVE_EVIDENCE
+        ? Status.SUSPECT
+        : Status.UNRESPONSIVE;
   }
 
-  /** The time until a request may become overdue, ms. */
+  /**
+   * The time until the next request may become overdue, ms; the longest such time if none is
+   * pending.
+   */
   public long msUntilOverdue(long nowMs) {
     for (long sentAtMs : sentAtMsById.values()) {
       long leftMs = sentAtMs + StateConstants.REQUEST_OVERDUE_MS - nowMs;
@@ -119,7 +131,8 @@
 
   /**
    * The time after which a transaction without an answer is worth sending again, ms: several times
-   * the average latency, so that a slow service is not sent everything three times.
+   * the average latency, since a slow service would otherwise be sent every transaction three
+   * times.
    */
   public long overdueAfterMs() {
     return Math.max(
@@ -127,7 +140,7 @@
         (long) (averageLatencyMs * StateConstants.TXN_OVERDUE_LATENCIES));
   }
 
-  /** When the service last served a request, ms. */
+  /** When the service last served a request, ms of the clock that callers pass. */
   public long lastServedAtMs() {
     return lastServedAtMs;
   }
--- a/src/main/java/fennelthread/state/SizeLimits.java
+++ b/src/main/java/fennelthread/state/SizeLimits.java
@@ -8,11 +8,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The limits on the sizes of values and transactions that every writer asks. They start at the
- * lower of the limits that the settings hold for now and for later, since the later ones come
- * without notice. If the service turns out to accept even less, they shrink, so that what was
- * rejected is rebuilt in smaller pieces and is not sent unchanged for ever. Used on the event
- * loop's thread only.
+ * The limits on the sizes of values and transactions that all writers keep to. They start at the
+ * lower of the present and the future limits in the settings, since the future ones take effect
+ * without notice. If the service turns out to accept even less, the limits shrink, so that a
+ * rejected transaction is rebuilt in smaller pieces and is not sent unchanged for ever. Used on the
+ * event loop's thread only.
  */
 public final class SizeLimits {
   private static final Logger log = LoggerFactory.getLogger(SizeLimits.class);
@@ -20,7 +20,7 @@
   private int valueBytes;
   private int txnChanges;
 
-  /** Creates the limits that the settings promise. */
+  /** Creates the limits that the settings give. */
   public SizeLimits(Settings.State settings) {
     this.valueBytes = settings.valueBytes();
     this.txnChanges = settings.txnOps();
@@ -52,17 +52,20 @@
   }
 
   /**
-   * Shrinks the limits after the service has rejected a transaction as malformed, which is how it
-   * rejects one that is too large: first the number of changes, then the size of values.
+   * Shrinks the limits after the service has rejected a transaction as malformed, which is its
+   * answer to one that is too large. Shrinks the number of changes first, and the size of values
+   * once a transaction holds no more than {@link StateConstants#MIN_TXN_CHANGES} changes.
    */
   void shrinkAfterRejection(Txn txn) {
     int largestBytes = 0;
     for (Fields value : txn.writesByKey().values()) {
       largestBytes = Math.max(largestBytes, encodedBytes(value));
     }
-    int perChange = StateConstants.CONDITIONS_PER_CHANGE;
+    int conditionsPerChange = StateConstants.CONDITIONS_PER_CHANGE;
     int usedChanges =
-        Math.max(txn.changeCount(), (txn.conditionCount() + perChange - 1) / perChange);
+        Math.max(
+            txn.changeCount(),
+            (txn.conditionCount() + conditionsPerChange - 1) / conditionsPerChange);
     if (usedChanges > StateConstants.MIN_TXN_CHANGES) {
       txnChanges = Math.min(txnChanges, Math.max(StateConstants.MIN_TXN_CHANGES, usedChanges / 2));
     } else {
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -42,15 +42,18 @@
 
   // ---------------------------------------------------------------- health
 
-  /** True if {@link #unavailability} finds nothing that keeps a request from a prompt answer. */
+  /**
+   * True if an interactive request with {@code changes} puts and deletes, sent now, is likely to be
+   * answered in time.
+   */
   public boolean canAnswerInTime(int changes) {
     return unavailability(changes).isEmpty();
   }
 
   /**
-   * Why an interactive request with so many changes, sent now, would not be answered in time: the
-   * service is unresponsive, or too many requests are queued. Whoever waits for it is better
-   * refused at once. Empty if nothing is in the way.
+   * Why an interactive request with {@code changes} puts and deletes, sent now, would not be
+   * answered in time: the service is unresponsive, or too many requests are queued. Callers should
+   * then refuse at once and not let the user wait. Empty if an answer in time is likely.
    */
   public Optional<Unavailability> unavailability(int changes) {
     if (health.status(eventLoop.nowMs()) == ServiceHealth.Status.UNRESPONSIVE) {
@@ -60,7 +63,7 @@
   }
 
   /**
-   * How long the service has failed to serve this controller, ms; 0 if its last answer was good.
+   * How long the service has failed to serve this controller, ms; 0 if it served the last request.
    */
   public long failingForMs() {
     return health.failingForMs(eventLoop.nowMs());
@@ -85,7 +88,7 @@
         answer -> done.accept(ResponseDecoder.readResult(key, answer)));
   }
 
-  /** Reads the revision that the store has reached; empty if nothing is known. */
+  /** Reads the revision that the store has reached; empty if there is no valid answer. */
   public void readStoreRevision(Consumer<OptionalLong> done) {
     get(Keys.NEVER_WRITTEN, result -> done.accept(storeRevisionOf(result)));
   }
@@ -101,7 +104,7 @@
   }
 
   /**
-   * Reads one page of the keys with a prefix; empty if nothing is known.
+   * Reads one page of the keys with a prefix; empty if there is no valid answer.
    *
    * @param afterKey the last key of the page before, null for the first page
    */
@@ -118,7 +121,7 @@
   }
 
   /**
-   * Waits for changes of keys with a prefix that follow a revision, for {@link
+   * Waits for changes of keys with a prefix after a revision, for {@link
    * StateConstants#WATCH_HOLD_MS} at most.
    */
   void watch(String prefix, long afterRevision, Consumer<WatchResult> done) {
@@ -145,34 +148,35 @@
 
   // ---------------------------------------------------------------- transactions
 
-  /** Sends a transaction. */
+  /** Queues a transaction and sends it once the rate limits allow. */
   public void submitTxn(RequestPriority priority, Txn txn, Consumer<TxnResult> done) {
     submitTxn(priority, txn, () -> {}, done);
   }
 
   /**
-   * Sends a transaction.
+   * Queues a transaction and sends it once the rate limits allow.
    *
-   * @param overdue run if there is no answer for several times as long as answers take of late. The
-   *     answer may still arrive; meanwhile the caller may find out by other means.
+   * @param onOverdue run if there is no answer within {@link ServiceHealth#overdueAfterMs} of
+   *     sending. The answer may still arrive; until then the caller may learn the outcome by other
+   *     means.
    */
   public void submitTxn(
-      RequestPriority priority, Txn txn, Runnable overdue, Consumer<TxnResult> done) {
+      RequestPriority priority, Txn txn, Runnable onOverdue, Consumer<TxnResult> done) {
     queue.submit(
         priority,
         txn.changeCount(),
-        () -> sendTxn(txn, overdue, done),
-        () -> done.accept(new TxnResult.Refused("too many requests wait")));
+        () -> sendTxn(txn, onOverdue, done),
+        () -> done.accept(new TxnResult.Refused("too many requests queued")));
   }
 
-  private void sendTxn(Txn txn, Runnable overdue, Consumer<TxnResult> done) {
-    EventLoop.Cancellable timer = eventLoop.after(health.overdueAfterMs(), overdue);
+  private void sendTxn(Txn txn, Runnable onOverdue, Consumer<TxnResult> done) {
+    EventLoop.Cancellable timer = eventLoop.after(health.overdueAfterMs(), onOverdue);
     StateRequest request =
         new StateRequest(
             Call.post("/multi", Codec.CBOR, txn.body()),
             StateConstants.REQUEST_TIMEOUT_MS,
             false,
-            // The service answers and is overloaded: no time to send anything twice.
+            // The service answers but is overloaded: the transaction must not be sent twice now.
             timer::cancel);
     transport.send(
         request,
@@ -180,7 +184,7 @@
           timer.cancel();
           TxnResult result = ResponseDecoder.txnResult(answer);
           if (result instanceof TxnResult.TooLarge && !txn.isLeaseBound()) {
-            // One that is bound to a lease is refused like this when the lease has expired.
+            // A transaction bound to a lease is rejected in the same way if the lease has expired.
             limits.shrinkAfterRejection(txn);
           }
           done.accept(result);
--- a/src/main/java/fennelthread/state/StateTransport.java
+++ b/src/main/java/fennelthread/state/StateTransport.java
@@ -7,17 +7,17 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to the state service, repeats those that it rejects for its rate limit (429), and
- * reports what becomes of them to {@link ServiceHealth}. It does not enforce the rate limits
- * itself: {@link RequestQueue} does. Used on the event loop's thread only.
+ * Sends requests to the state service, retriesLeft those that it rejects because of its rate limit
+ * (429), and reports their outcome to {@link ServiceHealth}. {@link RequestQueue} enforces the rate
+ * limits on the way here. Used on the event loop's thread only.
  */
 final class StateTransport {
   /**
    * A request to the state service.
    *
    * @param timeoutMs the longest wait for the answer, ms
-   * @param longPoll true if the service answers when something changes, so that the time to the
-   *     answer says nothing about the service's health
+   * @param longPoll true if the service answers only when something changes, so that the time to
+   *     the answer does not measure its health
    * @param onRateLimited run each time the service rejects the request with 429
    */
   record StateRequest(Call call, long timeoutMs, boolean longPoll, Runnable onRateLimited) {
@@ -35,14 +35,14 @@
   private final RequestQueue queue;
   private final ServiceHealth health;
   private final Runnable probe;
-  private boolean checkScheduled;
+  private boolean isCheckScheduled;
 
   /**
    * Creates a transport to the service at {@code address}.
    *
-   * @param queue told to back off when the service rejects a request for its rate limit
-   * @param probe sends one more request: run when a single unanswered request leaves open whether
-   *     its answer was lost or the service is unresponsive
+   * @param queue backs off when the service rejects a request because of its rate limit
+   * @param probe sends one more request; run when a single overdue request leaves open whether its
+   *     answer was lost or the service is unresponsive
    */
   StateTransport(
       EventLoop eventLoop,
@@ -62,10 +62,10 @@
     send(request, StateConstants.RATE_LIMITED_RETRIES, done);
   }
 
-  private void send(StateRequest request, int retries, Consumer<Answer> done) {
-    boolean timed = !request.longPoll;
-    long requestId = timed ? health.recordSent(eventLoop.nowMs()) : 0;
-    if (timed) {
+  private void send(StateRequest request, int retriesLeft, Consumer<Answer> done) {
+    boolean isTimed = !request.longPoll;
+    long requestId = isTimed ? health.recordSent(eventLoop.nowMs()) : 0;
+    if (isTimed) {
       scheduleOverdueCheck();
     }
     eventLoop.call(
@@ -73,14 +73,15 @@
         request.call,
         request.timeoutMs,
         answer -> {
-          recordOutcome(requestId, timed, answer);
+          recordOutcome(requestId, isTimed, answer);
           if (answer != null && answer.status() == 429) {
             // Not executed, since all controllers together exceed the limit: this one backs off,
-            // and repeats the request before its sender has to.
+            // and
+            // retriesLeft the request so that its sender need not.
             queue.backOff();
             request.onRateLimited.run();
-            if (retries > 0) {
-              scheduleRetry(request, retries - 1, done);
+            if (retriesLeft > 0) {
+              scheduleRetry(request, retriesLeft - 1, done);
               return;
             }
           }
@@ -88,13 +89,14 @@
         });
   }
 
-  private void scheduleRetry(StateRequest request, int retries, Consumer<Answer> done) {
+  private void scheduleRetry(StateRequest request, int retriesLeft, Consumer<Answer> done) {
     double jitter = 1 + eventLoop.random().nextDouble();
     eventLoop.after(
-        (long) (StateConstants.RATE_LIMITED_RETRY_MS * jitter), () -> send(request, retries, done));
+        (long) (StateConstants.RATE_LIMITED_RETRY_MS * jitter),
+        () -> send(request, retriesLeft, done));
   }
 
-  private void recordOutcome(long requestId, boolean timed, Answer answer) {
+  private void recordOutcome(long requestId, boolean isTimed, Answer answer) {
     long nowMs = eventLoop.nowMs();
     if (answer == null) {
       health.recordTimeout(requestId, nowMs);
@@ -102,23 +104,25 @@
       health.recordRateLimited(requestId, nowMs);
     } else if (answer.status() >= 500) {
       health.recordRefusal(requestId, nowMs);
-    } else if (timed) {
+    } else if (isTimed) {
       health.recordSuccess(requestId, nowMs);
     } else {
       health.recordLongPollSuccess(nowMs);
     }
   }
 
-  /** Checks for overdue requests while any are outstanding, and probes the service if needed. */
+  /**
+   * Checks for overdue requests while any are outstanding, and probes the service if it is suspect.
+   */
   private void scheduleOverdueCheck() {
-    if (checkScheduled) {
+    if (isCheckScheduled) {
       return;
     }
-    checkScheduled = true;
+    isCheckScheduled = true;
     eventLoop.after(
         health.msUntilOverdue(eventLoop.nowMs()),
         () -> {
-          checkScheduled = false;
+          isCheckScheduled = false;
           if (health.status(eventLoop.nowMs()) == ServiceHealth.Status.SUSPECT) {
             probe.run();
           }
--- a/src/main/java/fennelthread/state/Txn.java
+++ b/src/main/java/fennelthread/state/Txn.java
@@ -8,7 +8,7 @@
 
 /**
  * A compare-and-swap transaction under construction: changes that the service applies together, and
- * only if all keys of its conditions have the revisions given. Not thread-safe.
+ * only if every key of its conditions has the required revision. Not thread-safe.
  */
 public final class Txn {
   private final Map<String, Long> revisionsByKey = new LinkedHashMap<>();
@@ -29,10 +29,12 @@
     return this;
   }
 
-  /** Adds the write of a key that is bound to a lease; a transaction holds at most one such. */
-  public Txn writeWithLease(String key, Fields value, long boundTo) {
+  /**
+   * Adds the write of a key that is bound to a lease; a transaction holds at most one such write.
+   */
+  public Txn writeWithLease(String key, Fields value, long leaseId) {
     this.leaseBoundKey = key;
-    this.leaseId = boundTo;
+    this.leaseId = leaseId;
     return write(key, value);
   }
 
@@ -42,7 +44,7 @@
     return this;
   }
 
-  /** True if it writes a key that is bound to a lease. */
+  /** True if the transaction writes a key that is bound to a lease. */
   boolean isLeaseBound() {
     return leaseBoundKey != null;
   }
--- a/src/main/java/fennelthread/state/TxnResult.java
+++ b/src/main/java/fennelthread/state/TxnResult.java
@@ -2,23 +2,25 @@
 
 import java.util.List;
 
-/** The result of a transaction, as far as it is known after it was sent. */
+/** The result of a transaction, as far as it is known. */
 public sealed interface TxnResult {
   /** Applied, at this revision. */
   record Applied(long revision) implements TxnResult {}
 
-  /** Not applied: these keys have other revisions than its conditions require. */
+  /** Not applied: these keys have revisions other than the conditions require. */
   record Conflict(List<String> failed) implements TxnResult {}
 
-  /** Not applied: an outage, a rate limit, or too many requests queued here. */
+  /** Not applied: an outage, a rate limit, or too many requests queued in this controller. */
   record Refused(String reason) implements TxnResult {}
 
   /**
-   * Not applied, and never will be as it is: rejected as malformed, which means too large, or bound
-   * to a lease that has expired.
+   * Not applied, and never will be unchanged: rejected as malformed, which means that it is too
+   * large or bound to a lease that has expired.
    */
   record TooLarge() implements TxnResult {}
 
-  /** No answer, or none that can be read: it may have been applied, or may still be. */
+  /**
+   * No answer, or none that can be decoded: the transaction may have been applied, or may still be.
+   */
   record Unknown() implements TxnResult {}
 }
--- a/src/main/java/fennelthread/state/Unavailability.java
+++ b/src/main/java/fennelthread/state/Unavailability.java
@@ -4,13 +4,16 @@
 public enum Unavailability {
   /** The service answers no request of this controller. */
   UNRESPONSIVE("the state service does not answer"),
-  /** Too many requests are queued within the rate limits. */
+  /** Too many requests are queued to be sent in time within the rate limits. */
   BUSY("too many requests wait for the state service"),
-  /** The service refused the request: an outage, or a limit that all controllers exceed. */
+  /**
+   * The request was refused: an outage of the service, a limit that all controllers together
+   * exceed, or a full queue of this controller.
+   */
   REFUSED("the state service refuses requests"),
   /** The request got no answer in its time. */
   UNANSWERED("the state service has not answered"),
-  /** Each attempt at a compare-and-swap met a change by others. */
+  /** Every attempt at a compare-and-swap failed because the record had changed. */
   CONTENDED("the job changes too often"),
   /** The stored record can't be decoded. */
   UNREADABLE("the job's record can't be read");
@@ -26,7 +29,9 @@
     return text;
   }
 
-  /** The reason why a transaction with this result, other than applied, was not carried out. */
+  /**
+   * The reason that a transaction's result gives, for results other than {@link TxnResult.Applied}.
+   */
   public static Unavailability of(TxnResult result) {
     return result instanceof TxnResult.Unknown ? UNANSWERED : REFUSED;
   }
