--- a/src/main/java/fennelthread/fleet/AggregatedLog.java
+++ b/src/main/java/fennelthread/fleet/AggregatedLog.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * A log of events that happen to many machines at once, with one line a second for each kind. A
- * line for each event once came to 150 a second, and writing them took processor time that the
- * leader needed.
+ * A log of events that happen to many machines at once. It writes at most one line a second for
+ * each kind of event: a line for each event comes to 150 a second, and writing them takes processor
+ * time that the leader needs.
  */
 final class AggregatedLog {
 
-  /** Writes one line of the log. */
+  /** Receives the lines of the log. */
   @FunctionalInterface
   interface LineWriter {
     void write(String line);
@@ -37,7 +37,9 @@
   /**
    * Records that an event has happened to a machine.
    *
-   * @param event the event phrase, with keys and values that all its machines share
+   * @param event the first part of the line: the event, and keys and values that all its machines
+   *     share
+   * @param machine the machine's name
    * @param times how often it has happened
    */
   void add(String event, String machine, int times) {
@@ -54,7 +56,7 @@
     counts.clear();
   }
 
-  /** Formats one line: {@code <event> events=5 machines=3 names=a,b,c}. */
+  /** Formats one line: {@code <event> events=5 machines=3 names=n-1|n-2|n-3}. */
   private static String lineOf(String event, EventCount count) {
     StringBuilder line = new StringBuilder(event);
     line.append(" events=").append(count.events);
@@ -62,10 +64,10 @@
     int named = 0;
     for (String machine : count.machines) {
       if (named == FleetConstants.LOG_MAX_NAMES) {
-        line.append(",...");
+        line.append("|...");
         break;
       }
-      line.append(named++ == 0 ? "" : ",").append(machine);
+      line.append(named++ == 0 ? "" : "|").append(machine);
     }
     return line.toString();
   }
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -6,19 +6,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One attempt at a task on one machine, from its start record until it is proven gone. */
+/** One attempt at a task on one machine, from its start record until it is proven to be gone. */
 public final class Attempt {
   private static final Logger log = LoggerFactory.getLogger(Attempt.class);
 
-  /** The phases of an attempt. In all but ENDED and GONE it may be running on the machine. */
+  /** The phases of an attempt. In all but ENDED and GONE it counts as present on the machine. */
   public enum Phase {
-    /** Its start record is being committed; no start was sent. */
+    /** Its start record is being committed; the start has not been sent. */
     RECORDED,
-    /** No connection could be opened for the start: it leaves with the next report's answer. */
+    /** No connection was free for the start: it is sent with the answer to the next report. */
     DEFERRED,
-    /** The start was sent and its answer is awaited. */
+    /** The start was sent; the worker has neither answered it nor reported the attempt yet. */
     SENT,
-    /** A start may have been sent, or may still arrive: only a report under a later token tells. */
+    /** The start may have arrived or may still arrive: only a report under a higher token tells. */
     UNCONFIRMED,
     /** On the machine, waiting for its image. */
     FETCHING,
@@ -26,17 +26,18 @@
     RUNNING,
     /** On the machine, writing its checkpoint before it ends. */
     FLUSHING,
-    /** Ended; the worker still reports it. */
+    /** Ended; the worker reports it until it is cleared. */
     ENDED,
-    /** Proven not to be on the machine. */
+    /** Proven not to be on the machine, and removed. */
     GONE
   }
 
-  /** The identity of an attempt among all others, on the machine and in reports. */
+  /** The identity of an attempt: its task and its number. */
   record Key(TaskRef task, long attempt) {
     @Override
     public int hashCode() {
-      // Attempt numbers are all but unique; hashing the names for each report would cost more.
+      // Attempt numbers are nearly unique, and cheaper to hash than the job's name, for each task
+      // of each report.
       return Long.hashCode(attempt) * 31 + task.index();
     }
   }
@@ -46,7 +47,7 @@
   private final long createdAtMs;
   private StartRecord.Start start;
   private Phase phase;
-  private WorkerReport.Motive motive;
+  private WorkerReport.Motive endReason;
   private long token;
   private long runningSinceMs = -1;
   private boolean stopRequested;
@@ -57,7 +58,8 @@
   /**
    * Creates an attempt.
    *
-   * @param token the fencing token under which its start is sent, or at most was sent
+   * @param token the fencing token under which its start is sent, or the highest under which it may
+   *     have been sent
    */
   Attempt(Machine machine, StartRecord.Start start, Phase phase, long token, long nowMs) {
     this.machine = machine;
@@ -71,7 +73,7 @@
   /** Changes the phase; the only place that does. */
   void transitionTo(Phase next) {
     if (!mayTransitionTo(next)) {
-      throw new IllegalStateException(this + " -> " + next);
+      throw new IllegalStateException("attempt " + this + " can't change to phase " + next);
     }
     if (phase != next) {
       phase = next;
@@ -90,23 +92,23 @@
   }
 
   /** Records that the start is sent under a fencing token. */
-  void onStartSent(long underToken) {
+  void onStartSent(long startToken) {
     transitionTo(Phase.SENT);
-    token = underToken;
+    token = startToken;
   }
 
-  /** Records that the start leaves with a report's answer: only the next report confirms it. */
-  void onStartSentInResponse(long underToken) {
-    onStartSent(underToken);
+  /** Records that the start is sent with a report's answer: only the next report can confirm it. */
+  void onStartSentInResponse(long startToken) {
+    onStartSent(startToken);
     sentInResponse = true;
   }
 
-  /** Returns true if an earlier report's answer held the start and no report has shown it since. */
+  /** Returns true if the start was sent with a report's answer and no report has shown it since. */
   boolean isSentInResponse() {
     return sentInResponse && phase == Phase.SENT;
   }
 
-  /** Applies what a report says of the attempt. */
+  /** Applies what a report says about the attempt. */
   void applyReport(WorkerReport.Task task, long nowMs) {
     switch (task.phase()) {
       case FETCHING -> transitionTo(Phase.FETCHING);
@@ -120,27 +122,29 @@
       case FLUSHING -> transitionTo(Phase.FLUSHING);
       case ENDED -> {
         transitionTo(Phase.ENDED);
-        motive = task.motive();
+        endReason = task.motive();
       }
-      default -> throw new IllegalStateException(this + ": unknown task phase " + task.phase());
+      default ->
+          throw new IllegalStateException("attempt " + this + " has unknown phase " + task.phase());
     }
   }
 
   /**
-   * Replaces what was assumed of an attempt that a report showed first by its start record: the job
-   * may be cancelled and unknown by now, yet its tasks still count against their team's quota.
+   * Replaces the start that was assumed for an attempt that was discovered in a report by the
+   * recorded one. It holds the team and the resources, which count against the team's quota even if
+   * the job is cancelled and unknown by now.
    */
   void replaceStart(StartRecord.Start recorded) {
     start = recorded;
     machine.markChanged();
   }
 
-  /** Returns the key under which its machine keeps it. */
+  /** Returns its identity. */
   Key key() {
     return key;
   }
 
-  /** Records the number of a report that shows it. */
+  /** Records that the report of a number, counted per machine, shows it. */
   void markSeenIn(long reportNumber) {
     lastSeenInReport = reportNumber;
   }
@@ -150,7 +154,7 @@
     return lastSeenInReport == reportNumber;
   }
 
-  /** Returns its start as recorded, or as assumed if only a report has shown it. */
+  /** Returns its start as recorded, or as assumed if it is only known from a report. */
   public StartRecord.Start start() {
     return start;
   }
@@ -160,37 +164,37 @@
     return phase;
   }
 
-  /** Returns why it ended, or null if no report has said so. */
+  /** Returns why it ended, or null if no report has told. */
   public WorkerReport.Motive endReason() {
-    return motive;
+    return endReason;
   }
 
-  /** Returns true unless it is proven not to be running on the machine. */
+  /** Returns true unless a report shows it as ended or it is proven to be gone. */
   public boolean mayBePresent() {
     return phase != Phase.ENDED && phase != Phase.GONE;
   }
 
-  /** Returns the fencing token under which the start was sent. */
+  /** Returns the fencing token under which the start was sent, or the highest it may have had. */
   long token() {
     return token;
   }
 
-  /** Returns when it was first seen running, ms, or -1. */
+  /** Returns when a report first showed it running, ms, or -1. */
   public long runningSinceMs() {
     return runningSinceMs;
   }
 
-  /** Returns when this leader created it, ms. */
+  /** Returns when it became known in this term, ms. */
   public long createdAtMs() {
     return createdAtMs;
   }
 
-  /** Returns true once a stop was requested. */
+  /** Returns true once {@link #requestStop} was called. */
   public boolean isStopRequested() {
     return stopRequested;
   }
 
-  /** Requests that it be stopped. */
+  /** Marks it to be stopped, which {@link FleetListener#commandsFor} turns into a command. */
   public void requestStop() {
     if (!stopRequested) {
       stopRequested = true;
@@ -198,17 +202,17 @@
     }
   }
 
-  /** Returns true once its end was handled. */
+  /** Returns true once the leader's term has handled its end. */
   public boolean isEndHandled() {
     return endHandled;
   }
 
-  /** Records that its end was handled. */
+  /** Records that the leader's term has handled its end, so that it is handled once only. */
   public void markEndHandled() {
     endHandled = true;
   }
 
-  /** Returns its identity and phase for log lines, without spaces. */
+  /** Returns its identity and phase for log lines: {@code task#attempt@machine/session:PHASE}. */
   @Override
   public String toString() {
     return start.task()
--- a/src/main/java/fennelthread/fleet/ReportEvidence.java
+++ b/src/main/java/fennelthread/fleet/AttemptReconciler.java
@@ -6,21 +6,22 @@
 import java.util.List;
 
 /**
- * Applies a report that is newer than all before to the attempts on its machine. Until the machine
- * has shown a token of our own epoch, the report may be a copy of any age: then tasks that it shows
- * count as present, those that it shows as done are done, and nothing else follows.
+ * Reconciles the attempts on a machine with a report that is newer than all before. A report under
+ * a token of the current epoch was sent in this term, so it shows what is on the machine and what
+ * is not. Any other may be an old copy: from it follows only that the tasks which it shows count as
+ * present, and that those which it shows as done are done.
  */
-final class ReportEvidence {
+final class AttemptReconciler {
 
   /**
-   * The consequences of a report.
+   * The changes that a report has brought about.
    *
    * @param ended attempts that have ended or are proven not to be on the machine
    * @param discovered attempts that the report shows and that this term did not start
    */
-  record Outcome(List<Attempt> ended, List<Attempt> discovered) {}
+  record AttemptChanges(List<Attempt> ended, List<Attempt> discovered) {}
 
-  /** Finds the start that belongs to a reported task which this term did not start. */
+  /** Finds the start of a reported task that this term did not start. */
   @FunctionalInterface
   interface StartLookup {
     StartRecord.Start startOf(WorkerReport.Task task);
@@ -28,56 +29,56 @@
 
   private final Machine machine;
   private final WorkerReport report;
-  private final boolean ofOurEpoch;
+  private final boolean isOfCurrentEpoch;
   private final long nowMs;
   private final List<Attempt> ended = new ArrayList<>(0);
   private final List<Attempt> discovered = new ArrayList<>(0);
 
-  private ReportEvidence(Machine machine, WorkerReport report, long epoch, long nowMs) {
+  private AttemptReconciler(Machine machine, WorkerReport report, long epoch, long nowMs) {
     this.machine = machine;
     this.report = report;
-    this.ofOurEpoch = MachineFencingTokens.epochOf(report) == epoch;
+    this.isOfCurrentEpoch = MachineFencingTokens.epochOf(report) == epoch;
     this.nowMs = nowMs;
   }
 
   /**
-   * Applies a report to a machine.
+   * Reconciles a machine's attempts with a report, and records the report with the machine.
    *
-   * @param epoch the epoch of our term
+   * @param epoch the epoch of the current term
    * @param starts finds the starts of tasks that this term did not start
    */
-  static Outcome apply(
+  static AttemptChanges reconcile(
       Machine machine, WorkerReport report, long epoch, long nowMs, StartLookup starts) {
-    ReportEvidence evidence = new ReportEvidence(machine, report, epoch, nowMs);
-    if (evidence.ofOurEpoch) {
-      evidence.dropEarlierSessions();
+    AttemptReconciler reconciler = new AttemptReconciler(machine, report, epoch, nowMs);
+    if (reconciler.isOfCurrentEpoch) {
+      reconciler.dropEarlierSessions();
     }
     long reportNumber = machine.onReport(report, epoch, nowMs);
     for (WorkerReport.Task task : report.tasks()) {
-      evidence.applyTask(task, reportNumber, starts);
+      reconciler.applyTask(task, reportNumber, starts);
     }
-    if (evidence.ofOurEpoch) {
-      evidence.dropAbsent(reportNumber);
+    if (reconciler.isOfCurrentEpoch) {
+      reconciler.dropAbsent(reportNumber);
     }
     machine.updateIdleSince(nowMs);
-    return new Outcome(evidence.ended, evidence.discovered);
+    return new AttemptChanges(reconciler.ended, reconciler.discovered);
   }
 
-  /** In a later session the worker has killed and forgotten all tasks of earlier ones. */
+  /** Drops the attempts of earlier sessions: a worker kills its tasks before it begins the next. */
   private void dropEarlierSessions() {
     for (Attempt attempt : List.copyOf(machine.attempts())) {
       if (attempt.start().session() < report.session()) {
-        machine.drop(attempt, ended);
+        machine.dropAttempt(attempt, ended);
       }
     }
   }
 
   private void applyTask(WorkerReport.Task task, long reportNumber, StartLookup starts) {
-    Attempt attempt = machine.find(task.ref(), task.attempt());
+    Attempt attempt = machine.findAttempt(task.ref(), task.attempt());
     if (attempt == null) {
       StartRecord.Start start = starts.startOf(task);
       attempt = new Attempt(machine, start, Attempt.Phase.UNCONFIRMED, 0, nowMs);
-      machine.add(attempt);
+      machine.addAttempt(attempt);
       discovered.add(attempt);
     }
     attempt.markSeenIn(reportNumber);
@@ -85,10 +86,10 @@
       return;
     }
     boolean wasEnded = attempt.phase() == Attempt.Phase.ENDED;
-    boolean done =
+    boolean isDone =
         task.phase() == WorkerReport.Phase.ENDED && task.motive() == WorkerReport.Motive.DONE;
-    boolean outdated = wasEnded && task.phase() != WorkerReport.Phase.ENDED;
-    if (outdated || !(ofOurEpoch || done)) {
+    boolean isOutdated = wasEnded && task.phase() != WorkerReport.Phase.ENDED;
+    if (isOutdated || !(isOfCurrentEpoch || isDone)) {
       return;
     }
     attempt.applyReport(task, nowMs);
@@ -104,12 +105,13 @@
         absent.add(attempt);
       }
     }
-    absent.forEach(attempt -> machine.drop(attempt, ended));
+    absent.forEach(attempt -> machine.dropAttempt(attempt, ended));
   }
 
   /**
-   * Returns true if a start may still be carried out: one that is in flight, or arrives a second
-   * time, is refused only under a higher token than its own.
+   * Returns true if an attempt's start may still be executed: it is not sent yet, or it is in
+   * flight or may be delivered again, and the worker has not seen the higher token that makes it
+   * refuse the start.
    */
   private boolean mayStillStart(Attempt attempt) {
     return attempt.phase() == Attempt.Phase.RECORDED
--- a/src/main/java/fennelthread/fleet/BootTimes.java
+++ b/src/main/java/fennelthread/fleet/BootTimes.java
@@ -6,33 +6,33 @@
 import java.util.Map;
 
 /**
- * Statistics of how long machines of each type take to boot, learnt from those that did. Some take
- * several times as long as the others and some never come up; on some days all are late, and on
- * some they are up within a second or two. A machine is judged by what became of those that were
- * requested with it or after it: on a day on which all are late, returning them would only begin
- * the wait anew.
+ * Statistics of how long machines of each type take to boot, from which it is decided whether one
+ * that is not up yet is late or stuck. Some machines take several times as long as others of their
+ * type, and some never come up. On some days all of them are slow, on others all are up within one
+ * or two seconds. So a machine is compared with those that were requested with it or after it: when
+ * all are slow, returning them and requesting others would only begin the wait anew.
  *
  * <p>Holds no clock: the time is passed in.
  */
 final class BootTimes {
-  private record Boot(long requestedAtMs, double tookS) {}
+  private record CompletedBoot(long requestedAtMs, double tookS) {}
 
-  private final Map<String, ArrayDeque<Boot>> byType = new HashMap<>();
+  private final Map<String, ArrayDeque<CompletedBoot>> byType = new HashMap<>();
 
-  /** Records that a machine which was requested at that time reports for the first time. */
+  /** Records that a machine which was requested at {@code requestedAtMs} is up by now. */
   void recordBoot(String type, long requestedAtMs, long nowMs) {
-    ArrayDeque<Boot> boots = byType.computeIfAbsent(type, k -> new ArrayDeque<>());
-    boots.add(new Boot(requestedAtMs, secondsBetween(requestedAtMs, nowMs)));
+    ArrayDeque<CompletedBoot> boots = byType.computeIfAbsent(type, k -> new ArrayDeque<>());
+    boots.add(new CompletedBoot(requestedAtMs, secondsBetween(requestedAtMs, nowMs)));
     if (boots.size() > FleetConstants.BOOT_SAMPLES) {
       boots.poll();
     }
   }
 
   /**
-   * Returns true if a machine that is not up yet takes longer than nearly all do: another may be
-   * requested in its place.
+   * Returns true if a machine that is not up yet takes longer than nearly all of its type: another
+   * may be requested in its place.
    *
-   * @param nominalS what the cloud says that its type takes, s
+   * @param nominalS the boot time of its type according to the cloud, s
    */
   boolean isLate(String type, double nominalS, long requestedAtMs, long nowMs) {
     double ageS = secondsBetween(requestedAtMs, nowMs);
@@ -41,22 +41,26 @@
   }
 
   /**
-   * Returns true if a machine is to be returned: when several that were requested with it or later
-   * are up, one if there are no others to be had, or when its timeout has passed.
+   * Returns true if a machine will probably never come up and is to be returned: its timeout has
+   * passed; or it is late, well past its nominal time, and several machines that were requested
+   * with it or later are up. If it is scarce, a single one of these is enough.
    *
-   * @param nominalS what the cloud says that its type takes, s
-   * @param scarce whether the cloud has no more of its kind, so that it takes another's place
+   * @param nominalS the boot time of its type according to the cloud, s
+   * @param isScarce whether the cloud has no more machines of its kind, so that one that boots can
+   *     only be rented once this one is returned
    */
-  boolean isStuck(String type, double nominalS, long requestedAtMs, long nowMs, boolean scarce) {
+  boolean isStuck(String type, double nominalS, long requestedAtMs, long nowMs, boolean isScarce) {
     double ageS = secondsBetween(requestedAtMs, nowMs);
     if (ageS > timeoutS(nominalS)) {
       return true;
     }
-    int minOvertakers =
-        scarce ? FleetConstants.STUCK_BOOT_OVERTAKERS_SCARCE : FleetConstants.STUCK_BOOT_OVERTAKERS;
+    int minUp =
+        isScarce
+            ? FleetConstants.STUCK_BOOT_OVERTAKERS_SCARCE
+            : FleetConstants.STUCK_BOOT_OVERTAKERS;
     return isLate(type, nominalS, requestedAtMs, nowMs)
         && ageS > nominalS * FleetConstants.STUCK_BOOT_NOMINAL_FACTOR
-        && countOvertakers(type, requestedAtMs) >= minOvertakers;
+        && countUpAndRequestedSince(type, requestedAtMs) >= minUp;
   }
 
   private static double secondsBetween(long fromMs, long toMs) {
@@ -69,22 +73,22 @@
         nominalS * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_S);
   }
 
-  /** Returns what nearly all remembered boots of a type took at most, s; 0 if there are none. */
+  /** Returns the longest time that nearly all remembered boots of a type took, s; 0 without any. */
   private double typicalS(String type) {
     double[] tookS =
         byType.getOrDefault(type, new ArrayDeque<>(0)).stream()
-            .mapToDouble(Boot::tookS)
+            .mapToDouble(CompletedBoot::tookS)
             .sorted()
             .toArray();
     return tookS.length == 0 ? 0 : tookS[(int) ((tookS.length - 1) * FleetConstants.BOOT_QUANTILE)];
   }
 
-  /** Counts the machines of a type that are up and were requested at that time or later. */
-  private int countOvertakers(String type, long requestedAtMs) {
-    int overtakers = 0;
-    for (Boot boot : byType.getOrDefault(type, new ArrayDeque<>(0))) {
-      overtakers += boot.requestedAtMs >= requestedAtMs ? 1 : 0;
+  /** Counts the remembered boots of a type that were requested at a time or later. */
+  private int countUpAndRequestedSince(String type, long requestedAtMs) {
+    int up = 0;
+    for (CompletedBoot boot : byType.getOrDefault(type, new ArrayDeque<>(0))) {
+      up += boot.requestedAtMs >= requestedAtMs ? 1 : 0;
     }
-    return overtakers;
+    return up;
   }
 }
--- a/src/main/java/fennelthread/fleet/BootingPool.java
+++ b/src/main/java/fennelthread/fleet/BootingCapacity.java
@@ -5,12 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The CPUs of machines that are not up yet, reserved for the waiting jobs that may use them. */
-final class BootingPool {
+/**
+ * The CPUs of machines that are expected to boot, of which waiting jobs reserve what they can use.
+ */
+final class BootingCapacity {
   private final Map<MachineKind, Double> cpusByKind = new LinkedHashMap<>();
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** Adds a machine; {@code type} is null if the cloud does not list its type any more. */
+  /** Adds a machine; {@code type} is null, and nothing added, if its type is not known. */
   void add(MachineKind kind, MachineType type) {
     if (type != null) {
       types.put(type.name(), type);
@@ -18,22 +20,22 @@
     }
   }
 
-  /** Returns what a job's waiting tasks require, CPUs. */
-  static double cpusOf(PlacementPlan.UnplacedTasks waiting) {
+  /** Returns the CPUs that a job's waiting tasks require; each counts with at least 0.1. */
+  static double requiredCpus(PlacementPlan.UnplacedTasks waiting) {
     return waiting.count() * Math.max(0.1, waiting.spec().cpus());
   }
 
-  /** Reserves what a job's waiting tasks require, as far as it is there; returns the rest, CPUs. */
-  double cover(PlacementPlan.UnplacedTasks waiting) {
-    double restCpus = cpusOf(waiting);
+  /** Reserves CPUs for a job's waiting tasks; returns how many more they require. */
+  double reserve(PlacementPlan.UnplacedTasks waiting) {
+    double uncoveredCpus = requiredCpus(waiting);
     for (Map.Entry<MachineKind, Double> entry : cpusByKind.entrySet()) {
-      if (restCpus > 0 && mayUse(entry.getKey(), waiting)) {
-        double reserved = Math.min(restCpus, entry.getValue());
+      if (uncoveredCpus > 0 && mayUse(entry.getKey(), waiting)) {
+        double reserved = Math.min(uncoveredCpus, entry.getValue());
         entry.setValue(entry.getValue() - reserved);
-        restCpus -= reserved;
+        uncoveredCpus -= reserved;
       }
     }
-    return restCpus;
+    return uncoveredCpus;
   }
 
   private boolean mayUse(MachineKind kind, PlacementPlan.UnplacedTasks waiting) {
--- a/src/main/java/fennelthread/fleet/BootingMachines.java
+++ b/src/main/java/fennelthread/fleet/BootingMachines.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The machines that are rented but not up yet, and which of them are late or stuck. */
+/** The machines that are rented and not up yet, and which of these are late or stuck. */
 final class BootingMachines {
 
   /**
    * A machine that is not up yet.
    *
    * @param requestedAtMs when it was requested, as far as is known, ms
-   * @param knownSinceMs when this term first knew of it, ms
-   * @param ownRequest whether this term requested it, so that its boot can be timed
+   * @param knownSinceMs when it became known in this term, ms
+   * @param isOwnRequest whether this term requested it, so that the time of its request is exact
    */
-  private record Boot(
-      MachineKind kind, long requestedAtMs, long knownSinceMs, boolean ownRequest) {}
+  private record PendingBoot(
+      MachineKind kind, long requestedAtMs, long knownSinceMs, boolean isOwnRequest) {}
 
-  /** Receives machines that will probably never come up. */
+  /** Receives the machines that will probably never come up. */
   @FunctionalInterface
   interface StuckMachineListener {
     void onStuck(Machine machine);
@@ -28,7 +28,7 @@
 
   private final Fleet fleet;
   private final BootTimes bootTimes = new BootTimes();
-  private final Map<String, Boot> boots = new LinkedHashMap<>();
+  private final Map<String, PendingBoot> boots = new LinkedHashMap<>();
 
   BootingMachines(Fleet fleet) {
     this.fleet = fleet;
@@ -36,34 +36,36 @@
 
   /** Adds a machine that this term has just rented. */
   void addRented(String name, MachineKind kind, long nowMs) {
-    boots.put(name, new Boot(kind, nowMs, nowMs, true));
+    boots.put(name, new PendingBoot(kind, nowMs, nowMs, true));
   }
 
-  /** Adds a machine that was found on the cloud's list, unless it is known. */
+  /** Adds a machine that the cloud lists, unless it is already among these. */
   void addListed(String name, MachineKind kind, long requestedAtMs, long nowMs) {
-    boots.putIfAbsent(name, new Boot(kind, requestedAtMs, nowMs, false));
+    boots.putIfAbsent(name, new PendingBoot(kind, requestedAtMs, nowMs, false));
   }
 
   void remove(String name) {
     boots.remove(name);
   }
 
-  /** Removes the machines that are up by now, and remembers how long they took to boot. */
+  /** Removes the machines that are up by now, and records how long this term's own took to boot. */
   void removeUp(long nowMs) {
     for (Machine machine : fleet.machines()) {
-      boolean up =
+      boolean isUp =
           machine.phase() == Machine.Phase.REPORTING || machine.phase() == Machine.Phase.LOST;
-      Boot boot = up ? boots.remove(machine.name()) : null;
-      if (boot != null && boot.ownRequest) {
+      PendingBoot boot = isUp ? boots.remove(machine.name()) : null;
+      if (boot != null && boot.isOwnRequest) {
         bootTimes.recordBoot(boot.kind.type(), boot.requestedAtMs, nowMs);
       }
     }
   }
 
   /**
-   * Passes on the machines that will probably never come up.
+   * Passes the machines that will probably never come up to a listener.
    *
-   * @param minReportWaitMs the least time that a machine has to report to this term, ms
+   * @param types the machine types that the cloud offers, by name
+   * @param capacity the kinds of which the cloud has no more at the moment
+   * @param minReportWaitMs the least time that a machine is given to report to this term, ms
    */
   void forEachStuck(
       Map<String, MachineType> types,
@@ -74,10 +76,10 @@
     boots.forEach(
         (name, boot) -> {
           Machine machine = fleet.getOrAddMachine(name, null);
-          boolean waiting =
+          boolean isWaiting =
               machine.phase() == Machine.Phase.AWAITING_REPORT
                   && nowMs - boot.knownSinceMs > minReportWaitMs;
-          if (waiting
+          if (isWaiting
               && bootTimes.isStuck(
                   boot.kind.type(),
                   nominalBootS(types, boot.kind),
@@ -95,27 +97,29 @@
   }
 
   /**
-   * Returns the names of the machines that may be counted on though they are not up: not those that
-   * are late, unless most are, since then it is the cloud that is slow and others would be as late.
+   * Returns the names of the machines that are expected to come up, so that no others need be
+   * rented for them. Late ones are left out, unless most are late: then the cloud is slow, and
+   * others would be as late.
    */
   Set<String> expected(Map<String, MachineType> types, long nowMs) {
     Set<String> expected = new HashSet<>();
-    int late = 0;
-    for (Map.Entry<String, Boot> entry : boots.entrySet()) {
-      Boot boot = entry.getValue();
+    int lateCount = 0;
+    for (Map.Entry<String, PendingBoot> entry : boots.entrySet()) {
+      PendingBoot boot = entry.getValue();
       Machine machine = fleet.findMachine(entry.getKey());
       if (machine != null && machine.phase() != Machine.Phase.AWAITING_REPORT) {
         continue;
       }
       double nominalS = nominalBootS(types, boot.kind);
       if (bootTimes.isLate(boot.kind.type(), nominalS, boot.requestedAtMs, nowMs)) {
-        late++;
+        lateCount++;
       } else {
         expected.add(entry.getKey());
       }
     }
-    boolean mostLate = late > (late + expected.size()) * FleetConstants.MAX_LATE_BOOT_SHARE;
-    return mostLate ? boots.keySet() : expected;
+    boolean areMostLate =
+        lateCount > (lateCount + expected.size()) * FleetConstants.MAX_LATE_BOOT_SHARE;
+    return areMostLate ? boots.keySet() : expected;
   }
 
   /** Returns the kind of a machine that is not up yet. */
--- a/src/main/java/fennelthread/fleet/CloudClient.java
+++ b/src/main/java/fennelthread/fleet/CloudClient.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the cloud's interface. All callbacks run on the event loop's thread; an empty Optional
- * stands for no usable answer.
+ * Client of the cloud's HTTP interface. All callbacks run on the event loop's thread; an empty
+ * Optional means that no usable answer arrived.
  */
 public final class CloudClient {
   private static final Logger log = LoggerFactory.getLogger(CloudClient.class);
@@ -28,22 +28,22 @@
   /** The result of a rental request. */
   public sealed interface RentalResult {
     /** These machines were rented, perhaps fewer than requested. */
-    record Machines(List<String> names) implements RentalResult {}
+    record Rented(List<String> names) implements RentalResult {}
 
     /** The cloud has no capacity for this type, zone and kind. */
     record NoCapacity() implements RentalResult {}
 
-    /** Nothing is known; the same request can be sent again. */
-    record Unknown() implements RentalResult {}
+    /** The request may have been executed, or may still be; it can be repeated under its name. */
+    record OutcomeUnknown() implements RentalResult {}
   }
 
   /** The result of a return request. */
   public enum ReturnResult {
     /** The machines and everything on them are gone. */
     CONFIRMED,
-    /** Not executed. */
+    /** The request was not executed. */
     REFUSED,
-    /** May have been executed, or may still be. */
+    /** The request may have been executed, or may still be. */
     UNKNOWN
   }
 
@@ -57,12 +57,12 @@
     this.address = settings.cloudAddr();
   }
 
-  /** Returns true while the cloud has asked us to slow down or is in trouble. */
+  /** Returns true for a moment after the cloud has rejected a request for load or a fault. */
   public boolean isBackingOff() {
     return eventLoop.nowMs() < backOffUntilMs;
   }
 
-  /** Reads the machine types with their prices. */
+  /** Fetches the machine types with their prices. */
   public void fetchMachineTypes(Consumer<Optional<List<MachineType>>> done) {
     call(Call.get("/flavors"), answer -> done.accept(readMachineTypes(answer)));
   }
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Reads the whole machine list, page by page. */
+  /** Fetches the whole machine list, page by page. */
   public void listMachines(Consumer<Optional<List<MachineEntry>>> done) {
     fetchPage(null, new ArrayList<>(), done);
   }
@@ -110,7 +110,7 @@
         });
   }
 
-  /** Rents machines; the request's name is never used for another, so that it can be repeated. */
+  /** Rents machines. A request that is repeated under its name rents them only once. */
   public void rentMachines(Rental rental, Consumer<RentalResult> done) {
     call(
         Call.post("/hosts", Codec.CBOR, rental.write()),
@@ -120,21 +120,22 @@
   private RentalResult readRentalResult(Answer answer) {
     try {
       if (isOk(answer)) {
-        return new RentalResult.Machines(Rental.readNames(answer.fields()));
+        return new RentalResult.Rented(Rental.readNames(answer.fields()));
       }
       if (answer != null
           && answer.status() == 503
           && "no capacity".equals(answer.fields().optText("error"))) {
+        // This rejection is not for load, so other kinds may be requested at once.
         backOffUntilMs = 0;
         return new RentalResult.NoCapacity();
       }
     } catch (WireException e) {
       log.info("cloud answer malformed request=rental error=\"{}\"", e.getMessage());
     }
-    return new RentalResult.Unknown();
+    return new RentalResult.OutcomeUnknown();
   }
 
-  /** Returns machines to the cloud. */
+  /** Returns machines to the cloud; the request can be repeated. */
   public void returnMachines(List<String> names, Consumer<ReturnResult> done) {
     call(
         Call.post("/hosts/return", Codec.CBOR, Rental.writeNames(names)),
@@ -152,7 +153,9 @@
     return answer != null && answer.status() == 200;
   }
 
-  /** Returns true if the cloud did not execute the request, for load or trouble. */
+  /**
+   * Returns true if the cloud has not executed a request, for load, a fault or lack of capacity.
+   */
   private static boolean isRejected(Answer answer) {
     return answer != null && (answer.status() == 429 || answer.status() == 503);
   }
--- a/src/main/java/fennelthread/fleet/CommandTransport.java
+++ b/src/main/java/fennelthread/fleet/CommandTransport.java
@@ -5,7 +5,7 @@
 import fennelthread.net.EventLoop;
 import java.util.function.Consumer;
 
-/** Carries requests of the leader to workers, directly or through a peer controller. */
+/** Sends the leader's requests to workers, directly or through a peer controller. */
 @FunctionalInterface
 public interface CommandTransport {
   /**
@@ -14,7 +14,7 @@
    * @param address the worker's address, host and port
    * @param timeoutMs the longest wait for the answer, ms
    * @param done receives the answer, or null if none arrived
-   * @param unsent called instead if no connection could be opened
+   * @param unsent called instead if nothing of the request was sent
    */
   void send(
       Machine machine,
--- a/src/main/java/fennelthread/fleet/DemandHistory.java
+++ b/src/main/java/fennelthread/fleet/DemandHistory.java
@@ -4,35 +4,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The demand for CPUs over the last minutes, one sample a second at most. */
+/** The demand for CPUs over the last minutes, with at most one sample a second. */
 final class DemandHistory {
-  private static final class Sample {
+  private static final class DemandSample {
     final long atMs;
     double cpus;
 
-    Sample(long atMs, double cpus) {
+    DemandSample(long atMs, double cpus) {
       this.atMs = atMs;
       this.cpus = cpus;
     }
   }
 
-  private final List<Sample> samples = new ArrayList<>();
+  private final List<DemandSample> samples = new ArrayList<>();
 
-  /** Records the demand of the moment; of values within one sample's time the highest counts. */
+  /** Records the current demand; of the values within one sample's time the highest is kept. */
   void record(double cpus, long nowMs) {
     samples.removeIf(sample -> sample.atMs < nowMs - FleetConstants.DEMAND_WINDOW_MS);
-    Sample last = samples.isEmpty() ? null : samples.get(samples.size() - 1);
+    DemandSample last = samples.isEmpty() ? null : samples.get(samples.size() - 1);
     if (last != null && nowMs - last.atMs < FleetConstants.DEMAND_SAMPLE_MS) {
       last.cpus = Math.max(last.cpus, cpus);
     } else {
-      samples.add(new Sample(nowMs, cpus));
+      samples.add(new DemandSample(nowMs, cpus));
     }
   }
 
-  /** Returns the highest demand that is remembered, CPUs. */
+  /** Returns the highest recorded demand, CPUs. */
   double peakCpus() {
     double peak = 0;
-    for (Sample sample : samples) {
+    for (DemandSample sample : samples) {
       peak = Math.max(peak, sample.cpus);
     }
     return peak;
--- a/src/main/java/fennelthread/fleet/CommandQueue.java
+++ b/src/main/java/fennelthread/fleet/DueCommandSender.java
@@ -12,53 +12,58 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Selects the stops and clears that machines are due, for reports' answers and direct commands. */
-final class CommandQueue {
-  private static final Logger log = LoggerFactory.getLogger(CommandQueue.class);
+/**
+ * Selects the stop and clear commands that are due for a machine, for the answer to its report, and
+ * sends them directly where they should not wait for a report. Also holds the request and response
+ * format of direct commands.
+ */
+final class DueCommandSender {
+  private static final Logger log = LoggerFactory.getLogger(DueCommandSender.class);
 
   private final FleetContext context;
   private final WorkerResponseListener listener;
 
-  CommandQueue(FleetContext context, WorkerResponseListener listener) {
+  DueCommandSender(FleetContext context, WorkerResponseListener listener) {
     this.context = context;
     this.listener = listener;
   }
 
   /**
-   * Returns the commands that a worker is sent now. Clears leave under a higher token than the
-   * starts of what they clear, and so are batched: each raised token makes the worker report once
-   * more.
+   * Returns the commands to send to a worker now. A clear must be sent under a higher token than
+   * the start of its attempt. As each raised token makes the worker send one more report, clears
+   * that need one are held back until there are several, or enough time has passed since the last
+   * ones.
    */
   List<WorkerCommand> dueCommands(Machine machine) {
     List<WorkerCommand> commands = context.listener().commandsFor(machine);
-    int waiting = 0;
+    int clearsNeedingToken = 0;
     for (WorkerCommand command : commands) {
-      waiting += needsHigherToken(machine, command) ? 1 : 0;
+      clearsNeedingToken += needsHigherToken(machine, command) ? 1 : 0;
     }
-    if (waiting == 0) {
+    if (clearsNeedingToken == 0) {
       return commands;
     }
     long nowMs = context.nowMs();
     double minIntervalMs = context.leaseMs() * FleetConstants.CLEAR_INTERVAL_LEASE_SHARE;
-    if (waiting >= FleetConstants.CLEAR_BATCH_SIZE
+    if (clearsNeedingToken >= FleetConstants.CLEAR_BATCH_SIZE
         || nowMs - machine.tokens().raisedForClearsAtMs() >= minIntervalMs) {
       machine.tokens().raiseForClears(nowMs);
       return commands;
     }
-    List<WorkerCommand> withoutWaiting = new ArrayList<>(commands);
-    withoutWaiting.removeIf(command -> needsHigherToken(machine, command));
-    return withoutWaiting;
+    List<WorkerCommand> otherCommands = new ArrayList<>(commands);
+    otherCommands.removeIf(command -> needsHigherToken(machine, command));
+    return otherCommands;
   }
 
   private boolean needsHigherToken(Machine machine, WorkerCommand command) {
     if (!(command instanceof WorkerCommand.Clear clear)) {
       return false;
     }
-    Attempt attempt = machine.find(clear.task(), clear.attempt());
-    return attempt != null && attempt.token() >= machine.token(context.epoch());
+    Attempt attempt = machine.findAttempt(clear.task(), clear.attempt());
+    return attempt != null && attempt.token() >= machine.currentToken(context.epoch());
   }
 
-  /** Sends what is due at once instead of with the next report's answer. */
+  /** Sends the commands that are due now, without waiting for the next report. */
   void send(Machine machine) {
     if (machine.address() == null || machine.session() == 0) {
       return;
@@ -73,10 +78,10 @@
         .send(
             machine,
             machine.address(),
-            commandCall(machine.token(context.epoch()), machine.session(), commands),
+            commandCall(machine.currentToken(context.epoch()), machine.session(), commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
             answer -> onAnswer(machine, known, answer),
-            tried -> {});
+            wasTried -> {});
   }
 
   private void onAnswer(Machine machine, ReportPosition known, Answer answer) {
@@ -92,14 +97,14 @@
   }
 
   /**
-   * Returns true if a worker has executed no command of a request, since it has seen a higher
-   * token.
+   * Returns true if a worker has executed no command of a request, since it has seen a higher token
+   * or is in another session.
    */
   static boolean isRefused(Answer answer) {
     return answer.status() == 409;
   }
 
-  /** Returns the report in a worker's answer to commands, or null without a proper answer. */
+  /** Returns the report in a worker's answer to commands, or null without a well-formed one. */
   static WorkerReport reportIn(Answer answer) {
     if (answer == null || (answer.status() != 200 && !isRefused(answer))) {
       return null;
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -38,10 +38,10 @@
   private final WorkerLeaseExpiry leaseExpiry;
   private final MachineProbes probes;
   private final StartSender starts;
-  private final CommandQueue commands;
+  private final DueCommandSender commands;
   private final ReportProcessor reports;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private long attemptSeq;
+  private long attemptsCreated;
 
   /**
    * Creates the fleet of one term.
@@ -71,7 +71,7 @@
     this.leaseExpiry = new WorkerLeaseExpiry(context);
     this.probes = new MachineProbes(context, this::onProbeResponse);
     this.starts = new StartSender(context, probes, this::onCommandResponse);
-    this.commands = new CommandQueue(context, this::onCommandResponse);
+    this.commands = new DueCommandSender(context, this::onCommandResponse);
     this.reports =
         new ReportProcessor(
             context,
@@ -82,20 +82,22 @@
             commands);
   }
 
-  /** Ends the term: late answers change nothing any more. */
+  /** Ends the term: answers that arrive from now on are ignored. */
   public void close() {
     context.close();
   }
 
   // ---------------------------------------------------------------- machines
 
-  /** Returns all machines that this term has known, returned ones included. */
+  /**
+   * Returns all machines of the term in the order in which they became known, returned ones too.
+   */
   public Collection<Machine> machines() {
     return machines.values();
   }
 
   /**
-   * Returns the machine of a name.
+   * Finds a machine by its name.
    *
    * @return the machine, or null if this term does not know it
    */
@@ -114,32 +116,35 @@
     return machine;
   }
 
-  /** Sets the type, zone and kind of a machine, unless its worker has already reported them. */
-  public void describeIfUnknown(Machine machine, String type, String zone, boolean spot) {
+  /** Sets a machine's type, zone and whether it is a spot instance, unless these are known. */
+  public void setDescriptionIfUnknown(Machine machine, String type, String zone, boolean spot) {
     if (!machine.isDescribed()) {
-      machine.describe(type, zone, spot);
+      machine.setDescription(type, zone, spot);
     }
   }
 
   /**
-   * Returns true if the machine can be given tasks: in contact lately, confirmed under this term's
-   * fencing token, and renewing its lease.
+   * Returns true if tasks may be placed on the machine: among other things it was in contact
+   * lately, has confirmed this term's fencing token, and renews its lease.
    */
   public boolean isReady(Machine machine) {
     return readiness.isReady(machine);
   }
 
-  /** Returns true if the machine's lease must be over although it may carry out commands. */
-  boolean isUnanswered(Machine machine) {
-    return readiness.isUnanswered(machine);
+  /**
+   * Returns true if none of the machine's own reports was answered for longer than a lease lasts:
+   * its lease has expired, although it may still execute commands.
+   */
+  boolean areReportsUnanswered(Machine machine) {
+    return readiness.areReportsUnanswered(machine);
   }
 
-  /** Returns true if the machine's leases expire again and again although it reports. */
+  /** Returns true if the machine's leases expire repeatedly although it reports. */
   boolean isLosingLeases(Machine machine) {
     return readiness.isLosingLeases(machine);
   }
 
-  /** Records that an image of a size in GB is cached on a machine. */
+  /** Records that an image is cached on a machine; {@code gb} is its size, GB. */
   public void recordCachedImage(Machine machine, String image, double gb) {
     machine.recordCachedImage(image, gb, machineTypes.get().get(machine.type()));
   }
@@ -149,12 +154,12 @@
     return machine.failures().recordFailure(job, context.nowMs());
   }
 
-  /** Records a task that completed: the machine is healthy. */
+  /** Records a completed task, which proves the machine healthy: clears its recorded failures. */
   public void recordTaskSuccess(Machine machine) {
     machine.failures().clear();
   }
 
-  /** Cordons a machine: it gets no more tasks. */
+  /** Cordons a machine: no more tasks are placed on it. */
   public void cordon(Machine machine) {
     machine.cordon();
   }
@@ -162,54 +167,56 @@
   // ---------------------------------------------------------------- attempts
 
   /**
-   * Adds the attempt of a start record that a predecessor committed: it may be on its machine. If
-   * the attempt is known from a report, the record replaces what was assumed of it.
+   * Adds the attempt of a start record that a leader of an earlier term committed: it may be
+   * running on its machine. If a report has already shown the attempt, the record replaces the
+   * start that was assumed for it.
    */
   public void restoreAttempt(StartRecord.Start start) {
     Machine machine = getOrAddMachine(start.machine(), null);
-    Attempt known = machine.find(start.task(), start.attempt());
+    Attempt known = machine.findAttempt(start.task(), start.attempt());
     if (known != null) {
       known.replaceStart(start);
     } else if (!machine.hasEndedSession(start.session(), context.epoch())) {
-      // It was sent under some token of a predecessor, at most the last one before our epoch: only
-      // a report under one of ours proves that it is absent.
+      // The start was sent under a token of an earlier epoch. Taking the highest of these makes
+      // sure that only a report under a token of this epoch can prove the attempt absent.
       long token = MachineFencingTokens.firstOf(context.epoch()) - 1;
-      machine.add(new Attempt(machine, start, Attempt.Phase.UNCONFIRMED, token, context.nowMs()));
+      machine.addAttempt(
+          new Attempt(machine, start, Attempt.Phase.UNCONFIRMED, token, context.nowMs()));
     }
   }
 
-  /** Adds and returns a new attempt, whose start record is about to be committed. */
+  /** Creates an attempt, whose start record the caller is about to commit. */
   public Attempt createAttempt(Machine machine, JobSpec spec, int taskIndex) {
-    long number = (context.epoch() << ProtocolConstants.ATTEMPT_BITS) + ++attemptSeq;
+    long number = (context.epoch() << ProtocolConstants.ATTEMPT_BITS) + ++attemptsCreated;
     StartRecord.Start start =
         StartRecord.Start.of(spec, taskIndex, number, machine.name(), machine.session());
-    long token = machine.token(context.epoch());
+    long token = machine.currentToken(context.epoch());
     Attempt attempt = new Attempt(machine, start, Attempt.Phase.RECORDED, token, context.nowMs());
-    machine.add(attempt);
+    machine.addAttempt(attempt);
     return attempt;
   }
 
-  /** Removes an attempt if its start was never sent. */
+  /** Removes an attempt if no start was sent for it; does nothing otherwise. */
   public void discardUnsent(Machine machine, Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.RECORDED) {
       attempt.transitionTo(Attempt.Phase.GONE);
-      machine.remove(attempt);
+      machine.removeAttempt(attempt);
     }
   }
 
   /**
-   * Returns an attempt at a task on a machine.
+   * Finds an attempt at a task on a machine.
    *
-   * @return the attempt, or null if this leader knows of none
+   * @return the attempt, or null if this term does not know it
    */
   public Attempt findAttempt(String machineName, TaskRef task, long attemptNumber) {
     Machine machine = machines.get(machineName);
-    return machine == null ? null : machine.find(task, attemptNumber);
+    return machine == null ? null : machine.findAttempt(task, attemptNumber);
   }
 
   // ---------------------------------------------------------------- workers
 
-  /** Returns when a worker last reported to this controller, ms, or -1. */
+  /** Returns when a report was last accepted from any worker in this term, ms, or -1 if never. */
   public long lastReportAtMs() {
     return reports.lastReportAtMs();
   }
@@ -217,24 +224,28 @@
   /**
    * Answers a report that has not arrived before.
    *
-   * @param via the member through which it arrived: a peer's name, or our own
-   * @return the answer, or null if nobody may be answered now or another controller leads
+   * @param receivingMember the member that received it from the worker: a peer's name, or our own
+   * @return the answer, or null if this controller may answer no reports now, or the report shows
+   *     that another controller leads
    */
-  public Answer handleReport(WorkerReport report, String via) {
-    return reports.handleReport(report, via);
+  public Answer handleReport(WorkerReport report, String receivingMember) {
+    return reports.handleReport(report, receivingMember);
   }
 
-  /** Sends starts whose records are committed; the caller has just checked the leader lease. */
+  /**
+   * Sends starts whose records are committed; {@code attempts} is not empty, and the caller has
+   * just checked that the leader's lease is valid.
+   */
   public void sendStarts(Machine machine, List<Attempt> attempts) {
     starts.send(machine, attempts);
   }
 
-  /** Sends the stops and clears that are due at once instead of with the next report's answer. */
+  /** Sends the stop and clear commands that are due now, without waiting for the next report. */
   public void sendCommands(Machine machine) {
     commands.send(machine);
   }
 
-  /** Sends a worker our fencing token and learns from its answer what is on its machine. */
+  /** Sends a worker this term's fencing token; its answer is a report of what is on its machine. */
   public void probe(Machine machine) {
     probes.probe(machine);
   }
@@ -246,15 +257,20 @@
   private void onProbeResponse(Machine machine, WorkerReport report, ReportPosition known) {
     onCommandResponse(machine, report, known);
     if (context.isOverdue(machine.contact().reportAnsweredAtMs())) {
-      // No report of its own will fetch the commands that are due: its cancelled tasks once held
-      // their team's quota until their lease was over.
+      // The worker's own reports do not arrive, so the commands that are due can't go out with
+      // their answers. Without this its cancelled tasks count against their team's quota until the
+      // lease expires.
       sendCommands(machine);
     }
   }
 
   // ---------------------------------------------------------------- periodic checks
 
-  /** Expires leases, ends cordons, and probes workers that have not confirmed their token. */
+  /**
+   * Drops deferred starts that are overdue, observes the zones, expires workers' leases, uncordons
+   * machines, and probes workers that are overdue or have not confirmed their token. To be called
+   * several times a second.
+   */
   public void tick() {
     starts.dropOverdueStarts();
     zones.observe(machines.values(), context.nowMs());
@@ -270,8 +286,9 @@
   }
 
   /**
-   * Uncordons a machine on which no task has failed for long. One that keeps running what it has
-   * would otherwise never be empty, so never be returned, and its capacity be lost.
+   * Uncordons a machine on which no task has failed for {@link FleetConstants#CORDON_MS}. Cordoned
+   * machines are returned once they are empty; one with long tasks would stay cordoned meanwhile,
+   * and its free capacity would be lost.
    */
   private void uncordonIfHealthy(Machine machine) {
     if (machine.isCordoned()
@@ -286,29 +303,29 @@
 
   // ---------------------------------------------------------------- returns to the cloud
 
-  /** Marks a machine whose return is about to be requested: it gets no answers and no tasks. */
+  /** Marks a machine whose return is about to be requested: it gets neither answers nor tasks. */
   public void beginReturn(Machine machine) {
     machine.cordon();
     machine.transitionTo(Machine.Phase.RETURNING);
   }
 
-  /** Takes a machine back into service whose return the cloud has refused. */
+  /** Puts a machine whose return the cloud has refused back into service. */
   public void cancelReturn(Machine machine) {
     if (machine.phase() == Machine.Phase.RETURNING) {
       machine.uncordon();
-      boolean neverInContact = machine.lastContactAtMs() < 0;
+      boolean wasNeverInContact = machine.lastContactAtMs() < 0;
       machine.transitionTo(
-          neverInContact ? Machine.Phase.AWAITING_REPORT : Machine.Phase.REPORTING);
+          wasNeverInContact ? Machine.Phase.AWAITING_REPORT : Machine.Phase.REPORTING);
     }
   }
 
-  /** Ends all attempts on a machine that the cloud has confirmed to be gone. */
+  /** Ends all attempts on a machine whose return the cloud has confirmed. */
   public void completeReturn(Machine machine) {
     if (machine.phase() == Machine.Phase.GONE) {
       return;
     }
     machine.transitionTo(Machine.Phase.GONE);
-    for (Attempt attempt : machine.dropAll()) {
+    for (Attempt attempt : machine.dropAllAttempts()) {
       context.listener().onAttemptEnded(machine, attempt);
     }
     context.listener().onFleetChanged();
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -61,7 +61,7 @@
     return epoch;
   }
 
-  /** Returns true if a report shows a fencing token of this term's epoch. */
+  /** Returns true if a report names a fencing token of this term's epoch. */
   boolean isOfOurEpoch(WorkerReport report) {
     return MachineFencingTokens.epochOf(report) == epoch;
   }
@@ -78,12 +78,15 @@
     return aggregatedLog;
   }
 
-  /** Returns true if the process has just stalled: what was sent to it waits to be read. */
+  /** Returns true if the process has just stalled: reports sent meanwhile may still be unread. */
   boolean isCatchingUp() {
     return link.stalls().isListening();
   }
 
-  /** Returns true if something that every report renews should have been renewed since then. */
+  /**
+   * Returns true if reports should have renewed a time by now that each of them renews; false while
+   * reports may still be unread after a stall.
+   */
   boolean isOverdue(long lastAtMs) {
     return !isCatchingUp()
         && nowMs() - lastAtMs > reportMs() * FleetConstants.OVERDUE_REPORT_INTERVALS;
@@ -94,7 +97,7 @@
     closed = true;
   }
 
-  /** Returns true once the term is over: late answers change nothing any more. */
+  /** Returns true once the term is over, so that answers which still arrive are ignored. */
   boolean isClosed() {
     return closed;
   }
--- a/src/main/java/fennelthread/fleet/HeartbeatResponder.java
+++ b/src/main/java/fennelthread/fleet/HeartbeatResponder.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * Builds the answers to workers' reports. Each answer renews the worker's lease, so one place
- * decides for all senders whether answers may leave at all.
+ * Builds the answers to workers' reports. Each answer renews the worker's lease, so a single
+ * implementation decides for all callers whether reports may be answered at all.
  */
 public interface HeartbeatResponder {
-  /** Returns true if reports may be answered at this moment. */
+  /** Returns true if this controller may answer reports now. */
   boolean mayRespond();
 
   /**
    * Returns the answer to a report.
    *
    * @param token the fencing token that the worker is to obey
-   * @param commands the commands that the sender wants carried out
+   * @param commands the commands that the caller wants executed
    */
   Answer respond(WorkerReport report, long token, List<WorkerCommand> commands);
 }
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -8,23 +8,23 @@
 import java.util.Set;
 
 /**
- * One machine as the leader knows it: what it is, the phase that it is in, and what its worker
- * reported last. What is on it is kept by {@link MachineAttempts}, when it was in contact by {@link
+ * One machine as the leader knows it: its description, its phase, and the last report of its
+ * worker. Its attempts are kept by {@link MachineAttempts}, the times of contact by {@link
  * MachineContact}, and its fencing tokens by {@link MachineFencingTokens}.
  */
 public final class Machine {
 
   /** The phases of a machine, from its rental until the cloud has confirmed its return. */
   public enum Phase {
-    /** Rented or named in a record, but its worker has not reported to this leader. */
+    /** Rented or named in a record; its worker has not reported under this term's epoch yet. */
     AWAITING_REPORT,
-    /** Its worker reports. */
+    /** Its worker has reported, and its lease has not expired since. */
     REPORTING,
-    /** Its worker's lease has expired and it has not reported since. */
+    /** Its worker's lease has expired, and it has not reported since. */
     LOST,
-    /** The cloud was asked to take it back. */
+    /** Its return to the cloud is requested. */
     RETURNING,
-    /** The cloud has taken it back: nothing is on it any more, and its name is never used again. */
+    /** The cloud has confirmed its return: nothing runs on it, and its name is never reused. */
     GONE
   }
 
@@ -47,7 +47,7 @@
   private boolean cordoned;
   private boolean listedFailed;
   private long version;
-  private long reports;
+  private long reportCount;
 
   Machine(String name, long nowMs) {
     this.name = name;
@@ -59,15 +59,16 @@
   /** Changes the phase; the only place that does. */
   void transitionTo(Phase next) {
     if (phase == Phase.GONE && next != Phase.GONE) {
-      throw new IllegalStateException(name + ": " + phase + " -> " + next);
+      throw new IllegalStateException(
+          "machine " + name + " can't change from phase " + phase + " to " + next);
     }
     phase = next;
   }
 
   // ---------------------------------------------------------------- description
 
-  /** Sets the machine's type, zone and kind, which may change until its worker has reported. */
-  void describe(String newType, String newZone, boolean newSpot) {
+  /** Sets the machine's type, zone and whether it is a spot instance. */
+  void setDescription(String newType, String newZone, boolean newSpot) {
     if (described && newType.equals(type) && newZone.equals(zone) && newSpot == spot) {
       return;
     }
@@ -78,27 +79,27 @@
     markChanged();
   }
 
-  /** Records that something has changed that placement depends on. */
+  /** Raises the {@link #version()}, since something that placement depends on has changed. */
   public void markChanged() {
     version++;
   }
 
   /**
-   * Returns a number that grows whenever something changes that placement depends on. Sums that
-   * were made at an earlier version are outdated.
+   * Returns a number that grows with each change of something that placement depends on: what was
+   * computed from the machine at a lower version is outdated.
    */
   public long version() {
     return version;
   }
 
-  /** Sets the worker's address; null keeps the known one. */
+  /** Sets the worker's address, host and port; null keeps the known one. */
   void setAddress(String newAddress) {
     if (newAddress != null) {
       address = newAddress;
     }
   }
 
-  /** Returns the name, which the cloud never uses twice. */
+  /** Returns the name, which the cloud gives to no other machine. */
   public String name() {
     return name;
   }
@@ -128,7 +129,7 @@
     return spot;
   }
 
-  /** Returns true once type, zone and kind are known. */
+  /** Returns true once its type, zone and whether it is a spot instance are known. */
   public boolean isDescribed() {
     return described;
   }
@@ -143,33 +144,36 @@
     return contact;
   }
 
-  /** Returns the fencing token for what is sent now: the epoch above, a counter below. */
-  long token(long epoch) {
+  /** Returns the fencing token for what is sent to the machine now in a term's epoch. */
+  long currentToken(long epoch) {
     return tokens.current(epoch);
   }
 
-  /** Returns true if the worker has shown the token without which nothing is concluded or sent. */
+  /**
+   * Returns true if the worker has confirmed the token that is required of it in a term's epoch.
+   * Tasks are placed only on machines whose workers have.
+   */
   boolean isConfirmed(long epoch) {
     return tokens.isConfirmed(epoch);
   }
 
   /**
-   * Returns when this leader and the machine were last in contact, ms, or -1: a report showed that
-   * what was sent before had arrived. That reports arrive shows only that the way from the machine
-   * is open.
+   * Returns when this leader and the machine were last in contact in both directions, ms, or -1 if
+   * never: when a report last showed that what was sent before had arrived. Any other report shows
+   * only that the network path from the machine works.
    */
   public long lastContactAtMs() {
     return contact.lastContactAtMs();
   }
 
-  /** Returns since when there has been no contact, ms: never before this leader knew it. */
+  /** Returns since when there has been no contact, ms: at the earliest when it became known. */
   public long outOfContactSinceMs() {
     return Math.max(contact.lastContactAtMs(), createdAtMs);
   }
 
   // ---------------------------------------------------------------- reports
 
-  /** Returns the session (incarnation number) of the worker in its newest report. */
+  /** Returns the number of the worker's session in its newest report, 0 before the first one. */
   public long session() {
     return session;
   }
@@ -180,28 +184,28 @@
   }
 
   /**
-   * Returns true if a report is later than all that is known. A restarted machine counts sessions
-   * and reports from the start and forgets its tokens: a report that seems later but shows a lower
-   * token is of an earlier incarnation.
+   * Returns true if a report is newer than all that are known. A restarted machine counts sessions
+   * and reports from the start and has forgotten its tokens: a report with a higher number but a
+   * lower token than the known one is of an earlier incarnation of the machine.
    */
   boolean isNewer(WorkerReport report) {
     return new ReportPosition(session, seq).isBefore(report)
-        && report.token() >= tokens.lastShown();
+        && report.token() >= tokens.lastReported();
   }
 
   /**
-   * Returns true if a report can't be of the known incarnation of the machine: it is an old copy,
-   * or the first report after a restart.
+   * Returns true if a report names a lower token than the newest one: it is an old one that was
+   * delivered late or again, or the first after a restart of the machine.
    */
   boolean isOfOtherIncarnation(WorkerReport report) {
-    return report.token() < tokens.lastShown();
+    return report.token() < tokens.lastReported();
   }
 
   /**
-   * Records a report that is newer than all before; what it proves about attempts is for {@link
-   * ReportEvidence}.
+   * Records a report that is newer than all before, except for its tasks, which {@link
+   * AttemptReconciler} applies.
    *
-   * @return the number of the report, to mark the attempts that it shows
+   * @return the number of the report, by which the attempts that it shows are marked
    */
   long onReport(WorkerReport report, long epoch, long nowMs) {
     if (session > 0 && report.session() > session) {
@@ -209,61 +213,60 @@
     }
     session = report.session();
     seq = report.seq();
-    tokens.setLastShown(report.token());
+    tokens.setLastReported(report.token());
     contact.onReport(nowMs, isConfirmed(epoch));
-    boolean interrupted = report.noticeS() != WorkerReport.NO_NOTICE;
-    interruptionAtMs = interrupted ? nowMs + (long) (report.noticeS() * 1000) : -1;
-    return ++reports;
+    boolean hasNotice = report.noticeS() != WorkerReport.NO_NOTICE;
+    interruptionAtMs = hasNotice ? nowMs + (long) (report.noticeS() * 1000) : -1;
+    return ++reportCount;
   }
 
   /**
-   * Records that the machine was restarted: it has answered a probe with an earlier session or
-   * report than was known when the probe was sent. What it reports now is all there is on it; its
-   * sessions begin again.
+   * Records that the machine was restarted: it has answered a command with an earlier session or
+   * report number than was known when the command was sent. Its sessions begin again at 1.
    */
   void onRestarted() {
     session = 0;
     seq = 0;
-    tokens.clearLastShown();
+    tokens.clearLastReported();
     contact.clearSessionChanges();
     clearImages();
   }
 
   /**
-   * Returns true if one of its sessions is over: it has shown a later one under a token of our
+   * Returns true if a session is over: the machine has reported a later one under a token of the
    * epoch. A later session in any other report proves nothing, since the report may be of an
    * earlier incarnation of the machine.
    */
-  boolean hasEndedSession(long ofSession, long epoch) {
-    return session > ofSession && tokens.areOf(epoch);
+  boolean hasEndedSession(long sessionNumber, long epoch) {
+    return session > sessionNumber && tokens.isLastReportedOf(epoch);
   }
 
   // ---------------------------------------------------------------- attempts
 
-  void add(Attempt attempt) {
+  void addAttempt(Attempt attempt) {
     attempts.add(attempt);
   }
 
-  void remove(Attempt attempt) {
+  void removeAttempt(Attempt attempt) {
     attempts.remove(attempt);
   }
 
-  /** Drops an attempt that is proven gone, and adds it to {@code ended} if it was present. */
-  void drop(Attempt attempt, List<Attempt> ended) {
+  /** Drops an attempt that is proven gone; adds it to {@code ended} if it counted as present. */
+  void dropAttempt(Attempt attempt, List<Attempt> ended) {
     attempts.drop(attempt, ended);
   }
 
   /** Drops all attempts, since all are proven gone; returns those that counted as present. */
-  List<Attempt> dropAll() {
+  List<Attempt> dropAllAttempts() {
     return attempts.dropAll();
   }
 
   /** Returns the attempt with that number at a task, or null. */
-  Attempt find(TaskRef task, long attemptNumber) {
+  Attempt findAttempt(TaskRef task, long attemptNumber) {
     return attempts.find(task, attemptNumber);
   }
 
-  /** Returns true if only an answer of its worker can tell whether some attempt is on it. */
+  /** Returns true if for some attempt only a report can tell whether it is on the machine. */
   boolean hasUnconfirmedAttempts() {
     return attempts.hasUnconfirmed();
   }
@@ -273,37 +276,45 @@
     return attempts.all();
   }
 
-  /** Returns true if no attempt may be present on it. */
+  /** Returns true if no attempt is or may be running on it. */
   public boolean isEmpty() {
     return attempts.nonePresent();
   }
 
-  /** Updates the time since when nothing has been on it. */
+  /** Updates {@link #idleSinceMs()} after attempts were added or removed. */
   void updateIdleSince(long nowMs) {
     attempts.updateIdleSince(nowMs);
   }
 
-  /** Returns since when nothing has been on it, reported ends included, ms, or -1. */
+  /**
+   * Returns since when there has been no attempt on it, ms, or -1 while there is one. An ended
+   * attempt counts until the worker has cleared it.
+   */
   public long idleSinceMs() {
     return attempts.idleSinceMs();
   }
 
-  // ---------------------------------------------------------------- use
+  // ---------------------------------------------------------------- images, failures and cordons
 
-  /** Records that an image is cached on it; {@code machineType} is null if it is not known. */
+  /**
+   * Records that an image is cached on it.
+   *
+   * @param gb the image's size, GB
+   * @param machineType its type, or null if that is not known
+   */
   void recordCachedImage(String image, double gb, MachineType machineType) {
     if (images.recordUse(image, gb, machineType)) {
       markChanged();
     }
   }
 
-  /** Forgets the cached images. */
+  /** Forgets which images it has cached. */
   void clearImages() {
     images.clear();
     markChanged();
   }
 
-  /** Returns the names of the images that it has cached, as far as is known. */
+  /** Returns the names of the images that it has cached, as far as this leader knows. */
   public Set<String> cachedImages() {
     return images.names();
   }
@@ -320,12 +331,12 @@
     cordoned = false;
   }
 
-  /** Returns true if it gets no new tasks. */
+  /** Returns true if no new tasks are placed on it. */
   public boolean isCordoned() {
     return cordoned;
   }
 
-  /** Returns when its spot interruption notice runs out, ms, or -1 if it has none. */
+  /** Returns when the cloud takes back this spot instance, ms, or -1 without such a notice. */
   public long interruptionAtMs() {
     return interruptionAtMs;
   }
--- a/src/main/java/fennelthread/fleet/MachineAttempts.java
+++ b/src/main/java/fennelthread/fleet/MachineAttempts.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The attempts on one machine, in the order in which they became known. */
+/**
+ * The attempts on one machine, in the order in which they became known. Ended ones stay until they
+ * are proven gone.
+ */
 final class MachineAttempts {
 
   /** Called when the set of attempts changes. */
@@ -36,7 +39,7 @@
     onChange.onChange();
   }
 
-  /** Drops an attempt that is proven gone, and adds it to {@code ended} if it was present. */
+  /** Drops an attempt that is proven gone; adds it to {@code ended} if it counted as present. */
   void drop(Attempt attempt, List<Attempt> ended) {
     boolean wasPresent = attempt.mayBePresent();
     attempt.transitionTo(Attempt.Phase.GONE);
@@ -65,7 +68,7 @@
     return attempts.values();
   }
 
-  /** Returns true if only an answer of the worker can tell whether some attempt is present. */
+  /** Returns true if for some attempt only a report can tell whether it is present. */
   boolean hasUnconfirmed() {
     for (Attempt attempt : attempts.values()) {
       if (attempt.phase() == Attempt.Phase.UNCONFIRMED) {
@@ -75,7 +78,7 @@
     return false;
   }
 
-  /** Returns true if no attempt may be present. */
+  /** Returns true if no attempt is or may be present. */
   boolean nonePresent() {
     for (Attempt attempt : attempts.values()) {
       if (attempt.mayBePresent()) {
@@ -85,7 +88,7 @@
     return true;
   }
 
-  /** Updates the time since when there has been no attempt, ended ones included. */
+  /** Updates {@link #idleSinceMs()} after attempts were added or removed. */
   void updateIdleSince(long nowMs) {
     if (!attempts.isEmpty()) {
       idleSinceMs = -1;
@@ -94,7 +97,7 @@
     }
   }
 
-  /** Returns since when there has been no attempt, ms, or -1. */
+  /** Returns since when there has been no attempt, not even an ended one, ms, or -1. */
   long idleSinceMs() {
     return idleSinceMs;
   }
--- a/src/main/java/fennelthread/fleet/MachineContact.java
+++ b/src/main/java/fennelthread/fleet/MachineContact.java
@@ -5,8 +5,9 @@
 import java.util.Deque;
 
 /**
- * When one leader and a machine's worker last communicated, and by which path. All times are in ms;
- * they are in the far past where something has not happened yet, or -1 where a method says so.
+ * The times at which a leader and the worker of one machine last communicated, and the member
+ * through which reports arrive. All times are ms of the event loop's clock. For something that has
+ * not happened yet they lie in the far past, or are -1 where a method says so.
  */
 final class MachineContact {
 
@@ -23,7 +24,7 @@
   private long nextProbeAtMs = Long.MIN_VALUE;
   private long unreachableAtMs = Long.MIN_VALUE / 2;
 
-  /** Creates the contact to a machine that is known from now on. */
+  /** Creates the record for a machine that becomes known now. */
   MachineContact(long nowMs) {
     this.leaseStartMs = nowMs;
     this.reportAnsweredAtMs = nowMs;
@@ -31,10 +32,10 @@
 
   // ---------------------------------------------------------------- reports
 
-  /** Records a report; {@code confirmed} says whether it shows that what was sent has arrived. */
-  void onReport(long nowMs, boolean confirmed) {
+  /** Records a report; {@code isConfirmed} is true if it shows that what was sent has arrived. */
+  void onReport(long nowMs, boolean isConfirmed) {
     lastReportAtMs = nowMs;
-    if (confirmed) {
+    if (isConfirmed) {
       lastContactAtMs = nowMs;
       unacknowledgedSinceMs = -1;
     }
@@ -50,7 +51,7 @@
     return lastContactAtMs;
   }
 
-  /** Records that a report shows a later session: no answer had arrived for a lease. */
+  /** Records that a report names a later session: no answer has reached the worker for a lease. */
   void onSessionChange(long nowMs) {
     sessionChanges.add(nowMs);
     if (sessionChanges.size() > FleetConstants.SESSION_CHANGES_KEPT) {
@@ -58,7 +59,7 @@
     }
   }
 
-  /** Returns how often the session has changed since that time. */
+  /** Returns how often the session has changed since a time, of the changes that are kept. */
   int sessionChangesSince(long sinceMs) {
     int count = 0;
     for (long changedAtMs : sessionChanges) {
@@ -67,61 +68,62 @@
     return count;
   }
 
-  /** Forgets the session changes of a machine that was restarted: its sessions begin again. */
+  /** Forgets the session changes, since the machine was restarted and its sessions begin again. */
   void clearSessionChanges() {
     sessionChanges.clear();
   }
 
   /**
-   * Records through which member a report arrived: a worker that was answered stays with the
-   * controller that it reports to.
+   * Records through which member a report arrived. A worker reports to the same controller as long
+   * as it is answered, so a change may mean that an answer was lost.
    *
-   * @return true if it is another one than before
+   * @return true if the previous report arrived through another member
    */
   boolean observeReportPath(String member) {
-    boolean changed = reportPath != null && !reportPath.equals(member);
+    boolean hasChanged = reportPath != null && !reportPath.equals(member);
     reportPath = member;
-    return changed;
+    return hasChanged;
   }
 
   // ---------------------------------------------------------------- answers and leases
 
-  /** Records that an answer is about to leave under a token that the worker has not shown. */
+  /** Records that an answer is about to be sent while the worker has not confirmed its token. */
   void onUnacknowledgedAnswer(long nowMs) {
     if (unacknowledgedSinceMs < 0) {
       unacknowledgedSinceMs = nowMs;
     }
   }
 
-  /** Returns since when answers have left without any sign that one has arrived, or -1. */
+  /** Returns since when answers have been sent without proof that one has arrived, or -1. */
   long unacknowledgedSinceMs() {
     return unacknowledgedSinceMs;
   }
 
-  /** Records that a report which the machine sent by itself is about to be answered with 200. */
+  /** Records that one of the worker's own reports is about to be answered with 200. */
   void onReportAnswered(long nowMs) {
     extendLeaseStart(nowMs);
     reportAnsweredAtMs = nowMs;
   }
 
   /**
-   * Returns when this leader last answered a report that the machine sent by itself, or first knew
-   * the machine. Answers to commands don't count: they show that the machine runs, not that its
-   * lease is renewed.
+   * Returns when this leader last answered one of the worker's own reports, or when the machine
+   * became known. The worker's answers to commands don't count: they show that the machine runs,
+   * but they don't renew its lease.
    */
   long reportAnsweredAtMs() {
     return reportAnsweredAtMs;
   }
 
-  /** Records that a lease may have begun just now, with a new session. */
+  /** Records that the worker may have begun a new session, and with it a new lease, just now. */
   void onLeaseBegan(long nowMs) {
     extendLeaseStart(nowMs);
   }
 
   /**
-   * Records that a start is sent to the machine on a connection that is opened until then. The
-   * start may reach an incarnation that began a moment before, of which no report has arrived and
-   * whose lease counts from there: what runs in it must not be taken for ended with the one before.
+   * Records that a start is sent to the machine, on a connection that opens by {@code
+   * connectedUntilMs} at the latest. The start may reach an incarnation that began just before that
+   * and has not reported yet. Its lease counts from its beginning, so the attempt must not be taken
+   * for ended when a lease that counts from the last report would be over.
    */
   void onStartSent(long connectedUntilMs) {
     extendLeaseStart(connectedUntilMs);
@@ -131,58 +133,60 @@
     leaseStartMs = Math.max(leaseStartMs, atMs);
   }
 
-  /** Returns the latest time that its lease counts from, as far as this leader's acts go. */
+  /**
+   * Returns the latest time from which the machine's lease may count, as far as this leader knows.
+   */
   long leaseStartMs() {
     return leaseStartMs;
   }
 
   // ---------------------------------------------------------------- probes and connections
 
-  /** Records that it was asked whether it was restarted. */
+  /** Records that the machine is asked whether it was restarted. */
   void onRestartQuery(long nowMs) {
     restartQueriedAtMs = nowMs;
   }
 
-  /** Returns when it was last asked whether it was restarted. */
+  /** Returns when the machine was last asked whether it was restarted. */
   long restartQueriedAtMs() {
     return restartQueriedAtMs;
   }
 
-  void setProbing(boolean underWay) {
-    probing = underWay;
+  void setProbing(boolean isInFlight) {
+    probing = isInFlight;
   }
 
-  /** Returns true while a probe of it is under way. */
+  /** Returns true while a probe of the machine is in flight. */
   boolean isProbing() {
     return probing;
   }
 
-  /** Records that a probe which was sent then was not answered. */
+  /** Records that the probe which was sent at {@code sentAtMs} was not answered. */
   void onProbeFailed(long sentAtMs) {
     failedProbeSentAtMs = sentAtMs;
   }
 
   /** Returns true if a probe that was sent after the last contact was not answered. */
-  boolean probeFailed() {
+  boolean hasProbeFailed() {
     return failedProbeSentAtMs > lastContactAtMs;
   }
 
-  /** Suppresses probes until then: none is worth a connection before. */
+  /** Suppresses probes until a time: an earlier one is not worth a connection. */
   void suppressProbesUntil(long atMs) {
     nextProbeAtMs = atMs;
   }
 
-  /** Returns the time from which on it may be probed. */
+  /** Returns the time from which the machine may be probed again. */
   long nextProbeAtMs() {
     return nextProbeAtMs;
   }
 
-  /** Records that no connection to it could be opened. */
+  /** Records that no connection to the machine could be opened. */
   void onUnreachable(long nowMs) {
     unreachableAtMs = nowMs;
   }
 
-  /** Returns when a connection to it last failed to open. */
+  /** Returns when a connection to the machine last failed to open. */
   long unreachableAtMs() {
     return unreachableAtMs;
   }
--- a/src/main/java/fennelthread/fleet/MachineFencingTokens.java
+++ b/src/main/java/fennelthread/fleet/MachineFencingTokens.java
@@ -4,22 +4,22 @@
 import fennelthread.wire.WorkerReport;
 
 /**
- * The fencing tokens of one machine: the epoch in the high bits, below it a counter that is raised
- * when it is not known whether what was sent before has arrived. A worker refuses commands under a
- * lower token than it has seen.
+ * The fencing tokens of one machine. A token holds the epoch in its high bits and below them a
+ * counter, which is raised when it is unknown whether what was sent before has arrived. A worker
+ * refuses commands under a lower token than it has seen.
  */
 final class MachineFencingTokens {
   private long counter;
   private long requiredCounter;
   private long raisedForClearsAtMs = Long.MIN_VALUE / 2;
-  private long lastShown = -1;
+  private long lastReported = -1;
 
   /** Returns the epoch of a token. */
   private static long epochOf(long token) {
     return token >> ProtocolConstants.TOKEN_BITS;
   }
 
-  /** Returns the epoch of the token that a report shows. */
+  /** Returns the epoch of the token that a report names. */
   static long epochOf(WorkerReport report) {
     return epochOf(report.token());
   }
@@ -29,14 +29,14 @@
     return epoch << ProtocolConstants.TOKEN_BITS;
   }
 
-  /** Returns the token for what is sent to the machine now. */
+  /** Returns the token for what is sent to the machine now in a term's epoch. */
   long current(long epoch) {
     return firstOf(epoch) + counter;
   }
 
   /**
-   * Raises the token, since what was sent before may not have arrived: from now on only a report
-   * under the raised token counts.
+   * Raises the token, since what was sent before may not have arrived or may arrive later. The
+   * worker counts as unconfirmed until a report names the raised token.
    */
   void raise() {
     counter++;
@@ -44,42 +44,45 @@
   }
 
   /**
-   * Raises the token for clears. What was started under a lower one can't be started again by a
-   * command that arrives a second time, which the worker would not know for one after the clear.
-   * Nothing has to be awaited.
+   * Raises the token for clear commands. After a clear the worker has forgotten the attempt, and
+   * would execute its start again if that were delivered a second time; the raised token makes it
+   * refuse the start. The worker stays confirmed, since nothing depends on when the token arrives.
    */
   void raiseForClears(long nowMs) {
     counter++;
     raisedForClearsAtMs = nowMs;
   }
 
-  /** Returns when the token was last raised for clears, ms. */
+  /** Returns when the token was last raised for clears, ms; in the far past if never. */
   long raisedForClearsAtMs() {
     return raisedForClearsAtMs;
   }
 
-  /** Sets the token that the newest report showed. */
-  void setLastShown(long token) {
-    lastShown = token;
+  /** Sets the token that the newest report names. */
+  void setLastReported(long token) {
+    lastReported = token;
   }
 
-  /** Forgets what was shown, since the machine was restarted. */
-  void clearLastShown() {
-    lastShown = -1;
+  /** Forgets the reported token, since the machine was restarted. */
+  void clearLastReported() {
+    lastReported = -1;
   }
 
-  /** Returns the token that the newest report showed, or -1. */
-  long lastShown() {
-    return lastShown;
+  /** Returns the token that the newest report names, or -1 if there is none. */
+  long lastReported() {
+    return lastReported;
   }
 
-  /** Returns true if the newest report showed a token of this epoch: it is no copy from before. */
-  boolean areOf(long epoch) {
-    return epochOf(lastShown) == epoch;
+  /** Returns true if the newest report names a token of an epoch, so was sent in that term. */
+  boolean isLastReportedOf(long epoch) {
+    return epochOf(lastReported) == epoch;
   }
 
-  /** Returns true if the worker has shown the token without which nothing is concluded or sent. */
+  /**
+   * Returns true if the newest report names at least the token that is required: that of the last
+   * {@link #raise}, or without one the lowest of the epoch.
+   */
   boolean isConfirmed(long epoch) {
-    return lastShown >= firstOf(epoch) + requiredCounter;
+    return lastReported >= firstOf(epoch) + requiredCounter;
   }
 }
--- a/src/main/java/fennelthread/fleet/MachineProbes.java
+++ b/src/main/java/fennelthread/fleet/MachineProbes.java
@@ -10,35 +10,36 @@
 import java.util.Set;
 
 /**
- * Probes machines: asks workers what is on them by commands that hold nothing but our fencing
- * token. The number of probes under way is limited; machines on whose answer a task's next start
- * depends come first.
+ * Probes machines. A probe is a request without commands that carries the current fencing token;
+ * the worker answers with a report of what is on its machine. The number of probes in flight is
+ * limited; machines whose attempts are unconfirmed come first, since the next start of those tasks
+ * depends on the answer.
  */
 final class MachineProbes {
   private final FleetContext context;
   private final WorkerResponseListener listener;
   private final Set<Machine> waiting = new LinkedHashSet<>();
-  private int underWay;
+  private int inFlight;
 
   MachineProbes(FleetContext context, WorkerResponseListener listener) {
     this.context = context;
     this.listener = listener;
   }
 
-  /** Probes a machine as soon as the limit allows. */
+  /** Probes a machine, as soon as the limit allows. */
   void probe(Machine machine) {
     if (canBeProbed(machine) && waiting.add(machine)) {
       sendWaiting();
     }
   }
 
-  /** Probes a machine from which something is missing, if its answer is worth a connection. */
+  /** Probes a machine that is overdue or unconfirmed, if its answer is worth a connection. */
   void probeIfNeeded(Machine machine) {
-    // A machine that has never reported is mostly still booting: probing it only ties up sockets,
-    // hundreds of them once, so that starts found no connection. Its worker reports by itself.
-    boolean worthAsking =
+    // A machine that has never reported is usually still booting, and its worker will report by
+    // itself. Probing hundreds of them would take the connections that starts need.
+    boolean isWorthProbing =
         machine.phase() == Machine.Phase.REPORTING || machine.hasUnconfirmedAttempts();
-    if (worthAsking && isStale(machine)) {
+    if (isWorthProbing && isStale(machine)) {
       probe(machine);
     }
   }
@@ -57,8 +58,8 @@
 
   private void sendWaiting() {
     int maxOutbound = context.settings().mostOutbound();
-    int maxUnderWay = Math.max(2, (int) (maxOutbound * FleetConstants.PROBE_CONNECTION_SHARE));
-    while (!context.isClosed() && underWay < maxUnderWay && !waiting.isEmpty()) {
+    int maxInFlight = Math.max(2, (int) (maxOutbound * FleetConstants.PROBE_CONNECTION_SHARE));
+    while (!context.isClosed() && inFlight < maxInFlight && !waiting.isEmpty()) {
       Machine next = mostUrgent();
       waiting.remove(next);
       if (canBeProbed(next) && isStale(next)) {
@@ -76,14 +77,19 @@
     return waiting.iterator().next();
   }
 
-  /** Probes a machine at once, at that address and as if its worker were in that session. */
+  /**
+   * Probes a machine at once, regardless of the limit.
+   *
+   * @param address the address to send the probe to
+   * @param session the session that the worker is assumed to be in
+   */
   void send(Machine machine, String address, long session) {
     machine.contact().setProbing(true);
-    underWay++;
+    inFlight++;
     long sentAtMs = context.nowMs();
     ReportPosition known = ReportPosition.of(machine);
-    long token = machine.token(context.epoch());
-    Call call = CommandQueue.commandCall(token, Math.max(1, session), List.of()).asSpare();
+    long token = machine.currentToken(context.epoch());
+    Call call = DueCommandSender.commandCall(token, Math.max(1, session), List.of()).asSpare();
     context
         .transport()
         .send(
@@ -92,22 +98,24 @@
             call,
             ControlConstants.PROBE_TIMEOUT_MS,
             answer -> onOutcome(machine, sentAtMs, known, answer, true),
-            tried -> onOutcome(machine, sentAtMs, known, null, tried));
+            wasTried -> onOutcome(machine, sentAtMs, known, null, wasTried));
   }
 
   private void onOutcome(
-      Machine machine, long sentAtMs, ReportPosition known, Answer answer, boolean tried) {
+      Machine machine, long sentAtMs, ReportPosition known, Answer answer, boolean wasTried) {
     machine.contact().setProbing(false);
-    underWay--;
-    if (answer == null && tried) {
-      // Being short of sockets ourselves says nothing of the machine, which would be returned.
+    inFlight--;
+    if (answer == null && wasTried) {
+      // If this process has no connection left, that says nothing about the machine, which might be
+      // returned for a failed probe.
       machine.contact().onProbeFailed(sentAtMs);
     }
     if (answer == null) {
-      // Its worker reports by itself as soon as it can: probing on and on only costs connections.
+      // The worker reports by itself as soon as it can: repeated probes would only cost
+      // connections.
       machine.contact().suppressProbesUntil(context.nowMs() + FleetConstants.PROBE_RETRY_DELAY_MS);
     }
-    WorkerReport report = CommandQueue.reportIn(answer);
+    WorkerReport report = DueCommandSender.reportIn(answer);
     if (!context.isClosed() && report != null) {
       listener.onResponse(machine, report, known);
     }
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -18,15 +18,15 @@
 
 /**
  * Scales the fleet out and in for one term: reads the cloud's machine list, machine types and
- * prices, rents what is short and returns what is broken or idle.
+ * prices, rents machines when capacity is short, and returns those that are broken or idle.
  *
- * <p>The cloud's list is old: a rented machine counts although it is not listed yet, and a machine
- * that the list lacks is not taken for gone.
+ * <p>The cloud's list lags behind: a rented machine counts although it is not listed yet, and a
+ * machine that is missing from the list is not taken for gone.
  */
 public final class MachineProvisioner {
   private static final Logger log = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  /** Receives the machine types and prices whenever they were read from the cloud. */
+  /** Receives the machine types and prices each time that they are read from the cloud. */
   @FunctionalInterface
   public interface MachineTypesListener {
     /** Called with all types, at least one. */
@@ -49,14 +49,14 @@
   private boolean renting;
   private boolean listing;
   private boolean listedOnce;
-  private long requestSeq;
+  private long rentalsRequested;
 
   /**
    * Creates the provisioner of one term; {@link #start} begins its work.
    *
-   * @param requestPrefix makes the names of rental requests unique for ever
-   * @param machineTypes the machine types that are known from before, by name
-   * @param machineTypesListener receives the types whenever they were read from the cloud
+   * @param requestPrefix the first part of the names of rental requests, which no other term uses
+   * @param machineTypes the machine types that are already known, by name
+   * @param machineTypesListener receives the types each time that they are read from the cloud
    */
   public MachineProvisioner(
       ProvisioningContext context,
@@ -76,13 +76,13 @@
     this.booting = new BootingMachines(fleet);
   }
 
-  /** Begins to read the machine list and the machine types at their intervals. */
+  /** Reads the machine list and the machine types, now and then periodically. */
   public void start() {
     listMachines();
     fetchMachineTypes();
   }
 
-  /** Ends the term: nothing is read, rented or returned any more. */
+  /** Ends the term: no more requests are sent to the cloud. */
   public void close() {
     closed = true;
     returns.close();
@@ -140,18 +140,18 @@
       return;
     }
     Machine machine = fleet.getOrAddMachine(entry.name(), entry.address());
-    fleet.describeIfUnknown(machine, entry.type(), entry.zone(), entry.spot());
+    fleet.setDescriptionIfUnknown(machine, entry.type(), entry.zone(), entry.spot());
     if (entry.state().equals(MachineEntry.FAILED)) {
       machine.setListedFailed();
     } else if (machine.phase() == Machine.Phase.AWAITING_REPORT) {
-      // Rented by a predecessor, or by a request of ours that was executed late. What is listed as
-      // up has all the time to report to us: after a failover most of an old fleet is listed before
-      // it reports, and a new leader once returned 62 machines with their tasks, a second after its
-      // claim. What is listed as starting goes on from its age, or each change of leader would
-      // postpone its end anew.
+      // Rented in an earlier term, or by a request of this term that was executed late. The boot
+      // timeout of a machine that is listed as up begins now: after a failover most of an old fleet
+      // is listed before it reports, and if its age counted, the new leader would return it with
+      // its tasks (62 machines, a second after the claim, in one case). That of a machine that is
+      // listed as starting counts from its request, or each change of leader would extend it.
       long nowMs = eventLoop.nowMs();
-      boolean starting = entry.state().equals(MachineEntry.STARTING);
-      long requestedAtMs = starting ? nowMs - (long) (entry.ageS() * 1000) : nowMs;
+      boolean isStarting = entry.state().equals(MachineEntry.STARTING);
+      long requestedAtMs = isStarting ? nowMs - (long) (entry.ageS() * 1000) : nowMs;
       MachineKind kind = new MachineKind(entry.type(), entry.zone(), entry.spot());
       booting.addListed(entry.name(), kind, requestedAtMs, nowMs);
     }
@@ -159,13 +159,14 @@
 
   // ---------------------------------------------------------------- periodic decisions
 
-  /** Records the demand of the moment, CPUs. */
+  /** Records the current demand, CPUs. */
   public void recordDemand(double cpus) {
     demand.record(cpus, eventLoop.nowMs());
   }
 
   /**
-   * Returns what is broken or long idle, and rents what is short.
+   * Returns machines that are broken or idle for long, and rents machines if capacity is short. To
+   * be called periodically.
    *
    * @param unplaced the tasks for which the last round found no capacity, in scheduling order
    */
@@ -185,7 +186,7 @@
 
   private void returnStuck(long nowMs) {
     if (cloud.isBackingOff() || context.stalls().isListening()) {
-      // Machines may have come up during a stall of ours, and their reports wait to be read.
+      // Reports of machines that came up during a stall of this process may still be unread.
       return;
     }
     long leaseMs = context.settings().workers().leaseMs();
@@ -215,10 +216,10 @@
             unplaced,
             demand.peakCpus(),
             kind -> capacity.isRefused(kind, nowMs))
-        .ifPresent(request -> rent(request, requestPrefix + "-" + ++requestSeq, 0));
+        .ifPresent(request -> rent(request, requestPrefix + "-" + ++rentalsRequested, 0));
   }
 
-  /** Returns the machines that are up or may be counted on. */
+  /** Returns the machines that are usable or expected to come up. */
   private ScaleOutPolicy.Stock currentStock(long nowMs) {
     Set<String> expected = booting.expected(machineTypes, nowMs);
     List<MachineKind> expectedKinds = new ArrayList<>();
@@ -243,11 +244,11 @@
   private boolean isUsable(Machine machine) {
     return machine.phase() == Machine.Phase.REPORTING
         && !machine.isCordoned()
-        && !fleet.isUnanswered(machine)
+        && !fleet.areReportsUnanswered(machine)
         && machine.interruptionAtMs() < 0;
   }
 
-  private void rent(ScaleOutPolicy.Request request, String requestName, int retries) {
+  private void rent(ScaleOutPolicy.RentalRequest request, String requestName, int retries) {
     renting = true;
     MachineKind kind = request.kind();
     cloud.rentMachines(
@@ -261,11 +262,11 @@
   }
 
   private void onRentalResult(
-      ScaleOutPolicy.Request request,
+      ScaleOutPolicy.RentalRequest request,
       String requestName,
       int retries,
       CloudClient.RentalResult result) {
-    if (result instanceof CloudClient.RentalResult.Machines rented) {
+    if (result instanceof CloudClient.RentalResult.Rented rented) {
       onRented(request, rented.names());
     } else if (result instanceof CloudClient.RentalResult.NoCapacity) {
       capacity.onRefused(request.kind(), eventLoop.nowMs());
@@ -274,7 +275,7 @@
     }
   }
 
-  private void onRented(ScaleOutPolicy.Request request, List<String> names) {
+  private void onRented(ScaleOutPolicy.RentalRequest request, List<String> names) {
     long nowMs = eventLoop.nowMs();
     MachineKind kind = request.kind();
     log.info(
@@ -286,7 +287,7 @@
         kind.spot());
     for (String name : names) {
       Machine machine = fleet.getOrAddMachine(name, null);
-      fleet.describeIfUnknown(machine, kind.type(), kind.zone(), kind.spot());
+      fleet.setDescriptionIfUnknown(machine, kind.type(), kind.zone(), kind.spot());
       if (machine.phase() == Machine.Phase.AWAITING_REPORT) {
         booting.addRented(name, kind, nowMs);
       }
@@ -297,8 +298,8 @@
     }
   }
 
-  /** Repeats a request under its name: if the first was executed, this one rents nothing more. */
-  private void retryRental(ScaleOutPolicy.Request request, String requestName, int retries) {
+  /** Repeats a request under its name, so that it rents nothing if it was executed before. */
+  private void retryRental(ScaleOutPolicy.RentalRequest request, String requestName, int retries) {
     renting = true;
     eventLoop.after(
         FleetConstants.RENTAL_RETRY_MS,
--- a/src/main/java/fennelthread/fleet/MachineReadiness.java
+++ b/src/main/java/fennelthread/fleet/MachineReadiness.java
@@ -3,7 +3,10 @@
 import fennelthread.constants.FleetConstants;
 import fennelthread.constants.RelayConstants;
 
-/** Decides from a machine's contact with this leader whether it can be given tasks. */
+/**
+ * Decides from a machine's contact with this leader whether tasks may be placed on it, and whether
+ * its lease is being renewed.
+ */
 final class MachineReadiness {
   private final FleetContext context;
   private final ZoneHealth zones;
@@ -14,8 +17,8 @@
   }
 
   /**
-   * Returns true if the machine can be given tasks: in contact lately, confirmed under this term's
-   * fencing token, and renewing its lease.
+   * Returns true if tasks may be placed on the machine: it is in service, was in contact lately,
+   * has confirmed this term's fencing token, renews its lease, and its zone is healthy.
    */
   boolean isReady(Machine machine) {
     long nowMs = context.nowMs();
@@ -31,8 +34,8 @@
   }
 
   /**
-   * Returns true if the machine was in contact lately and renews its lease. A machine that only
-   * carries out commands loses its tasks when its lease expires, whatever it is sent.
+   * Returns true if the machine was in contact lately and its own reports are answered. One that
+   * only executes commands does not renew its lease, and loses its tasks when that expires.
    */
   private boolean isRenewingLease(Machine machine, long nowMs) {
     double maxSilenceMs = context.reportMs() * RelayConstants.SILENT_REPORTS;
@@ -41,8 +44,8 @@
   }
 
   /**
-   * Returns true if lease after lease has expired on a machine although it reports: what is started
-   * there now would end like the rest.
+   * Returns true if a machine's lease has expired several times lately, although it reports: tasks
+   * that are started there would end with the next expiry.
    */
   private boolean hasUnstableSessions(Machine machine, long nowMs) {
     long leaseMs = context.leaseMs();
@@ -53,16 +56,16 @@
   }
 
   /**
-   * Returns true if none of the machine's own reports was answered for so long that its lease must
-   * be over, though it may carry out commands.
+   * Returns true if none of the machine's own reports was answered for longer than a lease lasts:
+   * its lease has expired, although it may still execute commands.
    */
-  boolean isUnanswered(Machine machine) {
+  boolean areReportsUnanswered(Machine machine) {
     return context.nowMs() - machine.contact().reportAnsweredAtMs() > context.maxLeaseMs();
   }
 
   /**
-   * Returns true if the machine's leases have expired again and again: answers do not reach it, and
-   * it is of no use.
+   * Returns true if the machine's lease has expired so often lately that it is to be returned:
+   * answers do not reach it, so no task can run there for long.
    */
   boolean isLosingLeases(Machine machine) {
     long fromMs = context.nowMs() - context.leaseMs() * FleetConstants.SESSION_CHANGE_LEASES;
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -10,12 +10,12 @@
 
 /**
  * Scales in: decides which machines are returned to the cloud and sends the requests. The cloud's
- * answer proves that nothing is on a machine any more.
+ * confirmation proves that nothing runs on a machine any more.
  */
 final class MachineReturns {
   private static final Logger log = LoggerFactory.getLogger(MachineReturns.class);
 
-  /** Receives each machine that the cloud has confirmed to be gone. */
+  /** Receives each machine whose return the cloud has confirmed. */
   @FunctionalInterface
   interface ReturnListener {
     void onReturned(Machine machine);
@@ -32,7 +32,7 @@
   private final Set<String> revocable = new LinkedHashSet<>();
   private final Set<String> returning = new LinkedHashSet<>();
   private boolean closed;
-  private boolean requestUnderWay;
+  private boolean requestInFlight;
   private long manySilentAtMs = Long.MIN_VALUE / 2;
 
   MachineReturns(ProvisioningContext context, ReturnListener listener) {
@@ -46,12 +46,12 @@
     this.aggregatedLog = new AggregatedLog(context.eventLoop(), log::info);
   }
 
-  /** Ends the term: answers that are still under way change nothing. */
+  /** Ends the term: answers that arrive from now on are ignored. */
   void close() {
     closed = true;
   }
 
-  /** Selects the machines that are silent, unanswered, broken or long idle. */
+  /** Selects the machines to return: those that are silent, unanswered, broken or idle for long. */
   void selectMachines(long nowMs) {
     selectSilent(nowMs);
     selectUnanswered(nowMs);
@@ -69,10 +69,10 @@
   }
 
   /**
-   * Selects silent machines. One that neither reports nor answers is most likely dead, and the
-   * cloud's answer to a return proves its tasks gone long before its lease does. Not if many are
-   * silent at once: then the fault is probably ours, or their zone's, where a controller may be
-   * renewing their leases.
+   * Selects silent machines. One that neither reports nor answers probes is most likely dead, and
+   * the cloud's confirmation of its return proves its tasks gone long before its lease expires.
+   * None is selected while many are silent at once: then the fault is probably this controller's,
+   * or that of their zone, where another controller may be renewing their leases.
    */
   private void selectSilent(long nowMs) {
     if (cloud.isBackingOff() || context.stalls().isListening()) {
@@ -81,10 +81,10 @@
     List<Machine> silent = new ArrayList<>();
     int known = 0;
     for (Machine machine : fleet.machines()) {
-      // A machine that the predecessor used and that has not answered us may have died or been cut
-      // off just before the failover.
-      boolean inherited = machine.phase() == Machine.Phase.AWAITING_REPORT && !machine.isEmpty();
-      if ((machine.phase() == Machine.Phase.REPORTING || inherited)
+      // A machine with tasks of an earlier term that has not reported in this one may have failed
+      // or been cut off just before the failover.
+      boolean isInherited = machine.phase() == Machine.Phase.AWAITING_REPORT && !machine.isEmpty();
+      if ((machine.phase() == Machine.Phase.REPORTING || isInherited)
           && !zones.isUnreachable(machine)) {
         known++;
         if (nowMs - machine.outOfContactSinceMs()
@@ -98,7 +98,7 @@
       return;
     }
     for (Machine machine : silent) {
-      if (machine.contact().probeFailed()
+      if (machine.contact().hasProbeFailed()
           && !machine.isEmpty()
           && nowMs - silentSinceMs(machine) > leaseMs * FleetConstants.MAX_SILENCE_LEASE_SHARE) {
         beginRevocableReturn(machine, ReturnReason.SILENT);
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Returns since when a machine's silence counts, ms: once most of the fleet or its zone is in
-   * contact again, the others have as long as ever to be in contact too.
+   * Returns since when a machine's silence counts, ms. It counts anew from when most of the fleet,
+   * or of the machine's zone, is in contact again, so that the rest has time to be in contact too.
    */
   private long silentSinceMs(Machine machine) {
     return Math.max(
@@ -117,10 +117,10 @@
   }
 
   /**
-   * Selects machines that carry out commands while none of their own reports arrives. They are of
-   * no use, since each lease expires there, and nothing is lost with them once their tasks are
-   * proven gone. Not if many are unanswered at once: that ends for all of them together, and they
-   * would be missed.
+   * Selects machines that execute commands while none of their own reports arrives. No task can run
+   * there for long, since their leases are not renewed; they are returned once their tasks are
+   * proven gone. None is selected while many are unanswered at once: such a fault ends for all of
+   * them together, and then their capacity is needed.
    */
   private void selectUnanswered(long nowMs) {
     if (context.stalls().isListening()) {
@@ -129,11 +129,11 @@
     List<Machine> unanswered = new ArrayList<>();
     int known = 0;
     for (Machine machine : fleet.machines()) {
-      boolean up =
+      boolean isUp =
           machine.phase() == Machine.Phase.REPORTING || machine.phase() == Machine.Phase.LOST;
-      if (up && !zones.isUnreachable(machine)) {
+      if (isUp && !zones.isUnreachable(machine)) {
         known++;
-        if (fleet.isUnanswered(machine)) {
+        if (fleet.areReportsUnanswered(machine)) {
           unanswered.add(machine);
         }
       }
@@ -154,7 +154,7 @@
     return selected.size() > Math.max(1, known * FleetConstants.MAX_SILENT_SHARE);
   }
 
-  /** Returns why a single machine is returned, or NONE if it stays. */
+  /** Returns why a machine is to be returned, judged by itself, or NONE if it stays. */
   private ReturnReason reasonToReturn(Machine machine, long nowMs) {
     if (isLost(machine, nowMs)) {
       return ReturnReason.LEASE_EXPIRED;
@@ -177,12 +177,12 @@
   }
 
   private boolean isLost(Machine machine, long nowMs) {
-    boolean silent =
+    boolean isSilent =
         nowMs - machine.lastContactAtMs() > leaseMs + FleetConstants.LOST_RETURN_DELAY_MS;
-    return machine.phase() == Machine.Phase.LOST && silent && zones.mayReturnLost(machine, nowMs);
+    return machine.phase() == Machine.Phase.LOST && isSilent && zones.mayReturnLost(machine, nowMs);
   }
 
-  /** Returns true if a spot interruption notice has run out and the machine is silent since. */
+  /** Returns true if a spot instance's interruption notice has expired and it no longer reports. */
   private boolean isInterrupted(Machine machine, long nowMs) {
     return machine.interruptionAtMs() >= 0
         && nowMs > machine.interruptionAtMs()
@@ -195,30 +195,33 @@
         && nowMs - machine.idleSinceMs() > context.options().idleReturnMs();
   }
 
-  /** Returns a machine whatever the cloud answers: requests are repeated until it confirms. */
+  /**
+   * Selects a machine for return. Unless the return is revocable, requests are repeated until the
+   * cloud confirms it.
+   */
   private void beginReturn(Machine machine, ReturnReason reason) {
     aggregatedLog.add("machine return requested reason=" + reason.logValue(), machine.name(), 1);
     fleet.beginReturn(machine);
     returning.add(machine.name());
   }
 
-  /** Returns a machine that stays in service if the cloud refuses to take it. */
+  /** Selects a machine for return that goes back into service if the cloud refuses the request. */
   void beginRevocableReturn(Machine machine, ReturnReason reason) {
     revocable.add(machine.name());
     beginReturn(machine, reason);
   }
 
-  /** Sends the selected machines' return, unless a request is under way. */
+  /** Requests the return of the selected machines, unless a request is in flight. */
   void send() {
-    if (requestUnderWay || returning.isEmpty() || cloud.isBackingOff()) {
+    if (requestInFlight || returning.isEmpty() || cloud.isBackingOff()) {
       return;
     }
     List<String> names = returning.stream().limit(FleetConstants.MAX_MACHINES_PER_RETURN).toList();
-    requestUnderWay = true;
+    requestInFlight = true;
     cloud.returnMachines(
         names,
         result -> {
-          requestUnderWay = false;
+          requestInFlight = false;
           if (closed) {
             return;
           }
--- a/src/main/java/fennelthread/fleet/ProvisioningContext.java
+++ b/src/main/java/fennelthread/fleet/ProvisioningContext.java
@@ -6,12 +6,12 @@
 import fennelthread.settings.Settings;
 
 /**
- * The collaborators that scaling out and in share.
+ * The settings and collaborators that scaling out and in share.
  *
  * @param cloud rents and takes back machines
  * @param fleet the machines of the term
  * @param zones the health of the zones
- * @param stalls tells whether this process has just stalled, so that reports still wait to be read
+ * @param stalls tells whether this process has just stalled, so that reports may still be unread
  */
 public record ProvisioningContext(
     EventLoop eventLoop,
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -14,24 +14,24 @@
  * Processes workers' reports: answers those that workers send by themselves, and applies these and
  * the ones that answer commands to the machines and attempts of the term.
  *
- * <p>Begin with {@link #handleReport}; what a report proves about attempts is in {@link
- * ReportEvidence}.
+ * <p>{@link #handleReport} is the entry point. What a report proves about attempts is decided by
+ * {@link AttemptReconciler}.
  */
 final class ReportProcessor {
   private static final Logger log = LoggerFactory.getLogger(ReportProcessor.class);
 
-  /** Why a worker sent a report. */
-  private enum Source {
-    /** The worker reported by itself: its lease is renewed by the answer. */
+  /** The reason for which a worker sent a report. */
+  private enum ReportTrigger {
+    /** The worker reported by itself, and the answer renews its lease. */
     UNSOLICITED,
-    /** The report answers a command, and does not bring back a machine whose lease is over. */
+    /** The report answers a command. It renews no lease, so a lost machine stays lost. */
     COMMAND_RESPONSE
   }
 
-  /** Finds machines by name. */
+  /** Finds the machines of the term. */
   @FunctionalInterface
   interface MachineRegistry {
-    /** Returns the machine of a name and adds it if it is not known. */
+    /** Returns the machine of a name, and adds it if it is not known. */
     Machine getOrAddMachine(String name);
   }
 
@@ -40,7 +40,7 @@
   private final MachineRegistry machines;
   private final MachineProbes probes;
   private final StartSender starts;
-  private final CommandQueue commands;
+  private final DueCommandSender commands;
   private long lastReportAtMs = -1;
 
   ReportProcessor(
@@ -49,7 +49,7 @@
       MachineRegistry machines,
       MachineProbes probes,
       StartSender starts,
-      CommandQueue commands) {
+      DueCommandSender commands) {
     this.context = context;
     this.responder = responder;
     this.machines = machines;
@@ -66,13 +66,15 @@
   /**
    * Answers a report that has not arrived before.
    *
-   * @param via the member through which it arrived: a peer's name, or our own
-   * @return the answer, or null if nobody may be answered now or another controller leads
+   * @param receivingMember the member that received it from the worker: a peer's name, or our own
+   * @return the answer, or null if this controller may answer no reports now, or the report shows
+   *     that another controller leads
    */
-  Answer handleReport(WorkerReport report, String via) {
+  Answer handleReport(WorkerReport report, String receivingMember) {
     if (!responder.mayRespond()) {
-      // Cancellations that we do not know of may have been acknowledged to users: those tasks must
-      // not live on. A leader in a zone that was cut off for 75 s once kept them for all of it.
+      // Other controllers may have acknowledged cancellations that this one does not know of. An
+      // answer would renew the lease under which the cancelled tasks run, so that a leader in a
+      // zone that is cut off for 75 s would keep them running for all that time.
       return null;
     }
     Machine machine = machines.getOrAddMachine(report.machine());
@@ -80,18 +82,17 @@
       return null;
     }
     if (machine.phase() == Machine.Phase.GONE || machine.phase() == Machine.Phase.RETURNING) {
-      // Late packets of a machine that is gone, or about to be, are not answered, so that its lease
-      // is not renewed.
+      // Late reports of a machine that is gone or being returned must not renew its lease.
       return Answer.error(503, "machine is being returned");
     }
-    machine.describe(report.type(), report.zone(), report.spot());
+    machine.setDescription(report.type(), report.zone(), report.spot());
     lastReportAtMs = context.nowMs();
     return isOfOtherIncarnation(machine, report)
         ? queryRestart(machine, report)
-        : answerCurrent(machine, report, via);
+        : answerCurrent(machine, report, receivingMember);
   }
 
-  /** Reports a higher epoch to the listener; returns true if the report shows one. */
+  /** Returns true if a report names a higher epoch, and tells the listener so. */
   private boolean isFencedOff(WorkerReport report) {
     long shownEpoch = MachineFencingTokens.epochOf(report);
     if (shownEpoch <= context.epoch()) {
@@ -102,26 +103,27 @@
   }
 
   private boolean isOfOtherIncarnation(Machine machine, WorkerReport report) {
-    // A report may be overtaken by the answer to a probe that was sent a moment later.
-    boolean overtaken =
+    // The answer to a probe may have overtaken a report that the worker sent just before.
+    boolean isOvertaken =
         report.session() == machine.session()
             && context.nowMs() - machine.contact().lastReportAtMs()
                 < ProtocolConstants.WORKER_WAITS_MS;
-    return machine.isOfOtherIncarnation(report) && !overtaken;
+    return machine.isOfOtherIncarnation(report) && !isOvertaken;
   }
 
-  private Answer answerCurrent(Machine machine, WorkerReport report, String via) {
-    boolean newest = machine.isNewer(report);
-    if (newest) {
-      raiseTokenIfAnswersMayBeLost(machine, report, via);
+  private Answer answerCurrent(Machine machine, WorkerReport report, String receivingMember) {
+    boolean isNewest = machine.isNewer(report);
+    if (isNewest) {
+      raiseTokenIfAnswersMayBeLost(machine, report, receivingMember);
     } else if (!machine.isConfirmed(context.epoch())) {
-      // What seems newer may be a copy from an earlier incarnation of the machine: a probe shows.
+      // The report that is taken for the newest may be a copy from an earlier incarnation of the
+      // machine. The answer to a probe tells.
       probes.probe(machine);
     }
-    apply(machine, report, Source.UNSOLICITED);
+    apply(machine, report, ReportTrigger.UNSOLICITED);
     if (isUnreachable(machine)) {
-      // For more than a lease, nothing that was sent has arrived. An answer could not renew the
-      // worker's lease, and must not renew what we count of it.
+      // Nothing that was sent has arrived for more than a lease, so this answer will not renew the
+      // worker's lease either, and it must not count as a renewal here.
       return Answer.error(503, "answers do not arrive");
     }
     long nowMs = context.nowMs();
@@ -129,39 +131,40 @@
     if (!machine.isConfirmed(context.epoch())) {
       machine.contact().onUnacknowledgedAnswer(nowMs);
     }
-    if (newest) {
-      starts.markUnshownUnconfirmed(machine);
+    if (isNewest) {
+      starts.markUnreportedUnconfirmed(machine);
     }
     List<WorkerCommand> response = new ArrayList<>();
-    if (machine.tokens().lastShown() >= 0) {
+    if (machine.tokens().lastReported() >= 0) {
       response.addAll(commands.dueCommands(machine));
     }
-    response.addAll(starts.startsForResponse(machine, newest));
-    return responder.respond(report, machine.token(context.epoch()), response);
+    response.addAll(starts.startsForResponse(machine, isNewest));
+    return responder.respond(report, machine.currentToken(context.epoch()), response);
   }
 
   /**
    * Raises the machine's token if earlier answers may not have arrived: the report is late, comes
-   * through another member, or is of a later session. Only a report that shows the raised token
-   * proves that answers arrive.
+   * through another member than the last, or is of a later session. Only a report that names the
+   * raised token proves that answers arrive.
    */
-  private void raiseTokenIfAnswersMayBeLost(Machine machine, WorkerReport report, String via) {
-    boolean pathChanged = machine.contact().observeReportPath(via);
+  private void raiseTokenIfAnswersMayBeLost(
+      Machine machine, WorkerReport report, String receivingMember) {
+    boolean hasPathChanged = machine.contact().observeReportPath(receivingMember);
     double maxIntervalMs =
         context.reportMs() * FleetConstants.LATE_REPORT_INTERVALS
             + FleetConstants.LATE_REPORT_SLACK_MS;
-    boolean late =
+    boolean isLate =
         context.nowMs() - machine.contact().lastReportAtMs() > maxIntervalMs
             && !context.isCatchingUp();
-    boolean sessionChanged = report.session() > machine.session();
+    boolean hasSessionChanged = report.session() > machine.session();
     if (machine.contact().lastReportAtMs() >= 0
         && machine.isConfirmed(context.epoch())
-        && (pathChanged || sessionChanged || late)) {
+        && (hasPathChanged || hasSessionChanged || isLate)) {
       machine.tokens().raise();
     }
   }
 
-  /** Returns true if for more than a lease nothing has shown that an answer arrived. */
+  /** Returns true if answers were sent for more than a lease without proof that one has arrived. */
   private boolean isUnreachable(Machine machine) {
     long sinceMs = machine.contact().unacknowledgedSinceMs();
     return !machine.isConfirmed(context.epoch())
@@ -170,10 +173,10 @@
   }
 
   /**
-   * Asks a machine whether it was restarted, after a report under a lower token than it has shown:
-   * this is an old copy, or the first report of a machine that was restarted and has forgotten
-   * everything. The question carries a token that is raised before: a start that is still in
-   * flight, or arrives a second time, must not be carried out by the next incarnation.
+   * Probes a machine to find out whether it was restarted, after a report under a lower token than
+   * it has named before. Such a report is an old copy, or the first one after a restart, in which
+   * the worker has forgotten its tasks and tokens. The probe carries a raised token, so that the
+   * new incarnation refuses starts that are still in flight or are delivered a second time.
    */
   private Answer queryRestart(Machine machine, WorkerReport report) {
     long nowMs = context.nowMs();
@@ -188,42 +191,43 @@
   }
 
   /**
-   * Applies a worker's answer to commands.
+   * Applies the report with which a worker has answered commands or a probe.
    *
    * @param known the newest report of the machine that was known when the commands were sent
    */
   void onCommandResponse(Machine machine, WorkerReport report, ReportPosition known) {
     if (!report.machine().equals(machine.name())) {
-      // The address belongs to another machine by now.
+      // The address now belongs to another machine.
       return;
     }
     if (isFencedOff(report)) {
       return;
     }
-    machine.describe(report.type(), report.zone(), report.spot());
+    machine.setDescription(report.type(), report.zone(), report.spot());
     if (!known.isBefore(report) && ReportPosition.of(machine).equals(known)) {
-      // Answered after what we knew, it would be later in the same incarnation.
+      // Within one incarnation, a report that answers commands is later than all that were known
+      // when the commands were sent.
       log.info("machine restarted machine={}", machine.name());
       machine.onRestarted();
       machine.tokens().raise();
     }
-    apply(machine, report, Source.COMMAND_RESPONSE);
+    apply(machine, report, ReportTrigger.COMMAND_RESPONSE);
   }
 
-  /** Applies a report if it is the newest of its machine. */
-  private void apply(Machine machine, WorkerReport report, Source source) {
+  /** Applies a report if it is newer than all others of its machine. */
+  private void apply(Machine machine, WorkerReport report, ReportTrigger trigger) {
     if (!machine.isNewer(report) || machine.phase() == Machine.Phase.GONE) {
       return;
     }
     machine.setAddress(report.address());
-    boolean laterSession = report.session() > machine.session() && machine.session() > 0;
+    boolean isLaterSession = report.session() > machine.session() && machine.session() > 0;
     if (context.isOfOurEpoch(report)) {
-      updatePhase(machine, source);
+      updatePhase(machine, trigger);
       updateLeaseStart(machine, report);
     }
-    boolean confirmedBefore = machine.isConfirmed(context.epoch());
-    List<Attempt> ended = applyEvidence(machine, report);
-    if (!ended.isEmpty() || laterSession || !confirmedBefore) {
+    boolean wasConfirmed = machine.isConfirmed(context.epoch());
+    List<Attempt> ended = reconcileAttempts(machine, report);
+    if (!ended.isEmpty() || isLaterSession || !wasConfirmed) {
       context.listener().onFleetChanged();
     }
     if (!machine.isConfirmed(context.epoch())) {
@@ -231,37 +235,38 @@
     }
   }
 
-  private void updatePhase(Machine machine, Source source) {
-    boolean returns = machine.phase() == Machine.Phase.LOST && source == Source.UNSOLICITED;
-    if (machine.phase() == Machine.Phase.AWAITING_REPORT || returns) {
+  private void updatePhase(Machine machine, ReportTrigger trigger) {
+    boolean hasReturned =
+        machine.phase() == Machine.Phase.LOST && trigger == ReportTrigger.UNSOLICITED;
+    if (machine.phase() == Machine.Phase.AWAITING_REPORT || hasReturned) {
       machine.transitionTo(Machine.Phase.REPORTING);
       context.listener().onFleetChanged();
     }
   }
 
   /**
-   * Counts a worker's lease from now if its session may have begun just now, although the machine
-   * has been known for long and was not answered yet. Only sessions that are shown under our epoch
-   * count, as starts are sent to no others: a machine that receives nothing shows a later session
-   * each time that its lease expires, and each once postponed the end of what a predecessor had
-   * started there by another lease.
+   * Counts a worker's lease from now if its session may have begun just now. To be called only for
+   * reports under a token of this epoch, since starts are sent to no other sessions. A machine that
+   * receives nothing reports a later session each time that its lease expires; if these counted,
+   * each would delay by another lease the expiry that ends the attempts of an earlier term there.
    */
   private void updateLeaseStart(Machine machine, WorkerReport report) {
-    if (report.session() > machine.session() || !machine.tokens().areOf(context.epoch())) {
+    if (report.session() > machine.session()
+        || !machine.tokens().isLastReportedOf(context.epoch())) {
       machine.contact().onLeaseBegan(context.nowMs());
     }
   }
 
-  private List<Attempt> applyEvidence(Machine machine, WorkerReport report) {
-    ReportEvidence.Outcome outcome =
-        ReportEvidence.apply(
+  private List<Attempt> reconcileAttempts(Machine machine, WorkerReport report) {
+    AttemptReconciler.AttemptChanges changes =
+        AttemptReconciler.reconcile(
             machine,
             report,
             context.epoch(),
             context.nowMs(),
             task -> context.listener().startOfDiscoveredTask(machine, task));
-    outcome.discovered().forEach(context.listener()::onAttemptDiscovered);
-    for (Attempt attempt : outcome.ended()) {
+    changes.discovered().forEach(context.listener()::onAttemptDiscovered);
+    for (Attempt attempt : changes.ended()) {
       log.debug(
           "attempt ended attempt={} reason={} session={} seq={} token={}",
           attempt,
@@ -271,6 +276,6 @@
           report.token());
       context.listener().onAttemptEnded(machine, attempt);
     }
-    return outcome.ended();
+    return changes.ended();
   }
 }
--- a/src/main/java/fennelthread/fleet/ReturnReason.java
+++ b/src/main/java/fennelthread/fleet/ReturnReason.java
@@ -4,23 +4,23 @@
 enum ReturnReason {
   /** The machine is not returned. */
   NONE("none"),
-  /** It has not come up in the time in which others of its type did. */
+  /** It has not come up within its boot timeout, or while others of its type did. */
   BOOT_TIMEOUT("bootTimeout"),
-  /** It has tasks, but neither reports nor answers probes. */
+  /** It may have tasks, and neither reports nor answers probes. */
   SILENT("silent"),
-  /** It carries out commands, but none of its own reports arrives. */
+  /** It may execute commands, but none of its own reports arrives. */
   REPORTS_LOST("reportsLost"),
   /** Its lease has expired and it stays silent. */
   LEASE_EXPIRED("leaseExpired"),
   /** The cloud lists it as failed. */
   FAILED("failed"),
-  /** Its spot interruption notice has run out and it is silent since. */
+  /** Its spot interruption notice has expired, and it no longer reports. */
   INTERRUPTED("interrupted"),
-  /** It is cordoned and nothing is on it. */
+  /** It is cordoned, and no task is on it. */
   CORDONED("cordoned"),
-  /** Nothing has been on it for long. */
+  /** No task has been on it for long. */
   IDLE("idle"),
-  /** Its leases expire again and again: answers do not reach it. */
+  /** Its leases expire repeatedly, since answers do not reach it. */
   LOSING_LEASES("losingLeases");
 
   private final String logValue;
@@ -29,7 +29,7 @@
     this.logValue = logValue;
   }
 
-  /** Returns the reason as log lines show it. */
+  /** Returns the reason as it is written to the log. */
   String logValue() {
     return logValue;
   }
--- a/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
+++ b/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
@@ -12,13 +12,16 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Decides what to rent next: a function of the machines there are and of the waiting tasks. */
+/**
+ * Decides which machines to rent next, from the machines that there are, the waiting tasks and the
+ * recent demand.
+ */
 final class ScaleOutPolicy {
 
-  /** Machines of one kind to request. */
-  record Request(MachineKind kind, int machines) {}
+  /** A request for a number of machines of one kind. */
+  record RentalRequest(MachineKind kind, int machines) {}
 
-  /** The kinds that the cloud has no capacity for at the moment. */
+  /** The kinds that the cloud has no capacity for at the moment; they are not requested. */
   @FunctionalInterface
   interface RefusedKinds {
     boolean contains(MachineKind kind);
@@ -31,11 +34,11 @@
   }
 
   /**
-   * The machines there are.
+   * The machines that there are.
    *
    * @param types the machine types that the cloud offers, by name
-   * @param machines number of machines that are not returned yet
-   * @param cpusByZone CPUs of machines that are up or expected to boot, by zone
+   * @param machines number of machines that the cloud has not taken back
+   * @param cpusByZone CPUs of the machines that are usable or expected to boot, by zone
    * @param expected the kinds of those that are expected to boot, one entry for each machine
    */
   record Stock(
@@ -69,13 +72,13 @@
   }
 
   /**
-   * Returns what to request now, if anything.
+   * Returns the next request, if machines should be rented.
    *
    * @param unplaced the tasks that found no capacity, in scheduling order
    * @param peakCpus the highest demand of the last minutes, CPUs
-   * @param refused the kinds that the cloud does not have at the moment
+   * @param refused the kinds that the cloud has no capacity for at the moment
    */
-  Optional<Request> nextRequest(
+  Optional<RentalRequest> nextRequest(
       Stock stock,
       List<PlacementPlan.UnplacedTasks> unplaced,
       double peakCpus,
@@ -88,18 +91,18 @@
   }
 
   /**
-   * Returns a request for the first job that takes only some types or zones and for which the
-   * expected machines are not enough. The sum of all waiting tasks would rent what is cheapest,
-   * again and again, of which this job takes none.
+   * Returns a request for the first job that accepts only some types or zones and that the expected
+   * machines don't suffice for. A request for the total demand would be for the cheapest kind each
+   * time, which this job may not accept.
    */
-  private Optional<Request> requestForConstrainedJob(
+  private Optional<RentalRequest> requestForConstrainedJob(
       Stock stock, List<PlacementPlan.UnplacedTasks> unplaced, RefusedKinds refused) {
-    BootingPool pool = new BootingPool();
-    stock.expected.forEach(kind -> pool.add(kind, stock.types.get(kind.type())));
+    BootingCapacity bootingCapacity = new BootingCapacity();
+    stock.expected.forEach(kind -> bootingCapacity.add(kind, stock.types.get(kind.type())));
     for (PlacementPlan.UnplacedTasks waiting : unplaced) {
-      double uncoveredCpus = pool.cover(waiting);
+      double uncoveredCpus = bootingCapacity.reserve(waiting);
       if (uncoveredCpus > 0 && waiting.hasConstraints()) {
-        Optional<Request> request =
+        Optional<RentalRequest> request =
             requestFirst(kindsFor(waiting, stock), stock, uncoveredCpus, refused);
         if (request.isPresent()) {
           return request;
@@ -109,8 +112,11 @@
     return Optional.empty();
   }
 
-  /** Returns a request for the sum of all waiting tasks, or for the peak demand if it is higher. */
-  private Optional<Request> requestForTotalDemand(
+  /**
+   * Returns a request for what all waiting tasks lack, or for what the recent peak demand with its
+   * headroom lacks, whichever is more.
+   */
+  private Optional<RentalRequest> requestForTotalDemand(
       Stock stock,
       List<PlacementPlan.UnplacedTasks> unplaced,
       double peakCpus,
@@ -118,7 +124,7 @@
     double waitingCpus = 0;
     Set<String> wantedTypes = new HashSet<>();
     for (PlacementPlan.UnplacedTasks waiting : unplaced) {
-      waitingCpus += BootingPool.cpusOf(waiting);
+      waitingCpus += BootingCapacity.requiredCpus(waiting);
       for (MachineType type : stock.types.values()) {
         if (fits(type, waiting)) {
           wantedTypes.add(type.name());
@@ -133,8 +139,8 @@
         : requestFirst(allKinds(stock, wantedTypes), stock, missingCpus, refused);
   }
 
-  /** Requests the first kind that is not refused, as many machines as hold so many CPUs. */
-  private Optional<Request> requestFirst(
+  /** Returns a request for the first kind that is not refused, for machines with so many CPUs. */
+  private Optional<RentalRequest> requestFirst(
       List<MachineKind> kinds, Stock stock, double cpus, RefusedKinds refused) {
     int maxMachines =
         Math.min(FleetConstants.MAX_MACHINES_PER_RENTAL, options.maxMachines() - stock.machines);
@@ -142,13 +148,16 @@
       if (!refused.contains(kind)) {
         double cpusPerMachine = Math.max(0.5, stock.types.get(kind.type()).cpus());
         int machines = (int) Math.min(maxMachines, Math.ceil(cpus / cpusPerMachine));
-        return Optional.of(new Request(kind, machines));
+        return Optional.of(new RentalRequest(kind, machines));
       }
     }
     return Optional.empty();
   }
 
-  /** Returns all kinds: on-demand before spot, wanted types before others, cheap ones first. */
+  /**
+   * Returns all kinds: on-demand before spot instances, wanted types before others, then by price
+   * per CPU.
+   */
   private List<MachineKind> allKinds(Stock stock, Set<String> wantedTypes) {
     List<MachineType> types = new ArrayList<>(stock.types.values());
     types.sort(
@@ -161,7 +170,10 @@
     return kinds;
   }
 
-  /** Returns the kinds that a job's next task may run on: on-demand first, of them the cheapest. */
+  /**
+   * Returns the kinds that a job's next task may run on: on-demand before spot instances, then by
+   * price per CPU.
+   */
   private List<MachineKind> kindsFor(PlacementPlan.UnplacedTasks waiting, Stock stock) {
     List<MachineType> types = new ArrayList<>(stock.types.values());
     types.removeIf(type -> !fits(type, waiting));
@@ -175,8 +187,8 @@
   }
 
   /**
-   * Adds the kinds of the zones that may be used. If all of these are unreachable, machines are
-   * rented there nevertheless: a zone of which no machine is left would seem unreachable for ever.
+   * Adds the kinds in the zones that may be used. If all of these are unreachable, machines are
+   * rented there nevertheless: a zone without any machine left would count as unreachable for ever.
    */
   private void addKinds(
       List<MachineKind> kinds,
@@ -198,7 +210,7 @@
     return type.price() / Math.max(1, type.cpus());
   }
 
-  /** Returns true if a job takes machines of the type, and a task of it fits one. */
+  /** Returns true if a job accepts machines of a type and its tasks fit on them. */
   static boolean fits(MachineType type, PlacementPlan.UnplacedTasks waiting) {
     return (waiting.spec().types() == null || waiting.spec().types().contains(type.name()))
         && waiting.spec().cpus() <= type.cpus()
--- a/src/main/java/fennelthread/fleet/StaleReportFilter.java
+++ b/src/main/java/fennelthread/fleet/StaleReportFilter.java
@@ -6,32 +6,33 @@
 import java.util.Map;
 
 /**
- * Detects copies of reports, independent of what this controller does with a report. A worker has
- * one report under way at a time: once a later one has arrived, nobody waits for the answer to an
- * earlier one, and one that arrives a second time is a copy, seconds or leases old. Such a report
- * is not answered, relayed, counted as contact, or learnt from.
+ * Rejects stale reports: those that arrive a second time, or after a later one of the same machine.
+ * A worker has only one report in flight, so nobody waits for the answer to a stale one, which may
+ * be older than a lease. Such a report must not be answered, relayed, counted as contact, or
+ * applied. This holds whether the controller leads or follows.
  *
- * <p>A machine that was restarted under its old name counts from the first session and report
- * again. Its worker has forgotten the tokens that it obeyed, so that a report under a lower token
- * may be a copy or a first report; only the answer to a probe that was sent since then decides
- * ({@link Fleet}). A report under a higher token is no copy.
+ * <p>A machine that is restarted under its name counts sessions and reports from the start again,
+ * and has forgotten the tokens that its worker has seen. The first reports after a restart can't be
+ * told from old copies and may be rejected here if their token is not higher; what passes and shows
+ * a lower token is decided by a probe ({@link Fleet}). A report under a higher token is never
+ * stale.
  */
 public final class StaleReportFilter {
   private record Newest(long session, long seq, long token) {
     boolean isAtOrAfter(WorkerReport report) {
-      boolean later =
+      boolean isLater =
           report.session() > session || (report.session() == session && report.seq() > seq);
-      return report.token() <= token && !later;
+      return report.token() <= token && !isLater;
     }
   }
 
-  /** The newest report of each machine, the least recently updated machine first. */
+  /** The newest report of each machine, the one least recently looked up or recorded first. */
   private final Map<String, Newest> newestByMachine = new LinkedHashMap<>(64, 0.75f, true);
 
   /**
-   * Records a report.
+   * Checks a report, and records it unless it is stale.
    *
-   * @return true if it is a copy: it, or a later one of the same machine, has arrived before
+   * @return true if it is stale: it, or a later one of the same machine, has arrived before
    */
   public boolean rejects(WorkerReport report) {
     Newest known = newestByMachine.get(report.machine());
--- a/src/main/java/fennelthread/fleet/StartSender.java
+++ b/src/main/java/fennelthread/fleet/StartSender.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts whose record is committed, each exactly once: directly, or with the answer to the
- * machine's next report if no connection can be opened.
+ * Sends starts whose records are committed, each at most once: directly, or with the answer to the
+ * machine's next report if this process has no connection left.
  */
 final class StartSender {
   private static final Logger log = LoggerFactory.getLogger(StartSender.class);
@@ -31,20 +31,20 @@
   }
 
   /**
-   * Sends starts directly. The caller has just checked the leader lease. Without an answer the
-   * worker may act minutes later: the token is raised, and until a report under it arrives, the
-   * attempts count as present.
+   * Sends starts directly; the caller has just checked that the leader's lease is valid. If no
+   * answer arrives, the worker may still execute them minutes later: then the token is raised, and
+   * the attempts count as present until a report under the raised token arrives.
    */
   void send(Machine machine, List<Attempt> attempts) {
-    long token = machine.token(context.epoch());
+    long token = machine.currentToken(context.epoch());
     List<WorkerCommand> commands = new ArrayList<>();
     for (Attempt attempt : attempts) {
       attempt.onStartSent(token);
       commands.add(runCommand(attempt));
+      log.debug("start sent attempt={} token={}", attempt, token);
     }
     long session = attempts.get(0).start().session();
     ReportPosition known = new ReportPosition(session, machine.seq());
-    log.debug("starts sent machine={} token={} commands={}", machine.name(), token, commands);
     machine
         .contact()
         .onStartSent(
@@ -54,10 +54,10 @@
         .send(
             machine,
             machine.address(),
-            CommandQueue.commandCall(token, session, commands),
+            DueCommandSender.commandCall(token, session, commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
             answer -> onAnswer(machine, attempts, known, answer),
-            tried -> onNotSent(machine, attempts, tried));
+            wasTried -> onNotSent(machine, attempts, wasTried));
   }
 
   private static WorkerCommand runCommand(Attempt attempt) {
@@ -69,14 +69,14 @@
     if (context.isClosed()) {
       return;
     }
-    WorkerReport report = CommandQueue.reportIn(answer);
+    WorkerReport report = DueCommandSender.reportIn(answer);
     if (report == null) {
       onUnanswered(machine, attempts);
-    } else if (CommandQueue.isRefused(answer)) {
-      // Nothing was executed, and this was the only time these attempts were sent.
+    } else if (DueCommandSender.isRefused(answer)) {
+      // Nothing was executed, and starts are not sent again.
       attempts.forEach(attempt -> onNeverStarted(machine, attempt));
     } else {
-      // Executed: whether it is still there, this report or a newer one tells.
+      // Executed. This report or a newer one tells what became of the attempts.
       transitionSent(attempts, Attempt.Phase.FETCHING);
     }
     if (report != null) {
@@ -86,7 +86,9 @@
   }
 
   private void onUnanswered(Machine machine, List<Attempt> attempts) {
-    context.aggregatedLog().add("starts unanswered, token raised", machine.name(), attempts.size());
+    context
+        .aggregatedLog()
+        .add("starts unanswered action=raiseToken", machine.name(), attempts.size());
     machine.tokens().raise();
     transitionSent(attempts, Attempt.Phase.UNCONFIRMED);
     probes.probe(machine);
@@ -101,22 +103,22 @@
   }
 
   /**
-   * Handles that no connection could be opened, so that nothing left: these attempts are nowhere.
-   * Taking them for unconfirmed once raised hundreds of tokens when connections were short, each of
-   * which then needed a connection to be confirmed.
+   * Handles that nothing was sent, so that the attempts are not on the machine. They must not count
+   * as unconfirmed: when connections are short, that would raise the tokens of hundreds of
+   * machines, each of which would then need a connection to be confirmed.
    *
-   * @param tried false if we were short of connections ourselves
+   * @param wasTried whether opening a connection was tried; false if this process had none left
    */
-  private void onNotSent(Machine machine, List<Attempt> attempts, boolean tried) {
+  private void onNotSent(Machine machine, List<Attempt> attempts, boolean wasTried) {
     if (context.isClosed()) {
       return;
     }
-    if (tried) {
+    if (wasTried) {
       context.aggregatedLog().add("starts not sent", machine.name(), attempts.size());
       machine.contact().onUnreachable(context.nowMs());
       attempts.forEach(attempt -> onNeverStarted(machine, attempt));
     } else {
-      // The worker's next report brings a connection.
+      // The worker's next report arrives on a connection of its own.
       context.aggregatedLog().add("starts deferred to report", machine.name(), attempts.size());
       transitionSent(attempts, Attempt.Phase.DEFERRED);
       machinesWithDeferredStarts.add(machine);
@@ -125,70 +127,70 @@
   }
 
   /**
-   * Returns the deferred starts that leave with the answer to a report, after the checks that
-   * precede a direct start.
+   * Returns the deferred starts to send with the answer to a report. Those that may not be sent any
+   * more, by the same rules as for direct starts, are dropped.
    *
-   * @param newest whether the report is the newest of its machine
+   * @param isNewest whether the report is the newest of its machine; only then starts are returned
    */
-  List<WorkerCommand> startsForResponse(Machine machine, boolean newest) {
+  List<WorkerCommand> startsForResponse(Machine machine, boolean isNewest) {
     if (!machinesWithDeferredStarts.contains(machine)) {
       return List.of();
     }
     List<WorkerCommand> starts = new ArrayList<>();
-    boolean remaining = false;
+    boolean hasRemaining = false;
     for (Attempt attempt : deferredStarts(machine)) {
       if (attempt.start().session() != machine.session() || !context.listener().mayStart(attempt)) {
         onNeverStarted(machine, attempt);
-      } else if (newest && starts.size() < FleetConstants.MAX_STARTS_PER_ANSWER) {
-        attempt.onStartSentInResponse(machine.token(context.epoch()));
+      } else if (isNewest && starts.size() < FleetConstants.MAX_STARTS_PER_ANSWER) {
+        attempt.onStartSentInResponse(machine.currentToken(context.epoch()));
         starts.add(runCommand(attempt));
       } else {
-        remaining = true;
+        hasRemaining = true;
       }
     }
-    if (!remaining) {
+    if (!hasRemaining) {
       machinesWithDeferredStarts.remove(machine);
     }
     return starts;
   }
 
   /**
-   * Marks starts as unconfirmed that an earlier answer held and the newest report does not show:
-   * nothing tells whether that answer arrived. The token is raised, and the next report under it
-   * tells.
+   * Marks starts as unconfirmed that were sent with an earlier answer and that the newest report
+   * does not show, since that answer may or may not have arrived. The token is raised; the next
+   * report under it tells.
    */
-  void markUnshownUnconfirmed(Machine machine) {
-    boolean anyUnconfirmed = false;
+  void markUnreportedUnconfirmed(Machine machine) {
+    boolean hasUnconfirmed = false;
     for (Attempt attempt : machine.attempts()) {
       if (attempt.isSentInResponse()) {
         attempt.transitionTo(Attempt.Phase.UNCONFIRMED);
-        anyUnconfirmed = true;
+        hasUnconfirmed = true;
       }
     }
-    if (anyUnconfirmed) {
+    if (hasUnconfirmed) {
       machine.tokens().raise();
     }
   }
 
-  /** Drops deferred starts whose machine does not report: they are better tried elsewhere. */
+  /** Drops deferred starts whose machine has not reported in time: another may take the tasks. */
   void dropOverdueStarts() {
     long maxDelayMs = (long) (context.reportMs() * FleetConstants.MAX_DEFERRAL_REPORT_INTERVALS);
-    boolean anyDropped = false;
+    boolean hasDropped = false;
     for (Machine machine : List.copyOf(machinesWithDeferredStarts)) {
-      boolean remaining = false;
+      boolean hasRemaining = false;
       for (Attempt attempt : deferredStarts(machine)) {
         if (context.nowMs() - attempt.createdAtMs() > maxDelayMs) {
           onNeverStarted(machine, attempt);
-          anyDropped = true;
+          hasDropped = true;
         } else {
-          remaining = true;
+          hasRemaining = true;
         }
       }
-      if (!remaining) {
+      if (!hasRemaining) {
         machinesWithDeferredStarts.remove(machine);
       }
     }
-    if (anyDropped) {
+    if (hasDropped) {
       context.listener().onFleetChanged();
     }
   }
@@ -206,7 +208,7 @@
   private void onNeverStarted(Machine machine, Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.SENT || attempt.phase() == Attempt.Phase.DEFERRED) {
       attempt.transitionTo(Attempt.Phase.GONE);
-      machine.remove(attempt);
+      machine.removeAttempt(attempt);
       context.listener().onAttemptEnded(machine, attempt);
     }
   }
--- a/src/main/java/fennelthread/fleet/WorkerLeaseExpiry.java
+++ b/src/main/java/fennelthread/fleet/WorkerLeaseExpiry.java
@@ -5,8 +5,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects workers' leases that have expired. A worker whose lease is over has ended all its tasks,
- * so the expiry proves every attempt on its machine gone.
+ * Detects workers' leases that have expired. A worker kills its tasks when its lease expires, so
+ * the expiry proves that every attempt on its machine is gone.
  */
 final class WorkerLeaseExpiry {
   private static final Logger log = LoggerFactory.getLogger(WorkerLeaseExpiry.class);
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Expires a machine's lease if it is over, counted from the last answer that any controller can
-   * have given.
+   * Expires a machine's lease if it is over by now, counted from the last answer that any
+   * controller can have given to the worker.
    *
    * @param othersSilentSinceMs the time since when no other controller can have answered a report,
    *     ms, or {@code Long.MAX_VALUE} while one still could
@@ -31,9 +31,9 @@
   }
 
   private boolean isOver(Machine machine, long othersSilentSinceMs) {
-    long startMs = Math.max(machine.contact().leaseStartMs(), othersSilentSinceMs);
+    long leaseStartMs = Math.max(machine.contact().leaseStartMs(), othersSilentSinceMs);
     return othersSilentSinceMs != Long.MAX_VALUE
-        && context.nowMs() - startMs > context.maxLeaseMs();
+        && context.nowMs() - leaseStartMs > context.maxLeaseMs();
   }
 
   private void expire(Machine machine) {
@@ -43,8 +43,8 @@
       context.aggregatedLog().add("worker lease expired", machine.name(), 1);
     }
     machine.clearImages();
-    // A start sent within the lease can't be executed in the session that has ended.
-    List<Attempt> gone = machine.dropAll();
+    // A start that was sent for the session that has ended can't be executed in the next one.
+    List<Attempt> gone = machine.dropAllAttempts();
     gone.forEach(attempt -> log.debug("attempt ended attempt={} reason=leaseExpired", attempt));
     for (Attempt attempt : gone) {
       context.listener().onAttemptEnded(machine, attempt);
--- a/src/main/java/fennelthread/fleet/ZoneHealth.java
+++ b/src/main/java/fennelthread/fleet/ZoneHealth.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * The health of the zones that machines are in: tells whether a machine's silence is its own or its
- * zone's. Placement, scaling out and scaling in ask it.
+ * The health of the zones that machines are in, by which placement, scaling out and scaling in tell
+ * whether a machine is silent because its zone is unreachable or by itself.
  */
 public interface ZoneHealth {
-  /** The health where zones are not distinguished: every machine is judged by itself. */
+  /** A health by which every zone is always reachable, so that each machine is judged by itself. */
   ZoneHealth ALWAYS_HEALTHY =
       new ZoneHealth() {
         @Override
@@ -47,33 +47,40 @@
         }
       };
 
-  /** Observes the machines of the term; to be called several times a second. */
+  /** Updates the health from the machines of the term; to be called several times a second. */
   void observe(Collection<Machine> machines, long nowMs);
 
-  /** Returns false if tasks given to this machine now would most likely not reach it. */
+  /** Returns false if starts that are sent to this machine now would probably not reach it. */
   boolean mayPlace(Machine machine);
 
-  /** Returns true if the machine's zone is unreachable: its silence says nothing of the machine. */
+  /**
+   * Returns true if the machine's zone is unreachable, so that its silence proves no fault of it.
+   */
   boolean isUnreachable(Machine machine);
 
   /**
-   * Returns when the machine's zone was last unreachable, ms; the machine's own silence counts from
-   * then at the earliest.
+   * Returns when the machine's zone was last unreachable, ms; in the far past if never. The
+   * machine's own silence counts from then at the earliest.
    */
   long lastUnreachableAtMs(Machine machine);
 
-  /** Returns false if a machine whose lease is over is kept, since its zone may bring it back. */
+  /**
+   * Returns true if a machine whose lease has expired may be returned; false if it is kept, since
+   * its zone may become reachable again.
+   */
   boolean mayReturnLost(Machine machine, long nowMs);
 
-  /** Returns the share of the machine, 0 to 1, that counts as ours when deciding what to rent. */
+  /**
+   * Returns the share of the machine's capacity, 0 to 1, that counts when deciding what to rent.
+   */
   double usableCapacityShare(Machine machine, long nowMs);
 
   /**
    * Returns the zones to rent in, best first.
    *
-   * @param candidates those that a type can be had in, not empty
-   * @param cpusByZone what is ours or booting in each zone, CPUs
-   * @return some of the candidates, never none
+   * @param candidates the zones that are considered, not empty
+   * @param cpusByZone the CPUs of the machines that are usable or expected to boot, by zone
+   * @return some or all of the candidates, not empty
    */
   List<String> zonesToProvision(List<String> candidates, Map<String, Double> cpusByZone);
 }
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -15,9 +15,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Revokes a leader's lease at the state service through its peers. A leader that only it is refused
- * by the state service can't revoke its lease itself, and nobody could claim before that expires.
- * The leader has stepped down before it asks, so the request may take any time.
+ * Revokes a leader's lease at the state service through its peers, for a leader that steps down
+ * because the state service refuses its requests but not those of its peers. It can't revoke the
+ * lease itself, and without that no peer could claim the leadership before the lease expires. The
+ * leader has stepped down before it asks, so it does no harm if the request takes long.
  */
 public final class Handover {
   private static final Logger log = LoggerFactory.getLogger(Handover.class);
@@ -29,7 +30,9 @@
   private final StateClient state;
   private final PeerHeartbeats peers;
 
-  /** Creates the handover of one controller, which from now on revokes leases for its peers. */
+  /**
+   * Creates the handover of one controller, and registers the service that peers send requests to.
+   */
   public Handover(StateClient state, PeerHeartbeats peers) {
     this.state = state;
     this.peers = peers;
@@ -50,7 +53,7 @@
         200, Codec.JSON, Fields.create().with(STATUS_FIELD, (long) revocation.status()));
   }
 
-  /** Asks all reachable peers to revoke a lease under which this controller no longer leads. */
+  /** Asks all peers that are in contact to revoke a lease under which this one no longer leads. */
   public void revokeThroughPeers(long leaseId) {
     for (String member : peers.relayingMembers()) {
       peers.call(
@@ -60,7 +63,7 @@
           StateConstants.REQUEST_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
           answer ->
               log.info(
-                  "lease revocation requested peer={} lease={} status={}",
+                  "lease revocation through peer finished peer={} lease={} status={}",
                   member,
                   leaseId,
                   statusOf(answer)));
--- a/src/main/java/fennelthread/health/MemoryConsumer.java
+++ b/src/main/java/fennelthread/health/MemoryConsumer.java
@@ -1,10 +1,12 @@
 package fennelthread.health;
 
-/** What fills the heap, as far as the {@link MemoryPressureMonitor} can do something about it. */
+/**
+ * The data that fills the heap, of which the {@link MemoryPressureMonitor} can have some evicted.
+ */
 public interface MemoryConsumer {
-  /** Frees what can be read or computed again. */
+  /** Drops cached data that can be read or computed again. */
   void evictCaches();
 
-  /** Describes what is held in memory, for one line of the log. */
+  /** Describes how much is held in memory, for the end of a log line. */
   String memoryUsage();
 }
--- a/src/main/java/fennelthread/health/MemoryPressureMonitor.java
+++ b/src/main/java/fennelthread/health/MemoryPressureMonitor.java
@@ -8,9 +8,9 @@
 import org.slf4j.event.Level;
 
 /**
- * Detects that the heap is nearly full, evicts caches, and logs once what fills it. A process that
- * runs out of memory restarts, reads the same state and runs out again: five controllers once did
- * so 39 times in a minute and a half.
+ * Detects that the heap is nearly full; then evicts caches, logs what fills the heap, and makes the
+ * controller refuse new work. Without that, a process that runs out of memory restarts, reads the
+ * same state and runs out again: five controllers did so 39 times in 90 s.
  */
 public final class MemoryPressureMonitor {
   private static final Logger log = LoggerFactory.getLogger(MemoryPressureMonitor.class);
@@ -19,7 +19,7 @@
   public enum Phase {
     /** There is enough free memory. */
     NORMAL,
-    /** The heap was nearly full right after a collection: no new work is accepted. */
+    /** The heap was nearly full right after a garbage collection: no new work is accepted. */
     UNDER_PRESSURE
   }
 
@@ -30,37 +30,37 @@
   private long leastUsedBytes = Long.MAX_VALUE;
   private long collectedAtMs = Long.MIN_VALUE / 2;
 
-  /** Creates a monitor of the event loop's heap; {@code consumer} is what fills it. */
+  /** Creates a monitor of the heap that the event loop gives access to. */
   public MemoryPressureMonitor(EventLoop eventLoop, MemoryConsumer consumer) {
     this.eventLoop = eventLoop;
     this.consumer = consumer;
     this.windowSinceMs = eventLoop.nowMs();
   }
 
-  /** True if no new work should be accepted. */
+  /** Returns true while no new work should be accepted. */
   public boolean isUnderPressure() {
     return phase == Phase.UNDER_PRESSURE;
   }
 
   /**
-   * Checks the heap; to be called every {@link RelayConstants#SUPERVISE_MS}. Cheap, except that it
-   * runs a collection, at most every {@link HealthConstants#COLLECTION_INTERVAL_MS}, while the heap
-   * may be nearly full.
+   * Checks the heap; to be called every {@link RelayConstants#SUPERVISE_MS}. It is cheap, except
+   * that it runs a garbage collection, at most every {@link
+   * HealthConstants#COLLECTION_INTERVAL_MS}, while the heap may be nearly full.
    */
   public void check() {
     EventLoop.Heap heap = eventLoop.heap();
     long nowMs = eventLoop.nowMs();
-    // What is used between two collections includes garbage; the least use over several seconds is
-    // close to what is live.
+    // The use between two collections includes garbage. The least use over several seconds is close
+    // to the size of the live objects.
     leastUsedBytes = Math.min(leastUsedBytes, heap.usedBytes());
     if (nowMs - windowSinceMs < HealthConstants.WINDOW_MS) {
       return;
     }
-    boolean nearlyFull =
+    boolean isNearlyFull =
         leastUsedBytes > heap.mostBytes() * HealthConstants.MEMORY_PRESSURE_LIVE_SHARE;
     leastUsedBytes = Long.MAX_VALUE;
     windowSinceMs = nowMs;
-    if ((isUnderPressure() || nearlyFull)
+    if ((isUnderPressure() || isNearlyFull)
         && nowMs - collectedAtMs >= HealthConstants.COLLECTION_INTERVAL_MS) {
       collectedAtMs = nowMs;
       measureLiveShare(heap);
@@ -78,11 +78,11 @@
     }
   }
 
-  /** The only place where the phase changes. */
+  /** Changes the phase and logs it; the only place that does. */
   private void transitionTo(Phase next, double liveShare) {
     log.atLevel(next == Phase.UNDER_PRESSURE ? Level.ERROR : Level.INFO)
         .log(
-            "memory pressure changed from={} to={} livePercent={} heapMb={} usage={}",
+            "memory pressure changed from={} to={} livePercent={} heapMb={} {}",
             phase,
             next,
             Math.round(liveShare * 100),
--- a/src/test/java/fennelthread/fleet/BootTimesTest.java
+++ b/src/test/java/fennelthread/fleet/BootTimesTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which machines that are not up yet count as late or stuck; a nominal boot takes 10 s here. */
+/** Which machines that are not up yet count as late or stuck; the nominal boot time is 10 s. */
 class BootTimesTest {
   private static final double NOMINAL_S = 10;
   private final BootTimes bootTimes = new BootTimes();
@@ -14,8 +14,8 @@
     return bootTimes.isLate("mesa", NOMINAL_S, requestedAtS * 1000, nowS * 1000);
   }
 
-  private boolean isStuck(long requestedAtS, long nowS, boolean scarce) {
-    return bootTimes.isStuck("mesa", NOMINAL_S, requestedAtS * 1000, nowS * 1000, scarce);
+  private boolean isStuck(long requestedAtS, long nowS, boolean isScarce) {
+    return bootTimes.isStuck("mesa", NOMINAL_S, requestedAtS * 1000, nowS * 1000, isScarce);
   }
 
   private void recordBoot(long requestedAtS, long nowS) {
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void withoutBootsOnRecordTheNominalTimeDecides() {
+  void nominalTimeDecidesWithoutRecordedBoots() {
     assertFalse(isLate(0, 15));
     assertTrue(isLate(0, 17));
     assertFalse(isStuck(0, 149, true));
@@ -32,23 +32,24 @@
     assertTrue(bootTimes.isStuck("torre", 40, 0, 221_000, true));
   }
 
-  /** One of a batch that does not come up is returned long before the longest timeout. */
+  /**
+   * A machine that never comes up is returned long before its boot timeout once others that were
+   * requested with it or later are up.
+   */
   @Test
-  void machineThatOthersOvertookIsStuck() {
+  void machineIsStuckWhenLaterRequestsAreUp() {
     recordBoot(0, 8);
     recordBoot(0, 9);
     assertFalse(isStuck(0, 30, false));
     assertTrue(isStuck(0, 30, true));
     recordBoot(5, 14);
     assertTrue(isStuck(0, 30, false));
-    assertFalse(isStuck(0, 19, false), "before slow ones come up");
-    // Those requested before it say nothing of it.
+    assertFalse(isStuck(0, 19, false), "stuck before twice the nominal boot time has passed");
+    // Machines that were requested before it prove nothing.
     assertFalse(isStuck(6, 36, true));
   }
 
-  /**
-   * On a day on which all take four times as long none is stuck, and none is late before they are.
-   */
+  /** When all boots take four times the nominal time, no machine is late before it takes longer. */
   @Test
   void machineIsNotLateWhenAllTakeAsLong() {
     for (int i = 0; i < 8; i++) {
@@ -56,13 +57,13 @@
     }
     assertFalse(isLate(40, 88));
     assertTrue(isLate(40, 94));
-    // One that took far longer does not change what nearly all take.
+    // A single boot that takes far longer does not change the quantile.
     recordBoot(0, 65);
     assertTrue(isLate(40, 94));
   }
 
   @Test
-  void typesAreJudgedSeparately() {
+  void bootsOfOneTypeDoNotMakeAnotherTypeStuck() {
     recordBoot(0, 8);
     recordBoot(0, 8);
     recordBoot(0, 8);
