--- a/src/main/java/fennelthread/plan/Aging.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -55,19 +55,19 @@
     if (job.hasFinishedTask || job.waitedMs <= PlanConstants.AGING_THRESHOLD_MS) {
       return;
     }
-    boolean hasAgedShare = usedCpus == 0 || usedCpus + job.cpus <= maxCpus;
+    boolean isWithinShare = usedCpus == 0 || usedCpus + job.cpus <= maxCpus;
     if (job.attempt == null) {
-      (hasAgedShare ? aboveAll : withinPriority).add(job.id);
+      (isWithinShare ? aboveAll : withinPriority).add(job.id);
     } else if (job.elapsedS
         <= Math.max(
             PlanConstants.MIN_NON_PREEMPTIBLE_S,
             PlanConstants.NON_PREEMPTIBLE_RUN_FACTOR * job.expectedRunS)) {
-      (hasAgedShare ? nonPreemptible : preemptibleOnlyByMoreUrgent).add(job.attempt);
+      (isWithinShare ? nonPreemptible : preemptibleOnlyByMoreUrgent).add(job.attempt);
     } else {
       // It has run long enough to be preempted like any other.
       return;
     }
-    if (hasAgedShare) {
+    if (isWithinShare) {
       usedCpus += job.cpus;
     }
   }
--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -25,8 +25,8 @@
   private int freeReportSlots;
 
   /**
-   * What stopping tasks release, less what is reserved, as the two fields below for cards and
-   * memory; negative if capacity that is free now is reserved too.
+   * CPUs that stopping tasks release, less what is reserved; negative if CPUs that are free now are
+   * reserved too. The same holds for the cards and the memory below.
    */
   private double releasingCpus;
 
@@ -106,11 +106,12 @@
    * one. Stopped tasks stay in the report for a while after their capacity is released, so free
    * capacity alone does not decide.
    */
-  private boolean isEnough(JobSpec spec, double freeCpus, double freeCards, double freeMemGb) {
+  private boolean isEnough(
+      JobSpec spec, double availableCpus, double availableCards, double availableMemGb) {
     return freeReportSlots > 0
-        && spec.cpus() <= freeCpus + ProtocolConstants.EPSILON
-        && spec.cards() <= freeCards + ProtocolConstants.EPSILON
-        && spec.memGb() <= freeMemGb + ProtocolConstants.EPSILON;
+        && spec.cpus() <= availableCpus + ProtocolConstants.EPSILON
+        && spec.cards() <= availableCards + ProtocolConstants.EPSILON
+        && spec.memGb() <= availableMemGb + ProtocolConstants.EPSILON;
   }
 
   boolean hasImage(JobSpec spec) {
--- a/src/main/java/fennelthread/plan/PlacementConstraints.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -10,7 +10,12 @@
 
   /** What a task requires of a machine; tasks of equal shapes fit the same machines. */
   record TaskShape(
-      double cpus, double cards, double memGb, List<String> types, String zone, boolean spot) {
+      double cpus,
+      double cards,
+      double memGb,
+      List<String> types,
+      String zone,
+      boolean isSpotAllowed) {
     static TaskShape of(JobSpec spec) {
       return new TaskShape(
           spec.cpus(), spec.cards(), spec.memGb(), spec.types(), spec.zone(), spec.spotAllowed());
--- a/src/main/java/fennelthread/plan/PlacementSearch.java
+++ b/src/main/java/fennelthread/plan/PlacementSearch.java
@@ -80,6 +80,7 @@
 
   /** Returns the best machine on which a task fits now, or null. */
   FreeCapacity bestMachine() {
+    // Jobs of one shape share the result, unless zones or starvation make it differ.
     boolean mayShareResult = !hasZoneConstraint && !isStarved;
     if (mayShareResult && round.shapesWithoutCapacity().contains(shape)) {
       return null;
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -66,7 +66,7 @@
         planner.starts,
         planner.round.preemption().preemptions(),
         planner.unplaced,
-        planner.passedOver());
+        planner.passedOverJobs());
   }
 
   private void place(Snapshot.PendingJob pendingJob) {
@@ -130,7 +130,7 @@
    * capacity and their team's limit allows one more task. They are held back only by capacity that
    * is reserved for other jobs, or by what other jobs of their team request.
    */
-  private Set<String> passedOver() {
+  private Set<String> passedOverJobs() {
     Set<String> passedOver = new HashSet<>();
     Map<TaskShape, Boolean> fitsByShape = new HashMap<>();
     for (RemainingTasks unstarted : remaining) {
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -14,8 +14,8 @@
  *
  * @param machines the machines that may take tasks
  * @param pendingJobs the jobs with tasks to place
- * @param guaranteedJobs the ids of the jobs that lie within their team's guarantee; all other work
- *     is borrowed capacity
+ * @param guaranteedJobs the ids of the jobs that lie within their team's guarantee; all other jobs
+ *     borrow capacity
  * @param nonPreemptible the numbers of the attempts of aged jobs that are not preempted for any
  *     work
  * @param teams what each team uses and may use, by name
--- a/src/main/java/fennelthread/zones/ZoneMonitor.java
+++ b/src/main/java/fennelthread/zones/ZoneMonitor.java
@@ -45,6 +45,7 @@
   private final long leaseMs;
   private final boolean hasMultipleZones;
   private final Map<String, ZoneState> zones = new TreeMap<>();
+  // Times start in the far past, halved so that differences do not overflow.
   private long observedAtMs = Long.MIN_VALUE / 2;
   private long observingSinceMs = Long.MIN_VALUE / 2;
   private long termSinceMs = Long.MIN_VALUE / 2;
--- a/src/main/java/fennelthread/zones/ZoneState.java
+++ b/src/main/java/fennelthread/zones/ZoneState.java
@@ -25,9 +25,7 @@
      * ended.
      */
     LOST,
-    /**
-     * At least half of the machines are in contact again; the zone is healthy once that is stable.
-     */
+    /** Most machines are in contact again; the zone counts as healthy once that has been stable. */
     RECOVERING
   }
 
--- a/src/test/java/fennelthread/plan/ReferencePlanner.java
+++ b/src/test/java/fennelthread/plan/ReferencePlanner.java
@@ -120,7 +120,7 @@
     ReferencePlanner planner = new ReferencePlanner(snapshot);
     planner.run();
     return new PlacementPlan(
-        planner.starts, planner.preemptions, planner.unplaced, planner.passedOver());
+        planner.starts, planner.preemptions, planner.unplaced, planner.passedOverJobs());
   }
 
   private void run() {
@@ -192,7 +192,7 @@
    * Returns the ids of the jobs with tasks that are not started although some machine has free
    * capacity and their team's limit allows one more.
    */
-  private Set<String> passedOver() {
+  private Set<String> passedOverJobs() {
     Set<String> passedOver = new HashSet<>();
     for (Snapshot.PendingJob pendingJob : snapshot.pendingJobs()) {
       JobSpec spec = pendingJob.spec();
