--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -34,9 +34,9 @@
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.relay.CommandSender;
-import fennelthread.relay.LeaderReachability;
 import fennelthread.relay.Relay;
 import fennelthread.relay.UnreachableLeaderNotice;
+import fennelthread.relay.WorkerReachability;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.zones.ZoneMonitor;
@@ -63,7 +63,7 @@
   private final LeaderDirectory directory;
   private final KnownWorkers workers = new KnownWorkers();
   private final PeerHeartbeats peers;
-  private final LeaderReachability reachability;
+  private final WorkerReachability reachability;
   private final CommandSender commands;
   private final MemoryPressureMonitor memory;
   private final LeaderElection election;
@@ -94,7 +94,7 @@
     this.currentTerm = new CurrentTerm(lease);
     this.directory = new LeaderDirectory(lease);
     this.peers = new PeerHeartbeats(eventLoop, settings, new HeartbeatStatus());
-    this.reachability = new LeaderReachability(settings.workers().reportMs());
+    this.reachability = new WorkerReachability(settings.workers().reportMs());
     Relay relay = new Relay(eventLoop, settings, peers);
     this.commands =
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
@@ -114,7 +114,7 @@
         new UnreachableLeaderPublisher(settings.member(), directory, workers, peers, notice);
     this.supervisor = createSupervisor(handover);
     this.reports = createReportRouter(relay);
-    peers.serve("/relay/", commands.service(reports::handleRelayed));
+    peers.serve("/relay/", commands.peerService(reports::handleRelayed));
     this.api = createApi();
   }
 
@@ -276,8 +276,8 @@
     public void onElected(long epoch) {
       log.info("leader elected epoch={} member={}", epoch, settings.member());
       long now = eventLoop.nowMs();
-      reachability.begin(now);
-      commands.begin(epoch);
+      reachability.beginTerm(now);
+      commands.beginTerm(epoch);
       election.beginTerm(epoch);
       renewer.onElected();
       zones.beginTerm(now);
@@ -328,7 +328,7 @@
           lease.isLeading(),
           eventLoop.nowMs() - records.state().lastServedAtMs(),
           workers.recentReporters(),
-          lease.isLeading() && reachability.isDeaf());
+          lease.isLeading() && reachability.areWorkersUnreachable());
     }
 
     @Override
--- a/src/main/java/fennelthread/control/FollowerReportHandler.java
+++ b/src/main/java/fennelthread/control/FollowerReportHandler.java
@@ -6,7 +6,7 @@
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
-import fennelthread.relay.Leader;
+import fennelthread.relay.KnownLeader;
 import fennelthread.relay.Relay;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Redirect;
@@ -55,7 +55,7 @@
   /** Handles one report; {@code reply} is called later if the report is relayed. */
   void handle(WorkerReport report, Consumer<Answer> reply) {
     workers.recordReport(report, eventLoop.nowMs());
-    Leader leader = directory.currentLeader();
+    KnownLeader leader = directory.currentLeader();
     boolean peerLeads = leader.member() != null && !member.equals(leader.member());
     if (peerLeads && report.token() >> ProtocolConstants.TOKEN_BITS == leader.epoch()) {
       unreachableLeader.recordLeadersWorker(report.machine());
@@ -66,8 +66,8 @@
       return;
     }
     Relay.Decision decision =
-        peerLeads ? relay.take(report, leader, reply) : Relay.Decision.TO_NEXT;
-    if (decision != Relay.Decision.PASSED_ON) {
+        peerLeads ? relay.relayOrRedirect(report, leader, reply) : Relay.Decision.REDIRECT_TO_NEXT;
+    if (decision != Relay.Decision.RELAYED) {
       reply.accept(redirectTo(redirectTarget(leader, peerLeads, decision)));
     }
   }
@@ -75,14 +75,14 @@
   /**
    * Returns the controller to redirect a worker to, null for the next in the worker's own order.
    */
-  private String redirectTarget(Leader leader, boolean peerLeads, Relay.Decision decision) {
+  private String redirectTarget(KnownLeader leader, boolean peerLeads, Relay.Decision decision) {
     boolean leaderSilent =
         !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.RENEWAL_ABSTENTION_MS;
     String renewingPeer = leaderSilent ? peers.anyRenewingPeer() : null;
     if (renewingPeer != null) {
       return renewingPeer;
     }
-    return decision == Relay.Decision.TO_LEADER ? leader.member() : null;
+    return decision == Relay.Decision.REDIRECT_TO_LEADER ? leader.member() : null;
   }
 
   /** Returns the answer that redirects to the next controller in the worker's own order. */
--- a/src/main/java/fennelthread/control/LeaderDirectory.java
+++ b/src/main/java/fennelthread/control/LeaderDirectory.java
@@ -2,7 +2,7 @@
 
 import fennelthread.leader.LeaderLease;
 import fennelthread.peers.PeerHeartbeat;
-import fennelthread.relay.Leader;
+import fennelthread.relay.KnownLeader;
 
 /**
  * Determines which controller leads, from whichever of two sources has the higher epoch: the
@@ -11,7 +11,7 @@
  */
 public final class LeaderDirectory {
   private final LeaderLease lease;
-  private Leader fromHeartbeats = new Leader(null, 0);
+  private KnownLeader fromHeartbeats = new KnownLeader(null, 0);
 
   /** Creates a directory that has observed no heartbeat; {@code lease} reads the replica. */
   public LeaderDirectory(LeaderLease lease) {
@@ -24,14 +24,14 @@
    */
   public void observeHeartbeat(PeerHeartbeat heartbeat) {
     if (heartbeat.leading() && heartbeat.epoch() >= fromHeartbeats.epoch()) {
-      fromHeartbeats = new Leader(heartbeat.member(), heartbeat.epoch());
+      fromHeartbeats = new KnownLeader(heartbeat.member(), heartbeat.epoch());
     }
   }
 
   /** The leader of the highest epoch known; its member is null while nobody leads. */
-  Leader currentLeader() {
+  KnownLeader currentLeader() {
     return fromHeartbeats.epoch() > lease.recordedEpoch()
         ? fromHeartbeats
-        : new Leader(lease.leaderMember(), lease.leaderEpoch());
+        : new KnownLeader(lease.leaderMember(), lease.leaderEpoch());
   }
 }
--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -5,7 +5,7 @@
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
 import fennelthread.relay.CommandSender;
-import fennelthread.relay.LeaderReachability;
+import fennelthread.relay.WorkerReachability;
 import fennelthread.wire.WorkerReport;
 import java.util.function.Consumer;
 
@@ -19,7 +19,7 @@
   private final String member;
   private final LeaderLease lease;
   private final CurrentTerm term;
-  private final LeaderReachability reachability;
+  private final WorkerReachability reachability;
   private final CommandSender commands;
   private final FollowerReportHandler follower;
   private final StaleReportFilter order = new StaleReportFilter();
@@ -35,7 +35,7 @@
       String member,
       LeaderLease lease,
       CurrentTerm term,
-      LeaderReachability reachability,
+      WorkerReachability reachability,
       CommandSender commands,
       FollowerReportHandler follower) {
     this.eventLoop = eventLoop;
@@ -56,8 +56,8 @@
     }
     Answer answer = term.answer(report, member);
     if (answer != null) {
-      reachability.heard(eventLoop.nowMs());
-      commands.direct(report.machine());
+      reachability.onReport(eventLoop.nowMs());
+      commands.onDirectReport(report.machine());
       reply.accept(answer);
     } else {
       follower.handle(report, reply);
--- a/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
+++ b/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.ControlConstants;
 import fennelthread.peers.PeerHeartbeats;
-import fennelthread.relay.Leader;
+import fennelthread.relay.KnownLeader;
 import fennelthread.relay.UnreachableLeaderNotice;
 
 /**
@@ -37,16 +37,16 @@
 
   /** Records that a worker under the current leader's epoch reported here, and publishes if due. */
   void recordLeadersWorker(String machine) {
-    notice.came(machine);
+    notice.addWorker(machine);
     publishIfDue();
   }
 
   /** Publishes if a peer leads and is silent on the peer network; otherwise clears the record. */
   void publishIfDue() {
-    Leader leader = directory.currentLeader();
+    KnownLeader leader = directory.currentLeader();
     boolean peerLeads = leader.member() != null && !leader.member().equals(member);
     if (peerLeads && peers.silentMs(leader.member()) >= ControlConstants.LEADER_UNREACHABLE_MS) {
-      notice.consider(leader.epoch(), workers.addressCount());
+      notice.publishIfDue(leader.epoch(), workers.addressCount());
     } else {
       notice.clear();
     }
--- a/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -5,8 +5,8 @@
 import fennelthread.net.Call;
 import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
-import fennelthread.relay.LeaderReachability;
 import fennelthread.relay.UnreachableLeaderNotice;
+import fennelthread.relay.WorkerReachability;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -23,7 +23,7 @@
   private final LeaderLease lease;
   private final CurrentTerm term;
   private final PeerHeartbeats peers;
-  private final LeaderReachability reachability;
+  private final WorkerReachability reachability;
   private final UnreachableLeaderNotice notice;
   private final long noReportsLimitMs;
 
@@ -37,7 +37,7 @@
       LeaderLease lease,
       CurrentTerm term,
       PeerHeartbeats peers,
-      LeaderReachability reachability,
+      WorkerReachability reachability,
       UnreachableLeaderNotice notice,
       long reportMs) {
     this.eventLoop = eventLoop;
@@ -58,13 +58,13 @@
     if (!term.isActive()) {
       return;
     }
-    if (reachability.look(eventLoop.nowMs(), term.reportingWorkers())) {
+    if (reachability.check(eventLoop.nowMs(), term.reportingWorkers())) {
       log.info(
           "leader receives no worker reports and sends commands through peers epoch={}",
           lease.epoch());
       peers.sendHeartbeats();
     }
-    if (!reachability.isDeaf()) {
+    if (!reachability.areWorkersUnreachable()) {
       return;
     }
     stepDownOnNotice();
@@ -83,7 +83,7 @@
           ControlConstants.PROBE_TIMEOUT_MS,
           answer -> {
             if (answer != null) {
-              reachability.reached(eventLoop.nowMs());
+              reachability.onProbeAnswered(eventLoop.nowMs());
             }
           });
     }
@@ -94,7 +94,9 @@
    * publishes through the state service that workers report to the peer.
    */
   public void stepDownOnNotice() {
-    if (lease.isLeading() && reachability.isDeaf() && notice.wasRead(lease.epoch())) {
+    if (lease.isLeading()
+        && reachability.areWorkersUnreachable()
+        && notice.hasFreshNotice(lease.epoch())) {
       lease.stepDown(
           "a peer reports through the state service that workers reach only peers",
           ControlConstants.STEP_DOWN_PAUSE_MS);
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -42,7 +42,7 @@
   private final EventLoop eventLoop;
   private final Settings settings;
   private final PeerHeartbeats peers;
-  private final LeaderReachability hearing;
+  private final WorkerReachability hearing;
   private final LongSupplier highestEpoch;
   private final Map<String, Via> vias = new HashMap<>();
   private long epoch;
@@ -57,7 +57,7 @@
       EventLoop eventLoop,
       Settings settings,
       PeerHeartbeats peers,
-      LeaderReachability hearing,
+      WorkerReachability hearing,
       LongSupplier highestEpoch) {
     this.eventLoop = eventLoop;
     this.settings = settings;
@@ -67,13 +67,13 @@
   }
 
   /** A term of ours begins. */
-  public void begin(long newEpoch) {
+  public void beginTerm(long newEpoch) {
     epoch = newEpoch;
     vias.clear();
   }
 
   /** A worker reported to us directly. */
-  public void direct(String machine) {
+  public void onDirectReport(String machine) {
     vias.remove(machine);
   }
 
@@ -224,7 +224,7 @@
         tried -> unsent.over(false));
   }
 
-  /** The peer to go through, or null for the direct way. */
+  /** The peer to go through, or null for the onDirectReport way. */
   private String peer(Machine m) {
     Via via = vias.get(m.name());
     if (via != null) {
@@ -235,7 +235,7 @@
       }
       vias.remove(m.name());
     }
-    return hearing.isDeaf() ? peers.bestRelay() : null;
+    return hearing.areWorkersUnreachable() ? peers.bestRelay() : null;
   }
 
   /**
@@ -243,7 +243,7 @@
    *
    * @param reports answers what peers pass on
    */
-  public Service service(Reports reports) {
+  public Service peerService(Reports reports) {
     return (request, reply) -> {
       try {
         if (request.path().equals(RelayWire.REPORT)) {
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -35,11 +35,11 @@
   /** What becomes of a report that this controller must not answer. */
   public enum Decision {
     /** It is passed on, and its sender answered once the leader has. */
-    PASSED_ON,
+    RELAYED,
     /** Its sender is to report to the leader. */
-    TO_LEADER,
+    REDIRECT_TO_LEADER,
     /** The leader does not answer its sender, and we can't ask it: another controller may. */
-    TO_NEXT
+    REDIRECT_TO_NEXT
   }
 
   /** A worker that was sent to the leader, or whose reports are passed on. */
@@ -72,7 +72,7 @@
    * Takes a report that this controller must not answer; {@code reply} is called if it is passed
    * on.
    */
-  public Decision take(WorkerReport report, Leader leader, Consumer<Answer> reply) {
+  public Decision relayOrRedirect(WorkerReport report, KnownLeader leader, Consumer<Answer> reply) {
     long now = eventLoop.nowMs();
     if (leader.epoch() != epoch) {
       epoch = leader.epoch();
@@ -81,14 +81,14 @@
     }
     boolean left = hasLeft(report, now);
     if (!left && !peers.leadsWithWorkersUnreachable(leader.member())) {
-      return Decision.TO_LEADER;
+      return Decision.REDIRECT_TO_LEADER;
     }
     if (!isOpen(now) || !peers.canRelayThrough(leader.member())) {
       // To send it back would cost it the time it waits for the leader's answer, most of its lease.
-      return left ? Decision.TO_NEXT : Decision.TO_LEADER;
+      return left ? Decision.REDIRECT_TO_NEXT : Decision.REDIRECT_TO_LEADER;
     }
     pass(report, leader, reply);
-    return Decision.PASSED_ON;
+    return Decision.RELAYED;
   }
 
   /** True if the worker comes from the leader, which does not answer it. */
@@ -145,7 +145,7 @@
     phase = next;
   }
 
-  private void pass(WorkerReport report, Leader leader, Consumer<Answer> reply) {
+  private void pass(WorkerReport report, KnownLeader leader, Consumer<Answer> reply) {
     underWay++;
     peers.call(
         leader.member(),
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -42,12 +42,12 @@
     replica.addListener((key, value, revision) -> changed(key, value));
   }
 
-  /** A worker came here that obeys the leader of this epoch. */
-  public void came(String machine) {
+  /** A worker addWorker here that obeys the leader of this epoch. */
+  public void addWorker(String machine) {
     comers.put(machine, eventLoop.nowMs());
   }
 
-  /** Forgets who came: another leads, or the leader can be reached. */
+  /** Forgets who addWorker: another leads, or the leader can be reached. */
   public void clear() {
     comers.clear();
   }
@@ -55,7 +55,7 @@
   /**
    * Says so if it is time to: {@code known} workers are known, the leader of {@code epoch} silent.
    */
-  public void consider(long epoch, int known) {
+  public void publishIfDue(long epoch, int known) {
     long now = eventLoop.nowMs();
     comers.values().removeIf(at -> now - at > RelayConstants.PETITION_FRESH_MS);
     if (writing
@@ -94,7 +94,7 @@
   }
 
   /** True if a peer has just said that workers of this epoch's leader come to it. */
-  public boolean wasRead(long epoch) {
+  public boolean hasFreshNotice(long epoch) {
     return readEpoch == epoch && eventLoop.nowMs() - readAtMs < RelayConstants.PETITION_FRESH_MS;
   }
 }
--- a/src/main/java/fennelthread/relay/LeaderReachability.java
+++ b/src/main/java/fennelthread/relay/WorkerReachability.java
@@ -8,18 +8,18 @@
  * or they are all gone, and which of the two, others have to say. Silence tells nothing while our
  * own timers run late, since then we were not listening.
  */
-public final class LeaderReachability {
+public final class WorkerReachability {
 
   /** What the leader can say of its ears. */
   public enum Phase {
     /** Reports come in, or too few are due to tell. */
-    HEARING,
+    REACHABLE,
     /** So many reports are missing that it can't be chance. */
-    DEAF
+    UNREACHABLE
   }
 
   private final long reportMs;
-  private Phase phase = Phase.HEARING;
+  private Phase phase = Phase.REACHABLE;
   private long heardAtMs;
   private long lookedAtMs;
   private long deafAtMs = Long.MIN_VALUE / 2;
@@ -27,38 +27,38 @@
   private long patienceMs = RelayConstants.DEAF_FIRST_MS;
 
   /** Creates it; workers report every {@code reportMs}, ms, more or less. */
-  public LeaderReachability(long reportMs) {
+  public WorkerReachability(long reportMs) {
     this.reportMs = reportMs;
   }
 
   /** A term begins: workers need until after the next report to come over. */
-  public void begin(long nowMs) {
+  public void beginTerm(long nowMs) {
     heardAtMs = nowMs + 2 * reportMs;
     lookedAtMs = nowMs;
     patienceMs = RelayConstants.DEAF_FIRST_MS;
     deafAtMs = Long.MIN_VALUE / 2;
     backAtMs = Long.MIN_VALUE / 2;
-    moveTo(Phase.HEARING);
+    moveTo(Phase.REACHABLE);
   }
 
   /** A worker's own report came in. */
-  public void heard(long nowMs) {
+  public void onReport(long nowMs) {
     heardAtMs = Math.max(heardAtMs, nowMs);
     back(nowMs);
   }
 
   /** A worker answered a question that was put to it directly: the way there and back is open. */
-  public void reached(long nowMs) {
-    if (phase == Phase.DEAF && nowMs - deafAtMs >= patienceMs) {
+  public void onProbeAnswered(long nowMs) {
+    if (phase == Phase.UNREACHABLE && nowMs - deafAtMs >= patienceMs) {
       heardAtMs = Math.max(heardAtMs, nowMs);
       back(nowMs);
     }
   }
 
   private void back(long nowMs) {
-    if (phase == Phase.DEAF) {
+    if (phase == Phase.UNREACHABLE) {
       backAtMs = nowMs;
-      moveTo(Phase.HEARING);
+      moveTo(Phase.REACHABLE);
     }
   }
 
@@ -68,13 +68,13 @@
    * @param workers how many workers report to this leader, by whatever way
    * @return true if the phase has changed
    */
-  public boolean look(long nowMs, int workers) {
+  public boolean check(long nowMs, int workers) {
     boolean late = nowMs - lookedAtMs > 2 * RelayConstants.SUPERVISE_MS;
     lookedAtMs = nowMs;
     if (late) {
       heardAtMs = Math.max(heardAtMs, nowMs);
     }
-    if (phase == Phase.DEAF) {
+    if (phase == Phase.UNREACHABLE) {
       return false;
     }
     long silentMs = nowMs - heardAtMs;
@@ -90,13 +90,13 @@
             ? Math.min(RelayConstants.DEAF_MOST_MS, patienceMs * 2)
             : RelayConstants.DEAF_FIRST_MS;
     deafAtMs = nowMs;
-    moveTo(Phase.DEAF);
+    moveTo(Phase.UNREACHABLE);
     return true;
   }
 
   /** True if our own ears are of no use at the moment. */
-  public boolean isDeaf() {
-    return phase == Phase.DEAF;
+  public boolean areWorkersUnreachable() {
+    return phase == Phase.UNREACHABLE;
   }
 
   /** The only place where the phase changes. */
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -103,7 +103,7 @@
             @Override
             public void onHeartbeat(PeerHeartbeat heartbeat) {}
           });
-  private final LeaderReachability hearing = new LeaderReachability(1_500);
+  private final WorkerReachability hearing = new WorkerReachability(1_500);
   private final CommandSender courier =
       new CommandSender(eventLoop, settings, peers, hearing, () -> 7);
   private final Machine machine =
@@ -126,12 +126,12 @@
                 + "\"served_ago_ms\":1,\"beats_heard\":3,\"chains\":true,\"relays\":true}")
             .getBytes(StandardCharsets.UTF_8);
     peers.handle(new Request("POST", "/hail", heartbeat), a -> {});
-    courier.begin(7);
-    hearing.begin(now - 100_000);
+    courier.beginTerm(7);
+    hearing.beginTerm(now - 100_000);
     for (long t = now - 10_000; t <= now; t += RelayConstants.SUPERVISE_MS) {
-      hearing.look(t, 500);
+      hearing.check(t, 500);
     }
-    assertTrue(hearing.isDeaf());
+    assertTrue(hearing.areWorkersUnreachable());
   }
 
   private Sent send(boolean spare) {
@@ -175,7 +175,7 @@
           new RelayWire.Commands(epoch, "10.1.0.1:9000", 2_500, false, Fields.create());
       Answer[] answer = new Answer[1];
       courier
-          .service((report, e, from) -> null)
+          .peerService((report, e, from) -> null)
           .handle(
               new Request("POST", RelayWire.COMMANDS, Codec.JSON.encode(commands.write())),
               a -> answer[0] = a);
@@ -192,7 +192,7 @@
   /** A question goes both ways; the machine is silent only if neither brings an answer. */
   @Test
   void aQuestionGoesBothWays() {
-    hearing.heard(now);
+    hearing.onReport(now);
     Sent direct = send(true);
     assertEquals("10.1.0.1:9000", direct.address);
     timers.get(timers.size() - 1).run();
--- a/src/test/java/fennelthread/relay/LeaderReachabilityTest.java
+++ b/src/test/java/fennelthread/relay/WorkerReachabilityTest.java
@@ -12,7 +12,7 @@
  * When a leader takes itself for deaf: soon where many are due, never by chance, late if it was
  * late.
  */
-class LeaderReachabilityTest {
+class WorkerReachabilityTest {
   private static final long REPORT_MS = 4_000;
 
   private long now;
@@ -21,8 +21,8 @@
   @Test
   void chanceMakesNobodyDeaf() {
     for (int workers : new int[] {3, 15, 200, 1_000}) {
-      LeaderReachability hearing = new LeaderReachability(REPORT_MS);
-      hearing.begin(0);
+      WorkerReachability hearing = new WorkerReachability(REPORT_MS);
+      hearing.beginTerm(0);
       SplittableRandom random = new SplittableRandom(workers);
       long[] next = new long[workers];
       for (int i = 0; i < workers; i++) {
@@ -32,12 +32,12 @@
         for (int i = 0; i < workers; i++) {
           while (next[i] <= now) {
             if (random.nextInt(20) > 0) {
-              hearing.heard(next[i]);
+              hearing.onReport(next[i]);
             }
             next[i] += (long) (REPORT_MS * (0.75 + 0.5 * random.nextDouble()));
           }
         }
-        boolean deaf = hearing.look(now, workers);
+        boolean deaf = hearing.check(now, workers);
         assertFalse(deaf && workers > 3, workers + " workers, deaf at " + now);
       }
     }
@@ -52,12 +52,12 @@
   }
 
   private long deafAfter(int workers) {
-    LeaderReachability hearing = new LeaderReachability(REPORT_MS);
-    hearing.begin(-100_000);
-    hearing.heard(0);
-    hearing.look(-RelayConstants.SUPERVISE_MS, workers);
+    WorkerReachability hearing = new WorkerReachability(REPORT_MS);
+    hearing.beginTerm(-100_000);
+    hearing.onReport(0);
+    hearing.check(-RelayConstants.SUPERVISE_MS, workers);
     for (now = 0; now < 60_000; now += RelayConstants.SUPERVISE_MS) {
-      if (hearing.look(now, workers)) {
+      if (hearing.check(now, workers)) {
         return now;
       }
     }
@@ -67,13 +67,13 @@
   /** A process that stood still has not listened. */
   @Test
   void silenceOfOurOwnTellsNothing() {
-    LeaderReachability hearing = new LeaderReachability(REPORT_MS);
-    hearing.begin(-100_000);
-    hearing.heard(0);
-    hearing.look(0, 1_000);
-    assertFalse(hearing.look(20_000, 1_000));
-    assertFalse(hearing.look(20_500, 1_000));
-    assertTrue(hearing.look(21_000, 1_000));
+    WorkerReachability hearing = new WorkerReachability(REPORT_MS);
+    hearing.beginTerm(-100_000);
+    hearing.onReport(0);
+    hearing.check(0, 1_000);
+    assertFalse(hearing.check(20_000, 1_000));
+    assertFalse(hearing.check(20_500, 1_000));
+    assertTrue(hearing.check(21_000, 1_000));
   }
 
   /**
@@ -81,15 +81,15 @@
    */
   @Test
   void earsThatCloseAgainAreBelievedLater() {
-    LeaderReachability hearing = new LeaderReachability(REPORT_MS);
-    hearing.begin(-100_000);
-    hearing.heard(0);
+    WorkerReachability hearing = new WorkerReachability(REPORT_MS);
+    hearing.beginTerm(-100_000);
+    hearing.onReport(0);
     int opened = 0;
     for (now = 0; now < 120_000; now += RelayConstants.SUPERVISE_MS) {
-      hearing.look(now, 1_000);
-      boolean before = hearing.isDeaf();
-      hearing.reached(now);
-      opened += before && !hearing.isDeaf() ? 1 : 0;
+      hearing.check(now, 1_000);
+      boolean before = hearing.areWorkersUnreachable();
+      hearing.onProbeAnswered(now);
+      opened += before && !hearing.areWorkersUnreachable() ? 1 : 0;
     }
     assertTrue(opened <= 9, opened + " times");
   }
