--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -3,7 +3,7 @@
 import fennelthread.api.Api;
 import fennelthread.constants.RelayConstants;
 import fennelthread.control.CurrentTerm;
-import fennelthread.control.FollowerReports;
+import fennelthread.control.FollowerReportHandler;
 import fennelthread.control.KnownWorkers;
 import fennelthread.control.LeaderDirectory;
 import fennelthread.control.LeaderSupervisor;
@@ -20,8 +20,8 @@
 import fennelthread.leader.FleetEnvironment;
 import fennelthread.leader.JobRecords;
 import fennelthread.leader.LeaderContext;
-import fennelthread.leader.Lease;
-import fennelthread.leader.PeerAssurance;
+import fennelthread.leader.LeaderLease;
+import fennelthread.leader.PeerKnowledge;
 import fennelthread.leader.Term;
 import fennelthread.leaserenewal.FollowerLeaseRenewer;
 import fennelthread.leaserenewal.LeadershipStatus;
@@ -34,9 +34,9 @@
 import fennelthread.peers.PeerHeartbeat;
 import fennelthread.peers.PeerHeartbeats;
 import fennelthread.relay.CommandSender;
-import fennelthread.relay.LeaderReachability;
 import fennelthread.relay.Relay;
 import fennelthread.relay.UnreachableLeaderNotice;
+import fennelthread.relay.WorkerReachability;
 import fennelthread.settings.Options;
 import fennelthread.settings.Settings;
 import fennelthread.zones.ZoneMonitor;
@@ -58,12 +58,12 @@
   private final ReplicatedRecords records;
   private final CloudClient cloud;
   private final MachineTypes machineTypes;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final CurrentTerm currentTerm;
   private final LeaderDirectory directory;
   private final KnownWorkers workers = new KnownWorkers();
   private final PeerHeartbeats peers;
-  private final LeaderReachability reachability;
+  private final WorkerReachability reachability;
   private final CommandSender commands;
   private final MemoryPressureMonitor memory;
   private final LeaderElection election;
@@ -94,7 +94,7 @@
     this.currentTerm = new CurrentTerm(lease);
     this.directory = new LeaderDirectory(lease);
     this.peers = new PeerHeartbeats(eventLoop, settings, new HeartbeatStatus());
-    this.reachability = new LeaderReachability(settings.workers().reportMs());
+    this.reachability = new WorkerReachability(settings.workers().reportMs());
     Relay relay = new Relay(eventLoop, settings, peers);
     this.commands =
         new CommandSender(eventLoop, settings, peers, reachability, lease::highestEpoch);
@@ -114,19 +114,19 @@
         new UnreachableLeaderPublisher(settings.member(), directory, workers, peers, notice);
     this.supervisor = createSupervisor(handover);
     this.reports = createReportRouter(relay);
-    peers.serve("/relay/", commands.service(reports::handleRelayed));
+    peers.serve("/relay/", commands.peerService(reports::handleRelayed));
     this.api = createApi();
   }
 
-  private Lease createLease() {
-    return new Lease(
+  private LeaderLease createLease() {
+    return new LeaderLease(
         eventLoop,
         records.state(),
         records.replica(),
         settings,
         options,
         incarnation,
-        new PeerState(),
+        new PeerHeartbeatKnowledge(),
         new LeadershipListener());
   }
 
@@ -153,7 +153,7 @@
         peers,
         records.cancellations(),
         records.replica(),
-        new LeaseLeadership());
+        new LeaderLeaseStatus());
   }
 
   private WorkerReachabilityCheck createReachabilityCheck(UnreachableLeaderNotice notice) {
@@ -173,8 +173,8 @@
   }
 
   private ReportRouter createReportRouter(Relay relay) {
-    FollowerReports follower =
-        new FollowerReports(
+    FollowerReportHandler follower =
+        new FollowerReportHandler(
             eventLoop,
             settings.member(),
             directory,
@@ -248,33 +248,36 @@
   }
 
   private void onReplicaLoaded() {
-    log.info("state loaded member={} revision={}", settings.member(), records.replica().revision());
+    log.info(
+        "replica loaded member={} revision={}", settings.member(), records.replica().revision());
     lease.claimIfVacant();
   }
 
-  // ---------------------------------------------------------------- leading
+  // ---------------------------------------------------------------- leadership
 
-  /** Answers the lease's questions about the peers. */
-  private final class PeerState implements PeerAssurance {
+  /** What this controller knows about its peers that its leader lease depends on. */
+  private final class PeerHeartbeatKnowledge implements PeerKnowledge {
     @Override
     public boolean excludesOtherLeader() {
       return election.excludesTakeover();
     }
 
     @Override
-    public long stillUnbounded(long epoch) {
+    public long epochIfUnbounded(long epoch) {
       return peers.allBoundRenewals(epoch) ? 0 : epoch;
     }
   }
 
-  /** Begins a term when this controller is elected, and resigns it when it steps down. */
-  private final class LeadershipListener implements Lease.Listener {
+  /**
+   * Begins a term when this controller is elected; the term resigns when the controller steps down.
+   */
+  private final class LeadershipListener implements LeaderLease.Listener {
     @Override
     public void onElected(long epoch) {
       log.info("leader elected epoch={} member={}", epoch, settings.member());
       long now = eventLoop.nowMs();
-      reachability.begin(now);
-      commands.begin(epoch);
+      reachability.beginTerm(now);
+      commands.beginTerm(epoch);
       election.beginTerm(epoch);
       renewer.onElected();
       zones.beginTerm(now);
@@ -283,7 +286,7 @@
     }
 
     @Override
-    public void onDeposed(String reason) {
+    public void onSteppedDown(String reason) {
       log.info("leader stepped down member={} reason={}", settings.member(), reason);
       currentTerm.resign();
     }
@@ -297,13 +300,13 @@
             cloud,
             machineTypes,
             zones,
-            new WorkerLink(commands, renewer.gate(), stalls),
+            new WorkerLink(commands, renewer.responseGate(), stalls),
             () -> othersSilentSinceMs(epoch, electedAtMs),
             workers.addresses()));
   }
 
   /**
-   * The time since when no other controller can have answered a report, ms of the local clock;
+   * Since when no other controller can have answered a worker's report, ms of the local clock;
    * {@code Long.MAX_VALUE} while one may still do so.
    */
   private long othersSilentSinceMs(long epoch, long electedAtMs) {
@@ -314,7 +317,7 @@
 
   // ---------------------------------------------------------------- peers
 
-  /** What this controller shares with its peers, and does with their heartbeats. */
+  /** Supplies the content of this controller's heartbeats and applies those of its peers. */
   private final class HeartbeatStatus implements LocalStatus {
     @Override
     public HeartbeatSender sender() {
@@ -325,7 +328,7 @@
           lease.isLeading(),
           eventLoop.nowMs() - records.state().lastServedAtMs(),
           workers.recentReporters(),
-          lease.isLeading() && reachability.isDeaf());
+          lease.isLeading() && reachability.areWorkersUnreachable());
     }
 
     @Override
@@ -343,8 +346,10 @@
     }
   }
 
-  /** What the renewal of leases by followers needs to know of our lease. */
-  private final class LeaseLeadership implements LeadershipStatus {
+  /**
+   * Tells the follower's renewal of worker leases whether this controller leads, and its epochs.
+   */
+  private final class LeaderLeaseStatus implements LeadershipStatus {
     @Override
     public boolean isLeading() {
       return lease.isLeading();
--- a/src/main/java/fennelthread/control/FollowerReports.java
+++ b/src/main/java/fennelthread/control/FollowerReportHandler.java
@@ -6,7 +6,7 @@
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
-import fennelthread.relay.Leader;
+import fennelthread.relay.KnownLeader;
 import fennelthread.relay.Relay;
 import fennelthread.wire.Codec;
 import fennelthread.wire.Redirect;
@@ -14,10 +14,11 @@
 import java.util.function.Consumer;
 
 /**
- * What a follower does with a worker's report: renews the worker's lease in the place of a silent
- * leader, relays the report to the leader, or redirects the worker to another controller.
+ * Handles workers' reports on a follower: renews the worker's lease in place of a silent leader,
+ * relays the report to the leader, or redirects the worker to another controller. Used on the event
+ * loop's thread only.
  */
-public final class FollowerReports {
+public final class FollowerReportHandler {
   private final EventLoop eventLoop;
   private final String member;
   private final LeaderDirectory directory;
@@ -32,7 +33,7 @@
    *
    * @param member the name of this controller
    */
-  public FollowerReports(
+  public FollowerReportHandler(
       EventLoop eventLoop,
       String member,
       LeaderDirectory directory,
@@ -51,10 +52,10 @@
     this.unreachableLeader = unreachableLeader;
   }
 
-  /** Handles one report; a relayed one is answered once the leader has answered. */
+  /** Handles one report; {@code reply} is called later if the report is relayed. */
   void handle(WorkerReport report, Consumer<Answer> reply) {
     workers.recordReport(report, eventLoop.nowMs());
-    Leader leader = directory.currentLeader();
+    KnownLeader leader = directory.currentLeader();
     boolean peerLeads = leader.member() != null && !member.equals(leader.member());
     if (peerLeads && report.token() >> ProtocolConstants.TOKEN_BITS == leader.epoch()) {
       unreachableLeader.recordLeadersWorker(report.machine());
@@ -65,24 +66,26 @@
       return;
     }
     Relay.Decision decision =
-        peerLeads ? relay.take(report, leader, reply) : Relay.Decision.TO_NEXT;
-    if (decision != Relay.Decision.PASSED_ON) {
+        peerLeads ? relay.relayOrRedirect(report, leader, reply) : Relay.Decision.REDIRECT_TO_NEXT;
+    if (decision != Relay.Decision.RELAYED) {
       reply.accept(redirectTo(redirectTarget(leader, peerLeads, decision)));
     }
   }
 
-  /** The controller to redirect a worker to, null for the next one in the worker's own order. */
-  private String redirectTarget(Leader leader, boolean peerLeads, Relay.Decision decision) {
+  /**
+   * Returns the controller to redirect a worker to, null for the next in the worker's own order.
+   */
+  private String redirectTarget(KnownLeader leader, boolean peerLeads, Relay.Decision decision) {
     boolean leaderSilent =
         !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.RENEWAL_ABSTENTION_MS;
     String renewingPeer = leaderSilent ? peers.anyRenewingPeer() : null;
     if (renewingPeer != null) {
       return renewingPeer;
     }
-    return decision == Relay.Decision.TO_LEADER ? leader.member() : null;
+    return decision == Relay.Decision.REDIRECT_TO_LEADER ? leader.member() : null;
   }
 
-  /** The answer that redirects to the next controller in the worker's own order. */
+  /** Returns the answer that redirects to the next controller in the worker's own order. */
   static Answer redirectToNext() {
     return redirectTo(null);
   }
--- a/src/main/java/fennelthread/control/LeaderDirectory.java
+++ b/src/main/java/fennelthread/control/LeaderDirectory.java
@@ -1,33 +1,37 @@
 package fennelthread.control;
 
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.peers.PeerHeartbeat;
-import fennelthread.relay.Leader;
+import fennelthread.relay.KnownLeader;
 
 /**
- * Which controller leads, by the latest of two sources: the leader's record in the replica, and the
- * heartbeats of a peer whose claim the replica has not reached yet.
+ * Determines which controller leads, from whichever of two sources has the higher epoch: the
+ * leader's record in the replica, and the heartbeats of a peer whose claim the replica has not
+ * reached yet. Used on the event loop's thread only.
  */
 public final class LeaderDirectory {
-  private final Lease lease;
-  private Leader fromHeartbeats = new Leader(null, 0);
+  private final LeaderLease lease;
+  private KnownLeader fromHeartbeats = new KnownLeader(null, 0);
 
   /** Creates a directory that has observed no heartbeat; {@code lease} reads the replica. */
-  public LeaderDirectory(Lease lease) {
+  public LeaderDirectory(LeaderLease lease) {
     this.lease = lease;
   }
 
-  /** Records the sender of a heartbeat as leader if it leads under the highest epoch so far. */
+  /**
+   * Records the heartbeat's sender as leader if it leads under the highest epoch of any leader's
+   * heartbeat so far.
+   */
   public void observeHeartbeat(PeerHeartbeat heartbeat) {
     if (heartbeat.leading() && heartbeat.epoch() >= fromHeartbeats.epoch()) {
-      fromHeartbeats = new Leader(heartbeat.member(), heartbeat.epoch());
+      fromHeartbeats = new KnownLeader(heartbeat.member(), heartbeat.epoch());
     }
   }
 
   /** The leader of the highest epoch known; its member is null while nobody leads. */
-  Leader currentLeader() {
+  KnownLeader currentLeader() {
     return fromHeartbeats.epoch() > lease.recordedEpoch()
         ? fromHeartbeats
-        : new Leader(lease.leaderMember(), lease.leaderEpoch());
+        : new KnownLeader(lease.leaderMember(), lease.leaderEpoch());
   }
 }
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -3,27 +3,27 @@
 import fennelthread.constants.ControlConstants;
 import fennelthread.constants.RelayConstants;
 import fennelthread.handover.Handover;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.EventLoop;
 
 /**
  * Checks periodically whether this controller should lead. A follower claims the lease if nobody
- * leads. A leader steps down when the state service refuses only it, or when the workers reach only
- * its peers.
+ * leads. A leader steps down when the state service refuses requests of this controller only, or
+ * when workers reach only its peers. Used on the event loop's thread only.
  */
 public final class LeaderSupervisor {
   private final EventLoop eventLoop;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final KnownWorkers workers;
   private final Handover handover;
   private final StateServiceCheck stateService;
   private final WorkerReachabilityCheck reachability;
   private final UnreachableLeaderPublisher unreachableLeader;
 
-  /** Creates a supervisor; {@link #runChecks} is to be called periodically. */
+  /** Creates a supervisor; the caller schedules {@link #runChecks}. */
   public LeaderSupervisor(
       EventLoop eventLoop,
-      Lease lease,
+      LeaderLease lease,
       KnownWorkers workers,
       Handover handover,
       StateServiceCheck stateService,
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -2,7 +2,7 @@
 
 import fennelthread.constants.ControlConstants;
 import fennelthread.fleet.CloudClient;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.leader.MachineTypeCatalog;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
@@ -23,8 +23,8 @@
 
 /**
  * The cloud's machine types, which every controller needs to validate submissions. They are fetched
- * from the cloud; the leader also stores them in the state service, so that a controller that
- * starts during an outage of the cloud has them.
+ * from the cloud; the leader also stores them in the state service, for controllers that start
+ * during a cloud outage. Used on the event loop's thread only.
  */
 public final class MachineTypes implements MachineTypeCatalog {
   private static final Logger log = LoggerFactory.getLogger(MachineTypes.class);
@@ -33,13 +33,17 @@
   private final CloudClient cloud;
   private final StateClient state;
   private final Replica replica;
-  private final Lease lease;
+  private final LeaderLease lease;
   private Map<String, MachineType> byName = new LinkedHashMap<>();
   private boolean fetching;
 
-  /** Creates an empty set of types; {@link #fetchFromCloud} and the replica fill it. */
+  /** Creates an empty catalog, which {@link #fetchFromCloud} and the replica fill. */
   public MachineTypes(
-      EventLoop eventLoop, CloudClient cloud, StateClient state, Replica replica, Lease lease) {
+      EventLoop eventLoop,
+      CloudClient cloud,
+      StateClient state,
+      Replica replica,
+      LeaderLease lease) {
     this.eventLoop = eventLoop;
     this.cloud = cloud;
     this.state = state;
@@ -70,7 +74,7 @@
         });
   }
 
-  /** Takes over the types from the state service, unless the types are known already. */
+  /** Applies the types stored in the state service, unless types are known already. */
   public void onRecordChanged(String key, Fields value) {
     if (!key.equals(Keys.MACHINE_TYPES) || value == null || !byName.isEmpty()) {
       return;
@@ -89,30 +93,33 @@
   }
 
   /**
-   * Takes over the types that this controller, as leader, has fetched from the cloud, and stores
-   * them if they differ from what is stored.
+   * Replaces the types by those that this controller, as leader, has fetched from the cloud, and
+   * stores them if they differ from the stored ones.
    */
   @Override
   public void replaceAndStore(List<MachineType> types) {
     replace(types);
     Fields value = MachineType.writeAll(types.stream().map(MachineTypes::withoutPrices).toList());
     byte[] encoded = Codec.JSON.encode(value);
-    if (encoded.length > state.limits().valueBytes()) {
+    if (encoded.length > state.limits().maxValueBytes()) {
       log.info(
           "machine types too large to store bytes={} limitBytes={}",
           encoded.length,
-          state.limits().valueBytes());
+          state.limits().maxValueBytes());
       return;
     }
     Fields stored = replica.get(Keys.MACHINE_TYPES);
     if (stored != null && Arrays.equals(Codec.JSON.encode(stored), encoded)) {
       return;
     }
-    Txn txn = new Txn().when(Keys.EPOCH, lease.epochRevision()).write(Keys.MACHINE_TYPES, value);
-    state.txn(RequestPriority.MAINTENANCE, txn, result -> {});
+    Txn txn =
+        new Txn()
+            .requireRevision(Keys.EPOCH, lease.epochRevision())
+            .write(Keys.MACHINE_TYPES, value);
+    state.submitTxn(RequestPriority.MAINTENANCE, txn, result -> {});
   }
 
-  /** Leaves out the prices: they change all the time, and would be stored each time. */
+  /** Omits the prices, which change often: each change would cause another write. */
   private static MachineType withoutPrices(MachineType type) {
     return new MachineType(
         type.name(),
--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -1,28 +1,28 @@
 package fennelthread.control;
 
-import fennelthread.fleet.ReportOrder;
-import fennelthread.leader.Lease;
+import fennelthread.fleet.StaleReportFilter;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.Answer;
 import fennelthread.net.EventLoop;
 import fennelthread.relay.CommandSender;
-import fennelthread.relay.LeaderReachability;
+import fennelthread.relay.WorkerReachability;
 import fennelthread.wire.WorkerReport;
 import java.util.function.Consumer;
 
 /**
  * Routes workers' reports: to the term of this controller if it leads, and to {@link
- * FollowerReports} otherwise. A report that is a copy of an earlier one is redirected and changes
- * nothing.
+ * FollowerReportHandler} otherwise. A duplicate of an earlier report is answered with a redirect
+ * and has no other effect. Used on the event loop's thread only.
  */
 public final class ReportRouter {
   private final EventLoop eventLoop;
   private final String member;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final CurrentTerm term;
-  private final LeaderReachability reachability;
+  private final WorkerReachability reachability;
   private final CommandSender commands;
-  private final FollowerReports follower;
-  private final ReportOrder order = new ReportOrder();
+  private final FollowerReportHandler follower;
+  private final StaleReportFilter order = new StaleReportFilter();
 
   /**
    * Creates the router of one controller.
@@ -33,11 +33,11 @@
   public ReportRouter(
       EventLoop eventLoop,
       String member,
-      Lease lease,
+      LeaderLease lease,
       CurrentTerm term,
-      LeaderReachability reachability,
+      WorkerReachability reachability,
       CommandSender commands,
-      FollowerReports follower) {
+      FollowerReportHandler follower) {
     this.eventLoop = eventLoop;
     this.member = member;
     this.lease = lease;
@@ -49,15 +49,15 @@
 
   /** Answers a report that a worker sent to this controller; {@code reply} may be called later. */
   public void handle(WorkerReport report, Consumer<Answer> reply) {
-    if (order.isCopy(report)) {
-      // Its sender no longer waits for an answer, and its content is out of date.
-      reply.accept(FollowerReports.redirectToNext());
+    if (order.rejects(report)) {
+      // The worker no longer waits for an answer to a duplicate, and its content is out of date.
+      reply.accept(FollowerReportHandler.redirectToNext());
       return;
     }
     Answer answer = term.answer(report, member);
     if (answer != null) {
-      reachability.heard(eventLoop.nowMs());
-      commands.direct(report.machine());
+      reachability.onReport(eventLoop.nowMs());
+      commands.onDirectReport(report.machine());
       reply.accept(answer);
     } else {
       follower.handle(report, reply);
@@ -67,11 +67,12 @@
   /**
    * Answers a report that a peer relays to this controller as the leader of {@code epoch}.
    *
-   * @return null if this controller must not answer; not an Optional, as every report passes here
+   * @return null if this controller must not answer; not an Optional, because this runs for every
+   *     report
    */
   public Answer handleRelayed(WorkerReport report, long epoch, String peer) {
     lease.observeEpoch(epoch);
-    boolean accepted = epoch == lease.epoch() && !order.isCopy(report);
-    return accepted ? term.answer(report, peer) : null;
+    boolean isAccepted = epoch == lease.epoch() && !order.rejects(report);
+    return isAccepted ? term.answer(report, peer) : null;
   }
 }
--- a/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -1,28 +1,29 @@
 package fennelthread.control;
 
 import fennelthread.constants.ControlConstants;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.Call;
 import fennelthread.net.EventLoop;
 import fennelthread.peers.PeerHeartbeats;
-import fennelthread.relay.LeaderReachability;
 import fennelthread.relay.UnreachableLeaderNotice;
+import fennelthread.relay.WorkerReachability;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether the workers' reports still reach this leader. While they do not, it probes some workers
- * directly, and steps down if a peer says that the workers report to the peer.
+ * Checks whether workers' reports still reach this leader. While they do not, it probes some
+ * workers directly, and steps down if a peer publishes that the workers report to the peer. Used on
+ * the event loop's thread only.
  */
 public final class WorkerReachabilityCheck {
   private static final Logger log = LoggerFactory.getLogger(WorkerReachabilityCheck.class);
 
   private final EventLoop eventLoop;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final CurrentTerm term;
   private final PeerHeartbeats peers;
-  private final LeaderReachability reachability;
+  private final WorkerReachability reachability;
   private final UnreachableLeaderNotice notice;
   private final long noReportsLimitMs;
 
@@ -33,10 +34,10 @@
    */
   public WorkerReachabilityCheck(
       EventLoop eventLoop,
-      Lease lease,
+      LeaderLease lease,
       CurrentTerm term,
       PeerHeartbeats peers,
-      LeaderReachability reachability,
+      WorkerReachability reachability,
       UnreachableLeaderNotice notice,
       long reportMs) {
     this.eventLoop = eventLoop;
@@ -52,18 +53,18 @@
                 reportMs * ControlConstants.NO_REPORTS_INTERVALS);
   }
 
-  /** Checks whether reports still reach this leader, and probes some workers if none does. */
+  /** Checks whether reports still reach this leader, and probes some workers if none do. */
   void probeIfUnreachable() {
     if (!term.isActive()) {
       return;
     }
-    if (reachability.look(eventLoop.nowMs(), term.reportingWorkers())) {
+    if (reachability.check(eventLoop.nowMs(), term.reportingWorkers())) {
       log.info(
-          "no report reaches the leader, workers are reached through peers epoch={}",
+          "leader receives no worker reports and sends commands through peers epoch={}",
           lease.epoch());
       peers.sendHeartbeats();
     }
-    if (!reachability.isDeaf()) {
+    if (!reachability.areWorkersUnreachable()) {
       return;
     }
     stepDownOnNotice();
@@ -82,25 +83,27 @@
           ControlConstants.PROBE_TIMEOUT_MS,
           answer -> {
             if (answer != null) {
-              reachability.reached(eventLoop.nowMs());
+              reachability.onProbeAnswered(eventLoop.nowMs());
             }
           });
     }
   }
 
   /**
-   * Steps down if no report reaches this leader, and a peer that can't reach it either says through
-   * the state service that the workers report to the peer.
+   * Steps down if no report reaches this leader, and a peer that can't reach it on the peer network
+   * publishes through the state service that workers report to the peer.
    */
   public void stepDownOnNotice() {
-    if (lease.isLeading() && reachability.isDeaf() && notice.wasRead(lease.epoch())) {
+    if (lease.isLeading()
+        && reachability.areWorkersUnreachable()
+        && notice.hasFreshNotice(lease.epoch())) {
       lease.stepDown(
-          "workers reach only peers, by a notice in the state service",
+          "a peer reports through the state service that workers reach only peers",
           ControlConstants.STEP_DOWN_PAUSE_MS);
     }
   }
 
-  /** True if workers have reported to peers, and none for long to this leader. */
+  /** True if workers report to peers, and none has reported to this leader within the limit. */
   boolean workersReachOnlyPeers() {
     return eventLoop.nowMs() - term.lastReportAtMs() > noReportsLimitMs
         && peers.reportsReceivedByPeers() > 0;
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -1,7 +1,7 @@
 package fennelthread.election;
 
 import fennelthread.constants.ElectionConstants;
-import fennelthread.leader.Lease;
+import fennelthread.leader.LeaderLease;
 import fennelthread.net.EventLoop;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
@@ -16,15 +16,15 @@
 
 /**
  * The leader's declaration, recorded in the state service, that it acts without its peers'
- * promises. Every takeover is conditional on the declaration's revision when the peers agreed to
- * it: once it is rewritten, no takeover that was agreed on before can be applied, and while it
- * stands peers agree to none.
+ * promises. Every takeover is conditional on the revision that the declaration had when the peers
+ * agreed: once it is rewritten, no takeover that was agreed on before can be applied. While it is
+ * in force, peers agree to none.
  */
 final class UnilateralLeadership {
   private static final Logger log = LoggerFactory.getLogger(UnilateralLeadership.class);
   private static final String EPOCH_FIELD = "epoch";
 
-  /** The state of the declaration. Only DECLARED entitles the leader to start work. */
+  /** The state of the declaration. Only DECLARED lets the leader start tasks without promises. */
   enum Phase {
     /** Not recorded, or recorded by a write that got no answer. */
     NOT_DECLARED,
@@ -32,34 +32,36 @@
     DECLARING,
     /** Recorded. */
     DECLARED,
-    /** A write that revokes it is in flight: from when it was sent the declaration is void here. */
+    /**
+     * A revocation is in flight: from its sending on, the leader does not rely on the declaration.
+     */
     REVOKING
   }
 
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
-  private final Lease lease;
+  private final LeaderLease lease;
   private Phase phase = Phase.NOT_DECLARED;
   private long term;
   private long lastWriteAtMs = Long.MIN_VALUE / 2;
 
   /** Creates the declaration of one controller; nothing is written before the first term. */
-  UnilateralLeadership(EventLoop eventLoop, StateClient state, Replica replica, Lease lease) {
+  UnilateralLeadership(EventLoop eventLoop, StateClient state, Replica replica, LeaderLease lease) {
     this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
     this.lease = lease;
   }
 
-  /** Begins a term: what earlier ones recorded names another epoch. */
+  /** Begins a term: declarations recorded in earlier terms name another epoch. */
   void beginTerm() {
     term++;
     phase = Phase.NOT_DECLARED;
     lastWriteAtMs = Long.MIN_VALUE / 2;
   }
 
-  /** True if the declaration is known to be recorded and was not revoked since. */
+  /** True if the declaration is known to be recorded, and no revocation was sent since. */
   boolean isDeclared() {
     return phase == Phase.DECLARED;
   }
@@ -79,7 +81,7 @@
     }
   }
 
-  /** Records the declaration unless it is recorded or a write is in flight or was just made. */
+  /** Writes the declaration, unless it is recorded, or a write is in flight or was just made. */
   void declare() {
     if (phase == Phase.NOT_DECLARED) {
       write(true);
@@ -97,8 +99,8 @@
   }
 
   /**
-   * Writes the declaration or its revocation, conditional on the revision of the write before: one
-   * without an answer may be applied late, after the next.
+   * Writes the declaration or its revocation. The write is conditional on the revision in the
+   * replica, so that an earlier write without an answer can't be applied after this one.
    */
   private void write(boolean declared) {
     if (eventLoop.nowMs() - lastWriteAtMs < ElectionConstants.DECLARATION_RETRY_MS) {
@@ -112,9 +114,9 @@
     Txn txn =
         lease
             .fencedTxn()
-            .when(Keys.UNILATERAL_LEADERSHIP, recordedRevision())
+            .requireRevision(Keys.UNILATERAL_LEADERSHIP, recordedRevision())
             .write(Keys.UNILATERAL_LEADERSHIP, declaration);
-    state.txn(
+    state.submitTxn(
         RequestPriority.INTERACTIVE,
         txn,
         result -> {
--- a/src/main/java/fennelthread/jobs/DependencyCheckResult.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheckResult.java
@@ -7,17 +7,18 @@
   /**
    * Every dependency was accepted, and none is a service.
    *
-   * @param cancelled true if one of them was cancelled, or is to be
+   * @param hasCancelledDependency true if one of them was cancelled, or is to be
    */
-  record Valid(boolean cancelled) implements DependencyCheckResult {}
+  record Valid(boolean hasCancelledDependency) implements DependencyCheckResult {}
 
   /**
    * A dependency was never accepted, or is a service.
    *
-   * @param why the rest of a sentence for the user that begins with the field's name
+   * @param reason a predicate for the error message to the user, which puts the field's name before
+   *     it
    */
-  record Invalid(String why) implements DependencyCheckResult {}
+  record Invalid(String reason) implements DependencyCheckResult {}
 
-  /** The state service could not be read; the submission may be repeated. */
-  record Unavailable(Unavailability why) implements DependencyCheckResult {}
+  /** The dependencies could not be read from the state service; the user may submit again. */
+  record Unavailable(Unavailability reason) implements DependencyCheckResult {}
 }
--- a/src/main/java/fennelthread/jobs/FinishedTasksCodec.java
+++ b/src/main/java/fennelthread/jobs/FinishedTasksCodec.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * The stored form of a job's finished tasks. A record holds one chunk of {@link
- * JobConstants#TASKS_PER_CHUNK} tasks as a list of first and last task of each range, relative to
- * the chunk's first task.
+ * Encodes and decodes the finished tasks of a job. One record holds a chunk of {@link
+ * JobConstants#TASKS_PER_CHUNK} tasks as a flat list of ranges: the first and the last task of
+ * each, inclusive, relative to the chunk's first task.
  */
 public final class FinishedTasksCodec {
   private FinishedTasksCodec() {}
@@ -19,7 +19,7 @@
    * Encodes the finished tasks of one chunk, as many ranges as fit into {@code maxBytes}; the tasks
    * that are encoded are added to {@code covered}.
    */
-  public static Fields write(int chunk, BitSet finished, int maxBytes, BitSet covered) {
+  public static Fields encode(int chunk, BitSet finished, int maxBytes, BitSet covered) {
     int base = chunk * JobConstants.TASKS_PER_CHUNK;
     int end = base + JobConstants.TASKS_PER_CHUNK;
     List<Object> ranges = new ArrayList<>();
@@ -38,8 +38,11 @@
     return Fields.create().with("r", ranges);
   }
 
-  /** Adds the tasks of one chunk's record to {@code finished}; malformed ranges are skipped. */
-  static void readInto(BitSet finished, int chunk, Fields value) throws WireException {
+  /**
+   * Decodes one chunk's record and adds its tasks to {@code finished}; malformed ranges are
+   * skipped.
+   */
+  static void decodeInto(BitSet finished, int chunk, Fields value) throws WireException {
     int base = chunk * JobConstants.TASKS_PER_CHUNK;
     List<?> ranges = value.list("r");
     for (int i = 0; i + 1 < ranges.size(); i += 2) {
--- a/src/main/java/fennelthread/jobs/JobRecordCodec.java
+++ b/src/main/java/fennelthread/jobs/JobRecordCodec.java
@@ -12,30 +12,30 @@
 import java.util.Map;
 
 /**
- * The stored form of a live job: its own record, and further records with the dependencies for
- * which that one has no space. The record of a job without dependencies is what it was before there
- * were any: older versions read it and run the job.
+ * Encodes and decodes the records of a live job: the job's own record, and further records (parts)
+ * with the dependencies that don't fit into it. The record of a job without dependencies has no
+ * field for them, so that versions without dependencies can read it and run the job.
  */
 final class JobRecordCodec {
-  /** The field with the number of further records that hold dependencies. */
+  /** The field with the number of parts that hold further dependencies. */
   private static final String PART_COUNT = "espera_parts";
 
-  /** The field with the time of day of acceptance, ms. */
+  /** The field with the wall-clock time of acceptance, ms. */
   private static final String ACCEPTED_AT = "at_ms";
 
   private JobRecordCodec() {}
 
   /**
-   * Encodes the records of a job that is to be accepted, by key. Records with further dependencies
-   * come before the job's own.
+   * Encodes the records of a job that is to be accepted, by key. The parts come before the job's
+   * own record.
    *
    * @throws WireException naming the field that is too large for the state service
    */
-  static Map<String, Fields> write(JobSpec spec, long wallMs, SizeLimits limits)
+  static Map<String, Fields> encode(JobSpec spec, long wallMs, SizeLimits limits)
       throws WireException {
     Fields record = spec.withDependencies(List.of()).write().with(ACCEPTED_AT, wallMs);
     int bytes = SizeLimits.encodedBytes(record);
-    if (bytes > limits.valueBytes()) {
+    if (bytes > limits.maxValueBytes()) {
       throw new WireException("body", "is too large");
     }
     Map<String, Fields> records = new LinkedHashMap<>();
@@ -43,28 +43,28 @@
       bytes += addDependencies(spec, record, bytes, records, limits);
     }
     records.put(Keys.job(spec.id()), record);
-    if (records.size() > limits.txnChanges() || bytes > limits.txnBytes()) {
+    if (records.size() > limits.maxTxnChanges() || bytes > limits.maxTxnBytes()) {
       throw tooManyDependencies();
     }
     return records;
   }
 
   /**
-   * Adds the dependencies to the job's own record as far as they fit, and the rest to further
-   * records. Returns the size of the further records, bytes.
+   * Adds the dependencies to the job's own record as far as they fit, and the rest to parts.
+   * Returns the size of all parts, bytes.
    */
   private static int addDependencies(
       JobSpec spec, Fields record, int recordBytes, Map<String, Fields> records, SizeLimits limits)
       throws WireException {
     List<String> dependencies = spec.dependencies();
-    int bytesPerPart = limits.valueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
-    int next = fitting(dependencies, 0, bytesPerPart - recordBytes);
+    int bytesPerPart = limits.maxValueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
+    int next = endOfFitting(dependencies, 0, bytesPerPart - recordBytes);
     List<Object> ownDependencies = new ArrayList<>(dependencies.subList(0, next));
     int partsBytes = 0;
     int parts = 0;
     while (next < dependencies.size()) {
-      int end = fitting(dependencies, next, bytesPerPart);
-      if (end == next || parts >= limits.txnChanges()) {
+      int end = endOfFitting(dependencies, next, bytesPerPart);
+      if (end == next || parts >= limits.maxTxnChanges()) {
         throw tooManyDependencies();
       }
       List<Object> ids = new ArrayList<>(dependencies.subList(next, end));
@@ -80,8 +80,10 @@
     return partsBytes;
   }
 
-  /** The end of the dependencies from {@code from} on that fit into so many bytes. */
-  private static int fitting(List<String> dependencies, int from, int bytes) {
+  /**
+   * The end index, exclusive, of the dependencies from {@code from} on that fit into {@code bytes}.
+   */
+  private static int endOfFitting(List<String> dependencies, int from, int bytes) {
     int end = from;
     int bytesLeft = bytes;
     while (end < dependencies.size()) {
@@ -99,13 +101,13 @@
     return new WireException(JobSpec.DEPENDENCIES, "names too many jobs");
   }
 
-  /** In how many further records a job's dependencies go on. */
+  /** The number of parts that hold further dependencies of a job. */
   static int partCount(Fields value) throws WireException {
     return (int) Math.min(Integer.MAX_VALUE, value.count(PART_COUNT, 0));
   }
 
-  /** Reads a job's own record, which may hold some of its dependencies only. */
-  static Job read(Fields value, long revision) throws WireException {
+  /** Decodes a job's own record, which holds only the dependencies that fit into it. */
+  static Job decode(Fields value, long revision) throws WireException {
     return new Job(JobSpec.read(value), revision, value.count(ACCEPTED_AT, 0));
   }
 }
--- a/src/main/java/fennelthread/leader/AttemptEndHandler.java
+++ b/src/main/java/fennelthread/leader/AttemptEndHandler.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Draws the conclusions from the end of an attempt: its task is finished, or is tried again after a
- * backoff, and a machine on which tasks fail is cordoned.
+ * Handles the ends of attempts: marks the task finished, or delays its retry after a failure or a
+ * refusal, and cordons a machine on which too many tasks fail.
  */
 final class AttemptEndHandler {
   private static final Logger log = LoggerFactory.getLogger(AttemptEndHandler.class);
@@ -18,7 +18,7 @@
   private final EventLoop eventLoop;
   private final Fleet fleet;
   private final ActiveJobs activeJobs;
-  private final RunTimes runTimes;
+  private final RunTimeEstimator runTimes;
   private final CompletionWriter completions;
 
   AttemptEndHandler(EventLoop eventLoop, TermState term, CompletionWriter completions) {
@@ -40,17 +40,18 @@
       return;
     }
     activeJob.detach(attempt);
-    if (attempt.phase() == Attempt.Phase.GONE || attempt.motive() == null) {
+    if (attempt.phase() == Attempt.Phase.GONE || attempt.endReason() == null) {
       return;
     }
     int task = attempt.start().task().index();
-    switch (attempt.motive()) {
+    switch (attempt.endReason()) {
       case DONE -> onTaskDone(machine, attempt, activeJob);
       case ERROR -> onTaskFailed(machine, task, activeJob);
       case HALTED -> activeJob.onTaskStopped(task);
       case FULL, BUSY, NO_SUCH, OTHER ->
           activeJob.onTaskRefused(task, eventLoop.nowMs(), eventLoop.random().nextDouble());
-      default -> throw new IllegalStateException("ended with " + attempt.motive());
+      default ->
+          throw new IllegalStateException("unexpected end of an attempt: " + attempt.endReason());
     }
   }
 
--- a/src/main/java/fennelthread/leader/JobUpdates.java
+++ b/src/main/java/fennelthread/leader/JobUpdates.java
@@ -40,13 +40,13 @@
   /** Begins to apply changes. */
   void startListening() {
     table.addListener(this);
-    store.dependencies().addListener(this);
+    store.dependencyTracker().addListener(this);
   }
 
   /** Applies no more changes. */
   void stopListening() {
     table.removeListener(this);
-    store.dependencies().removeListener(this);
+    store.dependencyTracker().removeListener(this);
   }
 
   @Override
@@ -79,7 +79,7 @@
       return;
     }
     activeJobs.updateInheritedPriority(activeJob);
-    // The load of a machine is recomputed only if the machine has changed.
+    // MachineLoad recomputes the priorities of running tasks only if the machine has changed.
     machinesOf(activeJob).forEach(Machine::markChanged);
     rounds.requestRound();
   }
@@ -88,7 +88,7 @@
   public void onJobRemoved(Job job) {
     ActiveJob activeJob = activeJobs.remove(job.spec().id());
     if (activeJob != null) {
-      completions.forget(activeJob);
+      completions.remove(activeJob);
       for (Machine machine : machinesOf(activeJob)) {
         machine.markChanged();
         if (machine.phase() == Machine.Phase.REPORTING) {
@@ -104,7 +104,7 @@
     Set<Machine> machines = new LinkedHashSet<>();
     for (List<Attempt> attempts : activeJob.attempts().values()) {
       for (Attempt attempt : attempts) {
-        Machine machine = fleet.machine(attempt.start().machine());
+        Machine machine = fleet.findMachine(attempt.start().machine());
         if (machine != null) {
           machines.add(machine);
         }
--- a/src/main/java/fennelthread/leader/Lease.java
+++ b/src/main/java/fennelthread/leader/LeaderLease.java
@@ -16,42 +16,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The right of this controller to lead: a state machine over a time-limited lease at the state
- * service and the epoch, which rises at each claim and never expires.
+ * The state machine of this controller's leadership. Leadership takes a time-limited lease at the
+ * state service and an epoch, which rises at each claim, never expires and serves as fencing token.
  *
  * <p>{@link ClaimSchedule} says when to claim, {@link LeadershipClaim} submits the claim, {@link
- * LeaseRenewal} keeps the lease alive and counts the local one. Used on the event loop's thread.
+ * LeaderLeaseRenewer} keeps the lease alive and tracks its local expiry. Used on the event loop's
+ * thread.
  */
-public final class Lease {
-  private static final Logger log = LoggerFactory.getLogger(Lease.class);
+public final class LeaderLease {
+  private static final Logger log = LoggerFactory.getLogger(LeaderLease.class);
 
   /** Whether this controller leads. */
   private enum Phase {
     /** Another controller leads, or nobody does yet. */
     FOLLOWING,
-    /** A claim is under way. */
+    /** A claim is in flight. */
     CLAIMING,
-    /** The claim was applied. The local lease may have expired all the same. */
+    /** The claim was applied. The local lease may have expired since. */
     LEADING
   }
 
-  /** Is called when this controller begins and ceases to lead. */
+  /** Is notified when this controller begins and ceases to lead. */
   public interface Listener {
-    /** The claim of {@code epoch} was applied; nothing was read under it yet. */
+    /** The claim of {@code epoch} was applied at the state service, but not yet to the replica. */
     void onElected(long epoch);
 
     /** This controller no longer leads; {@code reason} is for the log. */
-    void onDeposed(String reason);
+    void onSteppedDown(String reason);
   }
 
   private final EventLoop eventLoop;
   private final StateClient state;
   private final Replica replica;
-  private final LeaderRecords records;
+  private final LeaderRecordReader records;
   private final LeadershipClaim claim;
   private final ClaimSchedule schedule;
-  private final LeaseRenewal renewal;
-  private final PeerAssurance peers;
+  private final LeaderLeaseRenewer renewal;
+  private final PeerKnowledge peers;
   private final Listener listener;
   private final String member;
   private Phase phase = Phase.FOLLOWING;
@@ -65,36 +66,38 @@
    *
    * @param incarnation distinguishes the process from earlier ones of the same member
    */
-  public Lease(
+  public LeaderLease(
       EventLoop eventLoop,
       StateClient state,
       Replica replica,
       Settings settings,
       Options options,
       String incarnation,
-      PeerAssurance peers,
+      PeerKnowledge peers,
       Listener listener) {
     this.eventLoop = eventLoop;
     this.state = state;
     this.replica = replica;
-    this.records = new LeaderRecords(replica);
+    this.records = new LeaderRecordReader(replica);
     this.peers = peers;
     this.listener = listener;
     this.member = settings.member();
     this.schedule = new ClaimSchedule(eventLoop, state, member, incarnation, new VacancyClaim());
     this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
-    this.renewal = new LeaseRenewal(eventLoop, state, settings, options, new RenewalOwner());
+    this.renewal = new LeaderLeaseRenewer(eventLoop, state, settings, options, new RenewalOwner());
     replica.addListener(this::onRecordChanged);
   }
 
-  // ---------------------------------------------------------------- questions
+  // ---------------------------------------------------------------- queries
 
-  /** True from a claim to the step-down, even while the local lease has expired. */
+  /** True from an applied claim to the step-down, even while the local lease has expired. */
   public boolean isLeading() {
     return phase == Phase.LEADING;
   }
 
-  /** True if tasks may be started at this very moment. */
+  /**
+   * True if tasks may be started now: the local lease is valid and no peer can have become leader.
+   */
   public boolean mayStartTasks() {
     return phase == Phase.LEADING && renewal.isLocallyValid() && peers.excludesOtherLeader();
   }
@@ -139,7 +142,7 @@
     return phase == Phase.LEADING ? epoch : records.leader().map(LeaderRecord::epoch).orElse(0L);
   }
 
-  /** The highest epoch in this controller's copy of the state, 0 before the first. */
+  /** The highest epoch in the replica, 0 before the first. */
   public long recordedEpoch() {
     return records.recordedEpoch();
   }
@@ -151,7 +154,7 @@
    * writes of a leader begin with it.
    */
   public Txn fencedTxn() {
-    return new Txn().when(Keys.EPOCH, epochRevision);
+    return new Txn().requireRevision(Keys.EPOCH, epochRevision);
   }
 
   /** Steps down if a fenced transaction failed because the epoch has moved on. */
@@ -161,7 +164,7 @@
     }
   }
 
-  /** Takes note of an epoch; a leader of a lower one steps down at once. */
+  /** Records an observed epoch; a leader of a lower epoch steps down at once. */
   public void observeEpoch(long observed) {
     highestEpoch = Math.max(highestEpoch, observed);
     if (phase == Phase.LEADING && observed > epoch) {
@@ -169,12 +172,22 @@
     }
   }
 
+  /** Describes a rejected transaction for the log. */
+  static String describe(TxnResult result) {
+    if (result instanceof TxnResult.Conflict conflict) {
+      return "conflict on " + String.join(" ", conflict.failed());
+    }
+    return result instanceof TxnResult.Refused refused
+        ? "refused: " + refused.reason()
+        : result.getClass().getSimpleName();
+  }
+
   private void onRecordChanged(String key, Fields value, long revision) {
     if (key.equals(Keys.EPOCH) && value != null) {
       try {
         observeEpoch(EpochRecord.decode(value).epoch());
       } catch (WireException e) {
-        log.error("record unreadable key={} error={}", key, e.getMessage());
+        log.error("record unreadable key={} reason={}", key, e.getMessage());
       }
     } else if (key.equals(Keys.LEADER)) {
       if (phase == Phase.LEADING && value == null && revision > epochRevision) {
@@ -195,7 +208,8 @@
           case LEADING -> next == Phase.FOLLOWING;
         };
     if (!allowed) {
-      throw new IllegalStateException("leadership: " + phase + " -> " + next);
+      throw new IllegalStateException(
+          "illegal transition of the leadership: " + phase + " -> " + next);
     }
     log.info("leadership changed from={} to={} epoch={} reason={}", phase, next, epoch, reason);
     phase = next;
@@ -211,7 +225,7 @@
     long heldLeaseId = renewal.storeLeaseId();
     transitionTo(Phase.FOLLOWING, reason);
     state.revokeLease(heldLeaseId, revocation -> {});
-    listener.onDeposed(reason);
+    listener.onSteppedDown(reason);
     schedule.retryAfter(pauseMs + ProtocolConstants.RETRY_MS);
   }
 
@@ -235,8 +249,9 @@
   }
 
   /**
-   * True if another member leads under this epoch, and its version starts tasks only while its
-   * peers' promises back it: then a majority of them may replace it while its lease still runs.
+   * True if another member leads under this epoch, and its version starts tasks only while it holds
+   * its peers' promises. Only then is it safe for a majority to replace it before its lease
+   * expires.
    */
   public boolean isTakeoverPossible(long ofEpoch) {
     return phase == Phase.FOLLOWING
@@ -249,7 +264,7 @@
   }
 
   /**
-   * Claims from a silent leader whose lease still runs.
+   * Claims the leadership from a silent leader whose lease has not expired.
    *
    * @param fromEpoch the leader's epoch, which a majority has agreed to end
    * @param unilateralRevision the revision that the leader's declaration of unilateral leadership
@@ -260,8 +275,8 @@
       startClaim(
           "leader silent",
           new Txn()
-              .when(Keys.LEADER, replica.revisionOf(Keys.LEADER))
-              .when(Keys.UNILATERAL_LEADERSHIP, unilateralRevision));
+              .requireRevision(Keys.LEADER, replica.revisionOf(Keys.LEADER))
+              .requireRevision(Keys.UNILATERAL_LEADERSHIP, unilateralRevision));
     }
   }
 
@@ -285,13 +300,13 @@
     @Override
     public void onClaimDue() {
       if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
-        startClaim("no leader", new Txn().when(Keys.LEADER, 0));
+        startClaim("no leader", new Txn().requireRevision(Keys.LEADER, 0));
       }
     }
 
     @Override
     public void claimIfVacant() {
-      Lease.this.claimIfVacant();
+      LeaderLease.this.claimIfVacant();
     }
   }
 
@@ -304,7 +319,9 @@
     @Override
     public long unboundedEpoch() {
       long last = records.unboundedEpoch();
-      return last == 0 || last == LeaderConstants.UNKNOWN_EPOCH ? last : peers.stillUnbounded(last);
+      return last == 0 || last == LeaderConstants.UNKNOWN_EPOCH
+          ? last
+          : peers.epochIfUnbounded(last);
     }
   }
 
@@ -324,7 +341,7 @@
     transitionTo(Phase.LEADING, "claim committed");
     listener.onElected(claimedEpoch);
     replica.applyCommitted(committed.txn(), committed.epochRevision());
-    // The listener, or what the copy of the state brought, may have ended the term already.
+    // The listener, or a change that reached the replica, may have ended the term already.
     if (isLeadingUnder(claimedEpoch)) {
       renewal.scheduleFirst(claimedEpoch);
     }
@@ -334,10 +351,10 @@
     return phase == Phase.LEADING && epoch == ofEpoch;
   }
 
-  private final class RenewalOwner implements LeaseRenewal.Owner {
+  private final class RenewalOwner implements LeaderLeaseRenewer.Owner {
     @Override
     public boolean isLeadingUnder(long ofEpoch) {
-      return Lease.this.isLeadingUnder(ofEpoch);
+      return LeaderLease.this.isLeadingUnder(ofEpoch);
     }
 
     @Override
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -16,13 +16,13 @@
 import java.util.Set;
 
 /**
- * The load of one machine, cached until the machine changes: with hundreds of machines a round
- * touches few of them, and going through all attempts on each would be most of its work.
+ * The load of one machine, cached until the machine changes. Few of several hundred machines change
+ * between two rounds, and visiting all attempts on each would be most of the work of a round.
  */
 final class MachineLoad {
   private long version = -1;
   private MachineType machineType;
-  private Snapshot.Machine snapshot;
+  private Snapshot.MachineState snapshot;
   private final Map<String, ResourceSum> usedByTeam = new HashMap<>(4);
 
   /** Recomputes the load if the machine or its type has changed; the type may be null. */
@@ -39,9 +39,9 @@
         addAttempt(machine, attempt, term, totals);
       }
     }
-    totals.fetchingImages.removeAll(machine.images());
+    totals.fetchingImages.removeAll(machine.cachedImages());
     snapshot = type == null ? null : totals.snapshotOf(machine, type);
-    // Last: recording an image in the meantime may have changed the machine once more.
+    // Read last: recording cached images above may have changed the version.
     version = machine.version();
   }
 
@@ -72,7 +72,7 @@
   }
 
   private static Snapshot.RunningTask runningTask(
-      Machine machine, Attempt attempt, ActiveJob activeJob, RunTimes runTimes) {
+      Machine machine, Attempt attempt, ActiveJob activeJob, RunTimeEstimator runTimes) {
     StartRecord.Start start = attempt.start();
     JobSpec spec = activeJob.job().spec();
     return new Snapshot.RunningTask(
@@ -89,19 +89,19 @@
         spec.service() ? 0 : runTimes.expectedS(spec));
   }
 
-  /** The machine as a round sees it, or null if its type is not known. */
-  Snapshot.Machine snapshot() {
+  /** The machine in the form that a scheduling snapshot holds, or null if its type is not known. */
+  Snapshot.MachineState snapshot() {
     return snapshot;
   }
 
-  /** Adds what each team's tasks may use on this machine to the sums by team. */
+  /** Adds the resources that each team's tasks may use on this machine to the sums by team. */
   void addTeamUsageTo(Map<String, ResourceSum> sums) {
-    for (Map.Entry<String, ResourceSum> used : usedByTeam.entrySet()) {
-      sums.computeIfAbsent(used.getKey(), k -> new ResourceSum()).add(used.getValue());
+    for (Map.Entry<String, ResourceSum> teamUsage : usedByTeam.entrySet()) {
+      sums.computeIfAbsent(teamUsage.getKey(), k -> new ResourceSum()).add(teamUsage.getValue());
     }
   }
 
-  /** What is added up over the attempts on a machine. */
+  /** Sums over the attempts on a machine. */
   private static final class Totals {
     double freeCpus;
     double freeCards;
@@ -117,16 +117,16 @@
       freeMemGb = type == null ? 0 : type.memGb();
     }
 
-    Snapshot.Machine snapshotOf(Machine machine, MachineType type) {
-      return new Snapshot.Machine(
+    Snapshot.MachineState snapshotOf(Machine machine, MachineType type) {
+      return new Snapshot.MachineState(
           machine.name(),
           type,
           machine.zone(),
-          machine.spot(),
+          machine.isSpot(),
           freeCpus,
           freeCards,
           freeMemGb,
-          Set.copyOf(machine.images()),
+          Set.copyOf(machine.cachedImages()),
           fetchingImages,
           tasksByClass,
           running,
--- a/src/main/java/fennelthread/leader/RecordCollector.java
+++ b/src/main/java/fennelthread/leader/RecordGarbageCollector.java
@@ -22,25 +22,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Garbage collection of the live records, so that their size follows what is live, however long the
- * service runs: removes start records without live attempts and what is left of jobs that are
- * final, and compacts start records with few live attempts.
+ * Garbage collector of the live records: keeps their size proportional to what is live, however
+ * long the service runs. Removes start records without live attempts and leftover records of jobs
+ * that are over, and compacts start records with few live attempts.
  */
-final class RecordCollector {
-  private static final Logger log = LoggerFactory.getLogger(RecordCollector.class);
+final class RecordGarbageCollector {
+  private static final Logger log = LoggerFactory.getLogger(RecordGarbageCollector.class);
 
   private final EventLoop eventLoop;
   private final StateClient state;
   private final SizeLimits limits;
   private final Replica replica;
   private final JobTable table;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final Fleet fleet;
   private final StartRecordKeys keys;
   private boolean isWriting;
   private long lastCollectionMs;
 
-  RecordCollector(LeaderContext context, JobTable table, Fleet fleet, StartRecordKeys keys) {
+  RecordGarbageCollector(LeaderContext context, JobTable table, Fleet fleet, StartRecordKeys keys) {
     this.eventLoop = context.eventLoop();
     this.state = context.state();
     this.limits = state.limits();
@@ -51,7 +51,7 @@
     this.keys = keys;
   }
 
-  /** What one pass over all start records found. */
+  /** The result of one pass over all start records. */
   private static final class Survey {
     /** Keys of records of earlier terms that hold no live start. */
     final List<String> obsolete = new ArrayList<>();
@@ -63,7 +63,7 @@
     int liveStarts;
   }
 
-  /** Starts a collection if one is due and none is under way. */
+  /** Starts a collection if one is due and none is in flight. */
   void collectIfDue() {
     if (isWriting
         || !lease.mayStartTasks()
@@ -75,22 +75,25 @@
     boolean isBacklogged = isBacklogged(survey);
     Txn txn = lease.fencedTxn();
     addObsoleteRecords(survey, txn);
-    addLeftovers(Keys.FINISHED, txn);
-    addLeftovers(Keys.DEPENDENCIES, txn);
+    addOrphanedRecords(Keys.FINISHED_TASKS_PREFIX, txn);
+    addOrphanedRecords(Keys.DEPENDENCIES_PREFIX, txn);
     boolean isCompacting =
-        isBacklogged && txn.changes() <= limits.txnChanges() / 2 && addCompaction(survey, txn);
-    if (txn.changes() == 0) {
+        isBacklogged
+            && txn.changeCount() <= limits.maxTxnChanges() / 2
+            && addCompaction(survey, txn);
+    if (txn.changeCount() == 0) {
       return;
     }
     isWriting = true;
-    state.txn(
-        // Removals can wait, but not until the records are more than the processes can hold.
+    state.submitTxn(
+        // Removals are not urgent, unless the records threaten to outgrow the controllers' memory.
         isBacklogged ? RequestPriority.SCHEDULING : RequestPriority.MAINTENANCE,
         txn,
-        result -> onAnswered(txn, result, isCompacting, survey));
+        result -> onCollectionAnswered(txn, result, isCompacting, survey));
   }
 
-  private void onAnswered(Txn txn, TxnResult result, boolean isCompacting, Survey survey) {
+  private void onCollectionAnswered(
+      Txn txn, TxnResult result, boolean isCompacting, Survey survey) {
     isWriting = false;
     if (!(result instanceof TxnResult.Applied applied)) {
       lease.onTxnRejected(result);
@@ -104,20 +107,21 @@
           survey.starts,
           survey.liveStarts);
     }
-    if (txn.changes() >= limits.txnChanges()) {
-      // More is left: records are written faster than one collection per interval removes them.
+    if (txn.changeCount() >= limits.maxTxnChanges()) {
+      // The transaction was full: collect again without waiting for the interval, since records are
+      // written faster than one collection per interval removes them.
       lastCollectionMs = Long.MIN_VALUE / 2;
     }
   }
 
-  /** Inspects all start records; puts the keys of this term's obsolete ones on the free list. */
+  /** Inspects all start records, and releases the keys of this term's obsolete ones for reuse. */
   private Survey surveyRecords() {
     Survey survey = new Survey();
     int maxSparse = recordCapacity() / LeaderConstants.SPARSE_RECORD_DIVISOR;
     for (Map.Entry<String, StartRecord> entry : table.startRecords().entrySet()) {
       String key = entry.getKey();
       if (keys.isBeingWritten(key)) {
-        // It may be in the replica before its attempts are sent.
+        // The record may be in the replica before its attempts are sent.
         continue;
       }
       List<StartRecord.Start> starts = entry.getValue().starts();
@@ -151,7 +155,7 @@
 
   /** How many starts a full record holds, approximately. */
   private int recordCapacity() {
-    return Math.max(1, limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
+    return Math.max(1, limits.maxValueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
   /** True if the records are many times what their live starts would fill. */
@@ -167,33 +171,33 @@
   /** Removes obsolete records of earlier terms, and own ones beyond those kept for reuse. */
   private void addObsoleteRecords(Survey survey, Txn txn) {
     for (String key : survey.obsolete) {
-      if (txn.changes() < limits.txnChanges()) {
+      if (txn.changeCount() < limits.maxTxnChanges()) {
         txn.remove(key);
       }
     }
     while (keys.freeCount() > LeaderConstants.MAX_FREE_RECORD_KEYS
-        && txn.changes() < limits.txnChanges()) {
-      // A removal without an answer may be applied late: it must not remove what a round has
-      // written there since.
+        && txn.changeCount() < limits.maxTxnChanges()) {
+      // A removal without an answer may be applied late: it must not remove what a later round has
+      // written under the key.
       String key = keys.takeFree();
-      txn.when(key, replica.revisionOf(key)).remove(key);
+      txn.requireRevision(key, replica.revisionOf(key)).remove(key);
     }
   }
 
   /**
    * Moves the live starts of sparse records into one new record and removes the old ones in the
-   * same transaction, so that a successor reads either. Each old record must be what was read here,
-   * and the new key unused: a transaction without an answer may be applied late, when the same
-   * starts were compacted once more and have ended since.
+   * same transaction, so that the next leader reads either the old or the new ones. The transaction
+   * requires that the old records are unchanged and the new key is unused: without an answer it may
+   * be applied late, after the same starts were compacted again and have ended.
    *
    * @return false if there is nothing to gain; nothing is added then
    */
   private boolean addCompaction(Survey survey, Txn txn) {
-    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), 1);
+    StartRecordPacker packer = new StartRecordPacker(limits.maxValueBytes(), 1);
     List<String> replaced = new ArrayList<>();
     for (Map.Entry<String, List<StartRecord.Start>> record : survey.sparse.entrySet()) {
-      if (txn.changes() + replaced.size() + 2 > limits.txnChanges()
-          || txn.conditions() + replaced.size() + 2 > limits.txnConditions()
+      if (txn.changeCount() + replaced.size() + 2 > limits.maxTxnChanges()
+          || txn.conditionCount() + replaced.size() + 2 > limits.maxTxnConditions()
           || !packer.addAll(record.getValue())) {
         break;
       }
@@ -203,21 +207,23 @@
       return false;
     }
     String key = keys.allocate();
-    txn.when(key, 0).write(key, packer.records().get(0).write());
-    replaced.forEach(old -> txn.when(old, replica.revisionOf(old)).remove(old));
+    txn.requireRevision(key, 0).write(key, packer.records().get(0).encode());
+    replaced.forEach(old -> txn.requireRevision(old, replica.revisionOf(old)).remove(old));
     return true;
   }
 
-  /** Removes the records under a prefix whose jobs have no live record. */
-  private void addLeftovers(String prefix, Txn txn) {
+  /** Removes the records under a prefix whose jobs no longer have a record. */
+  private void addOrphanedRecords(String prefix, Txn txn) {
     for (String key : replica.revisionsUnder(prefix).keySet()) {
-      if (txn.changes() >= limits.txnChanges() || txn.conditions() >= limits.txnConditions()) {
+      if (txn.changeCount() >= limits.maxTxnChanges()
+          || txn.conditionCount() >= limits.maxTxnConditions()) {
         return;
       }
       String id = Keys.jobIdOf(prefix, key);
       if (table.get(id) == null) {
-        // Its job is over, or is yet to arrive in the replica: the condition tells which.
-        txn.when(Keys.job(id), 0).remove(key);
+        // The job is over, or its record has not reached the replica yet: the condition lets the
+        // removal fail in the second case.
+        txn.requireRevision(Keys.job(id), 0).remove(key);
       }
     }
   }
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -19,7 +19,7 @@
 
 /** Builds the snapshot of machines, teams and pending jobs that a scheduling round plans on. */
 final class SnapshotBuilder {
-  /** Receives the demand that each round sees. */
+  /** Receives the CPU demand of each round. */
   @FunctionalInterface
   interface CpuDemandListener {
     /** Called with the CPUs that all unfinished tasks of released jobs take together. */
@@ -29,7 +29,7 @@
   private final EventLoop eventLoop;
   private final Settings settings;
   private final TermState term;
-  private final Demand demand;
+  private final TaskDemand demand;
   private final MachineTypeCatalog machineTypes;
   private final PassedOverJobs passedOver;
   private final CpuDemandListener demandListener;
@@ -45,21 +45,24 @@
     this.eventLoop = context.eventLoop();
     this.settings = context.settings();
     this.term = term;
-    this.demand = new Demand(eventLoop, settings, term);
+    this.demand = new TaskDemand(eventLoop, settings, term);
     this.machineTypes = machineTypes;
     this.passedOver = passedOver;
     this.demandListener = demandListener;
     this.limits = context.state().limits();
   }
 
-  /** The limits shrink when the state service rejects a transaction: asked anew each round. */
+  /**
+   * The most starts of one round; not cached, since the limits shrink when the state service
+   * rejects a transaction.
+   */
   private int maxStarts() {
     return Math.min(
         LeaderConstants.MAX_STARTS_PER_ROUND,
-        limits.txnChanges() * limits.valueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
+        limits.maxTxnChanges() * limits.maxValueBytes() / LeaderConstants.RECORD_BYTES_PER_START);
   }
 
-  /** Builds a snapshot of this moment; empty if no task may be started. */
+  /** Builds a snapshot of the current state; empty if no task may be started. */
   Optional<Snapshot> build() {
     demandListener.onCpuDemand(demand.cpus());
     int maxStarts = maxStarts();
@@ -68,9 +71,9 @@
       return Optional.empty();
     }
     Map<String, ResourceSum> usedByTeam = new HashMap<>();
-    List<Snapshot.Machine> machines = readyMachines(usedByTeam);
+    List<Snapshot.MachineState> machines = readyMachines(usedByTeam);
     Map<String, Snapshot.TeamUsage> teams = teamUsage(usedByTeam);
-    Set<String> guaranteed = demand.guaranteed();
+    Set<String> guaranteed = demand.guaranteedJobs();
     Aging aging = demand.aging(totalCpus(machines));
     return Optional.of(
         new Snapshot(
@@ -86,10 +89,10 @@
   }
 
   /** The machines that may take tasks; adds up what teams use on all machines. */
-  private List<Snapshot.Machine> readyMachines(Map<String, ResourceSum> usedByTeam) {
+  private List<Snapshot.MachineState> readyMachines(Map<String, ResourceSum> usedByTeam) {
     Fleet fleet = term.fleet();
     Map<String, MachineType> types = machineTypes.byName();
-    List<Snapshot.Machine> ready = new ArrayList<>();
+    List<Snapshot.MachineState> ready = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       MachineLoad load = loads.computeIfAbsent(machine, k -> new MachineLoad());
       load.update(machine, types.get(machine.type()), term);
@@ -118,9 +121,9 @@
     return usage;
   }
 
-  private static double totalCpus(List<Snapshot.Machine> machines) {
+  private static double totalCpus(List<Snapshot.MachineState> machines) {
     double cpus = 0;
-    for (Snapshot.Machine machine : machines) {
+    for (Snapshot.MachineState machine : machines) {
       cpus += machine.type().cpus();
     }
     return cpus;
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -5,7 +5,7 @@
 import fennelthread.fleet.Machine;
 import fennelthread.jobs.StartRecord;
 import fennelthread.jobs.StartRecordPacker;
-import fennelthread.plan.Plan;
+import fennelthread.plan.PlacementPlan;
 import fennelthread.state.Keys;
 import fennelthread.state.Replica;
 import fennelthread.state.SizeLimits;
@@ -31,7 +31,7 @@
 
   private final Replica replica;
   private final SizeLimits limits;
-  private final Lease lease;
+  private final LeaderLease lease;
   private final Fleet fleet;
   private final ActiveJobs activeJobs;
   private final StartRecordKeys keys;
@@ -45,13 +45,16 @@
     this.keys = keys;
   }
 
-  /** Creates the attempts of as many starts as one transaction holds; the next round plans more. */
-  Batch prepare(List<Plan.Start> starts) {
+  /**
+   * Creates the attempts of as many starts as one transaction holds; later rounds plan the rest.
+   */
+  Batch prepare(List<PlacementPlan.Start> starts) {
     Batch batch = new Batch(lease.fencedTxn(), new LinkedHashMap<>());
-    StartRecordPacker packer = new StartRecordPacker(limits.valueBytes(), limits.txnChanges());
+    StartRecordPacker packer =
+        new StartRecordPacker(limits.maxValueBytes(), limits.maxTxnChanges());
     Set<String> jobs = new HashSet<>();
-    for (Plan.Start start : starts) {
-      addIfItFits(start, batch, packer, jobs);
+    for (PlacementPlan.Start start : starts) {
+      addIfFits(start, batch, packer, jobs);
     }
     for (StartRecord record : packer.records()) {
       addRecord(record, batch.txn());
@@ -59,20 +62,21 @@
     return batch;
   }
 
-  private void addIfItFits(
-      Plan.Start start, Batch batch, StartRecordPacker packer, Set<String> jobs) {
+  private void addIfFits(
+      PlacementPlan.Start start, Batch batch, StartRecordPacker packer, Set<String> jobs) {
     String id = start.spec().id();
     Txn txn = batch.txn();
-    Machine machine = fleet.machine(start.machine());
+    Machine machine = fleet.findMachine(start.machine());
     boolean needsCondition = !jobs.contains(id);
-    if ((needsCondition && txn.conditions() + limits.txnChanges() >= limits.txnConditions())
+    if ((needsCondition
+            && txn.conditionCount() + limits.maxTxnChanges() >= limits.maxTxnConditions())
         || !packer.tryReserve(start.spec(), start.task(), machine.name(), machine.session())) {
       return;
     }
     ActiveJob activeJob = activeJobs.get(id);
     if (jobs.add(id)) {
-      // A job that is cancelled meanwhile fails the whole transaction.
-      txn.when(Keys.job(id), activeJob.job().revision());
+      // The whole transaction fails if the job is cancelled meanwhile.
+      txn.requireRevision(Keys.job(id), activeJob.job().revision());
     }
     Attempt attempt = fleet.createAttempt(machine, start.spec(), start.task());
     activeJob.attach(attempt);
@@ -85,21 +89,21 @@
     if (key == null) {
       key = keys.allocate();
     } else {
-      // The transaction of an earlier round that got no answer may be applied late: it must not
+      // An earlier round's transaction without an answer may still be applied: it must not
       // overwrite this record.
-      txn.when(key, replica.revisionOf(key));
+      txn.requireRevision(key, replica.revisionOf(key));
     }
     keys.markBeingWritten(key);
-    txn.write(key, record.write());
+    txn.write(key, record.encode());
   }
 
   /**
-   * Sends the starts of a committed batch, unless the local lease has expired since: between the
-   * claim or the last renewal and this moment it may have, however well the write went.
+   * Sends the starts of a committed batch, unless the lease no longer allows starts: the local
+   * lease may have expired while the transaction was in flight, even though it was committed.
    */
   void send(Batch batch) {
     if (!lease.mayStartTasks()) {
-      log.info("round abandoned epoch={} reason=localLeaseExpired", lease.epoch());
+      log.info("round abandoned epoch={} reason=leaseDoesNotAllowStarts", lease.epoch());
       discard(batch);
       return;
     }
--- a/src/main/java/fennelthread/leader/Demand.java
+++ b/src/main/java/fennelthread/leader/TaskDemand.java
@@ -18,21 +18,24 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The tasks that the released jobs want to have placed, as input of a scheduling round. */
-final class Demand {
+/**
+ * Computes the input of a scheduling round that depends on the released jobs: tasks to place,
+ * guarantees, and boosts for aged jobs.
+ */
+final class TaskDemand {
   private final EventLoop eventLoop;
   private final Settings settings;
   private final TermState term;
   private final JobUrgency urgency;
 
-  Demand(EventLoop eventLoop, Settings settings, TermState term) {
+  TaskDemand(EventLoop eventLoop, Settings settings, TermState term) {
     this.eventLoop = eventLoop;
     this.settings = settings;
     this.term = term;
     this.urgency = new JobUrgency(eventLoop, settings);
   }
 
-  /** CPUs that all unfinished tasks of released jobs take together. */
+  /** The sum of the CPUs that all unfinished tasks of released jobs take. */
   double cpus() {
     double total = 0;
     for (ActiveJob activeJob : term.activeJobs().all()) {
@@ -45,12 +48,12 @@
 
   /** The tasks that may be started now, at most {@code maxTasks} of each job. */
   Map<ActiveJob, List<Integer>> startableTasks(int maxTasks) {
-    long now = eventLoop.nowMs();
+    long nowMs = eventLoop.nowMs();
     Map<ActiveJob, List<Integer>> startable = new LinkedHashMap<>();
     for (ActiveJob activeJob : term.activeJobs().all()) {
-      // Jobs with unmet dependencies are kept out of rounds here, and only here.
+      // The only place that keeps jobs with unmet dependencies out of rounds.
       if (activeJob.isReleased() && activeJob.hasIdleTasks()) {
-        List<Integer> tasks = activeJob.startableTasks(now, maxTasks);
+        List<Integer> tasks = activeJob.startableTasks(nowMs, maxTasks);
         if (!tasks.isEmpty()) {
           startable.put(activeJob, tasks);
         }
@@ -59,7 +62,10 @@
     return startable;
   }
 
-  /** The same in the form in which a snapshot holds it. */
+  /**
+   * Converts startable tasks to pending jobs of a snapshot; an aged job is boosted for its first
+   * task only.
+   */
   List<Snapshot.PendingJob> pendingJobs(
       Map<ActiveJob, List<Integer>> startable, Set<String> guaranteed, Aging aging) {
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>(startable.size());
@@ -71,8 +77,8 @@
             return;
           }
           pendingJobs.add(pendingJob(activeJob, tasks.subList(0, 1), guaranteed, boost));
-          // Which zones its other tasks may be in follows from where the first one is placed, which
-          // the next round knows.
+          // With a zone rule, the zone of the first task limits those of the other tasks, so they
+          // wait for the next round, which knows it.
           if (tasks.size() > 1 && !hasZoneRule(activeJob.job().spec())) {
             pendingJobs.add(
                 pendingJob(activeJob, tasks.subList(1, tasks.size()), guaranteed, AgingBoost.NONE));
@@ -101,38 +107,38 @@
         activeJob.releaseOrder());
   }
 
-  /** Ages the released jobs, in a fleet with so many CPUs. */
+  /** Determines which released jobs are aged, in a fleet of {@code fleetCpus} CPUs. */
   Aging aging(double fleetCpus) {
     Aging aging = new Aging(fleetCpus);
-    long now = eventLoop.nowMs();
+    long nowMs = eventLoop.nowMs();
     for (ActiveJob activeJob : term.activeJobs().all()) {
       long waitedMs = eventLoop.wallMs() - activeJob.releasedWallMs();
-      if (waitedMs > PlanConstants.AGING_THRESHOLD_MS && mayAge(activeJob)) {
-        aging.consider(agingCandidate(activeJob, waitedMs, now));
+      if (waitedMs > PlanConstants.AGING_THRESHOLD_MS && isEligibleForAging(activeJob)) {
+        aging.consider(agingCandidate(activeJob, waitedMs, nowMs));
       }
     }
     return aging;
   }
 
-  private static boolean mayAge(ActiveJob activeJob) {
-    // If a service has several replicas, another one goes on whichever is stopped.
+  private static boolean isEligibleForAging(ActiveJob activeJob) {
+    // A service with several replicas keeps running while one of them is stopped.
     boolean isReplicated = activeJob.job().spec().service() && activeJob.attempts().size() > 1;
     return activeJob.isReleased()
         && (activeJob.hasIdleTasks() || !activeJob.hasFinishedTasks())
         && !isReplicated;
   }
 
-  private Aging.Candidate agingCandidate(ActiveJob activeJob, long waitedMs, long now) {
+  private Aging.EligibleJob agingCandidate(ActiveJob activeJob, long waitedMs, long nowMs) {
     JobSpec spec = activeJob.job().spec();
     Attempt longest = activeJob.longestRunningAttempt();
     boolean isRunning = longest != null && longest.runningSinceMs() >= 0;
-    return new Aging.Candidate(
+    return new Aging.EligibleJob(
         spec.id(),
         waitedMs,
         spec.cpus(),
-        !activeJob.hasNotBegun(),
+        activeJob.hasFinishedOrFailedTasks(),
         longest == null ? null : longest.start().attempt(),
-        isRunning ? (now - longest.runningSinceMs()) / 1000.0 : 0,
+        isRunning ? (nowMs - longest.runningSinceMs()) / 1000.0 : 0,
         spec.service() ? 0 : term.runTimes().expectedS(spec));
   }
 
@@ -140,8 +146,11 @@
     return spec.onePlace() || spec.apart();
   }
 
-  /** The ids of each team's oldest jobs, as far as they fit into its guarantee together. */
-  Set<String> guaranteed() {
+  /**
+   * The ids of the jobs that fit into their team's guarantee together with all jobs of the team
+   * that were released before them.
+   */
+  Set<String> guaranteedJobs() {
     Set<String> guaranteed = new HashSet<>();
     Map<String, ResourceSum> demandByTeam = new HashMap<>();
     for (ActiveJob activeJob : term.activeJobs().all()) {
@@ -165,7 +174,7 @@
     Map<String, Integer> tasks = new HashMap<>();
     for (List<Attempt> attempts : activeJob.attempts().values()) {
       for (Attempt attempt : attempts) {
-        Machine machine = term.fleet().machine(attempt.start().machine());
+        Machine machine = term.fleet().findMachine(attempt.start().machine());
         if (machine != null && attempt.mayBePresent()) {
           String zone = machine.zone() == null ? Snapshot.UNKNOWN_ZONE : machine.zone();
           tasks.merge(zone, 1, Integer::sum);
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -42,12 +42,12 @@
     replica.addListener((key, value, revision) -> changed(key, value));
   }
 
-  /** A worker came here that obeys the leader of this epoch. */
-  public void came(String machine) {
+  /** A worker addWorker here that obeys the leader of this epoch. */
+  public void addWorker(String machine) {
     comers.put(machine, eventLoop.nowMs());
   }
 
-  /** Forgets who came: another leads, or the leader can be reached. */
+  /** Forgets who addWorker: another leads, or the leader can be reached. */
   public void clear() {
     comers.clear();
   }
@@ -55,7 +55,7 @@
   /**
    * Says so if it is time to: {@code known} workers are known, the leader of {@code epoch} silent.
    */
-  public void consider(long epoch, int known) {
+  public void publishIfDue(long epoch, int known) {
     long now = eventLoop.nowMs();
     comers.values().removeIf(at -> now - at > RelayConstants.PETITION_FRESH_MS);
     if (writing
@@ -68,7 +68,7 @@
     writtenAtMs = now;
     log.info(
         "epoch {}: {} workers of a leader that can't be reached come here", epoch, comers.size());
-    state.txn(
+    state.submitTxn(
         RequestPriority.INTERACTIVE,
         // Not conditional on anything: it is a hint, and says itself which epoch it is about.
         new Txn()
@@ -80,7 +80,7 @@
 
   private void changed(String key, Fields value) {
     if (value == null
-        || !key.startsWith(Keys.UNREACHABLE_LEADER)
+        || !key.startsWith(Keys.UNREACHABLE_LEADER_PREFIX)
         || key.equals(Keys.unreachableLeader(member))) {
       return;
     }
@@ -94,7 +94,7 @@
   }
 
   /** True if a peer has just said that workers of this epoch's leader come to it. */
-  public boolean wasRead(long epoch) {
+  public boolean hasFreshNotice(long epoch) {
     return readEpoch == epoch && eventLoop.nowMs() - readAtMs < RelayConstants.PETITION_FRESH_MS;
   }
 }
--- a/src/main/java/fennelthread/state/SizeLimits.java
+++ b/src/main/java/fennelthread/state/SizeLimits.java
@@ -8,11 +8,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The limits on the sizes of values and transactions that every writer asks. They start at the
- * lower of the limits that the settings hold for now and for later, since the later ones come
- * without notice. If the service turns out to accept even less, they shrink, so that what was
- * rejected is rebuilt in smaller pieces and is not sent unchanged for ever. Used on the event
- * loop's thread only.
+ * The limits on the sizes of values and transactions that all writers keep to. They start at the
+ * lower of the present and the future limits in the settings, since the future ones take effect
+ * without notice. If the service turns out to accept even less, the limits shrink, so that a
+ * rejected transaction is rebuilt in smaller pieces and is not sent unchanged for ever. Used on the
+ * event loop's thread only.
  */
 public final class SizeLimits {
   private static final Logger log = LoggerFactory.getLogger(SizeLimits.class);
@@ -20,29 +20,29 @@
   private int valueBytes;
   private int txnChanges;
 
-  /** Creates the limits that the settings promise. */
+  /** Creates the limits that the settings give. */
   public SizeLimits(Settings.State settings) {
     this.valueBytes = settings.valueBytes();
     this.txnChanges = settings.txnOps();
   }
 
   /** The largest value to write, bytes as {@link #encodedBytes} counts them. */
-  public int valueBytes() {
+  public int maxValueBytes() {
     return valueBytes - StateConstants.VALUE_OVERHEAD_BYTES;
   }
 
   /** The largest number of changes, puts and deletes, in a transaction. */
-  public int txnChanges() {
+  public int maxTxnChanges() {
     return txnChanges;
   }
 
   /** The largest number of conditions in a transaction. */
-  public int txnConditions() {
+  public int maxTxnConditions() {
     return StateConstants.CONDITIONS_PER_CHANGE * txnChanges;
   }
 
   /** The largest sum of the sizes of all values in a transaction, bytes. */
-  public int txnBytes() {
+  public int maxTxnBytes() {
     return StateConstants.MAX_TXN_BYTES;
   }
 
@@ -52,16 +52,20 @@
   }
 
   /**
-   * Shrinks the limits after the service has rejected a transaction as malformed, which is how it
-   * rejects one that is too large: first the number of changes, then the size of values.
+   * Shrinks the limits after the service has rejected a transaction as malformed, which is its
+   * answer to one that is too large. Shrinks the number of changes first, and the size of values
+   * once a transaction holds no more than {@link StateConstants#MIN_TXN_CHANGES} changes.
    */
   void shrinkAfterRejection(Txn txn) {
     int largestBytes = 0;
     for (Fields value : txn.writesByKey().values()) {
       largestBytes = Math.max(largestBytes, encodedBytes(value));
     }
-    int perChange = StateConstants.CONDITIONS_PER_CHANGE;
-    int usedChanges = Math.max(txn.changes(), (txn.conditions() + perChange - 1) / perChange);
+    int conditionsPerChange = StateConstants.CONDITIONS_PER_CHANGE;
+    int usedChanges =
+        Math.max(
+            txn.changeCount(),
+            (txn.conditionCount() + conditionsPerChange - 1) / conditionsPerChange);
     if (usedChanges > StateConstants.MIN_TXN_CHANGES) {
       txnChanges = Math.min(txnChanges, Math.max(StateConstants.MIN_TXN_CHANGES, usedChanges / 2));
     } else {
@@ -71,10 +75,10 @@
     log.error(
         "transaction rejected as too large changes={} conditions={} largestValueBytes={} "
             + "newMaxChanges={} newMaxValueBytes={}",
-        txn.changes(),
-        txn.conditions(),
+        txn.changeCount(),
+        txn.conditionCount(),
         largestBytes,
         txnChanges,
-        valueBytes());
+        maxValueBytes());
   }
 }
--- a/src/main/java/fennelthread/state/Txn.java
+++ b/src/main/java/fennelthread/state/Txn.java
@@ -8,7 +8,7 @@
 
 /**
  * A compare-and-swap transaction under construction: changes that the service applies together, and
- * only if all keys of its conditions have the revisions given. Not thread-safe.
+ * only if every key of its conditions has the required revision. Not thread-safe.
  */
 public final class Txn {
   private final Map<String, Long> revisionsByKey = new LinkedHashMap<>();
@@ -18,7 +18,7 @@
   private long leaseId;
 
   /** Adds the condition that {@code key} has this revision; 0 means that it must not exist. */
-  public Txn when(String key, long revision) {
+  public Txn requireRevision(String key, long revision) {
     revisionsByKey.put(key, revision);
     return this;
   }
@@ -29,10 +29,12 @@
     return this;
   }
 
-  /** Adds the write of a key that is bound to a lease; a transaction holds at most one such. */
-  public Txn writeWithLease(String key, Fields value, long boundTo) {
+  /**
+   * Adds the write of a key that is bound to a lease; a transaction holds at most one such write.
+   */
+  public Txn writeWithLease(String key, Fields value, long leaseId) {
     this.leaseBoundKey = key;
-    this.leaseId = boundTo;
+    this.leaseId = leaseId;
     return write(key, value);
   }
 
@@ -42,18 +44,18 @@
     return this;
   }
 
-  /** True if it writes a key that is bound to a lease. */
+  /** True if the transaction writes a key that is bound to a lease. */
   boolean isLeaseBound() {
     return leaseBoundKey != null;
   }
 
   /** The number of changes, puts and deletes. */
-  public int changes() {
+  public int changeCount() {
     return writesByKey.size() + removedKeys.size();
   }
 
   /** The number of conditions. */
-  public int conditions() {
+  public int conditionCount() {
     return revisionsByKey.size();
   }
 
