--- a/src/main/java/fennelthread/jobs/JobCanceller.java
+++ b/src/main/java/fennelthread/jobs/JobCanceller.java
@@ -171,9 +171,8 @@
    * revision and made these jobs final.
    */
   void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
-    // All final records come first: when the replica's listeners see a job removed, they look up
-    // its
-    // final record in the cache.
+    // The final records come first: when the replica's listeners see a job removed, they look
+    // up its final record in the cache.
     written.forEach(finalRecords::add);
     replica.applyCommitted(txn, revision);
   }
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -144,8 +144,8 @@
           } else if (hasNewProgress(job, failedKeys)) {
             reader.readProgress(query.id(), query::answer);
           } else if (result instanceof TxnResult.Applied || !failedKeys.isEmpty()) {
-            // A conflict over other keys confirms this job too: all conditions are compared at
-            // once.
+            // A conflict over other keys confirms this job too: the service compares all keys of a
+            // transaction at one moment.
             query.answer(new LookupResult.Live(job));
           } else if (!batch.requeuedQueries.contains(query)) {
             query.answer(new LookupResult.Unavailable(Unavailability.of(result)));
--- a/src/main/java/fennelthread/jobs/JobRecordReader.java
+++ b/src/main/java/fennelthread/jobs/JobRecordReader.java
@@ -106,9 +106,8 @@
           if (page.hasMore() && !page.items().isEmpty()) {
             readChunks(job, page.items().get(page.items().size() - 1).key(), done);
           } else {
-            // Once a job is final its finished tasks may be removed, so the list is valid only if
-            // the
-            // job is still live.
+            // Once a job is final its finished tasks may be removed, so the list is valid only
+            // if the job is still live.
             readLiveOrFinal(id, done, record -> done.accept(new LookupResult.Live(job)));
           }
         });
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -139,8 +139,7 @@
   public void applyCommitted(Txn txn, long commitRevision) {
     if (commitRevision <= revision) {
       // The watch has already delivered this change, and perhaps a later one that undid it:
-      // applying
-      // it again could restore a removed job.
+      // applying it again could restore a removed job.
       return;
     }
     txn.writesByKey().forEach((key, value) -> put(key, value, commitRevision));
@@ -193,8 +192,8 @@
 
   private void finishLoad() {
     for (String key : new ArrayList<>(entries.keySet())) {
-      // Entries that this controller wrote after the first page was read have newer revisions:
-      // kept.
+      // Entries that this controller wrote after the first page was read have newer revisions
+      // and are kept.
       if (!loadedKeys.contains(key) && entries.get(key).revision <= loadRevision) {
         remove(key, loadRevision);
       }
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -111,8 +111,8 @@
   }
 
   /**
-   * The time until the next request may become overdue, ms; the longest such time if none is
-   * pending.
+   * The time until the next outstanding request may become overdue, ms; {@link
+   * StateConstants#REQUEST_OVERDUE_MS} if there is none.
    */
   public long msUntilOverdue(long nowMs) {
     for (long sentAtMs : sentAtMsById.values()) {
--- a/src/main/java/fennelthread/state/StateTransport.java
+++ b/src/main/java/fennelthread/state/StateTransport.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to the state service, retriesLeft those that it rejects because of its rate limit
- * (429), and reports their outcome to {@link ServiceHealth}. {@link RequestQueue} enforces the rate
- * limits on the way here. Used on the event loop's thread only.
+ * Sends requests to the state service, retries those that it rejects because of its rate limit
+ * (429), and reports their outcome to {@link ServiceHealth}. It does not enforce the rate limits
+ * itself: {@link RequestQueue} does. Used on the event loop's thread only.
  */
 final class StateTransport {
   /**
@@ -77,7 +77,7 @@
           if (answer != null && answer.status() == 429) {
             // Not executed, since all controllers together exceed the limit: this one backs off,
             // and
-            // retriesLeft the request so that its sender need not.
+            // retries the request so that its sender need not.
             queue.backOff();
             request.onRateLimited.run();
             if (retriesLeft > 0) {
--- a/src/test/java/fennelthread/jobs/DependencyGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -21,14 +21,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * The dependency graph alone, against a plain model that goes through all jobs at each question.
- */
+/** Tests the dependency graph by itself, also against a model that scans all jobs at each query. */
 class DependencyGraphTest {
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
   private final Map<String, Job> live = new LinkedHashMap<>();
-  private final Map<String, FinalRecord> finals = new HashMap<>();
-  private final Map<String, FinalRecord> known = new HashMap<>();
+  private final Map<String, FinalRecord> storedRecords = new HashMap<>();
+  private final Map<String, FinalRecord> knownRecords = new HashMap<>();
   private final DependencyGraph.KnownJobs knownJobs =
       new DependencyGraph.KnownJobs() {
         @Override
@@ -38,22 +36,22 @@
 
         @Override
         public Optional<FinalRecord> finalRecord(String id) {
-          return Optional.ofNullable(known.get(id));
+          return Optional.ofNullable(knownRecords.get(id));
         }
       };
-  private int changes;
+  private int changeCount;
   private final DependencyGraph graph =
       new DependencyGraph(
           spec -> spec.deadlineS() * 1.5,
           new DependencyGraph.Listener() {
             @Override
             public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
-              changes++;
+              changeCount++;
             }
 
             @Override
             public void onInheritedPriorityChanged(String id) {
-              changes++;
+              changeCount++;
             }
           });
 
@@ -84,18 +82,18 @@
 
   private void end(String id, JobState state) {
     live.remove(id);
-    finals.put(id, new FinalRecord(state, 1, 5_000_000 + id.hashCode() % 1_000));
+    storedRecords.put(id, new FinalRecord(state, 1, 5_000_000 + id.hashCode() % 1_000));
     graph.remove(id);
   }
 
-  /** What a read of the state service brings. */
+  /** Delivers a final record as if it had been read from the state service. */
   private void read(String id) {
-    known.put(id, finals.get(id));
-    graph.onFinalRecord(id, finals.get(id));
+    knownRecords.put(id, storedRecords.get(id));
+    graph.onFinalRecord(id, storedRecords.get(id));
   }
 
   @Test
-  void aJobIsReleasedByFinalRecordsAlone() {
+  void onlyAFinalRecordReleasesADependant() {
     Job first = job(1, Priority.STANDARD, -1, List.of());
     Job second = job(2, Priority.STANDARD, -1, List.of("job-1"));
     accept(first);
@@ -103,18 +101,21 @@
     assertTrue(graph.isReleased(first));
     assertFalse(graph.isReleased(second));
     end("job-1", JobState.DONE);
-    assertFalse(graph.isReleased(second), "that it is no longer live proves nothing");
+    assertFalse(graph.isReleased(second), "a job that is no longer live may have been cancelled");
     assertEquals(Set.of("job-1"), Set.copyOf(graph.unresolvedDependencies()));
     read("job-1");
     assertTrue(graph.isReleased(second));
-    assertEquals(finals.get("job-1").endedWallMs(), graph.releasedAtMs(second));
+    assertEquals(storedRecords.get("job-1").endedWallMs(), graph.releasedAtMs(second));
     assertTrue(graph.unresolvedDependencies().isEmpty());
   }
 
-  /** Production's final records do not say when: then the job was released when it was accepted. */
+  /**
+   * Final records of the version in production hold no time: the job counts as released when it was
+   * accepted.
+   */
   @Test
-  void aFinalRecordWithoutTimeReleasesAtAcceptance() {
-    known.put("job-1", new FinalRecord(JobState.DONE, 1, 0));
+  void aFinalRecordWithoutATimeReleasesAtAcceptance() {
+    knownRecords.put("job-1", new FinalRecord(JobState.DONE, 1, 0));
     Job second = job(2, Priority.STANDARD, -1, List.of("job-1"));
     accept(second);
     assertTrue(graph.isReleased(second));
@@ -127,7 +128,7 @@
     accept(job(2, Priority.BEST_EFFORT, -1, List.of("job-1")));
     assertEquals(Priority.BEST_EFFORT, graph.inheritedPriority("job-1").priority());
     accept(job(3, Priority.URGENT, 100, List.of("job-2")));
-    // Due at 103 s, less 10 s for the last and 10 s for the one in the middle; 1.5 times as late.
+    // Job 3 is due at 103 s, or at 153 s by its latest deadline; each dependant runs 10 s.
     assertEquals(
         new InheritedPriority(Priority.URGENT, 93_000, 143_000), graph.inheritedPriority("job-2"));
     assertEquals(
@@ -138,40 +139,43 @@
     assertNull(graph.inheritedPriority("job-1"), "nothing is inherited from a cancelled job");
   }
 
-  /** Random graphs, in any order of news: the same as the model says at each step. */
+  /**
+   * On random graphs, with acceptances, ends and reads in random order, the graph agrees with the
+   * model after each step.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void matchesThePlainModelOnRandomGraphs(long seed) {
-    SplittableRandom r = new SplittableRandom(seed);
+  void agreesWithTheModelOnRandomGraphs(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     List<String> ids = new ArrayList<>();
     Map<String, Job> all = new HashMap<>();
     for (int step = 0; step < 1_500; step++) {
-      int what = r.nextInt(10);
-      if (what < 3 || ids.size() < 3) {
+      int action = random.nextInt(10);
+      if (action < 3 || ids.size() < 3) {
         Set<String> dependencies = new HashSet<>();
-        for (int i = r.nextInt(4); i > 0 && !ids.isEmpty(); i--) {
-          dependencies.add(ids.get(Math.max(0, ids.size() - 1 - r.nextInt(12))));
+        for (int i = random.nextInt(4); i > 0 && !ids.isEmpty(); i--) {
+          dependencies.add(ids.get(Math.max(0, ids.size() - 1 - random.nextInt(12))));
         }
         Job job =
             job(
                 step + 1,
-                PRIORITIES.get(r.nextInt(4)),
-                r.nextBoolean() ? -1 : 50 + r.nextInt(100),
+                PRIORITIES.get(random.nextInt(4)),
+                random.nextBoolean() ? -1 : 50 + random.nextInt(100),
                 List.copyOf(dependencies));
         ids.add(job.spec().id());
         all.put(job.spec().id(), job);
         accept(job);
-      } else if (what < 6 && !live.isEmpty()) {
-        List<Job> free = live.values().stream().filter(graph::isReleased).toList();
-        boolean done = r.nextInt(5) > 0 && !free.isEmpty();
-        List<Job> from = done ? free : List.copyOf(live.values());
+      } else if (action < 6 && !live.isEmpty()) {
+        List<Job> released = live.values().stream().filter(graph::isReleased).toList();
+        boolean done = random.nextInt(5) > 0 && !released.isEmpty();
+        List<Job> from = done ? released : List.copyOf(live.values());
         end(
-            from.get(r.nextInt(from.size())).spec().id(),
+            from.get(random.nextInt(from.size())).spec().id(),
             done ? JobState.DONE : JobState.CANCELLED);
       } else if (!graph.unresolvedDependencies().isEmpty()) {
         read(
             List.copyOf(graph.unresolvedDependencies())
-                .get(r.nextInt(graph.unresolvedDependencies().size())));
+                .get(random.nextInt(graph.unresolvedDependencies().size())));
       }
       for (Job job : live.values()) {
         check(job, all);
@@ -181,16 +185,16 @@
 
   private void check(Job job, Map<String, Job> all) {
     String id = job.spec().id();
-    boolean met = true;
+    boolean isReleasable = true;
     for (String dependency : job.spec().dependencies()) {
-      FinalRecord end = known.get(dependency);
-      met &= end != null && end.state() == JobState.DONE;
+      FinalRecord end = knownRecords.get(dependency);
+      isReleasable &= end != null && end.state() == JobState.DONE;
       assertEquals(
           !live.containsKey(dependency) && end == null,
           graph.unresolvedDependencies().contains(dependency),
           dependency);
     }
-    assertEquals(met, graph.isReleased(job), id);
+    assertEquals(isReleasable, graph.isReleased(job), id);
     if (isToBeCancelled(id, all, false)) {
       assertTrue(graph.isToBeCancelled(id), id);
     }
@@ -202,15 +206,18 @@
         urgency(id, all), inherited == null ? 4 : PRIORITIES.indexOf(inherited.priority()), id);
   }
 
-  /** By what is live or known now; or, with {@code ever}, also by way of jobs that are over. */
-  private boolean isToBeCancelled(String id, Map<String, Job> all, boolean ever) {
+  /**
+   * Follows only dependencies that are live, or with {@code throughEndedJobs} also those that have
+   * ended without a known final record.
+   */
+  private boolean isToBeCancelled(String id, Map<String, Job> all, boolean throughEndedJobs) {
     return all.get(id).spec().dependencies().stream()
         .anyMatch(
             dependency ->
-                known.containsKey(dependency)
-                    ? known.get(dependency).state() == JobState.CANCELLED
-                    : (ever || live.containsKey(dependency))
-                        && isToBeCancelled(dependency, all, ever));
+                knownRecords.containsKey(dependency)
+                    ? knownRecords.get(dependency).state() == JobState.CANCELLED
+                    : (throughEndedJobs || live.containsKey(dependency))
+                        && isToBeCancelled(dependency, all, throughEndedJobs));
   }
 
   private int urgency(String id, Map<String, Job> all) {
@@ -225,8 +232,8 @@
   }
 
   /**
-   * A chain of a thousand: each step makes no more changes than the chain is long, and none
-   * recurses.
+   * Guards against recursion and repeated updates: each step on a chain of 1,000 jobs makes a
+   * number of changes proportional to its length.
    */
   @Test
   void aLongChainIsUpdatedWithoutRecursionOrExtraChanges() {
@@ -234,29 +241,30 @@
     for (int i = 1; i < 1_000; i++) {
       accept(job(i, Priority.BEST_EFFORT, -1, List.of("job-" + (i - 1))));
     }
-    assertEquals(1_000 - 1, changes, "one inherited priority a job");
+    assertEquals(
+        1_000 - 1, changeCount, "one inherited priority for each job that has a dependant");
     accept(job(1_000, Priority.URGENT, 60, List.of("job-999")));
-    assertEquals(2 * 1_000 - 1, changes);
+    assertEquals(2 * 1_000 - 1, changeCount);
     assertEquals(Priority.URGENT, graph.inheritedPriority("job-0").priority());
-    changes = 0;
+    changeCount = 0;
     end("job-0", JobState.CANCELLED);
     read("job-0");
     assertEquals(1_000, graph.jobsToCancel().size());
-    assertTrue(changes <= 3_000, changes + " changes");
+    assertTrue(changeCount <= 3_000, changeCount + " changes");
   }
 
-  /** One job on which a thousand depend. */
+  /** A job with 1,000 dependants makes one change for each of them when it is done. */
   @Test
   void manyDependantsOfOneJobAreReleasedOnce() {
     accept(job(0, Priority.BEST_EFFORT, -1, List.of()));
     for (int i = 1; i <= 1_000; i++) {
       accept(job(i, Priority.STANDARD, -1, List.of("job-0")));
     }
-    assertEquals(1, changes, "the same inherited priority a thousand times");
+    assertEquals(1, changeCount, "the inherited priority changes only once");
     end("job-0", JobState.DONE);
-    changes = 0;
+    changeCount = 0;
     read("job-0");
-    assertEquals(1_000, changes);
+    assertEquals(1_000, changeCount);
     assertTrue(live.values().stream().allMatch(graph::isReleased));
   }
 }
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The table's index of recorded starts by job. */
+/** Tests the job table's index of recorded starts by job. */
 class JobTableTest {
   private static final int TASKS = JobSpec.MAX_TASKS;
-  private static final int PER_RECORD = 40;
-  private static final JobSpec HUGE =
+  private static final int STARTS_PER_RECORD = 40;
+  private static final JobSpec HUGE_JOB =
       JobSpec.builder("job-000001")
           .jobClass("padron")
           .team("roja")
@@ -34,54 +34,55 @@
   private static StartRecord record(int from, int until) {
     List<StartRecord.Start> starts = new ArrayList<>();
     for (int i = from; i < until; i++) {
-      starts.add(StartRecord.Start.of(HUGE, i, 1_000 + i, "n-" + i % 200, 1));
+      starts.add(StartRecord.Start.of(HUGE_JOB, i, 1_000 + i, "n-" + i % 200, 1));
     }
     return new StartRecord(starts);
   }
 
-  private int started() {
-    return table.startedTaskCount(new Job(HUGE, 1, 0));
+  private int startedTaskCount() {
+    return table.startedTaskCount(new Job(HUGE_JOB, 1, 0));
   }
 
   /**
-   * With 25,000 tasks of one job on record each removed record searched all of them, on every
-   * controller: two thirds of the leader's work, and a share of a sixth of a core was used up by
-   * one team's array.
+   * Guards against a search of all starts of a job whenever a start record is removed. With 25,000
+   * recorded tasks of one team's array job, every controller did that search: it made up two thirds
+   * of the leader's work and used up a share of a sixth of a core.
    */
   @Test
-  void addingAndRemovingARecordCostsByItsSizeNotItsJobs() {
+  void theCostOfAStartRecordDependsOnItsSizeNotOnItsJobs() {
     assertTimeoutPreemptively(
         Duration.ofSeconds(10),
         () -> {
-          for (int i = 0; i < TASKS / PER_RECORD; i++) {
+          for (int i = 0; i < TASKS / STARTS_PER_RECORD; i++) {
             table.onChange(
                 Keys.startRecord(1, i),
-                record(i * PER_RECORD, (i + 1) * PER_RECORD).encode(),
+                record(i * STARTS_PER_RECORD, (i + 1) * STARTS_PER_RECORD).encode(),
                 1 + i);
           }
-          assertEquals(TASKS, started());
-          for (int i = TASKS / PER_RECORD - 1; i >= 0; i--) {
+          assertEquals(TASKS, startedTaskCount());
+          for (int i = TASKS / STARTS_PER_RECORD - 1; i >= 0; i--) {
             table.onChange(Keys.startRecord(1, i), null, TASKS);
           }
         });
-    assertEquals(0, started());
+    assertEquals(0, startedTaskCount());
   }
 
   /**
-   * Records are drawn together in one transaction: the same start is on record twice for a moment.
+   * Compaction moves starts to a new record in one transaction, and while its changes reach the
+   * table one by one a start may be in two records.
    */
   @Test
   void aStartInTwoRecordsIsKnownUntilBothAreRemoved() {
     table.onChange(Keys.startRecord(1, 1), record(0, 3).encode(), 1);
     table.onChange(Keys.startRecord(1, 2), record(2, 4).encode(), 2);
-    assertEquals(4, started());
+    assertEquals(4, startedTaskCount());
     table.onChange(Keys.startRecord(1, 1), null, 3);
-    assertEquals(2, started());
-    TaskRef second = new TaskRef(HUGE.id(), 2);
+    assertEquals(2, startedTaskCount());
+    TaskRef second = new TaskRef(HUGE_JOB.id(), 2);
     assertEquals("n-2", table.recordedStart(second, 1_002, "n-2").machine());
     assertNull(table.recordedStart(second, 1_002, "n-3"));
-    assertNull(table.recordedStart(new TaskRef(HUGE.id(), 0), 1_000, "n-0"));
+    assertNull(table.recordedStart(new TaskRef(HUGE_JOB.id(), 0), 1_000, "n-0"));
     table.onChange(Keys.startRecord(1, 2), record(5, 6).encode(), 4);
-    assertEquals(1, started());
+    assertEquals(1, startedTaskCount());
   }
 }
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -27,20 +27,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The records in the state service. Other versions read them: a form that changes breaks these
- * tests, and then needs a way for both versions to live with it.
+ * The stored form of the records in the state service. Controllers of other versions read them: a
+ * change of a form breaks these tests, and then both versions must be able to handle it.
  */
 class RecordsTest {
-  private static final SizeLimits WIDE = limits(16 * 1024, 12);
-  private static final String JOB =
+  private static final SizeLimits WIDE_LIMITS = limits(16 * 1024, 12);
+  private static final String JOB_JSON =
       "{\"name_id\":\"job-000412\",\"clase\":\"lote\",\"dueno\":\"roja\",\"tipo\":\"sweep\","
           + "\"prioridad\":\"urgent\",\"tareas\":3,\"cpus\":1.5,\"cards\":0.0,\"mem_gb\":2.0,"
           + "\"imagen\":\"img\",\"pull_gb\":1.0,\"modelos\":[\"mesa\"],\"zona\":null,"
           + "\"same_place\":false,\"apart\":true,\"prestadas\":true,\"estimado_s\":9.0,"
           + "\"resguardo_s\":0.0,\"guardado_s\":0.0,\"plazo_s\":60.0,\"at_ms\":1234";
 
-  private static SizeLimits limits(int valueBytes, int ops) {
-    return new SizeLimits(new Settings.State(100, 50, valueBytes, ops));
+  private static SizeLimits limits(int valueBytes, int maxChanges) {
+    return new SizeLimits(new Settings.State(100, 50, valueBytes, maxChanges));
   }
 
   private static JobSpec spec(String id, String team, List<String> dependencies) {
@@ -71,21 +71,23 @@
   }
 
   @Test
-  void formOfALiveJobsRecord() throws WireException {
-    JobSpec plain = spec("job-000412", "roja", List.of());
-    Map<String, Fields> records = JobRecordCodec.encode(plain, 1_234, WIDE);
+  void aLiveJobsRecordKeepsItsStoredForm() throws WireException {
+    JobSpec withoutDependencies = spec("job-000412", "roja", List.of());
+    Map<String, Fields> records = JobRecordCodec.encode(withoutDependencies, 1_234, WIDE_LIMITS);
     assertEquals(List.of("live/job/job-000412"), List.copyOf(records.keySet()));
-    assertEquals(JOB + "}", json(records.get(Keys.job("job-000412"))));
-    assertEquals(plain, JobRecordCodec.decode(parsed(JOB + ",\"mas\":1}"), 5).spec());
+    assertEquals(JOB_JSON + "}", json(records.get(Keys.job("job-000412"))));
+    assertEquals(
+        withoutDependencies, JobRecordCodec.decode(parsed(JOB_JSON + ",\"mas\":1}"), 5).spec());
 
-    JobSpec chained = spec("job-000412", "roja", List.of("job-1", "job-2"));
-    Fields record = JobRecordCodec.encode(chained, 1_234, WIDE).get(Keys.job("job-000412"));
-    assertEquals(JOB + ",\"espera\":[\"job-1\",\"job-2\"]}", json(record));
-    assertEquals(chained, JobRecordCodec.decode(record, 5).spec());
+    JobSpec withDependencies = spec("job-000412", "roja", List.of("job-1", "job-2"));
+    Fields record =
+        JobRecordCodec.encode(withDependencies, 1_234, WIDE_LIMITS).get(Keys.job("job-000412"));
+    assertEquals(JOB_JSON + ",\"espera\":[\"job-1\",\"job-2\"]}", json(record));
+    assertEquals(withDependencies, JobRecordCodec.decode(record, 5).spec());
   }
 
   @Test
-  void formOfAFinalRecord() throws WireException {
+  void aFinalRecordKeepsItsStoredForm() throws WireException {
     FinalRecord end = new FinalRecord(JobState.DONE, 3, 77);
     assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", json(end.encode()));
     assertEquals(end, FinalRecord.decode(end.encode()));
@@ -96,7 +98,7 @@
   }
 
   @Test
-  void formOfFinishedTasks() {
+  void finishedTasksKeepTheirStoredForm() {
     BitSet finished = new BitSet();
     finished.set(256, 259);
     finished.set(300);
@@ -107,7 +109,7 @@
   }
 
   @Test
-  void formOfAStartRecord() throws WireException {
+  void aStartRecordKeepsItsStoredForm() throws WireException {
     StartRecord record =
         new StartRecord(
             List.of(
@@ -120,29 +122,32 @@
     assertEquals(record, StartRecord.decode(record.encode()));
   }
 
-  /** The largest of each record at lower limits, and at the least that settings allow. */
+  /**
+   * Encodes records of up to the largest size, at several limits down to the lowest that the
+   * settings allow.
+   */
   @ParameterizedTest
   @CsvSource({"2048,4", "2048,5", "1024,2", "16384,12"})
-  void nothingIsLargerThanTheLimits(int valueBytes, int ops) throws WireException {
-    SizeLimits limits = limits(valueBytes, ops);
-    SplittableRandom r = new SplittableRandom(valueBytes + ops);
-    int largest = 0;
-    for (int n = 0; n < 600; n += 7) {
-      Set<String> unlike = new LinkedHashSet<>();
-      for (int i = 0; i < n; i++) {
-        unlike.add("job-" + i + "1".repeat(r.nextInt(28)));
+  void noRecordExceedsTheLimits(int valueBytes, int maxChanges) throws WireException {
+    SizeLimits limits = limits(valueBytes, maxChanges);
+    SplittableRandom random = new SplittableRandom(valueBytes + maxChanges);
+    int largestCount = 0;
+    for (int count = 0; count < 600; count += 7) {
+      Set<String> distinctIds = new LinkedHashSet<>();
+      for (int i = 0; i < count; i++) {
+        distinctIds.add("job-" + i + "1".repeat(random.nextInt(28)));
       }
-      List<String> dependencies = List.copyOf(unlike);
-      JobSpec spec = spec("job-" + "9".repeat(32), "t".repeat(1 + n % 100), dependencies);
+      List<String> dependencies = List.copyOf(distinctIds);
+      JobSpec spec = spec("job-" + "9".repeat(32), "t".repeat(1 + count % 100), dependencies);
       Map<String, Fields> records;
       try {
         records = JobRecordCodec.encode(spec, Long.MAX_VALUE, limits);
       } catch (WireException e) {
-        assertTrue(e.getMessage().startsWith("espera") && n > 0, e.getMessage());
+        assertTrue(e.getMessage().startsWith("espera") && count > 0, e.getMessage());
         continue;
       }
-      largest = n;
-      assertTrue(records.size() <= ops);
+      largestCount = count;
+      assertTrue(records.size() <= maxChanges);
       List<String> read = new ArrayList<>();
       for (Map.Entry<String, Fields> e : records.entrySet()) {
         assertTrue(json(e.getValue()).length() <= valueBytes, e.getKey());
@@ -156,16 +161,17 @@
       assertEquals(dependencies, read);
     }
     assertTrue(
-        largest >= Math.min(590, valueBytes * (ops - 1) / 60), "only " + largest + " dependencies");
+        largestCount >= Math.min(590, valueBytes * (maxChanges - 1) / 60),
+        "only " + largestCount + " dependencies");
     assertThrows(
         WireException.class,
         () -> JobRecordCodec.encode(spec("job-1", "t".repeat(valueBytes), List.of()), 1, limits));
 
-    for (int tries = 0; tries < 200; tries++) {
-      startRecords(r, limits, valueBytes, ops);
+    for (int attempt = 0; attempt < 200; attempt++) {
+      checkStartRecords(random, limits, valueBytes, maxChanges);
       BitSet finished = new BitSet();
       for (int i = 0; i < 256; i++) {
-        finished.set(i, tries == 0 ? i % 2 == 0 : r.nextBoolean());
+        finished.set(i, attempt == 0 ? i % 2 == 0 : random.nextBoolean());
       }
       BitSet covered = new BitSet();
       Fields chunk = FinishedTasksCodec.encode(0, finished, limits.maxValueBytes(), covered);
@@ -178,15 +184,16 @@
     }
   }
 
-  private static void startRecords(SplittableRandom r, SizeLimits limits, int valueBytes, int ops)
+  private static void checkStartRecords(
+      SplittableRandom random, SizeLimits limits, int valueBytes, int maxChanges)
       throws WireException {
-    StartRecordPacker packer = new StartRecordPacker(limits.maxValueBytes(), ops);
+    StartRecordPacker packer = new StartRecordPacker(limits.maxValueBytes(), maxChanges);
     List<StartRecord.Start> starts = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
-      int length = 1 + r.nextInt(32);
+      int length = 1 + random.nextInt(32);
       JobSpec spec = spec("job-" + "7".repeat(length), "é".repeat(length), List.of());
-      String machine = "n-" + "0".repeat(r.nextInt(20));
-      long session = r.nextLong(Long.MAX_VALUE);
+      String machine = "n-" + "0".repeat(random.nextInt(20));
+      long session = random.nextLong(Long.MAX_VALUE);
       if (packer.tryReserve(spec, i * 1_000, machine, session)) {
         StartRecord.Start start =
             StartRecord.Start.of(spec, i * 1_000, Long.MAX_VALUE, machine, session);
@@ -194,7 +201,7 @@
         starts.add(start);
       }
     }
-    assertTrue(packer.records().size() <= ops);
+    assertTrue(packer.records().size() <= maxChanges);
     List<StartRecord.Start> read = new ArrayList<>();
     for (StartRecord record : packer.records()) {
       Fields value = record.encode();
--- a/src/test/java/fennelthread/state/ServiceHealthTest.java
+++ b/src/test/java/fennelthread/state/ServiceHealthTest.java
@@ -12,40 +12,43 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests how requests and their answers change the status of the state service. */
 class ServiceHealthTest {
-  private static final long OVERDUE = StateConstants.REQUEST_OVERDUE_MS;
-  private static final long TIMEOUT = StateConstants.REQUEST_TIMEOUT_MS;
+  private static final long OVERDUE_MS = StateConstants.REQUEST_OVERDUE_MS;
+  private static final long TIMEOUT_MS = StateConstants.REQUEST_TIMEOUT_MS;
 
   private final ServiceHealth health = new ServiceHealth(0);
 
   @Test
-  void oneLostAnswerAmongOthersIsNoEvidence() {
+  void oneLostAnswerAmongOthersLeavesTheServiceResponsive() {
     long lost = health.recordSent(100);
     long other = health.recordSent(110);
     health.recordSuccess(other, 115);
-    assertEquals(Status.RESPONSIVE, health.status(100 + OVERDUE));
-    health.recordTimeout(lost, 100 + TIMEOUT);
-    assertEquals(Status.RESPONSIVE, health.status(100 + TIMEOUT));
+    assertEquals(Status.RESPONSIVE, health.status(100 + OVERDUE_MS));
+    health.recordTimeout(lost, 100 + TIMEOUT_MS);
+    assertEquals(Status.RESPONSIVE, health.status(100 + TIMEOUT_MS));
   }
 
   @Test
   void oneOverdueRequestAloneMakesTheServiceSuspect() {
     health.recordSent(100);
-    assertEquals(OVERDUE - 30, health.msUntilOverdue(130));
-    assertEquals(Status.RESPONSIVE, health.status(99 + OVERDUE));
-    assertEquals(Status.SUSPECT, health.status(100 + OVERDUE));
-    assertEquals(Status.SUSPECT, health.status(100 + 10 * OVERDUE));
+    assertEquals(OVERDUE_MS - 30, health.msUntilOverdue(130));
+    assertEquals(Status.RESPONSIVE, health.status(99 + OVERDUE_MS));
+    assertEquals(Status.SUSPECT, health.status(100 + OVERDUE_MS));
+    assertEquals(Status.SUSPECT, health.status(100 + 10 * OVERDUE_MS));
   }
 
   @Test
   void severalOverdueRequestsWithoutAnyAnswerMakeTheServiceUnresponsive() {
     long first = health.recordSent(100);
-    health.recordSent(100 + OVERDUE);
-    assertEquals(Status.UNRESPONSIVE, health.status(100 + 2 * OVERDUE));
-    assertTrue(2 * OVERDUE <= TIMEOUT, "no later than the first request's time is over");
-    health.recordTimeout(first, 100 + TIMEOUT);
-    assertEquals(Status.UNRESPONSIVE, health.status(100 + TIMEOUT));
-    assertEquals(100 + TIMEOUT, health.failingForMs(100 + TIMEOUT));
+    health.recordSent(100 + OVERDUE_MS);
+    assertEquals(Status.UNRESPONSIVE, health.status(100 + 2 * OVERDUE_MS));
+    assertTrue(
+        2 * OVERDUE_MS <= TIMEOUT_MS,
+        "the service must be found unresponsive before the first request times out");
+    health.recordTimeout(first, 100 + TIMEOUT_MS);
+    assertEquals(Status.UNRESPONSIVE, health.status(100 + TIMEOUT_MS));
+    assertEquals(100 + TIMEOUT_MS, health.failingForMs(100 + TIMEOUT_MS));
   }
 
   @ParameterizedTest
@@ -53,18 +56,18 @@
   void anAnswerOfAnyStatusMakesTheServiceResponsive(int status) {
     health.recordSent(0);
     long second = health.recordSent(1);
-    assertEquals(Status.UNRESPONSIVE, health.status(1 + OVERDUE));
+    assertEquals(Status.UNRESPONSIVE, health.status(1 + OVERDUE_MS));
     switch (status) {
-      case 200 -> health.recordSuccess(second, 2 + OVERDUE);
-      case 429 -> health.recordRateLimited(second, 2 + OVERDUE);
-      default -> health.recordRefusal(second, 2 + OVERDUE);
+      case 200 -> health.recordSuccess(second, 2 + OVERDUE_MS);
+      case 429 -> health.recordRateLimited(second, 2 + OVERDUE_MS);
+      default -> health.recordRefusal(second, 2 + OVERDUE_MS);
     }
-    assertEquals(Status.RESPONSIVE, health.status(1 + 3 * OVERDUE));
-    assertEquals(status == 503, health.failingForMs(2 + OVERDUE) > 0);
+    assertEquals(Status.RESPONSIVE, health.status(1 + 3 * OVERDUE_MS));
+    assertEquals(status == 503, health.failingForMs(2 + OVERDUE_MS) > 0);
   }
 
   @Test
-  void transactionsOfASlowServiceAreOverdueLater() {
+  void transactionsBecomeOverdueLaterWhenTheServiceIsSlow() {
     assertEquals(StateConstants.MIN_TXN_OVERDUE_MS, health.overdueAfterMs());
     for (int i = 0; i < 100; i++) {
       health.recordSuccess(health.recordSent(i * 1_000L), i * 1_000L + 400);
@@ -76,22 +79,25 @@
     assertEquals(StateConstants.MIN_TXN_OVERDUE_MS, health.overdueAfterMs());
   }
 
-  /** A fifth of the answers lost, at forty requests a second: never taken for unresponsive. */
+  /**
+   * Guards against taking random loss for an outage: with a fifth of the answers lost at 40
+   * requests a second the service never counts as unresponsive.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void aFifthOfTheAnswersLostIsNeverUnresponsive(long seed) {
+  void losingAFifthOfTheAnswersNeverMakesTheServiceUnresponsive(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ArrayDeque<long[]> lost = new ArrayDeque<>();
-    for (long at = 0; at < 300_000; at += 25) {
-      while (!lost.isEmpty() && lost.peek()[1] + TIMEOUT <= at) {
-        health.recordTimeout(lost.poll()[0], at);
+    for (long nowMs = 0; nowMs < 300_000; nowMs += 25) {
+      while (!lost.isEmpty() && lost.peek()[1] + TIMEOUT_MS <= nowMs) {
+        health.recordTimeout(lost.poll()[0], nowMs);
       }
-      assertNotEquals(Status.UNRESPONSIVE, health.status(at), "at " + at);
-      long ticket = health.recordSent(at);
+      assertNotEquals(Status.UNRESPONSIVE, health.status(nowMs), "at " + nowMs);
+      long requestId = health.recordSent(nowMs);
       if (random.nextDouble() < 0.2) {
-        lost.add(new long[] {ticket, at});
+        lost.add(new long[] {requestId, nowMs});
       } else {
-        health.recordSuccess(ticket, at + 8);
+        health.recordSuccess(requestId, nowMs + 8);
       }
     }
   }
