--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -223,7 +223,7 @@
   }
 
   private void runPeriodicChecks() {
-    eventLoop.after(RelayConstants.SUPERVISE_MS, this::runPeriodicChecks);
+    eventLoop.after(RelayConstants.CHECK_INTERVAL_MS, this::runPeriodicChecks);
     memory.check();
     supervisor.runChecks();
   }
--- a/src/main/java/fennelthread/ReplicatedRecords.java
+++ b/src/main/java/fennelthread/ReplicatedRecords.java
@@ -25,7 +25,7 @@
     this.state = new StateClient(eventLoop, settings);
     this.replica = new Replica(eventLoop, state);
     replica.addListener(table);
-    Settings.Workers workers = settings.workers();
+    Settings.WorkerTiming workers = settings.workers();
     this.cancellations =
         new CancellationLog(eventLoop, 2 * (workers.cancelMs() + workers.leaseMs()));
     table.addListener(new RemovedJobs());
--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -23,7 +23,7 @@
   private final EventLoop eventLoop;
   private final ServingConditions conditions;
   private final ReportReceiver reports;
-  private final Unavailabilities unavailabilities;
+  private final UnavailableAnswers unavailableAnswers;
   private final Submissions submissions;
   private final JobRequests jobRequests;
 
@@ -38,15 +38,15 @@
     this.eventLoop = eventLoop;
     this.conditions = conditions;
     this.reports = reports;
-    this.unavailabilities = new Unavailabilities(eventLoop);
-    this.jobRequests = new JobRequests(store, table, unavailabilities);
+    this.unavailableAnswers = new UnavailableAnswers(eventLoop);
+    this.jobRequests = new JobRequests(store, table, unavailableAnswers);
     this.submissions =
         new Submissions(
             store,
-            new Feasibility(settings, conditions, unavailabilities),
+            new Feasibility(settings, conditions, unavailableAnswers),
             conditions,
             jobRequests,
-            unavailabilities);
+            unavailableAnswers);
   }
 
   @Override
@@ -113,7 +113,7 @@
             () -> {
               if (!answered[0]) {
                 answered[0] = true;
-                reply.accept(unavailabilities.answer("took too long"));
+                reply.accept(unavailableAnswers.answer("took too long"));
               }
             });
     return answer -> {
--- a/src/main/java/fennelthread/api/Feasibility.java
+++ b/src/main/java/fennelthread/api/Feasibility.java
@@ -11,12 +11,13 @@
 final class Feasibility {
   private final Settings settings;
   private final ServingConditions conditions;
-  private final Unavailabilities unavailabilities;
+  private final UnavailableAnswers unavailableAnswers;
 
-  Feasibility(Settings settings, ServingConditions conditions, Unavailabilities unavailabilities) {
+  Feasibility(
+      Settings settings, ServingConditions conditions, UnavailableAnswers unavailableAnswers) {
     this.settings = settings;
     this.conditions = conditions;
-    this.unavailabilities = unavailabilities;
+    this.unavailableAnswers = unavailableAnswers;
   }
 
   /** The answer to a job that can never run, or can't be judged yet; empty if it can run. */
@@ -30,7 +31,7 @@
     }
     Map<String, MachineType> types = conditions.machineTypes();
     if (types.isEmpty()) {
-      return Optional.of(unavailabilities.answer("machine types are not known yet"));
+      return Optional.of(unavailableAnswers.answer("machine types are not known yet"));
     }
     if (types.values().stream().noneMatch(type -> fits(spec, type))) {
       return Optional.of(Answer.error(422, "modelos: a task fits no allowed machine type"));
--- a/src/main/java/fennelthread/api/JobRequests.java
+++ b/src/main/java/fennelthread/api/JobRequests.java
@@ -17,12 +17,12 @@
 final class JobRequests {
   private final JobStore store;
   private final JobTable table;
-  private final Unavailabilities unavailabilities;
+  private final UnavailableAnswers unavailableAnswers;
 
-  JobRequests(JobStore store, JobTable table, Unavailabilities unavailabilities) {
+  JobRequests(JobStore store, JobTable table, UnavailableAnswers unavailableAnswers) {
     this.store = store;
     this.table = table;
-    this.unavailabilities = unavailabilities;
+    this.unavailableAnswers = unavailableAnswers;
   }
 
   /** Answers with a job's state. */
@@ -44,7 +44,8 @@
         id,
         found -> {
           boolean stillLive = found instanceof LookupResult.Live;
-          reply.accept(stillLive ? unavailabilities.answer("try again") : statusAnswer(id, found));
+          reply.accept(
+              stillLive ? unavailableAnswers.answer("try again") : statusAnswer(id, found));
         });
   }
 
@@ -59,7 +60,7 @@
     if (found instanceof LookupResult.Unknown) {
       return Answer.error(404, "unknown job");
     }
-    return unavailabilities.answer(
+    return unavailableAnswers.answer(
         found instanceof LookupResult.Unavailable unavailable
             ? unavailable.reason().text()
             : "the job's state is not known");
--- a/src/main/java/fennelthread/api/Submissions.java
+++ b/src/main/java/fennelthread/api/Submissions.java
@@ -28,19 +28,19 @@
   private final Feasibility feasibility;
   private final ServingConditions conditions;
   private final JobRequests jobRequests;
-  private final Unavailabilities unavailabilities;
+  private final UnavailableAnswers unavailableAnswers;
 
   Submissions(
       JobStore store,
       Feasibility feasibility,
       ServingConditions conditions,
       JobRequests jobRequests,
-      Unavailabilities unavailabilities) {
+      UnavailableAnswers unavailableAnswers) {
     this.store = store;
     this.feasibility = feasibility;
     this.conditions = conditions;
     this.jobRequests = jobRequests;
-    this.unavailabilities = unavailabilities;
+    this.unavailableAnswers = unavailableAnswers;
   }
 
   /** Validates and accepts a job. */
@@ -73,7 +73,7 @@
   private void admit(Submission job, Consumer<Answer> reply) {
     String id = job.spec().id();
     if (conditions.isMemoryShort() && !store.isKnownAccepted(id)) {
-      unavailabilities.count(NO_MEMORY);
+      unavailableAnswers.count(NO_MEMORY);
       rejectUnlessAccepted(
           id, Answer.later(503, NO_MEMORY, ApiConstants.MEMORY_SHORT_RETRY_AFTER_S), reply);
     } else if (job.spec().dependencies().isEmpty() || store.isKnownAccepted(id)) {
@@ -88,7 +88,7 @@
     if (conditions.isOutdatedPeerServing()) {
       // It would run the job without waiting, if it came to lead.
       String cause = "a controller that does not know " + JobSpec.DEPENDENCIES + " still serves";
-      rejectUnlessAccepted(id, unavailabilities.answer(cause), reply);
+      rejectUnlessAccepted(id, unavailableAnswers.answer(cause), reply);
       return;
     }
     store.checkDependencies(
@@ -100,7 +100,7 @@
             String why = JobSpec.DEPENDENCIES + ": " + invalid.reason();
             rejectUnlessAccepted(id, Answer.error(422, why), reply);
           } else if (result instanceof DependencyCheckResult.Unavailable unavailable) {
-            reply.accept(unavailabilities.answer(unavailable.reason().text()));
+            reply.accept(unavailableAnswers.answer(unavailable.reason().text()));
           }
         });
   }
@@ -118,7 +118,7 @@
           } else if (result instanceof AcceptResult.TooLarge) {
             rejectUnlessAccepted(id, Answer.error(400, "body: is too large"), reply);
           } else if (result instanceof AcceptResult.Unavailable unavailable) {
-            reply.accept(unavailabilities.answer(unavailable.reason().text()));
+            reply.accept(unavailableAnswers.answer(unavailable.reason().text()));
           }
         });
   }
--- a/src/main/java/fennelthread/api/Unavailabilities.java
+++ b/src/main/java/fennelthread/api/UnavailableAnswers.java
@@ -12,13 +12,13 @@
  * Makes the answers of 503 to users, and logs how many were made for each cause: one line for all
  * of {@link ApiConstants#UNAVAILABLE_LOG_MS}, since an outage makes thousands.
  */
-final class Unavailabilities {
-  private static final Logger log = LoggerFactory.getLogger(Unavailabilities.class);
+final class UnavailableAnswers {
+  private static final Logger log = LoggerFactory.getLogger(UnavailableAnswers.class);
 
   private final EventLoop eventLoop;
   private final Map<String, Integer> countsByCause = new TreeMap<>();
 
-  Unavailabilities(EventLoop eventLoop) {
+  UnavailableAnswers(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
--- a/src/main/java/fennelthread/capacity/LinearFit.java
+++ b/src/main/java/fennelthread/capacity/LinearFit.java
@@ -77,6 +77,6 @@
 
   /** True if the line explains nearly all of what was measured. */
   public boolean isLinear() {
-    return rSquared >= CapacityConstants.LINE_R_SQUARED;
+    return rSquared >= CapacityConstants.MIN_LINE_R_SQUARED;
   }
 }
--- a/src/main/java/fennelthread/capacity/Slope.java
+++ b/src/main/java/fennelthread/capacity/Slope.java
@@ -29,8 +29,9 @@
   public boolean grows() {
     LinearFit fit = fit();
     boolean visible =
-        points.stream().anyMatch(p -> Math.abs(p.value()) > CapacityConstants.SLOPE_VISIBLE);
-    return visible && Math.abs(fit.slope()) > CapacityConstants.SLOPE_ERRORS * fit.slopeError();
+        points.stream().anyMatch(p -> Math.abs(p.value()) > CapacityConstants.MIN_VISIBLE_SLOPE);
+    return visible
+        && Math.abs(fit.slope()) > CapacityConstants.MIN_SLOPE_STANDARD_ERRORS * fit.slopeError();
   }
 
   /** The name under which the catalogue holds it. */
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -52,14 +52,15 @@
     essential.add(settings.stateAddr());
     essential.add(settings.cloudAddr());
     settings.peers().forEach(s -> essential.add(s.addr()));
-    return new XnioEventLoop(settings.maxConnections(), settings.mostOutbound(), essential);
+    return new XnioEventLoop(
+        settings.maxConnections(), settings.maxOutboundConnections(), essential);
   }
 
   /** Sets a controller going; on the event loop's thread. */
   static Controller start(XnioEventLoop eventLoop, Settings settings, Options options) {
     Controller controller = new Controller(eventLoop, settings, options);
     eventLoop.listen(
-        settings.apiAddr(), controller.api(), settings.meshAddr(), controller.peerService());
+        settings.apiAddr(), controller.api(), settings.peerAddr(), controller.peerService());
     controller.start();
     return controller;
   }
--- a/src/main/java/fennelthread/constants/ProtocolConstants.java
+++ b/src/main/java/fennelthread/constants/ProtocolConstants.java
@@ -9,7 +9,7 @@
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** How far two steady clocks may drift apart, as a share: the protocol's bound. */
-  public static final double CLOCK_DRIFT = 0.0005;
+  public static final double MAX_CLOCK_DRIFT = 0.0005;
 
   /** Taken off every lease beyond drift, ms: timers fire in steps of a few milliseconds. */
   public static final long LEASE_MARGIN_MS = 60;
@@ -18,13 +18,13 @@
   public static final long EXPIRY_MARGIN_MS = 250;
 
   /** Pause after a failed state request before it is tried again, ms. */
-  public static final long RETRY_MS = 400;
+  public static final long STATE_RETRY_DELAY_MS = 400;
 
   /** Random part added to every pause, as a share: keeps controllers from retrying in step. */
-  public static final double JITTER = 0.3;
+  public static final double PAUSE_JITTER_SHARE = 0.3;
 
   /** How long a worker waits for the answer to a report, ms: the protocol's time. */
-  public static final long WORKER_WAITS_MS = 4_000;
+  public static final long WORKER_REPORT_TIMEOUT_MS = 4_000;
 
   /** Bits of a token below the epoch: the leader may raise a worker's token a million times. */
   public static final int TOKEN_BITS = 20;
@@ -33,7 +33,7 @@
   public static final int ATTEMPT_BITS = 24;
 
   /** Amounts that differ by less count as equal, units of the amount: sums of decimal values. */
-  public static final double EPSILON = 1e-9;
+  public static final double AMOUNT_TOLERANCE = 1e-9;
 
   private ProtocolConstants() {}
 }
--- a/src/main/java/fennelthread/control/KnownWorkers.java
+++ b/src/main/java/fennelthread/control/KnownWorkers.java
@@ -11,7 +11,7 @@
  * The workers that a follower knows, so that it can probe them at once when it is elected: their
  * addresses, from reports and from the leader's heartbeats, and which of them have reported to this
  * controller within {@link PeerConstants#PEER_SILENT_MS}. Holds at most {@link
- * RelayConstants#KNOWN_ADDRESSES} addresses. Used on the event loop's thread only.
+ * RelayConstants#MAX_KNOWN_WORKERS} addresses. Used on the event loop's thread only.
  */
 public final class KnownWorkers {
   private final Map<String, String> addresses = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
   }
 
   private void evictOldest() {
-    while (addresses.size() > RelayConstants.KNOWN_ADDRESSES) {
+    while (addresses.size() > RelayConstants.MAX_KNOWN_WORKERS) {
       addresses.remove(addresses.keySet().iterator().next());
     }
   }
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -38,7 +38,7 @@
     this.unreachableLeader = unreachableLeader;
   }
 
-  /** Runs all checks once; to be called every {@link RelayConstants#SUPERVISE_MS}. */
+  /** Runs all checks once; to be called every {@link RelayConstants#CHECK_INTERVAL_MS}. */
   public void runChecks() {
     workers.forgetOldReports(eventLoop.nowMs());
     stateService.confirmReplicaIfSilent();
--- a/src/main/java/fennelthread/election/LeaderView.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -78,7 +78,7 @@
     transitionTo(Phase.TRUSTED);
     promisedUntilMs =
         nowMs
-            + (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+            + (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
             + ProtocolConstants.LEASE_MARGIN_MS;
     return epoch;
   }
--- a/src/main/java/fennelthread/election/LeadershipPromises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -21,7 +21,7 @@
  *
  * <p>The leader counts a promise from when it sent the heartbeat, and the follower from when it
  * arrived, so that the promise ends first for the leader. This relies on a bound on the drift of
- * the followers' clocks and the leader's ({@link ProtocolConstants#CLOCK_DRIFT}).
+ * the followers' clocks and the leader's ({@link ProtocolConstants#MAX_CLOCK_DRIFT}).
  */
 public final class LeadershipPromises {
   private final Map<String, Long> heartbeatSentAtMs = new HashMap<>();
@@ -77,7 +77,7 @@
 
   /** How long the leader relies on a promise, ms: less than the time for which it binds. */
   private static long validForMs() {
-    return (long) (ElectionConstants.PROMISE_MS * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+    return (long) (ElectionConstants.PROMISE_MS * (1 - 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
         - ProtocolConstants.LEASE_MARGIN_MS;
   }
 }
--- a/src/main/java/fennelthread/emulate/Addresses.java
+++ b/src/main/java/fennelthread/emulate/Addresses.java
@@ -25,7 +25,7 @@
   /** Takes a block that no other run on this machine holds, for as long as it is open. */
   static Addresses claim(RandomGenerator random) throws IOException {
     IOException last = null;
-    for (int i = 0; i < EmulationConstants.BLOCK_TRIES; i++) {
+    for (int i = 0; i < EmulationConstants.MAX_ADDRESS_BLOCK_TRIES; i++) {
       int block = 1 + random.nextInt(254);
       try {
         InetAddress lock = InetAddress.getByName("127." + block + ".255.254");
--- a/src/main/java/fennelthread/emulate/ControllerDirectory.java
+++ b/src/main/java/fennelthread/emulate/ControllerDirectory.java
@@ -30,9 +30,9 @@
     void probed(boolean good) {
       successes = good ? successes + 1 : 0;
       failures = good ? 0 : failures + 1;
-      if (successes >= EmulationConstants.HEALTHY_AFTER) {
+      if (successes >= EmulationConstants.HEALTHY_THRESHOLD) {
         healthy = true;
-      } else if (failures >= EmulationConstants.UNHEALTHY_AFTER) {
+      } else if (failures >= EmulationConstants.UNHEALTHY_THRESHOLD) {
         healthy = false;
       }
     }
@@ -51,7 +51,7 @@
 
   /** Begins to check controllers' health. */
   void start() {
-    loop.every(EmulationConstants.PROBE_MS, this::probe);
+    loop.every(EmulationConstants.HEALTH_CHECK_INTERVAL_MS, this::probe);
   }
 
   /** How many controllers are healthy. */
@@ -64,7 +64,7 @@
       if (!c.probe.isBusy()) {
         c.probe.call(
             Call.get("/up"),
-            EmulationConstants.PROBE_MS,
+            EmulationConstants.HEALTH_CHECK_INTERVAL_MS,
             answer -> {
               c.probed(answer != null && answer.status() == 200);
               healthy = (int) controllers.stream().filter(o -> o.healthy).count();
@@ -98,7 +98,7 @@
         call,
         timeoutMs,
         answer -> {
-          if (answer != null && to.idle.size() < EmulationConstants.IDLE_CONNECTIONS) {
+          if (answer != null && to.idle.size() < EmulationConstants.MAX_IDLE_CONNECTIONS) {
             to.idle.push(connection);
           } else {
             connection.close();
--- a/src/main/java/fennelthread/emulate/ControllerFleet.java
+++ b/src/main/java/fennelthread/emulate/ControllerFleet.java
@@ -148,12 +148,12 @@
       line(text, "cpus = %f", team.cpus());
       line(text, "cpus_max = %f", team.cpusMax());
     }
-    Settings.Workers timing = config.workerTiming();
+    Settings.WorkerTiming timing = config.workerTiming();
     line(text, "[cluster.workers]");
     line(text, "report_s = %f", timing.reportMs() / 1000.0);
     line(text, "lease_s = %f", timing.leaseMs() / 1000.0);
     line(text, "cancel_s = %f", timing.cancelMs() / 1000.0);
-    Settings.State limits = config.state().limits();
+    Settings.StateLimits limits = config.state().limits();
     line(text, "[cluster.state]");
     line(text, "rps = %f", limits.rps());
     line(text, "write_rps = %f", limits.writeRps());
--- a/src/main/java/fennelthread/emulate/EmulatedCloud.java
+++ b/src/main/java/fennelthread/emulate/EmulatedCloud.java
@@ -86,7 +86,7 @@
 
   /** Sets the first machines going, spread over the boot time; on the loop's thread. */
   void start() {
-    loop.every(EmulationConstants.LIST_STEP_MS, this::takeSnapshot);
+    loop.every(EmulationConstants.LIST_SNAPSHOT_INTERVAL_MS, this::takeSnapshot);
     double shares = config.machineTypes().stream().mapToDouble(FleetPart::share).sum();
     double target = 0;
     int made = 0;
@@ -133,7 +133,8 @@
       if (machine != null && machine.up) {
         machine.up = false;
         running.decrementAndGet();
-        loop.after(EmulationConstants.FAILED_SHOWN_MS, () -> machine.state = MachineEntry.FAILED);
+        loop.after(
+            EmulationConstants.FAILURE_LISTING_DELAY_MS, () -> machine.state = MachineEntry.FAILED);
       }
     }
   }
@@ -205,7 +206,7 @@
     for (Object entry : shown.entries) {
       String name = (String) ((Map<?, ?>) entry).get("name_id");
       if (name.compareTo(since) > 0) {
-        if (page.size() == EmulationConstants.LIST_PAGE) {
+        if (page.size() == EmulationConstants.MAX_MACHINES_PER_PAGE) {
           more = true;
           break;
         }
--- a/src/main/java/fennelthread/emulate/EmulatedStateService.java
+++ b/src/main/java/fennelthread/emulate/EmulatedStateService.java
@@ -73,7 +73,7 @@
     this.loop = loop;
     this.settings = settings;
     this.random = random;
-    Settings.State limits = settings.limits();
+    Settings.StateLimits limits = settings.limits();
     this.store = new StateStore(limits);
     this.requestBudget = new TokenBucket(limits.rps(), limits.rps());
     this.changeBudget = new TokenBucket(limits.writeRps(), limits.writeRps());
@@ -81,7 +81,7 @@
 
   /** Begins to end leases; on the loop's thread. */
   void start() {
-    loop.every(EmulationConstants.LEASE_STEP_MS, this::expireLeases);
+    loop.every(EmulationConstants.LEASE_CHECK_INTERVAL_MS, this::expireLeases);
   }
 
   /** The service as one controller sees it. */
@@ -221,7 +221,7 @@
     boolean more = false;
     for (Map.Entry<String, StateStore.Item> e :
         store.after(query.get("under"), query.getOrDefault("since", "")).entrySet()) {
-      if (found.size() == most || size > EmulationConstants.LIST_BYTES) {
+      if (found.size() == most || size > EmulationConstants.MAX_PAGE_BYTES) {
         more = true;
         break;
       }
--- a/src/main/java/fennelthread/emulate/EmulatedUsers.java
+++ b/src/main/java/fennelthread/emulate/EmulatedUsers.java
@@ -86,7 +86,7 @@
   /** Says on and on up to when everything was told; on the loop's thread. */
   void start() {
     loop.every(
-        EmulationConstants.WATERMARK_MS,
+        EmulationConstants.WATERMARK_INTERVAL_MS,
         () -> {
           history.toldUntil(System.nanoTime());
           counts = new Counts(jobs.size(), accepted, refused, givenUp, new TreeMap<>(statuses));
@@ -98,8 +98,8 @@
     arriving = true;
     arrivalsFromMs = SelectorLoop.nowMs();
     arrivedUntilMs = arrivalsFromMs;
-    loop.every(EmulationConstants.ARRIVAL_STEP_MS, this::arrive);
-    loop.every(EmulationConstants.STRANGE_MS, this::askAboutUnknown);
+    loop.every(EmulationConstants.ARRIVAL_INTERVAL_MS, this::arrive);
+    loop.every(EmulationConstants.UNKNOWN_JOB_INTERVAL_MS, this::askAboutUnknown);
   }
 
   /** No more jobs arrive. */
@@ -147,7 +147,8 @@
           } else if (answer != null && (answer.status() == 400 || answer.status() == 422)) {
             refused++;
             job.refused = true;
-          } else if (SelectorLoop.nowMs() - job.submittedMs < EmulationConstants.GIVE_UP_MS) {
+          } else if (SelectorLoop.nowMs() - job.submittedMs
+              < EmulationConstants.MAX_SUBMITTING_MS) {
             loop.after(pauseMs(answer), () -> submit(job));
           } else {
             givenUp++;
@@ -161,11 +162,14 @@
 
   private static long pauseMs(Answer answer) {
     long seconds = answer == null ? 1 : Math.max(1, answer.retryAfterS());
-    return Math.min(EmulationConstants.LONGEST_RETRY_S, seconds) * 1000;
+    return Math.min(EmulationConstants.MAX_RETRY_AFTER_S, seconds) * 1000;
   }
 
   private void poll(Job job) {
-    long pause = job.isOver() ? EmulationConstants.LATER_POLL_MS : EmulationConstants.POLL_MS;
+    long pause =
+        job.isOver()
+            ? EmulationConstants.ENDED_POLL_INTERVAL_MS
+            : EmulationConstants.POLL_INTERVAL_MS;
     loop.after(pause * 3 / 4 + random.nextLong(pause / 2), () -> question(job));
   }
 
@@ -188,7 +192,7 @@
       return;
     }
     if (!job.accepted) {
-      loop.after(EmulationConstants.NEXT_MEMBER_MS, () -> cancel(job));
+      loop.after(EmulationConstants.NEXT_CONTROLLER_PAUSE_MS, () -> cancel(job));
       return;
     }
     history.add(new HistoryEvent.AsksToCancel(System.nanoTime(), job.spec.id()));
@@ -229,8 +233,8 @@
         String state = body.text("estado");
         history.add(new HistoryEvent.Told(now, id, state, body.count("done", 0), before));
         job.accepted = true;
-        job.done |= state.equals(JobState.DONE.wire());
-        job.cancelled |= state.equals(JobState.CANCELLED.wire());
+        job.done |= state.equals(JobState.DONE.wireName());
+        job.cancelled |= state.equals(JobState.CANCELLED.wireName());
         return;
       } catch (WireException e) {
         System.err.println("emulation: an answer to a user can't be read: " + e.getMessage());
@@ -265,7 +269,8 @@
     finalAnswers.set(0);
     for (int i = 0; i < all.size(); i++) {
       Job job = all.get(i);
-      loop.after((long) (i * 1000.0 / EmulationConstants.FINAL_PER_S), () -> finalQuestion(job));
+      loop.after(
+          (long) (i * 1000.0 / EmulationConstants.FINAL_POLLS_PER_S), () -> finalQuestion(job));
     }
   }
 
--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -97,7 +97,7 @@
   /** Ends a run early, as Ctrl-C does, and waits until its report is written. */
   public void interrupt() throws InterruptedException {
     stop.countDown();
-    over.await(EmulationConstants.REPORT_WAIT_S, TimeUnit.SECONDS);
+    over.await(EmulationConstants.REPORT_TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   /** Runs to the end; how many rules were broken. */
@@ -219,14 +219,14 @@
 
   /** Waits until a controller serves users and all machines are up. */
   private void awaitFleet(Path logs) throws SettingsException, InterruptedException {
-    long deadline = SelectorLoop.nowMs() + config.bootMs() + EmulationConstants.START_MS;
+    long deadline = SelectorLoop.nowMs() + config.bootMs() + EmulationConstants.STARTUP_TIMEOUT_MS;
     while (directory.healthy() == 0
         || state.leader.member() == null
         || workers.traffic().workers() < config.workers()) {
       if (SelectorLoop.nowMs() > deadline) {
         throw new SettingsException(
             "after "
-                + (config.bootMs() + EmulationConstants.START_MS) / 1000
+                + (config.bootMs() + EmulationConstants.STARTUP_TIMEOUT_MS) / 1000
                 + " s "
                 + directory.healthy()
                 + " controllers serve and "
@@ -234,7 +234,7 @@
                 + " workers are up; see the logs in "
                 + logs);
       }
-      if (stop.await(EmulationConstants.DRAIN_MS, TimeUnit.MILLISECONDS)) {
+      if (stop.await(EmulationConstants.DRAIN_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
         return;
       }
     }
@@ -321,10 +321,10 @@
     usersLoop.execute(users::askAboutAll);
     long deadline =
         SelectorLoop.nowMs()
-            + EmulationConstants.FINAL_MS
-            + finalQuestions * 1000L / EmulationConstants.FINAL_PER_S;
+            + EmulationConstants.FINAL_POLL_SLACK_MS
+            + finalQuestions * 1000L / EmulationConstants.FINAL_POLLS_PER_S;
     while (users.finalAnswers() < finalQuestions && SelectorLoop.nowMs() < deadline) {
-      if (stop.await(EmulationConstants.DRAIN_MS, TimeUnit.MILLISECONDS)) {
+      if (stop.await(EmulationConstants.DRAIN_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
         return;
       }
     }
--- a/src/main/java/fennelthread/emulate/EmulationConfig.java
+++ b/src/main/java/fennelthread/emulate/EmulationConfig.java
@@ -40,7 +40,7 @@
     int spareMachines,
     long bootMs,
     List<FleetPart> machineTypes,
-    Settings.Workers workerTiming,
+    Settings.WorkerTiming workerTiming,
     StateSettings state,
     CloudSettings cloud,
     List<TeamSettings> teams,
@@ -59,7 +59,7 @@
   record FleetPart(MachineType type, double share, double spotShare, long bootMs) {}
 
   /** The state service: its limits, and how long an answer usually takes, ms. */
-  record StateSettings(Settings.State limits, long latencyMs) {}
+  record StateSettings(Settings.StateLimits limits, long latencyMs) {}
 
   /** The cloud: its limit, and how old its list is, ms. */
   record CloudSettings(double rps, long listLagMs) {}
--- a/src/main/java/fennelthread/emulate/EmulationConfigReader.java
+++ b/src/main/java/fennelthread/emulate/EmulationConfigReader.java
@@ -133,10 +133,10 @@
     return nodes;
   }
 
-  private Settings.Workers workerTiming() throws SettingsException {
+  private Settings.WorkerTiming workerTiming() throws SettingsException {
     SettingsNode node = root.required("timing");
-    Settings.Workers timing =
-        new Settings.Workers(
+    Settings.WorkerTiming timing =
+        new Settings.WorkerTiming(
             node.millis("report-s", 0.5, 60, 1.5),
             node.millis("lease-s", 2, 600, 10.0),
             node.millis("cancel-s", 2, 600, 30.0));
@@ -146,8 +146,8 @@
 
   private StateSettings state() throws SettingsException {
     SettingsNode node = root.required("state");
-    Settings.State limits =
-        new Settings.State(
+    Settings.StateLimits limits =
+        new Settings.StateLimits(
             node.number("rps", 10, 1_000_000, null),
             node.number("write-rps", 5, 1_000_000, null),
             (int) (node.number("value-kb", 1, 512, 8.0) * 1024),
--- a/src/main/java/fennelthread/emulate/HistoryChecker.java
+++ b/src/main/java/fennelthread/emulate/HistoryChecker.java
@@ -140,7 +140,7 @@
 
   private void broken(String rule, long nanos, String detail) {
     violationCount++;
-    if (violations.size() < EmulationConstants.VIOLATIONS_KEPT) {
+    if (violations.size() < EmulationConstants.MAX_VIOLATIONS_LISTED) {
       violations.add(new Violation(rule, (nanos - startNanos) * 1e-9, detail));
     }
   }
@@ -199,9 +199,9 @@
     used[0] += spec.cpus();
     used[1] += spec.cards();
     boolean tooManyCpus =
-        team.cpusMax() > 0 && used[0] > team.cpusMax() + EmulationConstants.ROUNDING;
+        team.cpusMax() > 0 && used[0] > team.cpusMax() + EmulationConstants.ROUNDING_TOLERANCE;
     boolean tooManyCards =
-        team.cardsMax() > 0 && used[1] > team.cardsMax() + EmulationConstants.ROUNDING;
+        team.cardsMax() > 0 && used[1] > team.cardsMax() + EmulationConstants.ROUNDING_TOLERANCE;
     if (tooManyCpus || tooManyCards) {
       broken(
           "quota",
@@ -222,9 +222,10 @@
       wrong = "zone " + machine.zone();
     } else if (machine.spot() && !spec.spotAllowed()) {
       wrong = "a spot machine";
-    } else if (spec.onePlace() && zonesUsed > 1) {
+    } else if (spec.sameZone() && zonesUsed > 1) {
       wrong = "another zone than its job's other tasks";
-    } else if (spec.apart() && job.byZone.get(machine.zone()) > (spec.tasks() + 1) / 2) {
+    } else if (spec.spreadAcrossZones()
+        && job.byZone.get(machine.zone()) > (spec.tasks() + 1) / 2) {
       wrong = "zone " + machine.zone() + " with more than half of its job's tasks";
     }
     if (wrong != null) {
@@ -289,8 +290,8 @@
     job.unansweredSinceNanos = 0;
     job.accepted = true;
     Known before = e.before();
-    boolean done = e.state().equals(JobState.DONE.wire());
-    boolean cancelled = e.state().equals(JobState.CANCELLED.wire());
+    boolean done = e.state().equals(JobState.DONE.wireName());
+    boolean cancelled = e.state().equals(JobState.CANCELLED.wireName());
     if ((before.done() && !done) || (before.cancelled() && !cancelled)) {
       broken("went_back", e.nanos(), e.job() + " is called " + e.state() + " after its end");
     }
@@ -340,7 +341,7 @@
     List<String> places =
         where.entrySet().stream()
             .filter(e -> e.getKey().job().equals(id))
-            .limit(EmulationConstants.PLACES_NAMED)
+            .limit(EmulationConstants.MAX_TASKS_NAMED)
             .map(e -> e.getKey() + " on " + e.getValue())
             .toList();
     return String.format(
@@ -361,8 +362,9 @@
       }
     }
     boolean othersAreAnswered =
-        nanos - lastAnswerNanos < TimeUnit.MILLISECONDS.toNanos(EmulationConstants.ANSWERING_MS);
-    long patience = TimeUnit.MILLISECONDS.toNanos(EmulationConstants.FORGOTTEN_MS);
+        nanos - lastAnswerNanos
+            < TimeUnit.MILLISECONDS.toNanos(EmulationConstants.RECENT_ANSWER_MS);
+    long patience = TimeUnit.MILLISECONDS.toNanos(EmulationConstants.MAX_UNANSWERED_MS);
     for (Job job : List.copyOf(unanswered)) {
       if (othersAreAnswered && nanos - job.unansweredSinceNanos > patience) {
         unanswered.remove(job);
--- a/src/main/java/fennelthread/emulate/HistoryMerger.java
+++ b/src/main/java/fennelthread/emulate/HistoryMerger.java
@@ -95,7 +95,7 @@
               try {
                 while (true) {
                   drain();
-                  Thread.sleep(EmulationConstants.DRAIN_MS);
+                  Thread.sleep(EmulationConstants.DRAIN_INTERVAL_MS);
                 }
               } catch (InterruptedException e) {
                 drain();
--- a/src/main/java/fennelthread/emulate/HollowWorker.java
+++ b/src/main/java/fennelthread/emulate/HollowWorker.java
@@ -28,7 +28,7 @@
     /** The controllers' members in order, and the addresses that they serve workers at. */
     List<Member> members();
 
-    Settings.Workers timing();
+    Settings.WorkerTiming timing();
 
     /** A job's description, or null if no user has submitted it. */
     JobSpec job(String id);
@@ -199,7 +199,7 @@
   private void reportSoon() {
     if (!reportDue && alive) {
       reportDue = true;
-      long earliestMs = lastSentAtMs + EmulationConstants.REPORT_GAP_MS;
+      long earliestMs = lastSentAtMs + EmulationConstants.MIN_REPORT_GAP_MS;
       loop.after(earliestMs - SelectorLoop.nowMs(), this::reportIfDue);
     }
   }
@@ -266,7 +266,7 @@
         int named = indexOf(answer.fields().optText("informar_a"));
         if (named >= 0 && named != context.members().indexOf(from)) {
           member = named;
-          loop.after(random.nextInt(EmulationConstants.REDIRECT_PAUSE_MS), this::sendIfIdle);
+          loop.after(random.nextInt(EmulationConstants.MAX_REDIRECT_PAUSE_MS), this::sendIfIdle);
           return;
         }
       }
@@ -296,7 +296,7 @@
 
   private void tryNextMember() {
     member = (member + 1) % context.members().size();
-    loop.after(EmulationConstants.NEXT_MEMBER_MS, this::sendIfIdle);
+    loop.after(EmulationConstants.NEXT_CONTROLLER_PAUSE_MS, this::sendIfIdle);
   }
 
   private void sendIfIdle() {
--- a/src/main/java/fennelthread/emulate/HttpListener.java
+++ b/src/main/java/fennelthread/emulate/HttpListener.java
@@ -30,7 +30,7 @@
     this.service = service;
     socket = ServerSocketChannel.open();
     socket.configureBlocking(false);
-    socket.bind(address, NetConstants.BACKLOG);
+    socket.bind(address, NetConstants.ACCEPT_BACKLOG);
     loop.register(socket, SelectionKey.OP_ACCEPT, this::accept);
   }
 
--- a/src/main/java/fennelthread/emulate/JobGenerator.java
+++ b/src/main/java/fennelthread/emulate/JobGenerator.java
@@ -59,8 +59,8 @@
             .memGb(c.memGb())
             .image("img-" + c.name() + "-" + random.nextInt(c.images()))
             .imageGb(c.imageGb())
-            .onePlace(c.onePlace())
-            .apart(c.apart())
+            .sameZone(c.onePlace())
+            .spreadAcrossZones(c.apart())
             .spotAllowed(c.spot())
             .estimateS(c.service() ? 0 : taskS)
             .build();
--- a/src/main/java/fennelthread/emulate/MachineTasks.java
+++ b/src/main/java/fennelthread/emulate/MachineTasks.java
@@ -7,7 +7,7 @@
 import fennelthread.wire.TaskRef;
 import fennelthread.wire.WorkerCommand;
 import fennelthread.wire.WorkerReport;
-import fennelthread.wire.WorkerReport.Motive;
+import fennelthread.wire.WorkerReport.EndReason;
 import fennelthread.wire.WorkerReport.Phase;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -44,7 +44,7 @@
     final long attempt;
     final JobSpec spec;
     Phase phase = Phase.FETCHING;
-    Motive motive;
+    EndReason motive;
     boolean kept;
     boolean present;
     EventLoop.Cancellable timer;
@@ -127,7 +127,7 @@
     if (tasks.containsKey(task.key())) {
       return;
     }
-    Motive refusal = refusal(task);
+    EndReason refusal = refusal(task);
     tasks.put(task.key(), task);
     if (refusal != null) {
       end(task, refusal);
@@ -144,10 +144,10 @@
   }
 
   /** Why a start can't be taken, or null. */
-  private Motive refusal(Task task) {
+  private EndReason refusal(Task task) {
     JobSpec spec = task.spec;
     if (spec == null || task.ref.index() >= spec.tasks()) {
-      return Motive.NO_SUCH;
+      return EndReason.NO_SUCH;
     }
     double cpus = spec.cpus();
     double cards = spec.cards();
@@ -155,19 +155,19 @@
     for (Task other : tasks.values()) {
       if (other.phase != Phase.ENDED) {
         if (other.ref.equals(task.ref)) {
-          return Motive.BUSY;
+          return EndReason.BUSY;
         }
         cpus += other.spec.cpus();
         cards += other.spec.cards();
         memGb += other.spec.memGb();
       }
     }
-    double slack = EmulationConstants.ROUNDING;
+    double slack = EmulationConstants.ROUNDING_TOLERANCE;
     boolean fits =
         cpus <= machine.type().cpus() + slack
             && cards <= machine.type().cards() + slack
             && memGb <= machine.type().memGb() + slack;
-    return fits ? null : Motive.FULL;
+    return fits ? null : EndReason.FULL;
   }
 
   private Fetch fetch(JobSpec spec) {
@@ -194,10 +194,10 @@
     listener.running(machine, task.ref);
     listener.changed();
     if (completed.contains(task.ref)) {
-      end(task, Motive.DONE);
+      end(task, EndReason.DONE);
     } else if (!task.spec.service()) {
       double seconds = task.spec.estimateS() * between(0.5, 1.5);
-      task.timer = loop.after((long) (seconds * 1000), () -> end(task, Motive.DONE));
+      task.timer = loop.after((long) (seconds * 1000), () -> end(task, EndReason.DONE));
     }
   }
 
@@ -205,7 +205,7 @@
   private void stop(Task task, double graceS) {
     boolean saves = task.spec.checkpointS() > 0 && task.phase != Phase.FETCHING;
     if (!saves || graceS < task.spec.saveS()) {
-      end(task, Motive.HALTED);
+      end(task, EndReason.HALTED);
     } else if (task.phase == Phase.RUNNING) {
       task.phase = Phase.FLUSHING;
       if (task.timer != null) {
@@ -217,13 +217,13 @@
               (long) (task.spec.saveS() * 1000),
               () -> {
                 task.kept = true;
-                end(task, Motive.HALTED);
+                end(task, EndReason.HALTED);
               });
     }
   }
 
   /** The one place where a task's end is entered. */
-  private void end(Task task, Motive motive) {
+  private void end(Task task, EndReason motive) {
     if (task.phase == Phase.ENDED) {
       return;
     }
@@ -232,10 +232,10 @@
     }
     task.phase = Phase.ENDED;
     task.motive = motive;
-    if (motive == Motive.DONE) {
+    if (motive == EndReason.DONE) {
       completed.add(task.ref);
     }
-    leave(task, motive == Motive.DONE);
+    leave(task, motive == EndReason.DONE);
     listener.changed();
   }
 
--- a/src/main/java/fennelthread/emulate/Measurements.java
+++ b/src/main/java/fennelthread/emulate/Measurements.java
@@ -74,14 +74,18 @@
   private void record(String name, long nanos) {
     histograms
         .computeIfAbsent(
-            name, k -> new Histogram(EmulationConstants.LONGEST_US, EmulationConstants.DIGITS))
-        .recordValue(Math.min(EmulationConstants.LONGEST_US, TimeUnit.NANOSECONDS.toMicros(nanos)));
+            name,
+            k ->
+                new Histogram(
+                    EmulationConstants.MAX_HISTOGRAM_US, EmulationConstants.HISTOGRAM_DIGITS))
+        .recordValue(
+            Math.min(EmulationConstants.MAX_HISTOGRAM_US, TimeUnit.NANOSECONDS.toMicros(nanos)));
   }
 
   private void recordWait(String what, Job job, long nanos) {
     if (job.measured) {
       long waited = nanos - job.submittedNanos;
-      record(what + "/priority/" + job.spec.priority().wire(), waited);
+      record(what + "/priority/" + job.spec.priority().wireName(), waited);
       record(what + "/class/" + job.spec.jobClass(), waited);
     }
   }
@@ -111,13 +115,13 @@
       waiting += job.spec.tasks() - job.begun.cardinality();
       recordWait("accepted", job, e.nanos());
     }
-    if (e.state().equals(JobState.DONE.wire())) {
+    if (e.state().equals(JobState.DONE.wireName())) {
       job.over = true;
       recordWait("done", job, e.nanos());
       if (job.measured && job.lastCompletedNanos != 0) {
         record("last task to done", e.nanos() - job.lastCompletedNanos);
       }
-    } else if (e.state().equals(JobState.CANCELLED.wire())) {
+    } else if (e.state().equals(JobState.CANCELLED.wireName())) {
       job.over = true;
       waiting -= job.spec.tasks() - job.begun.cardinality();
     }
--- a/src/main/java/fennelthread/emulate/ProcessSampler.java
+++ b/src/main/java/fennelthread/emulate/ProcessSampler.java
@@ -47,7 +47,7 @@
       }
       String[] descriptors = new File(base.toFile(), "fd").list();
       return new Usage(
-          ticks / EmulationConstants.TICKS_PER_S,
+          ticks / EmulationConstants.CLOCK_TICKS_PER_S,
           waitedS(base),
           Long.parseLong(memory[1]) * EmulationConstants.PAGE_BYTES,
           descriptors == null ? 0 : descriptors.length,
--- a/src/main/java/fennelthread/emulate/ResourceCheck.java
+++ b/src/main/java/fennelthread/emulate/ResourceCheck.java
@@ -20,15 +20,15 @@
   /** What a run of this configuration takes; the heap of this process holds so much at most. */
   static Needs needs(EmulationConfig config, long ownMostHeapMb) {
     long expectedMb =
-        EmulationConstants.OWN_HEAP_MB
-            + Math.round(config.workers() * EmulationConstants.OWN_HEAP_PER_MACHINE_MB);
+        EmulationConstants.BASE_HEAP_MB
+            + Math.round(config.workers() * EmulationConstants.HEAP_PER_MACHINE_MB);
     long ownHeapMb = Math.min(ownMostHeapMb, expectedMb);
     int processes = config.controllers() + config.workerProcesses() + 1;
     long memoryMb =
         ownHeapMb
             + (long) config.controllers() * config.controllerHeapMb()
             + (long) config.workerProcesses() * config.workerHeapMb()
-            + (long) processes * EmulationConstants.JVM_MB;
+            + (long) processes * EmulationConstants.JVM_OVERHEAD_MB;
     long machines = (long) config.workers() + config.spareMachines();
     // Each machine listens, reports on one connection and may be asked on others.
     long workerSockets = machines * EmulationConstants.SOCKETS_PER_MACHINE;
@@ -41,12 +41,12 @@
   /** Throws with one line if the machine has too little of something. */
   static void check(Needs needs, long mostDescriptors, long machineMb, long availableMb)
       throws SettingsException {
-    if (needs.processes > EmulationConstants.MOST_PROCESSES) {
+    if (needs.processes > EmulationConstants.MAX_PROCESSES) {
       throw new SettingsException(
           "this run takes "
               + needs.processes
               + " processes, more than "
-              + EmulationConstants.MOST_PROCESSES);
+              + EmulationConstants.MAX_PROCESSES);
     }
     if (mostDescriptors >= 0 && needs.socketsPerProcess > mostDescriptors) {
       throw new SettingsException(
--- a/src/main/java/fennelthread/emulate/SelectorLoop.java
+++ b/src/main/java/fennelthread/emulate/SelectorLoop.java
@@ -138,10 +138,10 @@
     }
     Timer next = timers.peek();
     if (next == null) {
-      return EmulationConstants.IDLE_MS;
+      return EmulationConstants.MAX_SELECT_WAIT_MS;
     }
     long millis = TimeUnit.NANOSECONDS.toMillis(next.dueNanos - System.nanoTime());
-    return Math.min(EmulationConstants.IDLE_MS, Math.max(1, millis + 1));
+    return Math.min(EmulationConstants.MAX_SELECT_WAIT_MS, Math.max(1, millis + 1));
   }
 
   private void dispatch(SelectionKey key) {
--- a/src/main/java/fennelthread/emulate/StateStore.java
+++ b/src/main/java/fennelthread/emulate/StateStore.java
@@ -41,7 +41,7 @@
     }
   }
 
-  private final Settings.State limits;
+  private final Settings.StateLimits limits;
   private final NavigableMap<String, Item> items = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Change> changes = new ArrayList<>();
@@ -49,7 +49,7 @@
   private long lastLease;
   private long forgottenRevision;
 
-  StateStore(Settings.State limits) {
+  StateStore(Settings.StateLimits limits) {
     this.limits = limits;
   }
 
@@ -186,7 +186,7 @@
   }
 
   private void forgetOldChanges() {
-    int most = EmulationConstants.CHANGES_KEPT;
+    int most = EmulationConstants.MIN_CHANGES_KEPT;
     if (changes.size() > 2 * most) {
       int drop = changes.size() - most;
       forgottenRevision = changes.get(drop - 1).revision;
--- a/src/main/java/fennelthread/emulate/WorkerProcess.java
+++ b/src/main/java/fennelthread/emulate/WorkerProcess.java
@@ -31,7 +31,7 @@
 
   private final SelectorLoop loop;
   private final List<HollowWorker.Member> members = new ArrayList<>();
-  private final Settings.Workers timing;
+  private final Settings.WorkerTiming timing;
   private final SplittableRandom random;
   private final Map<String, JobSpec> jobs = new ConcurrentHashMap<>();
   private final Map<String, HollowWorker> workers = new HashMap<>();
@@ -46,7 +46,7 @@
       members.add(new HollowWorker.Member(member.text("name"), member.text("address")));
     }
     this.timing =
-        new Settings.Workers(
+        new Settings.WorkerTiming(
             start.count("report_ms"), start.count("lease_ms"), start.count("cancel_ms"));
     this.random = new SplittableRandom(start.count("seed"));
   }
@@ -75,8 +75,8 @@
     loop.start();
     loop.execute(
         () -> {
-          loop.every(EmulationConstants.WATERMARK_MS, this::tellTime);
-          loop.every(EmulationConstants.SAMPLE_MS, this::tellTraffic);
+          loop.every(EmulationConstants.WATERMARK_INTERVAL_MS, this::tellTime);
+          loop.every(EmulationConstants.SAMPLE_INTERVAL_MS, this::tellTraffic);
         });
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       Fields message = decode(line);
@@ -187,7 +187,7 @@
   }
 
   @Override
-  public Settings.Workers timing() {
+  public Settings.WorkerTiming timing() {
     return timing;
   }
 
--- a/src/main/java/fennelthread/emulate/WorkerProcessMessage.java
+++ b/src/main/java/fennelthread/emulate/WorkerProcessMessage.java
@@ -41,7 +41,7 @@
   }
 
   /** The first line. */
-  static String start(List<HollowWorker.Member> members, Settings.Workers timing, long seed) {
+  static String start(List<HollowWorker.Member> members, Settings.WorkerTiming timing, long seed) {
     List<Object> list = new ArrayList<>();
     for (HollowWorker.Member member : members) {
       list.add(Fields.create().with("name", member.name()).with("address", member.address()).map());
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -47,7 +47,7 @@
   private final long createdAtMs;
   private StartRecord.Start start;
   private Phase phase;
-  private WorkerReport.Motive endReason;
+  private WorkerReport.EndReason endReason;
   private long token;
   private long runningSinceMs = -1;
   private boolean stopRequested;
@@ -122,7 +122,7 @@
       case FLUSHING -> transitionTo(Phase.FLUSHING);
       case ENDED -> {
         transitionTo(Phase.ENDED);
-        endReason = task.motive();
+        endReason = task.endReason();
       }
       default ->
           throw new IllegalStateException("attempt " + this + " has unknown phase " + task.phase());
@@ -165,7 +165,7 @@
   }
 
   /** Returns why it ended, or null if no report has told. */
-  public WorkerReport.Motive endReason() {
+  public WorkerReport.EndReason endReason() {
     return endReason;
   }
 
--- a/src/main/java/fennelthread/fleet/AttemptReconciler.java
+++ b/src/main/java/fennelthread/fleet/AttemptReconciler.java
@@ -87,7 +87,7 @@
     }
     boolean wasEnded = attempt.phase() == Attempt.Phase.ENDED;
     boolean isDone =
-        task.phase() == WorkerReport.Phase.ENDED && task.motive() == WorkerReport.Motive.DONE;
+        task.phase() == WorkerReport.Phase.ENDED && task.endReason() == WorkerReport.EndReason.DONE;
     boolean isOutdated = wasEnded && task.phase() != WorkerReport.Phase.ENDED;
     if (isOutdated || !(isOfCurrentEpoch || isDone)) {
       return;
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -52,7 +52,7 @@
 
   /** The longest time that a worker's lease can last by our clock, ms. */
   long maxLeaseMs() {
-    return (long) (leaseMs() * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+    return (long) (leaseMs() * (1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
         + ProtocolConstants.EXPIRY_MARGIN_MS;
   }
 
--- a/src/main/java/fennelthread/fleet/MachineProbes.java
+++ b/src/main/java/fennelthread/fleet/MachineProbes.java
@@ -57,7 +57,7 @@
   }
 
   private void sendWaiting() {
-    int maxOutbound = context.settings().mostOutbound();
+    int maxOutbound = context.settings().maxOutboundConnections();
     int maxInFlight = Math.max(2, (int) (maxOutbound * FleetConstants.PROBE_CONNECTION_SHARE));
     while (!context.isClosed() && inFlight < maxInFlight && !waiting.isEmpty()) {
       Machine next = mostUrgent();
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -72,7 +72,8 @@
     this.machineTypesListener = machineTypesListener;
     this.returns = new MachineReturns(context, this::onReturned);
     this.policy =
-        new ScaleOutPolicy(context.settings().priceMatters(), context.options(), context.zones());
+        new ScaleOutPolicy(
+            context.settings().hasPriceObjective(), context.options(), context.zones());
     this.booting = new BootingMachines(fleet);
   }
 
--- a/src/main/java/fennelthread/fleet/MachineReadiness.java
+++ b/src/main/java/fennelthread/fleet/MachineReadiness.java
@@ -38,7 +38,7 @@
    * only executes commands does not renew its lease, and loses its tasks when that expires.
    */
   private boolean isRenewingLease(Machine machine, long nowMs) {
-    double maxSilenceMs = context.reportMs() * RelayConstants.SILENT_REPORTS;
+    double maxSilenceMs = context.reportMs() * RelayConstants.MAX_MISSED_REPORTS;
     return nowMs - machine.lastContactAtMs() <= maxSilenceMs
         && nowMs - machine.contact().reportAnsweredAtMs() <= maxSilenceMs;
   }
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -107,7 +107,7 @@
     boolean isOvertaken =
         report.session() == machine.session()
             && context.nowMs() - machine.contact().lastReportAtMs()
-                < ProtocolConstants.WORKER_WAITS_MS;
+                < ProtocolConstants.WORKER_REPORT_TIMEOUT_MS;
     return machine.isOfOtherIncarnation(report) && !isOvertaken;
   }
 
--- a/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
+++ b/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
@@ -61,12 +61,12 @@
     }
   }
 
-  private final boolean priceMatters;
+  private final boolean hasPriceObjective;
   private final Options options;
   private final ZoneHealth zones;
 
-  ScaleOutPolicy(boolean priceMatters, Options options, ZoneHealth zones) {
-    this.priceMatters = priceMatters;
+  ScaleOutPolicy(boolean hasPriceObjective, Options options, ZoneHealth zones) {
+    this.hasPriceObjective = hasPriceObjective;
     this.options = options;
     this.zones = zones;
   }
@@ -131,7 +131,7 @@
         }
       }
     }
-    double headroom = priceMatters ? 1.0 : options.spare();
+    double headroom = hasPriceObjective ? 1.0 : options.spareFactor();
     double missingCpus =
         Math.max(peakCpus * headroom - stock.cpus(), waitingCpus - stock.expectedCpus());
     return missingCpus <= 0
--- a/src/main/java/fennelthread/fleet/StaleReportFilter.java
+++ b/src/main/java/fennelthread/fleet/StaleReportFilter.java
@@ -41,7 +41,7 @@
     }
     newestByMachine.put(
         report.machine(), new Newest(report.session(), report.seq(), report.token()));
-    if (newestByMachine.size() > RelayConstants.KNOWN_ADDRESSES) {
+    if (newestByMachine.size() > RelayConstants.MAX_KNOWN_WORKERS) {
       newestByMachine.remove(newestByMachine.keySet().iterator().next());
     }
     return false;
--- a/src/main/java/fennelthread/fleet/StartSender.java
+++ b/src/main/java/fennelthread/fleet/StartSender.java
@@ -48,7 +48,7 @@
     machine
         .contact()
         .onStartSent(
-            context.nowMs() + FleetConstants.COMMAND_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS);
+            context.nowMs() + FleetConstants.COMMAND_TIMEOUT_MS + RelayConstants.RELAY_HOP_MS);
     context
         .transport()
         .send(
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -60,7 +60,7 @@
           member,
           REVOKE_PATH,
           Fields.create().with(LEASE_ID_FIELD, leaseId),
-          StateConstants.REQUEST_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
+          StateConstants.REQUEST_TIMEOUT_MS + RelayConstants.RELAY_HOP_MS,
           answer ->
               log.info(
                   "lease revocation through peer finished peer={} lease={} status={}",
--- a/src/main/java/fennelthread/health/MemoryPressureMonitor.java
+++ b/src/main/java/fennelthread/health/MemoryPressureMonitor.java
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Checks the heap; to be called every {@link RelayConstants#SUPERVISE_MS}. It is cheap, except
-   * that it runs a garbage collection, at most every {@link
+   * Checks the heap; to be called every {@link RelayConstants#CHECK_INTERVAL_MS}. It is cheap,
+   * except that it runs a garbage collection, at most every {@link
    * HealthConstants#COLLECTION_INTERVAL_MS}, while the heap may be nearly full.
    */
   public void check() {
--- a/src/main/java/fennelthread/jobs/DependencyTracker.java
+++ b/src/main/java/fennelthread/jobs/DependencyTracker.java
@@ -90,7 +90,7 @@
     // The state service is unavailable, or the job is live and the replica lags behind: read again
     // after a pause. An immediate read could recurse, since a request that a full queue rejects
     // fails before the call returns.
-    double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
+    double jitter = 1 + ProtocolConstants.PAUSE_JITTER_SHARE * eventLoop.random().nextDouble();
     eventLoop.after(
         (long) (JobConstants.FINAL_READ_RETRY_MS * jitter),
         () -> {
--- a/src/main/java/fennelthread/jobs/FinalRecord.java
+++ b/src/main/java/fennelthread/jobs/FinalRecord.java
@@ -18,7 +18,7 @@
   /** Encodes the record as the value that the state service stores. */
   public Fields encode() {
     return Fields.create()
-        .with("estado", state.wire())
+        .with("estado", state.wireName())
         .with("done", (long) finishedTaskCount)
         .with("at_ms", endedWallMs);
   }
--- a/src/main/java/fennelthread/leader/ClaimSchedule.java
+++ b/src/main/java/fennelthread/leader/ClaimSchedule.java
@@ -86,7 +86,7 @@
         revocation -> {
           isRevoking = false;
           if (!revocation.isConfirmed()) {
-            retryAfter(ProtocolConstants.RETRY_MS);
+            retryAfter(ProtocolConstants.STATE_RETRY_DELAY_MS);
           }
         });
   }
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -231,7 +231,7 @@
         unstored.removeIf(job -> conflict.failed().contains(Keys.job(job.id())));
       }
       if (isAwaited) {
-        eventLoop.after(ProtocolConstants.RETRY_MS, this::writeIfIdle);
+        eventLoop.after(ProtocolConstants.STATE_RETRY_DELAY_MS, this::writeIfIdle);
       }
     }
   }
--- a/src/main/java/fennelthread/leader/JobUrgency.java
+++ b/src/main/java/fennelthread/leader/JobUrgency.java
@@ -24,7 +24,7 @@
 
   /** True for a service, and for a job whose class has an objective on the time to start. */
   boolean isLatencySensitive(JobSpec spec) {
-    return spec.service() || settings.waitsMatter(spec.jobClass());
+    return spec.service() || settings.hasWaitObjective(spec.jobClass());
   }
 
   /**
@@ -44,7 +44,7 @@
     if (spec.service()) {
       return 0;
     }
-    return settings.waitsMatter(spec.jobClass())
+    return settings.hasWaitObjective(spec.jobClass())
         ? LeaderConstants.OBJECTIVE_PREEMPTION_DELAY_S
         : LeaderConstants.PREEMPTION_DELAY_S;
   }
@@ -98,7 +98,8 @@
     JobSpec spec = activeJob.job().spec();
     long acceptedMs = activeJob.job().acceptedWallMs();
     double waitedS = (activeJob.releasedWallMs() - acceptedMs) / 1000.0;
-    List<Double> dueTimesS = settings.doneByS(spec.jobClass(), spec.deadlineS(), waitedS);
+    List<Double> dueTimesS =
+        settings.completionTargetsS(spec.jobClass(), spec.deadlineS(), waitedS);
     InheritedPriority inherited = activeJob.inheritedPriority();
     if (inherited != null && inherited.dueMs() > 0) {
       dueTimesS.add((inherited.dueMs() - acceptedMs) / 1000.0);
--- a/src/main/java/fennelthread/leader/LeaderLease.java
+++ b/src/main/java/fennelthread/leader/LeaderLease.java
@@ -226,7 +226,7 @@
     transitionTo(Phase.FOLLOWING, reason);
     state.revokeLease(heldLeaseId, revocation -> {});
     listener.onSteppedDown(reason);
-    schedule.retryAfter(pauseMs + ProtocolConstants.RETRY_MS);
+    schedule.retryAfter(pauseMs + ProtocolConstants.STATE_RETRY_DELAY_MS);
   }
 
   /**
@@ -328,7 +328,7 @@
   private void onClaimFailed(String reason) {
     transitionTo(Phase.FOLLOWING, reason);
     schedule.retryAfter(
-        (long) (ProtocolConstants.RETRY_MS * (0.5 + eventLoop.random().nextDouble())));
+        (long) (ProtocolConstants.STATE_RETRY_DELAY_MS * (0.5 + eventLoop.random().nextDouble())));
   }
 
   private void onClaimCommitted(LeadershipClaim.Outcome.Committed committed, long sentAtMs) {
--- a/src/main/java/fennelthread/leader/LeaderLeaseRenewer.java
+++ b/src/main/java/fennelthread/leader/LeaderLeaseRenewer.java
@@ -39,13 +39,13 @@
     this.owner = owner;
     this.storeTtlMs = storeTtlMs(settings, options);
     this.localTtlMs =
-        (long) (storeTtlMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+        (long) (storeTtlMs * (1 - 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
   }
 
   private static long storeTtlMs(Settings settings, Options options) {
-    if (options.grantMs() > 0) {
-      return options.grantMs();
+    if (options.storeLeaseMs() > 0) {
+      return options.storeLeaseMs();
     }
     long share =
         (long) (settings.workers().leaseMs() * LeaderConstants.STORE_LEASE_SHARE_OF_WORKER_LEASE);
@@ -111,7 +111,7 @@
     long intervalMs =
         isRenewed
             ? storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE
-            : ProtocolConstants.RETRY_MS / 2;
+            : ProtocolConstants.STATE_RETRY_DELAY_MS / 2;
     long spentMs = eventLoop.nowMs() - sentAtMs;
     schedule(epoch, Math.max(LeaderConstants.MIN_RENEWAL_PAUSE_MS, intervalMs - spentMs));
   }
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -202,7 +202,7 @@
       log.info("round abandoned epoch={} reason={}", lease.epoch(), LeaderLease.describe(result));
       batches.discard(batch);
       lease.onTxnRejected(result);
-      earliestRoundMs = eventLoop.nowMs() + ProtocolConstants.RETRY_MS;
+      earliestRoundMs = eventLoop.nowMs() + ProtocolConstants.STATE_RETRY_DELAY_MS;
     }
     requestRound();
   }
--- a/src/main/java/fennelthread/leader/TaskBackoff.java
+++ b/src/main/java/fennelthread/leader/TaskBackoff.java
@@ -77,6 +77,6 @@
     long delayMs = LeaderConstants.MIN_TASK_BACKOFF_MS << Math.min(times, 10);
     return (long)
         (Math.min(LeaderConstants.MAX_TASK_BACKOFF_MS, delayMs)
-            * (1 + ProtocolConstants.JITTER * jitter));
+            * (1 + ProtocolConstants.PAUSE_JITTER_SHARE * jitter));
   }
 }
--- a/src/main/java/fennelthread/leader/TaskDemand.java
+++ b/src/main/java/fennelthread/leader/TaskDemand.java
@@ -143,7 +143,7 @@
   }
 
   private static boolean hasZoneRule(JobSpec spec) {
-    return spec.onePlace() || spec.apart();
+    return spec.sameZone() || spec.spreadAcrossZones();
   }
 
   /**
@@ -162,8 +162,8 @@
       ResourceSum demand = demandByTeam.computeIfAbsent(spec.team(), k -> new ResourceSum());
       int unfinished = activeJob.unfinishedCount();
       demand.add(unfinished * spec.cpus(), unfinished * spec.cards());
-      if (demand.cpus() <= team.cpus() + ProtocolConstants.EPSILON
-          && demand.cards() <= team.cards() + ProtocolConstants.EPSILON) {
+      if (demand.cpus() <= team.cpus() + ProtocolConstants.AMOUNT_TOLERANCE
+          && demand.cards() <= team.cards() + ProtocolConstants.AMOUNT_TOLERANCE) {
         guaranteed.add(spec.id());
       }
     }
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -59,7 +59,7 @@
     ActiveJob activeJob = activeJobs.jobOf(attempt);
     // Each start is sent exactly once, so no start of an ended attempt can be in flight.
     if (activeJob == null
-        || attempt.endReason() != WorkerReport.Motive.DONE
+        || attempt.endReason() != WorkerReport.EndReason.DONE
         || activeJob.job().spec().service()
         || activeJob.isStored(attempt.start().task().index())) {
       commands.add(new WorkerCommand.Clear(attempt.start().task(), attempt.start().attempt()));
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -148,7 +148,7 @@
         eventLoop.nowMs()
             + (long)
                 (LeaseRenewalConstants.RENEWAL_ABSTENTION_MS
-                    * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+                    * (1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
             + ProtocolConstants.LEASE_MARGIN_MS;
     transitionTo(Phase.STANDBY);
     return leaderEpoch;
--- a/src/main/java/fennelthread/leaserenewal/PeerRenewalTracker.java
+++ b/src/main/java/fennelthread/leaserenewal/PeerRenewalTracker.java
@@ -67,7 +67,7 @@
     observeIncarnation(renewals, reply.incarnation(), nowMs);
     long renewedAgoMs = reply.renewal().renewedAgoMs();
     if (renewedAgoMs != PeerConstants.NEVER_RENEWED) {
-      long minRenewedAgoMs = (long) (renewedAgoMs * (1 - 2 * ProtocolConstants.CLOCK_DRIFT));
+      long minRenewedAgoMs = (long) (renewedAgoMs * (1 - 2 * ProtocolConstants.MAX_CLOCK_DRIFT));
       renewals.renewedAtMs = Math.max(renewals.renewedAtMs, nowMs - minRenewedAgoMs);
     }
     if (reply.renewal().abstainingForEpoch() == epoch) {
@@ -89,7 +89,7 @@
     long minAbstentionMs =
         (long)
                 (LeaseRenewalConstants.RENEWAL_ABSTENTION_MS
-                    * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
+                    * (1 - 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
             - ProtocolConstants.LEASE_MARGIN_MS;
     return nowMs <= renewals.abstainsSinceMs + minAbstentionMs
         ? PeerConstants.NEVER_MS
--- a/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
@@ -18,7 +18,7 @@
    * How long after it last knew of all cancellations a controller may answer reports, ms of its own
    * clock.
    */
-  public static long renewalWindowMs(Settings.Workers workers) {
+  public static long renewalWindowMs(Settings.WorkerTiming workers) {
     return Math.max(LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS, windowBeforeMinimumMs(workers));
   }
 
@@ -27,14 +27,14 @@
    * exceeds {@code lease_s} by enough. The window has a minimum despite that, because a controller
    * that answers no reports serves nobody.
    */
-  public static long shortfallMs(Settings.Workers workers) {
+  public static long shortfallMs(Settings.WorkerTiming workers) {
     return Math.max(
         0, LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS - windowBeforeMinimumMs(workers));
   }
 
-  private static long windowBeforeMinimumMs(Settings.Workers workers) {
-    return (long) (workers.cancelMs() * (1 - 2 * ProtocolConstants.CLOCK_DRIFT))
-        - (long) (workers.leaseMs() * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+  private static long windowBeforeMinimumMs(Settings.WorkerTiming workers) {
+    return (long) (workers.cancelMs() * (1 - 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
+        - (long) (workers.leaseMs() * (1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
         - LeaseRenewalConstants.RENEWAL_MARGIN_MS;
   }
 
@@ -42,8 +42,8 @@
    * The upper bound on a peer's renewal window, ms of the local clock, which may run faster than
    * the peer's.
    */
-  public static long maxPeerRenewalWindowMs(Settings.Workers workers) {
-    return (long) (renewalWindowMs(workers) * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+  public static long maxPeerRenewalWindowMs(Settings.WorkerTiming workers) {
+    return (long) (renewalWindowMs(workers) * (1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
         + ProtocolConstants.LEASE_MARGIN_MS;
   }
 }
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -59,7 +59,8 @@
     this.thread = thread;
     this.buffers = buffers;
     this.mostOutbound = mostOutbound;
-    this.mostSpareOpening = Math.max(1, (int) (mostOutbound * NetConstants.SPARE_SHARE));
+    this.mostSpareOpening =
+        Math.max(1, (int) (mostOutbound * NetConstants.MAX_SPARE_CONNECT_SHARE));
     this.essential = essential;
   }
 
@@ -148,7 +149,8 @@
     Pending next = nextWaiting(link.peer);
     if (next != null) {
       send(next, link);
-    } else if (link.peer.idle.size() < NetConstants.IDLE_PER_ADDRESS && starved.isEmpty()) {
+    } else if (link.peer.idle.size() < NetConstants.MAX_IDLE_CONNECTIONS_PER_ADDRESS
+        && starved.isEmpty()) {
       link.idleSinceMs = eventLoop.nowMs();
       link.peer.idle.push(link);
       idle.add(link);
@@ -201,7 +203,8 @@
     while (!peer.idle.isEmpty()) {
       Link link = peer.idle.pop();
       idle.remove(link);
-      if (link.connection.isOpen() && eventLoop.nowMs() - link.idleSinceMs < NetConstants.IDLE_MS) {
+      if (link.connection.isOpen()
+          && eventLoop.nowMs() - link.idleSinceMs < NetConstants.IDLE_CONNECTION_TIMEOUT_MS) {
         send(p, link);
         return;
       }
@@ -224,8 +227,9 @@
    */
   private void open(Peer peer, boolean spare) {
     boolean vital = essential.contains(peer.address);
-    int most = vital ? NetConstants.CONNECTING_PER_ADDRESS : NetConstants.CONNECTING_PER_WORKER;
-    if (peer.connecting >= most || (!vital && peer.opening >= NetConstants.OPENING_PER_WORKER)) {
+    int most = vital ? NetConstants.MAX_CONNECTS_PER_ADDRESS : NetConstants.MAX_CONNECTS_PER_WORKER;
+    if (peer.connecting >= most
+        || (!vital && peer.opening >= NetConstants.MAX_OPENING_SOCKETS_PER_WORKER)) {
       return;
     }
     if (outbound >= mostOutbound && !vital) {
@@ -400,7 +404,7 @@
     private final Pending pending;
     private final ClientResponse response;
     private final ByteArrayOutputStream body =
-        new ByteArrayOutputStream(NetConstants.RESPONSE_BUFFER_BYTES);
+        new ByteArrayOutputStream(NetConstants.INITIAL_RESPONSE_BUFFER_BYTES);
 
     ResponseReader(Pending pending, ClientResponse response) {
       this.pending = pending;
--- a/src/main/java/fennelthread/net/InboundConnections.java
+++ b/src/main/java/fennelthread/net/InboundConnections.java
@@ -33,8 +33,8 @@
    */
   InboundConnections(LongSupplier nowMs, int mostSockets, IntSupplier outbound, Consumer<C> close) {
     this.nowMs = nowMs;
-    this.most = (int) (mostSockets * NetConstants.SOCKETS_FULL_SHARE);
-    this.crowded = (int) (mostSockets * NetConstants.SOCKETS_CROWDED_SHARE);
+    this.most = (int) (mostSockets * NetConstants.FULL_SOCKET_SHARE);
+    this.crowded = (int) (mostSockets * NetConstants.CROWDED_SOCKET_SHARE);
     this.outbound = outbound;
     this.close = close;
   }
--- a/src/main/java/fennelthread/net/StallDetector.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -38,7 +38,7 @@
   /** Begins to look at the clock. */
   public void start() {
     isListening();
-    eventLoop.after(NetConstants.WAKE_LOOK_MS, this::start);
+    eventLoop.after(NetConstants.STALL_CHECK_INTERVAL_MS, this::start);
   }
 
   /**
@@ -49,11 +49,11 @@
     long now = eventLoop.nowMs();
     long gapMs = now - lookedAtMs;
     lookedAtMs = now;
-    if (gapMs > NetConstants.WAKE_LATE_MS) {
+    if (gapMs > NetConstants.MIN_STALL_MS) {
       sleeps++;
       log.info("we stood still for {} ms, for the {}. time", gapMs, sleeps);
       listensUntilMs =
-          Math.max(listensUntilMs, now + Math.min(NetConstants.WAKE_LISTEN_MOST_MS, gapMs));
+          Math.max(listensUntilMs, now + Math.min(NetConstants.MAX_LISTEN_AFTER_STALL_MS, gapMs));
       moveTo(Phase.LISTENING);
     } else if (now >= listensUntilMs) {
       moveTo(Phase.AWAKE);
--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -109,9 +109,9 @@
   private boolean isEnough(
       JobSpec spec, double availableCpus, double availableCards, double availableMemGb) {
     return freeReportSlots > 0
-        && spec.cpus() <= availableCpus + ProtocolConstants.EPSILON
-        && spec.cards() <= availableCards + ProtocolConstants.EPSILON
-        && spec.memGb() <= availableMemGb + ProtocolConstants.EPSILON;
+        && spec.cpus() <= availableCpus + ProtocolConstants.AMOUNT_TOLERANCE
+        && spec.cards() <= availableCards + ProtocolConstants.AMOUNT_TOLERANCE
+        && spec.memGb() <= availableMemGb + ProtocolConstants.AMOUNT_TOLERANCE;
   }
 
   boolean hasImage(JobSpec spec) {
--- a/src/main/java/fennelthread/plan/PlacementConstraints.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -27,7 +27,7 @@
    * placed may rule out machines for the next one.
    */
   static boolean dependsOnOtherTasks(JobSpec spec) {
-    return spec.onePlace() || spec.apart();
+    return spec.sameZone() || spec.spreadAcrossZones();
   }
 
   /**
@@ -56,13 +56,14 @@
       // reports.
       return false;
     }
-    if (spec.onePlace()) {
+    if (spec.sameZone()) {
       for (Map.Entry<String, Integer> zoneTasks : tasksByZone.entrySet()) {
         if (zoneTasks.getValue() > 0 && !zoneTasks.getKey().equals(zone)) {
           return false;
         }
       }
     }
-    return !spec.apart() || tasksByZone.getOrDefault(zone, 0) + 1 <= (spec.tasks() + 1) / 2;
+    return !spec.spreadAcrossZones()
+        || tasksByZone.getOrDefault(zone, 0) + 1 <= (spec.tasks() + 1) / 2;
   }
 }
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -170,8 +170,8 @@
 
     /** Returns true if another task of this size stays within the limit. */
     public boolean allows(double moreCpus, double moreCards) {
-      return (cpusMax <= 0 || cpus + moreCpus <= cpusMax + ProtocolConstants.EPSILON)
-          && (cardsMax <= 0 || cards + moreCards <= cardsMax + ProtocolConstants.EPSILON);
+      return (cpusMax <= 0 || cpus + moreCpus <= cpusMax + ProtocolConstants.AMOUNT_TOLERANCE)
+          && (cardsMax <= 0 || cards + moreCards <= cardsMax + ProtocolConstants.AMOUNT_TOLERANCE);
     }
 
     /** Returns true if a task of this size is part of what the team uses beyond its guarantee. */
@@ -181,7 +181,7 @@
     }
 
     private static boolean isBeyond(double used, double guaranteed) {
-      return guaranteed <= 0 || used > guaranteed + ProtocolConstants.EPSILON;
+      return guaranteed <= 0 || used > guaranteed + ProtocolConstants.AMOUNT_TOLERANCE;
     }
 
     /** Returns the usage with the given amounts added; negative amounts are subtracted. */
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -94,7 +94,7 @@
     if (peer != null) {
       // A question does no harm if it comes again; of anything else a peer's word proves nothing.
       Runnable notPassedOn = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
-      long relayedMs = timeoutMs + RelayConstants.RELAY_SLACK_MS;
+      long relayedMs = timeoutMs + RelayConstants.RELAY_HOP_MS;
       around(peer, address, call, relayedMs, done, unsent, notPassedOn);
     } else if (call.spare() && peers.bestRelay() != null) {
       new Question(m, address, call, timeoutMs, done, unsent).ask();
@@ -138,7 +138,7 @@
     void ask() {
       eventLoop.call(address, call, timeoutMs, this::answered, this::notSent);
       eventLoop.after(
-          Math.min(RelayConstants.HEDGE_MS, timeoutMs / 2),
+          Math.min(RelayConstants.HEDGE_DELAY_MS, timeoutMs / 2),
           () -> {
             String peer = over ? null : peers.bestRelay();
             if (peer != null) {
@@ -210,7 +210,7 @@
         peer,
         RelayWire.COMMANDS,
         new RelayWire.Commands(
-                epoch, address, timeoutMs - RelayConstants.RELAY_SLACK_MS / 2, call.spare(), body)
+                epoch, address, timeoutMs - RelayConstants.RELAY_HOP_MS / 2, call.spare(), body)
             .write(),
         timeoutMs,
         answer -> {
@@ -229,7 +229,7 @@
     Via via = vias.get(m.name());
     if (via != null) {
       if (eventLoop.nowMs() - via.atMs
-              <= settings.workers().reportMs() * RelayConstants.SILENT_REPORTS
+              <= settings.workers().reportMs() * RelayConstants.MAX_MISSED_REPORTS
           && peers.canRelayThrough(via.member)) {
         return via.member;
       }
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -46,7 +46,7 @@
   private static final class Worker {
     long sentOnAtMs;
     long relayedSinceMs = -1;
-    long holdMs = RelayConstants.RELAY_HOLD_MS;
+    long holdMs = RelayConstants.MIN_RELAY_HOLD_MS;
   }
 
   private final EventLoop eventLoop;
@@ -106,7 +106,7 @@
       }
       // Now and then it tries the leader again, less often each time.
       w.relayedSinceMs = -1;
-      w.holdMs = Math.min(RelayConstants.RELAY_HOLD_MOST_MS, w.holdMs * 2);
+      w.holdMs = Math.min(RelayConstants.MAX_RELAY_HOLD_MS, w.holdMs * 2);
       w.sentOnAtMs = now;
       return false;
     }
@@ -115,7 +115,7 @@
     // first moments of a term workers know its token from questions, before they have come over.
     boolean obeyed =
         report.token() >> ProtocolConstants.TOKEN_BITS == epoch
-            && now - epochSinceMs > RelayConstants.RELAY_SETTLED_MS;
+            && now - epochSinceMs > RelayConstants.TERM_SETTLING_MS;
     boolean sentOn = now - w.sentOnAtMs < settings.workers().leaseMs();
     if (obeyed || sentOn) {
       w.relayedSinceMs = now;
@@ -126,7 +126,7 @@
   }
 
   private void trim() {
-    while (workers.size() > RelayConstants.KNOWN_ADDRESSES) {
+    while (workers.size() > RelayConstants.MAX_KNOWN_WORKERS) {
       workers.remove(workers.keySet().iterator().next());
     }
   }
@@ -136,7 +136,7 @@
       moveTo(Phase.OPEN);
       unanswered = 0;
     }
-    return phase == Phase.OPEN && underWay < RelayConstants.RELAYS_AT_ONCE;
+    return phase == Phase.OPEN && underWay < RelayConstants.MAX_RELAYS_IN_FLIGHT;
   }
 
   /** The only place where the phase changes. */
@@ -167,7 +167,7 @@
   }
 
   private void failed() {
-    if (++unanswered >= RelayConstants.RELAY_FAILURES && phase == Phase.OPEN) {
+    if (++unanswered >= RelayConstants.MAX_UNANSWERED_RELAYS && phase == Phase.OPEN) {
       pausedUntilMs = eventLoop.nowMs() + RelayConstants.RELAY_PAUSE_MS;
       moveTo(Phase.PAUSED);
     }
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -57,11 +57,11 @@
    */
   public void publishIfDue(long epoch, int known) {
     long now = eventLoop.nowMs();
-    comers.values().removeIf(at -> now - at > RelayConstants.PETITION_FRESH_MS);
+    comers.values().removeIf(at -> now - at > RelayConstants.NOTICE_VALIDITY_MS);
     if (writing
         || comers.size()
-            < Math.max(RelayConstants.PETITION_WORKERS, known * RelayConstants.PETITION_SHARE)
-        || now - writtenAtMs < RelayConstants.PETITION_EVERY_MS) {
+            < Math.max(RelayConstants.MIN_NOTICE_WORKERS, known * RelayConstants.MIN_NOTICE_WORKER_SHARE)
+        || now - writtenAtMs < RelayConstants.MIN_NOTICE_INTERVAL_MS) {
       return;
     }
     writing = true;
@@ -95,6 +95,6 @@
 
   /** True if a peer has just said that workers of this epoch's leader come to it. */
   public boolean hasFreshNotice(long epoch) {
-    return readEpoch == epoch && eventLoop.nowMs() - readAtMs < RelayConstants.PETITION_FRESH_MS;
+    return readEpoch == epoch && eventLoop.nowMs() - readAtMs < RelayConstants.NOTICE_VALIDITY_MS;
   }
 }
--- a/src/main/java/fennelthread/relay/WorkerReachability.java
+++ b/src/main/java/fennelthread/relay/WorkerReachability.java
@@ -24,7 +24,7 @@
   private long lookedAtMs;
   private long deafAtMs = Long.MIN_VALUE / 2;
   private long backAtMs = Long.MIN_VALUE / 2;
-  private long patienceMs = RelayConstants.DEAF_FIRST_MS;
+  private long patienceMs = RelayConstants.MIN_DISTRUST_MS;
 
   /** Creates it; workers report every {@code reportMs}, ms, more or less. */
   public WorkerReachability(long reportMs) {
@@ -35,7 +35,7 @@
   public void beginTerm(long nowMs) {
     heardAtMs = nowMs + 2 * reportMs;
     lookedAtMs = nowMs;
-    patienceMs = RelayConstants.DEAF_FIRST_MS;
+    patienceMs = RelayConstants.MIN_DISTRUST_MS;
     deafAtMs = Long.MIN_VALUE / 2;
     backAtMs = Long.MIN_VALUE / 2;
     moveTo(Phase.REACHABLE);
@@ -63,13 +63,13 @@
   }
 
   /**
-   * Looks again; to be called every {@link RelayConstants#SUPERVISE_MS}.
+   * Looks again; to be called every {@link RelayConstants#CHECK_INTERVAL_MS}.
    *
    * @param workers how many workers report to this leader, by whatever way
    * @return true if the phase has changed
    */
   public boolean check(long nowMs, int workers) {
-    boolean late = nowMs - lookedAtMs > 2 * RelayConstants.SUPERVISE_MS;
+    boolean late = nowMs - lookedAtMs > 2 * RelayConstants.CHECK_INTERVAL_MS;
     lookedAtMs = nowMs;
     if (late) {
       heardAtMs = Math.max(heardAtMs, nowMs);
@@ -80,15 +80,15 @@
     long silentMs = nowMs - heardAtMs;
     double due = (double) workers * silentMs / reportMs;
     boolean allMissed =
-        workers >= RelayConstants.DEAF_WORKERS && silentMs > reportMs * RelayConstants.DEAF_REPORTS;
-    if (silentMs < RelayConstants.DEAF_LEAST_MS || (due < RelayConstants.DEAF_DUE && !allMissed)) {
+        workers >= RelayConstants.MIN_SILENT_WORKERS && silentMs > reportMs * RelayConstants.UNREACHABLE_REPORT_INTERVALS;
+    if (silentMs < RelayConstants.MIN_UNREACHABLE_SILENCE_MS || (due < RelayConstants.MIN_MISSING_REPORTS && !allMissed)) {
       return false;
     }
     // Ears that close again soon after they opened are believed later the next time.
     patienceMs =
-        nowMs - backAtMs < RelayConstants.DEAF_AGAIN_MS
-            ? Math.min(RelayConstants.DEAF_MOST_MS, patienceMs * 2)
-            : RelayConstants.DEAF_FIRST_MS;
+        nowMs - backAtMs < RelayConstants.RECURRENCE_WINDOW_MS
+            ? Math.min(RelayConstants.MAX_DISTRUST_MS, patienceMs * 2)
+            : RelayConstants.MIN_DISTRUST_MS;
     deafAtMs = nowMs;
     moveTo(Phase.UNREACHABLE);
     return true;
--- a/src/main/java/fennelthread/settings/Options.java
+++ b/src/main/java/fennelthread/settings/Options.java
@@ -19,15 +19,15 @@
  * position.
  */
 public record Options(
-    long grantMs, long roundGapMs, int maxMachines, double spare, long idleReturnMs) {
+    long storeLeaseMs, long roundGapMs, int maxMachines, double spareFactor, long idleReturnMs) {
 
   /**
-   * What holds without a file; {@code grantMs} 0 means a share of the workers' lease. The number of
-   * machines is bounded by demand and by the cloud's refusals: a default below a fleet once kept
-   * lost machines from being replaced.
+   * What holds without a file; {@code storeLeaseMs} 0 means a share of the workers' lease. The
+   * number of machines is bounded by demand and by the cloud's refusals: a default below a fleet
+   * once kept lost machines from being replaced.
    */
   public static final Options DEFAULTS =
-      new Options(0, SettingsConstants.ROUND_GAP_MS, Integer.MAX_VALUE, 2.0, 900_000);
+      new Options(0, SettingsConstants.DEFAULT_ROUND_GAP_MS, Integer.MAX_VALUE, 2.0, 900_000);
 
   /** Reads and checks a file. */
   public static Options load(Path file) throws SettingsException {
@@ -53,10 +53,10 @@
       throw new SettingsException(name + ":1:1: must be (fennelthread (NAME VALUE) ...)");
     }
     Options o = DEFAULTS;
-    long grantMs = o.grantMs;
+    long storeLeaseMs = o.storeLeaseMs;
     long gapMs = o.roundGapMs;
     int maxMachines = o.maxMachines;
-    double spare = o.spare;
+    double spareFactor = o.spareFactor;
     long idleMs = o.idleReturnMs;
     Set<String> seen = new HashSet<>();
     for (int i = 1; i < root.getLength(); i++) {
@@ -74,17 +74,18 @@
       }
       String value = entry.get(1).toString();
       switch (key) {
-        case "grant-ms" -> grantMs = (long) number(name, text, where, key, value, 1_000, 60_000);
+        case "grant-ms" ->
+            storeLeaseMs = (long) number(name, text, where, key, value, 1_000, 60_000);
         case "round-gap-ms" -> gapMs = (long) number(name, text, where, key, value, 10, 10_000);
         case "max-machines" ->
             maxMachines = (int) number(name, text, where, key, value, 0, 100_000);
-        case "spare-factor" -> spare = number(name, text, where, key, value, 1, 10);
+        case "spare-factor" -> spareFactor = number(name, text, where, key, value, 1, 10);
         case "idle-return-s" ->
             idleMs = (long) (1000 * number(name, text, where, key, value, 30, 86_400));
         default -> throw at(name, text, where, key + " is not a known setting");
       }
     }
-    return new Options(grantMs, gapMs, maxMachines, spare, idleMs);
+    return new Options(storeLeaseMs, gapMs, maxMachines, spareFactor, idleMs);
   }
 
   private static double number(
--- a/src/main/java/fennelthread/settings/Settings.java
+++ b/src/main/java/fennelthread/settings/Settings.java
@@ -12,16 +12,16 @@
     String member,
     String site,
     String apiAddr,
-    String meshAddr,
+    String peerAddr,
     List<Peer> peers,
     String cloudAddr,
     String stateAddr,
     List<String> zones,
     Map<String, Team> teams,
     List<Objective> objectives,
-    Workers workers,
-    State state,
-    Cloud cloud,
+    WorkerTiming workers,
+    StateLimits state,
+    CloudLimits cloud,
     int maxConnections) {
 
   /**
@@ -37,14 +37,14 @@
       String kind, String jobClass, double withinS, double share, double times) {}
 
   /** Timing of workers. */
-  public record Workers(long reportMs, long leaseMs, long cancelMs) {}
+  public record WorkerTiming(long reportMs, long leaseMs, long cancelMs) {}
 
   /** Limits of the state service: of those it has now and those it will have, the lower ones. */
-  public record State(double rps, double writeRps, int valueBytes, int txnOps) {
+  public record StateLimits(double rps, double writeRps, int valueBytes, int txnOps) {
 
     /** The lower of each limit: the change comes without notice. */
-    State lowest(State next) {
-      return new State(
+    StateLimits lowest(StateLimits next) {
+      return new StateLimits(
           Math.min(rps, next.rps),
           Math.min(writeRps, next.writeRps),
           Math.min(valueBytes, next.valueBytes),
@@ -53,10 +53,10 @@
   }
 
   /** Limits of the cloud. */
-  public record Cloud(double rps, long listLagMs) {}
+  public record CloudLimits(double rps, long listLagMs) {}
 
   /** True if some objective names a waiting time for the class. */
-  public boolean waitsMatter(String jobClass) {
+  public boolean hasWaitObjective(String jobClass) {
     for (Objective o : objectives) {
       if (o.kind().equals("wait") && jobClass.equals(o.jobClass())) {
         return true;
@@ -70,7 +70,7 @@
    * that deadline times what objectives allow, and what objectives say of the class. The deadline
    * counts from the submission, all else from when the job no longer {@code waitedS} for others.
    */
-  public List<Double> doneByS(String jobClass, double deadlineS, double waitedS) {
+  public List<Double> completionTargetsS(String jobClass, double deadlineS, double waitedS) {
     List<Double> times = new ArrayList<>();
     if (deadlineS > 0) {
       times.add(deadlineS);
@@ -100,12 +100,12 @@
   }
 
   /** How many connections of our own we may have at once. */
-  public int mostOutbound() {
-    return Math.max(4, (int) (maxConnections * SettingsConstants.OUTBOUND_SHARE));
+  public int maxOutboundConnections() {
+    return Math.max(4, (int) (maxConnections * SettingsConstants.OUTBOUND_CONNECTION_SHARE));
   }
 
   /** True if some objective names the price. */
-  public boolean priceMatters() {
+  public boolean hasPriceObjective() {
     return objectives.stream()
         .anyMatch(o -> o.kind().contains("price") || o.kind().contains("cost"));
   }
--- a/src/main/java/fennelthread/settings/SettingsReader.java
+++ b/src/main/java/fennelthread/settings/SettingsReader.java
@@ -101,12 +101,12 @@
         List.copyOf(zones),
         teams,
         objectives,
-        new Settings.Workers(
+        new Settings.WorkerTiming(
             millis(workers, WORKERS, "report_s"),
             millis(workers, WORKERS, "lease_s"),
             millis(workers, WORKERS, "cancel_s")),
         limits(state, "cluster.state.", null),
-        new Settings.Cloud(
+        new Settings.CloudLimits(
             number(cloud, "cluster.cloud.", "rps", 0.01, null),
             millis(cloud, "cluster.cloud.", "list_lag_s")),
         (int) number(limits, "cluster.machine_limits.", "max_connections", 16, 1024.0));
@@ -157,10 +157,10 @@
   }
 
   /** Reads limits; those absent are as {@code known} has them, or missing if that is null. */
-  private Settings.State limits(JsonNode in, String at, Settings.State known)
+  private Settings.StateLimits limits(JsonNode in, String at, Settings.StateLimits known)
       throws SettingsException {
-    Settings.State here =
-        new Settings.State(
+    Settings.StateLimits here =
+        new Settings.StateLimits(
             number(in, at, "rps", 1, known == null ? null : known.rps()),
             number(in, at, "write_rps", 1, known == null ? null : known.writeRps()),
             (int)
--- a/src/main/java/fennelthread/simulation/Deployment.java
+++ b/src/main/java/fennelthread/simulation/Deployment.java
@@ -30,16 +30,17 @@
     int small,
     int big,
     double teamCap,
-    Settings.State limits,
-    Settings.State next,
+    Settings.StateLimits limits,
+    Settings.StateLimits next,
     long reportMs,
     long leaseMs,
     long cancelMs,
     boolean production) {
 
   private static final List<String> TWO = List.of("norte", "sur");
-  private static final Settings.State ROOMY = new Settings.State(500, 200, 8 * 1024, 8);
-  private static final Settings.State ORDINARY = new Settings.State(150, 50, 8 * 1024, 16);
+  private static final Settings.StateLimits ROOMY = new Settings.StateLimits(500, 200, 8 * 1024, 8);
+  private static final Settings.StateLimits ORDINARY =
+      new Settings.StateLimits(150, 50, 8 * 1024, 16);
 
   /** Three controllers, a handful of machines, and a state service that takes all there is. */
   static Deployment tiny() {
@@ -81,7 +82,7 @@
         production);
   }
 
-  Deployment withNext(Settings.State announced) {
+  Deployment withNext(Settings.StateLimits announced) {
     return new Deployment(
         controllers,
         zones,
@@ -99,7 +100,7 @@
   }
 
   /** Another state service, now and to come. */
-  Deployment withLimits(Settings.State both) {
+  Deployment withLimits(Settings.StateLimits both) {
     return new Deployment(
         controllers,
         zones,
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -266,7 +266,8 @@
   private void checkBegun(JobSpec spec) {
     long accepted = acceptedAt.get(spec.id());
     long begun = begunAt.getOrDefault(spec.id(), world.now());
-    if (spec.dependencies().isEmpty() && begun - accepted > SimulationConstants.BEGUN_WITHIN_MS) {
+    if (spec.dependencies().isEmpty()
+        && begun - accepted > SimulationConstants.MAX_FIRST_START_MS) {
       broken("unserved", spec.id() + " did not begin for " + (begun - accepted) + " ms");
     }
   }
@@ -289,7 +290,7 @@
     unanswered.forEach(
         (id, since) -> {
           long from = Math.max(since, calmSince);
-          if (world.now() - from > SimulationConstants.ANSWERED_WITHIN_MS
+          if (world.now() - from > SimulationConstants.MAX_UNANSWERED_MS
               && accepted.contains(id)
               && !isUnwanted(id)) {
             broken("forgotten", id + " without an answer since " + from);
@@ -314,10 +315,10 @@
     if (!PlacementRules.isAllowed(spec, w)) {
       broken("wrong_place", task + " on " + w.name() + ", not a machine that its job allows");
     }
-    if (spec.onePlace() && presence.zonesOf(spec.id()).size() > 1) {
+    if (spec.sameZone() && presence.zonesOf(spec.id()).size() > 1) {
       broken("wrong_place", task + " not in its job's zone");
     }
-    if (spec.apart()
+    if (spec.spreadAcrossZones()
         && presence.running(spec.id(), w.zone()) > PlacementRules.mostInOneZone(spec)) {
       broken("wrong_place", task + " crowds zone " + w.zone());
     }
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -63,7 +63,8 @@
     for (String id : ids) {
       cancelledNow++;
       world.after(
-          world.faults.nextInt(SimulationConstants.CANCEL_BURST_MS), () -> cluster.cancel(id));
+          world.faults.nextInt(SimulationConstants.CANCEL_BURST_WINDOW_MS),
+          () -> cluster.cancel(id));
     }
     return ids;
   }
@@ -71,7 +72,7 @@
   private void hang(List<String> ids, long hangMs) {
     Set<WorkerEmulator> machines = new LinkedHashSet<>();
     for (WorkerEmulator w : cluster.cloud.machines().values()) {
-      if (machines.size() < SimulationConstants.CANCEL_MOST_HANGING
+      if (machines.size() < SimulationConstants.MAX_HANGING_MACHINES
           && ids.stream().anyMatch(id -> cluster.rules.isOn(id, w))) {
         machines.add(w);
       }
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -84,14 +84,15 @@
 
   /** Does something as soon as something else holds; looked at every 200 ms, for ten minutes. */
   private void when(BooleanSupplier holds, Runnable task) {
-    when(holds, task, SimulationConstants.PIPELINE_LOOKS);
+    when(holds, task, SimulationConstants.MAX_PIPELINE_POLLS);
   }
 
   private void when(BooleanSupplier holds, Runnable task, int tries) {
     if (holds.getAsBoolean()) {
       task.run();
     } else if (tries > 0) {
-      network.after(SimulationConstants.PIPELINE_LOOK_MS, () -> when(holds, task, tries - 1));
+      network.after(
+          SimulationConstants.PIPELINE_POLL_INTERVAL_MS, () -> when(holds, task, tries - 1));
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -50,9 +50,10 @@
 
   private void next() {
     long pause =
-        (long) SimulationConstants.ODD_PAUSE_LEAST_MS
+        (long) SimulationConstants.MIN_ODD_REQUEST_PAUSE_MS
             + world.faults.nextInt(
-                SimulationConstants.ODD_PAUSE_MOST_MS - SimulationConstants.ODD_PAUSE_LEAST_MS);
+                SimulationConstants.MAX_ODD_REQUEST_PAUSE_MS
+                    - SimulationConstants.MIN_ODD_REQUEST_PAUSE_MS);
     world.after(
         pause,
         () -> {
@@ -109,8 +110,8 @@
   private Fields fitsNoType() {
     Fields body = anyJob().write();
     return switch (world.faults.nextInt(4)) {
-      case 0 -> body.with("cpus", SimulationConstants.AMOUNT_TOO_LARGE);
-      case 1 -> body.with("mem_gb", SimulationConstants.AMOUNT_TOO_LARGE);
+      case 0 -> body.with("cpus", SimulationConstants.UNSATISFIABLE_AMOUNT);
+      case 1 -> body.with("mem_gb", SimulationConstants.UNSATISFIABLE_AMOUNT);
       case 2 -> body.with("modelos", List.of("ninguno"));
       default -> body.with("zona", "ninguna");
     };
@@ -139,7 +140,7 @@
     count(kind);
     String id = (String) body.map().get("name_id");
     cluster.rules.submitsInvalid(id);
-    submitInvalid(id, body, SimulationConstants.ODD_TRIES);
+    submitInvalid(id, body, SimulationConstants.MAX_ODD_REQUEST_TRIES);
   }
 
   /** Repeats the submission until it is refused for good, then asks about the job. */
--- a/src/main/java/fennelthread/simulation/PlacementRules.java
+++ b/src/main/java/fennelthread/simulation/PlacementRules.java
@@ -28,10 +28,10 @@
   /** True if one more task may be in that zone beside the job's other tasks. */
   boolean allowsOneMoreIn(JobSpec spec, String zone) {
     Set<String> used = presence.zonesOf(spec.id());
-    if (spec.onePlace() && !used.isEmpty() && !used.equals(Set.of(zone))) {
+    if (spec.sameZone() && !used.isEmpty() && !used.equals(Set.of(zone))) {
       return false;
     }
-    return !spec.apart() || presence.running(spec.id(), zone) < mostInOneZone(spec);
+    return !spec.spreadAcrossZones() || presence.running(spec.id(), zone) < mostInOneZone(spec);
   }
 
   /** How many tasks of a job that is to be apart may be in one zone. */
@@ -50,9 +50,9 @@
   }
 
   private static boolean fits(JobSpec spec, double cpus, double cards, double memGb) {
-    return spec.cpus() <= cpus + SimulationConstants.ROUNDING
-        && spec.cards() <= cards + SimulationConstants.ROUNDING
-        && spec.memGb() <= memGb + SimulationConstants.ROUNDING;
+    return spec.cpus() <= cpus + SimulationConstants.ROUNDING_TOLERANCE
+        && spec.cards() <= cards + SimulationConstants.ROUNDING_TOLERANCE
+        && spec.memGb() <= memGb + SimulationConstants.ROUNDING_TOLERANCE;
   }
 
   /** True if a team stays within its limit with so many more tasks of the job. */
@@ -74,7 +74,7 @@
 
   /** A limit of 0 is none. */
   private static boolean isWithin(double amount, double limit) {
-    return limit <= 0 || amount <= limit + SimulationConstants.ROUNDING;
+    return limit <= 0 || amount <= limit + SimulationConstants.ROUNDING_TOLERANCE;
   }
 
   /**
--- a/src/main/java/fennelthread/simulation/RateLimiter.java
+++ b/src/main/java/fennelthread/simulation/RateLimiter.java
@@ -9,7 +9,7 @@
   private long refilledAtMs;
 
   /** Adds the tokens of the time since the last call. */
-  void refill(long nowMs, Settings.State limits) {
+  void refill(long nowMs, Settings.StateLimits limits) {
     long elapsedMs = nowMs - refilledAtMs;
     requestTokens = Math.min(limits.rps(), requestTokens + elapsedMs * limits.rps() / 1000);
     writeTokens = Math.min(limits.writeRps(), writeTokens + elapsedMs * limits.writeRps() / 1000);
--- a/src/main/java/fennelthread/simulation/RequestFaults.java
+++ b/src/main/java/fennelthread/simulation/RequestFaults.java
@@ -102,8 +102,10 @@
       return 0;
     }
     commandsHeld++;
-    return SimulationConstants.HELD_LEAST_MS
+    return SimulationConstants.MIN_COMMAND_DELAY_MS
         + world.faults.nextLong(
-            SimulationConstants.HELD_MOST_MS - SimulationConstants.HELD_LEAST_MS + 1);
+            SimulationConstants.MAX_COMMAND_DELAY_MS
+                - SimulationConstants.MIN_COMMAND_DELAY_MS
+                + 1);
   }
 }
--- a/src/main/java/fennelthread/simulation/ServedRule.java
+++ b/src/main/java/fennelthread/simulation/ServedRule.java
@@ -66,7 +66,7 @@
           }
         });
     for (Map.Entry<String, Served> e : shares.entrySet()) {
-      if (e.getValue().share() < SimulationConstants.SERVED_SHARE) {
+      if (e.getValue().share() < SimulationConstants.MIN_SERVED_SHARE) {
         return e.getKey() + " " + e.getValue().share();
       }
     }
@@ -75,7 +75,7 @@
 
   private static double leastOfTheLargest(List<Job> members) {
     members.sort(Comparator.comparingDouble(ServedRule::asked).reversed());
-    int count = (int) Math.ceil(members.size() * SimulationConstants.LARGEST_SHARE);
+    int count = (int) Math.ceil(members.size() * SimulationConstants.LARGEST_JOBS_SHARE);
     return asked(members.get(count - 1));
   }
 
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -32,7 +32,7 @@
    */
   @FunctionalInterface
   interface OldVersion {
-    Node controller(EventLoop eventLoop, Settings settings, Settings.State limits);
+    Node controller(EventLoop eventLoop, Settings settings, Settings.StateLimits limits);
   }
 
   final SimulatedNetwork world;
@@ -105,7 +105,7 @@
   }
 
   /** A cluster whose state service will have lower limits, which its controllers know of. */
-  static SimulatedCluster limited(long seed, Settings.State next, boolean production) {
+  static SimulatedCluster limited(long seed, Settings.StateLimits next, boolean production) {
     Deployment d = Deployment.tiny().withNext(next);
     return new SimulatedCluster(seed, production ? d.inProduction() : d);
   }
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -89,9 +89,10 @@
         deployment.zones(),
         teams,
         List.of(new Settings.Objective("wait", "servicio", 1, 0.9, 0)),
-        new Settings.Workers(deployment.reportMs(), deployment.leaseMs(), deployment.cancelMs()),
+        new Settings.WorkerTiming(
+            deployment.reportMs(), deployment.leaseMs(), deployment.cancelMs()),
         deployment.next(),
-        new Settings.Cloud(5, 2_000),
+        new Settings.CloudLimits(5, 2_000),
         500);
   }
 
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -44,7 +44,7 @@
   /** A user submits a job until it is accepted, and asks about it for ever. */
   void submit(JobSpec spec) {
     note(spec);
-    submit(spec, SimulationConstants.SUBMISSIONS);
+    submit(spec, SimulationConstants.MAX_SUBMISSION_RETRIES);
   }
 
   /** The same by a user who submits once and never asks. */
@@ -73,7 +73,8 @@
           if (isGranted(answer)) {
             poll(spec.id());
           } else if (triesLeft > 0) {
-            network.after(SimulationConstants.USER_RETRY_MS, () -> submit(spec, triesLeft - 1));
+            network.after(
+                SimulationConstants.USER_RETRY_DELAY_MS, () -> submit(spec, triesLeft - 1));
           }
         });
   }
@@ -95,12 +96,12 @@
         anyAddress(),
         questionAbout(id),
         id,
-        SimulationConstants.QUESTION_TIMEOUT_MS,
+        SimulationConstants.POLL_TIMEOUT_MS,
         answer -> {
           if (isGranted(answer)) {
             poll(id);
           } else {
-            network.after(SimulationConstants.USER_RETRY_MS, () -> question(id));
+            network.after(SimulationConstants.USER_RETRY_DELAY_MS, () -> question(id));
           }
         });
   }
@@ -115,7 +116,7 @@
         SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
           if (!isGranted(answer)) {
-            network.after(SimulationConstants.USER_RETRY_MS, () -> cancel(id));
+            network.after(SimulationConstants.USER_RETRY_DELAY_MS, () -> cancel(id));
           }
         });
   }
@@ -131,19 +132,15 @@
         answer -> {
           if (!isGranted(answer) && tries > 1) {
             network.after(
-                SimulationConstants.USER_RETRY_MS, () -> cancelThrough(member, id, tries - 1));
+                SimulationConstants.USER_RETRY_DELAY_MS,
+                () -> cancelThrough(member, id, tries - 1));
           }
         });
   }
 
   /** A user asks one controller about a job, once; {@code then} gets the answer, or null. */
   void askAt(String member, String id, Consumer<Answer> then) {
-    ask(
-        addresses.get(member),
-        questionAbout(id),
-        id,
-        SimulationConstants.QUESTION_TIMEOUT_MS,
-        then);
+    ask(addresses.get(member), questionAbout(id), id, SimulationConstants.POLL_TIMEOUT_MS, then);
   }
 
   /** A user submits a body to one controller, once; {@code then} gets the answer, or null. */
@@ -159,7 +156,7 @@
   /** A user asks about a job that nobody has submitted. */
   void askUnknown() {
     String id = "job-9" + network.random.nextInt(100_000);
-    ask(anyAddress(), questionAbout(id), id, SimulationConstants.QUESTION_TIMEOUT_MS, answer -> {});
+    ask(anyAddress(), questionAbout(id), id, SimulationConstants.POLL_TIMEOUT_MS, answer -> {});
   }
 
   /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -54,7 +54,7 @@
 
   private final SimulatedNetwork world;
   private final SimulatedProcess process;
-  private Settings.State limits;
+  private Settings.StateLimits limits;
   private final RateLimiter limiter = new RateLimiter();
 
   /** Requests that were above a limit. */
@@ -91,7 +91,7 @@
   /** Transactions that were carried out while their answers were lost. */
   int answersLost;
 
-  StateEmulator(SimulatedNetwork world, SimulatedProcess process, Settings.State limits) {
+  StateEmulator(SimulatedNetwork world, SimulatedProcess process, Settings.StateLimits limits) {
     this.world = world;
     this.answers = new TransactionAnswers(world, () -> answersLost++);
     this.process = process;
@@ -100,7 +100,7 @@
   }
 
   /** From now on other limits hold; what is stored stays readable. */
-  void limit(Settings.State next) {
+  void limit(Settings.StateLimits next) {
     limits = next;
   }
 
--- a/src/main/java/fennelthread/simulation/WaitingRule.java
+++ b/src/main/java/fennelthread/simulation/WaitingRule.java
@@ -47,7 +47,7 @@
       return null;
     }
     long since = waitingSince.computeIfAbsent(spec.id(), k -> now);
-    if (now - since <= SimulationConstants.STARTED_WITHIN_MS) {
+    if (now - since <= SimulationConstants.MAX_IDLE_CAPACITY_WAIT_MS) {
       return null;
     }
     return spec.id() + " waits since " + since + " while " + room.name() + " has room";
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -54,7 +54,7 @@
     final long attempt;
     final JobSpec spec;
     WorkerReport.Phase phase = WorkerReport.Phase.FETCHING;
-    WorkerReport.Motive motive;
+    WorkerReport.EndReason motive;
     boolean present;
 
     Task(TaskRef ref, long attempt, JobSpec spec) {
@@ -412,12 +412,12 @@
   private void stop(Task t, double graceS) {
     boolean saves = t.spec.checkpointS() > 0 && t.phase != WorkerReport.Phase.FETCHING;
     if (!saves || graceS < t.spec.saveS()) {
-      finish(t, WorkerReport.Motive.HALTED);
+      finish(t, WorkerReport.EndReason.HALTED);
     } else if (t.phase == WorkerReport.Phase.RUNNING) {
       t.phase = WorkerReport.Phase.FLUSHING;
       changed();
       process.after(
-          (long) (t.spec.saveS() * 1000), () -> finishIfHere(t, WorkerReport.Motive.HALTED));
+          (long) (t.spec.saveS() * 1000), () -> finishIfHere(t, WorkerReport.EndReason.HALTED));
     }
   }
 
@@ -440,11 +440,11 @@
     }
     tasks.put(key, t);
     if (spec == null || run.task().index() >= spec.tasks()) {
-      finish(t, WorkerReport.Motive.NO_SUCH);
+      finish(t, WorkerReport.EndReason.NO_SUCH);
     } else if (busy) {
-      finish(t, WorkerReport.Motive.BUSY);
+      finish(t, WorkerReport.EndReason.BUSY);
     } else if (cpus > machineType.cpus() + 1e-6 || mem > machineType.memGb() + 1e-6) {
-      finish(t, WorkerReport.Motive.FULL);
+      finish(t, WorkerReport.EndReason.FULL);
     } else {
       t.present = true;
       around.begins(this, spec, t.ref.index());
@@ -465,29 +465,29 @@
     t.phase = WorkerReport.Phase.RUNNING;
     changed();
     if (sick) {
-      process.after(300, () -> finishIfHere(t, WorkerReport.Motive.ERROR));
+      process.after(300, () -> finishIfHere(t, WorkerReport.EndReason.ERROR));
     } else if (completed.contains(t.ref.toString())) {
-      finishIfHere(t, WorkerReport.Motive.DONE);
+      finishIfHere(t, WorkerReport.EndReason.DONE);
     } else if (!t.spec.service()) {
       long runMs = (long) (t.spec.estimateS() * 1000 * (0.5 + world.random.nextDouble()));
       around.willComplete(this, t.spec, t.ref.index(), world.now() + runMs);
-      process.after(runMs, () -> finishIfHere(t, WorkerReport.Motive.DONE));
+      process.after(runMs, () -> finishIfHere(t, WorkerReport.EndReason.DONE));
     }
   }
 
-  private void finishIfHere(Task t, WorkerReport.Motive motive) {
+  private void finishIfHere(Task t, WorkerReport.EndReason motive) {
     if (isHere(t)) {
       finish(t, motive);
     }
   }
 
-  private void finish(Task t, WorkerReport.Motive motive) {
+  private void finish(Task t, WorkerReport.EndReason motive) {
     t.phase = WorkerReport.Phase.ENDED;
     t.motive = motive;
-    if (motive == WorkerReport.Motive.DONE) {
+    if (motive == WorkerReport.EndReason.DONE) {
       completed.add(t.ref.toString());
     }
-    leave(t, motive == WorkerReport.Motive.DONE);
+    leave(t, motive == WorkerReport.EndReason.DONE);
     changed();
   }
 }
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -251,8 +251,8 @@
   }
 
   private void retryLater(Runnable request) {
-    double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
-    eventLoop.after((long) (ProtocolConstants.RETRY_MS * jitter), request);
+    double jitter = 1 + ProtocolConstants.PAUSE_JITTER_SHARE * eventLoop.random().nextDouble();
+    eventLoop.after((long) (ProtocolConstants.STATE_RETRY_DELAY_MS * jitter), request);
   }
 
   // ---------------------------------------------------------------- entries
--- a/src/main/java/fennelthread/state/SizeLimits.java
+++ b/src/main/java/fennelthread/state/SizeLimits.java
@@ -21,7 +21,7 @@
   private int txnChanges;
 
   /** Creates the limits that the settings give. */
-  public SizeLimits(Settings.State settings) {
+  public SizeLimits(Settings.StateLimits settings) {
     this.valueBytes = settings.valueBytes();
     this.txnChanges = settings.txnOps();
   }
--- a/src/main/java/fennelthread/wire/JobSpec.java
+++ b/src/main/java/fennelthread/wire/JobSpec.java
@@ -24,8 +24,8 @@
     double imageGb,
     List<String> types,
     String zone,
-    boolean onePlace,
-    boolean apart,
+    boolean sameZone,
+    boolean spreadAcrossZones,
     boolean spotAllowed,
     double estimateS,
     double checkpointS,
@@ -65,8 +65,8 @@
         imageGb,
         types,
         zone,
-        onePlace,
-        apart,
+        sameZone,
+        spreadAcrossZones,
         spotAllowed,
         estimateS,
         checkpointS,
@@ -154,7 +154,7 @@
             .with("clase", jobClass)
             .with("dueno", team)
             .with("tipo", service ? "standing" : "sweep")
-            .with("prioridad", priority.wire())
+            .with("prioridad", priority.wireName())
             .with("tareas", (long) tasks)
             .with("cpus", cpus)
             .with("cards", cards)
@@ -163,8 +163,8 @@
             .with("pull_gb", imageGb)
             .with("modelos", types)
             .with("zona", zone)
-            .with("same_place", onePlace)
-            .with("apart", apart)
+            .with("same_place", sameZone)
+            .with("apart", spreadAcrossZones)
             .with("prestadas", spotAllowed)
             .with("estimado_s", estimateS)
             .with("resguardo_s", checkpointS)
@@ -198,8 +198,8 @@
     private double imageGb;
     private List<String> types;
     private String zone;
-    private boolean onePlace;
-    private boolean apart;
+    private boolean sameZone;
+    private boolean spreadAcrossZones;
     private boolean spotAllowed;
     private double estimateS;
     private double checkpointS;
@@ -284,14 +284,14 @@
     }
 
     /** True if all tasks must be in the same zone. */
-    public Builder onePlace(boolean onePlace) {
-      this.onePlace = onePlace;
+    public Builder sameZone(boolean sameZone) {
+      this.sameZone = sameZone;
       return this;
     }
 
     /** True if at most half of the tasks may be in one zone. */
-    public Builder apart(boolean apart) {
-      this.apart = apart;
+    public Builder spreadAcrossZones(boolean spreadAcrossZones) {
+      this.spreadAcrossZones = spreadAcrossZones;
       return this;
     }
 
@@ -347,8 +347,8 @@
           imageGb,
           types,
           zone,
-          onePlace,
-          apart,
+          sameZone,
+          spreadAcrossZones,
           spotAllowed,
           estimateS,
           checkpointS,
--- a/src/main/java/fennelthread/wire/JobState.java
+++ b/src/main/java/fennelthread/wire/JobState.java
@@ -7,15 +7,15 @@
   DONE("done"),
   CANCELLED("withdrawn");
 
-  private final String wire;
+  private final String wireName;
 
-  JobState(String wire) {
-    this.wire = wire;
+  JobState(String wireName) {
+    this.wireName = wireName;
   }
 
   /** The name used in messages. */
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 
   /** True once nothing about the job can change any more. */
@@ -26,7 +26,7 @@
   /** Reads a state from a message. */
   public static JobState of(String text) throws WireException {
     for (JobState s : values()) {
-      if (s.wire.equals(text)) {
+      if (s.wireName.equals(text)) {
         return s;
       }
     }
--- a/src/main/java/fennelthread/wire/JobStatus.java
+++ b/src/main/java/fennelthread/wire/JobStatus.java
@@ -11,7 +11,7 @@
 
   /** The short form that answers an acceptance: an id and a state. */
   public static Fields accepted(String id, JobState state) {
-    return Fields.create().with("name_id", id).with("estado", state.wire());
+    return Fields.create().with("name_id", id).with("estado", state.wireName());
   }
 
   /** Writes the whole form. */
--- a/src/main/java/fennelthread/wire/Priority.java
+++ b/src/main/java/fennelthread/wire/Priority.java
@@ -7,17 +7,17 @@
   STANDARD("standard", 2),
   BEST_EFFORT("best_effort", 3);
 
-  private final String wire;
+  private final String wireName;
   private final int rank;
 
-  Priority(String wire, int rank) {
-    this.wire = wire;
+  Priority(String wireName, int rank) {
+    this.wireName = wireName;
     this.rank = rank;
   }
 
   /** The name used in messages. */
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 
   /** How many priorities are more urgent. */
@@ -27,7 +27,7 @@
 
   static Priority of(String field, String text) throws WireException {
     for (Priority p : values()) {
-      if (p.wire.equals(text)) {
+      if (p.wireName.equals(text)) {
         return p;
       }
     }
--- a/src/main/java/fennelthread/wire/WorkerReport.java
+++ b/src/main/java/fennelthread/wire/WorkerReport.java
@@ -26,15 +26,15 @@
     FLUSHING("flushing"),
     ENDED("ended");
 
-    private final String wire;
+    private final String wireName;
 
-    Phase(String wire) {
-      this.wire = wire;
+    Phase(String wireName) {
+      this.wireName = wireName;
     }
 
     static Phase of(String text) throws WireException {
       for (Phase p : values()) {
-        if (p.wire.equals(text)) {
+        if (p.wireName.equals(text)) {
           return p;
         }
       }
@@ -42,13 +42,13 @@
     }
 
     /** The name used in messages. */
-    public String wire() {
-      return wire;
+    public String wireName() {
+      return wireName;
     }
   }
 
   /** Why a task ended; OTHER stands for reasons that this version does not know. */
-  public enum Motive {
+  public enum EndReason {
     DONE("done"),
     HALTED("halted"),
     ERROR("error"),
@@ -57,15 +57,15 @@
     NO_SUCH("no_such"),
     OTHER("");
 
-    private final String wire;
+    private final String wireName;
 
-    Motive(String wire) {
-      this.wire = wire;
+    EndReason(String wireName) {
+      this.wireName = wireName;
     }
 
-    static Motive of(String text) {
-      for (Motive m : values()) {
-        if (m.wire.equals(text)) {
+    static EndReason of(String text) {
+      for (EndReason m : values()) {
+        if (m.wireName.equals(text)) {
           return m;
         }
       }
@@ -73,13 +73,14 @@
     }
 
     /** The name used in messages. */
-    public String wire() {
-      return wire;
+    public String wireName() {
+      return wireName;
     }
   }
 
   /** One task of a report; {@code motive} is null unless it has ended. */
-  public record Task(TaskRef ref, long attempt, Phase phase, Motive motive, boolean kept) {}
+  public record Task(
+      TaskRef ref, long attempt, Phase phase, EndReason endReason, boolean progressSaved) {}
 
   /** Reads a report. */
   public static WorkerReport read(Fields body) throws WireException {
@@ -92,7 +93,7 @@
               TaskRef.parse(f.text("tarea")),
               f.count("intento"),
               phase,
-              phase == Phase.ENDED ? Motive.of(motive == null ? "" : motive) : null,
+              phase == Phase.ENDED ? EndReason.of(motive == null ? "" : motive) : null,
               f.optFlag("kept")));
     }
     return new WorkerReport(
@@ -116,11 +117,11 @@
           Fields.create()
               .with("tarea", t.ref.toString())
               .with("intento", t.attempt)
-              .with("estado", t.phase.wire);
-      if (t.motive != null) {
-        f.with("motivo", t.motive.wire);
+              .with("estado", t.phase.wireName);
+      if (t.endReason != null) {
+        f.with("motivo", t.endReason.wireName);
       }
-      if (t.kept) {
+      if (t.progressSaved) {
         f.with("kept", true);
       }
       list.add(f.map());
--- a/src/main/java/fennelthread/zones/ZoneMonitor.java
+++ b/src/main/java/fennelthread/zones/ZoneMonitor.java
@@ -155,9 +155,9 @@
 
   /**
    * Returns for how long nothing at all has arrived from a zone, ms, or 0 if that may be chance. It
-   * is not chance if {@link RelayConstants#DEAF_DUE} reports or more are due in that time: hundreds
-   * of workers report at random moments, so one second without any report tells as much as the
-   * silence of each single machine does five seconds later.
+   * is not chance if {@link RelayConstants#MIN_MISSING_REPORTS} reports or more are due in that
+   * time: hundreds of workers report at random moments, so one second without any report tells as
+   * much as the silence of each single machine does five seconds later.
    */
   private long zoneSilenceMs(ZoneCount count, long nowMs) {
     long silentFromMs =
@@ -165,7 +165,8 @@
     long silenceMs = nowMs - silentFromMs;
     boolean isTooLong =
         silenceMs >= ZoneConstants.MIN_ZONE_SILENCE_MS
-            && (double) count.reportingMachines * silenceMs / reportMs >= RelayConstants.DEAF_DUE;
+            && (double) count.reportingMachines * silenceMs / reportMs
+                >= RelayConstants.MIN_MISSING_REPORTS;
     return isTooLong ? silenceMs : 0;
   }
 
--- a/src/test/java/fennelthread/election/LeaderViewTest.java
+++ b/src/test/java/fennelthread/election/LeaderViewTest.java
@@ -42,7 +42,7 @@
   @Test
   void timeoutsKeepTheirMargins() {
     long longestPromiseMs =
-        (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.CLOCK_DRIFT))
+        (long) (ElectionConstants.PROMISE_MS * (1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
             + ProtocolConstants.LEASE_MARGIN_MS;
     assertTrue(
         ElectionConstants.MIN_EPOCH_MS > longestPromiseMs,
@@ -52,7 +52,7 @@
         "the leader must declare before the next heartbeat is due");
     assertTrue(
         ElectionConstants.PROMISE_MS
-            > 2 * PeerConstants.HEARTBEAT_INTERVAL_MS * (1 + ProtocolConstants.JITTER),
+            > 2 * PeerConstants.HEARTBEAT_INTERVAL_MS * (1 + ProtocolConstants.PAUSE_JITTER_SHARE),
         "a promise must outlast one lost heartbeat");
   }
 
--- a/src/test/java/fennelthread/emulate/HistoryCheckerTest.java
+++ b/src/test/java/fennelthread/emulate/HistoryCheckerTest.java
@@ -135,8 +135,8 @@
         .memGb(1)
         .image("i")
         .imageGb(1)
-        .onePlace(place.equals("one-place"))
-        .apart(place.equals("apart"))
+        .sameZone(place.equals("one-place"))
+        .spreadAcrossZones(place.equals("apart"))
         .estimateS(1)
         .build();
   }
--- a/src/test/java/fennelthread/emulate/StateStoreTest.java
+++ b/src/test/java/fennelthread/emulate/StateStoreTest.java
@@ -16,7 +16,7 @@
 
 /** The stored records keep to the protocol. */
 class StateStoreTest {
-  private final StateStore store = new StateStore(new Settings.State(100, 100, 1024, 2));
+  private final StateStore store = new StateStore(new Settings.StateLimits(100, 100, 1024, 2));
 
   /** A transaction in the protocol's form. */
   private static final class Transaction {
@@ -97,12 +97,12 @@
 
   @Test
   void forgetsOldChangesAndSaysSo() throws WireException {
-    for (int i = 0; i < 2 * EmulationConstants.CHANGES_KEPT + 1; i++) {
+    for (int i = 0; i < 2 * EmulationConstants.MIN_CHANGES_KEPT + 1; i++) {
       store.commit(new Transaction().write("a", value(i)).body);
     }
     assertTrue(store.isForgotten(0));
-    long oldest = store.revision() - EmulationConstants.CHANGES_KEPT;
+    long oldest = store.revision() - EmulationConstants.MIN_CHANGES_KEPT;
     assertFalse(store.isForgotten(oldest));
-    assertEquals(EmulationConstants.CHANGES_KEPT, store.changesAfter(oldest, "").size());
+    assertEquals(EmulationConstants.MIN_CHANGES_KEPT, store.changesAfter(oldest, "").size());
   }
 }
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -40,7 +40,7 @@
           + "\"resguardo_s\":0.0,\"guardado_s\":0.0,\"plazo_s\":60.0,\"at_ms\":1234";
 
   private static SizeLimits limits(int valueBytes, int maxChanges) {
-    return new SizeLimits(new Settings.State(100, 50, valueBytes, maxChanges));
+    return new SizeLimits(new Settings.StateLimits(100, 50, valueBytes, maxChanges));
   }
 
   private static JobSpec spec(String id, String team, List<String> dependencies) {
@@ -54,7 +54,7 @@
         .image("img")
         .imageGb(1)
         .types(List.of("mesa"))
-        .apart(true)
+        .spreadAcrossZones(true)
         .spotAllowed(true)
         .estimateS(9)
         .deadlineS(60)
--- a/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
+++ b/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
@@ -29,9 +29,9 @@
     "22000,10000,15724"
   })
   void lastRenewedLeaseEndsWithinCancelTimeout(long leaseMs, long cancelMs, long shortfallMs) {
-    Settings.Workers workers = new Settings.Workers(4_000, leaseMs, cancelMs);
-    double fastClock = 1 + 2 * ProtocolConstants.CLOCK_DRIFT;
-    double slowClock = 1 - 2 * ProtocolConstants.CLOCK_DRIFT;
+    Settings.WorkerTiming workers = new Settings.WorkerTiming(4_000, leaseMs, cancelMs);
+    double fastClock = 1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT;
+    double slowClock = 1 - 2 * ProtocolConstants.MAX_CLOCK_DRIFT;
     double latestLeaseEndMs = RenewalBounds.renewalWindowMs(workers) + leaseMs * fastClock;
     assertTrue(
         RenewalBounds.renewalWindowMs(workers) >= LeaseRenewalConstants.MIN_RENEWAL_WINDOW_MS);
--- a/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
@@ -124,8 +124,8 @@
               .imageGb(2)
               .types(random.nextBoolean() ? null : List.of("torre"))
               .zone(random.nextInt(4) == 0 ? "z1" : null)
-              .onePlace(!apart && random.nextInt(3) == 0)
-              .apart(apart)
+              .sameZone(!apart && random.nextInt(3) == 0)
+              .spreadAcrossZones(apart)
               .spotAllowed(random.nextBoolean())
               .estimateS(5)
               .build();
@@ -260,9 +260,9 @@
       assertTrue(spec.spotAllowed() || !machine.isSpot());
       Map<String, Integer> tasksByZone = zonesByJob.get(spec.id());
       tasksByZone.merge(machine.zone(), 1, Integer::sum);
-      assertTrue(!spec.onePlace() || tasksByZone.size() == 1, "seed " + seed);
+      assertTrue(!spec.sameZone() || tasksByZone.size() == 1, "seed " + seed);
       assertTrue(
-          !spec.apart() || tasksByZone.get(machine.zone()) <= (spec.tasks() + 1) / 2,
+          !spec.spreadAcrossZones() || tasksByZone.get(machine.zone()) <= (spec.tasks() + 1) / 2,
           "seed " + seed);
     }
   }
--- a/src/test/java/fennelthread/plan/ReferencePlanner.java
+++ b/src/test/java/fennelthread/plan/ReferencePlanner.java
@@ -177,14 +177,16 @@
       }
       // Tasks that are not placed count too: capacity is not requested beyond the team's limit.
       requested.put(spec.team(), requestedUsage.plus(spec.cpus(), spec.cards()));
-      if (best != null && (spec.onePlace() || spec.apart())) {
+      if (best != null && (spec.sameZone() || spec.spreadAcrossZones())) {
         tasksByZone.merge(best.machine.zone(), 1, Integer::sum);
       }
     }
     if (unplacedCount > 0) {
       unplaced.add(
           new PlacementPlan.UnplacedTasks(
-              spec, unplacedCount, spec.onePlace() || spec.apart() ? tasksByZone : Map.of()));
+              spec,
+              unplacedCount,
+              spec.sameZone() || spec.spreadAcrossZones() ? tasksByZone : Map.of()));
     }
   }
 
@@ -223,20 +225,20 @@
     if (machine.isSpot() && !spec.spotAllowed()) {
       return false;
     }
-    if ((spec.onePlace() || spec.apart())
+    if ((spec.sameZone() || spec.spreadAcrossZones())
         && tasksByZone.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
       // The task may be in any zone: neither constraint is certain to hold until its machine
       // reports.
       return false;
     }
-    if (spec.onePlace()) {
+    if (spec.sameZone()) {
       for (Map.Entry<String, Integer> zoneTasks : tasksByZone.entrySet()) {
         if (zoneTasks.getValue() > 0 && !zoneTasks.getKey().equals(machine.zone())) {
           return false;
         }
       }
     }
-    return !spec.apart()
+    return !spec.spreadAcrossZones()
         || tasksByZone.getOrDefault(machine.zone(), 0) + 1 <= (spec.tasks() + 1) / 2;
   }
 
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -81,9 +81,9 @@
           List.of("norte"),
           Map.of(),
           List.of(),
-          new Settings.Workers(1_500, 10_000, 30_000),
-          new Settings.State(500, 200, 8_192, 8),
-          new Settings.Cloud(5, 2_000),
+          new Settings.WorkerTiming(1_500, 10_000, 30_000),
+          new Settings.StateLimits(500, 200, 8_192, 8),
+          new Settings.CloudLimits(5, 2_000),
           500);
   private final PeerHeartbeats peers =
       new PeerHeartbeats(
@@ -128,7 +128,7 @@
     peers.handle(new Request("POST", "/hail", heartbeat), a -> {});
     courier.beginTerm(7);
     hearing.beginTerm(now - 100_000);
-    for (long t = now - 10_000; t <= now; t += RelayConstants.SUPERVISE_MS) {
+    for (long t = now - 10_000; t <= now; t += RelayConstants.CHECK_INTERVAL_MS) {
       hearing.check(t, 500);
     }
     assertTrue(hearing.areWorkersUnreachable());
--- a/src/test/java/fennelthread/relay/WorkerReachabilityTest.java
+++ b/src/test/java/fennelthread/relay/WorkerReachabilityTest.java
@@ -28,7 +28,7 @@
       for (int i = 0; i < workers; i++) {
         next[i] = random.nextInt((int) REPORT_MS);
       }
-      for (now = 0; now < 3_600_000; now += RelayConstants.SUPERVISE_MS) {
+      for (now = 0; now < 3_600_000; now += RelayConstants.CHECK_INTERVAL_MS) {
         for (int i = 0; i < workers; i++) {
           while (next[i] <= now) {
             if (random.nextInt(20) > 0) {
@@ -55,8 +55,8 @@
     WorkerReachability hearing = new WorkerReachability(REPORT_MS);
     hearing.beginTerm(-100_000);
     hearing.onReport(0);
-    hearing.check(-RelayConstants.SUPERVISE_MS, workers);
-    for (now = 0; now < 60_000; now += RelayConstants.SUPERVISE_MS) {
+    hearing.check(-RelayConstants.CHECK_INTERVAL_MS, workers);
+    for (now = 0; now < 60_000; now += RelayConstants.CHECK_INTERVAL_MS) {
       if (hearing.check(now, workers)) {
         return now;
       }
@@ -85,7 +85,7 @@
     hearing.beginTerm(-100_000);
     hearing.onReport(0);
     int opened = 0;
-    for (now = 0; now < 120_000; now += RelayConstants.SUPERVISE_MS) {
+    for (now = 0; now < 120_000; now += RelayConstants.CHECK_INTERVAL_MS) {
       hearing.check(now, 1_000);
       boolean before = hearing.areWorkersUnreachable();
       hearing.onProbeAnswered(now);
--- a/src/test/java/fennelthread/settings/SettingsTest.java
+++ b/src/test/java/fennelthread/settings/SettingsTest.java
@@ -65,7 +65,7 @@
     assertEquals(10_000, s.workers().leaseMs());
     assertEquals(8 * 1024, s.state().valueBytes());
     assertEquals(0.0, s.teams().get("roja").cpusMax());
-    assertTrue(s.waitsMatter("servicio"));
+    assertTrue(s.hasWaitObjective("servicio"));
   }
 
   /** Limits that are to come hold from the start where they are lower: they come without notice. */
@@ -73,8 +73,8 @@
   void theLowerOfTheLimitsNowAndToCome() throws Exception {
     String next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 16\nnew_limit = 1\n";
     Settings s = load(GOOD.replace("[cluster.cloud]", next + "[cluster.cloud]"));
-    assertEquals(new Settings.State(100, 50, 2 * 1024, 8), s.state());
-    assertEquals(new Settings.State(100, 50, 8 * 1024, 8), load(GOOD).state());
+    assertEquals(new Settings.StateLimits(100, 50, 2 * 1024, 8), s.state());
+    assertEquals(new Settings.StateLimits(100, 50, 8 * 1024, 8), load(GOOD).state());
   }
 
   @ParameterizedTest
@@ -120,8 +120,8 @@
     Options o =
         Options.parse("o", "(fennelthread (max-machines 12) ; a comment\n (grant-ms 5000))");
     assertEquals(12, o.maxMachines());
-    assertEquals(5_000, o.grantMs());
-    assertEquals(Options.DEFAULTS.spare(), o.spare());
+    assertEquals(5_000, o.storeLeaseMs());
+    assertEquals(Options.DEFAULTS.spareFactor(), o.spareFactor());
   }
 
   @ParameterizedTest
--- a/src/test/java/fennelthread/simulation/BadInputTest.java
+++ b/src/test/java/fennelthread/simulation/BadInputTest.java
@@ -173,8 +173,8 @@
     c.world.runUntil(c.world.now() + 1_000);
     c.crash("nodo-1", 100);
     c.world.runUntil(c.world.now() + 5_000);
-    Settings.State now = c.deployment.limits();
-    c.state.limit(new Settings.State(now.rps(), now.writeRps(), 100, now.txnOps()));
+    Settings.StateLimits now = c.deployment.limits();
+    c.state.limit(new Settings.StateLimits(now.rps(), now.writeRps(), 100, now.txnOps()));
     int before = c.state.refusedAsTooLarge;
     Answer answer = submit(c, "nodo-1", Body.GOOD.of(job));
     assertEquals(1, c.state.refusedAsTooLarge - before, "refused for its size");
--- a/src/test/java/fennelthread/simulation/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/simulation/ChainedJobsTest.java
@@ -27,7 +27,7 @@
     Production.serve();
   }
 
-  private static final Settings.State NEXT = new Settings.State(400, 80, 2 * 1024, 4);
+  private static final Settings.StateLimits NEXT = new Settings.StateLimits(400, 80, 2 * 1024, 4);
 
   /**
    * Whatever fails, and though the limits fall without notice, no rule is broken and all is done.
@@ -389,7 +389,7 @@
   @Test
   void smallerThanAnnounced() {
     SimulatedCluster c = new SimulatedCluster(95);
-    c.state.limit(new Settings.State(500, 200, 1_000, 2));
+    c.state.limit(new Settings.StateLimits(500, 200, 1_000, 2));
     calm(c);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
--- a/src/test/java/fennelthread/simulation/GapTest.java
+++ b/src/test/java/fennelthread/simulation/GapTest.java
@@ -270,7 +270,7 @@
   @Test
   void thousandsAtOnce() {
     long seed = 1;
-    Settings.State roomy = new Settings.State(9_000, 9_000, 8 * 1024, 16);
+    Settings.StateLimits roomy = new Settings.StateLimits(9_000, 9_000, 8 * 1024, 16);
     SimulatedCluster c = Scenes.settled(seed, deployment().withLimits(roomy), 0.0005);
     List<JobSpec> services = Scenes.services(c, 20, 50, 20_000);
     List<JobSpec> waiting = new ArrayList<>();
--- a/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
+++ b/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
@@ -76,9 +76,9 @@
             ZONES,
             teams,
             List.of(),
-            new Settings.Workers(1_500, 10_000, CANCEL_MS),
-            new Settings.State(150, 50, 8 * 1024, 16),
-            new Settings.Cloud(5, 2_000),
+            new Settings.WorkerTiming(1_500, 10_000, CANCEL_MS),
+            new Settings.StateLimits(150, 50, 8 * 1024, 16),
+            new Settings.CloudLimits(5, 2_000),
             500);
     checker = new InvariantChecker(network, settings);
     checker.watch(List.of(SMALL, LARGE), () -> machines);
@@ -123,8 +123,8 @@
           .imageGb(1)
           .types(types)
           .zone(zone)
-          .onePlace(samePlace)
-          .apart(apart)
+          .sameZone(samePlace)
+          .spreadAcrossZones(apart)
           .spotAllowed(spot)
           .estimateS(service ? 0 : 5)
           .dependencies(dependencies)
--- a/src/test/java/fennelthread/simulation/LargeFleetTest.java
+++ b/src/test/java/fennelthread/simulation/LargeFleetTest.java
@@ -69,7 +69,7 @@
       c.submit(c.job(true, 9, 2, false, false, false));
     }
     c.world.runUntil(60_000);
-    double wanted = Options.DEFAULTS.spare() * 40 * 9 * 2;
+    double wanted = Options.DEFAULTS.spareFactor() * 40 * 9 * 2;
     assertTrue(cpusUp(c) >= wanted, cpusUp(c) + " CPUs of " + wanted);
     List<WorkerEmulator> all = new ArrayList<>(c.cloud.machines().values());
     for (int i = 0; i < 100; i++) {
--- a/src/test/java/fennelthread/simulation/MostStartsTest.java
+++ b/src/test/java/fennelthread/simulation/MostStartsTest.java
@@ -33,7 +33,8 @@
   void mostStartsWithLimits() {
     for (double changes : new double[] {50, 100, 250, 500, 1_000}) {
       for (int size : new int[] {10, 50}) {
-        Settings.State limits = new Settings.State(changes * 3.2, changes, 16 * 1024, 12);
+        Settings.StateLimits limits =
+            new Settings.StateLimits(changes * 3.2, changes, 16 * 1024, 12);
         ScaledCell cell = settled(ScaledCell.Shape.of(1_000).withLimits(limits));
         cell.repeat(817.0 / size, 60_000, () -> cell.submit(cell.array(size, 5)));
         cell.run(30_000);
--- a/src/test/java/fennelthread/simulation/Production.java
+++ b/src/test/java/fennelthread/simulation/Production.java
@@ -57,7 +57,7 @@
 
   /** A controller of the old version; {@code limits} are those that it knows of. */
   static SimulatedCluster.Node controller(
-      EventLoop eventLoop, Settings settings, Settings.State limits) {
+      EventLoop eventLoop, Settings settings, Settings.StateLimits limits) {
     try {
       Path file = Files.createTempFile("production", ".toml");
       try {
@@ -114,12 +114,12 @@
     };
   }
 
-  private static String toml(Settings s, Settings.State limits) {
+  private static String toml(Settings s, Settings.StateLimits limits) {
     StringBuilder t = new StringBuilder();
     t.append("member = \"").append(s.member()).append("\"\n");
     t.append("site = \"").append(s.site()).append("\"\n");
     t.append("api_addr = \"").append(s.apiAddr()).append("\"\n");
-    t.append("mesh_addr = \"").append(s.meshAddr()).append("\"\n");
+    t.append("mesh_addr = \"").append(s.peerAddr()).append("\"\n");
     for (Settings.Peer peer : s.peers()) {
       t.append("[[siblings]]\nmember = \"").append(peer.member());
       t.append("\"\naddr = \"").append(peer.addr()).append("\"\n");
--- a/src/test/java/fennelthread/simulation/QuickBootMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/QuickBootMeetingsTest.java
@@ -72,7 +72,7 @@
       this.downMs = downMs;
       // One of the three controllers has to be left.
       this.mostEnds = downMs > 5_000 ? 2 : 3;
-      Settings.State limits = new Settings.State(500, 200, 8 * 1024, 8);
+      Settings.StateLimits limits = new Settings.StateLimits(500, 200, 8 * 1024, 8);
       List<String> zones = List.of("norte", "sur");
       Deployment small =
           new Deployment(3, zones, 6, 0, 40, 2, 60, limits, limits, 1_500, 10_000, 30_000, false);
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -32,9 +32,9 @@
   private static final double NO_LIMIT = 1e9;
 
   /** What a cell consists of. */
-  record Shape(int workers, int teams, long reportMs, Settings.State limits) {
+  record Shape(int workers, int teams, long reportMs, Settings.StateLimits limits) {
     static Shape of(int workers) {
-      return new Shape(workers, 2, 4_000, new Settings.State(20_000, 20_000, 16 * 1024, 12));
+      return new Shape(workers, 2, 4_000, new Settings.StateLimits(20_000, 20_000, 16 * 1024, 12));
     }
 
     Shape withTeams(int number) {
@@ -45,7 +45,7 @@
       return new Shape(workers, teams, ms, limits);
     }
 
-    Shape withLimits(Settings.State other) {
+    Shape withLimits(Settings.StateLimits other) {
       return new Shape(workers, teams, reportMs, other);
     }
   }
@@ -144,9 +144,9 @@
         deployment.zones(),
         teams,
         List.of(),
-        new Settings.Workers(shape.reportMs, LEASE_MS, CANCEL_MS),
+        new Settings.WorkerTiming(shape.reportMs, LEASE_MS, CANCEL_MS),
         shape.limits,
-        new Settings.Cloud(6, 12_000),
+        new Settings.CloudLimits(6, 12_000),
         20_000);
   }
 
--- a/src/test/java/fennelthread/simulation/SimulationTest.java
+++ b/src/test/java/fennelthread/simulation/SimulationTest.java
@@ -339,7 +339,7 @@
             .append(job.team())
             .append(job.types() == null ? "" : " " + job.types())
             .append(job.zone() == null ? "" : " " + job.zone())
-            .append(job.onePlace() ? " same_place" : job.apart() ? " apart" : "")
+            .append(job.sameZone() ? " same_place" : job.spreadAcrossZones() ? " apart" : "")
             .append(" running ")
             .append(c.rules.running(job.id()))
             .append(" completed ")
--- a/src/test/java/fennelthread/simulation/TrafficDigestTest.java
+++ b/src/test/java/fennelthread/simulation/TrafficDigestTest.java
@@ -30,7 +30,8 @@
   }
 
   private static final Path RECORDED = Path.of("src/test/resources/traffic-digests.txt");
-  private static final Settings.State LOWER_LIMITS = new Settings.State(400, 80, 2 * 1024, 4);
+  private static final Settings.StateLimits LOWER_LIMITS =
+      new Settings.StateLimits(400, 80, 2 * 1024, 4);
 
   @Test
   @EnabledIfSystemProperty(named = "sim.digests", matches = "check")
--- a/src/test/java/fennelthread/simulation/WaitingTest.java
+++ b/src/test/java/fennelthread/simulation/WaitingTest.java
@@ -68,7 +68,8 @@
     c.submit(other);
     long tookMs = beginsAfterMs(c, other);
     assertTrue(tookMs > 30_000, "did not stand back, began after " + tookMs + " ms");
-    assertTrue(tookMs < SimulationConstants.STARTED_WITHIN_MS, "began after " + tookMs + " ms");
+    assertTrue(
+        tookMs < SimulationConstants.MAX_IDLE_CAPACITY_WAIT_MS, "began after " + tookMs + " ms");
     assertEquals(0, c.rules.running(stuck.id()));
   }
 
@@ -101,7 +102,8 @@
     c.submit(small);
     long tookMs = beginsAfterMs(c, small);
     assertTrue(tookMs > 30_000, "did not stand back, began after " + tookMs + " ms");
-    assertTrue(tookMs < SimulationConstants.STARTED_WITHIN_MS, "began after " + tookMs + " ms");
+    assertTrue(
+        tookMs < SimulationConstants.MAX_IDLE_CAPACITY_WAIT_MS, "began after " + tookMs + " ms");
     Scenes.until(c, 100_000, () -> c.rules.allCompleted(small.id()));
     assertTrue(c.rules.allCompleted(small.id()), "the small job is done");
     assertEquals(0, c.rules.running(largest.id()));
--- a/src/test/java/fennelthread/simulation/WorstMinuteTest.java
+++ b/src/test/java/fennelthread/simulation/WorstMinuteTest.java
@@ -17,12 +17,14 @@
   private static final double TASK_S = 25;
   private static final long STEP_MS = 5_000;
   private static final int STEPS = 24;
-  private static final Settings.State ROOMY = new Settings.State(20_000, 20_000, 16 * 1024, 12);
+  private static final Settings.StateLimits ROOMY =
+      new Settings.StateLimits(20_000, 20_000, 16 * 1024, 12);
 
   /** What the largest fleet site has for a region. */
-  private static final Settings.State TODAY = new Settings.State(800, 250, 16 * 1024, 12);
+  private static final Settings.StateLimits TODAY =
+      new Settings.StateLimits(800, 250, 16 * 1024, 12);
 
-  private static ScaledCell atThePeak(Settings.State limits) {
+  private static ScaledCell atThePeak(Settings.StateLimits limits) {
     ScaledCell cell = new ScaledCell(ScaledCell.Shape.of(WORKERS).withLimits(limits), 7);
     cell.run(20_000);
     cell.repeat(STARTS_PER_SECOND / JOB, 240_000, () -> cell.submit(cell.array(JOB, TASK_S)));
@@ -63,7 +65,7 @@
 
   @Test
   void theLeaderEnds() {
-    for (Settings.State limits : List.of(ROOMY, TODAY)) {
+    for (Settings.StateLimits limits : List.of(ROOMY, TODAY)) {
       ScaledCell cell = atThePeak(limits);
       cell.processes.get(cell.leader()).kill();
       follow("leader ended, " + limits.writeRps() + " changes a second", cell);
--- a/src/test/java/fennelthread/wire/CodecTest.java
+++ b/src/test/java/fennelthread/wire/CodecTest.java
@@ -121,8 +121,8 @@
     assertEquals(2, report.session());
     assertEquals(17.5, report.noticeS());
     assertEquals(new TaskRef("job-000777", 3), report.tasks().get(0).ref());
-    assertEquals(WorkerReport.Motive.HALTED, report.tasks().get(1).motive());
-    assertEquals(WorkerReport.Motive.OTHER, report.tasks().get(2).motive());
+    assertEquals(WorkerReport.EndReason.HALTED, report.tasks().get(1).endReason());
+    assertEquals(WorkerReport.EndReason.OTHER, report.tasks().get(2).endReason());
     WorkerReport again = WorkerReport.read(Codec.CBOR.decode(Codec.CBOR.encode(report.write())));
     assertEquals(report.tasks().subList(0, 2), again.tasks().subList(0, 2));
   }
