--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -11,8 +11,9 @@
 
 /**
  * Routes workers' reports: to the term of this controller if it leads, and to {@link
- * FollowerReportHandler} otherwise. A duplicate of an earlier report is answered with a redirect
- * and has no other effect. Used on the event loop's thread only.
+ * FollowerReportHandler} otherwise. A stale report, which is a duplicate or older than the newest
+ * one of its machine, is answered with a redirect and has no other effect. Used on the event loop's
+ * thread only.
  */
 public final class ReportRouter {
   private final EventLoop eventLoop;
@@ -22,7 +23,7 @@
   private final WorkerReachability reachability;
   private final CommandSender commands;
   private final FollowerReportHandler follower;
-  private final StaleReportFilter order = new StaleReportFilter();
+  private final StaleReportFilter staleReports = new StaleReportFilter();
 
   /**
    * Creates the router of one controller.
@@ -49,8 +50,8 @@
 
   /** Answers a report that a worker sent to this controller; {@code reply} may be called later. */
   public void handle(WorkerReport report, Consumer<Answer> reply) {
-    if (order.rejects(report)) {
-      // The worker no longer waits for an answer to a duplicate, and its content is out of date.
+    if (staleReports.rejects(report)) {
+      // The worker no longer waits for this answer, and the report's content is out of date.
       reply.accept(FollowerReportHandler.redirectToNext());
       return;
     }
@@ -72,7 +73,7 @@
    */
   public Answer handleRelayed(WorkerReport report, long epoch, String peer) {
     lease.observeEpoch(epoch);
-    boolean isAccepted = epoch == lease.epoch() && !order.rejects(report);
+    boolean isAccepted = epoch == lease.epoch() && !staleReports.rejects(report);
     return isAccepted ? term.answer(report, peer) : null;
   }
 }
