--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -13,7 +13,7 @@
   /** The phases of an attempt. In all but ENDED and GONE it counts as present on the machine. */
   public enum Phase {
     /** Its start record is being committed; the start has not been sent. */
-    RECORDED,
+    CREATED,
     /** No connection was free for the start: it is sent with the answer to the next report. */
     DEFERRED,
     /** The start was sent; the worker has neither answered it nor reported the attempt yet. */
@@ -83,11 +83,11 @@
 
   private boolean mayTransitionTo(Phase next) {
     return switch (phase) {
-      case RECORDED, DEFERRED -> next == Phase.SENT || next == Phase.GONE;
-      case SENT -> next != Phase.RECORDED && next != Phase.SENT;
+      case CREATED, DEFERRED -> next == Phase.SENT || next == Phase.GONE;
+      case SENT -> next != Phase.CREATED && next != Phase.SENT;
       case GONE -> false;
       case ENDED -> next == Phase.ENDED || next == Phase.GONE;
-      default -> next != Phase.RECORDED && next != Phase.DEFERRED && next != Phase.SENT;
+      default -> next != Phase.CREATED && next != Phase.DEFERRED && next != Phase.SENT;
     };
   }
 
--- a/src/main/java/fennelthread/fleet/AttemptReconciler.java
+++ b/src/main/java/fennelthread/fleet/AttemptReconciler.java
@@ -82,7 +82,7 @@
       discovered.add(attempt);
     }
     attempt.markSeenIn(reportNumber);
-    if (attempt.phase() == Attempt.Phase.RECORDED || attempt.phase() == Attempt.Phase.DEFERRED) {
+    if (attempt.phase() == Attempt.Phase.CREATED || attempt.phase() == Attempt.Phase.DEFERRED) {
       return;
     }
     boolean wasEnded = attempt.phase() == Attempt.Phase.ENDED;
@@ -114,7 +114,7 @@
    * refuse the start.
    */
   private boolean mayStillStart(Attempt attempt) {
-    return attempt.phase() == Attempt.Phase.RECORDED
+    return attempt.phase() == Attempt.Phase.CREATED
         || attempt.phase() == Attempt.Phase.DEFERRED
         || report.token() <= attempt.token();
   }
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -191,14 +191,14 @@
     StartRecord.Start start =
         StartRecord.Start.of(spec, taskIndex, number, machine.name(), machine.session());
     long token = machine.currentToken(context.epoch());
-    Attempt attempt = new Attempt(machine, start, Attempt.Phase.RECORDED, token, context.nowMs());
+    Attempt attempt = new Attempt(machine, start, Attempt.Phase.CREATED, token, context.nowMs());
     machine.addAttempt(attempt);
     return attempt;
   }
 
   /** Removes an attempt if no start was sent for it; does nothing otherwise. */
   public void discardUnsent(Machine machine, Attempt attempt) {
-    if (attempt.phase() == Attempt.Phase.RECORDED) {
+    if (attempt.phase() == Attempt.Phase.CREATED) {
       attempt.transitionTo(Attempt.Phase.GONE);
       machine.removeAttempt(attempt);
     }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -64,7 +64,7 @@
     } else {
       totals.fetchingImages.add(spec.image());
     }
-    if (attempt.phase() != Attempt.Phase.RECORDED
+    if (attempt.phase() != Attempt.Phase.CREATED
         && attempt.phase() != Attempt.Phase.DEFERRED
         && attempt.phase() != Attempt.Phase.SENT) {
       totals.running.add(runningTask(machine, attempt, activeJob, term.runTimes()));
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -111,7 +111,7 @@
   }
 
   private void send(Machine machine, List<Attempt> attempts) {
-    attempts.removeIf(attempt -> attempt.phase() != Attempt.Phase.RECORDED);
+    attempts.removeIf(attempt -> attempt.phase() != Attempt.Phase.CREATED);
     for (Attempt attempt : List.copyOf(attempts)) {
       if (activeJobs.jobOf(attempt) == null) {
         fleet.discardUnsent(machine, attempt);
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -60,7 +60,8 @@
     comers.values().removeIf(at -> now - at > RelayConstants.NOTICE_VALIDITY_MS);
     if (writing
         || comers.size()
-            < Math.max(RelayConstants.MIN_NOTICE_WORKERS, known * RelayConstants.MIN_NOTICE_WORKER_SHARE)
+            < Math.max(
+                RelayConstants.MIN_NOTICE_WORKERS, known * RelayConstants.MIN_NOTICE_WORKER_SHARE)
         || now - writtenAtMs < RelayConstants.MIN_NOTICE_INTERVAL_MS) {
       return;
     }
--- a/src/main/java/fennelthread/relay/WorkerReachability.java
+++ b/src/main/java/fennelthread/relay/WorkerReachability.java
@@ -80,8 +80,10 @@
     long silentMs = nowMs - heardAtMs;
     double due = (double) workers * silentMs / reportMs;
     boolean allMissed =
-        workers >= RelayConstants.MIN_SILENT_WORKERS && silentMs > reportMs * RelayConstants.UNREACHABLE_REPORT_INTERVALS;
-    if (silentMs < RelayConstants.MIN_UNREACHABLE_SILENCE_MS || (due < RelayConstants.MIN_MISSING_REPORTS && !allMissed)) {
+        workers >= RelayConstants.MIN_SILENT_WORKERS
+            && silentMs > reportMs * RelayConstants.UNREACHABLE_REPORT_INTERVALS;
+    if (silentMs < RelayConstants.MIN_UNREACHABLE_SILENCE_MS
+        || (due < RelayConstants.MIN_MISSING_REPORTS && !allMissed)) {
       return false;
     }
     // Ears that close again soon after they opened are believed later the next time.
