--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -327,7 +327,7 @@
           lease.highestEpoch(),
           lease.isLeading(),
           eventLoop.nowMs() - records.state().lastServedAtMs(),
-          workers.recentReporters(),
+          workers.recentReporterCount(),
           lease.isLeading() && reachability.areWorkersUnreachable());
     }
 
--- a/src/main/java/fennelthread/control/KnownWorkers.java
+++ b/src/main/java/fennelthread/control/KnownWorkers.java
@@ -44,7 +44,7 @@
   }
 
   /** The number of workers that have recently reported to this controller. */
-  public int recentReporters() {
+  public int recentReporterCount() {
     return reportedAtMs.size();
   }
 
