--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -45,8 +45,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller process: creates the subsystems, connects them to one another and starts them. It
- * holds no logic of its own beyond that. Everything runs on the event loop's thread.
+ * One controller process: creates the subsystems, connects them to one another and starts them.
+ * Everything runs on the event loop's thread.
  */
 public final class Controller {
   private static final Logger log = LoggerFactory.getLogger(Controller.class);
@@ -255,7 +255,7 @@
 
   // ---------------------------------------------------------------- leadership
 
-  /** What this controller knows about its peers that its leader lease depends on. */
+  /** Derives from the peers' heartbeats and promises what the leader lease depends on. */
   private final class PeerHeartbeatKnowledge implements PeerKnowledge {
     @Override
     public boolean excludesOtherLeader() {
@@ -306,8 +306,8 @@
   }
 
   /**
-   * Since when no other controller can have answered a worker's report, ms of the local clock;
-   * {@code Long.MAX_VALUE} while one may still do so.
+   * The time since which no other controller can have answered a worker's report, ms of the local
+   * clock; {@code Long.MAX_VALUE} while one may still answer.
    */
   private long othersSilentSinceMs(long epoch, long electedAtMs) {
     return Math.max(
@@ -346,9 +346,7 @@
     }
   }
 
-  /**
-   * Tells the follower's renewal of worker leases whether this controller leads, and its epochs.
-   */
+  /** Supplies the leadership state and the epochs that the follower's lease renewal depends on. */
   private final class LeaderLeaseStatus implements LeadershipStatus {
     @Override
     public boolean isLeading() {
--- a/src/main/java/fennelthread/ReplicatedRecords.java
+++ b/src/main/java/fennelthread/ReplicatedRecords.java
@@ -28,7 +28,7 @@
     Settings.WorkerTiming workers = settings.workers();
     this.cancellations =
         new CancellationLog(eventLoop, 2 * (workers.cancelMs() + workers.leaseMs()));
-    table.addListener(new RemovedJobs());
+    table.addListener(new RemovalListener());
     this.store =
         new JobStore(eventLoop, state, replica, table, settings, cancellations::recordDisclosable);
   }
@@ -48,7 +48,7 @@
     return table;
   }
 
-  /** The jobs that are known to be done or cancelled, even if their records do not show it yet. */
+  /** The jobs known to have ended recently, even if their records do not show it yet. */
   CancellationLog cancellations() {
     return cancellations;
   }
@@ -64,7 +64,7 @@
   }
 
   /** Enters jobs into the cancellation log as ended once their records are removed. */
-  private final class RemovedJobs implements JobTable.Listener {
+  private final class RemovalListener implements JobTable.Listener {
     @Override
     public void onJobAdded(Job job) {}
 
--- a/src/main/java/fennelthread/leader/ActiveJob.java
+++ b/src/main/java/fennelthread/leader/ActiveJob.java
@@ -60,14 +60,14 @@
   // ---------------------------------------------------------------- release and priority
 
   /**
-   * Releases a waiting job; there is no way back.
+   * Releases a waiting job; a released job never waits again.
    *
    * @param order its place among the released jobs of the term
    * @param wallMs the time of day at which it stopped waiting for other jobs, ms
    */
   void release(long order, long wallMs) {
     if (phase != Phase.WAITING) {
-      throw new IllegalStateException(id() + " is released already");
+      throw new IllegalStateException("job " + id() + " is already released");
     }
     phase = Phase.RELEASED;
     releaseOrder = order;
@@ -115,22 +115,25 @@
    */
   void attach(Attempt attempt) {
     int task = attempt.start().task().index();
-    List<Attempt> ofTask = attempts.computeIfAbsent(task, k -> new ArrayList<>(1));
-    if (!ofTask.contains(attempt)) {
-      ofTask.add(attempt);
+    List<Attempt> attemptsOfTask = attempts.computeIfAbsent(task, k -> new ArrayList<>(1));
+    if (!attemptsOfTask.contains(attempt)) {
+      attemptsOfTask.add(attempt);
     }
     idle.clear(task);
   }
 
-  /** Removes an attempt that is on no machine, which makes its task idle unless it is finished. */
+  /**
+   * Removes an attempt that is on no machine; its task becomes idle unless it is finished or has
+   * other attempts.
+   */
   void detach(Attempt attempt) {
     int task = attempt.start().task().index();
-    List<Attempt> ofTask = attempts.get(task);
-    if (ofTask == null) {
+    List<Attempt> attemptsOfTask = attempts.get(task);
+    if (attemptsOfTask == null) {
       return;
     }
-    ofTask.remove(attempt);
-    if (ofTask.isEmpty()) {
+    attemptsOfTask.remove(attempt);
+    if (attemptsOfTask.isEmpty()) {
       attempts.remove(task);
       if (task < job.spec().tasks() && !finished.get(task)) {
         idle.set(task);
@@ -143,11 +146,14 @@
     return attempts;
   }
 
-  /** The attempt that has run longest, else one that is about to run; null if there is none. */
+  /**
+   * Among the attempts without a stop request, the one that has run longest, or the one with the
+   * lowest number if none runs yet; null if there is none.
+   */
   Attempt longestRunningAttempt() {
     Attempt longest = null;
-    for (List<Attempt> ofTask : attempts.values()) {
-      for (Attempt attempt : ofTask) {
+    for (List<Attempt> attemptsOfTask : attempts.values()) {
+      for (Attempt attempt : attemptsOfTask) {
         if (!attempt.isStopRequested() && (longest == null || hasRunLonger(attempt, longest))) {
           longest = attempt;
         }
--- a/src/main/java/fennelthread/leader/ClaimSchedule.java
+++ b/src/main/java/fennelthread/leader/ClaimSchedule.java
@@ -11,7 +11,7 @@
  * the lease of an earlier process of the same member, instead of waiting for its expiry.
  */
 final class ClaimSchedule {
-  /** Submits the claims that are scheduled here. */
+  /** Submits the claims that are due, and checks for a vacancy. */
   interface Claimant {
     /** Called when a scheduled claim is due; the leadership may have been taken meanwhile. */
     void onClaimDue();
@@ -42,8 +42,8 @@
     this.claimant = claimant;
   }
 
-  /** Delays claims until {@code pauseMs} from now. */
-  void pauseFor(long pauseMs) {
+  /** Schedules no claim earlier than {@code pauseMs} from now. */
+  void postponeClaims(long pauseMs) {
     earliestClaimMs = eventLoop.nowMs() + pauseMs;
   }
 
@@ -62,13 +62,13 @@
         });
   }
 
-  /** Checks again after a fixed pause whether the leadership is vacant. */
-  void retryAfter(long pauseMs) {
+  /** Checks after {@code pauseMs} whether the leadership is vacant. */
+  void recheckVacancyAfter(long pauseMs) {
     eventLoop.after(pauseMs, claimant::claimIfVacant);
   }
 
   /** Revokes the leader's lease if it is held by an earlier process of this member. */
-  void revokeIfPredecessor(LeaderRecord leader) {
+  void revokePredecessorLease(LeaderRecord leader) {
     if (isRevoking || !leader.member().equals(member) || leader.incarnation().equals(incarnation)) {
       return;
     }
@@ -86,7 +86,7 @@
         revocation -> {
           isRevoking = false;
           if (!revocation.isConfirmed()) {
-            retryAfter(ProtocolConstants.STATE_RETRY_DELAY_MS);
+            recheckVacancyAfter(ProtocolConstants.STATE_RETRY_DELAY_MS);
           }
         });
   }
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -35,7 +35,7 @@
   private enum Phase {
     /** Nothing is due. */
     IDLE,
-    /** A job is done and waits a moment for others to share its write. */
+    /** A job is done; the write is delayed so that other jobs can share it. */
     GATHERING,
     /** A transaction is being written. */
     WRITING,
@@ -47,11 +47,15 @@
    * One transaction.
    *
    * @param number counts this writer's transactions: only the answer to the last one is awaited
-   * @param storedTasks per job all finished tasks that the state service holds once it is applied
-   * @param ends the final records in it, by job
+   * @param storedTasks all finished tasks that the state service holds once the transaction is
+   *     applied, by job
+   * @param finalRecords the final records in the transaction, by job id
    */
   private record Batch(
-      long number, Txn txn, Map<ActiveJob, BitSet> storedTasks, Map<String, FinalRecord> ends) {}
+      long number,
+      Txn txn,
+      Map<ActiveJob, BitSet> storedTasks,
+      Map<String, FinalRecord> finalRecords) {}
 
   private final EventLoop eventLoop;
   private final StateClient state;
@@ -61,7 +65,7 @@
   private final JobStore store;
   private final ActiveJobs activeJobs;
   private final RoundTrigger rounds;
-  private final Set<ActiveJob> unstored = new LinkedHashSet<>();
+  private final Set<ActiveJob> unstoredJobs = new LinkedHashSet<>();
   private Phase phase = Phase.IDLE;
   private long lastTasksWriteMs;
   private long lastBatchNumber;
@@ -95,7 +99,7 @@
 
   /** Adds a job with a newly finished task. */
   void add(ActiveJob activeJob) {
-    unstored.add(activeJob);
+    unstoredJobs.add(activeJob);
     if (activeJob.unfinishedCount() == 0 && phase == Phase.IDLE) {
       // The job's user waits for its completion; finished tasks of other jobs can wait to be
       // batched.
@@ -112,7 +116,7 @@
 
   /** Removes a job that is done or cancelled: its finished tasks need not be stored. */
   void remove(ActiveJob activeJob) {
-    unstored.remove(activeJob);
+    unstoredJobs.remove(activeJob);
   }
 
   /** Writes what is due, unless a write is in flight or about to begin. */
@@ -127,7 +131,7 @@
         new Batch(
             lastBatchNumber + 1, lease.fencedTxn(), new LinkedHashMap<>(), new LinkedHashMap<>());
     addDoneJobs(batch);
-    if (batch.ends().isEmpty()
+    if (batch.finalRecords().isEmpty()
         && eventLoop.nowMs() - lastTasksWriteMs
             >= LeaderConstants.FINISHED_TASKS_FLUSH_INTERVAL_MS) {
       addFinishedTasks(batch);
@@ -139,28 +143,28 @@
     transitionTo(Phase.WRITING);
     lastBatchNumber = batch.number();
     state.submitTxn(
-        batch.ends().isEmpty() ? RequestPriority.MAINTENANCE : RequestPriority.SCHEDULING,
+        batch.finalRecords().isEmpty() ? RequestPriority.MAINTENANCE : RequestPriority.SCHEDULING,
         batch.txn(),
         () -> onAnswerOverdue(batch),
         result -> onAnswered(batch, result));
   }
 
   private void addDoneJobs(Batch batch) {
-    for (ActiveJob activeJob : unstored) {
+    for (ActiveJob activeJob : unstoredJobs) {
       if (activeJob.unfinishedCount() == 0
           && batch.txn().changeCount() + JobConstants.CHANGES_PER_FINAL_RECORD
               <= limits.maxTxnChanges()) {
         Job job = activeJob.job();
         FinalRecord end = new FinalRecord(JobState.DONE, job.spec().tasks(), eventLoop.wallMs());
         JobStore.addFinalRecord(batch.txn(), job, end);
-        batch.ends().put(activeJob.id(), end);
+        batch.finalRecords().put(activeJob.id(), end);
       }
     }
   }
 
   private void addFinishedTasks(Batch batch) {
     boolean allFit = true;
-    for (ActiveJob activeJob : unstored) {
+    for (ActiveJob activeJob : unstoredJobs) {
       allFit &= addFinishedTasks(activeJob, batch);
     }
     if (allFit) {
@@ -172,7 +176,7 @@
   private boolean addFinishedTasks(ActiveJob activeJob, Batch batch) {
     Txn txn = batch.txn();
     Job job = activeJob.job();
-    BitSet covered = job.finishedTasks().get(0, job.spec().tasks());
+    BitSet storedTasks = job.finishedTasks().get(0, job.spec().tasks());
     boolean allFit = true;
     boolean anyAdded = false;
     for (int chunk : activeJob.unstoredChunks()) {
@@ -189,11 +193,11 @@
           .write(
               key,
               FinishedTasksCodec.encode(
-                  chunk, activeJob.finishedTasks(), limits.maxValueBytes(), covered));
+                  chunk, activeJob.finishedTasks(), limits.maxValueBytes(), storedTasks));
     }
     if (anyAdded) {
       txn.requireRevision(Keys.job(activeJob.id()), job.revision());
-      batch.storedTasks().put(activeJob, covered);
+      batch.storedTasks().put(activeJob, storedTasks);
     }
     return allFit;
   }
@@ -203,9 +207,9 @@
   }
 
   /**
-   * Stops awaiting an overdue answer, so that the completions of other jobs are not delayed. If the
-   * transaction was applied, the replica shows its jobs as over by now; if not, they are written
-   * again under the same conditions.
+   * Stops awaiting an overdue answer, so that the completions of other jobs are not delayed. The
+   * transaction's jobs are written again under the same conditions, unless the replica already
+   * shows that they are over.
    */
   private void onAnswerOverdue(Batch batch) {
     if (isAwaited(batch)) {
@@ -228,7 +232,7 @@
       lease.onTxnRejected(result);
       if (result instanceof TxnResult.Conflict conflict) {
         // A cancelled job no longer has a record: its finished tasks need not be stored.
-        unstored.removeIf(job -> conflict.failed().contains(Keys.job(job.id())));
+        unstoredJobs.removeIf(job -> conflict.failed().contains(Keys.job(job.id())));
       }
       if (isAwaited) {
         eventLoop.after(ProtocolConstants.STATE_RETRY_DELAY_MS, this::writeIfIdle);
@@ -243,11 +247,11 @@
             (activeJob, tasks) -> {
               activeJob.markStored(tasks);
               if (!activeJob.hasUnstoredChunks()) {
-                unstored.remove(activeJob);
+                unstoredJobs.remove(activeJob);
               }
             });
-    store.onJobsFinal(batch.txn(), revision, batch.ends());
-    batch.ends().keySet().forEach(id -> unstored.remove(activeJobs.remove(id)));
+    store.onJobsFinal(batch.txn(), revision, batch.finalRecords());
+    batch.finalRecords().keySet().forEach(id -> unstoredJobs.remove(activeJobs.remove(id)));
     writeIfIdle();
     rounds.requestRound();
   }
--- a/src/main/java/fennelthread/leader/EpochRecord.java
+++ b/src/main/java/fennelthread/leader/EpochRecord.java
@@ -11,10 +11,13 @@
  * @param epoch the highest epoch claimed
  * @param unboundedEpoch the last epoch, at or before this one, whose leader may answer workers'
  *     reports for an unbounded time after it was replaced; 0 if there is none, {@link
- *     LeaderConstants#UNKNOWN_EPOCH} if the record can't be read in this respect
+ *     LeaderConstants#UNKNOWN_EPOCH} if the stored fields for it can't be read
  */
 record EpochRecord(long epoch, long unboundedEpoch) {
-  /** The stored form. A leader of this version bounds its own answers, which the flag says. */
+  /**
+   * The stored form. Its {@code keeps} flag states that the leader of this epoch stops answering
+   * reports within a bounded time after it is replaced.
+   */
   Fields encode() {
     return Fields.create()
         .with("epoch", epoch)
@@ -22,7 +25,7 @@
         .with("unbounded", unboundedEpoch);
   }
 
-  /** Reads the stored form; fails only if the epoch itself is missing or no number. */
+  /** Reads the stored form; fails only if the epoch itself is missing or not a number. */
   static EpochRecord decode(Fields stored) throws WireException {
     return new EpochRecord(stored.count("epoch"), unboundedEpochOf(stored));
   }
--- a/src/main/java/fennelthread/leader/FleetEnvironment.java
+++ b/src/main/java/fennelthread/leader/FleetEnvironment.java
@@ -7,8 +7,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The dependencies with which a term rents machines, reaches their workers and judges whether zones
- * and workers' leases have failed.
+ * The dependencies with which a term rents machines, reaches their workers, and decides whether
+ * zones have failed and workers' leases have expired.
  *
  * @param cloud the client of the provider that machines are rented from
  * @param machineTypes the types of machines it offers
--- a/src/main/java/fennelthread/leader/JobUrgency.java
+++ b/src/main/java/fennelthread/leader/JobUrgency.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * Computes how urgent a released job is now: its slack, its remaining work, and when and with which
- * priority it may preempt. {@code expectedS} is the time that one of its tasks is expected to run,
- * s.
+ * Computes how urgent a released job is: its slack, its remaining work, and when and with which
+ * priority it may preempt. The parameter {@code expectedS} is the expected run time of one of its
+ * tasks, s.
  */
 final class JobUrgency {
   private final EventLoop eventLoop;
@@ -28,9 +28,10 @@
   }
 
   /**
-   * The work of {@code tasks} pending tasks, CPU seconds, with exponential decay while the job
-   * waits. The decay prevents starvation: the work of a waiting job eventually falls below that of
-   * any new one, so that it does not stay behind smaller jobs for ever.
+   * The work of {@code tasks} pending tasks, CPU seconds, halved for every {@link
+   * LeaderConstants#WORK_HALF_LIFE_MS} that the job waits beyond {@link
+   * LeaderConstants#WORK_DECAY_DELAY_MS}. The decay prevents starvation: the work of a waiting job
+   * eventually falls below that of any new one, so that smaller jobs do not overtake it forever.
    */
   double remainingWork(ActiveJob activeJob, int tasks, double expectedS) {
     double work = tasks * Math.max(0.1, activeJob.job().spec().cpus()) * Math.max(1, expectedS);
@@ -50,8 +51,9 @@
   }
 
   /**
-   * The priority with which a job may preempt others. An inherited priority counts only once little
-   * is left of the slack that the job had at its release for its dependents' deadlines.
+   * The priority with which a job may preempt others. If the job's dependents have a deadline,
+   * their priority counts only after the job has used {@link
+   * LeaderConstants#INHERITED_PRIORITY_SLACK_SHARE} of the slack that it had at its release.
    */
   Priority preemptionPriority(ActiveJob activeJob, double expectedS) {
     InheritedPriority inherited = activeJob.inheritedPriority();
@@ -69,8 +71,9 @@
   /**
    * The time, s, until a task must start for the job to be done by the next due time it can still
    * meet; due times follow from its deadline, the objectives and its dependents' deadlines.
-   * Negative if it is too late for all of them. A job that has been late for long has unlimited
-   * slack again, since it must not wait for ever.
+   * Negative if it is too late for all of them: late jobs are placed after others. A job whose age
+   * is more than {@link LeaderConstants#MAX_LATENESS_FACTOR} times its last due time has unlimited
+   * slack and no longer counts as late, so that it does not wait forever.
    */
   double slackS(ActiveJob activeJob, double expectedS) {
     if (activeJob.job().spec().service()) {
@@ -97,9 +100,9 @@
   private List<Double> dueTimesS(ActiveJob activeJob) {
     JobSpec spec = activeJob.job().spec();
     long acceptedMs = activeJob.job().acceptedWallMs();
-    double waitedS = (activeJob.releasedWallMs() - acceptedMs) / 1000.0;
+    double dependencyWaitS = (activeJob.releasedWallMs() - acceptedMs) / 1000.0;
     List<Double> dueTimesS =
-        settings.completionTargetsS(spec.jobClass(), spec.deadlineS(), waitedS);
+        settings.completionTargetsS(spec.jobClass(), spec.deadlineS(), dependencyWaitS);
     InheritedPriority inherited = activeJob.inheritedPriority();
     if (inherited != null && inherited.dueMs() > 0) {
       dueTimesS.add((inherited.dueMs() - acceptedMs) / 1000.0);
--- a/src/main/java/fennelthread/leader/LeaderLease.java
+++ b/src/main/java/fennelthread/leader/LeaderLease.java
@@ -36,7 +36,7 @@
     LEADING
   }
 
-  /** Is notified when this controller begins and ceases to lead. */
+  /** Receives changes of this controller's leadership. */
   public interface Listener {
     /** The claim of {@code epoch} was applied at the state service, but not yet to the replica. */
     void onElected(long epoch);
@@ -82,7 +82,7 @@
     this.peers = peers;
     this.listener = listener;
     this.member = settings.member();
-    this.schedule = new ClaimSchedule(eventLoop, state, member, incarnation, new VacancyClaim());
+    this.schedule = new ClaimSchedule(eventLoop, state, member, incarnation, new VacancyClaimant());
     this.claim = new LeadershipClaim(eventLoop, state, replica, member, incarnation);
     this.renewal = new LeaderLeaseRenewer(eventLoop, state, settings, options, new RenewalOwner());
     replica.addListener(this::onRecordChanged);
@@ -142,7 +142,7 @@
     return phase == Phase.LEADING ? epoch : records.leader().map(LeaderRecord::epoch).orElse(0L);
   }
 
-  /** The highest epoch in the replica, 0 before the first. */
+  /** The epoch in the replica's epoch record; 0 before the first or if it can't be read. */
   public long recordedEpoch() {
     return records.recordedEpoch();
   }
@@ -173,7 +173,7 @@
   }
 
   /** Describes a rejected transaction for the log. */
-  static String describe(TxnResult result) {
+  static String describeRejection(TxnResult result) {
     if (result instanceof TxnResult.Conflict conflict) {
       return "conflict on " + String.join(" ", conflict.failed());
     }
@@ -220,13 +220,13 @@
     if (phase != Phase.LEADING) {
       return;
     }
-    schedule.pauseFor(pauseMs);
+    schedule.postponeClaims(pauseMs);
     renewal.invalidate();
     long heldLeaseId = renewal.storeLeaseId();
     transitionTo(Phase.FOLLOWING, reason);
     state.revokeLease(heldLeaseId, revocation -> {});
     listener.onSteppedDown(reason);
-    schedule.retryAfter(pauseMs + ProtocolConstants.STATE_RETRY_DELAY_MS);
+    schedule.recheckVacancyAfter(pauseMs + ProtocolConstants.STATE_RETRY_DELAY_MS);
   }
 
   /**
@@ -241,7 +241,7 @@
       records
           .leader()
           .ifPresentOrElse(
-              schedule::revokeIfPredecessor,
+              schedule::revokePredecessorLease,
               () -> log.error("record unreadable key={}", Keys.LEADER));
     } else {
       schedule.scheduleClaim();
@@ -264,7 +264,8 @@
   }
 
   /**
-   * Claims the leadership from a silent leader whose lease has not expired.
+   * Claims the leadership from a silent leader whose lease has not expired; does nothing if the
+   * takeover is not possible or a higher epoch was observed.
    *
    * @param fromEpoch the leader's epoch, which a majority has agreed to end
    * @param unilateralRevision the revision that the leader's declaration of unilateral leadership
@@ -286,7 +287,7 @@
     claim.submit(
         renewal.storeTtlMs(),
         conditions,
-        new NextEpoch(),
+        new ClaimEpochs(),
         outcome -> {
           if (outcome instanceof LeadershipClaim.Outcome.Committed committed) {
             onClaimCommitted(committed, sentAtMs);
@@ -296,7 +297,7 @@
         });
   }
 
-  private final class VacancyClaim implements ClaimSchedule.Claimant {
+  private final class VacancyClaimant implements ClaimSchedule.Claimant {
     @Override
     public void onClaimDue() {
       if (phase == Phase.FOLLOWING && replica.isReady() && !records.hasLeader()) {
@@ -310,7 +311,7 @@
     }
   }
 
-  private final class NextEpoch implements LeadershipClaim.EpochSource {
+  private final class ClaimEpochs implements LeadershipClaim.EpochSource {
     @Override
     public long nextEpoch() {
       return highestEpoch + 1;
@@ -327,7 +328,7 @@
 
   private void onClaimFailed(String reason) {
     transitionTo(Phase.FOLLOWING, reason);
-    schedule.retryAfter(
+    schedule.recheckVacancyAfter(
         (long) (ProtocolConstants.STATE_RETRY_DELAY_MS * (0.5 + eventLoop.random().nextDouble())));
   }
 
@@ -343,7 +344,7 @@
     replica.applyCommitted(committed.txn(), committed.epochRevision());
     // The listener, or a change that reached the replica, may have ended the term already.
     if (isLeadingUnder(claimedEpoch)) {
-      renewal.scheduleFirst(claimedEpoch);
+      renewal.scheduleFirstRenewal(claimedEpoch);
     }
   }
 
--- a/src/main/java/fennelthread/leader/LeaderLeaseRenewer.java
+++ b/src/main/java/fennelthread/leader/LeaderLeaseRenewer.java
@@ -15,7 +15,7 @@
  * request takes.
  */
 final class LeaderLeaseRenewer {
-  /** The leadership whose lease is renewed. */
+  /** Decides whether the lease is renewed further, and handles its expiry. */
   interface Owner {
     /** True if this controller leads under the epoch; renewals stop if it does not. */
     boolean isLeadingUnder(long epoch);
@@ -80,11 +80,11 @@
   }
 
   /** Schedules the first renewal; others follow while the owner leads under the epoch. */
-  void scheduleFirst(long epoch) {
-    schedule(epoch, storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE);
+  void scheduleFirstRenewal(long epoch) {
+    scheduleRenewal(epoch, storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE);
   }
 
-  private void schedule(long epoch, long delayMs) {
+  private void scheduleRenewal(long epoch, long delayMs) {
     eventLoop.after(delayMs, () -> renew(epoch));
   }
 
@@ -113,6 +113,6 @@
             ? storeTtlMs / LeaderConstants.RENEWALS_PER_STORE_LEASE
             : ProtocolConstants.STATE_RETRY_DELAY_MS / 2;
     long spentMs = eventLoop.nowMs() - sentAtMs;
-    schedule(epoch, Math.max(LeaderConstants.MIN_RENEWAL_PAUSE_MS, intervalMs - spentMs));
+    scheduleRenewal(epoch, Math.max(LeaderConstants.MIN_RENEWAL_PAUSE_MS, intervalMs - spentMs));
   }
 }
--- a/src/main/java/fennelthread/leader/LeaderRecord.java
+++ b/src/main/java/fennelthread/leader/LeaderRecord.java
@@ -11,8 +11,8 @@
  * @param incarnation distinguishes the leading process from earlier processes of the same member
  * @param epoch the epoch that it claimed
  * @param storeLeaseId the lease at the state service that the record is bound to
- * @param honorsPromises true if the leader's version starts tasks only while its peers' promises
- *     back it, so that a majority of them may replace it before its lease expires
+ * @param honorsPromises true if the leader's version starts tasks only while it holds its peers'
+ *     promises, so that a majority of the members may replace it before its lease expires
  * @param claimedAtWallMs the time of day of the claim by the leader's clock, ms; 0 if the record
  *     does not say
  */
--- a/src/main/java/fennelthread/leader/LeadershipClaim.java
+++ b/src/main/java/fennelthread/leader/LeadershipClaim.java
@@ -70,15 +70,15 @@
 
   private void commit(
       long storeLeaseId, Txn conditions, EpochSource epochs, Consumer<Outcome> done) {
-    EpochRecord epoch = new EpochRecord(epochs.nextEpoch(), epochs.unboundedEpoch());
-    LeaderRecord leader =
+    EpochRecord epochRecord = new EpochRecord(epochs.nextEpoch(), epochs.unboundedEpoch());
+    LeaderRecord leaderRecord =
         new LeaderRecord(
-            member, incarnation, epoch.epoch(), storeLeaseId, true, eventLoop.wallMs());
+            member, incarnation, epochRecord.epoch(), storeLeaseId, true, eventLoop.wallMs());
     Txn txn =
         conditions
             .requireRevision(Keys.EPOCH, replica.revisionOf(Keys.EPOCH))
-            .writeWithLease(Keys.LEADER, leader.encode(), storeLeaseId)
-            .write(Keys.EPOCH, epoch.encode());
+            .writeWithLease(Keys.LEADER, leaderRecord.encode(), storeLeaseId)
+            .write(Keys.EPOCH, epochRecord.encode());
     state.submitTxn(
         RequestPriority.INTERACTIVE,
         txn,
@@ -86,12 +86,16 @@
           if (result instanceof TxnResult.Applied applied) {
             done.accept(
                 new Outcome.Committed(
-                    epoch.epoch(), applied.revision(), storeLeaseId, epoch.unboundedEpoch(), txn));
+                    epochRecord.epoch(),
+                    applied.revision(),
+                    storeLeaseId,
+                    epochRecord.unboundedEpoch(),
+                    txn));
           } else {
             // Without an answer, the claim may still be applied: revoking its lease removes the
             // leader's record.
             state.revokeLease(storeLeaseId, revocation -> {});
-            done.accept(new Outcome.Failed(LeaderLease.describe(result)));
+            done.accept(new Outcome.Failed(LeaderLease.describeRejection(result)));
           }
         });
   }
--- a/src/main/java/fennelthread/leader/MachineLoad.java
+++ b/src/main/java/fennelthread/leader/MachineLoad.java
@@ -94,7 +94,7 @@
     return snapshot;
   }
 
-  /** Adds the resources that each team's tasks may use on this machine to the sums by team. */
+  /** Adds the resources that each team's tasks reserve on this machine to the sums by team. */
   void addTeamUsageTo(Map<String, ResourceSum> sums) {
     for (Map.Entry<String, ResourceSum> teamUsage : usedByTeam.entrySet()) {
       sums.computeIfAbsent(teamUsage.getKey(), k -> new ResourceSum()).add(teamUsage.getValue());
--- a/src/main/java/fennelthread/leader/PassedOverJobs.java
+++ b/src/main/java/fennelthread/leader/PassedOverJobs.java
@@ -8,9 +8,9 @@
 
 /**
  * Tracks the jobs that rounds pass over in favour of others although a machine has free capacity
- * for them. Capacity is reserved for tasks that wait for more of it, and a team's quota for its
- * more urgent jobs. Neither reservation has a time limit of its own, and running tasks may take far
- * longer than estimated. Has no clock: callers pass the time, ms of the local clock.
+ * for them. Rounds reserve capacity for tasks that need more than is free, and a team's quota for
+ * its more urgent jobs. Neither reservation has a time limit of its own, and running tasks may take
+ * far longer than estimated. Callers pass the time, ms of the local clock.
  */
 final class PassedOverJobs {
   private final Map<String, Long> sinceMs = new HashMap<>();
--- a/src/main/java/fennelthread/leader/PeerKnowledge.java
+++ b/src/main/java/fennelthread/leader/PeerKnowledge.java
@@ -1,15 +1,16 @@
 package fennelthread.leader;
 
-/** What a controller knows from its peers' heartbeats that the leader lease depends on. */
+/** Facts about the peers, from their heartbeats, that the leader lease depends on. */
 public interface PeerKnowledge {
-  /** True if no peer can have become leader while the local lease is valid. */
+  /** True if no peer can have taken over the leadership yet; only meaningful while leading. */
   boolean excludesOtherLeader();
 
   /**
-   * Checks whether the leader of an epoch may still answer reports because it knows of no later
-   * epoch.
+   * Determines whether a leader of this epoch or an older one may still answer reports without a
+   * time limit.
    *
-   * @return {@code epoch}, or 0 if every peer is known to have learned of a later one
+   * @return {@code epoch}, or 0 if every peer's version limits that time and every peer knows of
+   *     this epoch or a later one
    */
   long epochIfUnbounded(long epoch);
 }
--- a/src/main/java/fennelthread/leader/RecordGarbageCollector.java
+++ b/src/main/java/fennelthread/leader/RecordGarbageCollector.java
@@ -72,13 +72,13 @@
     }
     lastCollectionMs = eventLoop.nowMs();
     Survey survey = surveyRecords();
-    boolean isBacklogged = isBacklogged(survey);
+    boolean needsCompaction = needsCompaction(survey);
     Txn txn = lease.fencedTxn();
-    addObsoleteRecords(survey, txn);
-    addOrphanedRecords(Keys.FINISHED_TASKS_PREFIX, txn);
-    addOrphanedRecords(Keys.DEPENDENCIES_PREFIX, txn);
+    addObsoleteRecordRemovals(survey, txn);
+    addOrphanedRecordRemovals(Keys.FINISHED_TASKS_PREFIX, txn);
+    addOrphanedRecordRemovals(Keys.DEPENDENCIES_PREFIX, txn);
     boolean isCompacting =
-        isBacklogged
+        needsCompaction
             && txn.changeCount() <= limits.maxTxnChanges() / 2
             && addCompaction(survey, txn);
     if (txn.changeCount() == 0) {
@@ -86,8 +86,8 @@
     }
     isWriting = true;
     state.submitTxn(
-        // Removals are not urgent, unless the records threaten to outgrow the controllers' memory.
-        isBacklogged ? RequestPriority.SCHEDULING : RequestPriority.MAINTENANCE,
+        // Removals are not urgent, unless the records take up too much of the controllers' memory.
+        needsCompaction ? RequestPriority.SCHEDULING : RequestPriority.MAINTENANCE,
         txn,
         result -> onCollectionAnswered(txn, result, isCompacting, survey));
   }
@@ -121,7 +121,8 @@
     for (Map.Entry<String, StartRecord> entry : table.startRecords().entrySet()) {
       String key = entry.getKey();
       if (keys.isBeingWritten(key)) {
-        // The record may be in the replica before its attempts are sent.
+        // The replica may hold the record before its transaction is answered and its attempts are
+        // sent.
         continue;
       }
       List<StartRecord.Start> starts = entry.getValue().starts();
@@ -159,7 +160,7 @@
   }
 
   /** True if the records are many times what their live starts would fill. */
-  private boolean isBacklogged(Survey survey) {
+  private boolean needsCompaction(Survey survey) {
     int needed = 1 + survey.liveStarts / recordCapacity();
     return table.startRecords().size() - keys.freeCount()
             > LeaderConstants.MAX_RECORDS_PER_NEEDED * needed + LeaderConstants.RECORD_COUNT_SLACK
@@ -168,8 +169,11 @@
                 + LeaderConstants.START_COUNT_SLACK;
   }
 
-  /** Removes obsolete records of earlier terms, and own ones beyond those kept for reuse. */
-  private void addObsoleteRecords(Survey survey, Txn txn) {
+  /**
+   * Adds the removals of obsolete records of earlier terms, and of this term's beyond those kept
+   * for reuse.
+   */
+  private void addObsoleteRecordRemovals(Survey survey, Txn txn) {
     for (String key : survey.obsolete) {
       if (txn.changeCount() < limits.maxTxnChanges()) {
         txn.remove(key);
@@ -185,10 +189,10 @@
   }
 
   /**
-   * Moves the live starts of sparse records into one new record and removes the old ones in the
-   * same transaction, so that the next leader reads either the old or the new ones. The transaction
-   * requires that the old records are unchanged and the new key is unused: without an answer it may
-   * be applied late, after the same starts were compacted again and have ended.
+   * Adds the move of the live starts of sparse records into one new record. The old records are
+   * removed in the same transaction, so that the next leader reads either them or the new one. The
+   * transaction requires that the old records are unchanged and the new key is unused: without an
+   * answer it may be applied late, after the same starts were compacted again and have ended.
    *
    * @return false if there is nothing to gain; nothing is added then
    */
@@ -212,8 +216,8 @@
     return true;
   }
 
-  /** Removes the records under a prefix whose jobs no longer have a record. */
-  private void addOrphanedRecords(String prefix, Txn txn) {
+  /** Adds the removals of the records under a prefix whose jobs no longer have a record. */
+  private void addOrphanedRecordRemovals(String prefix, Txn txn) {
     for (String key : replica.revisionsUnder(prefix).keySet()) {
       if (txn.changeCount() >= limits.maxTxnChanges()
           || txn.conditionCount() >= limits.maxTxnConditions()) {
@@ -221,8 +225,8 @@
       }
       String id = Keys.jobIdOf(prefix, key);
       if (table.get(id) == null) {
-        // The job is over, or its record has not reached the replica yet: the condition lets the
-        // removal fail in the second case.
+        // The job is over, or its record has not reached the replica yet: in the second case, the
+        // condition makes the transaction fail.
         txn.requireRevision(Keys.job(id), 0).remove(key);
       }
     }
--- a/src/main/java/fennelthread/leader/ResourceSum.java
+++ b/src/main/java/fennelthread/leader/ResourceSum.java
@@ -1,6 +1,6 @@
 package fennelthread.leader;
 
-/** A mutable sum of CPUs and accelerator cards, for example of one team. */
+/** A mutable sum of CPUs and accelerator cards, for example of one team's tasks. */
 final class ResourceSum {
   private double cpus;
   private double cards;
--- a/src/main/java/fennelthread/leader/RunTimeEstimator.java
+++ b/src/main/java/fennelthread/leader/RunTimeEstimator.java
@@ -7,8 +7,8 @@
 
 /**
  * Estimates how long tasks run: the owner's estimate times the average ratio of run time to
- * estimate among finished tasks of the class, with exponential decay. Owners' estimates are off by
- * half and more, on some days all in one direction.
+ * estimate among finished tasks of the job class, in which older tasks weigh exponentially less.
+ * Owners' estimates are off by half or more, on some days all in one direction.
  */
 final class RunTimeEstimator {
   private static final class Ratio {
@@ -30,7 +30,7 @@
     ratio.weight = ratio.weight * LeaderConstants.RUN_TIME_DECAY + 1;
   }
 
-  /** The time that a task of the job is expected to run, s; 0 for services. */
+  /** The time that a task of the job is expected to run, s; 0 if the job has no estimate. */
   double expectedS(JobSpec spec) {
     Ratio ratio = byClass.get(spec.jobClass());
     return spec.estimateS() * (ratio == null ? 1 : ratio.sum / ratio.weight);
--- a/src/main/java/fennelthread/leader/SchedulingLoop.java
+++ b/src/main/java/fennelthread/leader/SchedulingLoop.java
@@ -105,7 +105,7 @@
     return unplaced;
   }
 
-  /** Requests a round if the last one is long ago: covers changes that trigger no event. */
+  /** Requests a round if the last one was long ago: covers changes that trigger no event. */
   void requestRoundIfOverdue() {
     if (eventLoop.nowMs() - lastRoundMs >= LeaderConstants.MAX_ROUND_INTERVAL_MS) {
       requestRound();
@@ -199,7 +199,10 @@
       context.replica().applyCommitted(batch.txn(), applied.revision());
       batches.send(batch);
     } else {
-      log.info("round abandoned epoch={} reason={}", lease.epoch(), LeaderLease.describe(result));
+      log.info(
+          "round abandoned epoch={} reason={}",
+          lease.epoch(),
+          LeaderLease.describeRejection(result));
       batches.discard(batch);
       lease.onTxnRejected(result);
       earliestRoundMs = eventLoop.nowMs() + ProtocolConstants.STATE_RETRY_DELAY_MS;
--- a/src/main/java/fennelthread/leader/SnapshotBuilder.java
+++ b/src/main/java/fennelthread/leader/SnapshotBuilder.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Builds the snapshot of machines, teams and pending jobs that a scheduling round plans on. */
+/** Builds the snapshot of machines, teams and pending jobs that a scheduling round plans with. */
 final class SnapshotBuilder {
   /** Receives the CPU demand of each round. */
   @FunctionalInterface
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -68,6 +68,7 @@
     Txn txn = batch.txn();
     Machine machine = fleet.findMachine(start.machine());
     boolean needsCondition = !jobs.contains(id);
+    // Each of the records, at most one per change, may need a condition of its own as well.
     if ((needsCondition
             && txn.conditionCount() + limits.maxTxnChanges() >= limits.maxTxnConditions())
         || !packer.tryReserve(start.spec(), start.task(), machine.name(), machine.session())) {
--- a/src/main/java/fennelthread/leader/StartRecordKeys.java
+++ b/src/main/java/fennelthread/leader/StartRecordKeys.java
@@ -39,7 +39,7 @@
     free.add(key);
   }
 
-  /** Takes the key that was free longest from the free list; null if the list is empty. */
+  /** Takes the key that was released first from the free list; null if the list is empty. */
   String takeFree() {
     Iterator<String> oldest = free.iterator();
     if (!oldest.hasNext()) {
@@ -66,8 +66,8 @@
   }
 
   /**
-   * True while the key's record is being written: its attempts are not sent yet, or may already be
-   * discarded.
+   * True while the key's record is being written: its attempts are not sent yet, and some may
+   * already be discarded, so that their phases do not show whether the record is obsolete.
    */
   boolean isBeingWritten(String key) {
     return beingWritten.contains(key);
--- a/src/main/java/fennelthread/leader/TaskBackoff.java
+++ b/src/main/java/fennelthread/leader/TaskBackoff.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * Decides when the tasks of one job may be tried again after failures and refusals: exponential
- * backoff with jitter. All times are ms of the local clock; {@code jitter} is a random number from
- * 0 to 1.
+ * Decides when the tasks of one job may be tried again: with exponential backoff and jitter after
+ * refusals and failures of a faulty job, and after a short fixed delay if the machine counts as
+ * faulty. All times are ms of the local clock; {@code jitter} is a random number from 0 to 1.
  */
 final class TaskBackoff {
   private final Int2LongOpenHashMap retryAtMs = new Int2LongOpenHashMap();
@@ -37,22 +37,22 @@
   /** Delays a task that a worker has refused, longer each time. */
   void onRefused(int task, long nowMs, double jitter) {
     recordIncident(nowMs);
-    int times = refusals.addTo(task, 1);
-    retryAtMs.put(task, nowMs + backoffMs(times, jitter));
+    int earlierRefusals = refusals.addTo(task, 1);
+    retryAtMs.put(task, nowMs + backoffMs(earlierRefusals, jitter));
   }
 
   /**
    * Delays a task that has failed.
    *
-   * @return true if the job has failed on so many machines that the job rather than a machine
-   *     counts as faulty; then its delays grow
+   * @return true if none of the job's tasks has finished and they have failed on so many machines
+   *     that the job rather than a machine counts as faulty; then its delays grow
    */
-  boolean onFailed(int task, String machine, boolean hasDoneTasks, long nowMs, double jitter) {
+  boolean onFailed(int task, String machine, boolean hasFinishedTasks, long nowMs, double jitter) {
     recordIncident(nowMs);
     failedMachines.add(machine);
     failures++;
     boolean isJobFaulty =
-        failedMachines.size() >= LeaderConstants.FAULTY_JOB_MACHINES && !hasDoneTasks;
+        failedMachines.size() >= LeaderConstants.FAULTY_JOB_MACHINES && !hasFinishedTasks;
     long delayMs =
         isJobFaulty ? backoffMs(failures, jitter) : LeaderConstants.MIN_TASK_BACKOFF_MS / 3;
     retryAtMs.put(task, nowMs + delayMs);
@@ -60,9 +60,9 @@
   }
 
   /**
-   * Records the time of a failure or refusal, and resets the counts first if the last one is long
-   * ago: a service that fails on three faulty machines in the course of a day is not faulty itself.
-   * {@link #hasFailures} is not reset.
+   * Records the time of a failure or refusal. Resets the counts first if the last one is longer ago
+   * than {@link LeaderConstants#FAILURE_WINDOW_MS}: a service that fails on three faulty machines
+   * in the course of a day is not faulty itself. {@link #hasFailures} is not reset.
    */
   private void recordIncident(long nowMs) {
     if (nowMs - lastIncidentMs > LeaderConstants.FAILURE_WINDOW_MS) {
@@ -73,8 +73,8 @@
     lastIncidentMs = nowMs;
   }
 
-  private static long backoffMs(int times, double jitter) {
-    long delayMs = LeaderConstants.MIN_TASK_BACKOFF_MS << Math.min(times, 10);
+  private static long backoffMs(int doublings, double jitter) {
+    long delayMs = LeaderConstants.MIN_TASK_BACKOFF_MS << Math.min(doublings, 10);
     return (long)
         (Math.min(LeaderConstants.MAX_TASK_BACKOFF_MS, delayMs)
             * (1 + ProtocolConstants.PAUSE_JITTER_SHARE * jitter));
--- a/src/main/java/fennelthread/leader/Term.java
+++ b/src/main/java/fennelthread/leader/Term.java
@@ -20,10 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One leader's term: the components of a leader and its state beyond the state service. It is
- * created at each election; after the controller steps down, it still answers reports until it is
- * closed. Used on the event loop's thread. Start reading at {@link #onReplicaAdvanced} and {@link
- * #tick}.
+ * One leader's term: the components of a leader and its state in memory. It is created at each
+ * election; after the controller steps down, it still answers reports until it is closed. Used on
+ * the event loop's thread. Start reading at {@link #onReplicaAdvanced} and {@link #tick}.
  */
 public final class Term implements FleetListener {
   private static final Logger log = LoggerFactory.getLogger(Term.class);
@@ -34,7 +33,7 @@
     CATCHING_UP,
     /** Scheduling rounds run. */
     ACTIVE,
-    /** Decides nothing more, but answers reports until another controller leads: tasks run on. */
+    /** Makes no decisions, but still answers reports, so that workers' leases are renewed. */
     RESIGNED,
     /** The term has ended: reports are not answered. */
     CLOSED
@@ -133,11 +132,11 @@
 
   /** Describes the memory use as key=value pairs for a log line. */
   public String memoryUsage() {
-    int occupied = 0;
+    int machinesWithTasks = 0;
     for (Machine machine : fleet.machines()) {
-      occupied += machine.isEmpty() ? 0 : 1;
+      machinesWithTasks += machine.isEmpty() ? 0 : 1;
     }
-    return "machines=" + fleet.machines().size() + " machinesWithTasks=" + occupied;
+    return "machines=" + fleet.machines().size() + " machinesWithTasks=" + machinesWithTasks;
   }
 
   /** The number of workers that report, directly or through a peer. */
@@ -309,7 +308,7 @@
     return phase == Phase.ACTIVE
         && lease.mayStartTasks()
         && activeJobs.jobOf(attempt) != null
-        && !records.endedJobs().isOver(attempt.start().task().job());
+        && !records.endedJobs().hasEnded(attempt.start().task().job());
   }
 
   @Override
--- a/src/main/java/fennelthread/leader/WorkerCommands.java
+++ b/src/main/java/fennelthread/leader/WorkerCommands.java
@@ -13,7 +13,8 @@
 
 /**
  * Creates the commands by which workers clear ended attempts and stop unwanted or preempted ones,
- * and requests stops of attempts that can't finish before their spot instance is interrupted.
+ * and requests stops of attempts that are not expected to finish before their spot instance is
+ * interrupted.
  */
 final class WorkerCommands {
   private final EventLoop eventLoop;
@@ -71,7 +72,7 @@
     boolean isUnwanted =
         activeJob == null
             || activeJob.isFinished(attempt.start().task().index())
-            || endedJobs.isOver(activeJob.id());
+            || endedJobs.hasEnded(activeJob.id());
     if (isUnwanted) {
       commands.add(new WorkerCommand.Stop(attempt.start().task(), attempt.start().attempt(), 0));
     } else if (attempt.isStopRequested() && attempt.phase() != Attempt.Phase.FLUSHING) {
@@ -82,7 +83,10 @@
     }
   }
 
-  /** Stops the attempts that can't finish before their spot instance is interrupted. */
+  /**
+   * Requests stops of the attempts that are not expected to finish before their spot instance is
+   * interrupted.
+   */
   void stopBeforeInterruptions() {
     long nowMs = eventLoop.nowMs();
     for (Machine machine : fleet.machines()) {
@@ -96,7 +100,7 @@
         if (activeJob == null || attempt.isStopRequested() || !attempt.mayBePresent()) {
           continue;
         }
-        if (!finishesWithin(remainingS, attempt, activeJob.job().spec(), nowMs)) {
+        if (!isExpectedToFinishWithin(remainingS, attempt, activeJob.job().spec(), nowMs)) {
           attempt.requestStop();
           isAnyStopRequested = true;
         }
@@ -107,7 +111,8 @@
     }
   }
 
-  private boolean finishesWithin(double remainingS, Attempt attempt, JobSpec spec, long nowMs) {
+  private boolean isExpectedToFinishWithin(
+      double remainingS, Attempt attempt, JobSpec spec, long nowMs) {
     if (spec.service() || attempt.phase() != Attempt.Phase.RUNNING) {
       return false;
     }
--- a/src/test/java/fennelthread/LayersTest.java
+++ b/src/test/java/fennelthread/LayersTest.java
@@ -78,7 +78,7 @@
 
   /** The emulation, and the libraries that it alone uses, are loaded by its own command only. */
   @ArchTest
-  static final ArchRule onlyItsCommandDependsOnTheEmulation =
+  static final ArchRule onlyEmulateCommandDependsOnEmulation =
       noClasses()
           .that()
           .resideOutsideOfPackage("..emulate..")
@@ -98,7 +98,7 @@
           .callMethod(Fields.class, "with", String.class, Object.class);
 
   @ArchTest
-  static final ArchRule numericConstantsAreDeclaredInTheirPackages =
+  static final ArchRule onlyConstantsWireAndCliDeclareNumericConstants =
       fields()
           .that()
           .haveRawType(IS_NUMERIC)
--- a/src/test/java/fennelthread/leader/EpochRecordTest.java
+++ b/src/test/java/fennelthread/leader/EpochRecordTest.java
@@ -28,8 +28,9 @@
 
   @Test
   void unreadableUnboundedEpochIsUnknown() throws WireException {
-    Fields broken = Fields.create().with("epoch", 9L).with("keeps", true).with("unbounded", "x");
-    assertEquals(new EpochRecord(9, LeaderConstants.UNKNOWN_EPOCH), EpochRecord.decode(broken));
+    Fields unreadable =
+        Fields.create().with("epoch", 9L).with("keeps", true).with("unbounded", "x");
+    assertEquals(new EpochRecord(9, LeaderConstants.UNKNOWN_EPOCH), EpochRecord.decode(unreadable));
   }
 
   @Test
--- a/src/test/java/fennelthread/leader/LeaderRecordTest.java
+++ b/src/test/java/fennelthread/leader/LeaderRecordTest.java
@@ -42,8 +42,8 @@
   }
 
   @Test
-  void recordWithoutItsLeaseIsUnreadable() {
-    Fields broken = Fields.create().with("member", "c1").with("epoch", 7L);
-    assertThrows(WireException.class, () -> LeaderRecord.decode(broken));
+  void recordWithoutIncarnationAndLeaseIsUnreadable() {
+    Fields incomplete = Fields.create().with("member", "c1").with("epoch", 7L);
+    assertThrows(WireException.class, () -> LeaderRecord.decode(incomplete));
   }
 }
--- a/src/test/java/fennelthread/leader/PassedOverJobsTest.java
+++ b/src/test/java/fennelthread/leader/PassedOverJobsTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 class PassedOverJobsTest {
-  private static final Set<String> JOB = Set.of("job-1");
+  private static final Set<String> JOB_IDS = Set.of("job-1");
 
   @Test
   void jobIsOverdueOnlyIfEveryRoundPassedItOver() {
     PassedOverJobs jobs = new PassedOverJobs();
-    jobs.update(JOB, 0);
-    jobs.update(JOB, LeaderConstants.MAX_PASSED_OVER_MS);
+    jobs.update(JOB_IDS, 0);
+    jobs.update(JOB_IDS, LeaderConstants.MAX_PASSED_OVER_MS);
     assertEquals(Set.of(), jobs.overdue(LeaderConstants.MAX_PASSED_OVER_MS));
-    assertEquals(JOB, jobs.overdue(LeaderConstants.MAX_PASSED_OVER_MS + 1));
+    assertEquals(JOB_IDS, jobs.overdue(LeaderConstants.MAX_PASSED_OVER_MS + 1));
     jobs.update(Set.of(), LeaderConstants.MAX_PASSED_OVER_MS + 2);
-    jobs.update(JOB, LeaderConstants.MAX_PASSED_OVER_MS + 3);
+    jobs.update(JOB_IDS, LeaderConstants.MAX_PASSED_OVER_MS + 3);
     assertEquals(Set.of(), jobs.overdue(LeaderConstants.MAX_PASSED_OVER_MS + 4));
   }
 }
