--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -14,7 +14,7 @@
 import fennelthread.wire.WorkerReport;
 import java.util.function.Consumer;
 
-/** Routes the requests of users, workers and the load balancer by path and method. */
+/** Routes the HTTP requests of users, workers and the load balancer by path and method. */
 public final class Api implements Service {
   private static final String JOBS = "/v1/jobs";
   private static final String JOB_PREFIX = JOBS + "/";
@@ -27,7 +27,7 @@
   private final Submissions submissions;
   private final JobRequests jobRequests;
 
-  /** Creates the interface; it serves once a server hands it requests. */
+  /** Creates the service; a server must pass requests to it. */
   public Api(
       EventLoop eventLoop,
       Settings settings,
@@ -57,13 +57,13 @@
     } else if (path.equals(JOBS)) {
       route(request, "POST", reply, () -> submissions.submit(request, withDeadline(reply)));
     } else if (path.startsWith(JOB_PREFIX) && path.endsWith(CANCEL_SUFFIX)) {
-      String id = jobIdOfCancellation(path);
+      String id = jobIdInCancelPath(path);
       route(request, "POST", reply, () -> jobRequests.cancel(id, withDeadline(reply)));
     } else if (path.startsWith(JOB_PREFIX)) {
       String id = path.substring(JOB_PREFIX.length());
       route(request, "GET", reply, () -> jobRequests.get(id, withDeadline(reply)));
     } else if (path.equals("/up")) {
-      route(request, "GET", reply, () -> reply.accept(readiness()));
+      route(request, "GET", reply, () -> reply.accept(readinessAnswer()));
     } else {
       reply.accept(Answer.error(404, "unknown path"));
     }
@@ -78,13 +78,14 @@
     }
   }
 
-  private static String jobIdOfCancellation(String path) {
+  private static String jobIdInCancelPath(String path) {
     int begin = JOB_PREFIX.length();
     int end = path.length() - CANCEL_SUFFIX.length();
     return path.substring(begin, Math.max(begin, end));
   }
 
-  private Answer readiness() {
+  /** Answers the load balancer's health check. */
+  private Answer readinessAnswer() {
     return conditions.isUp()
         ? Answer.of(200, Codec.CBOR, Fields.create())
         : Answer.later(503, "can't serve now", ApiConstants.RETRY_AFTER_S);
@@ -102,24 +103,25 @@
   }
 
   /**
-   * Makes a reply that answers 503 by itself when the state service takes longer than it ever
-   * should. What was asked of it may still happen: a repeated request then finds it done.
+   * Wraps a reply so that status 503 is sent if there is no answer within {@link
+   * ApiConstants#ANSWER_DEADLINE_MS}. The request may still take effect afterwards; a repeated
+   * request then gets the resulting state.
    */
   private Consumer<Answer> withDeadline(Consumer<Answer> reply) {
-    boolean[] answered = new boolean[1];
-    EventLoop.Cancellable timer =
+    boolean[] hasAnswered = new boolean[1];
+    EventLoop.Cancellable timeout =
         eventLoop.after(
             ApiConstants.ANSWER_DEADLINE_MS,
             () -> {
-              if (!answered[0]) {
-                answered[0] = true;
+              if (!hasAnswered[0]) {
+                hasAnswered[0] = true;
                 reply.accept(unavailableAnswers.answer("took too long"));
               }
             });
     return answer -> {
-      if (!answered[0]) {
-        answered[0] = true;
-        timer.cancel();
+      if (!hasAnswered[0]) {
+        hasAnswered[0] = true;
+        timeout.cancel();
         reply.accept(answer);
       }
     };
--- a/src/main/java/fennelthread/api/Feasibility.java
+++ b/src/main/java/fennelthread/api/Feasibility.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Judges whether a submitted job can ever run. */
+/** Checks whether a submitted job can ever run: its team, the team's limits, and a machine type. */
 final class Feasibility {
   private final Settings settings;
   private final ServingConditions conditions;
@@ -20,7 +20,10 @@
     this.unavailableAnswers = unavailableAnswers;
   }
 
-  /** The answer to a job that can never run, or can't be judged yet; empty if it can run. */
+  /**
+   * Returns the answer to a job that can never run (status 422), or that can't be checked yet since
+   * machine types are unknown (status 503); empty if it can run.
+   */
   Optional<Answer> rejection(JobSpec spec) {
     Settings.Team team = settings.teams().get(spec.team());
     if (team == null) {
@@ -39,20 +42,23 @@
     return Optional.empty();
   }
 
-  /** True if what must run at the same time (a service's replicas) exceeds the team's limit. */
+  /**
+   * Returns true if the tasks that must run at the same time exceed the team's limit: all replicas
+   * of a service, one task of a job array.
+   */
   private static boolean exceedsLimit(JobSpec spec, Settings.Team team) {
     int concurrentTasks = spec.service() ? spec.tasks() : 1;
-    boolean tooManyCpus = team.cpusMax() > 0 && spec.cpus() * concurrentTasks > team.cpusMax();
-    boolean tooManyCards = team.cardsMax() > 0 && spec.cards() * concurrentTasks > team.cardsMax();
-    return tooManyCpus || tooManyCards;
+    boolean exceedsCpus = team.cpusMax() > 0 && spec.cpus() * concurrentTasks > team.cpusMax();
+    boolean exceedsCards = team.cardsMax() > 0 && spec.cards() * concurrentTasks > team.cardsMax();
+    return exceedsCpus || exceedsCards;
   }
 
   private static boolean fits(JobSpec spec, MachineType type) {
-    boolean allowedType = spec.types() == null || spec.types().contains(type.name());
-    boolean allowedZone =
+    boolean isAllowedType = spec.types() == null || spec.types().contains(type.name());
+    boolean isInAllowedZone =
         spec.zone() == null || type.zones().isEmpty() || type.zones().contains(spec.zone());
-    return allowedType
-        && allowedZone
+    return isAllowedType
+        && isInAllowedZone
         && spec.cpus() <= type.cpus()
         && spec.cards() <= type.cards()
         && spec.memGb() <= type.memGb();
--- a/src/main/java/fennelthread/api/JobRequests.java
+++ b/src/main/java/fennelthread/api/JobRequests.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Serves questions about jobs and their cancellation. */
+/** Serves users' requests for a job's state and for its cancellation. */
 final class JobRequests {
   private final JobStore store;
   private final JobTable table;
@@ -25,7 +25,7 @@
     this.unavailableAnswers = unavailableAnswers;
   }
 
-  /** Answers with a job's state. */
+  /** Answers with a job's state, or status 404 if there is no such job. */
   void get(String id, Consumer<Answer> reply) {
     if (!JobSpec.isId(id)) {
       reply.accept(Answer.error(404, "unknown job"));
@@ -34,7 +34,10 @@
     store.lookup(id, found -> reply.accept(statusAnswer(id, found)));
   }
 
-  /** Cancels a job, and answers with the state that it then has. */
+  /**
+   * Cancels a job and answers with its final state, which is not cancelled if the job was done
+   * before. Status 503 if the job is still live because its cancellation did not succeed.
+   */
   void cancel(String id, Consumer<Answer> reply) {
     if (!JobSpec.isId(id)) {
       reply.accept(Answer.error(404, "unknown job"));
@@ -43,19 +46,19 @@
     store.cancel(
         id,
         found -> {
-          boolean stillLive = found instanceof LookupResult.Live;
+          boolean isStillLive = found instanceof LookupResult.Live;
           reply.accept(
-              stillLive ? unavailableAnswers.answer("try again") : statusAnswer(id, found));
+              isStillLive ? unavailableAnswers.answer("try again") : statusAnswer(id, found));
         });
   }
 
-  /** The answer to a user who asked about a job that was looked up. */
+  /** Returns the answer to a question about a job, given the result of its lookup. */
   Answer statusAnswer(String id, LookupResult found) {
     if (found instanceof LookupResult.Live live) {
-      return statusOf(id, live.job());
+      return liveAnswer(id, live.job());
     }
-    if (found instanceof FinalRecord end) {
-      return ok(new JobStatus(id, end.state(), end.finishedTaskCount(), 0, List.of()));
+    if (found instanceof FinalRecord record) {
+      return ok(new JobStatus(id, record.state(), record.finishedTaskCount(), 0, List.of()));
     }
     if (found instanceof LookupResult.Unknown) {
       return Answer.error(404, "unknown job");
@@ -66,11 +69,11 @@
             : "the job's state is not known");
   }
 
-  private Answer statusOf(String id, Job job) {
-    int started = table.startedTaskCount(job);
-    JobState state = started > 0 ? JobState.RUNNING : JobState.PENDING;
+  private Answer liveAnswer(String id, Job job) {
+    int startedTasks = table.startedTaskCount(job);
+    JobState state = startedTasks > 0 ? JobState.RUNNING : JobState.PENDING;
     List<String> unmet = store.dependencyTracker().graph().unmetDependencies(id);
-    return ok(new JobStatus(id, state, job.finishedTasks().cardinality(), started, unmet));
+    return ok(new JobStatus(id, state, job.finishedTasks().cardinality(), startedTasks, unmet));
   }
 
   private static Answer ok(JobStatus status) {
--- a/src/main/java/fennelthread/api/ServingConditions.java
+++ b/src/main/java/fennelthread/api/ServingConditions.java
@@ -3,17 +3,17 @@
 import fennelthread.wire.MachineType;
 import java.util.Map;
 
-/** What the rest of the controller knows that decides whether requests can be served now. */
+/** Conditions in the rest of the controller that decide whether a request can be served now. */
 public interface ServingConditions {
-  /** True while the load balancer should send users here. */
+  /** Returns true while the load balancer should send users to this controller. */
   boolean isUp();
 
-  /** True while a peer serves whose version does not know dependencies between jobs. */
+  /** Returns true while some peer runs a version that ignores dependencies between jobs. */
   boolean isOutdatedPeerServing();
 
-  /** True while there is no memory for more jobs. */
+  /** Returns true while there is no memory for more jobs. */
   boolean isMemoryShort();
 
-  /** The machine types by name; empty while none are known. */
+  /** Returns the machine types by name; empty while none are known. */
   Map<String, MachineType> machineTypes();
 }
--- a/src/main/java/fennelthread/api/Submissions.java
+++ b/src/main/java/fennelthread/api/Submissions.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * Serves submissions. They are idempotent: a job that was accepted before is answered with its
- * state, whatever else the repeated body holds.
+ * Serves submissions of jobs. They are idempotent: the submission of a job that was accepted before
+ * is answered with its state, even if the repeated body differs or is invalid.
  */
 final class Submissions {
   private static final String NO_MEMORY = "no memory for more jobs";
@@ -43,7 +43,7 @@
     this.unavailableAnswers = unavailableAnswers;
   }
 
-  /** Validates and accepts a job. */
+  /** Validates a job, accepts it and answers with its state. */
   void submit(Request request, Consumer<Answer> reply) {
     Fields body;
     String id;
@@ -54,7 +54,7 @@
       reply.accept(Answer.error(400, e.getMessage()));
       return;
     }
-    Submission job;
+    Submission submission;
     try {
       JobSpec spec = JobSpec.read(body);
       Optional<Answer> rejection = feasibility.rejection(spec);
@@ -62,56 +62,60 @@
         rejectUnlessAccepted(id, rejection.get(), reply);
         return;
       }
-      job = store.prepareSubmission(spec);
+      submission = store.prepareSubmission(spec);
     } catch (WireException e) {
       rejectUnlessAccepted(id, Answer.error(400, e.getMessage()), reply);
       return;
     }
-    admit(job, reply);
+    admit(submission, reply);
   }
 
-  private void admit(Submission job, Consumer<Answer> reply) {
-    String id = job.spec().id();
+  private void admit(Submission submission, Consumer<Answer> reply) {
+    String id = submission.spec().id();
     if (conditions.isMemoryShort() && !store.isKnownAccepted(id)) {
       unavailableAnswers.count(NO_MEMORY);
       rejectUnlessAccepted(
           id, Answer.later(503, NO_MEMORY, ApiConstants.MEMORY_SHORT_RETRY_AFTER_S), reply);
-    } else if (job.spec().dependencies().isEmpty() || store.isKnownAccepted(id)) {
-      accept(job, reply);
+    } else if (submission.spec().dependencies().isEmpty() || store.isKnownAccepted(id)) {
+      accept(submission, reply);
     } else {
-      checkDependencies(job, reply);
+      checkDependencies(submission, reply);
     }
   }
 
-  private void checkDependencies(Submission job, Consumer<Answer> reply) {
-    String id = job.spec().id();
+  private void checkDependencies(Submission submission, Consumer<Answer> reply) {
+    String id = submission.spec().id();
     if (conditions.isOutdatedPeerServing()) {
-      // It would run the job without waiting, if it came to lead.
+      // If that peer became leader, it would run the job without waiting for its dependencies.
       String cause = "a controller that does not know " + JobSpec.DEPENDENCIES + " still serves";
       rejectUnlessAccepted(id, unavailableAnswers.answer(cause), reply);
       return;
     }
     store.checkDependencies(
-        job.spec(),
+        submission.spec(),
         result -> {
           if (result instanceof DependencyCheckResult.Valid valid) {
-            accept(valid.hasCancelledDependency() ? store.cancelledOnAcceptance(job) : job, reply);
+            accept(
+                valid.hasCancelledDependency()
+                    ? store.cancelledOnAcceptance(submission)
+                    : submission,
+                reply);
           } else if (result instanceof DependencyCheckResult.Invalid invalid) {
-            String why = JobSpec.DEPENDENCIES + ": " + invalid.reason();
-            rejectUnlessAccepted(id, Answer.error(422, why), reply);
+            String reason = JobSpec.DEPENDENCIES + ": " + invalid.reason();
+            rejectUnlessAccepted(id, Answer.error(422, reason), reply);
           } else if (result instanceof DependencyCheckResult.Unavailable unavailable) {
             reply.accept(unavailableAnswers.answer(unavailable.reason().text()));
           }
         });
   }
 
-  private void accept(Submission job, Consumer<Answer> reply) {
-    String id = job.spec().id();
+  private void accept(Submission submission, Consumer<Answer> reply) {
+    String id = submission.spec().id();
     store.accept(
-        job,
+        submission,
         result -> {
           if (result instanceof AcceptResult.Accepted) {
-            JobState state = job.initialState();
+            JobState state = submission.initialState();
             reply.accept(Answer.of(201, Codec.CBOR, JobStatus.accepted(id, state)));
           } else if (result instanceof AcceptResult.AlreadyAccepted) {
             store.lookup(id, found -> reply.accept(jobRequests.statusAnswer(id, found)));
@@ -123,7 +127,7 @@
         });
   }
 
-  /** Answers with the state of a job that was accepted before, with a rejection otherwise. */
+  /** Answers with the job's state if it was accepted before, otherwise with the rejection. */
   private void rejectUnlessAccepted(String id, Answer rejection, Consumer<Answer> reply) {
     store.lookup(
         id,
--- a/src/main/java/fennelthread/api/UnavailableAnswers.java
+++ b/src/main/java/fennelthread/api/UnavailableAnswers.java
@@ -5,12 +5,13 @@
 import fennelthread.net.EventLoop;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes the answers of 503 to users, and logs how many were made for each cause: one line for all
- * of {@link ApiConstants#UNAVAILABLE_LOG_MS}, since an outage makes thousands.
+ * Creates answers with status 503 for users and logs how many there were for each cause. They are
+ * logged in one line per {@link ApiConstants#UNAVAILABLE_LOG_MS}, since an outage causes thousands.
  */
 final class UnavailableAnswers {
   private static final Logger log = LoggerFactory.getLogger(UnavailableAnswers.class);
@@ -22,13 +23,13 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Counts a cause, and gives an answer that asks to come back after the shortest time. */
+  /** Counts a cause and returns an answer with the shortest {@code Retry-After}. */
   Answer answer(String cause) {
     count(cause);
     return Answer.later(503, cause, ApiConstants.RETRY_AFTER_S);
   }
 
-  /** Counts an answer of 503 that is made elsewhere. */
+  /** Counts an answer with status 503 that the caller creates itself. */
   void count(String cause) {
     if (countsByCause.isEmpty()) {
       eventLoop.after(ApiConstants.UNAVAILABLE_LOG_MS, this::logCounts);
@@ -37,7 +38,11 @@
   }
 
   private void logCounts() {
-    log.info("user requests answered unavailable countsByCause={}", countsByCause);
+    String counts =
+        countsByCause.entrySet().stream()
+            .map(entry -> entry.getKey() + ":" + entry.getValue())
+            .collect(Collectors.joining(";"));
+    log.info("user requests answered unavailable countsByCause={}", counts);
     countsByCause.clear();
   }
 }
--- a/src/main/java/fennelthread/cli/Archive.java
+++ b/src/main/java/fennelthread/cli/Archive.java
@@ -9,26 +9,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The build's last step: trains the class-data archive in a process of its own. The archive only
- * makes starts cheap, so nothing that goes wrong here may cost the build: a training that failed
- * because ten builds shared one machine once took the whole build with it, and the service could
- * not be started. It appears whole or not at all: it is written beside its place, a start with it
- * is tried, and only then is it moved there.
+ * The last step of the build: creates the class-data sharing (CDS) archive in a separate process.
+ * The archive only makes starts faster, so a failure here must not fail the build: training can
+ * fail because many builds share one machine, and without a build the service can't be started. The
+ * archive is replaced atomically: it is written to a temporary file in the same directory, a start
+ * with it is tested, and only then is it moved into place.
  */
 public final class Archive {
-  /** Longest time for one attempt at training, ms: it takes 2 s where nothing else runs. */
-  private static final long TRAINING_MS = 60_000;
+  /** Timeout of one training run, ms: it takes 2 s on an idle machine. */
+  private static final long TRAINING_TIMEOUT_MS = 60_000;
 
-  /** Longest time for the trial of a new archive, ms. */
-  private static final long TRIAL_MS = 20_000;
+  /** Timeout of the test start with a new archive, ms. */
+  private static final long TEST_START_TIMEOUT_MS = 20_000;
 
-  /** How often training is tried: the ports that it chose may be taken before it listens. */
-  private static final int TRIES = 2;
+  /** Most training runs: the free ports that one chose may be taken before it listens on them. */
+  private static final int MAX_TRAINING_RUNS = 2;
 
-  /** Runs a command for at most so long, ms: true if it ended by itself, with 0. */
+  /** Runs a command; returns true if it exited with code 0 within {@code timeoutMs}. */
   @FunctionalInterface
   interface Runner {
-    boolean run(List<String> command, long mostMs) throws IOException, InterruptedException;
+    boolean run(List<String> command, long timeoutMs) throws IOException, InterruptedException;
   }
 
   private final Runner runner;
@@ -42,36 +42,39 @@
   }
 
   /**
-   * Makes the archive ARGS[1] of the jar ARGS[0]; never fails, and says in one line if it made
-   * none.
+   * Creates an archive; a failure is reported in one line on standard error and does not change the
+   * exit code.
+   *
+   * @param args the path of the jar and the path of the archive
    */
   public static void main(String[] args) {
     String failure;
     try {
-      failure = new Archive(Archive::runProcess, Path.of(args[0]), Path.of(args[1])).make();
+      failure = new Archive(Archive::runProcess, Path.of(args[0]), Path.of(args[1])).create();
     } catch (RuntimeException | Error e) {
       failure = e.toString();
     }
     if (failure != null) {
-      System.err.println("no class-data archive was made, starts will be slower: " + failure);
+      System.err.println("no class-data archive was created, starts will be slower: " + failure);
     }
   }
 
-  /** Makes it; null, or why there is none that is new. */
-  String make() {
-    Path part = null;
+  /** Creates the archive; returns null, or the reason why it was not replaced. */
+  String create() {
+    Path tempFile = null;
     try {
-      // Beside its place, so that the move can't be half done; no other build's part has this name.
-      part = Files.createTempFile(archive.toAbsolutePath().getParent(), "archive", ".part");
-      String failure = "training was not tried";
-      for (int i = 0; i < TRIES && failure != null; i++) {
-        failure = train(part);
+      // In the same directory, so that the move is atomic; the unique name avoids other builds'
+      // files.
+      tempFile = Files.createTempFile(archive.toAbsolutePath().getParent(), "archive", ".part");
+      String failure = "training was not run";
+      for (int i = 0; i < MAX_TRAINING_RUNS && failure != null; i++) {
+        failure = train(tempFile);
       }
       if (failure != null) {
         return failure;
       }
       Files.move(
-          part, archive, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+          tempFile, archive, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
       return null;
     } catch (IOException e) {
       return e.toString();
@@ -79,26 +82,28 @@
       Thread.currentThread().interrupt();
       return "interrupted";
     } finally {
-      delete(part);
+      deleteTempFile(tempFile);
     }
   }
 
-  private String train(Path part) throws IOException, InterruptedException {
-    Files.deleteIfExists(part);
-    if (!runner.run(java("-XX:ArchiveClassesAtExit=" + part, "train"), TRAINING_MS)) {
-      return "training failed or took longer than " + TRAINING_MS / 1000 + " s";
+  private String train(Path tempFile) throws IOException, InterruptedException {
+    Files.deleteIfExists(tempFile);
+    if (!runner.run(
+        javaCommand("-XX:ArchiveClassesAtExit=" + tempFile, "train"), TRAINING_TIMEOUT_MS)) {
+      return "training failed or took longer than " + TRAINING_TIMEOUT_MS / 1000 + " s";
     }
-    if (!Files.isRegularFile(part) || Files.size(part) == 0) {
-      return "training left none";
+    if (!Files.isRegularFile(tempFile) || Files.size(tempFile) == 0) {
+      return "training created no archive";
     }
-    // A full disk leaves half a file. With these options a start fails if anything is wrong with
-    // it.
-    List<String> trial = java("-XX:SharedArchiveFile=" + part, "--version");
-    trial.addAll(1, List.of("-Xshare:on", "-XX:+VerifySharedSpaces"));
-    return runner.run(trial, TRIAL_MS) ? null : "a start with the new one failed";
+    // A full disk truncates the archive. With these options a start fails if it is damaged.
+    List<String> testStart = javaCommand("-XX:SharedArchiveFile=" + tempFile, "--version");
+    testStart.addAll(1, List.of("-Xshare:on", "-XX:+VerifySharedSpaces"));
+    return runner.run(testStart, TEST_START_TIMEOUT_MS)
+        ? null
+        : "a test start with the new archive failed";
   }
 
-  private List<String> java(String option, String command) {
+  private List<String> javaCommand(String option, String command) {
     return new ArrayList<>(
         List.of(
             "java",
@@ -111,18 +116,18 @@
             command));
   }
 
-  private static void delete(Path part) {
+  private static void deleteTempFile(Path tempFile) {
     try {
-      if (part != null) {
-        Files.deleteIfExists(part);
+      if (tempFile != null) {
+        Files.deleteIfExists(tempFile);
       }
     } catch (IOException e) {
-      System.err.println("left behind: " + part);
+      System.err.println("temporary file could not be deleted: " + tempFile);
     }
   }
 
-  /** Runs a process without a word from it; one that takes too long is ended. */
-  static boolean runProcess(List<String> command, long mostMs)
+  /** Runs a process and discards its output; kills it if it exceeds the timeout. */
+  static boolean runProcess(List<String> command, long timeoutMs)
       throws IOException, InterruptedException {
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("LOG_LEVEL", "error");
@@ -131,7 +136,7 @@
     Process process = builder.start();
     try {
       process.getOutputStream().close();
-      return process.waitFor(mostMs, TimeUnit.MILLISECONDS) && process.exitValue() == 0;
+      return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS) && process.exitValue() == 0;
     } finally {
       process.destroyForcibly();
     }
--- a/src/main/java/fennelthread/cli/Cancel.java
+++ b/src/main/java/fennelthread/cli/Cancel.java
@@ -5,12 +5,12 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Cancels a job. */
+/** The command that cancels a job. */
 @Command(
     name = "cancel",
     mixinStandardHelpOptions = true,
     versionProvider = Version.class,
-    description = "Cancels a job: its tasks are stopped and none is started any more.")
+    description = "Cancels a job: its tasks are stopped and no more are started.")
 class Cancel implements Callable<Integer> {
   @Mixin private Client client;
 
@@ -19,10 +19,10 @@
 
   @Override
   public Integer call() throws Exception {
-    return client.send("POST", Client.path(id) + "/withdraw", new byte[0]);
+    return client.send("POST", Client.jobPath(id) + "/withdraw", new byte[0]);
   }
 
-  /** The command under its former name, for scripts that use it. */
+  /** The command's former name, which existing scripts use. */
   @Command(name = "withdraw", hidden = true)
   static final class FormerName extends Cancel {}
 }
--- a/src/main/java/fennelthread/cli/Check.java
+++ b/src/main/java/fennelthread/cli/Check.java
@@ -6,12 +6,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Validates settings without starting anything. */
+/** The command that validates the settings files without starting a controller. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
     versionProvider = Version.class,
-    description = "Checks both settings files and ends; exit code 2 if one can't be used.")
+    description = "Validates both settings files; exit code 2 if one is invalid.")
 final class Check implements Callable<Integer> {
   @Mixin private SettingsFiles files;
 
@@ -26,15 +26,15 @@
         settings.peers().size() + 1,
         settings.teams().size(),
         settings.objectives().size());
-    long shortMs = RenewalBounds.shortfallMs(settings.workers());
-    if (shortMs > 0) {
+    long shortfallMs = RenewalBounds.shortfallMs(settings.workers());
+    if (shortfallMs > 0) {
       System.out.printf(
           "%s: cancel_s of %.1f s leaves too little room beside lease_s of %.1f s: a cut-off task may outlive its"
-              + " withdrawal by %.1f s%n",
+              + " cancellation by %.1f s%n",
           files.config,
           settings.workers().cancelMs() / 1000.0,
           settings.workers().leaseMs() / 1000.0,
-          shortMs / 1000.0);
+          shortfallMs / 1000.0);
     }
     return 0;
   }
--- a/src/main/java/fennelthread/cli/Client.java
+++ b/src/main/java/fennelthread/cli/Client.java
@@ -16,13 +16,13 @@
 import java.util.regex.Pattern;
 import picocli.CommandLine.Option;
 
-/** What the client commands share: one request to a controller, its answer printed as JSON. */
+/** The shared part of the client commands: sends one request and prints the answer as JSON. */
 final class Client {
-  /** A name or an address, in brackets if it holds colons, and a port. */
+  /** A host name, an IPv4 address or an IPv6 address in brackets, and a port. */
   private static final Pattern ADDRESS =
       Pattern.compile("(?:[A-Za-z0-9][A-Za-z0-9.-]*|\\[[0-9A-Fa-f:.]+\\]):([1-9][0-9]{0,4})");
 
-  private static final int LARGEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   @Option(
       names = "--to",
@@ -32,30 +32,35 @@
   String address;
 
   /**
-   * Checks what was named on the command line before anything is sent.
+   * Validates the address before anything is sent.
    *
-   * @throws SettingsException naming what is wrong
+   * @throws SettingsException if it is malformed
    */
   private void checkAddress() throws SettingsException {
-    Matcher parts = ADDRESS.matcher(address);
-    if (!parts.matches() || Integer.parseInt(parts.group(1)) > LARGEST_PORT) {
+    Matcher matcher = ADDRESS.matcher(address);
+    if (!matcher.matches() || Integer.parseInt(matcher.group(1)) > MAX_PORT) {
       throw new SettingsException("--to: must be of the form HOST:PORT, not '" + address + "'");
     }
   }
 
   /**
-   * The path of a job.
+   * Returns the path of a job.
    *
-   * @throws SettingsException if this can't be a job's id
+   * @throws SettingsException if the id is malformed
    */
-  static String path(String id) throws SettingsException {
+  static String jobPath(String id) throws SettingsException {
     if (!JobSpec.isId(id)) {
       throw new SettingsException("ID: must be of the form job-000412, not '" + id + "'");
     }
     return "/v1/jobs/" + id;
   }
 
-  /** Sends a request; exit code 0 for an answer of 200 or 201, 1 otherwise. */
+  /**
+   * Sends a request and prints the answer.
+   *
+   * @param body null for a request without a body
+   * @return the exit code: 0 for status 200 or 201, 1 for others or no answer
+   */
   int send(String method, String path, byte[] body)
       throws IOException, InterruptedException, SettingsException {
     checkAddress();
@@ -81,10 +86,10 @@
       Fields fields = Codec.CBOR.decode(response.body());
       text = new String(Codec.JSON.encode(fields), StandardCharsets.UTF_8);
     } catch (WireException e) {
-      text = "(an answer that can't be read)";
+      text = "(malformed answer)";
     }
-    boolean good = response.statusCode() == 200 || response.statusCode() == 201;
-    (good ? System.out : System.err).println(response.statusCode() + " " + text);
-    return good ? 0 : 1;
+    boolean isSuccess = response.statusCode() == 200 || response.statusCode() == 201;
+    (isSuccess ? System.out : System.err).println(response.statusCode() + " " + text);
+    return isSuccess ? 0 : 1;
   }
 }
--- a/src/main/java/fennelthread/cli/Emulate.java
+++ b/src/main/java/fennelthread/cli/Emulate.java
@@ -14,8 +14,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs real controllers among emulated machines and users on this one. It names the emulation's
- * classes nowhere but where it runs them: no other command may load one.
+ * The command that runs real controllers on this machine among emulated workers and users. It
+ * refers to the emulation's classes only where it runs them, so that no other command loads them.
  */
 @Command(
     name = "emulate",
@@ -34,14 +34,14 @@
       names = "--duration",
       paramLabel = "SECONDS",
       defaultValue = "60",
-      description = "How long users submit (default: ${DEFAULT-VALUE}).")
+      description = "How long users submit jobs (default: ${DEFAULT-VALUE}).")
   private double durationS;
 
   @Option(
       names = "--seed",
       paramLabel = "N",
       defaultValue = "1",
-      description = "Decides all that is drawn at random (default: ${DEFAULT-VALUE}).")
+      description = "The seed of all random choices (default: ${DEFAULT-VALUE}).")
   private long seed;
 
   @Option(
@@ -54,7 +54,8 @@
       names = "--report",
       paramLabel = "FILE.json",
       defaultValue = "emulate-report.json",
-      description = "Where the report goes, the page beside it (default: ${DEFAULT-VALUE}).")
+      description =
+          "The report's file; an HTML page is written beside it (default: ${DEFAULT-VALUE}).")
   private Path report;
 
   @Spec private CommandSpec spec;
@@ -86,7 +87,7 @@
                 report,
                 "fennelthread " + String.join(" ", arguments)),
             out);
-    Thread hook =
+    Thread shutdownHook =
         new Thread(
             () -> {
               try {
@@ -95,7 +96,7 @@
                 Thread.currentThread().interrupt();
               }
             });
-    Runtime.getRuntime().addShutdownHook(hook);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     return emulation.run() == 0 ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
   }
 }
--- a/src/main/java/fennelthread/cli/LogOutput.java
+++ b/src/main/java/fennelthread/cli/LogOutput.java
@@ -9,10 +9,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * A stream that begins each line with the time of day (UTC, milliseconds) and the controller's
- * name, so that the logs of several controllers can be merged and sorted. The logging backend could
- * do the first, but its formatter costs a start 60 ms of processor time, at a tenth of a core more
- * than half a second. Used by one thread at a time: {@link PrintStream} locks around each line.
+ * A stream that prefixes each line with the time (UTC, milliseconds) and the controller's name, so
+ * that the logs of several controllers can be merged and sorted. The logging backend could add the
+ * time, but its formatter takes 60 ms of processor time at startup, which is more than half a
+ * second on a tenth of a core. Not thread-safe; the enclosing {@link PrintStream} locks.
  */
 final class LogOutput extends OutputStream {
   private static final long MS_PER_SECOND = 1_000;
@@ -23,21 +23,21 @@
 
   private final OutputStream target;
   private final LongSupplier clock;
-  private final byte[] suffix;
+  private final byte[] controllerTag;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
   /**
-   * Creates a stream that writes whole lines to a target.
+   * Creates a stream that writes complete lines to a target.
    *
-   * @param clock gives the time of day in milliseconds since the epoch of Unix
+   * @param clock gives the time in milliseconds since the Unix epoch; read at the start of a line
    */
   LogOutput(OutputStream target, LongSupplier clock, String controller) {
     this.target = target;
     this.clock = clock;
-    this.suffix = (" " + controller + " ").getBytes(StandardCharsets.UTF_8);
+    this.controllerTag = (" " + controller + " ").getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Sends what is logged from now on through such a stream to standard error. */
+  /** Replaces standard error, which the log is written to, by such a stream. */
   static void install(String controller) {
     System.setErr(
         new PrintStream(
@@ -50,7 +50,7 @@
   public void write(int b) throws IOException {
     if (line.size() == 0) {
       line.writeBytes(timestamp(clock.getAsLong()).getBytes(StandardCharsets.US_ASCII));
-      line.writeBytes(suffix);
+      line.writeBytes(controllerTag);
     }
     line.write(b);
     if (b == '\n') {
@@ -61,24 +61,24 @@
   }
 
   /**
-   * A time such as {@code 2026-01-31T23:59:59.007Z}. Put together by hand: the formatters of {@code
-   * java.time} would be loaded for this alone.
+   * Returns a time such as {@code 2026-01-31T23:59:59.007Z}. It is formatted without the formatters
+   * of {@code java.time}, which nothing else would load.
    */
   private static String timestamp(long epochMs) {
     long secondOfDay = Math.floorMod(epochMs, MS_PER_DAY) / MS_PER_SECOND;
     return LocalDate.ofEpochDay(Math.floorDiv(epochMs, MS_PER_DAY))
         + "T"
-        + digits(secondOfDay / SECONDS_PER_HOUR, 2)
+        + zeroPadded(secondOfDay / SECONDS_PER_HOUR, 2)
         + ":"
-        + digits(secondOfDay / SECONDS_PER_MINUTE % MINUTES_PER_HOUR, 2)
+        + zeroPadded(secondOfDay / SECONDS_PER_MINUTE % MINUTES_PER_HOUR, 2)
         + ":"
-        + digits(secondOfDay % SECONDS_PER_MINUTE, 2)
+        + zeroPadded(secondOfDay % SECONDS_PER_MINUTE, 2)
         + "."
-        + digits(Math.floorMod(epochMs, MS_PER_SECOND), 3)
+        + zeroPadded(Math.floorMod(epochMs, MS_PER_SECOND), 3)
         + "Z";
   }
 
-  private static String digits(long number, int count) {
+  private static String zeroPadded(long number, int count) {
     String text = Long.toString(number);
     return "0".repeat(count - text.length()) + text;
   }
--- a/src/main/java/fennelthread/cli/Serve.java
+++ b/src/main/java/fennelthread/cli/Serve.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** The program itself, and its default command: runs a controller. */
+/** The top-level command, which without a subcommand runs a controller. */
 @Command(
     name = "fennelthread",
     mixinStandardHelpOptions = true,
@@ -27,7 +27,7 @@
       Train.class
     })
 final class Serve implements Callable<Integer> {
-  /** Not an exit code: the program goes on. */
+  /** Returned instead of an exit code: the process must keep running. */
   static final int KEEP_RUNNING = -1;
 
   @Mixin private SettingsFiles files;
@@ -37,26 +37,30 @@
     return serve(files);
   }
 
+  /** Starts a controller with its event loop in threads that keep the process running. */
   static int serve(SettingsFiles files) throws Exception {
     Settings settings = files.loadSettings();
     Options options = files.loadOptions();
     LogOutput.install(settings.member());
-    XnioEventLoop eventLoop = eventLoopFor(settings);
+    XnioEventLoop eventLoop = createEventLoop(settings);
     eventLoop.run(() -> start(eventLoop, settings, options));
     return KEEP_RUNNING;
   }
 
-  /** The machine below a controller with these settings. */
-  static XnioEventLoop eventLoopFor(Settings settings) throws IOException {
+  /**
+   * Creates the event loop for a controller. Connections to the state service, the cloud and peers
+   * are essential: the limit on outbound connections does not apply to them.
+   */
+  static XnioEventLoop createEventLoop(Settings settings) throws IOException {
     Set<String> essential = new HashSet<>();
     essential.add(settings.stateAddr());
     essential.add(settings.cloudAddr());
-    settings.peers().forEach(s -> essential.add(s.addr()));
+    settings.peers().forEach(peer -> essential.add(peer.addr()));
     return new XnioEventLoop(
         settings.maxConnections(), settings.maxOutboundConnections(), essential);
   }
 
-  /** Sets a controller going; on the event loop's thread. */
+  /** Creates and starts a controller; must run on the event loop's thread. */
   static Controller start(XnioEventLoop eventLoop, Settings settings, Options options) {
     Controller controller = new Controller(eventLoop, settings, options);
     eventLoop.listen(
@@ -65,7 +69,7 @@
     return controller;
   }
 
-  /** The same under its own name. */
+  /** The same command as an explicit subcommand. */
   @Command(
       name = "serve",
       mixinStandardHelpOptions = true,
--- a/src/main/java/fennelthread/cli/SettingsFiles.java
+++ b/src/main/java/fennelthread/cli/SettingsFiles.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The two settings files, as options that several commands share. */
+/** The options that name the two settings files; shared by several commands. */
 final class SettingsFiles {
   @Option(names = "--config", paramLabel = "FILE.toml", description = "The platform's settings.")
   Path config;
@@ -17,7 +17,7 @@
       description = "The operators' own settings, an S-expression.")
   Path settings;
 
-  /** For picocli, which fills the fields in. */
+  /** Used by picocli, which then sets the fields. */
   SettingsFiles() {}
 
   SettingsFiles(Path config) {
@@ -25,8 +25,8 @@
   }
 
   Settings loadSettings() throws SettingsException {
-    // Not marked as required: the option also stands at the program's top level, where picocli
-    // would ask for it before every subcommand.
+    // Not a required option for picocli: it also belongs to the top-level command, so picocli would
+    // demand it before every subcommand.
     if (config == null) {
       throw new SettingsException("--config FILE.toml is missing");
     }
--- a/src/main/java/fennelthread/cli/Status.java
+++ b/src/main/java/fennelthread/cli/Status.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Asks for a job's state. */
+/** The command that shows a job's state. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
@@ -19,6 +19,6 @@
 
   @Override
   public Integer call() throws Exception {
-    return client.send("GET", Client.path(id), null);
+    return client.send("GET", Client.jobPath(id), null);
   }
 }
--- a/src/main/java/fennelthread/cli/Submit.java
+++ b/src/main/java/fennelthread/cli/Submit.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Submits a job. */
+/** The command that submits a job. */
 @Command(
     name = "submit",
     mixinStandardHelpOptions = true,
@@ -32,7 +32,7 @@
       names = "--after",
       paramLabel = "ID",
       description =
-          "A job that must be done before this one starts, beside those that the file names; "
+          "A job that must be done before this one starts, in addition to those in the file; "
               + "may be repeated.")
   private List<String> after = List.of();
 
@@ -50,10 +50,10 @@
     return client.send("POST", "/v1/jobs", body);
   }
 
-  /** Adds needs to those that the job names already; the controller checks them all. */
+  /** Adds dependencies to those that the job already names; the controller validates them. */
   static Fields withDependencies(Fields job, List<String> after) throws WireException {
-    List<String> named = job.optTexts(JobSpec.DEPENDENCIES);
-    List<Object> dependencies = new ArrayList<>(named == null ? List.of() : named);
+    List<String> inFile = job.optTexts(JobSpec.DEPENDENCIES);
+    List<Object> dependencies = new ArrayList<>(inFile == null ? List.of() : inFile);
     dependencies.addAll(after);
     return job.with(JobSpec.DEPENDENCIES, dependencies);
   }
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -23,8 +23,9 @@
 import picocli.CommandLine.Command;
 
 /**
- * Run once by the build, under {@code -XX:ArchiveClassesAtExit}: loads what a controller needs, by
- * serving a few requests on the loopback, so that the class-data archive makes later starts cheap.
+ * The command that the build runs under {@code -XX:ArchiveClassesAtExit} to create the class-data
+ * archive, which makes later starts faster: loads the classes that a controller needs by serving a
+ * few requests on the loopback interface.
  */
 @Command(
     name = Train.NAME,
@@ -33,11 +34,11 @@
 final class Train implements Callable<Integer> {
   static final String NAME = "train";
 
-  /** Classes that are never loaded where a controller runs. */
-  private static final List<String> NOT_SERVED =
+  /** Prefixes of classes that a running controller never loads. */
+  private static final List<String> EXCLUDED_PREFIXES =
       List.of("fennelthread/simulation/", "fennelthread/emulate/", "fennelthread/cli/Emulate");
 
-  private static final String SETTINGS =
+  private static final String SETTINGS_FORMAT =
       """
       member = "training-0"
       site = "here"
@@ -70,30 +71,30 @@
 
   @Override
   public Integer call() throws Exception {
-    loadOwnClasses();
+    loadServedClasses();
     Path file = Files.createTempFile("fennelthread", ".toml");
-    // Free ports: two builds on one machine once took each other's, and the second failed.
-    Files.writeString(file, SETTINGS.formatted(freePort(), freePort(), freePort()));
+    // Free ports, so that builds on one machine don't take each other's and fail.
+    Files.writeString(file, SETTINGS_FORMAT.formatted(freePort(), freePort(), freePort()));
     Settings settings = Settings.load(file);
     Options options = Options.parse("training", "(fennelthread (max-machines 1))");
     Files.delete(file);
-    XnioEventLoop eventLoop = Serve.eventLoopFor(settings);
+    XnioEventLoop eventLoop = Serve.createEventLoop(settings);
     List<Call> calls = trainingCalls();
-    CountDownLatch answers = new CountDownLatch(calls.size());
+    CountDownLatch openCalls = new CountDownLatch(calls.size());
     eventLoop.run(
         () -> {
           Controller controller = Serve.start(eventLoop, settings, options);
           for (Call call : calls) {
-            eventLoop.call(settings.apiAddr(), call, 3_000, answer -> answers.countDown());
+            eventLoop.call(settings.apiAddr(), call, 3_000, answer -> openCalls.countDown());
           }
           controller.peerService().handle(new Request("GET", "/none", null), answer -> {});
         });
-    boolean all = answers.await(30, TimeUnit.SECONDS);
+    boolean allAnswered = openCalls.await(30, TimeUnit.SECONDS);
     Thread.sleep(500);
-    return all ? 0 : 1;
+    return allAnswered ? 0 : 1;
   }
 
-  /** A request of each kind, so that the classes which serve them are loaded. */
+  /** Returns requests of each kind, which load the classes that serve them. */
   private static List<Call> trainingCalls() {
     JobSpec spec =
         JobSpec.builder("job-000001")
@@ -119,12 +120,12 @@
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0)) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0)) {
+      return socket.getLocalPort();
     }
   }
 
-  private static void loadOwnClasses() throws Exception {
+  private static void loadServedClasses() throws Exception {
     Path jar = Path.of(Train.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     if (!Files.isRegularFile(jar)) {
       return;
@@ -132,9 +133,10 @@
     try (JarFile file = new JarFile(jar.toFile())) {
       for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
         String name = entry.getName();
-        boolean served =
-            name.startsWith("fennelthread/") && NOT_SERVED.stream().noneMatch(name::startsWith);
-        if (served && name.endsWith(".class")) {
+        boolean isServed =
+            name.startsWith("fennelthread/")
+                && EXCLUDED_PREFIXES.stream().noneMatch(name::startsWith);
+        if (isServed && name.endsWith(".class")) {
           Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
         }
       }
--- a/src/main/java/fennelthread/cli/Version.java
+++ b/src/main/java/fennelthread/cli/Version.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine;
 
-/** The version in the jar's manifest. */
+/** Provides the version in the jar's manifest. */
 final class Version implements CommandLine.IVersionProvider {
   @Override
   public String[] getVersion() {
--- a/src/main/java/fennelthread/constants/ApiConstants.java
+++ b/src/main/java/fennelthread/constants/ApiConstants.java
@@ -1,23 +1,26 @@
 package fennelthread.constants;
 
-/** Constants of the interface for users; each with its unit and its reason. */
+/** The HTTP interface for users: deadlines and {@code Retry-After} values. */
 public final class ApiConstants {
   /**
-   * What submitters are asked to wait while memory is short, seconds: it takes jobs that end before
-   * there is room for others.
+   * {@code Retry-After} of a submission refused while memory is short, seconds: room for a new job
+   * appears only as other jobs end.
    */
   public static final int MEMORY_SHORT_RETRY_AFTER_S = 10;
 
   /**
-   * Longest wait of a user's request inside the service, ms: it takes up to three calls to the
-   * state service, of 10 ms each as a rule and now and then of a few hundred.
+   * Longest time until a user's request is answered, ms. A request takes up to three calls to the
+   * state service, which take about 10 ms each and occasionally a few hundred.
    */
   public static final long ANSWER_DEADLINE_MS = 1_000;
 
-  /** Answers of 503 are counted for so long for one line of the log, ms. */
+  /** Period over which answers with status 503 are counted for one log line, ms. */
   public static final long UNAVAILABLE_LOG_MS = 10_000;
 
-  /** What users are asked to wait after a 503, seconds: the shortest that the protocol knows. */
+  /**
+   * {@code Retry-After} of other answers with status 503, seconds: the shortest that the protocol
+   * allows.
+   */
   public static final int RETRY_AFTER_S = 1;
 
   private ApiConstants() {}
--- a/src/main/java/fennelthread/constants/HealthConstants.java
+++ b/src/main/java/fennelthread/constants/HealthConstants.java
@@ -1,20 +1,26 @@
 package fennelthread.constants;
 
-/** Constants of the monitor of memory pressure; each with its unit and its reason. */
+/** Detection of memory pressure. */
 public final class HealthConstants {
   /**
-   * Share of the heap that may be live: of the serial collector's heap a third is for new objects,
-   * so that at 0.667 the rest is full.
+   * Share of the heap that may be live before memory counts as short: the serial collector reserves
+   * a third of its heap for new objects, so at 0.667 the old generation is full.
    */
   public static final double MEMORY_PRESSURE_LIVE_SHARE = 0.58;
 
-  /** Below this live share there is no memory pressure any more. */
+  /** Live share below which memory pressure ends. */
   public static final double NORMAL_LIVE_SHARE = 0.5;
 
-  /** Over how long the least use is taken, ms: several collections of new objects. */
+  /**
+   * Period over which the least heap use is taken as the live share, ms: covers several collections
+   * of new objects.
+   */
   public static final long WINDOW_MS = 4_000;
 
-  /** Shortest time between two collections made to measure, ms: each stops the process. */
+  /**
+   * Shortest time between two collections made to measure the live share, ms: each stops the
+   * process.
+   */
   public static final long COLLECTION_INTERVAL_MS = 20_000;
 
   private HealthConstants() {}
--- a/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
+++ b/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
@@ -1,31 +1,33 @@
 package fennelthread.constants;
 
-/** Constants of the renewal of workers' leases by followers; each with its unit and its reason. */
+/** Renewal of workers' leases by followers. */
 public final class LeaseRenewalConstants {
   /**
-   * Most commands in one answer to a worker: keeps it below the bound on bodies; the rest waits.
+   * Most commands in one answer to a worker: keeps it below the bound on bodies; the rest is sent
+   * later.
    */
   public static final int COMMANDS_PER_ANSWER = 400;
 
   /**
    * Taken off the time for which leases may be renewed without knowledge of new cancellations, ms:
-   * a worker's timers, an answer under way, a user answered a moment before the record was read.
+   * covers a worker's timers, an answer in flight, and a cancellation that was confirmed just
+   * before its record was read.
    */
   public static final long RENEWAL_MARGIN_MS = 1_200;
 
   /**
-   * Shortest such time, ms: a replica of the state is as old as one watch is held, and one call.
-   * With less than that between a lease and {@code cancel_s} a healthy leader, which knows of all
-   * cancellations until about a second ago, could not answer reports; a task that is cut off then
-   * outlives its cancellation, as it does without any controller. Seven seconds once lengthened the
-   * answering of settings that had room for five.
+   * Shortest such time, ms. A replica of the state is as old as one held watch and one call. If
+   * {@code cancel_s} exceeds {@code lease_s} by less than that, a healthy leader, which knows all
+   * cancellations until about a second ago, could not answer reports without this minimum; with it
+   * a task that is cut off may outlive its cancellation, as it does when no controller runs. A
+   * minimum of seven seconds would extend renewal under settings that have room for five.
    */
   public static final long MIN_RENEWAL_WINDOW_MS = 2_500;
 
   /**
-   * How long a peer's promise lasts to abstain from answering reports in the leader's place, ms:
-   * three heartbeats, and less than a worker takes that waits for a leader's answer before it turns
-   * to the peer.
+   * Duration of a peer's promise not to answer reports in the leader's place, ms: three heartbeats,
+   * and shorter than the time that a worker waits for the leader's answer before it turns to the
+   * peer.
    */
   public static final long RENEWAL_ABSTENTION_MS = 2_500;
 
--- a/src/main/java/fennelthread/constants/PeerConstants.java
+++ b/src/main/java/fennelthread/constants/PeerConstants.java
@@ -1,11 +1,11 @@
 package fennelthread.constants;
 
-/** Constants of the heartbeats between controllers; each with its unit and its reason. */
+/** Heartbeats between controllers. */
 public final class PeerConstants {
   /**
-   * How long a peer whose version does not hold jobs back for their dependencies keeps us from
-   * accepting such jobs, ms: it would run them too early if it led, and after this long without a
-   * heartbeat it is gone or of a newer version.
+   * Time after its last heartbeat for which a peer whose version ignores dependencies keeps this
+   * controller from accepting jobs that have them, ms: it would run them too early if it became
+   * leader. After that it is gone or runs a newer version.
    */
   public static final long OUTDATED_PEER_MS = 10_000;
 
@@ -15,21 +15,21 @@
   /** Most workers' addresses in one heartbeat: keeps it below the bound on bodies. */
   public static final int ADDRESSES_PER_HEARTBEAT = 500;
 
-  /** Longest wait for a heartbeat's answer, ms. */
+  /** Timeout of a heartbeat, ms. */
   public static final long HEARTBEAT_TIMEOUT_MS = 1_200;
 
   /** A peer not heard from for this long counts as silent, ms. */
   public static final long PEER_SILENT_MS = 3_000;
 
   /**
-   * What stands for the time since the last renewal, in ms, of a controller that never renewed a
-   * lease in a leader's place.
+   * Stands for the time since the last renewal, ms, of a controller that has never renewed a lease
+   * in a leader's place.
    */
   public static final long NEVER_RENEWED = -1;
 
   /**
-   * What stands for a moment of something that never happened, ms: before all others, and far
-   * enough from the bounds of the type that times can be added to it.
+   * Stands for the time of an event that has never happened, ms: before all others, and far enough
+   * from the bounds of {@code long} that durations can be added to it.
    */
   public static final long NEVER_MS = Long.MIN_VALUE / 2;
 
--- a/src/main/java/fennelthread/constants/RelayConstants.java
+++ b/src/main/java/fennelthread/constants/RelayConstants.java
@@ -1,76 +1,102 @@
 package fennelthread.constants;
 
-/** Constants of reports and commands that pass through peers; each with its unit and its reason. */
+/** Reports and commands that are relayed by peers, and detection of unreachable workers. */
 public final class RelayConstants {
-  /** A worker that missed this many reports gets no new tasks until it is heard again. */
+  /**
+   * Report intervals after which a silent worker gets no new tasks until it is heard from again,
+   * and a relay is no longer used for it.
+   */
   public static final double MAX_MISSED_REPORTS = 2.5;
 
-  /** Most workers' addresses that a controller keeps: bounds memory far above any fleet. */
+  /**
+   * Most workers that a controller keeps data of: bounds memory far above the size of any fleet.
+   */
   public static final int MAX_KNOWN_WORKERS = 20_000;
 
-  /** How often a controller looks at its own state and its peers', ms. */
+  /** Interval at which a controller checks its own state and its peers', ms. */
   public static final long CHECK_INTERVAL_MS = 500;
 
-  /** Reports that must be missing before a leader takes itself for deaf: chance misses a few. */
+  /**
+   * Number of reports that must be missing before a leader concludes that workers can't reach it:
+   * fewer may be missing by chance.
+   */
   public static final double MIN_MISSING_REPORTS = 30;
 
-  /** Least silence before that, ms: a moment's congestion delays hundreds of reports at once. */
+  /**
+   * Least silence before that conclusion, ms: brief congestion delays hundreds of reports at once.
+   */
   public static final long MIN_UNREACHABLE_SILENCE_MS = 1_000;
 
-  /** With fewer workers, it is deaf after so many report intervals: each reports within 1.25. */
+  /**
+   * Report intervals of silence that suffice for it in a fleet with too few workers for that
+   * number: each worker reports within 1.25.
+   */
   public static final double UNREACHABLE_REPORT_INTERVALS = 1.6;
 
-  /** Fewer silent workers than this prove nothing: they may have failed together. */
+  /** Least number of workers whose silence proves anything: fewer may have failed together. */
   public static final int MIN_SILENT_WORKERS = 3;
 
-  /** How long a leader that took itself for deaf does not trust a worker's direct answer, ms. */
+  /**
+   * Time for which a leader that workers can't reach ignores direct answers to its probes, ms;
+   * doubled when it recurs.
+   */
   public static final long MIN_DISTRUST_MS = 1_000;
 
   /** Longest such time, ms. */
   public static final long MAX_DISTRUST_MS = 30_000;
 
-  /** Deaf again within this time, the leader trusts direct answers twice as late, ms. */
+  /**
+   * If workers become unreachable again within this time after they were reachable, that time
+   * doubles, ms.
+   */
   public static final long RECURRENCE_WINDOW_MS = 15_000;
 
-  /** Longest wait for the leader's answer to a report that is passed on, ms: workers wait 4 s. */
+  /** Timeout of a report relayed to the leader, ms: the worker waits 4 s. */
   public static final long RELAY_TIMEOUT_MS = 1_200;
 
-  /** A worker that has not answered a question in this time is asked through a peer too, ms. */
+  /** Time without an answer after which a probe of a worker is also sent through a peer, ms. */
   public static final long HEDGE_DELAY_MS = 300;
 
-  /** Added to a command's time when a peer passes it on, ms. */
+  /** Added to the timeout of a command that a peer relays, ms. */
   public static final long RELAY_HOP_MS = 400;
 
-  /** Reports under way to the leader at once: beyond that workers try the next controller. */
-  public static final int MAX_RELAYS_IN_FLIGHT = 400;
-
   /**
-   * After so many reports in a row that the leader did not answer, none is passed on for a while.
+   * Most relayed reports in flight to the leader: beyond that workers are sent to the next
+   * controller.
    */
+  public static final int MAX_RELAYS_IN_FLIGHT = 400;
+
+  /** Number of reports in a row without an answer of the leader after which relaying is paused. */
   public static final int MAX_UNANSWERED_RELAYS = 8;
 
-  /** How long, ms. */
+  /** Duration of that pause, ms. */
   public static final long RELAY_PAUSE_MS = 1_500;
 
-  /** How long a worker's reports are passed on before it is sent to the leader again, ms. */
+  /**
+   * Time for which a worker's reports are relayed before it is first redirected to the leader
+   * again, ms; doubled each time.
+   */
   public static final long MIN_RELAY_HOLD_MS = 12_000;
 
   /** Longest such time, ms. */
   public static final long MAX_RELAY_HOLD_MS = 60_000;
 
-  /** After so long in a term, whoever obeys its leader has also reported to it, ms. */
+  /**
+   * Time after the start of a term from which a worker that obeys its leader must also have
+   * reported to it, ms.
+   */
   public static final long TERM_SETTLING_MS = 10_000;
 
-  /** How long it counts that a worker came here, or that a peer said so, ms. */
+  /** Time for which a worker's arrival, or a peer's notice of an unreachable leader, counts, ms. */
   public static final long NOTICE_VALIDITY_MS = 4_000;
 
-  /** Shortest time between two such words through the state service, ms: each is a change. */
+  /** Shortest time between two such notices in the state service, ms: each is a change. */
   public static final long MIN_NOTICE_INTERVAL_MS = 2_000;
 
-  /** Fewest workers that it takes. */
+  /** Least number of arriving workers for a notice. */
   public static final int MIN_NOTICE_WORKERS = 2;
 
-  /** Part of the known workers that it takes. */
+  /** Least share of the known workers for a notice. */
   public static final double MIN_NOTICE_WORKER_SHARE = 0.05;
 
   private RelayConstants() {}
--- a/src/main/java/fennelthread/constants/StateConstants.java
+++ b/src/main/java/fennelthread/constants/StateConstants.java
@@ -1,25 +1,27 @@
 package fennelthread.constants;
 
 /**
- * Constants of the client of the state service: timeouts, rate limits and the sizes of values and
- * transactions; each with its unit and its reason.
+ * The client of the state service: timeouts, rate limits and the sizes of values and transactions.
  */
 public final class StateConstants {
-  /** Longest wait for an answer, ms: occasionally it takes a few hundred. */
+  /** Timeout of a request, ms: occasionally an answer takes a few hundred. */
   public static final long REQUEST_TIMEOUT_MS = 1_000;
 
   /**
-   * A request without an answer for so long is evidence that the service does not respond, ms: as a
-   * rule answers take 10, in slow spells a hundred or two.
+   * Time after which an unanswered request is evidence that the service does not respond, ms:
+   * answers take about 10, and 100 to 200 while the service is slow.
    */
   public static final long REQUEST_OVERDUE_MS = 250;
 
-  /** Number of overdue requests without any answer since that makes the service unresponsive. */
+  /**
+   * Number of overdue requests, with no answer since, after which the service counts as
+   * unresponsive.
+   */
   public static final int UNRESPONSIVE_EVIDENCE = 2;
 
   /**
-   * Shortest time after which a transaction without an answer counts as overdue, ms: its changes
-   * are in the replica by then, and some users count on an answer within 200.
+   * Shortest time after which an unanswered transaction counts as overdue, ms: by then its changes
+   * are in the replica, and some users expect an answer within 200.
    */
   public static final long MIN_TXN_OVERDUE_MS = 120;
 
@@ -32,15 +34,16 @@
   /** Weight of the newest answer in the moving average of latencies, from 0 to 1. */
   public static final double LATENCY_AVERAGE_WEIGHT = 0.1;
 
-  /** Longest wait for the renewal of a lease, ms: short, since a retry may still save the lease. */
+  /** Timeout of the renewal of a lease, ms: short, since a retry may still save the lease. */
   public static final long LEASE_RENEWAL_TIMEOUT_MS = 900;
 
   /**
-   * What stands for the HTTP status of a request without an answer: peers report it to one another.
+   * Stands for the HTTP status of a request without an answer; it is part of messages between
+   * peers.
    */
   public static final int NO_ANSWER_STATUS = 0;
 
-  /** How long the service holds a watch open, ms: bounds what a lost answer costs. */
+  /** Time for which the service holds a watch open, ms: bounds what a lost answer costs. */
   public static final long WATCH_HOLD_MS = 5_000;
 
   /** Shortest time between two watch requests, ms: each counts against the rate limit. */
@@ -50,37 +53,37 @@
   public static final int MAX_QUEUED_REQUESTS = 400;
 
   /**
-   * Part of the service's rate limits that one controller may use, from 0 to 1: any may have to
-   * lead, and those that don't use far less. Together they may exceed the limits for a moment, and
-   * then back off.
+   * Share of the service's rate limits that one controller may use, from 0 to 1: any may have to
+   * lead, and followers use far less. Together they may briefly exceed the limits; they then back
+   * off.
    */
   public static final double RATE_LIMIT_SHARE = 0.5;
 
-  /** Length of a burst within that part, s: the service allows one second's worth to all. */
+  /** Length of a burst within that share, s: the service allows one second's worth to all. */
   public static final double BURST_S = 0.5;
 
   /** Smallest burst, requests or changes: a low limit must still let one transaction through. */
   public static final double MIN_BURST = 4;
 
-  /** Part of the burst that each less urgent lane leaves to the more urgent ones, from 0 to 1. */
+  /** Share of the burst that each less urgent lane leaves to the more urgent ones, from 0 to 1. */
   public static final double BURST_RESERVE_PER_PRIORITY = 0.2;
 
-  /** Shortest pause before a request that was rejected for the rate limit is repeated, ms. */
+  /** Shortest delay before a request that was rejected for the rate limit is retried, ms. */
   public static final long RATE_LIMITED_RETRY_MS = 60;
 
-  /** How often such a request is repeated: beyond that its sender would have waited too long. */
+  /** Most retries of such a request: after more its sender would have waited too long. */
   public static final int RATE_LIMITED_RETRIES = 3;
 
-  /** A start record that has waited for so long precedes users' requests, ms: tasks wait for it. */
+  /** Queueing time after which a start record precedes users' requests, ms: tasks wait for it. */
   public static final long SCHEDULING_MAX_WAIT_MS = 250;
 
   /**
-   * The same for requests of the lane for maintenance, ms: what is not removed grows in every
-   * replica.
+   * The same for requests of the maintenance lane, ms: records that are not removed accumulate in
+   * every replica.
    */
   public static final long MAINTENANCE_MAX_WAIT_MS = 5_000;
 
-  /** Longest time that a user's request may be queued for the rate limit, ms. */
+  /** Longest time for which a user's request may be queued for the rate limit, ms. */
   public static final long MAX_INTERACTIVE_WAIT_MS = 150;
 
   /** Most bytes of a value beside its payload: key names and JSON punctuation. */
@@ -89,13 +92,13 @@
   /** Most bytes of all values in a transaction: the service takes bodies of up to 64 KiB. */
   public static final int MAX_TXN_BYTES = 48 * 1024;
 
-  /** Conditions that a transaction may hold for each change that it may hold. */
+  /** Most conditions in a transaction for each change that it may hold. */
   public static final int CONDITIONS_PER_CHANGE = 4;
 
   /** Fewest changes that a transaction must be able to hold: a job ends in two. */
   public static final int MIN_TXN_CHANGES = 2;
 
-  /** Smallest limit on values after rejections, bytes: below that no job fits any more. */
+  /** Smallest limit on values after rejections, bytes: with less no job would fit. */
   public static final int MIN_VALUE_BYTES = 768;
 
   /** Most items asked for in one page of a list: the protocol's bound is 1,000. */
--- a/src/main/java/fennelthread/constants/ZoneConstants.java
+++ b/src/main/java/fennelthread/constants/ZoneConstants.java
@@ -1,41 +1,44 @@
 package fennelthread.constants;
 
-/** Constants of the health of zones; each with its unit and its reason. */
+/** Detection of zone outages, and their consequences. */
 public final class ZoneConstants {
 
   // ---------------------------------------------------------------- evidence
 
-  /** Fewest machines of a zone, and elsewhere, for its silence to mean anything. */
+  /** Least number of machines in a zone, and elsewhere, for the zone's silence to be evidence. */
   public static final int MIN_MACHINES = 3;
 
   /** A zone is unreachable if this share of its machines is silent, while others are in contact. */
   public static final double UNREACHABLE_SHARE = 0.6;
 
-  /** A zone is degraded from this share of silent machines on: more than single ones at once. */
+  /**
+   * Share of silent machines from which a zone is degraded: more than failures of single machines
+   * at once.
+   */
   public static final double DEGRADED_SHARE = 0.25;
 
-  /** A zone that was unreachable recovers once less than this share is silent. */
+  /** A zone that was unreachable recovers once less than this share of its machines is silent. */
   public static final double RECOVERY_SHARE = 0.5;
 
-  /** A recovering zone is stable while no more than this share is silent. */
+  /** A recovering zone is stable while no more than this share of its machines is silent. */
   public static final double STABLE_SHARE = 0.1;
 
-  /** If this share is silent elsewhere too, the fault is no zone's. */
+  /** If this share of the machines elsewhere is silent too, the fault is not the zone's. */
   public static final double MAX_OTHERS_SILENT_SHARE = 0.4;
 
   /** Least time without any report of a whole zone for it to count as silent, ms. */
   public static final long MIN_ZONE_SILENCE_MS = 1_200;
 
-  /** A longer time between two observations means that this process has stalled, ms. */
+  /** Time between two observations beyond which this process counts as stalled, ms. */
   public static final long MAX_OBSERVATION_GAP_MS = 1_000;
 
   // ---------------------------------------------------------------- phases
 
-  /** After so many leases of silence a zone's tasks count as lost in what the log says. */
+  /** Leases of silence after which the log reports a zone's tasks as lost. */
   public static final double LOST_LEASES = 1.1;
 
   /**
-   * How long a recovering zone must be stable to be trusted, ms; twice as long for each further
+   * Time for which a recovering zone must be stable to be trusted, ms; doubled with each further
    * outage.
    */
   public static final long MIN_STABLE_MS = 3_000;
@@ -48,10 +51,15 @@
 
   // ---------------------------------------------------------------- consequences
 
-  /** How long the machines of an unreachable zone are kept, ms: they may be reachable again. */
+  /**
+   * Time for which the machines of an unreachable zone are kept, ms: they may become reachable
+   * again.
+   */
   public static final long KEEP_LOST_MS = 300_000;
 
-  /** Unreachable machines are replaced after so long, ms: shorter cuts are not worth a boot. */
+  /**
+   * Time after which unreachable machines are replaced, ms: a shorter outage is not worth a boot.
+   */
   public static final long REPLACEMENT_DELAY_MS = 3_000;
 
   /** Time over which the replacement grows to all of them, ms. */
--- a/src/main/java/fennelthread/settings/SettingsException.java
+++ b/src/main/java/fennelthread/settings/SettingsException.java
@@ -1,10 +1,13 @@
 package fennelthread.settings;
 
-/** A settings file that can't be used; the message names file and field in one line. */
+/**
+ * Thrown if a settings file or a command-line argument can't be used; the message names it, and the
+ * field at fault, in one line.
+ */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates the exception. */
+  /** Creates the exception with a message for operators. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/fennelthread/settings/SettingsReader.java
+++ b/src/main/java/fennelthread/settings/SettingsReader.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads the platform's settings file, and names the first field that is missing or wrong. */
+/** Reads and validates the platform's settings file; errors name the first field at fault. */
 final class SettingsReader {
-  private static final String TEAMS = "cluster.teams.";
-  private static final String OBJECTIVES = "cluster.objectives.";
-  private static final String WORKERS = "cluster.workers.";
+  private static final String TEAMS_PATH = "cluster.teams.";
+  private static final String OBJECTIVES_PATH = "cluster.objectives.";
+  private static final String WORKERS_PATH = "cluster.workers.";
 
   private final String file;
   private final JsonNode root;
@@ -29,22 +29,24 @@
     this.root = root;
   }
 
-  /** Reads a file. */
+  /** Reads and validates a file. */
   static Settings read(Path file) throws SettingsException {
     JsonNode root;
     try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
       parser.nextToken();
-      root = tree(parser);
+      root = readTree(parser);
     } catch (IOException e) {
-      String why =
+      String reason =
           e.getMessage() == null ? e.toString() : e.getMessage().lines().findFirst().orElse("");
-      throw new SettingsException(file + ": can't be read: " + why);
+      throw new SettingsException(file + ": can't be read: " + reason);
     }
-    return new SettingsReader(file.toString(), root).settings();
+    return new SettingsReader(file.toString(), root).readSettings();
   }
 
-  /** Builds the tree by hand: a mapper would load hundreds of classes more at each start. */
-  private static JsonNode tree(JsonParser parser) throws IOException {
+  /**
+   * Builds the tree without an object mapper, which would load hundreds of classes at each start.
+   */
+  private static JsonNode readTree(JsonParser parser) throws IOException {
     JsonNodeFactory nodes = JsonNodeFactory.instance;
     switch (parser.currentToken()) {
       case START_OBJECT -> {
@@ -52,14 +54,14 @@
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
           String name = parser.currentName();
           parser.nextToken();
-          object.set(name, tree(parser));
+          object.set(name, readTree(parser));
         }
         return object;
       }
       case START_ARRAY -> {
         ArrayNode array = nodes.arrayNode();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-          array.add(tree(parser));
+          array.add(readTree(parser));
         }
         return array;
       }
@@ -78,18 +80,18 @@
     }
   }
 
-  private Settings settings() throws SettingsException {
-    List<Settings.Peer> peers = peers();
+  private Settings readSettings() throws SettingsException {
+    List<Settings.Peer> peers = readPeers();
     JsonNode cluster = object("cluster");
     List<String> zones = new ArrayList<>();
     cluster.path("zones").forEach(zone -> zones.add(zone.asText()));
-    Map<String, Settings.Team> teams = teams(cluster);
-    List<Settings.Objective> objectives = objectives(cluster);
+    Map<String, Settings.Team> teams = readTeams(cluster);
+    List<Settings.Objective> objectives = readObjectives(cluster);
     JsonNode workers = object(cluster, "cluster.", "workers");
     JsonNode state = object(cluster, "cluster.", "state");
     JsonNode cloud = object(cluster, "cluster.", "cloud");
     JsonNode endpoints = object("endpoints");
-    JsonNode limits = cluster.path("machine_limits");
+    JsonNode machineLimits = cluster.path("machine_limits");
     return new Settings(
         text(root, "", "member"),
         text(root, "", "site"),
@@ -102,17 +104,17 @@
         teams,
         objectives,
         new Settings.WorkerTiming(
-            millis(workers, WORKERS, "report_s"),
-            millis(workers, WORKERS, "lease_s"),
-            millis(workers, WORKERS, "cancel_s")),
-        limits(state, "cluster.state.", null),
+            millis(workers, WORKERS_PATH, "report_s"),
+            millis(workers, WORKERS_PATH, "lease_s"),
+            millis(workers, WORKERS_PATH, "cancel_s")),
+        readStateLimits(state, "cluster.state.", null),
         new Settings.CloudLimits(
             number(cloud, "cluster.cloud.", "rps", 0.01, null),
             millis(cloud, "cluster.cloud.", "list_lag_s")),
-        (int) number(limits, "cluster.machine_limits.", "max_connections", 16, 1024.0));
+        (int) number(machineLimits, "cluster.machine_limits.", "max_connections", 16, 1024.0));
   }
 
-  private List<Settings.Peer> peers() throws SettingsException {
+  private List<Settings.Peer> readPeers() throws SettingsException {
     List<Settings.Peer> peers = new ArrayList<>();
     for (JsonNode peer : root.path("siblings")) {
       peers.add(
@@ -124,84 +126,100 @@
     return List.copyOf(peers);
   }
 
-  private Map<String, Settings.Team> teams(JsonNode cluster) throws SettingsException {
+  private Map<String, Settings.Team> readTeams(JsonNode cluster) throws SettingsException {
     Map<String, Settings.Team> teams = new TreeMap<>();
     for (JsonNode node : cluster.path("teams")) {
       Settings.Team team =
           new Settings.Team(
-              text(node, TEAMS, "name"),
-              number(node, TEAMS, "cpus", 0, 0.0),
-              number(node, TEAMS, "cpus_max", 0, 0.0),
-              number(node, TEAMS, "gpus", 0, 0.0),
-              number(node, TEAMS, "gpus_max", 0, 0.0));
+              text(node, TEAMS_PATH, "name"),
+              number(node, TEAMS_PATH, "cpus", 0, 0.0),
+              number(node, TEAMS_PATH, "cpus_max", 0, 0.0),
+              number(node, TEAMS_PATH, "gpus", 0, 0.0),
+              number(node, TEAMS_PATH, "gpus_max", 0, 0.0));
       teams.put(team.name(), team);
     }
     if (teams.isEmpty()) {
-      throw wrong("cluster.teams", "is missing");
+      throw invalid("cluster.teams", "is missing");
     }
     return teams;
   }
 
-  private List<Settings.Objective> objectives(JsonNode cluster) throws SettingsException {
+  private List<Settings.Objective> readObjectives(JsonNode cluster) throws SettingsException {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (JsonNode node : cluster.path("objectives")) {
       objectives.add(
           new Settings.Objective(
-              text(node, OBJECTIVES, "kind"),
-              node.hasNonNull("class") ? text(node, OBJECTIVES, "class") : null,
-              number(node, OBJECTIVES, "within_s", 0, 0.0),
-              number(node, OBJECTIVES, "share", 0, 0.0),
-              number(node, OBJECTIVES, "times", 0, 0.0)));
+              text(node, OBJECTIVES_PATH, "kind"),
+              node.hasNonNull("class") ? text(node, OBJECTIVES_PATH, "class") : null,
+              number(node, OBJECTIVES_PATH, "within_s", 0, 0.0),
+              number(node, OBJECTIVES_PATH, "share", 0, 0.0),
+              number(node, OBJECTIVES_PATH, "times", 0, 0.0)));
     }
     return List.copyOf(objectives);
   }
 
-  /** Reads limits; those absent are as {@code known} has them, or missing if that is null. */
-  private Settings.StateLimits limits(JsonNode in, String at, Settings.StateLimits known)
-      throws SettingsException {
-    Settings.StateLimits here =
+  /**
+   * Reads the limits of the state service, and lowers them to the announced future ones.
+   *
+   * @param current the current limits when the future ones are read, which default to them; null
+   *     when the current ones are read, which must all be present
+   */
+  private Settings.StateLimits readStateLimits(
+      JsonNode parent, String path, Settings.StateLimits current) throws SettingsException {
+    Settings.StateLimits limits =
         new Settings.StateLimits(
-            number(in, at, "rps", 1, known == null ? null : known.rps()),
-            number(in, at, "write_rps", 1, known == null ? null : known.writeRps()),
+            number(parent, path, "rps", 1, current == null ? null : current.rps()),
+            number(parent, path, "write_rps", 1, current == null ? null : current.writeRps()),
             (int)
-                (number(in, at, "value_kb", 1, known == null ? null : known.valueBytes() / 1024.0)
+                (number(
+                        parent,
+                        path,
+                        "value_kb",
+                        1,
+                        current == null ? null : current.valueBytes() / 1024.0)
                     * 1024),
-            (int) number(in, at, "txn_ops", 2, known == null ? null : (double) known.txnOps()));
-    if (known != null) {
-      return known.lowest(here);
+            (int)
+                number(
+                    parent,
+                    path,
+                    "txn_ops",
+                    2,
+                    current == null ? null : (double) current.txnOps()));
+    if (current != null) {
+      return current.lowest(limits);
     }
-    JsonNode next = in.path("next");
+    JsonNode next = parent.path("next");
     if (next.isMissingNode()) {
-      return here;
+      return limits;
     }
-    return limits(object(in, at, "next"), at + "next.", here);
+    return readStateLimits(object(parent, path, "next"), path + "next.", limits);
   }
 
   private JsonNode object(String name) throws SettingsException {
     return object(root, "", name);
   }
 
-  private JsonNode object(JsonNode in, String at, String name) throws SettingsException {
-    JsonNode n = in.path(name);
-    if (!n.isObject()) {
-      throw wrong(at + name, n.isMissingNode() ? "is missing" : "must be a table");
+  private JsonNode object(JsonNode parent, String path, String name) throws SettingsException {
+    JsonNode node = parent.path(name);
+    if (!node.isObject()) {
+      throw invalid(path + name, node.isMissingNode() ? "is missing" : "must be a table");
     }
-    return n;
+    return node;
   }
 
-  private String text(JsonNode in, String at, String name) throws SettingsException {
-    JsonNode n = in.path(name);
-    if (n.isMissingNode()) {
-      throw wrong(at + name, "is missing");
+  private String text(JsonNode parent, String path, String name) throws SettingsException {
+    JsonNode node = parent.path(name);
+    if (node.isMissingNode()) {
+      throw invalid(path + name, "is missing");
     }
-    if (!n.isTextual() || n.asText().isEmpty()) {
-      throw wrong(at + name, "must be text that is not empty");
+    if (!node.isTextual() || node.asText().isEmpty()) {
+      throw invalid(path + name, "must be text that is not empty");
     }
-    return n.asText();
+    return node.asText();
   }
 
-  private String address(JsonNode in, String at, String name) throws SettingsException {
-    String addr = text(in, at, name);
+  private String address(JsonNode parent, String path, String name) throws SettingsException {
+    String addr = text(parent, path, name);
     int colon = addr.lastIndexOf(':');
     try {
       int port = Integer.parseInt(addr.substring(colon + 1));
@@ -209,31 +227,31 @@
         return addr;
       }
     } catch (NumberFormatException e) {
-      // Falls through to the one message for every malformed address.
+      // Reported below with the same message as any other malformed address.
     }
-    throw wrong(at + name, "must be an address of the form 10.0.0.1:8080");
+    throw invalid(path + name, "must be an address of the form 10.0.0.1:8080");
   }
 
-  private double number(JsonNode in, String at, String name, double least, Double fallback)
+  private double number(JsonNode parent, String path, String name, double min, Double fallback)
       throws SettingsException {
-    JsonNode n = in.path(name);
-    if (n.isMissingNode()) {
+    JsonNode node = parent.path(name);
+    if (node.isMissingNode()) {
       if (fallback != null) {
         return fallback;
       }
-      throw wrong(at + name, "is missing");
+      throw invalid(path + name, "is missing");
     }
-    if (!n.isNumber() || !Double.isFinite(n.asDouble()) || n.asDouble() < least) {
-      throw wrong(at + name, "must be a number of at least " + least);
+    if (!node.isNumber() || !Double.isFinite(node.asDouble()) || node.asDouble() < min) {
+      throw invalid(path + name, "must be a number of at least " + min);
     }
-    return n.asDouble();
+    return node.asDouble();
   }
 
-  private long millis(JsonNode in, String at, String name) throws SettingsException {
-    return Math.round(number(in, at, name, 0.001, null) * 1000);
+  private long millis(JsonNode parent, String path, String name) throws SettingsException {
+    return Math.round(number(parent, path, name, 0.001, null) * 1000);
   }
 
-  private SettingsException wrong(String field, String why) {
-    return new SettingsException(file + ": " + field + " " + why);
+  private SettingsException invalid(String field, String reason) {
+    return new SettingsException(file + ": " + field + " " + reason);
   }
 }
--- a/src/main/java/fennelthread/wire/Codec.java
+++ b/src/main/java/fennelthread/wire/Codec.java
@@ -13,19 +13,20 @@
 import java.util.Map;
 
 /**
- * Turns bodies into plain maps, lists and scalars and back, with Jackson's streaming parser and
- * generator. Binding by reflection is avoided on purpose: it costs class loading and time on the
- * small machines that the controllers run on.
+ * Encoding of message bodies: converts plain maps, lists and scalars to bytes and back with
+ * Jackson's streaming API. Data binding by reflection is avoided because it loads many classes,
+ * which is slow on the small machines that run controllers. Safe for use by several threads.
  */
 public enum Codec {
-  /** What users, workers, the cloud and the state service speak. */
+  /** The encoding between controllers and users, workers, the cloud and the state service. */
   CBOR(new CBORFactory(), "application/cbor"),
-  /** What controllers speak among themselves. */
+  /** The encoding of messages between controllers. */
   JSON(new JsonFactory(), "application/json");
 
+  /** Deepest nesting that is decoded: bounds the recursion on hostile input. */
   private static final int MAX_DEPTH = 32;
 
-  // Configured once and never changed: Jackson's factories are safe to share.
+  // Jackson factories are thread-safe once configured, and these are never reconfigured.
   @SuppressWarnings("ImmutableEnumChecker")
   private final JsonFactory factory;
 
@@ -36,12 +37,16 @@
     this.contentType = contentType;
   }
 
-  /** The media type for the {@code Content-Type} header. */
+  /** Returns the media type for the {@code Content-Type} header. */
   public String contentType() {
     return contentType;
   }
 
-  /** Writes a map, list or scalar. */
+  /**
+   * Encodes a map, list or scalar.
+   *
+   * @throws IllegalArgumentException if the value is of another type
+   */
   public byte[] encode(Object value) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
     try (JsonGenerator generator = factory.createGenerator(out)) {
@@ -52,7 +57,12 @@
     return out.toByteArray();
   }
 
-  /** Reads a body whose top level must be a map. */
+  /**
+   * Decodes a body whose top level must be a map.
+   *
+   * @throws WireException naming the field {@code body} if it is empty, malformed, not a map,
+   *     nested too deeply, or followed by more bytes
+   */
   public Fields decode(byte[] body) throws WireException {
     if (body == null || body.length == 0) {
       throw new WireException("body", "is empty");
--- a/src/main/java/fennelthread/wire/Fields.java
+++ b/src/main/java/fennelthread/wire/Fields.java
@@ -5,42 +5,46 @@
 import java.util.List;
 import java.util.Map;
 
-/** A decoded map with typed, checked access; unknown fields are simply never asked for. */
+/**
+ * A decoded message with typed and checked access to its fields. Fields that nobody reads are
+ * ignored, so that newer peers may add some. A read throws a {@link WireException} that names the
+ * field if it is missing or of the wrong type; absent and null mean the same.
+ */
 public record Fields(Map<String, Object> map) {
 
-  /** An empty map to fill. */
+  /** Returns an empty message to fill. */
   public static Fields create() {
     return new Fields(new LinkedHashMap<>());
   }
 
-  /** Adds a field and returns this, for building bodies. */
+  /** Sets a field and returns this message. */
   public Fields with(String name, Object value) {
     map.put(name, value);
     return this;
   }
 
-  /** True if the field is there and not null. */
+  /** Returns true if the field is present and not null. */
   public boolean has(String name) {
     return map.get(name) != null;
   }
 
-  /** A text that must be there. */
+  /** Returns a required text. */
   public String text(String name) throws WireException {
-    if (require(name) instanceof String s) {
-      return s;
+    if (require(name) instanceof String text) {
+      return text;
     }
     throw new WireException(name, "must be text");
   }
 
-  /** A text, or null. */
+  /** Returns an optional text, null if absent. */
   public String optText(String name) throws WireException {
     return has(name) ? text(name) : null;
   }
 
-  /** A finite amount, zero or more. */
+  /** Returns a required number, finite and not negative. */
   public double amount(String name) throws WireException {
-    if (require(name) instanceof Number n) {
-      double value = n.doubleValue();
+    if (require(name) instanceof Number number) {
+      double value = number.doubleValue();
       if (!Double.isFinite(value)) {
         throw new WireException(name, "must be finite");
       }
@@ -52,56 +56,56 @@
     throw new WireException(name, "must be a number");
   }
 
-  /** An amount, or {@code fallback} if absent or null. */
+  /** Returns a finite number that is not negative, or {@code fallback} if absent. */
   public double amount(String name, double fallback) throws WireException {
     return has(name) ? amount(name) : fallback;
   }
 
-  /** A whole number, zero or more. */
+  /** Returns a required whole number of up to 63 bits, not negative. */
   public long count(String name) throws WireException {
-    if (require(name) instanceof Long n) {
-      if (n < 0) {
+    if (require(name) instanceof Long number) {
+      if (number < 0) {
         throw new WireException(name, "must not be negative");
       }
-      return n;
+      return number;
     }
     throw new WireException(name, "must be a whole number");
   }
 
-  /** A whole number, or {@code fallback} if absent or null. */
+  /** Returns a whole number that is not negative, or {@code fallback} if absent. */
   public long count(String name, long fallback) throws WireException {
     return has(name) ? count(name) : fallback;
   }
 
-  /** A truth value that must be there. */
+  /** Returns a required boolean. */
   public boolean flag(String name) throws WireException {
-    if (require(name) instanceof Boolean b) {
-      return b;
+    if (require(name) instanceof Boolean flag) {
+      return flag;
     }
     throw new WireException(name, "must be true or false");
   }
 
-  /** A truth value, or false if absent or null. */
+  /** Returns an optional boolean, false if absent. */
   public boolean optFlag(String name) throws WireException {
     return has(name) && flag(name);
   }
 
-  /** A list of texts, or null. */
+  /** Returns an optional list of texts, null if absent. */
   public List<String> optTexts(String name) throws WireException {
     if (!has(name)) {
       return null;
     }
     List<String> texts = new ArrayList<>();
     for (Object item : list(name)) {
-      if (!(item instanceof String s)) {
+      if (!(item instanceof String text)) {
         throw new WireException(name, "must hold texts");
       }
-      texts.add(s);
+      texts.add(text);
     }
     return texts;
   }
 
-  /** A list that must be there. */
+  /** Returns a required list. */
   public List<?> list(String name) throws WireException {
     if (require(name) instanceof List<?> list) {
       return list;
@@ -109,7 +113,7 @@
     throw new WireException(name, "must be a list");
   }
 
-  /** A list of maps that must be there. */
+  /** Returns a required list of maps. */
   @SuppressWarnings("unchecked")
   public List<Fields> maps(String name) throws WireException {
     List<Fields> maps = new ArrayList<>();
@@ -122,7 +126,7 @@
     return maps;
   }
 
-  /** A nested map that must be there. */
+  /** Returns a required nested map. */
   @SuppressWarnings("unchecked")
   public Fields inner(String name) throws WireException {
     if (require(name) instanceof Map<?, ?> inner) {
--- a/src/main/java/fennelthread/wire/JobSpec.java
+++ b/src/main/java/fennelthread/wire/JobSpec.java
@@ -7,8 +7,30 @@
 import java.util.regex.Pattern;
 
 /**
- * A job as its user submits it. Durations are in seconds, memory and images in GB; {@code
- * dependencies} names the jobs that must be done before any task of this one starts.
+ * A job as its user submits it: an array of tasks that each run once, or a service of replicas that
+ * run until it is cancelled.
+ *
+ * @param id the job id, such as {@code job-000412}
+ * @param jobClass the class of jobs that objectives refer to
+ * @param team the team whose limits apply
+ * @param service true for a service, false for a job array
+ * @param tasks the number of tasks or replicas
+ * @param cpus CPUs of each task
+ * @param cards GPUs of each task
+ * @param memGb memory of each task, GB
+ * @param image the image that a machine must fetch before it runs a task
+ * @param imageGb the size of the image, GB
+ * @param types the allowed machine types, or null for any
+ * @param zone the only allowed zone, or null for any
+ * @param sameZone true if all tasks must be in one zone
+ * @param spreadAcrossZones true if no zone may have more than half of the tasks, rounded up
+ * @param spotAllowed true if tasks may run on spot machines
+ * @param estimateS the owner's estimate of a task's run time, seconds
+ * @param checkpointS the interval of checkpoints, seconds; 0 if a task saves no progress
+ * @param saveS the time that a task needs to save its progress, seconds
+ * @param deadlineS the time from submission by which the job should be done, seconds, or {@link
+ *     #NO_DEADLINE}
+ * @param dependencies the jobs that must be done before any task of this one starts
  */
 public record JobSpec(
     String id,
@@ -36,21 +58,24 @@
   /** The value of {@link #deadlineS} for a job that has none. */
   public static final double NO_DEADLINE = -1;
 
-  /** The protocol's bound on the tasks of one job. */
+  /** Most tasks of one job: the protocol's bound. */
   public static final int MAX_TASKS = 100_000;
 
-  /** The field that names the jobs which must be done first. */
+  /** The wire name of the field with the dependencies. */
   public static final String DEPENDENCIES = "espera";
 
-  private static final Pattern ID = Pattern.compile("job-[0-9]{1,32}");
+  private static final Pattern ID_PATTERN = Pattern.compile("job-[0-9]{1,32}");
 
-  /** Begins a job array of one task of standard priority, without dependencies or a deadline. */
+  /**
+   * Returns a builder for a job array of one task with standard priority and without dependencies
+   * or a deadline.
+   */
   public static Builder builder(String id) {
     return new Builder(id);
   }
 
-  /** The same job with other dependencies. */
-  public JobSpec withDependencies(List<String> others) {
+  /** Returns this job with other dependencies. */
+  public JobSpec withDependencies(List<String> newDependencies) {
     return new JobSpec(
         id,
         jobClass,
@@ -72,15 +97,18 @@
         checkpointS,
         saveS,
         deadlineS,
-        List.copyOf(others));
+        List.copyOf(newDependencies));
   }
 
-  /** True if {@code id} has the form of a job id. */
+  /** Returns true if {@code id} has the form of a job id. */
   public static boolean isId(String id) {
-    return ID.matcher(id).matches();
+    return ID_PATTERN.matcher(id).matches();
   }
 
-  /** Reads only the id: a known job is answered whatever else its repeated submission holds. */
+  /**
+   * Reads only the id of a submission: a repeated submission of a known job is answered with the
+   * job's state even if the rest of the body is invalid.
+   */
   public static String readId(Fields body) throws WireException {
     String id = body.text("name_id");
     if (!isId(id)) {
@@ -89,7 +117,7 @@
     return id;
   }
 
-  /** Reads and checks a whole submission. */
+  /** Reads and validates a submission. */
   public static JobSpec read(Fields body) throws WireException {
     String id = readId(body);
     String kind = body.text("tipo");
@@ -128,14 +156,14 @@
         readDependencies(body));
   }
 
-  /** Each job once; absent, null and empty all mean that there is none. */
+  /** Reads the dependencies without duplicates; absent, null and empty all mean none. */
   private static List<String> readDependencies(Fields body) throws WireException {
-    List<String> named = body.optTexts(DEPENDENCIES);
-    if (named == null || named.isEmpty()) {
+    List<String> ids = body.optTexts(DEPENDENCIES);
+    if (ids == null || ids.isEmpty()) {
       return List.of();
     }
     Set<String> dependencies = new LinkedHashSet<>();
-    for (String id : named) {
+    for (String id : ids) {
       if (!isId(id)) {
         throw new WireException(DEPENDENCIES, "must hold ids of the form job-000412");
       }
@@ -145,7 +173,8 @@
   }
 
   /**
-   * The submission in the protocol's form; a job without dependencies has the form it always had.
+   * Writes the submission. The field for dependencies is left out if there are none, so that
+   * versions that don't know it read and write the same job.
    */
   public Fields write() {
     Fields body =
@@ -183,7 +212,7 @@
     return text;
   }
 
-  /** Puts a job together by the names of its properties. */
+  /** Builds a job from named properties, which are described at {@link JobSpec}. */
   public static final class Builder {
     private final String id;
     private String jobClass;
@@ -211,127 +240,127 @@
       this.id = id;
     }
 
-    /** The class of jobs that it belongs to. */
+    /** Sets the class of jobs that objectives refer to. */
     public Builder jobClass(String jobClass) {
       this.jobClass = jobClass;
       return this;
     }
 
-    /** The team whose quota applies. */
+    /** Sets the team whose limits apply. */
     public Builder team(String team) {
       this.team = team;
       return this;
     }
 
-    /** True for replicas that run until the job is cancelled, false for a job array. */
+    /** Sets whether tasks are replicas that run until the job is cancelled, or a job array. */
     public Builder service(boolean service) {
       this.service = service;
       return this;
     }
 
-    /** The priority; standard if none is set. */
+    /** Sets the priority; the default is standard. */
     public Builder priority(Priority priority) {
       this.priority = priority;
       return this;
     }
 
-    /** The number of tasks; one if none is set. */
+    /** Sets the number of tasks; the default is one. */
     public Builder tasks(int tasks) {
       this.tasks = tasks;
       return this;
     }
 
-    /** The CPUs of each task. */
+    /** Sets the CPUs of each task. */
     public Builder cpus(double cpus) {
       this.cpus = cpus;
       return this;
     }
 
-    /** The accelerator cards of each task. */
+    /** Sets the GPUs of each task. */
     public Builder cards(double cards) {
       this.cards = cards;
       return this;
     }
 
-    /** The memory of each task, GB. */
+    /** Sets the memory of each task, GB. */
     public Builder memGb(double memGb) {
       this.memGb = memGb;
       return this;
     }
 
-    /** The image that a machine must have. */
+    /** Sets the image that a machine must fetch first. */
     public Builder image(String image) {
       this.image = image;
       return this;
     }
 
-    /** The size of the image, GB. */
+    /** Sets the size of the image, GB. */
     public Builder imageGb(double imageGb) {
       this.imageGb = imageGb;
       return this;
     }
 
-    /** The allowed machine types, or null for any. */
+    /** Sets the allowed machine types; null allows any. */
     public Builder types(List<String> types) {
       this.types = types;
       return this;
     }
 
-    /** The only allowed zone, or null. */
+    /** Sets the only allowed zone; null allows any. */
     public Builder zone(String zone) {
       this.zone = zone;
       return this;
     }
 
-    /** True if all tasks must be in the same zone. */
+    /** Sets whether all tasks must be in the same zone. */
     public Builder sameZone(boolean sameZone) {
       this.sameZone = sameZone;
       return this;
     }
 
-    /** True if at most half of the tasks may be in one zone. */
+    /** Sets whether at most half of the tasks may be in one zone. */
     public Builder spreadAcrossZones(boolean spreadAcrossZones) {
       this.spreadAcrossZones = spreadAcrossZones;
       return this;
     }
 
-    /** True if the job may use spot machines. */
+    /** Sets whether tasks may run on spot machines. */
     public Builder spotAllowed(boolean spotAllowed) {
       this.spotAllowed = spotAllowed;
       return this;
     }
 
-    /** The owner's estimate of a task's run time, seconds. */
+    /** Sets the owner's estimate of a task's run time, seconds. */
     public Builder estimateS(double estimateS) {
       this.estimateS = estimateS;
       return this;
     }
 
-    /** The interval of checkpoints, seconds; 0 for none. */
+    /** Sets the interval of checkpoints, seconds; 0 for none. */
     public Builder checkpointS(double checkpointS) {
       this.checkpointS = checkpointS;
       return this;
     }
 
-    /** The time that a task needs to save its progress, seconds. */
+    /** Sets the time that a task needs to save its progress, seconds. */
     public Builder saveS(double saveS) {
       this.saveS = saveS;
       return this;
     }
 
-    /** The time from its submission by which the job should be done, seconds. */
+    /** Sets the time from submission by which the job should be done, seconds. */
     public Builder deadlineS(double deadlineS) {
       this.deadlineS = deadlineS;
       return this;
     }
 
-    /** The jobs that must be done first. */
+    /** Sets the jobs that must be done first. */
     public Builder dependencies(List<String> dependencies) {
       this.dependencies = dependencies;
       return this;
     }
 
-    /** The job. */
+    /** Returns the job with the properties that were set. */
     public JobSpec build() {
       return new JobSpec(
           id,
--- a/src/main/java/fennelthread/wire/JobState.java
+++ b/src/main/java/fennelthread/wire/JobState.java
@@ -1,6 +1,6 @@
 package fennelthread.wire;
 
-/** What users are told of a job. */
+/** The state of a job that is reported to users. */
 public enum JobState {
   PENDING("pending"),
   RUNNING("running"),
@@ -13,21 +13,21 @@
     this.wireName = wireName;
   }
 
-  /** The name used in messages. */
+  /** Returns the name used in messages. */
   public String wireName() {
     return wireName;
   }
 
-  /** True once nothing about the job can change any more. */
+  /** Returns true if the job is done or cancelled; it then never changes again. */
   public boolean isFinal() {
     return this == DONE || this == CANCELLED;
   }
 
-  /** Reads a state from a message. */
+  /** Returns the state with the given name in messages. */
   public static JobState of(String text) throws WireException {
-    for (JobState s : values()) {
-      if (s.wireName.equals(text)) {
-        return s;
+    for (JobState state : values()) {
+      if (state.wireName.equals(text)) {
+        return state;
       }
     }
     throw new WireException("estado", "is not a known state");
--- a/src/main/java/fennelthread/wire/MachineEntry.java
+++ b/src/main/java/fennelthread/wire/MachineEntry.java
@@ -3,7 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One machine of the cloud's list, as old as the list is. */
+/**
+ * A machine in the cloud's list, which lags behind the machines' actual state.
+ *
+ * @param address where its worker is reached; null if the cloud does not say
+ * @param spot true if the cloud may reclaim it
+ * @param ageS the age that the cloud states, seconds
+ */
 public record MachineEntry(
     String name,
     String address,
@@ -13,25 +19,25 @@
     String state,
     double ageS) {
 
-  /** The state of a machine that is not up yet. */
+  /** The state of a machine that has not booted yet. */
   public static final String STARTING = "starting";
 
-  /** The state of a machine that stopped by itself. */
+  /** The state of a machine that stopped without having been returned. */
   public static final String FAILED = "failed";
 
   /** Reads one page of {@code GET /hosts}. */
   public static List<MachineEntry> readAll(Fields body) throws WireException {
     List<MachineEntry> entries = new ArrayList<>();
-    for (Fields f : body.maps("equipos")) {
+    for (Fields machine : body.maps("equipos")) {
       entries.add(
           new MachineEntry(
-              f.text("name_id"),
-              f.optText("address"),
-              f.text("modelo"),
-              f.text("zona"),
-              f.optFlag("prestadas"),
-              f.text("estado"),
-              f.amount("held_s", 0)));
+              machine.text("name_id"),
+              machine.optText("address"),
+              machine.text("modelo"),
+              machine.text("zona"),
+              machine.optFlag("prestadas"),
+              machine.text("estado"),
+              machine.amount("held_s", 0)));
     }
     return entries;
   }
--- a/src/main/java/fennelthread/wire/Priority.java
+++ b/src/main/java/fennelthread/wire/Priority.java
@@ -1,6 +1,6 @@
 package fennelthread.wire;
 
-/** How urgent a job is, most urgent first. */
+/** The priority of a job, most urgent first. */
 public enum Priority {
   CRITICAL("critical", 0),
   URGENT("urgent", 1),
@@ -15,20 +15,20 @@
     this.rank = rank;
   }
 
-  /** The name used in messages. */
+  /** Returns the name used in messages. */
   public String wireName() {
     return wireName;
   }
 
-  /** How many priorities are more urgent. */
+  /** Returns the number of more urgent priorities: 0 for the most urgent. */
   public int rank() {
     return rank;
   }
 
   static Priority of(String field, String text) throws WireException {
-    for (Priority p : values()) {
-      if (p.wireName.equals(text)) {
-        return p;
+    for (Priority priority : values()) {
+      if (priority.wireName.equals(text)) {
+        return priority;
       }
     }
     throw new WireException(field, "is not a known priority");
--- a/src/main/java/fennelthread/wire/Redirect.java
+++ b/src/main/java/fennelthread/wire/Redirect.java
@@ -1,9 +1,13 @@
 package fennelthread.wire;
 
-/** Tells a worker which member to report to; null if the sender does not know one. */
+/**
+ * The answer that sends a worker to another controller.
+ *
+ * @param member the controller to report to; null if the sender knows none
+ */
 public record Redirect(String member) {
 
-  /** Writes it; without a member the worker tries the next node by itself. */
+  /** Writes the redirect; without a member the worker tries the next controller on its list. */
   public Fields write() {
     Fields body = Fields.create();
     return member == null ? body : body.with("informar_a", member);
--- a/src/main/java/fennelthread/wire/Rental.java
+++ b/src/main/java/fennelthread/wire/Rental.java
@@ -3,10 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A rental request; {@code request} is its name, which is never used for anything else. */
+/**
+ * A request to the cloud to rent machines.
+ *
+ * @param request the unique name of the request: repeating it under this name rents no further
+ *     machines
+ * @param spot true for spot machines
+ * @param count the number of machines
+ */
 public record Rental(String request, String type, String zone, boolean spot, int count) {
 
-  /** Writes it. */
+  /** Writes the request. */
   public Fields write() {
     return Fields.create()
         .with("pedido", request)
@@ -16,14 +23,14 @@
         .with("how_many", (long) count);
   }
 
-  /** Writes machines' names, as a return request holds them. */
+  /** Writes a request to return the named machines. */
   public static Fields writeNames(List<String> names) {
     return Fields.create().with("equipos", new ArrayList<>(names));
   }
 
-  /** Reads machines' names, as the answer to a rental holds them. */
-  public static List<String> readNames(Fields f) throws WireException {
-    List<String> names = f.optTexts("equipos");
+  /** Reads the names of the rented machines from the answer to a rental request. */
+  public static List<String> readNames(Fields body) throws WireException {
+    List<String> names = body.optTexts("equipos");
     return names == null ? List.of() : names;
   }
 }
--- a/src/main/java/fennelthread/wire/TaskRef.java
+++ b/src/main/java/fennelthread/wire/TaskRef.java
@@ -1,10 +1,11 @@
 package fennelthread.wire;
 
-/** A task's name on the wire: {@code job-000412/3}. */
+/** The id of a task, written as {@code job-000412/3}: its job's id and its index in the job. */
 public record TaskRef(String job, int index) {
 
   /**
-   * Reads a name; the job part is not checked further, since workers repeat what they were told.
+   * Parses a task id. The form of the job's id is not checked, since workers only repeat ids that
+   * controllers sent.
    */
   public static TaskRef parse(String text) throws WireException {
     int slash = text.lastIndexOf('/');
--- a/src/main/java/fennelthread/wire/WorkerCommand.java
+++ b/src/main/java/fennelthread/wire/WorkerCommand.java
@@ -3,36 +3,44 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A command to a worker. */
+/** A command to a worker about one attempt at a task. */
 public sealed interface WorkerCommand {
 
   /** Starts a task. */
   record Run(TaskRef task, long attempt) implements WorkerCommand {}
 
-  /** Stops a task, giving it time to save. */
+  /** Stops a task; it has {@code graceS} seconds to save its progress. */
   record Stop(TaskRef task, long attempt, double graceS) implements WorkerCommand {}
 
-  /** Removes an ended task from the reports. */
+  /** Tells the worker to drop an ended task from its reports. */
   record Clear(TaskRef task, long attempt) implements WorkerCommand {}
 
-  /** Writes a body with commands; {@code session} is added for direct commands only, if not 0. */
-  static Fields write(long token, long session, List<WorkerCommand> orders) {
-    List<Object> list = new ArrayList<>(orders.size());
-    for (WorkerCommand order : orders) {
-      Fields f = Fields.create();
-      if (order instanceof Run run) {
-        f.with("orden", "run").with("tarea", run.task.toString()).with("intento", run.attempt);
-      } else if (order instanceof Stop stop) {
-        f.with("orden", "stop")
+  /**
+   * Writes a body with commands.
+   *
+   * @param token the fencing token of the sender
+   * @param session the session of the worker that the commands are meant for, in commands that are
+   *     sent to it directly; 0 in the answer to a report
+   */
+  static Fields write(long token, long session, List<WorkerCommand> commands) {
+    List<Object> list = new ArrayList<>(commands.size());
+    for (WorkerCommand command : commands) {
+      Fields fields = Fields.create();
+      if (command instanceof Run run) {
+        fields.with("orden", "run").with("tarea", run.task.toString()).with("intento", run.attempt);
+      } else if (command instanceof Stop stop) {
+        fields
+            .with("orden", "stop")
             .with("tarea", stop.task.toString())
             .with("intento", stop.attempt)
             .with("gracia_s", stop.graceS);
-      } else if (order instanceof Clear clear) {
-        f.with("orden", "clear")
+      } else if (command instanceof Clear clear) {
+        fields
+            .with("orden", "clear")
             .with("tarea", clear.task.toString())
             .with("intento", clear.attempt);
       }
-      list.add(f.map());
+      list.add(fields.map());
     }
     Fields body = Fields.create().with("ficha", token);
     if (session != 0) {
@@ -41,19 +49,19 @@
     return body.with("ordenes", list);
   }
 
-  /** Reads the commands of a body. */
+  /** Reads the commands in a body; throws if one is of an unknown kind. */
   static List<WorkerCommand> read(Fields body) throws WireException {
-    List<WorkerCommand> orders = new ArrayList<>();
-    for (Fields f : body.maps("ordenes")) {
-      TaskRef task = TaskRef.parse(f.text("tarea"));
-      long attempt = f.count("intento");
-      switch (f.text("orden")) {
-        case "run" -> orders.add(new Run(task, attempt));
-        case "stop" -> orders.add(new Stop(task, attempt, f.amount("gracia_s", 0)));
-        case "clear" -> orders.add(new Clear(task, attempt));
+    List<WorkerCommand> commands = new ArrayList<>();
+    for (Fields fields : body.maps("ordenes")) {
+      TaskRef task = TaskRef.parse(fields.text("tarea"));
+      long attempt = fields.count("intento");
+      switch (fields.text("orden")) {
+        case "run" -> commands.add(new Run(task, attempt));
+        case "stop" -> commands.add(new Stop(task, attempt, fields.amount("gracia_s", 0)));
+        case "clear" -> commands.add(new Clear(task, attempt));
         default -> throw new WireException("orden", "is not a known command");
       }
     }
-    return orders;
+    return commands;
   }
 }
--- a/src/main/java/fennelthread/wire/WorkerReport.java
+++ b/src/main/java/fennelthread/wire/WorkerReport.java
@@ -3,7 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report: everything on its machine at the moment (turno, folio). */
+/**
+ * A worker's report with all tasks on its machine.
+ *
+ * @param session the number of the worker's session, which increases when it restarts or its lease
+ *     expires ({@code turno})
+ * @param seq the number of the report within the session ({@code folio})
+ * @param token the highest fencing token that the worker has accepted ({@code ficha})
+ * @param noticeS time until the cloud reclaims the spot machine, seconds, or {@link #NO_NOTICE}
+ */
 public record WorkerReport(
     String machine,
     String address,
@@ -16,10 +24,10 @@
     double noticeS,
     List<Task> tasks) {
 
-  /** The value of {@link #noticeS} for a machine that has no notice. */
+  /** The value of {@link #noticeS} for a machine without an interruption notice. */
   public static final double NO_NOTICE = -1;
 
-  /** What a task on a machine is doing. */
+  /** The phase of a task on a machine. */
   public enum Phase {
     FETCHING("fetching"),
     RUNNING("running"),
@@ -33,21 +41,21 @@
     }
 
     static Phase of(String text) throws WireException {
-      for (Phase p : values()) {
-        if (p.wireName.equals(text)) {
-          return p;
+      for (Phase phase : values()) {
+        if (phase.wireName.equals(text)) {
+          return phase;
         }
       }
       throw new WireException("estado", "is not a known task state");
     }
 
-    /** The name used in messages. */
+    /** Returns the name used in messages. */
     public String wireName() {
       return wireName;
     }
   }
 
-  /** Why a task ended; OTHER stands for reasons that this version does not know. */
+  /** Why a task ended; {@link #OTHER} stands for reasons unknown to this version. */
   public enum EndReason {
     DONE("done"),
     HALTED("halted"),
@@ -64,37 +72,42 @@
     }
 
     static EndReason of(String text) {
-      for (EndReason m : values()) {
-        if (m.wireName.equals(text)) {
-          return m;
+      for (EndReason reason : values()) {
+        if (reason.wireName.equals(text)) {
+          return reason;
         }
       }
       return OTHER;
     }
 
-    /** The name used in messages. */
+    /** Returns the name used in messages. */
     public String wireName() {
       return wireName;
     }
   }
 
-  /** One task of a report; {@code motive} is null unless it has ended. */
+  /**
+   * A task in a report.
+   *
+   * @param endReason why it ended; null while it has not
+   * @param progressSaved true if it saved its progress when it was stopped
+   */
   public record Task(
       TaskRef ref, long attempt, Phase phase, EndReason endReason, boolean progressSaved) {}
 
-  /** Reads a report. */
+  /** Reads and validates a report. */
   public static WorkerReport read(Fields body) throws WireException {
     List<Task> tasks = new ArrayList<>();
-    for (Fields f : body.maps("tareas")) {
-      Phase phase = Phase.of(f.text("estado"));
-      String motive = f.optText("motivo");
+    for (Fields task : body.maps("tareas")) {
+      Phase phase = Phase.of(task.text("estado"));
+      String endReason = task.optText("motivo");
       tasks.add(
           new Task(
-              TaskRef.parse(f.text("tarea")),
-              f.count("intento"),
+              TaskRef.parse(task.text("tarea")),
+              task.count("intento"),
               phase,
-              phase == Phase.ENDED ? EndReason.of(motive == null ? "" : motive) : null,
-              f.optFlag("kept")));
+              phase == Phase.ENDED ? EndReason.of(endReason == null ? "" : endReason) : null,
+              task.optFlag("kept")));
     }
     return new WorkerReport(
         body.text("equipo"),
@@ -109,22 +122,22 @@
         tasks);
   }
 
-  /** The report in the protocol's form. */
+  /** Writes the report; fields without a value are left out or null. */
   public Fields write() {
     List<Object> list = new ArrayList<>();
-    for (Task t : tasks) {
-      Fields f =
+    for (Task task : tasks) {
+      Fields fields =
           Fields.create()
-              .with("tarea", t.ref.toString())
-              .with("intento", t.attempt)
-              .with("estado", t.phase.wireName);
-      if (t.endReason != null) {
-        f.with("motivo", t.endReason.wireName);
+              .with("tarea", task.ref.toString())
+              .with("intento", task.attempt)
+              .with("estado", task.phase.wireName);
+      if (task.endReason != null) {
+        fields.with("motivo", task.endReason.wireName);
       }
-      if (t.progressSaved) {
-        f.with("kept", true);
+      if (task.progressSaved) {
+        fields.with("kept", true);
       }
-      list.add(f.map());
+      list.add(fields.map());
     }
     return Fields.create()
         .with("equipo", machine)
--- a/src/main/java/fennelthread/wire/package-info.java
+++ b/src/main/java/fennelthread/wire/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The messages of the protocol and their codecs; clients can use the package too. It knows nothing
- * of the rest. The protocol's own words (such as {@code turno}, {@code folio}, {@code ficha})
- * appear here alone: each is mapped once, where a record reads and writes its fields. {@link
- * fennelthread.wire.Fields} is the untyped form in between and should not leave a codec.
+ * The messages of the protocol and their codecs. The package depends on no other, so that clients
+ * can use it too. The protocol's field names (such as {@code turno}, {@code folio}, {@code ficha})
+ * are mapped to plain names where a record reads and writes them. {@link fennelthread.wire.Fields}
+ * is the untyped form in between; code beyond the reading and writing of messages should use the
+ * records.
  */
 package fennelthread.wire;
--- a/src/test/java/fennelthread/cli/ArchiveTest.java
+++ b/src/test/java/fennelthread/cli/ArchiveTest.java
@@ -15,72 +15,76 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the build's archive step leaves behind when its training goes wrong in each way. */
+/** A failure in any step of creating the archive must leave the old archive and no other file. */
 class ArchiveTest {
   private static final byte[] OLD = {1, 2, 3};
 
   @TempDir Path dir;
 
-  /** Writes so many bytes as the training process would; the trial of it ends as said. */
-  private static Archive.Runner runner(int bytes, boolean trained, boolean starts) {
-    return (command, mostMs) -> {
+  /**
+   * Replaces the processes: training writes that many bytes, or no file if negative, and succeeds
+   * or not; the test start with the archive succeeds or not.
+   */
+  private static Archive.Runner runner(
+      int bytes, boolean trainingSucceeds, boolean testStartSucceeds) {
+    return (command, timeoutMs) -> {
       String option = command.stream().filter(a -> a.contains("Archive")).findFirst().orElseThrow();
       if (!command.get(command.size() - 1).equals("train")) {
         assertTrue(command.contains("-Xshare:on"));
-        return starts;
+        return testStartSucceeds;
       }
       if (bytes >= 0) {
         Files.write(Path.of(option.substring(option.indexOf('=') + 1)), new byte[bytes]);
       }
-      return trained;
+      return trainingSucceeds;
     };
   }
 
-  private String make(Archive.Runner runner) throws IOException {
+  private String create(Archive.Runner runner) throws IOException {
     Files.write(dir.resolve("x.jsa"), OLD);
-    return new Archive(runner, Path.of("x.jar"), dir.resolve("x.jsa")).make();
+    return new Archive(runner, Path.of("x.jar"), dir.resolve("x.jsa")).create();
   }
 
-  private void assertLeft(byte[] content) throws IOException {
+  private void assertOnlyArchiveWith(byte[] content) throws IOException {
     assertArrayEquals(content, Files.readAllBytes(dir.resolve("x.jsa")));
     try (Stream<Path> files = Files.list(dir)) {
-      assertEquals(1, files.count(), "a part was left behind");
+      assertEquals(1, files.count(), "a temporary file was left behind");
     }
   }
 
   @Test
-  void aWholeOneTakesItsPlace() throws IOException {
-    assertNull(make(runner(7, true, true)));
-    assertLeft(new byte[7]);
+  void aCompleteArchiveReplacesTheOldOne() throws IOException {
+    assertNull(create(runner(7, true, true)));
+    assertOnlyArchiveWith(new byte[7]);
   }
 
   @Test
-  void nothingElseDoes() throws IOException {
-    for (Archive.Runner bad :
+  void anyFailureKeepsTheOldArchive() throws IOException {
+    for (Archive.Runner failing :
         List.of(
             runner(7, false, true),
             runner(-1, true, true),
             runner(0, true, true),
             runner(7, true, false),
-            (command, mostMs) -> {
+            (command, timeoutMs) -> {
               throw new IOException("no java here");
             })) {
-      assertNotNull(make(bad));
-      assertLeft(OLD);
+      assertNotNull(create(failing));
+      assertOnlyArchiveWith(OLD);
     }
   }
 
-  /** Two builds chose the same port: the second try has others. */
+  /** Training fails if another build takes its port; the second run chooses other ports. */
   @Test
-  void trainingIsTriedTwice() throws IOException {
+  void failedTrainingIsRunAgain() throws IOException {
     int[] runs = new int[1];
     Archive.Runner good = runner(7, true, true);
-    assertNull(make((command, mostMs) -> runs[0]++ > 0 && good.run(command, mostMs)));
-    assertLeft(new byte[7]);
+    assertNull(create((command, timeoutMs) -> runs[0]++ > 0 && good.run(command, timeoutMs)));
+    assertOnlyArchiveWith(new byte[7]);
   }
 
   @Test
-  void aProcessThatHangsIsEnded() throws Exception {
+  void aHangingProcessIsKilledAtItsTimeout() throws Exception {
     long start = System.nanoTime();
     assertFalse(Archive.runProcess(List.of("sleep", "60"), 200));
     assertTrue(System.nanoTime() - start < 20_000_000_000L);
--- a/src/test/java/fennelthread/cli/LogOutputTest.java
+++ b/src/test/java/fennelthread/cli/LogOutputTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void eachLineBeginsWithTimeAndController() {
+  void eachLineStartsWithTimeAndController() {
     PrintStream stream = streamAt("2026-12-03T02:20:52.209Z", "2026-12-03T02:20:53.000Z");
     stream.println("first epoch=7");
     stream.println("second");
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aLineWrittenInPartsIsWrittenOnceWithTheTimeOfItsBeginning() {
+  void aLineWrittenInPartsHasTheTimeOfItsStart() {
     PrintStream stream = streamAt("2024-02-29T23:59:59.999Z");
     stream.print("Zürich ");
     stream.flush();
--- a/src/test/java/fennelthread/cli/MainTest.java
+++ b/src/test/java/fennelthread/cli/MainTest.java
@@ -19,21 +19,21 @@
 class MainTest {
   @TempDir Path folder;
 
-  /** The form that deployments use is read without picocli; it must refuse in the same words. */
+  /** The arguments that deployments use bypass picocli; errors must read the same either way. */
   @Test
-  void bothWaysToServeRefuseAlike() throws Exception {
+  void serveWithAndWithoutParserReportsTheSameErrors() throws Exception {
     Path empty = Files.writeString(folder.resolve("empty.toml"), "");
     Path broken = Files.writeString(folder.resolve("broken.toml"), "member = ");
     for (Path file : new Path[] {empty, broken, folder.resolve("none.toml"), folder}) {
-      String plain = refusal("--config", file.toString());
-      assertEquals(plain, refusal("serve", "--config", file.toString()));
-      assertTrue(plain.startsWith(file.toString()), plain);
-      assertEquals(1, plain.lines().count(), plain);
+      String direct = errorOutput("--config", file.toString());
+      assertEquals(direct, errorOutput("serve", "--config", file.toString()));
+      assertTrue(direct.startsWith(file.toString()), direct);
+      assertEquals(1, direct.lines().count(), direct);
     }
   }
 
   @Test
-  void needsNamedOnTheCommandLineComeAfterThoseOfTheFile() throws Exception {
+  void dependenciesFromTheCommandLineFollowThoseInTheFile() throws Exception {
     Fields job = Fields.create().with("espera", List.of("job-1"));
     assertEquals(
         List.of("job-1", "job-2", "job-3"),
@@ -41,17 +41,17 @@
   }
 
   @Test
-  void runsThatCanNotBeStartedAreRefusedInOneLine() throws Exception {
+  void anInvalidEmulationIsReportedInOneLine() throws Exception {
     Path run = Files.writeString(folder.resolve("run.sexp"), "(emulation (workers 5))");
-    String missing = refusal("emulate", run.toString());
+    String missing = errorOutput("emulate", run.toString());
     assertEquals(run + ":1:1: emulation needs (zones ...)\n", missing);
     assertEquals(
         "--duration must be from 1 to 86400\n",
-        refusal("emulate", run.toString(), "--duration", "0"));
-    assertEquals(1, refusal("emulate", folder.resolve("none.sexp").toString()).lines().count());
+        errorOutput("emulate", run.toString(), "--duration", "0"));
+    assertEquals(1, errorOutput("emulate", folder.resolve("none.sexp").toString()).lines().count());
   }
 
-  /** What is wrong on the command line is named in one line, and nothing is sent. */
+  /** An invalid address or id is reported in one line, before anything is sent. */
   @ParameterizedTest
   @CsvSource({
     "--to,nonsense,job-000412",
@@ -65,30 +65,30 @@
     "ID,127.0.0.1:1,job-1 2",
     "ID,127.0.0.1:1,../up"
   })
-  void badAddressesAndIdsAreNamed(String named, String to, String id) throws Exception {
+  void malformedAddressesAndIdsAreReported(String argument, String to, String id) throws Exception {
     Path job = Files.writeString(folder.resolve("job.json"), "{}");
     List<String[]> commands = new ArrayList<>();
     commands.add(new String[] {"cancel", "--to", to, id});
     commands.add(new String[] {"withdraw", "--to", to, id});
     commands.add(new String[] {"status", "--to", to, id});
-    if (named.equals("--to")) {
+    if (argument.equals("--to")) {
       commands.add(new String[] {"submit", "--to", to, job.toString()});
     }
     for (String[] command : commands) {
-      String text = refusal(command);
-      assertTrue(text.startsWith(named + ": must be of the form "), text);
+      String text = errorOutput(command);
+      assertTrue(text.startsWith(argument + ": must be of the form "), text);
       assertEquals(1, text.lines().count(), text);
     }
   }
 
-  private static String refusal(String... args) {
-    PrintStream before = System.err;
+  private static String errorOutput(String... args) {
+    PrintStream standardError = System.err;
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     System.setErr(new PrintStream(text, true, StandardCharsets.UTF_8));
     try {
       assertEquals(Main.EXIT_USAGE, Main.run(args));
     } finally {
-      System.setErr(before);
+      System.setErr(standardError);
     }
     return text.toString(StandardCharsets.UTF_8);
   }
--- a/src/test/java/fennelthread/settings/SettingsTest.java
+++ b/src/test/java/fennelthread/settings/SettingsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SettingsTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       member = "nodo-0"
       site = "norte"
@@ -60,21 +60,21 @@
   }
 
   @Test
-  void goodSettingsAreRead() throws Exception {
-    Settings s = load(GOOD);
-    assertEquals(10_000, s.workers().leaseMs());
-    assertEquals(8 * 1024, s.state().valueBytes());
-    assertEquals(0.0, s.teams().get("roja").cpusMax());
-    assertTrue(s.hasWaitObjective("servicio"));
+  void validSettingsAreRead() throws Exception {
+    Settings settings = load(VALID);
+    assertEquals(10_000, settings.workers().leaseMs());
+    assertEquals(8 * 1024, settings.state().valueBytes());
+    assertEquals(0.0, settings.teams().get("roja").cpusMax());
+    assertTrue(settings.hasWaitObjective("servicio"));
   }
 
-  /** Limits that are to come hold from the start where they are lower: they come without notice. */
+  /** Lower future limits apply from the start, since the change comes without notice. */
   @Test
-  void theLowerOfTheLimitsNowAndToCome() throws Exception {
+  void theLowerOfCurrentAndFutureLimitsApplies() throws Exception {
     String next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 16\nnew_limit = 1\n";
-    Settings s = load(GOOD.replace("[cluster.cloud]", next + "[cluster.cloud]"));
-    assertEquals(new Settings.StateLimits(100, 50, 2 * 1024, 8), s.state());
-    assertEquals(new Settings.StateLimits(100, 50, 8 * 1024, 8), load(GOOD).state());
+    Settings settings = load(VALID.replace("[cluster.cloud]", next + "[cluster.cloud]"));
+    assertEquals(new Settings.StateLimits(100, 50, 2 * 1024, 8), settings.state());
+    assertEquals(new Settings.StateLimits(100, 50, 8 * 1024, 8), load(VALID).state());
   }
 
   @ParameterizedTest
@@ -85,8 +85,8 @@
         "txn_ops = 8|txn_ops = 8\\n[cluster.state.next]\\nvalue_kb = \"big\"|cluster.state.next.value_kb",
         "txn_ops = 8|txn_ops = 8\\nnext = 3|cluster.state.next",
       })
-  void impossibleLimitsToComeAreNamed(String part, String wrong, String field) {
-    theFieldAtFaultIsNamedInOneLine(part, wrong.replace("\\n", "\n"), field);
+  void invalidFutureLimitsAreReported(String valid, String invalid, String field) {
+    theFieldAtFaultIsReportedInOneLine(valid, invalid.replace("\\n", "\n"), field);
   }
 
   @ParameterizedTest
@@ -102,26 +102,27 @@
         "[cluster.cloud]|[cluster.sky]|cluster.cloud",
         "member = \"nodo-0\"|member = 5|member",
       })
-  void theFieldAtFaultIsNamedInOneLine(String part, String wrong, String field) {
+  void theFieldAtFaultIsReportedInOneLine(String valid, String invalid, String field) {
     SettingsException e =
         assertThrows(
-            SettingsException.class, () -> load(GOOD.replace(part, wrong == null ? "" : wrong)));
+            SettingsException.class,
+            () -> load(VALID.replace(valid, invalid == null ? "" : invalid)));
     assertTrue(e.getMessage().contains(": " + field + " "), e.getMessage());
     assertEquals(1, e.getMessage().lines().count());
   }
 
   @Test
-  void whatIsNoTomlIsRefused() {
+  void malformedTomlIsRejected() {
     assertThrows(SettingsException.class, () -> load("member = = 3"));
   }
 
   @Test
   void optionsAreRead() throws SettingsException {
-    Options o =
+    Options options =
         Options.parse("o", "(fennelthread (max-machines 12) ; a comment\n (grant-ms 5000))");
-    assertEquals(12, o.maxMachines());
-    assertEquals(5_000, o.storeLeaseMs());
-    assertEquals(Options.DEFAULTS.spareFactor(), o.spareFactor());
+    assertEquals(12, options.maxMachines());
+    assertEquals(5_000, options.storeLeaseMs());
+    assertEquals(Options.DEFAULTS.spareFactor(), options.spareFactor());
   }
 
   @ParameterizedTest
@@ -135,7 +136,7 @@
         "(fennelthread (grant-ms 5000 6000))|o:1:15: grant-ms takes one value",
         "(other (grant-ms 5000))|o:1:1: must be (fennelthread (NAME VALUE) ...)",
       })
-  void optionsAreStrict(String text, String message) {
+  void invalidOptionsAreReportedWithTheirPosition(String text, String message) {
     SettingsException e = assertThrows(SettingsException.class, () -> Options.parse("o", text));
     assertEquals(message, e.getMessage());
   }
--- a/src/test/java/fennelthread/wire/CodecTest.java
+++ b/src/test/java/fennelthread/wire/CodecTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages as the protocol prints them, in values of our own, through CBOR and back. */
+/** Messages in the form that the protocol documents are read and written, also through CBOR. */
 class CodecTest {
 
   private static Fields json(String text) throws WireException {
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void absentMeansNull() throws WireException {
+  void absentFieldsAreNull() throws WireException {
     JobSpec spec =
         JobSpec.read(
             overCbor(
@@ -71,8 +71,8 @@
         "'same_place':true|'same_place':1|same_place",
         "'imagen':'img-03'|'imagen':''|imagen",
       })
-  void theFieldAtFaultIsNamed(String part, String wrong, String field) throws WireException {
-    Fields body = overCbor(JOB.replace(part.replace("''", "'"), wrong == null ? "" : wrong));
+  void theFieldAtFaultIsReported(String valid, String invalid, String field) throws WireException {
+    Fields body = overCbor(JOB.replace(valid.replace("''", "'"), invalid == null ? "" : invalid));
     WireException e = assertThrows(WireException.class, () -> JobSpec.read(body));
     assertEquals(field, e.field());
   }
@@ -84,27 +84,27 @@
     assertEquals("mem_gb", assertThrows(WireException.class, () -> JobSpec.read(back)).field());
   }
 
-  /** Empty, a list, a text, a byte string inside, cut short, with more behind, keys not text. */
+  /** Empty, a list, a text, a byte string, truncated, with trailing bytes, with a key not text. */
   @ParameterizedTest
   @ValueSource(strings = {"", "80", "6161", "a1616141ff", "a16161", "a000", "a10102", "ff", "a1"})
-  void whatIsNoMapIsRefused(String hex) {
+  void bodiesOtherThanMapsOfTextAndNumbersAreRejected(String hex) {
     byte[] body = HexFormat.of().parseHex(hex);
     assertThrows(
         WireException.class,
         () -> {
-          Fields f = Codec.CBOR.decode(body);
-          f.text("a");
+          Fields fields = Codec.CBOR.decode(body);
+          fields.text("a");
         });
   }
 
   @Test
-  void deepNestingIsRefused() {
-    byte[] deep = new byte[5_000];
-    deep[0] = (byte) 0xa1;
-    deep[1] = 0x61;
-    deep[2] = 'a';
-    java.util.Arrays.fill(deep, 3, deep.length, (byte) 0x81);
-    assertThrows(WireException.class, () -> Codec.CBOR.decode(deep));
+  void deepNestingIsRejected() {
+    byte[] body = new byte[5_000];
+    body[0] = (byte) 0xa1;
+    body[1] = 0x61;
+    body[2] = 'a';
+    java.util.Arrays.fill(body, 3, body.length, (byte) 0x81);
+    assertThrows(WireException.class, () -> Codec.CBOR.decode(body));
   }
 
   @Test
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void commandsAreWrittenAsPrinted() throws WireException {
+  void commandsAreWrittenInTheDocumentedForm() throws WireException {
     Fields body =
         WorkerCommand.write(
             41,
