--- a/src/main/java/fennelthread/control/CurrentTerm.java
+++ b/src/main/java/fennelthread/control/CurrentTerm.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * Holds this controller's active term while it leads, and its resigned term until another
- * controller leads. A resigned term makes no scheduling decisions, but it still answers reports so
- * that the workers' leases do not expire and their tasks keep running. Used on the event loop's
- * thread only.
+ * Holds this controller's active term while it leads, and afterwards its resigned term, until a
+ * later epoch is observed or this controller is elected again. A resigned term makes no scheduling
+ * decisions, but it still answers reports so that the workers' leases do not expire and their tasks
+ * keep running. Used on the event loop's thread only.
  */
 public final class CurrentTerm {
 
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Answers a report if this controller leads, or led last and has observed no later epoch.
+   * Answers a report if this controller leads, or if it has resigned and no later epoch is known.
    *
    * @param receivedBy the controller that received the report
    * @return null if this controller must not answer; not an Optional, because this runs for every
@@ -97,7 +97,9 @@
     return active == null ? Map.of() : active.workerAddresses();
   }
 
-  /** Describes the number of objects that the active term holds, for one log line. */
+  /**
+   * Returns the active term's machine counts as key=value pairs for a log line, or leading=false.
+   */
   public String memoryUsage() {
     return active == null ? "leading=false" : active.memoryUsage();
   }
--- a/src/main/java/fennelthread/control/FollowerReportHandler.java
+++ b/src/main/java/fennelthread/control/FollowerReportHandler.java
@@ -26,7 +26,7 @@
   private final PeerHeartbeats peers;
   private final FollowerLeaseRenewer renewer;
   private final Relay relay;
-  private final UnreachableLeaderPublisher unreachableLeader;
+  private final UnreachableLeaderPublisher unreachableLeaderPublisher;
 
   /**
    * Creates the handler of one follower.
@@ -41,7 +41,7 @@
       PeerHeartbeats peers,
       FollowerLeaseRenewer renewer,
       Relay relay,
-      UnreachableLeaderPublisher unreachableLeader) {
+      UnreachableLeaderPublisher unreachableLeaderPublisher) {
     this.eventLoop = eventLoop;
     this.member = member;
     this.directory = directory;
@@ -49,7 +49,7 @@
     this.peers = peers;
     this.renewer = renewer;
     this.relay = relay;
-    this.unreachableLeader = unreachableLeader;
+    this.unreachableLeaderPublisher = unreachableLeaderPublisher;
   }
 
   /** Handles one report; {@code reply} is called later if the report is relayed. */
@@ -58,11 +58,11 @@
     KnownLeader leader = directory.currentLeader();
     boolean peerLeads = leader.member() != null && !member.equals(leader.member());
     if (peerLeads && report.token() >> ProtocolConstants.TOKEN_BITS == leader.epoch()) {
-      unreachableLeader.recordLeadersWorker(report.machine());
+      unreachableLeaderPublisher.recordWorkerOfLeader(report.machine());
     }
-    Answer renewed = renewer.renewLease(report);
-    if (renewed != null) {
-      reply.accept(renewed);
+    Answer renewalAnswer = renewer.renewLease(report);
+    if (renewalAnswer != null) {
+      reply.accept(renewalAnswer);
       return;
     }
     Relay.Decision decision =
@@ -76,9 +76,9 @@
    * Returns the controller to redirect a worker to, null for the next in the worker's own order.
    */
   private String redirectTarget(KnownLeader leader, boolean peerLeads, Relay.Decision decision) {
-    boolean leaderSilent =
+    boolean isLeaderUnknownOrSilent =
         !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.RENEWAL_ABSTENTION_MS;
-    String renewingPeer = leaderSilent ? peers.anyRenewingPeer() : null;
+    String renewingPeer = isLeaderUnknownOrSilent ? peers.anyRenewingPeer() : null;
     if (renewingPeer != null) {
       return renewingPeer;
     }
--- a/src/main/java/fennelthread/control/KnownWorkers.java
+++ b/src/main/java/fennelthread/control/KnownWorkers.java
@@ -17,11 +17,11 @@
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private final Map<String, Long> reportedAtMs = new LinkedHashMap<>();
 
-  /** Records a report that a worker sent to this controller while it follows. */
+  /** Records a report that a worker sent to this controller while this controller follows. */
   void recordReport(WorkerReport report, long nowMs) {
     reportedAtMs.put(report.machine(), nowMs);
     addresses.put(report.machine(), report.address());
-    evictOldest();
+    evictOldestAddresses();
   }
 
   /** Applies the leader's heartbeat: changed addresses by machine name, and removed machines. */
@@ -29,10 +29,10 @@
       Map<String, String> changedAddresses, Collection<String> removedMachines) {
     addresses.putAll(changedAddresses);
     removedMachines.forEach(addresses::remove);
-    evictOldest();
+    evictOldestAddresses();
   }
 
-  private void evictOldest() {
+  private void evictOldestAddresses() {
     while (addresses.size() > RelayConstants.MAX_KNOWN_WORKERS) {
       addresses.remove(addresses.keySet().iterator().next());
     }
--- a/src/main/java/fennelthread/control/LeaderDirectory.java
+++ b/src/main/java/fennelthread/control/LeaderDirectory.java
@@ -5,9 +5,9 @@
 import fennelthread.relay.KnownLeader;
 
 /**
- * Determines which controller leads, from whichever of two sources has the higher epoch: the
- * leader's record in the replica, and the heartbeats of a peer whose claim the replica has not
- * reached yet. Used on the event loop's thread only.
+ * Determines which controller leads. There are two sources, and the one with the higher epoch
+ * counts: the leader's record in the replica, and the heartbeats of a peer that leads, which may
+ * arrive before the replica contains that peer's claim. Used on the event loop's thread only.
  */
 public final class LeaderDirectory {
   private final LeaderLease lease;
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Records the heartbeat's sender as leader if it leads under the highest epoch of any leader's
-   * heartbeat so far.
+   * Records the heartbeat's sender as leader if it leads, and no leader's heartbeat so far had a
+   * higher epoch.
    */
   public void observeHeartbeat(PeerHeartbeat heartbeat) {
     if (heartbeat.leading() && heartbeat.epoch() >= fromHeartbeats.epoch()) {
--- a/src/main/java/fennelthread/control/LeaderSupervisor.java
+++ b/src/main/java/fennelthread/control/LeaderSupervisor.java
@@ -18,7 +18,7 @@
   private final Handover handover;
   private final StateServiceCheck stateService;
   private final WorkerReachabilityCheck reachability;
-  private final UnreachableLeaderPublisher unreachableLeader;
+  private final UnreachableLeaderPublisher unreachableLeaderPublisher;
 
   /** Creates a supervisor; the caller schedules {@link #runChecks}. */
   public LeaderSupervisor(
@@ -28,30 +28,30 @@
       Handover handover,
       StateServiceCheck stateService,
       WorkerReachabilityCheck reachability,
-      UnreachableLeaderPublisher unreachableLeader) {
+      UnreachableLeaderPublisher unreachableLeaderPublisher) {
     this.eventLoop = eventLoop;
     this.lease = lease;
     this.workers = workers;
     this.handover = handover;
     this.stateService = stateService;
     this.reachability = reachability;
-    this.unreachableLeader = unreachableLeader;
+    this.unreachableLeaderPublisher = unreachableLeaderPublisher;
   }
 
   /** Runs all checks once; to be called every {@link RelayConstants#CHECK_INTERVAL_MS}. */
   public void runChecks() {
     workers.forgetOldReports(eventLoop.nowMs());
-    stateService.confirmReplicaIfSilent();
+    stateService.confirmReplicaIfDue();
     if (lease.isLeading()) {
       checkLeader();
     } else {
       lease.claimIfVacant();
-      unreachableLeader.publishIfDue();
+      unreachableLeaderPublisher.publishIfDue();
     }
   }
 
   private void checkLeader() {
-    reachability.probeIfUnreachable();
+    reachability.checkWorkerReports();
     if (stateService.isRefusedOnlyHere()) {
       lease.stepDown(
           "the state service refuses only this controller", ControlConstants.STEP_DOWN_PAUSE_MS);
--- a/src/main/java/fennelthread/control/MachineTypes.java
+++ b/src/main/java/fennelthread/control/MachineTypes.java
@@ -57,7 +57,10 @@
     return byName;
   }
 
-  /** Fetches the types from the cloud, and retries until it answers; does nothing once known. */
+  /**
+   * Fetches the types from the cloud, and retries until it answers. Does nothing once the types are
+   * known, or while a fetch is in flight.
+   */
   public void fetchFromCloud() {
     if (fetching || !byName.isEmpty()) {
       return;
@@ -94,7 +97,7 @@
 
   /**
    * Replaces the types by those that this controller, as leader, has fetched from the cloud, and
-   * stores them if they differ from the stored ones.
+   * stores them without their prices if that differs from the stored value and is not too large.
    */
   @Override
   public void replaceAndStore(List<MachineType> types) {
--- a/src/main/java/fennelthread/control/ReportRouter.java
+++ b/src/main/java/fennelthread/control/ReportRouter.java
@@ -10,10 +10,10 @@
 import java.util.function.Consumer;
 
 /**
- * Routes workers' reports: to the term of this controller if it leads, and to {@link
- * FollowerReportHandler} otherwise. A stale report, which is a duplicate or older than the newest
- * one of its machine, is answered with a redirect and has no other effect. Used on the event loop's
- * thread only.
+ * Routes workers' reports: to the active or resigned term of this controller if that may answer,
+ * and to {@link FollowerReportHandler} otherwise. A stale report, which is a duplicate or older
+ * than the newest one of its machine, has no effect: it gets a redirect, or no answer if a peer
+ * relayed it. Used on the event loop's thread only.
  */
 public final class ReportRouter {
   private final EventLoop eventLoop;
@@ -22,14 +22,14 @@
   private final CurrentTerm term;
   private final WorkerReachability reachability;
   private final CommandSender commands;
-  private final FollowerReportHandler follower;
+  private final FollowerReportHandler followerHandler;
   private final StaleReportFilter staleReports = new StaleReportFilter();
 
   /**
    * Creates the router of one controller.
    *
    * @param member the name of this controller
-   * @param follower handles the reports that the term does not answer
+   * @param followerHandler handles the reports that the term does not answer
    */
   public ReportRouter(
       EventLoop eventLoop,
@@ -38,14 +38,14 @@
       CurrentTerm term,
       WorkerReachability reachability,
       CommandSender commands,
-      FollowerReportHandler follower) {
+      FollowerReportHandler followerHandler) {
     this.eventLoop = eventLoop;
     this.member = member;
     this.lease = lease;
     this.term = term;
     this.reachability = reachability;
     this.commands = commands;
-    this.follower = follower;
+    this.followerHandler = followerHandler;
   }
 
   /** Answers a report that a worker sent to this controller; {@code reply} may be called later. */
@@ -61,7 +61,7 @@
       commands.onDirectReport(report.machine());
       reply.accept(answer);
     } else {
-      follower.handle(report, reply);
+      followerHandler.handle(report, reply);
     }
   }
 
--- a/src/main/java/fennelthread/control/StateServiceCheck.java
+++ b/src/main/java/fennelthread/control/StateServiceCheck.java
@@ -27,17 +27,18 @@
   }
 
   /**
-   * Reads the store revision if the state service has been silent for {@link
-   * ControlConstants#STATE_SILENCE_CHECK_MS}. An open watch gets no answer during an outage, and
-   * none while nothing changes. The answer tells peers an outage from a refusal, and confirms how
-   * current the replica is, which limits how long leases may be renewed.
+   * Reads the store revision if the state service has not served this controller, or the replica
+   * has not been confirmed as current, for {@link ControlConstants#STATE_SILENCE_CHECK_MS}. An open
+   * watch gets no answer during an outage, and none while nothing changes. Heartbeats tell the
+   * peers when this controller was last served, from which they distinguish an outage from a
+   * refusal. How current the replica is limits how long leases may be renewed.
    */
-  void confirmReplicaIfSilent() {
+  void confirmReplicaIfDue() {
     long nowMs = eventLoop.nowMs();
-    boolean isSilent =
+    boolean isConfirmationDue =
         nowMs - Math.min(state.lastServedAtMs(), replica.currentAsOfMs())
             > ControlConstants.STATE_SILENCE_CHECK_MS;
-    if (replica.isReady() && isSilent) {
+    if (replica.isReady() && isConfirmationDue) {
       state.readStoreRevision(
           revision ->
               revision.ifPresent(storeRevision -> replica.confirmRevision(storeRevision, nowMs)));
@@ -45,8 +46,8 @@
   }
 
   /**
-   * True if requests of this controller keep failing and the state service has served a peer well
-   * after it last served this one.
+   * True if requests of this controller keep failing and the state service has served a peer more
+   * than half of {@link ControlConstants#REFUSED_ONLY_HERE_MS} after it last served this one.
    */
   public boolean isRefusedOnlyHere() {
     return state.failingForMs() > ControlConstants.REFUSED_ONLY_HERE_MS
--- a/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
+++ b/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
@@ -36,7 +36,7 @@
   }
 
   /** Records that a worker under the current leader's epoch reported here, and publishes if due. */
-  void recordLeadersWorker(String machine) {
+  void recordWorkerOfLeader(String machine) {
     notice.addWorker(machine);
     publishIfDue();
   }
--- a/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -53,8 +53,12 @@
                 reportMs * ControlConstants.NO_REPORTS_INTERVALS);
   }
 
-  /** Checks whether reports still reach this leader, and probes some workers if none do. */
-  void probeIfUnreachable() {
+  /**
+   * Checks whether reports still reach this leader. When they cease to, it notifies the peers;
+   * while none arrive, it steps down if a peer has published that the workers report to that peer,
+   * and otherwise probes some workers.
+   */
+  void checkWorkerReports() {
     if (!term.isActive()) {
       return;
     }
@@ -103,7 +107,10 @@
     }
   }
 
-  /** True if workers report to peers, and none has reported to this leader within the limit. */
+  /**
+   * True if workers report to peers, and no report has reached this leader, directly or through a
+   * peer, within the limit.
+   */
   boolean workersReachOnlyPeers() {
     return eventLoop.nowMs() - term.lastReportAtMs() > noReportsLimitMs
         && peers.reportsReceivedByPeers() > 0;
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -39,7 +39,7 @@
     this.takeover =
         new TakeoverCoordinator(eventLoop, settings, peers, state, replica, lease, declaration);
     peers.serve("/member/", takeover::handleAgreementRequest);
-    peers.addExtension(new HeartbeatListener());
+    peers.addExtension(new PromiseExtension());
     replica.addListener(
         (key, value, revision) -> {
           if (key.equals(Keys.EPOCH) && takeover.isReady()) {
@@ -59,7 +59,7 @@
     }
     takeover.followRecordedEpoch();
     if (lease.isLeading()) {
-      protection.maintain(eventLoop.nowMs());
+      protection.updateDeclaration(eventLoop.nowMs());
     } else {
       takeover.checkLeader(eventLoop.nowMs());
     }
@@ -76,7 +76,7 @@
   }
 
   /** Adds promises to this follower's answers, and records those that this leader receives. */
-  private final class HeartbeatListener implements HeartbeatExtension {
+  private final class PromiseExtension implements HeartbeatExtension {
     @Override
     public PeerHeartbeat extendAnswer(PeerHeartbeat heartbeat, PeerHeartbeat answer) {
       return answer.withPromise(takeover.promiseOnHeartbeat(heartbeat));
--- a/src/main/java/fennelthread/election/LeaderProtection.java
+++ b/src/main/java/fennelthread/election/LeaderProtection.java
@@ -66,10 +66,10 @@
   }
 
   /** Declares or revokes unilateral leadership as the promises in force require. */
-  void maintain(long nowMs) {
-    boolean enoughPromises =
+  void updateDeclaration(long nowMs) {
+    boolean hasEnoughPromises =
         promises.protectedUntilMs() - nowMs > ElectionConstants.PROMISE_REMAINING_MS;
-    if (!enoughPromises) {
+    if (!hasEnoughPromises) {
       enoughPromisesSinceMs = ElectionConstants.NEVER;
       declaration.declare();
       return;
@@ -81,7 +81,8 @@
         && nowMs - enoughPromisesSinceMs > ElectionConstants.REVOKE_DECLARATION_AFTER_MS) {
       declaration.revoke();
     } else if (!declaration.isDeclared() && isPromiseWithheldTooLong(nowMs)) {
-      // The follower may have agreed to a takeover: it promises again once the key is rewritten.
+      // The follower may have agreed to a takeover: it promises again once the declaration's record
+      // has been rewritten.
       promiseWithheldSinceMs = ElectionConstants.NEVER;
       declaration.revoke();
     }
--- a/src/main/java/fennelthread/election/LeaderView.java
+++ b/src/main/java/fennelthread/election/LeaderView.java
@@ -12,7 +12,10 @@
 
   /** What the follower concludes about the leader. */
   public enum Phase {
-    /** Heartbeats arrive, and a promise is in force. */
+    /**
+     * The leader counts as alive: since the epoch began, or since the last promise, no check has
+     * found it silent.
+     */
     TRUSTED,
     /**
      * No heartbeat has arrived for the silence timeout and no promise is in force: the follower
@@ -61,7 +64,8 @@
   }
 
   /**
-   * Records a heartbeat of the leader, and promises it not to support a takeover for a while.
+   * Records a heartbeat of the leader. Promises not to agree to a takeover for at least {@link
+   * ElectionConstants#PROMISE_MS}, unless a takeover agreed on earlier may still be applied.
    *
    * @param declarationRevision the revision of the leader's declaration in the local replica
    * @return the epoch that the promise is for, 0 if none is given
@@ -88,7 +92,7 @@
    * ElectionConstants#CHECK_INTERVAL_MS}. A late check means that this process was stalled and may
    * have unread heartbeats: silence then counts from that check.
    *
-   * @return true if the leader is suspected
+   * @return true if the leader is silent, whatever the phase
    */
   public boolean checkSilence(long nowMs) {
     if (nowMs - lastCheckAtMs > ElectionConstants.CHECK_LATE_MS) {
--- a/src/main/java/fennelthread/election/LeadershipPromises.java
+++ b/src/main/java/fennelthread/election/LeadershipPromises.java
@@ -12,7 +12,7 @@
  * takeover for {@link ElectionConstants#PROMISE_MS}. While enough promises are in force, no
  * majority can agree to a takeover. Without enough, the leader must first declare in the state
  * service that it acts without them ({@link UnilateralLeadership}); every takeover is conditional
- * on the absence of that declaration.
+ * on that declaration being unchanged since the majority agreed.
  *
  * <p>A promise is not a vote. A vote goes to a candidate, at most one in each term, and does not
  * expire. A promise goes to the controller that leads already, is renewed with each heartbeat,
@@ -25,16 +25,16 @@
  */
 public final class LeadershipPromises {
   private final Map<String, Long> heartbeatSentAtMs = new HashMap<>();
-  private final int required;
+  private final int requiredPromises;
   private long epoch = -1;
 
   /**
-   * Creates a leader's record of promises, empty.
+   * Creates an empty record of promises.
    *
    * @param controllers the number of controllers, this one included
    */
   public LeadershipPromises(int controllers) {
-    this.required = controllers - majority(controllers);
+    this.requiredPromises = controllers - majority(controllers);
   }
 
   /** The number of controllers that must agree to a takeover; the leader is not one of them. */
@@ -64,18 +64,21 @@
    * followers have promised.
    */
   public long protectedUntilMs() {
-    if (required == 0) {
+    if (requiredPromises == 0) {
       return Long.MAX_VALUE;
     }
-    if (heartbeatSentAtMs.size() < required) {
+    if (heartbeatSentAtMs.size() < requiredPromises) {
       return Long.MIN_VALUE;
     }
     long[] sentAtMs = heartbeatSentAtMs.values().stream().mapToLong(Long::longValue).toArray();
     Arrays.sort(sentAtMs);
-    return sentAtMs[sentAtMs.length - required] + validForMs();
+    return sentAtMs[sentAtMs.length - requiredPromises] + validForMs();
   }
 
-  /** How long the leader relies on a promise, ms: less than the time for which it binds. */
+  /**
+   * How long the leader relies on a promise, ms: less than the time for which it binds the
+   * follower.
+   */
   private static long validForMs() {
     return (long) (ElectionConstants.PROMISE_MS * (1 - 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
         - ProtocolConstants.LEASE_MARGIN_MS;
--- a/src/main/java/fennelthread/election/TakeoverCoordinator.java
+++ b/src/main/java/fennelthread/election/TakeoverCoordinator.java
@@ -42,8 +42,8 @@
   private final UnilateralLeadership declaration;
   private final LeaderView view = new LeaderView();
   private final List<String> members = new ArrayList<>();
-  private boolean replicaLoaded;
-  private boolean requestingAgreement;
+  private boolean isReplicaLoaded;
+  private boolean isRequestingAgreement;
   private long suspectedSinceMs = ElectionConstants.NEVER;
 
   /** Creates the coordinator of one controller, for whenever it follows. */
@@ -69,13 +69,13 @@
 
   /** True once the replica has been loaded; before that nothing is promised or agreed to. */
   boolean isReady() {
-    return replicaLoaded;
+    return isReplicaLoaded;
   }
 
   /** Begins the view of the leader if the replica is loaded by now. */
   void beginIfReplicaLoaded() {
     if (replica.isReady()) {
-      replicaLoaded = true;
+      isReplicaLoaded = true;
       view.beginAfterRestart(lease.recordedEpoch(), replica.revision(), eventLoop.nowMs());
     }
   }
@@ -94,7 +94,7 @@
    * @return the epoch that this follower makes a promise for, 0 if it makes none
    */
   long promiseOnHeartbeat(PeerHeartbeat heartbeat) {
-    return replicaLoaded && heartbeat.leading() && !lease.isLeading()
+    return isReplicaLoaded && heartbeat.leading() && !lease.isLeading()
         ? view.promiseOnHeartbeat(
             heartbeat.epoch(), declaration.recordedRevision(), eventLoop.nowMs())
         : 0;
@@ -105,7 +105,7 @@
    */
   void checkLeader(long nowMs) {
     LeaderView.Phase before = view.phase();
-    boolean suspected = view.checkSilence(nowMs);
+    boolean isLeaderSilent = view.checkSilence(nowMs);
     if (before != view.phase()) {
       log.info(
           "leader view changed epoch={} from={} to={} silentMs={}",
@@ -114,7 +114,7 @@
           view.phase(),
           view.silentMs(nowMs));
     }
-    if (!suspected || !isTakeoverAllowed()) {
+    if (!isLeaderSilent || !isTakeoverAllowed()) {
       suspectedSinceMs = ElectionConstants.NEVER;
       return;
     }
@@ -123,19 +123,25 @@
     }
     // No claim can succeed without the state service: a controller that is cut off from it together
     // with a peer would otherwise ask that peer every second.
-    if (!requestingAgreement
+    if (!isRequestingAgreement
         && state.canAnswerInTime(0)
         && nowMs - suspectedSinceMs >= successorRank() * ElectionConstants.SUCCESSOR_STEP_MS) {
       requestAgreement();
     }
   }
 
-  /** True if the viewed epoch's leader honors promises and has not declared to act without them. */
+  /**
+   * True if the leader of the viewed epoch starts tasks only under promises, and no declaration
+   * that it acts without them is recorded.
+   */
   private boolean isTakeoverAllowed() {
     return lease.isTakeoverPossible(view.epoch()) && !declaration.isRecordedFor(view.epoch());
   }
 
-  /** How many controllers precede this one as successors: they follow the leader in name order. */
+  /**
+   * The number of controllers that take over before this one does. The order is that of the names,
+   * cyclic, starting after the leader.
+   */
   private int successorRank() {
     int leader = members.indexOf(lease.leaderMember());
     int own = members.indexOf(settings.member());
@@ -147,7 +153,7 @@
   }
 
   private void requestAgreement() {
-    requestingAgreement = true;
+    isRequestingAgreement = true;
     AgreementRound round = new AgreementRound(view.epoch(), declaration.recordedRevision());
     Fields request =
         Fields.create()
@@ -162,10 +168,13 @@
           ElectionConstants.AGREEMENT_TIMEOUT_MS,
           round::onAnswer);
     }
-    eventLoop.after(ElectionConstants.AGREEMENT_PAUSE_MS, () -> requestingAgreement = false);
+    eventLoop.after(ElectionConstants.AGREEMENT_PAUSE_MS, () -> isRequestingAgreement = false);
   }
 
-  /** Counts the answers to one request for agreement; this controller counts as agreeing. */
+  /**
+   * Counts the answers to one request for agreement, and takes over once a majority agrees. This
+   * controller counts as agreeing.
+   */
   private final class AgreementRound {
     private final long epoch;
     private final long declarationRevision;
@@ -220,7 +229,7 @@
       Fields fields = Codec.JSON.decode(request.body());
       long declarationRevision = fields.count(DECLARATION_FIELD);
       boolean agree =
-          replicaLoaded
+          isReplicaLoaded
               && !lease.isLeading()
               && declaration.recordedRevision() <= declarationRevision
               && isTakeoverAllowed()
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -26,7 +26,7 @@
 
   /** The state of the declaration. Only DECLARED lets the leader start tasks without promises. */
   enum Phase {
-    /** Not recorded, or recorded by a write that got no answer. */
+    /** Not recorded, or possibly recorded because a write or a revocation got no answer. */
     NOT_DECLARED,
     /** A write is in flight; without an answer it may be applied or not. */
     DECLARING,
@@ -54,7 +54,7 @@
     this.lease = lease;
   }
 
-  /** Begins a term: declarations recorded in earlier terms name another epoch. */
+  /** Begins a term. Declarations recorded in earlier terms name another epoch and do not count. */
   void beginTerm() {
     term++;
     phase = Phase.NOT_DECLARED;
--- a/src/main/java/fennelthread/leaserenewal/CancellationLog.java
+++ b/src/main/java/fennelthread/leaserenewal/CancellationLog.java
@@ -23,7 +23,8 @@
   /**
    * A part of the log, oldest entry first.
    *
-   * @param lastNumber the number of the last entry in the page
+   * @param lastNumber the number of the last entry in the page, or in the log if the entries asked
+   *     for are not available
    * @param complete true if no entries follow
    */
   record Page(List<String> jobIds, long lastNumber, boolean complete) {
@@ -37,7 +38,7 @@
   private final long retentionMs;
   private final Map<String, Long> endedAtMsById = new LinkedHashMap<>();
   private final Set<String> loggedIds = new HashSet<>();
-  private final ArrayDeque<Cancellation> log = new ArrayDeque<>();
+  private final ArrayDeque<Cancellation> entries = new ArrayDeque<>();
   private long lastNumber;
 
   /** Creates an empty log whose entries expire after {@code retentionMs}, ms. */
@@ -49,14 +50,14 @@
   /** Records that a job has completed or was cancelled: none of its tasks may run any longer. */
   public void recordEnded(String jobId) {
     endedAtMsById.putIfAbsent(jobId, eventLoop.nowMs());
-    expireOld();
+    expireOldEntries();
   }
 
   /** Records a cancellation that this controller may disclose to users from now on. */
   public void recordDisclosable(String jobId) {
     recordEnded(jobId);
     if (loggedIds.add(jobId)) {
-      log.add(new Cancellation(++lastNumber, jobId, eventLoop.nowMs()));
+      entries.add(new Cancellation(++lastNumber, jobId, eventLoop.nowMs()));
     }
   }
 
@@ -71,12 +72,12 @@
    * log has no such number, or if entries that follow it have expired.
    */
   Page entriesAfter(long number) {
-    long lastExpired = log.isEmpty() ? lastNumber : log.peek().number - 1;
+    long lastExpired = entries.isEmpty() ? lastNumber : entries.peek().number - 1;
     if (number > lastNumber || number < lastExpired) {
       return new Page(List.of(), lastNumber, false);
     }
     List<String> jobIds = new ArrayList<>();
-    for (Cancellation entry : log) {
+    for (Cancellation entry : entries) {
       if (entry.number > number
           && jobIds.size() < LeaseRenewalConstants.CANCELLATIONS_PER_HEARTBEAT) {
         jobIds.add(entry.jobId);
@@ -86,14 +87,14 @@
     return new Page(jobIds, pageEnd, pageEnd == lastNumber);
   }
 
-  private void expireOld() {
+  private void expireOldEntries() {
     long expiredBeforeMs = eventLoop.nowMs() - retentionMs;
     Iterator<Long> endTimes = endedAtMsById.values().iterator();
     while (endTimes.hasNext() && endTimes.next() < expiredBeforeMs) {
       endTimes.remove();
     }
-    while (!log.isEmpty() && log.peek().loggedAtMs < expiredBeforeMs) {
-      loggedIds.remove(log.poll().jobId);
+    while (!entries.isEmpty() && entries.peek().loggedAtMs < expiredBeforeMs) {
+      loggedIds.remove(entries.poll().jobId);
     }
   }
 }
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -110,27 +110,27 @@
   public PeerHeartbeat extendHeartbeat(String member, PeerHeartbeat heartbeat) {
     boolean receiverHeard = peers.silentMs(member) < PeerConstants.PEER_SILENT_MS;
     return heartbeat.withRenewal(
-        status(receiverHeard, watermark.logPosition(member), 0, CancellationLog.Page.none()));
+        createStatus(receiverHeard, watermark.logPosition(member), 0, CancellationLog.Page.none()));
   }
 
   @Override
   public PeerHeartbeat extendAnswer(PeerHeartbeat heartbeat, PeerHeartbeat answer) {
     RenewalStatus request = heartbeat.renewal();
     if (request == null) {
-      return answer.withRenewal(status(true, 0, 0, CancellationLog.Page.none()));
+      return answer.withRenewal(createStatus(true, 0, 0, CancellationLog.Page.none()));
     }
     if (leadership.isLeading()) {
       peerRenewals.recordOwnAnswer(heartbeat, eventLoop.nowMs());
     }
     long abstainingForEpoch = promiseToAbstain(heartbeat);
     return answer.withRenewal(
-        status(true, 0, abstainingForEpoch, cancellations.entriesAfter(request.logPosition())));
+        createStatus(
+            true, 0, abstainingForEpoch, cancellations.entriesAfter(request.logPosition())));
   }
 
   /**
-   * Promises a leader to renew no lease in its place for {@link
-   * LeaseRenewalConstants#RENEWAL_ABSTENTION_MS}, unless that leader does not hear from this
-   * controller.
+   * Promises a leader that hears from this controller to renew no lease in its place for {@link
+   * LeaseRenewalConstants#RENEWAL_ABSTENTION_MS}.
    *
    * @return the epoch whose leader gets the promise, 0 for none
    */
@@ -138,7 +138,7 @@
     if (!heartbeat.leading() || heartbeat.epoch() < leaderEpoch) {
       return 0;
     }
-    follow(heartbeat.epoch());
+    followEpoch(heartbeat.epoch());
     if (!heartbeat.renewal().receiverHeard()) {
       // The leader will not receive this answer either: abstaining would only let the leases of
       // workers that reach only this controller expire.
@@ -154,7 +154,7 @@
     return leaderEpoch;
   }
 
-  private RenewalStatus status(
+  private RenewalStatus createStatus(
       boolean receiverHeard,
       long logPosition,
       long abstainingForEpoch,
@@ -177,12 +177,12 @@
     if (leadership.isLeading()) {
       peerRenewals.recordPeerAnswer(member, answer, leadership.ownEpoch(), sentAtMs, nowMs);
     } else if (answer.leading() && answer.renewal() != null && answer.epoch() >= leaderEpoch) {
-      follow(answer.epoch());
+      followEpoch(answer.epoch());
       lastExchangeAtMs = Math.max(lastExchangeAtMs, sentAtMs);
     }
   }
 
-  private void follow(long epoch) {
+  private void followEpoch(long epoch) {
     if (epoch > leaderEpoch) {
       leaderEpoch = epoch;
       lastExchangeAtMs = PeerConstants.NEVER_MS;
@@ -201,7 +201,7 @@
    */
   public Answer renewLease(WorkerReport report) {
     long nowMs = eventLoop.nowMs();
-    if (!isLeaderSilentFor(report, nowMs)) {
+    if (!mayActForLeader(report, nowMs)) {
       return null;
     }
     if (nowMs >= lastExchangeAtMs + renewalWindowMs || !responseGate.mayRespond()) {
@@ -214,8 +214,11 @@
     return responseGate.respond(report, report.token(), List.of());
   }
 
-  /** True if the worker obeys the followed leader, and no promise to that leader is in force. */
-  private boolean isLeaderSilentFor(WorkerReport report, long nowMs) {
+  /**
+   * True if this controller does not lead, the worker obeys the leader that it follows, no promise
+   * to that leader is in force, and no later epoch is known.
+   */
+  private boolean mayActForLeader(WorkerReport report, long nowMs) {
     boolean obeysLeader =
         leaderEpoch > 0 && report.token() >> ProtocolConstants.TOKEN_BITS == leaderEpoch;
     return obeysLeader
--- a/src/main/java/fennelthread/leaserenewal/LeadershipStatus.java
+++ b/src/main/java/fennelthread/leaserenewal/LeadershipStatus.java
@@ -5,7 +5,7 @@
   /** True if this controller leads. */
   boolean isLeading();
 
-  /** The epoch that this controller leads; only meaningful while it leads. */
+  /** The epoch under which this controller leads; only meaningful while it leads. */
   long ownEpoch();
 
   /** The highest epoch that this controller knows of. */
--- a/src/main/java/fennelthread/leaserenewal/PeerRenewalTracker.java
+++ b/src/main/java/fennelthread/leaserenewal/PeerRenewalTracker.java
@@ -18,14 +18,15 @@
   private static final class PeerRenewals {
     String incarnation;
 
-    /** When the latest heartbeat that it answered with a promise to abstain was sent, ms. */
+    /** When this leader sent the latest heartbeat that the peer answered with a promise, ms. */
     long abstainsSinceMs = PeerConstants.NEVER_MS;
 
     /** When this leader last answered a heartbeat of the peer in this epoch, ms. */
     long answeredAtMs = PeerConstants.NEVER_MS;
 
     /**
-     * When it last renewed a lease by its own account, or an earlier process of it may have, ms.
+     * When the peer last renewed a lease according to its answers, or when one of its earlier
+     * processes may last have done so, ms.
      */
     long renewedAtMs = PeerConstants.NEVER_MS;
   }
@@ -78,14 +79,19 @@
   /** A new process can't say what its predecessor renewed: the latest possible is assumed. */
   private void observeIncarnation(PeerRenewals renewals, String incarnation, long nowMs) {
     if (renewals.incarnation != null && !renewals.incarnation.equals(incarnation)) {
-      renewals.renewedAtMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
+      renewals.renewedAtMs =
+          Math.max(renewals.renewedAtMs, latestUnreportedRenewalMs(renewals, nowMs));
       renewals.answeredAtMs = PeerConstants.NEVER_MS;
       renewals.abstainsSinceMs = PeerConstants.NEVER_MS;
     }
     renewals.incarnation = incarnation;
   }
 
-  private long latestPossibleMs(PeerRenewals renewals, long nowMs) {
+  /**
+   * The latest moment at which the peer may have renewed a lease without having reported it, ms;
+   * {@link PeerConstants#NEVER_MS} while its promise to abstain is in force.
+   */
+  private long latestUnreportedRenewalMs(PeerRenewals renewals, long nowMs) {
     long minAbstentionMs =
         (long)
                 (LeaseRenewalConstants.RENEWAL_ABSTENTION_MS
@@ -100,7 +106,8 @@
   long latestPossibleRenewalMs(long nowMs) {
     long latestMs = PeerConstants.NEVER_MS;
     for (PeerRenewals renewals : renewalsByMember.values()) {
-      long peerLatestMs = Math.max(renewals.renewedAtMs, latestPossibleMs(renewals, nowMs));
+      long peerLatestMs =
+          Math.max(renewals.renewedAtMs, latestUnreportedRenewalMs(renewals, nowMs));
       latestMs = Math.max(latestMs, peerLatestMs);
     }
     return latestMs;
--- a/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
+++ b/src/main/java/fennelthread/leaserenewal/RenewalBounds.java
@@ -24,8 +24,8 @@
 
   /**
    * The most by which a cancelled job's task may outlive its deadline, ms; 0 if {@code cancel_s}
-   * exceeds {@code lease_s} by enough. The window has a minimum despite that, because a controller
-   * that answers no reports serves nobody.
+   * exceeds {@code lease_s} by enough. The window has a minimum despite that, because with an empty
+   * window a controller could not answer any report.
    */
   public static long shortfallMs(Settings.WorkerTiming workers) {
     return Math.max(
--- a/src/main/java/fennelthread/leaserenewal/ReportResponseGate.java
+++ b/src/main/java/fennelthread/leaserenewal/ReportResponseGate.java
@@ -13,7 +13,7 @@
 
 /**
  * The only place that creates the answers to reports that renew a worker's lease. Every sender uses
- * it: a leader, one whose replica has not reached its claim yet, one that has resigned, and a
+ * it: a leader, also before its replica contains its claim and after it has resigned, and a
  * follower that renews in place of a silent leader; directly or through a peer. It ensures two
  * things. The sender knows every cancellation disclosed to users up to a moment recent enough that
  * the renewed lease ends before the deadline of any later one. And the answer stops all tasks in
@@ -21,8 +21,8 @@
  * list of senders.
  *
  * <p>Without this check, a leader that the state service refuses right after its claim, and that
- * then shares an outage with all others, would answer reports for the whole outage without stopping
- * cancelled tasks.
+ * stays leader during a following outage of the state service for all controllers, would answer
+ * reports for the whole outage without stopping cancelled tasks.
  */
 public final class ReportResponseGate implements HeartbeatResponder {
   private final EventLoop eventLoop;
@@ -59,22 +59,22 @@
   @Override
   public Answer respond(WorkerReport report, long token, List<WorkerCommand> commands) {
     if (!mayRespond()) {
-      throw new IllegalStateException("last known cancellations too old to answer reports");
+      throw new IllegalStateException("knowledge of cancellations too old to answer reports");
     }
-    Set<WorkerCommand> answered = new LinkedHashSet<>();
+    Set<WorkerCommand> includedCommands = new LinkedHashSet<>();
     for (WorkerReport.Task task : report.tasks()) {
       if (task.phase() != WorkerReport.Phase.ENDED
           && cancellations.hasEnded(task.ref().job())
-          && answered.size() < LeaseRenewalConstants.COMMANDS_PER_ANSWER) {
-        answered.add(new WorkerCommand.Stop(task.ref(), task.attempt(), 0));
+          && includedCommands.size() < LeaseRenewalConstants.COMMANDS_PER_ANSWER) {
+        includedCommands.add(new WorkerCommand.Stop(task.ref(), task.attempt(), 0));
       }
     }
     for (WorkerCommand command : commands) {
-      if (answered.size() < LeaseRenewalConstants.COMMANDS_PER_ANSWER
+      if (includedCommands.size() < LeaseRenewalConstants.COMMANDS_PER_ANSWER
           || command instanceof WorkerCommand.Run) {
-        answered.add(command);
+        includedCommands.add(command);
       }
     }
-    return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, List.copyOf(answered)));
+    return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, List.copyOf(includedCommands)));
   }
 }
--- a/src/test/java/fennelthread/election/LeaderViewTest.java
+++ b/src/test/java/fennelthread/election/LeaderViewTest.java
@@ -62,7 +62,7 @@
     assertFalse(view.agreeToTakeover(7, 3, nowMs), "the promise is in force");
     assertTrue(advance(4_000));
     assertEquals(LeaderView.Phase.SUSPECTED, view.phase());
-    assertFalse(view.agreeToTakeover(6, 3, nowMs), "of another epoch");
+    assertFalse(view.agreeToTakeover(6, 3, nowMs), "the request names another epoch");
     assertTrue(view.agreeToTakeover(7, 3, nowMs));
     assertEquals(
         0, view.promiseOnHeartbeat(7, 3, nowMs), "withheld until the declaration is newer");
@@ -78,7 +78,7 @@
       advance(1_900);
       view.promiseOnHeartbeat(7, 0, nowMs);
     }
-    // The longest gap was some 2.8 s.
+    // The longest gap was 2.85 s, so the leader is silent after 5.7 s.
     assertFalse(advance(4_500));
     assertTrue(advance(2_000));
   }
--- a/src/test/java/fennelthread/election/TakeoverModel.java
+++ b/src/test/java/fennelthread/election/TakeoverModel.java
@@ -18,23 +18,23 @@
  * leader's lease at the state service is left out, as if it never expired.
  */
 final class TakeoverModel {
-  /** The number of ticks that pass. */
+  /** The time at which the model's clock stops, ticks. */
   private static final int TICKS = Integer.getInteger("model.ticks", 2);
 
   /**
-   * Longest sequences of steps that are searched; the longest counterexample to an omitted rule has
-   * 8.
+   * Maximum length of the searched sequences of steps. The shortest counterexample has at most 8
+   * steps for each omitted rule.
    */
   static final int DEPTH = Integer.getInteger("model.depth", 11);
 
   /** The rule of the protocol that a search leaves out. */
-  enum Omitted {
+  enum OmittedRule {
     NOTHING,
     /** Whoever agrees to a takeover promises nothing until the declaration is newer. */
     PROMISES_WITHHELD,
     /** A takeover is conditional on the declaration's revision that was agreed on. */
     TAKEOVER_CONDITION,
-    /** The leader counts a promise from before its heartbeat was sent. */
+    /** The leader counts a promise from when it sent the heartbeat, not from when it arrived. */
     PROMISE_FROM_SENDING,
     /** A majority must agree. */
     MAJORITY,
@@ -48,16 +48,19 @@
     EPOCHS
   }
 
-  private final Omitted omitted;
+  private final OmittedRule omitted;
   private final boolean checksEpochs;
 
-  private TakeoverModel(Omitted omitted) {
+  private TakeoverModel(OmittedRule omitted) {
     this.omitted = omitted;
-    this.checksEpochs = omitted != Omitted.EPOCHS;
+    this.checksEpochs = omitted != OmittedRule.EPOCHS;
   }
 
-  /** Searches for the shortest trace to two leaders that may start work, without one rule. */
-  static Search.Result search(Omitted omitted) {
+  /**
+   * Searches, without one rule, for the shortest trace to a state in which a takeover was applied
+   * and the previous leader may still start work.
+   */
+  static Search.Result search(OmittedRule omitted) {
     TakeoverModel model = new TakeoverModel(omitted);
     return new Search<TakeoverState>(
             TakeoverState::key,
@@ -66,7 +69,7 @@
         .run(TakeoverState.initial(), DEPTH);
   }
 
-  private static String name(int follower) {
+  private static String followerName(int follower) {
     return follower == 0 ? "F" : "G";
   }
 
@@ -92,12 +95,12 @@
       TakeoverState state, int i, List<Search.Step<TakeoverState>> steps) {
     Follower follower = state.followers[i];
     if (state.leaderEpoch != 0
-        && follower.promiseSentAt == NONE
+        && follower.promisedHeartbeatSentAt == NONE
         && (follower.heartbeatSentAt == NONE || follower.heartbeatEpoch != state.leaderEpoch)) {
       TakeoverState next = state.copy();
       next.followers[i].heartbeatSentAt = state.now;
       next.followers[i].heartbeatEpoch = state.leaderEpoch;
-      steps.add(new Search.Step<>("L sends a heartbeat to " + name(i), next));
+      steps.add(new Search.Step<>("L sends a heartbeat to " + followerName(i), next));
     }
     if (follower.heartbeatSentAt != NONE) {
       TakeoverState next = state.copy();
@@ -107,27 +110,30 @@
       if (promises) {
         changed.agreedRevision = NONE;
         changed.promisedAt = state.now;
-        changed.promiseSentAt = follower.heartbeatSentAt;
+        changed.promisedHeartbeatSentAt = follower.heartbeatSentAt;
         changed.promiseEpoch = follower.heartbeatEpoch;
       }
       String what = promises ? " promises" : " promises nothing";
-      steps.add(new Search.Step<>(name(i) + what, next));
+      steps.add(new Search.Step<>(followerName(i) + what, next));
     }
-    if (follower.promiseSentAt != NONE && state.leaderEpoch != 0) {
+    if (follower.promisedHeartbeatSentAt != NONE && state.leaderEpoch != 0) {
       TakeoverState next = state.copy();
       Follower changed = next.followers[i];
       if (!checksEpochs || follower.promiseEpoch == state.leaderEpoch) {
-        int from = omitted == Omitted.PROMISE_FROM_SENDING ? state.now : follower.promiseSentAt;
+        int from =
+            omitted == OmittedRule.PROMISE_FROM_SENDING
+                ? state.now
+                : follower.promisedHeartbeatSentAt;
         changed.promiseCountedFrom = Math.max(follower.promiseCountedFrom, from);
       }
-      changed.promiseSentAt = NONE;
-      steps.add(new Search.Step<>("L receives " + name(i) + "'s promise", next));
+      changed.promisedHeartbeatSentAt = NONE;
+      steps.add(new Search.Step<>("L receives " + followerName(i) + "'s promise", next));
     }
   }
 
   private boolean mayPromise(Follower follower) {
     boolean withheld =
-        omitted != Omitted.PROMISES_WITHHELD
+        omitted != OmittedRule.PROMISES_WITHHELD
             && follower.agreedRevision != NONE
             && follower.knownRevision <= follower.agreedRevision;
     return !withheld && (!checksEpochs || follower.heartbeatEpoch == follower.knownEpoch);
@@ -140,7 +146,7 @@
         || follower.knownEpoch != state.storedEpoch) {
       TakeoverState next = state.copy();
       next.read(next.followers[i]);
-      steps.add(new Search.Step<>(name(i) + " reads the state", next));
+      steps.add(new Search.Step<>(followerName(i) + " reads the state", next));
     }
     if (state.followerRestarts == 0) {
       TakeoverState next = state.copy();
@@ -150,10 +156,10 @@
       changed.agreementRevision = NONE;
       next.read(changed);
       changed.agreedRevision =
-          omitted == Omitted.RESTART_WITHHOLDS_PROMISES ? NONE : state.storedRevision;
+          omitted == OmittedRule.RESTART_WITHHOLDS_PROMISES ? NONE : state.storedRevision;
       changed.agreesFrom =
-          omitted == Omitted.RESTART_DELAYS_AGREEMENT ? state.now : state.now + PROMISE;
-      steps.add(new Search.Step<>(name(i) + " restarts", next));
+          omitted == OmittedRule.RESTART_DELAYS_AGREEMENT ? state.now : state.now + PROMISE;
+      steps.add(new Search.Step<>(followerName(i) + " restarts", next));
     }
   }
 
@@ -173,10 +179,10 @@
       next.followers[i].agreementRevision = follower.knownRevision;
       next.followers[i].agreementEpoch = follower.knownEpoch;
       next.followers[1 - i].agreedRevision = Math.max(other.agreedRevision, follower.knownRevision);
-      steps.add(new Search.Step<>(name(1 - i) + " agrees with " + name(i), next));
+      steps.add(new Search.Step<>(followerName(1 - i) + " agrees with " + followerName(i), next));
     }
     if (follower.takeoverRevision == NONE
-        && (holdsAgreement(follower) || omitted == Omitted.MAJORITY)
+        && (holdsAgreement(follower) || omitted == OmittedRule.MAJORITY)
         && follower.knownDeclaration != follower.knownEpoch
         && state.maySuspect(follower)) {
       TakeoverState next = state.copy();
@@ -184,16 +190,16 @@
       changed.takeoverRevision = follower.knownRevision;
       changed.takeoverEpoch = follower.knownEpoch;
       changed.agreedRevision = Math.max(follower.agreedRevision, follower.knownRevision);
-      steps.add(new Search.Step<>(name(i) + " sends its takeover", next));
+      steps.add(new Search.Step<>(followerName(i) + " sends its takeover", next));
     }
     if (follower.takeoverRevision != NONE
         && state.storedEpoch == follower.takeoverEpoch
-        && (omitted == Omitted.TAKEOVER_CONDITION
+        && (omitted == OmittedRule.TAKEOVER_CONDITION
             || follower.takeoverRevision == state.storedRevision)) {
       TakeoverState next = state.copy();
       next.storedEpoch++;
       next.followers[i].takeoverRevision = NONE;
-      steps.add(new Search.Step<>(name(i) + "'s takeover is applied", next));
+      steps.add(new Search.Step<>(followerName(i) + "'s takeover is applied", next));
     }
   }
 
@@ -255,7 +261,7 @@
   private boolean mayBeApplied(DeclarationWrite write, TakeoverState state) {
     return write.condition != NONE
         && state.storedEpoch == write.epoch
-        && (omitted == Omitted.CHAINED_DECLARATIONS || write.condition == state.storedRevision);
+        && (omitted == OmittedRule.CHAINED_DECLARATIONS || write.condition == state.storedRevision);
   }
 
   private static void addAppliedWrite(
--- a/src/test/java/fennelthread/election/TakeoverModelTest.java
+++ b/src/test/java/fennelthread/election/TakeoverModelTest.java
@@ -12,22 +12,23 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of failover, searched exhaustively in {@link TakeoverModel}: the leader must never
- * conclude that it may start work once a takeover was applied. Without any one of the rules the
+ * Exhaustive search of the rules of failover in {@link TakeoverModel}: once a takeover was applied,
+ * the previous leader must never conclude that it may start work. If any one rule is left out, the
  * search finds two leaders that may start work, and the test prints the shortest trace.
  */
 class TakeoverModelTest {
   @Test
   void noTwoLeadersMayStartWork() {
-    Search.Result result = TakeoverModel.search(TakeoverModel.Omitted.NOTHING);
-    System.out.printf("%d states in sequences of %d steps%n", result.states(), TakeoverModel.DEPTH);
+    Search.Result result = TakeoverModel.search(TakeoverModel.OmittedRule.NOTHING);
+    System.out.printf(
+        "%d states in sequences of at most %d steps%n", result.states(), TakeoverModel.DEPTH);
     assertNull(result.trace(), () -> String.join("; ", result.trace()));
     assertTrue(result.states() > 10_000, result.states() + " states");
   }
 
   @ParameterizedTest
   @EnumSource(names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
-  void eachRuleIsNeeded(TakeoverModel.Omitted omitted) {
+  void eachRuleIsNeeded(TakeoverModel.OmittedRule omitted) {
     Search.Result result = TakeoverModel.search(omitted);
     assertTrue(
         result.trace() != null,
--- a/src/test/java/fennelthread/election/TakeoverState.java
+++ b/src/test/java/fennelthread/election/TakeoverState.java
@@ -11,7 +11,7 @@
   /** How long a promise lasts, ticks. */
   static final int PROMISE = Integer.getInteger("model.promise", 1);
 
-  /** Most writes of the {@link UnilateralLeadership} declaration that the leader sends. */
+  /** Maximum number of writes of the {@link UnilateralLeadership} declaration by the leader. */
   static final int MAX_WRITES = 2;
 
   /** One follower, and the messages in flight between it and the leader. */
@@ -22,7 +22,7 @@
     int heartbeatEpoch;
 
     /** When the heartbeat was sent that the promise in flight answers, and for which epoch. */
-    int promiseSentAt = NONE;
+    int promisedHeartbeatSentAt = NONE;
 
     int promiseEpoch;
 
@@ -35,7 +35,9 @@
     /** The declaration's revision at which the follower agreed to a takeover. */
     int agreedRevision = NONE;
 
+    /** The first tick at which the follower may agree to a takeover in the epoch it knows. */
     int agreesFrom;
+
     int knownRevision;
     int knownDeclaration;
     int knownEpoch = 1;
@@ -54,7 +56,7 @@
       Follower copy = new Follower();
       copy.heartbeatSentAt = heartbeatSentAt;
       copy.heartbeatEpoch = heartbeatEpoch;
-      copy.promiseSentAt = promiseSentAt;
+      copy.promisedHeartbeatSentAt = promisedHeartbeatSentAt;
       copy.promiseEpoch = promiseEpoch;
       copy.promiseCountedFrom = promiseCountedFrom;
       copy.promisedAt = promisedAt;
@@ -71,7 +73,7 @@
     }
 
     void appendKey(StringBuilder key) {
-      append(key, heartbeatSentAt, heartbeatEpoch, promiseSentAt, promiseEpoch);
+      append(key, heartbeatSentAt, heartbeatEpoch, promisedHeartbeatSentAt, promiseEpoch);
       append(key, promiseCountedFrom, promisedAt, agreedRevision, agreesFrom);
       append(key, knownRevision, knownDeclaration, knownEpoch);
       append(key, agreementRevision, agreementEpoch, takeoverRevision, takeoverEpoch);
--- a/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
@@ -26,8 +26,8 @@
   private static final int TICKS = 6;
 
   /**
-   * Longest sequences of steps that are searched; the longest counterexample to an omitted rule has
-   * 12.
+   * Maximum length of the searched sequences of steps; one step more if a rule is omitted: the
+   * shortest counterexample has at most 12 steps for each omitted rule.
    */
   private static final int DEPTH = Integer.getInteger("model.depth", 11);
 
@@ -65,8 +65,8 @@
     int leaseStart;
 
     /**
-     * L: {@code leaderReadAt} is when it counts its last read of the state from; it knows what was
-     * recorded before {@code leaderKnowsUntil}.
+     * L: {@code leaderReadAt} is the time as of which it takes its last read of the state to be
+     * current; it knows what was recorded before {@code leaderKnowsUntil}.
      */
     int leaderReadAt;
 
@@ -341,7 +341,7 @@
     }
   }
 
-  /** Applies that L hears from S, possibly from a new process for the first time. */
+  /** Updates what L knows when it hears from S, possibly from a new process for the first time. */
   private static void observeIncarnation(State next, OmittedRule omitted) {
     if (!next.isPeerIncarnationKnown) {
       if (omitted != OmittedRule.RESTARTED_PEER_MAY_HAVE_RENEWED) {
@@ -361,9 +361,9 @@
   }
 
   @Test
-  void noRunningTaskIsTakenForEndedOrOutlivesItsCancellation() {
+  void noRunningTaskIsTakenForEndedOrOutlivesItsCancelDeadline() {
     Search.Result result = search(OmittedRule.NOTHING, DEPTH);
-    System.out.printf("%d states in sequences of %d steps%n", result.states(), DEPTH);
+    System.out.printf("%d states in sequences of at most %d steps%n", result.states(), DEPTH);
     assertNull(result.trace(), () -> String.join("; ", result.trace()));
     assertTrue(result.states() > 10_000, result.states() + " states");
   }
--- a/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
+++ b/src/test/java/fennelthread/leaserenewal/RenewalBoundsTest.java
@@ -14,7 +14,8 @@
 
   /**
    * The last lease that a controller renews ends within the cancel timeout at any permitted clock
-   * drift, except for the shortfall where the cancel timeout leaves too little room.
+   * drift, except for the shortfall where the cancel timeout is too short for the minimum renewal
+   * window.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/fennelthread/leaserenewal/GapModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/ReportResponseModelTest.java
@@ -14,11 +14,11 @@
  * Exhaustive search of the rules in {@link ReportResponseGate} and {@link CancellationWatermark}.
  * Controller L answers the worker's reports, which renews its lease; controller F discloses to a
  * user that the job is cancelled. L may be unable to read the state at any time, and messages
- * arrive at any later time or never. F may restart at once and then knows nothing of what its
- * predecessor disclosed. The task must never run longer than the cancel timeout after the
+ * arrive at any later time or never. F may restart once, at any time, and then knows nothing of
+ * what its predecessor disclosed. The task must never run longer than the cancel timeout after the
  * disclosure. Times are ticks.
  */
-class GapModelTest {
+class ReportResponseModelTest {
   private static final int LEASE = 2;
   private static final int RENEWAL_WINDOW = 2;
   private static final int CANCEL_TIMEOUT = RENEWAL_WINDOW + LEASE;
@@ -31,7 +31,9 @@
     NOTHING,
     /** An answer stops every task whose job is known to be cancelled, whoever gives it. */
     STOP_CANCELLED_TASKS,
-    /** Reports are answered only for a limited time after the state service or F was heard. */
+    /**
+     * Reports are answered only for a limited time after L last heard from the state service or F.
+     */
     RESPONSE_WINDOW,
     /** A read of the state counts from when it was requested, not from when it arrived. */
     READ_COUNTED_FROM_REQUEST,
@@ -159,7 +161,6 @@
     if (state.readRequestedAt == NONE && state.replicaCurrentAsOf < state.now) {
       State next = state.copy();
       next.readRequestedAt = state.now;
-      // This read may miss a disclosure within the same tick: only earlier ones count as known.
       next.knowsCancellation = state.knowsCancellation;
       steps.add(new Search.Step<>("L requests the state", next));
     }
@@ -167,6 +168,7 @@
       State next = state.copy();
       next.replicaCurrentAsOf =
           omitted == OmittedRule.READ_COUNTED_FROM_REQUEST ? state.now : state.readRequestedAt;
+      // A read may miss a disclosure within the same tick: only earlier ones count as known.
       next.knowsCancellation =
           state.knowsCancellation
               || (state.disclosedAt != NONE && state.disclosedAt < state.readRequestedAt);
@@ -221,14 +223,14 @@
 
   private static Search.Result search(OmittedRule omitted, int depth) {
     return new Search<State>(
-            State::key, state -> steps(state, omitted), GapModelTest::outlivesDeadline)
+            State::key, state -> steps(state, omitted), ReportResponseModelTest::outlivesDeadline)
         .run(new State(), depth);
   }
 
   @Test
-  void noTaskOutlivesItsCancellation() {
+  void noTaskOutlivesItsCancelDeadline() {
     Search.Result result = search(OmittedRule.NOTHING, DEPTH);
-    System.out.printf("%d states in sequences of %d steps%n", result.states(), DEPTH);
+    System.out.printf("%d states in sequences of at most %d steps%n", result.states(), DEPTH);
     assertNull(result.trace(), () -> String.join("; ", result.trace()));
     assertTrue(result.states() > 10_000, result.states() + " states");
   }
