--- a/src/main/java/fennelthread/fleet/AggregatedLog.java
+++ b/src/main/java/fennelthread/fleet/AggregatedLog.java
@@ -9,8 +9,8 @@
 
 /**
  * A log of events that happen to many machines at once. It writes at most one line a second for
- * each kind of event: a line for each event comes to 150 a second, and writing them takes processor
- * time that the leader needs.
+ * each kind of event: one line per event can amount to 150 lines a second, and writing them takes
+ * processor time that the leader needs.
  */
 final class AggregatedLog {
 
@@ -52,12 +52,12 @@
   }
 
   private void flush() {
-    counts.forEach((event, count) -> writer.write(lineOf(event, count)));
+    counts.forEach((event, count) -> writer.write(formatLine(event, count)));
     counts.clear();
   }
 
   /** Formats one line: {@code <event> events=5 machines=3 names=n-1|n-2|n-3}. */
-  private static String lineOf(String event, EventCount count) {
+  private static String formatLine(String event, EventCount count) {
     StringBuilder line = new StringBuilder(event);
     line.append(" events=").append(count.events);
     line.append(" machines=").append(count.machines.size()).append(" names=");
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -12,13 +12,15 @@
 
   /** The phases of an attempt. In all but ENDED and GONE it counts as present on the machine. */
   public enum Phase {
-    /** Its start record is being committed; the start has not been sent. */
+    /** Its start record is being committed, or was just committed; the start has not been sent. */
     CREATED,
     /** No connection was free for the start: it is sent with the answer to the next report. */
     DEFERRED,
     /** The start was sent; the worker has neither answered it nor reported the attempt yet. */
     SENT,
-    /** The start may have arrived or may still arrive: only a report under a higher token tells. */
+    /**
+     * The start may have arrived or may still arrive: only a report under a higher token proves it.
+     */
     UNCONFIRMED,
     /** On the machine, waiting for its image. */
     FETCHING,
@@ -36,8 +38,8 @@
   record Key(TaskRef task, long attempt) {
     @Override
     public int hashCode() {
-      // Attempt numbers are nearly unique, and cheaper to hash than the job's name, for each task
-      // of each report.
+      // Attempt numbers are nearly unique. Hashing them is cheaper than hashing the job's name,
+      // which would be done for each task of each report.
       return Long.hashCode(attempt) * 31 + task.index();
     }
   }
@@ -115,7 +117,7 @@
       case RUNNING -> {
         if (runningSinceMs < 0) {
           runningSinceMs = nowMs;
-          log.debug("attempt running attempt={} sinceRecordMs={}", this, nowMs - createdAtMs);
+          log.debug("attempt running attempt={} sinceCreatedMs={}", this, nowMs - createdAtMs);
         }
         transitionTo(Phase.RUNNING);
       }
@@ -144,12 +146,12 @@
     return key;
   }
 
-  /** Records that the report of a number, counted per machine, shows it. */
+  /** Records that a report shows it; {@code reportNumber} counts the reports of its machine. */
   void markSeenIn(long reportNumber) {
     lastSeenInReport = reportNumber;
   }
 
-  /** Returns true if the report of that number shows it. */
+  /** Returns true if the report with that number is the last that has shown it. */
   boolean wasSeenIn(long reportNumber) {
     return lastSeenInReport == reportNumber;
   }
@@ -164,7 +166,7 @@
     return phase;
   }
 
-  /** Returns why it ended, or null if no report has told. */
+  /** Returns why it ended, or null if no report has shown its end. */
   public WorkerReport.EndReason endReason() {
     return endReason;
   }
@@ -194,7 +196,7 @@
     return stopRequested;
   }
 
-  /** Marks it to be stopped, which {@link FleetListener#commandsFor} turns into a command. */
+  /** Marks it to be stopped: {@link FleetListener#commandsFor} returns a stop command for it. */
   public void requestStop() {
     if (!stopRequested) {
       stopRequested = true;
--- a/src/main/java/fennelthread/fleet/AttemptReconciler.java
+++ b/src/main/java/fennelthread/fleet/AttemptReconciler.java
@@ -8,8 +8,8 @@
 /**
  * Reconciles the attempts on a machine with a report that is newer than all before. A report under
  * a token of the current epoch was sent in this term, so it shows what is on the machine and what
- * is not. Any other may be an old copy: from it follows only that the tasks which it shows count as
- * present, and that those which it shows as done are done.
+ * is not. Any other report may be an old copy. It proves only that the tasks which it shows as done
+ * are done; other tasks that it shows count as present.
  */
 final class AttemptReconciler {
 
@@ -64,7 +64,10 @@
     return new AttemptChanges(reconciler.ended, reconciler.discovered);
   }
 
-  /** Drops the attempts of earlier sessions: a worker kills its tasks before it begins the next. */
+  /**
+   * Drops the attempts of earlier sessions: a worker kills its tasks before it begins the next
+   * session.
+   */
   private void dropEarlierSessions() {
     for (Attempt attempt : List.copyOf(machine.attempts())) {
       if (attempt.start().session() < report.session()) {
--- a/src/main/java/fennelthread/fleet/BootTimes.java
+++ b/src/main/java/fennelthread/fleet/BootTimes.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 
 /**
- * Statistics of how long machines of each type take to boot, from which it is decided whether one
- * that is not up yet is late or stuck. Some machines take several times as long as others of their
- * type, and some never come up. On some days all of them are slow, on others all are up within one
- * or two seconds. So a machine is compared with those that were requested with it or after it: when
- * all are slow, returning them and requesting others would only begin the wait anew.
+ * Records how long machines of each type take to boot, and decides from that whether a machine that
+ * is not up yet is late or stuck. Some machines take several times as long as others of their type,
+ * and some never come up. On some days all of them are slow, on others all are up within one or two
+ * seconds. Therefore a machine is compared with those that were requested with it or after it: when
+ * all are slow, returning them and requesting others would only restart the wait.
  *
- * <p>Holds no clock: the time is passed in.
+ * <p>Does not read a clock: callers pass the current time.
  */
 final class BootTimes {
-  private record CompletedBoot(long requestedAtMs, double tookS) {}
+  private record CompletedBoot(long requestedAtMs, double durationS) {}
 
   private final Map<String, ArrayDeque<CompletedBoot>> byType = new HashMap<>();
 
@@ -29,15 +29,15 @@
   }
 
   /**
-   * Returns true if a machine that is not up yet takes longer than nearly all of its type: another
-   * may be requested in its place.
+   * Returns true if a machine that is not up yet has taken clearly longer than its nominal time and
+   * than nearly all remembered boots of its type: another may be requested in its place.
    *
    * @param nominalS the boot time of its type according to the cloud, s
    */
   boolean isLate(String type, double nominalS, long requestedAtMs, long nowMs) {
     double ageS = secondsBetween(requestedAtMs, nowMs);
     return ageS > nominalS * FleetConstants.LATE_BOOT_NOMINAL_FACTOR
-        && ageS > typicalS(type) * FleetConstants.LATE_BOOT_OBSERVED_FACTOR;
+        && ageS > bootQuantileS(type) * FleetConstants.LATE_BOOT_OBSERVED_FACTOR;
   }
 
   /**
@@ -73,14 +73,19 @@
         nominalS * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_S);
   }
 
-  /** Returns the longest time that nearly all remembered boots of a type took, s; 0 without any. */
-  private double typicalS(String type) {
-    double[] tookS =
+  /**
+   * Returns the {@link FleetConstants#BOOT_QUANTILE} quantile of the remembered boot times of a
+   * type, s; 0 if there are none.
+   */
+  private double bootQuantileS(String type) {
+    double[] durationsS =
         byType.getOrDefault(type, new ArrayDeque<>(0)).stream()
-            .mapToDouble(CompletedBoot::tookS)
+            .mapToDouble(CompletedBoot::durationS)
             .sorted()
             .toArray();
-    return tookS.length == 0 ? 0 : tookS[(int) ((tookS.length - 1) * FleetConstants.BOOT_QUANTILE)];
+    return durationsS.length == 0
+        ? 0
+        : durationsS[(int) ((durationsS.length - 1) * FleetConstants.BOOT_QUANTILE)];
   }
 
   /** Counts the remembered boots of a type that were requested at a time or later. */
--- a/src/main/java/fennelthread/fleet/BootingCapacity.java
+++ b/src/main/java/fennelthread/fleet/BootingCapacity.java
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Returns the CPUs that a job's waiting tasks require; each counts with at least 0.1. */
+  /** Returns the CPUs that a job's waiting tasks require; each task counts as at least 0.1 CPUs. */
   static double requiredCpus(PlacementPlan.UnplacedTasks waiting) {
     return waiting.count() * Math.max(0.1, waiting.spec().cpus());
   }
--- a/src/main/java/fennelthread/fleet/BootingMachines.java
+++ b/src/main/java/fennelthread/fleet/BootingMachines.java
@@ -48,7 +48,10 @@
     boots.remove(name);
   }
 
-  /** Removes the machines that are up by now, and records how long this term's own took to boot. */
+  /**
+   * Removes the machines that are up by now, and records the boot times of those that this term
+   * requested.
+   */
   void removeUp(long nowMs) {
     for (Machine machine : fleet.machines()) {
       boolean isUp =
@@ -64,28 +67,28 @@
    * Passes the machines that will probably never come up to a listener.
    *
    * @param types the machine types that the cloud offers, by name
-   * @param capacity the kinds of which the cloud has no more at the moment
+   * @param capacityBackoff the kinds that the cloud refused recently for lack of capacity
    * @param minReportWaitMs the least time that a machine is given to report to this term, ms
    */
   void forEachStuck(
       Map<String, MachineType> types,
-      CapacityBackoff capacity,
+      CapacityBackoff capacityBackoff,
       long minReportWaitMs,
       long nowMs,
       StuckMachineListener listener) {
     boots.forEach(
         (name, boot) -> {
           Machine machine = fleet.getOrAddMachine(name, null);
-          boolean isWaiting =
+          boolean hasWaitedForReport =
               machine.phase() == Machine.Phase.AWAITING_REPORT
                   && nowMs - boot.knownSinceMs > minReportWaitMs;
-          if (isWaiting
+          if (hasWaitedForReport
               && bootTimes.isStuck(
                   boot.kind.type(),
                   nominalBootS(types, boot.kind),
                   boot.requestedAtMs,
                   nowMs,
-                  capacity.isRefused(boot.kind, nowMs))) {
+                  capacityBackoff.isRefused(boot.kind, nowMs))) {
             listener.onStuck(machine);
           }
         });
@@ -97,11 +100,11 @@
   }
 
   /**
-   * Returns the names of the machines that are expected to come up, so that no others need be
-   * rented for them. Late ones are left out, unless most are late: then the cloud is slow, and
-   * others would be as late.
+   * Returns the names of the machines that are expected to come up, so that none need to be rented
+   * in their place. Late ones are left out, unless most are late: then the cloud is slow, and
+   * replacements would be as late.
    */
-  Set<String> expected(Map<String, MachineType> types, long nowMs) {
+  Set<String> findExpected(Map<String, MachineType> types, long nowMs) {
     Set<String> expected = new HashSet<>();
     int lateCount = 0;
     for (Map.Entry<String, PendingBoot> entry : boots.entrySet()) {
--- a/src/main/java/fennelthread/fleet/CachedImages.java
+++ b/src/main/java/fennelthread/fleet/CachedImages.java
@@ -35,12 +35,12 @@
     for (double size : sizesGb.values()) {
       totalGb += size;
     }
-    Iterator<Map.Entry<String, Double>> oldest = sizesGb.entrySet().iterator();
-    while (totalGb > capacityGb && oldest.hasNext()) {
-      Map.Entry<String, Double> entry = oldest.next();
+    Iterator<Map.Entry<String, Double>> entries = sizesGb.entrySet().iterator();
+    while (totalGb > capacityGb && entries.hasNext()) {
+      Map.Entry<String, Double> entry = entries.next();
       if (!entry.getKey().equals(keptImage)) {
         totalGb -= entry.getValue();
-        oldest.remove();
+        entries.remove();
       }
     }
   }
--- a/src/main/java/fennelthread/fleet/CloudClient.java
+++ b/src/main/java/fennelthread/fleet/CloudClient.java
@@ -30,7 +30,7 @@
     /** These machines were rented, perhaps fewer than requested. */
     record Rented(List<String> names) implements RentalResult {}
 
-    /** The cloud has no capacity for this type, zone and kind. */
+    /** The cloud has no capacity for this kind of machine. */
     record NoCapacity() implements RentalResult {}
 
     /** The request may have been executed, or may still be; it can be repeated under its name. */
@@ -57,7 +57,10 @@
     this.address = settings.cloudAddr();
   }
 
-  /** Returns true for a moment after the cloud has rejected a request for load or a fault. */
+  /**
+   * Returns true for {@link FleetConstants#CLOUD_BACKOFF_MS} after the cloud has rejected a request
+   * because of load or a fault.
+   */
   public boolean isBackingOff() {
     return eventLoop.nowMs() < backOffUntilMs;
   }
@@ -125,7 +128,7 @@
       if (answer != null
           && answer.status() == 503
           && "no capacity".equals(answer.fields().optText("error"))) {
-        // This rejection is not for load, so other kinds may be requested at once.
+        // This rejection is not because of load, so other kinds may be requested at once.
         backOffUntilMs = 0;
         return new RentalResult.NoCapacity();
       }
@@ -154,7 +157,8 @@
   }
 
   /**
-   * Returns true if the cloud has not executed a request, for load, a fault or lack of capacity.
+   * Returns true if the cloud has not executed a request because of load, a fault or lack of
+   * capacity.
    */
   private static boolean isRejected(Answer answer) {
     return answer != null && (answer.status() == 429 || answer.status() == 503);
--- a/src/main/java/fennelthread/fleet/DemandHistory.java
+++ b/src/main/java/fennelthread/fleet/DemandHistory.java
@@ -18,7 +18,9 @@
 
   private final List<DemandSample> samples = new ArrayList<>();
 
-  /** Records the current demand; of the values within one sample's time the highest is kept. */
+  /**
+   * Records the current demand; of the values within one sampling interval, the highest is kept.
+   */
   void record(double cpus, long nowMs) {
     samples.removeIf(sample -> sample.atMs < nowMs - FleetConstants.DEMAND_WINDOW_MS);
     DemandSample last = samples.isEmpty() ? null : samples.get(samples.size() - 1);
--- a/src/main/java/fennelthread/fleet/DueCommandSender.java
+++ b/src/main/java/fennelthread/fleet/DueCommandSender.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Selects the stop and clear commands that are due for a machine, for the answer to its report, and
- * sends them directly where they should not wait for a report. Also holds the request and response
- * format of direct commands.
+ * Selects the stop and clear commands that are due for a machine. They are sent with the answer to
+ * its next report, or directly by this class when they should not wait for one. Also defines the
+ * request and response format of direct commands.
  */
 final class DueCommandSender {
   private static final Logger log = LoggerFactory.getLogger(DueCommandSender.class);
@@ -31,8 +31,8 @@
   /**
    * Returns the commands to send to a worker now. A clear must be sent under a higher token than
    * the start of its attempt. As each raised token makes the worker send one more report, clears
-   * that need one are held back until there are several, or enough time has passed since the last
-   * ones.
+   * that need a higher token are held back until there are several, or until enough time has passed
+   * since the token was last raised for clears.
    */
   List<WorkerCommand> dueCommands(Machine machine) {
     List<WorkerCommand> commands = context.listener().commandsFor(machine);
@@ -78,21 +78,21 @@
         .send(
             machine,
             machine.address(),
-            commandCall(machine.currentToken(context.epoch()), machine.session(), commands),
+            createCommandCall(machine.currentToken(context.epoch()), machine.session(), commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
             answer -> onAnswer(machine, known, answer),
             wasTried -> {});
   }
 
   private void onAnswer(Machine machine, ReportPosition known, Answer answer) {
-    WorkerReport report = reportIn(answer);
+    WorkerReport report = readReport(answer);
     if (!context.isClosed() && report != null) {
       listener.onResponse(machine, report, known);
     }
   }
 
   /** Returns the request that carries commands to a worker. */
-  static Call commandCall(long token, long session, List<WorkerCommand> commands) {
+  static Call createCommandCall(long token, long session, List<WorkerCommand> commands) {
     return Call.post("/commands", Codec.CBOR, WorkerCommand.write(token, session, commands));
   }
 
@@ -104,8 +104,10 @@
     return answer.status() == 409;
   }
 
-  /** Returns the report in a worker's answer to commands, or null without a well-formed one. */
-  static WorkerReport reportIn(Answer answer) {
+  /**
+   * Returns the report in a worker's answer to commands, or null if it holds no well-formed one.
+   */
+  static WorkerReport readReport(Answer answer) {
     if (answer == null || (answer.status() != 200 && !isRefused(answer))) {
       return null;
     }
--- a/src/main/java/fennelthread/fleet/Fleet.java
+++ b/src/main/java/fennelthread/fleet/Fleet.java
@@ -125,7 +125,7 @@
 
   /**
    * Returns true if tasks may be placed on the machine: among other things it was in contact
-   * lately, has confirmed this term's fencing token, and renews its lease.
+   * recently, has confirmed this term's fencing token, and renews its lease.
    */
   public boolean isReady(Machine machine) {
     return readiness.isReady(machine);
@@ -196,7 +196,7 @@
     return attempt;
   }
 
-  /** Removes an attempt if no start was sent for it; does nothing otherwise. */
+  /** Removes an attempt whose start has not been passed to {@link #sendStarts}; ignores others. */
   public void discardUnsent(Machine machine, Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.CREATED) {
       attempt.transitionTo(Attempt.Phase.GONE);
@@ -216,13 +216,16 @@
 
   // ---------------------------------------------------------------- workers
 
-  /** Returns when a report was last accepted from any worker in this term, ms, or -1 if never. */
+  /**
+   * Returns when a worker last reported by itself in this term, ms, or -1 if none has. Reports of
+   * machines that are being returned do not count.
+   */
   public long lastReportAtMs() {
     return reports.lastReportAtMs();
   }
 
   /**
-   * Answers a report that has not arrived before.
+   * Answers a report that {@link StaleReportFilter} has not rejected.
    *
    * @param receivingMember the member that received it from the worker: a peer's name, or our own
    * @return the answer, or null if this controller may answer no reports now, or the report shows
--- a/src/main/java/fennelthread/fleet/FleetContext.java
+++ b/src/main/java/fennelthread/fleet/FleetContext.java
@@ -31,7 +31,7 @@
     this.aggregatedLog = aggregatedLog;
   }
 
-  /** The event loop's clock, ms. */
+  /** Returns the time of the event loop's clock, ms. */
   long nowMs() {
     return eventLoop.nowMs();
   }
@@ -40,29 +40,29 @@
     return settings;
   }
 
-  /** The interval of workers' reports, ms. */
+  /** Returns the interval of workers' reports, ms. */
   long reportMs() {
     return settings.workers().reportMs();
   }
 
-  /** The length of a worker's lease by the worker's own clock, ms. */
+  /** Returns the length of a worker's lease by the worker's own clock, ms. */
   long leaseMs() {
     return settings.workers().leaseMs();
   }
 
-  /** The longest time that a worker's lease can last by our clock, ms. */
+  /** Returns the longest time that a worker's lease can last by this controller's clock, ms. */
   long maxLeaseMs() {
     return (long) (leaseMs() * (1 + 2 * ProtocolConstants.MAX_CLOCK_DRIFT))
         + ProtocolConstants.EXPIRY_MARGIN_MS;
   }
 
-  /** The epoch of the term. */
+  /** Returns the epoch of the term. */
   long epoch() {
     return epoch;
   }
 
   /** Returns true if a report names a fencing token of this term's epoch. */
-  boolean isOfOurEpoch(WorkerReport report) {
+  boolean isOfCurrentEpoch(WorkerReport report) {
     return MachineFencingTokens.epochOf(report) == epoch;
   }
 
@@ -78,14 +78,17 @@
     return aggregatedLog;
   }
 
-  /** Returns true if the process has just stalled: reports sent meanwhile may still be unread. */
+  /**
+   * Returns true if the process has just stalled: reports that arrived during the stall may still
+   * be unread.
+   */
   boolean isCatchingUp() {
     return link.stalls().isListening();
   }
 
   /**
-   * Returns true if reports should have renewed a time by now that each of them renews; false while
-   * reports may still be unread after a stall.
+   * Returns true if {@code lastAtMs}, a time that each report updates, is further back than the
+   * report interval explains; false while reports may still be unread after a stall.
    */
   boolean isOverdue(long lastAtMs) {
     return !isCatchingUp()
--- a/src/main/java/fennelthread/fleet/HeartbeatResponder.java
+++ b/src/main/java/fennelthread/fleet/HeartbeatResponder.java
@@ -16,7 +16,7 @@
   /**
    * Returns the answer to a report.
    *
-   * @param token the fencing token that the worker is to obey
+   * @param token the fencing token that the answer carries
    * @param commands the commands that the caller wants executed
    */
   Answer respond(WorkerReport report, long token, List<WorkerCommand> commands);
--- a/src/main/java/fennelthread/fleet/Machine.java
+++ b/src/main/java/fennelthread/fleet/Machine.java
@@ -16,13 +16,13 @@
 
   /** The phases of a machine, from its rental until the cloud has confirmed its return. */
   public enum Phase {
-    /** Rented or named in a record; its worker has not reported under this term's epoch yet. */
+    /** Its worker has not reported under a token of this term's epoch yet. */
     AWAITING_REPORT,
     /** Its worker has reported, and its lease has not expired since. */
     REPORTING,
-    /** Its worker's lease has expired, and it has not reported since. */
+    /** Its worker's lease has expired, and it has not reported by itself since. */
     LOST,
-    /** Its return to the cloud is requested. */
+    /** Its return to the cloud is requested, or is about to be. */
     RETURNING,
     /** The cloud has confirmed its return: nothing runs on it, and its name is never reused. */
     GONE
@@ -144,14 +144,14 @@
     return contact;
   }
 
-  /** Returns the fencing token for what is sent to the machine now in a term's epoch. */
+  /** Returns the fencing token under which a term of that epoch sends to the machine now. */
   long currentToken(long epoch) {
     return tokens.current(epoch);
   }
 
   /**
-   * Returns true if the worker has confirmed the token that is required of it in a term's epoch.
-   * Tasks are placed only on machines whose workers have.
+   * Returns true if the worker has confirmed the token that a term of that epoch requires. Tasks
+   * are placed only on machines whose workers have confirmed it.
    */
   boolean isConfirmed(long epoch) {
     return tokens.isConfirmed(epoch);
@@ -194,10 +194,10 @@
   }
 
   /**
-   * Returns true if a report names a lower token than the newest one: it is an old one that was
-   * delivered late or again, or the first after a restart of the machine.
+   * Returns true if a report names a lower token than the newest known report: it is an old report
+   * that was delivered late or again, or the first after a restart of the machine.
    */
-  boolean isOfOtherIncarnation(WorkerReport report) {
+  boolean isUnderLowerToken(WorkerReport report) {
     return report.token() < tokens.lastReported();
   }
 
@@ -266,7 +266,10 @@
     return attempts.find(task, attemptNumber);
   }
 
-  /** Returns true if for some attempt only a report can tell whether it is on the machine. */
+  /**
+   * Returns true if an attempt is unconfirmed: only a report can prove whether it is on the
+   * machine.
+   */
   boolean hasUnconfirmedAttempts() {
     return attempts.hasUnconfirmed();
   }
@@ -278,7 +281,7 @@
 
   /** Returns true if no attempt is or may be running on it. */
   public boolean isEmpty() {
-    return attempts.nonePresent();
+    return attempts.hasNonePresent();
   }
 
   /** Updates {@link #idleSinceMs()} after attempts were added or removed. */
@@ -336,7 +339,9 @@
     return cordoned;
   }
 
-  /** Returns when the cloud takes back this spot instance, ms, or -1 without such a notice. */
+  /**
+   * Returns when the cloud takes back this spot instance, ms, or -1 if it has not announced that.
+   */
   public long interruptionAtMs() {
     return interruptionAtMs;
   }
--- a/src/main/java/fennelthread/fleet/MachineAttempts.java
+++ b/src/main/java/fennelthread/fleet/MachineAttempts.java
@@ -19,24 +19,24 @@
     void onChange();
   }
 
-  private final ChangeListener onChange;
+  private final ChangeListener changeListener;
   private final Map<Attempt.Key, Attempt> attempts = new LinkedHashMap<>();
   private long idleSinceMs;
 
-  MachineAttempts(ChangeListener onChange, long nowMs) {
-    this.onChange = onChange;
+  MachineAttempts(ChangeListener changeListener, long nowMs) {
+    this.changeListener = changeListener;
     this.idleSinceMs = nowMs;
   }
 
   void add(Attempt attempt) {
     attempts.put(attempt.key(), attempt);
     idleSinceMs = -1;
-    onChange.onChange();
+    changeListener.onChange();
   }
 
   void remove(Attempt attempt) {
     attempts.remove(attempt.key());
-    onChange.onChange();
+    changeListener.onChange();
   }
 
   /** Drops an attempt that is proven gone; adds it to {@code ended} if it counted as present. */
@@ -68,7 +68,7 @@
     return attempts.values();
   }
 
-  /** Returns true if for some attempt only a report can tell whether it is present. */
+  /** Returns true if an attempt is unconfirmed: only a report can prove whether it is present. */
   boolean hasUnconfirmed() {
     for (Attempt attempt : attempts.values()) {
       if (attempt.phase() == Attempt.Phase.UNCONFIRMED) {
@@ -79,7 +79,7 @@
   }
 
   /** Returns true if no attempt is or may be present. */
-  boolean nonePresent() {
+  boolean hasNonePresent() {
     for (Attempt attempt : attempts.values()) {
       if (attempt.mayBePresent()) {
         return false;
--- a/src/main/java/fennelthread/fleet/MachineContact.java
+++ b/src/main/java/fennelthread/fleet/MachineContact.java
@@ -6,8 +6,8 @@
 
 /**
  * The times at which a leader and the worker of one machine last communicated, and the member
- * through which reports arrive. All times are ms of the event loop's clock. For something that has
- * not happened yet they lie in the far past, or are -1 where a method says so.
+ * through which reports arrive. All times are ms of the event loop's clock. The time of an event
+ * that has not happened yet is -1 where a method says so, and otherwise in the far past.
  */
 final class MachineContact {
 
@@ -101,7 +101,7 @@
 
   /** Records that one of the worker's own reports is about to be answered with 200. */
   void onReportAnswered(long nowMs) {
-    extendLeaseStart(nowMs);
+    advanceLeaseStart(nowMs);
     reportAnsweredAtMs = nowMs;
   }
 
@@ -116,20 +116,20 @@
 
   /** Records that the worker may have begun a new session, and with it a new lease, just now. */
   void onLeaseBegan(long nowMs) {
-    extendLeaseStart(nowMs);
+    advanceLeaseStart(nowMs);
   }
 
   /**
    * Records that a start is sent to the machine, on a connection that opens by {@code
-   * connectedUntilMs} at the latest. The start may reach an incarnation that began just before that
+   * connectedByMs} at the latest. The start may reach an incarnation that began just before that
    * and has not reported yet. Its lease counts from its beginning, so the attempt must not be taken
    * for ended when a lease that counts from the last report would be over.
    */
-  void onStartSent(long connectedUntilMs) {
-    extendLeaseStart(connectedUntilMs);
+  void onStartSent(long connectedByMs) {
+    advanceLeaseStart(connectedByMs);
   }
 
-  private void extendLeaseStart(long atMs) {
+  private void advanceLeaseStart(long atMs) {
     leaseStartMs = Math.max(leaseStartMs, atMs);
   }
 
--- a/src/main/java/fennelthread/fleet/MachineFencingTokens.java
+++ b/src/main/java/fennelthread/fleet/MachineFencingTokens.java
@@ -5,8 +5,8 @@
 
 /**
  * The fencing tokens of one machine. A token holds the epoch in its high bits and below them a
- * counter, which is raised when it is unknown whether what was sent before has arrived. A worker
- * refuses commands under a lower token than it has seen.
+ * counter, which is raised when it is unknown whether what was sent before has arrived, and before
+ * attempts are cleared. A worker refuses commands under a lower token than it has seen.
  */
 final class MachineFencingTokens {
   private long counter;
@@ -29,7 +29,7 @@
     return epoch << ProtocolConstants.TOKEN_BITS;
   }
 
-  /** Returns the token for what is sent to the machine now in a term's epoch. */
+  /** Returns the token under which a term of that epoch sends to the machine now. */
   long current(long epoch) {
     return firstOf(epoch) + counter;
   }
--- a/src/main/java/fennelthread/fleet/MachineKind.java
+++ b/src/main/java/fennelthread/fleet/MachineKind.java
@@ -1,8 +1,8 @@
 package fennelthread.fleet;
 
 /**
- * The kind of a machine, for which the cloud has capacity or not: its type, its zone, and whether
- * it is a spot instance.
+ * The kind of a machine: its type, its zone, and whether it is a spot instance. The cloud has or
+ * lacks capacity for each kind separately.
  */
 record MachineKind(String type, String zone, boolean spot) {
 
--- a/src/main/java/fennelthread/fleet/MachineProbes.java
+++ b/src/main/java/fennelthread/fleet/MachineProbes.java
@@ -26,7 +26,7 @@
     this.listener = listener;
   }
 
-  /** Probes a machine, as soon as the limit allows. */
+  /** Probes a machine as soon as the limit allows, if it is overdue or unconfirmed by then. */
   void probe(Machine machine) {
     if (canBeProbed(machine) && waiting.add(machine)) {
       sendWaiting();
@@ -39,12 +39,12 @@
     // itself. Probing hundreds of them would take the connections that starts need.
     boolean isWorthProbing =
         machine.phase() == Machine.Phase.REPORTING || machine.hasUnconfirmedAttempts();
-    if (isWorthProbing && isStale(machine)) {
+    if (isWorthProbing && isOverdueOrUnconfirmed(machine)) {
       probe(machine);
     }
   }
 
-  private boolean isStale(Machine machine) {
+  private boolean isOverdueOrUnconfirmed(Machine machine) {
     return !machine.isConfirmed(context.epoch()) || context.isOverdue(machine.lastContactAtMs());
   }
 
@@ -60,15 +60,15 @@
     int maxOutbound = context.settings().maxOutboundConnections();
     int maxInFlight = Math.max(2, (int) (maxOutbound * FleetConstants.PROBE_CONNECTION_SHARE));
     while (!context.isClosed() && inFlight < maxInFlight && !waiting.isEmpty()) {
-      Machine next = mostUrgent();
+      Machine next = findMostUrgent();
       waiting.remove(next);
-      if (canBeProbed(next) && isStale(next)) {
+      if (canBeProbed(next) && isOverdueOrUnconfirmed(next)) {
         send(next, next.address(), next.session());
       }
     }
   }
 
-  private Machine mostUrgent() {
+  private Machine findMostUrgent() {
     for (Machine machine : waiting) {
       if (machine.hasUnconfirmedAttempts()) {
         return machine;
@@ -89,7 +89,8 @@
     long sentAtMs = context.nowMs();
     ReportPosition known = ReportPosition.of(machine);
     long token = machine.currentToken(context.epoch());
-    Call call = DueCommandSender.commandCall(token, Math.max(1, session), List.of()).asSpare();
+    Call call =
+        DueCommandSender.createCommandCall(token, Math.max(1, session), List.of()).asSpare();
     context
         .transport()
         .send(
@@ -106,8 +107,8 @@
     machine.contact().setProbing(false);
     inFlight--;
     if (answer == null && wasTried) {
-      // If this process has no connection left, that says nothing about the machine, which might be
-      // returned for a failed probe.
+      // A probe for which this process had no connection proves nothing about the machine, so it
+      // does not count as failed: machines are returned for failed probes.
       machine.contact().onProbeFailed(sentAtMs);
     }
     if (answer == null) {
@@ -115,7 +116,7 @@
       // connections.
       machine.contact().suppressProbesUntil(context.nowMs() + FleetConstants.PROBE_RETRY_DELAY_MS);
     }
-    WorkerReport report = DueCommandSender.reportIn(answer);
+    WorkerReport report = DueCommandSender.readReport(answer);
     if (!context.isClosed() && report != null) {
       listener.onResponse(machine, report, known);
     }
--- a/src/main/java/fennelthread/fleet/MachineProvisioner.java
+++ b/src/main/java/fennelthread/fleet/MachineProvisioner.java
@@ -42,7 +42,7 @@
   private final MachineReturns returns;
   private final ScaleOutPolicy policy;
   private final BootingMachines booting;
-  private final CapacityBackoff capacity = new CapacityBackoff();
+  private final CapacityBackoff capacityBackoff = new CapacityBackoff();
   private final DemandHistory demand = new DemandHistory();
   private Map<String, MachineType> machineTypes;
   private boolean closed;
@@ -77,7 +77,7 @@
     this.booting = new BootingMachines(fleet);
   }
 
-  /** Reads the machine list and the machine types, now and then periodically. */
+  /** Reads the machine list and the machine types, once immediately and then periodically. */
   public void start() {
     listMachines();
     fetchMachineTypes();
@@ -146,10 +146,11 @@
       machine.setListedFailed();
     } else if (machine.phase() == Machine.Phase.AWAITING_REPORT) {
       // Rented in an earlier term, or by a request of this term that was executed late. The boot
-      // timeout of a machine that is listed as up begins now: after a failover most of an old fleet
-      // is listed before it reports, and if its age counted, the new leader would return it with
-      // its tasks (62 machines, a second after the claim, in one case). That of a machine that is
-      // listed as starting counts from its request, or each change of leader would extend it.
+      // timeout of a machine that is listed as up begins now: after a failover most of the existing
+      // fleet is listed before it reports, and if its age counted, the new leader would return it
+      // with its tasks (62 machines, a second after the election, in one case). The boot timeout of
+      // a machine that is listed as starting counts from its request, or each change of leader
+      // would extend it.
       long nowMs = eventLoop.nowMs();
       boolean isStarting = entry.state().equals(MachineEntry.STARTING);
       long requestedAtMs = isStarting ? nowMs - (long) (entry.ageS() * 1000) : nowMs;
@@ -194,7 +195,7 @@
     long minReportWaitMs = (long) (leaseMs * FleetConstants.MIN_REPORT_WAIT_LEASES);
     booting.forEachStuck(
         machineTypes,
-        capacity,
+        capacityBackoff,
         minReportWaitMs,
         nowMs,
         machine -> returns.beginRevocableReturn(machine, ReturnReason.BOOT_TIMEOUT));
@@ -202,7 +203,7 @@
 
   private void onReturned(Machine machine) {
     booting.remove(machine.name());
-    capacity.onReturned(MachineKind.of(machine));
+    capacityBackoff.onReturned(MachineKind.of(machine));
   }
 
   // ---------------------------------------------------------------- renting
@@ -216,13 +217,16 @@
             currentStock(nowMs),
             unplaced,
             demand.peakCpus(),
-            kind -> capacity.isRefused(kind, nowMs))
+            kind -> capacityBackoff.isRefused(kind, nowMs))
         .ifPresent(request -> rent(request, requestPrefix + "-" + ++rentalsRequested, 0));
   }
 
-  /** Returns the machines that are usable or expected to come up. */
+  /**
+   * Returns the number of machines, and the capacity of those that are usable or expected to come
+   * up.
+   */
   private ScaleOutPolicy.Stock currentStock(long nowMs) {
-    Set<String> expected = booting.expected(machineTypes, nowMs);
+    Set<String> expected = booting.findExpected(machineTypes, nowMs);
     List<MachineKind> expectedKinds = new ArrayList<>();
     for (String name : expected) {
       expectedKinds.add(booting.kindOf(name));
@@ -253,7 +257,7 @@
     renting = true;
     MachineKind kind = request.kind();
     cloud.rentMachines(
-        new Rental(requestName, kind.type(), kind.zone(), kind.spot(), request.machines()),
+        new Rental(requestName, kind.type(), kind.zone(), kind.spot(), request.machineCount()),
         result -> {
           renting = false;
           if (!closed) {
@@ -270,7 +274,7 @@
     if (result instanceof CloudClient.RentalResult.Rented rented) {
       onRented(request, rented.names());
     } else if (result instanceof CloudClient.RentalResult.NoCapacity) {
-      capacity.onRefused(request.kind(), eventLoop.nowMs());
+      capacityBackoff.onRefused(request.kind(), eventLoop.nowMs());
     } else if (retries < FleetConstants.MAX_RENTAL_RETRIES) {
       retryRental(request, requestName, retries + 1);
     }
@@ -282,7 +286,7 @@
     log.info(
         "machines rented count={} requested={} type={} zone={} spot={}",
         names.size(),
-        request.machines(),
+        request.machineCount(),
         kind.type(),
         kind.zone(),
         kind.spot());
@@ -293,9 +297,9 @@
         booting.addRented(name, kind, nowMs);
       }
     }
-    capacity.onRented(kind);
-    if (names.size() < request.machines()) {
-      capacity.onRefused(kind, nowMs);
+    capacityBackoff.onRented(kind);
+    if (names.size() < request.machineCount()) {
+      capacityBackoff.onRefused(kind, nowMs);
     }
   }
 
--- a/src/main/java/fennelthread/fleet/MachineReadiness.java
+++ b/src/main/java/fennelthread/fleet/MachineReadiness.java
@@ -17,8 +17,10 @@
   }
 
   /**
-   * Returns true if tasks may be placed on the machine: it is in service, was in contact lately,
-   * has confirmed this term's fencing token, renews its lease, and its zone is healthy.
+   * Returns true if tasks may be placed on the machine: it reports, its address is known, it has
+   * confirmed this term's fencing token, it is neither cordoned nor announced to be interrupted, no
+   * connection to it failed to open within {@link FleetConstants#UNREACHABLE_PAUSE_MS}, it renews
+   * its lease, its leases do not expire repeatedly, and starts would probably reach its zone.
    */
   boolean isReady(Machine machine) {
     long nowMs = context.nowMs();
@@ -34,7 +36,7 @@
   }
 
   /**
-   * Returns true if the machine was in contact lately and its own reports are answered. One that
+   * Returns true if the machine was in contact recently and its own reports are answered. One that
    * only executes commands does not renew its lease, and loses its tasks when that expires.
    */
   private boolean isRenewingLease(Machine machine, long nowMs) {
@@ -44,8 +46,8 @@
   }
 
   /**
-   * Returns true if a machine's lease has expired several times lately, although it reports: tasks
-   * that are started there would end with the next expiry.
+   * Returns true if a machine's lease has expired several times recently, although it reports:
+   * tasks that are started there would end with the next expiry.
    */
   private boolean hasUnstableSessions(Machine machine, long nowMs) {
     long leaseMs = context.leaseMs();
@@ -64,8 +66,8 @@
   }
 
   /**
-   * Returns true if the machine's lease has expired so often lately that it is to be returned:
-   * answers do not reach it, so no task can run there for long.
+   * Returns true if the machine's lease has expired so often recently that the machine is to be
+   * returned: answers do not reach it, so no task can run there for long.
    */
   boolean isLosingLeases(Machine machine) {
     long fromMs = context.nowMs() - context.leaseMs() * FleetConstants.SESSION_CHANGE_LEASES;
--- a/src/main/java/fennelthread/fleet/MachineReturns.java
+++ b/src/main/java/fennelthread/fleet/MachineReturns.java
@@ -79,21 +79,21 @@
       return;
     }
     List<Machine> silent = new ArrayList<>();
-    int known = 0;
+    int candidateCount = 0;
     for (Machine machine : fleet.machines()) {
       // A machine with tasks of an earlier term that has not reported in this one may have failed
       // or been cut off just before the failover.
       boolean isInherited = machine.phase() == Machine.Phase.AWAITING_REPORT && !machine.isEmpty();
       if ((machine.phase() == Machine.Phase.REPORTING || isInherited)
           && !zones.isUnreachable(machine)) {
-        known++;
+        candidateCount++;
         if (nowMs - machine.outOfContactSinceMs()
             > reportMs * FleetConstants.OVERDUE_REPORT_INTERVALS) {
           silent.add(machine);
         }
       }
     }
-    if (isMany(silent, known)) {
+    if (isLargeShare(silent, candidateCount)) {
       manySilentAtMs = nowMs;
       return;
     }
@@ -107,8 +107,9 @@
   }
 
   /**
-   * Returns since when a machine's silence counts, ms. It counts anew from when most of the fleet,
-   * or of the machine's zone, is in contact again, so that the rest has time to be in contact too.
+   * Returns since when a machine's silence counts, ms. The count restarts when most of the fleet,
+   * or of the machine's zone, is in contact again, so that the rest has time to get into contact
+   * too.
    */
   private long silentSinceMs(Machine machine) {
     return Math.max(
@@ -127,18 +128,18 @@
       return;
     }
     List<Machine> unanswered = new ArrayList<>();
-    int known = 0;
+    int candidateCount = 0;
     for (Machine machine : fleet.machines()) {
       boolean isUp =
           machine.phase() == Machine.Phase.REPORTING || machine.phase() == Machine.Phase.LOST;
       if (isUp && !zones.isUnreachable(machine)) {
-        known++;
+        candidateCount++;
         if (fleet.areReportsUnanswered(machine)) {
           unanswered.add(machine);
         }
       }
     }
-    if (isMany(unanswered, known)) {
+    if (isLargeShare(unanswered, candidateCount)) {
       return;
     }
     for (Machine machine : unanswered) {
@@ -150,11 +151,14 @@
     }
   }
 
-  private static boolean isMany(List<Machine> selected, int known) {
-    return selected.size() > Math.max(1, known * FleetConstants.MAX_SILENT_SHARE);
+  private static boolean isLargeShare(List<Machine> selected, int candidateCount) {
+    return selected.size() > Math.max(1, candidateCount * FleetConstants.MAX_SILENT_SHARE);
   }
 
-  /** Returns why a machine is to be returned, judged by itself, or NONE if it stays. */
+  /**
+   * Returns why a machine is to be returned regardless of the state of the others, or NONE if it
+   * stays.
+   */
   private ReturnReason reasonToReturn(Machine machine, long nowMs) {
     if (isLost(machine, nowMs)) {
       return ReturnReason.LEASE_EXPIRED;
@@ -196,11 +200,11 @@
   }
 
   /**
-   * Selects a machine for return. Unless the return is revocable, requests are repeated until the
-   * cloud confirms it.
+   * Selects a machine for return. Requests are repeated until the cloud confirms the return or, if
+   * the return is revocable, refuses it.
    */
   private void beginReturn(Machine machine, ReturnReason reason) {
-    aggregatedLog.add("machine return requested reason=" + reason.logValue(), machine.name(), 1);
+    aggregatedLog.add("machine selected for return reason=" + reason.logValue(), machine.name(), 1);
     fleet.beginReturn(machine);
     returning.add(machine.name());
   }
--- a/src/main/java/fennelthread/fleet/ReportPosition.java
+++ b/src/main/java/fennelthread/fleet/ReportPosition.java
@@ -17,7 +17,8 @@
   }
 
   /**
-   * Returns true if a report is newer than this position, in the same incarnation of the machine.
+   * Returns true if a report is newer than this position, provided that both are of the same
+   * incarnation of the machine.
    */
   boolean isBefore(WorkerReport report) {
     return report.session() > session || (report.session() == session && report.seq() > seq);
--- a/src/main/java/fennelthread/fleet/ReportProcessor.java
+++ b/src/main/java/fennelthread/fleet/ReportProcessor.java
@@ -58,13 +58,16 @@
     this.commands = commands;
   }
 
-  /** Returns when a worker last reported by itself, ms, or -1. */
+  /**
+   * Returns when a worker last reported by itself, ms, or -1 if none has. Reports of machines that
+   * are being returned do not count.
+   */
   long lastReportAtMs() {
     return lastReportAtMs;
   }
 
   /**
-   * Answers a report that has not arrived before.
+   * Answers a report that {@link StaleReportFilter} has not rejected.
    *
    * @param receivingMember the member that received it from the worker: a peer's name, or our own
    * @return the answer, or null if this controller may answer no reports now, or the report shows
@@ -78,7 +81,7 @@
       return null;
     }
     Machine machine = machines.getOrAddMachine(report.machine());
-    if (isFencedOff(report)) {
+    if (detectHigherEpoch(report)) {
       return null;
     }
     if (machine.phase() == Machine.Phase.GONE || machine.phase() == Machine.Phase.RETURNING) {
@@ -87,28 +90,30 @@
     }
     machine.setDescription(report.type(), report.zone(), report.spot());
     lastReportAtMs = context.nowMs();
-    return isOfOtherIncarnation(machine, report)
+    return mayBeOfOtherIncarnation(machine, report)
         ? queryRestart(machine, report)
         : answerCurrent(machine, report, receivingMember);
   }
 
-  /** Returns true if a report names a higher epoch, and tells the listener so. */
-  private boolean isFencedOff(WorkerReport report) {
-    long shownEpoch = MachineFencingTokens.epochOf(report);
-    if (shownEpoch <= context.epoch()) {
+  /**
+   * Returns true if a report names a higher epoch than that of the term, and notifies the listener.
+   */
+  private boolean detectHigherEpoch(WorkerReport report) {
+    long reportedEpoch = MachineFencingTokens.epochOf(report);
+    if (reportedEpoch <= context.epoch()) {
       return false;
     }
-    context.listener().onHigherEpochObserved(shownEpoch);
+    context.listener().onHigherEpochObserved(reportedEpoch);
     return true;
   }
 
-  private boolean isOfOtherIncarnation(Machine machine, WorkerReport report) {
+  private boolean mayBeOfOtherIncarnation(Machine machine, WorkerReport report) {
     // The answer to a probe may have overtaken a report that the worker sent just before.
     boolean isOvertaken =
         report.session() == machine.session()
             && context.nowMs() - machine.contact().lastReportAtMs()
                 < ProtocolConstants.WORKER_REPORT_TIMEOUT_MS;
-    return machine.isOfOtherIncarnation(report) && !isOvertaken;
+    return machine.isUnderLowerToken(report) && !isOvertaken;
   }
 
   private Answer answerCurrent(Machine machine, WorkerReport report, String receivingMember) {
@@ -117,7 +122,7 @@
       raiseTokenIfAnswersMayBeLost(machine, report, receivingMember);
     } else if (!machine.isConfirmed(context.epoch())) {
       // The report that is taken for the newest may be a copy from an earlier incarnation of the
-      // machine. The answer to a probe tells.
+      // machine. The answer to a probe shows whether it is.
       probes.probe(machine);
     }
     apply(machine, report, ReportTrigger.UNSOLICITED);
@@ -200,7 +205,7 @@
       // The address now belongs to another machine.
       return;
     }
-    if (isFencedOff(report)) {
+    if (detectHigherEpoch(report)) {
       return;
     }
     machine.setDescription(report.type(), report.zone(), report.spot());
@@ -221,7 +226,7 @@
     }
     machine.setAddress(report.address());
     boolean isLaterSession = report.session() > machine.session() && machine.session() > 0;
-    if (context.isOfOurEpoch(report)) {
+    if (context.isOfCurrentEpoch(report)) {
       updatePhase(machine, trigger);
       updateLeaseStart(machine, report);
     }
@@ -236,9 +241,9 @@
   }
 
   private void updatePhase(Machine machine, ReportTrigger trigger) {
-    boolean hasReturned =
+    boolean hasResumedReporting =
         machine.phase() == Machine.Phase.LOST && trigger == ReportTrigger.UNSOLICITED;
-    if (machine.phase() == Machine.Phase.AWAITING_REPORT || hasReturned) {
+    if (machine.phase() == Machine.Phase.AWAITING_REPORT || hasResumedReporting) {
       machine.transitionTo(Machine.Phase.REPORTING);
       context.listener().onFleetChanged();
     }
@@ -247,8 +252,9 @@
   /**
    * Counts a worker's lease from now if its session may have begun just now. To be called only for
    * reports under a token of this epoch, since starts are sent to no other sessions. A machine that
-   * receives nothing reports a later session each time that its lease expires; if these counted,
-   * each would delay by another lease the expiry that ends the attempts of an earlier term there.
+   * receives nothing reports a later session each time that its lease expires. If such sessions
+   * counted, each would delay the expiry that ends the attempts of an earlier term on that machine
+   * by another lease.
    */
   private void updateLeaseStart(Machine machine, WorkerReport report) {
     if (report.session() > machine.session()
--- a/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
+++ b/src/main/java/fennelthread/fleet/ScaleOutPolicy.java
@@ -13,13 +13,13 @@
 import java.util.Set;
 
 /**
- * Decides which machines to rent next, from the machines that there are, the waiting tasks and the
- * recent demand.
+ * Decides which machines to rent next, from the existing machines, the waiting tasks and the recent
+ * demand.
  */
 final class ScaleOutPolicy {
 
   /** A request for a number of machines of one kind. */
-  record RentalRequest(MachineKind kind, int machines) {}
+  record RentalRequest(MachineKind kind, int machineCount) {}
 
   /** The kinds that the cloud has no capacity for at the moment; they are not requested. */
   @FunctionalInterface
@@ -34,16 +34,16 @@
   }
 
   /**
-   * The machines that there are.
+   * The existing machines.
    *
    * @param types the machine types that the cloud offers, by name
-   * @param machines number of machines that the cloud has not taken back
+   * @param machineCount number of machines whose return the cloud has not confirmed
    * @param cpusByZone CPUs of the machines that are usable or expected to boot, by zone
    * @param expected the kinds of those that are expected to boot, one entry for each machine
    */
   record Stock(
       Map<String, MachineType> types,
-      int machines,
+      int machineCount,
       Map<String, Double> cpusByZone,
       List<MachineKind> expected) {
 
@@ -83,7 +83,7 @@
       List<PlacementPlan.UnplacedTasks> unplaced,
       double peakCpus,
       RefusedKinds refused) {
-    if (stock.machines >= options.maxMachines()) {
+    if (stock.machineCount >= options.maxMachines()) {
       return Optional.empty();
     }
     return requestForConstrainedJob(stock, unplaced, refused)
@@ -91,9 +91,9 @@
   }
 
   /**
-   * Returns a request for the first job that accepts only some types or zones and that the expected
-   * machines don't suffice for. A request for the total demand would be for the cheapest kind each
-   * time, which this job may not accept.
+   * Returns a request for the first job that accepts only some types or zones and for which the
+   * expected machines do not suffice. A request for the total demand would be for the cheapest kind
+   * each time, which this job may not accept.
    */
   private Optional<RentalRequest> requestForConstrainedJob(
       Stock stock, List<PlacementPlan.UnplacedTasks> unplaced, RefusedKinds refused) {
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Returns a request for what all waiting tasks lack, or for what the recent peak demand with its
-   * headroom lacks, whichever is more.
+   * Returns a request for the CPUs that are missing for all waiting tasks, or for the recent peak
+   * demand times its headroom, whichever is more.
    */
   private Optional<RentalRequest> requestForTotalDemand(
       Stock stock,
@@ -139,16 +139,20 @@
         : requestFirst(allKinds(stock, wantedTypes), stock, missingCpus, refused);
   }
 
-  /** Returns a request for the first kind that is not refused, for machines with so many CPUs. */
+  /**
+   * Returns a request for as many machines of the first kind that is not refused as provide the
+   * CPUs, within the limits on their number.
+   */
   private Optional<RentalRequest> requestFirst(
       List<MachineKind> kinds, Stock stock, double cpus, RefusedKinds refused) {
     int maxMachines =
-        Math.min(FleetConstants.MAX_MACHINES_PER_RENTAL, options.maxMachines() - stock.machines);
+        Math.min(
+            FleetConstants.MAX_MACHINES_PER_RENTAL, options.maxMachines() - stock.machineCount);
     for (MachineKind kind : kinds) {
       if (!refused.contains(kind)) {
         double cpusPerMachine = Math.max(0.5, stock.types.get(kind.type()).cpus());
-        int machines = (int) Math.min(maxMachines, Math.ceil(cpus / cpusPerMachine));
-        return Optional.of(new RentalRequest(kind, machines));
+        int machineCount = (int) Math.min(maxMachines, Math.ceil(cpus / cpusPerMachine));
+        return Optional.of(new RentalRequest(kind, machineCount));
       }
     }
     return Optional.empty();
--- a/src/main/java/fennelthread/fleet/StartSender.java
+++ b/src/main/java/fennelthread/fleet/StartSender.java
@@ -40,7 +40,7 @@
     List<WorkerCommand> commands = new ArrayList<>();
     for (Attempt attempt : attempts) {
       attempt.onStartSent(token);
-      commands.add(runCommand(attempt));
+      commands.add(createRunCommand(attempt));
       log.debug("start sent attempt={} token={}", attempt, token);
     }
     long session = attempts.get(0).start().session();
@@ -54,13 +54,13 @@
         .send(
             machine,
             machine.address(),
-            DueCommandSender.commandCall(token, session, commands),
+            DueCommandSender.createCommandCall(token, session, commands),
             FleetConstants.COMMAND_TIMEOUT_MS,
             answer -> onAnswer(machine, attempts, known, answer),
             wasTried -> onNotSent(machine, attempts, wasTried));
   }
 
-  private static WorkerCommand runCommand(Attempt attempt) {
+  private static WorkerCommand createRunCommand(Attempt attempt) {
     return new WorkerCommand.Run(attempt.start().task(), attempt.start().attempt());
   }
 
@@ -69,15 +69,15 @@
     if (context.isClosed()) {
       return;
     }
-    WorkerReport report = DueCommandSender.reportIn(answer);
+    WorkerReport report = DueCommandSender.readReport(answer);
     if (report == null) {
       onUnanswered(machine, attempts);
     } else if (DueCommandSender.isRefused(answer)) {
       // Nothing was executed, and starts are not sent again.
       attempts.forEach(attempt -> onNeverStarted(machine, attempt));
     } else {
-      // Executed. This report or a newer one tells what became of the attempts.
-      transitionSent(attempts, Attempt.Phase.FETCHING);
+      // The starts were executed. This report or a newer one shows the state of the attempts.
+      transitionIfSent(attempts, Attempt.Phase.FETCHING);
     }
     if (report != null) {
       listener.onResponse(machine, report, known);
@@ -90,11 +90,11 @@
         .aggregatedLog()
         .add("starts unanswered action=raiseToken", machine.name(), attempts.size());
     machine.tokens().raise();
-    transitionSent(attempts, Attempt.Phase.UNCONFIRMED);
+    transitionIfSent(attempts, Attempt.Phase.UNCONFIRMED);
     probes.probe(machine);
   }
 
-  private static void transitionSent(List<Attempt> attempts, Attempt.Phase next) {
+  private static void transitionIfSent(List<Attempt> attempts, Attempt.Phase next) {
     for (Attempt attempt : attempts) {
       if (attempt.phase() == Attempt.Phase.SENT) {
         attempt.transitionTo(next);
@@ -103,9 +103,9 @@
   }
 
   /**
-   * Handles that nothing was sent, so that the attempts are not on the machine. They must not count
-   * as unconfirmed: when connections are short, that would raise the tokens of hundreds of
-   * machines, each of which would then need a connection to be confirmed.
+   * Handles starts of which nothing was sent, so that the attempts are not on the machine. They
+   * must not count as unconfirmed: when connections are short, that would raise the tokens of
+   * hundreds of machines, each of which would then need a connection to be confirmed.
    *
    * @param wasTried whether opening a connection was tried; false if this process had none left
    */
@@ -120,7 +120,7 @@
     } else {
       // The worker's next report arrives on a connection of its own.
       context.aggregatedLog().add("starts deferred to report", machine.name(), attempts.size());
-      transitionSent(attempts, Attempt.Phase.DEFERRED);
+      transitionIfSent(attempts, Attempt.Phase.DEFERRED);
       machinesWithDeferredStarts.add(machine);
     }
     context.listener().onFleetChanged();
@@ -143,7 +143,7 @@
         onNeverStarted(machine, attempt);
       } else if (isNewest && starts.size() < FleetConstants.MAX_STARTS_PER_ANSWER) {
         attempt.onStartSentInResponse(machine.currentToken(context.epoch()));
-        starts.add(runCommand(attempt));
+        starts.add(createRunCommand(attempt));
       } else {
         hasRemaining = true;
       }
@@ -157,7 +157,7 @@
   /**
    * Marks starts as unconfirmed that were sent with an earlier answer and that the newest report
    * does not show, since that answer may or may not have arrived. The token is raised; the next
-   * report under it tells.
+   * report under it shows whether it did.
    */
   void markUnreportedUnconfirmed(Machine machine) {
     boolean hasUnconfirmed = false;
@@ -172,7 +172,10 @@
     }
   }
 
-  /** Drops deferred starts whose machine has not reported in time: another may take the tasks. */
+  /**
+   * Drops deferred starts whose machine has not reported in time, so that their tasks can be placed
+   * on other machines.
+   */
   void dropOverdueStarts() {
     long maxDelayMs = (long) (context.reportMs() * FleetConstants.MAX_DEFERRAL_REPORT_INTERVALS);
     boolean hasDropped = false;
--- a/src/main/java/fennelthread/fleet/ZoneHealth.java
+++ b/src/main/java/fennelthread/fleet/ZoneHealth.java
@@ -5,11 +5,12 @@
 import java.util.Map;
 
 /**
- * The health of the zones that machines are in, by which placement, scaling out and scaling in tell
- * whether a machine is silent because its zone is unreachable or by itself.
+ * The health of the zones that machines are in. With it, placement, scaling out and scaling in
+ * distinguish a machine that is silent because its zone is unreachable from one that is faulty
+ * itself.
  */
 public interface ZoneHealth {
-  /** A health by which every zone is always reachable, so that each machine is judged by itself. */
+  /** Treats every zone as always reachable, so that each silent machine counts as faulty itself. */
   ZoneHealth ALWAYS_HEALTHY =
       new ZoneHealth() {
         @Override
@@ -54,7 +55,8 @@
   boolean mayPlace(Machine machine);
 
   /**
-   * Returns true if the machine's zone is unreachable, so that its silence proves no fault of it.
+   * Returns true if the machine's zone is unreachable, so that its silence does not prove that it
+   * is faulty.
    */
   boolean isUnreachable(Machine machine);
 
--- a/src/main/java/fennelthread/fleet/package-info.java
+++ b/src/main/java/fennelthread/fleet/package-info.java
@@ -10,8 +10,8 @@
  *       kills its tasks and begins the session of the next number.
  *   <li>A machine that is restarted under its name is a new incarnation: its worker has forgotten
  *       its tasks and the tokens that it has seen, and counts sessions from 1.
- *   <li>A fencing token is sent with every command and answer. A worker obeys none that is lower
- *       than the highest that it has seen, and names this one in its reports.
+ *   <li>A fencing token is sent with every command and answer. A worker refuses commands under a
+ *       lower token than the highest that it has seen, and names the highest in its reports.
  * </ul>
  *
  * <p>{@link fennelthread.fleet.Fleet} is the entry point: it owns the {@link
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -53,7 +53,9 @@
         200, Codec.JSON, Fields.create().with(STATUS_FIELD, (long) revocation.status()));
   }
 
-  /** Asks all peers that are in contact to revoke a lease under which this one no longer leads. */
+  /**
+   * Asks all peers that can relay to revoke a lease under which this controller no longer leads.
+   */
   public void revokeThroughPeers(long leaseId) {
     for (String member : peers.relayingMembers()) {
       peers.call(
--- a/src/main/java/fennelthread/health/MemoryConsumer.java
+++ b/src/main/java/fennelthread/health/MemoryConsumer.java
@@ -1,12 +1,12 @@
 package fennelthread.health;
 
 /**
- * The data that fills the heap, of which the {@link MemoryPressureMonitor} can have some evicted.
+ * The main holder of data on the heap; the {@link MemoryPressureMonitor} makes it evict its caches.
  */
 public interface MemoryConsumer {
   /** Drops cached data that can be read or computed again. */
   void evictCaches();
 
-  /** Describes how much is held in memory, for the end of a log line. */
+  /** Returns how much is held in memory, as key=value pairs for the end of a log line. */
   String memoryUsage();
 }
--- a/src/main/java/fennelthread/health/MemoryPressureMonitor.java
+++ b/src/main/java/fennelthread/health/MemoryPressureMonitor.java
@@ -26,15 +26,15 @@
   private final EventLoop eventLoop;
   private final MemoryConsumer consumer;
   private Phase phase = Phase.NORMAL;
-  private long windowSinceMs;
-  private long leastUsedBytes = Long.MAX_VALUE;
-  private long collectedAtMs = Long.MIN_VALUE / 2;
+  private long windowStartMs;
+  private long minUsedBytes = Long.MAX_VALUE;
+  private long lastCollectionAtMs = Long.MIN_VALUE / 2;
 
   /** Creates a monitor of the heap that the event loop gives access to. */
   public MemoryPressureMonitor(EventLoop eventLoop, MemoryConsumer consumer) {
     this.eventLoop = eventLoop;
     this.consumer = consumer;
-    this.windowSinceMs = eventLoop.nowMs();
+    this.windowStartMs = eventLoop.nowMs();
   }
 
   /** Returns true while no new work should be accepted. */
@@ -52,22 +52,22 @@
     long nowMs = eventLoop.nowMs();
     // The use between two collections includes garbage. The least use over several seconds is close
     // to the size of the live objects.
-    leastUsedBytes = Math.min(leastUsedBytes, heap.usedBytes());
-    if (nowMs - windowSinceMs < HealthConstants.WINDOW_MS) {
+    minUsedBytes = Math.min(minUsedBytes, heap.usedBytes());
+    if (nowMs - windowStartMs < HealthConstants.WINDOW_MS) {
       return;
     }
     boolean isNearlyFull =
-        leastUsedBytes > heap.mostBytes() * HealthConstants.MEMORY_PRESSURE_LIVE_SHARE;
-    leastUsedBytes = Long.MAX_VALUE;
-    windowSinceMs = nowMs;
+        minUsedBytes > heap.mostBytes() * HealthConstants.MEMORY_PRESSURE_LIVE_SHARE;
+    minUsedBytes = Long.MAX_VALUE;
+    windowStartMs = nowMs;
     if ((isUnderPressure() || isNearlyFull)
-        && nowMs - collectedAtMs >= HealthConstants.COLLECTION_INTERVAL_MS) {
-      collectedAtMs = nowMs;
-      measureLiveShare(heap);
+        && nowMs - lastCollectionAtMs >= HealthConstants.COLLECTION_INTERVAL_MS) {
+      lastCollectionAtMs = nowMs;
+      collectAndUpdatePhase(heap);
     }
   }
 
-  private void measureLiveShare(EventLoop.Heap heap) {
+  private void collectAndUpdatePhase(EventLoop.Heap heap) {
     heap.collect();
     double liveShare = (double) heap.usedBytes() / heap.mostBytes();
     if (phase == Phase.NORMAL && liveShare > HealthConstants.MEMORY_PRESSURE_LIVE_SHARE) {
--- a/src/test/java/fennelthread/fleet/BootTimesTest.java
+++ b/src/test/java/fennelthread/fleet/BootTimesTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which machines that are not up yet count as late or stuck; the nominal boot time is 10 s. */
+/**
+ * Tests which machines that are not up yet count as late or stuck; unless a test passes another,
+ * the nominal boot time is 10 s.
+ */
 class BootTimesTest {
   private static final double NOMINAL_S = 10;
   private final BootTimes bootTimes = new BootTimes();
@@ -49,7 +52,10 @@
     assertFalse(isStuck(6, 36, true));
   }
 
-  /** When all boots take four times the nominal time, no machine is late before it takes longer. */
+  /**
+   * When all boots take about four times the nominal time, a machine is late only when it takes
+   * clearly longer than these.
+   */
   @Test
   void machineIsNotLateWhenAllTakeAsLong() {
     for (int i = 0; i < 8; i++) {
