--- a/src/main/java/fennelthread/api/Submissions.java
+++ b/src/main/java/fennelthread/api/Submissions.java
@@ -97,7 +97,7 @@
           if (result instanceof DependencyCheckResult.Valid valid) {
             accept(
                 valid.hasCancelledDependency()
-                    ? store.cancelledOnAcceptance(submission)
+                    ? store.prepareCancelledSubmission(submission)
                     : submission,
                 reply);
           } else if (result instanceof DependencyCheckResult.Invalid invalid) {
--- a/src/main/java/fennelthread/jobs/JobAcceptor.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -167,7 +167,7 @@
     if (result instanceof TxnResult.Applied applied) {
       completeApplied(batch, applied.revision());
     } else if (result instanceof TxnResult.Conflict conflict) {
-      resolveConflict(batch, new HashSet<>(conflict.failed()));
+      resolveConflict(batch, new HashSet<>(conflict.failedKeys()));
     } else if (result instanceof TxnResult.TooLarge) {
       resolveTooLarge(batch);
     } else {
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -136,7 +136,9 @@
   @Override
   public void onResult(Batch batch, TxnResult result) {
     Set<String> failedKeys =
-        result instanceof TxnResult.Conflict conflict ? new HashSet<>(conflict.failed()) : Set.of();
+        result instanceof TxnResult.Conflict conflict
+            ? new HashSet<>(conflict.failedKeys())
+            : Set.of();
     batch.jobs.forEach(
         (query, job) -> {
           if (job == null || failedKeys.contains(Keys.job(query.id()))) {
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -73,7 +73,7 @@
    * in one write. If it were accepted as pending first, it could be reported as pending after its
    * user was told of the cancellation.
    */
-  public Submission cancelledOnAcceptance(Submission submission) {
+  public Submission prepareCancelledSubmission(Submission submission) {
     FinalRecord finalRecord = new FinalRecord(JobState.CANCELLED, 0, eventLoop.wallMs());
     String key = Keys.finalJob(submission.spec().id());
     return new Submission(submission.spec(), Map.of(key, finalRecord.encode()), finalRecord);
--- a/src/main/java/fennelthread/jobs/StartRecordPacker.java
+++ b/src/main/java/fennelthread/jobs/StartRecordPacker.java
@@ -42,7 +42,7 @@
    * Adds all starts of an earlier record and returns true, or adds none and returns false if they
    * don't all fit.
    */
-  public boolean addAll(List<StartRecord.Start> starts) {
+  public boolean tryAddAll(List<StartRecord.Start> starts) {
     int bytesLeftBefore = bytesLeft;
     int recordsBefore = records.size();
     Set<String> jobsBefore = Set.copyOf(jobsInLastRecord);
--- a/src/main/java/fennelthread/leader/CompletionWriter.java
+++ b/src/main/java/fennelthread/leader/CompletionWriter.java
@@ -232,7 +232,7 @@
       lease.onTxnRejected(result);
       if (result instanceof TxnResult.Conflict conflict) {
         // A cancelled job no longer has a record: its finished tasks need not be stored.
-        unstoredJobs.removeIf(job -> conflict.failed().contains(Keys.job(job.id())));
+        unstoredJobs.removeIf(job -> conflict.failedKeys().contains(Keys.job(job.id())));
       }
       if (isAwaited) {
         eventLoop.after(ProtocolConstants.STATE_RETRY_DELAY_MS, this::writeIfIdle);
--- a/src/main/java/fennelthread/leader/LeaderLease.java
+++ b/src/main/java/fennelthread/leader/LeaderLease.java
@@ -159,7 +159,8 @@
 
   /** Steps down if a fenced transaction failed because the epoch has moved on. */
   void onTxnRejected(TxnResult result) {
-    if (result instanceof TxnResult.Conflict conflict && conflict.failed().contains(Keys.EPOCH)) {
+    if (result instanceof TxnResult.Conflict conflict
+        && conflict.failedKeys().contains(Keys.EPOCH)) {
       stepDown("transaction fenced off", 0);
     }
   }
@@ -175,7 +176,7 @@
   /** Describes a rejected transaction for the log. */
   static String describeRejection(TxnResult result) {
     if (result instanceof TxnResult.Conflict conflict) {
-      return "conflict on " + String.join(" ", conflict.failed());
+      return "conflict on " + String.join(" ", conflict.failedKeys());
     }
     return result instanceof TxnResult.Refused refused
         ? "refused: " + refused.reason()
--- a/src/main/java/fennelthread/leader/RecordGarbageCollector.java
+++ b/src/main/java/fennelthread/leader/RecordGarbageCollector.java
@@ -202,7 +202,7 @@
     for (Map.Entry<String, List<StartRecord.Start>> record : survey.sparse.entrySet()) {
       if (txn.changeCount() + replaced.size() + 2 > limits.maxTxnChanges()
           || txn.conditionCount() + replaced.size() + 2 > limits.maxTxnConditions()
-          || !packer.addAll(record.getValue())) {
+          || !packer.tryAddAll(record.getValue())) {
         break;
       }
       replaced.add(record.getKey());
--- a/src/main/java/fennelthread/state/TxnResult.java
+++ b/src/main/java/fennelthread/state/TxnResult.java
@@ -8,7 +8,7 @@
   record Applied(long revision) implements TxnResult {}
 
   /** Not applied: these keys have revisions other than the conditions require. */
-  record Conflict(List<String> failed) implements TxnResult {}
+  record Conflict(List<String> failedKeys) implements TxnResult {}
 
   /** Not applied: an outage, a rate limit, or too many requests queued in this controller. */
   record Refused(String reason) implements TxnResult {}
