--- a/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
+++ b/src/test/java/fennelthread/leaserenewal/LeaseRenewalModelTest.java
@@ -26,8 +26,8 @@
   private static final int TICKS = 6;
 
   /**
-   * Maximum length of the searched sequences of steps; one step more if a rule is omitted: the
-   * shortest counterexample has at most 12 steps for each omitted rule.
+   * Maximum length of the searched sequences of steps. If a rule is omitted, the maximum is one
+   * more, because the shortest counterexample then has up to 12 steps.
    */
   private static final int DEPTH = Integer.getInteger("model.depth", 11);
 
