--- a/src/main/java/fennelthread/net/EventLoop.java
+++ b/src/main/java/fennelthread/net/EventLoop.java
@@ -4,42 +4,46 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a controller needs from the machine it runs on. Everything is called back on one thread, so
- * that no state needs a lock; in tests a seeded simulation takes the place of the machine.
+ * Clocks, timers, randomness, heap and requests of a process. All callbacks run on one thread, so
+ * that no state needs a lock. Tests replace it by a seeded simulation, so everything that could
+ * make two runs differ goes through this interface.
  */
 public interface EventLoop {
 
-  /** Something that can be called off. */
+  /** A timer that can be cancelled. */
   interface Cancellable {
-    /** Calls it off; does nothing if it has happened already. */
+    /** Cancels the timer; does nothing if it has fired already. */
     void cancel();
   }
 
-  /** The steady clock in milliseconds; it may run fast by the protocol's bound. */
+  /** The monotonic clock, ms. The protocol allows it to run fast by a bounded rate. */
   long nowMs();
 
-  /** The time of day in milliseconds, for deadlines and display only. */
+  /** The wall clock, ms since 1970, for deadlines and display only: it may be set back. */
   long wallMs();
 
-  /** Runs {@code task} after {@code delayMs}. */
+  /** Runs {@code task} once, {@code delayMs} from now; timers may fire late. */
   Cancellable after(long delayMs, Runnable task);
 
-  /** The source of all randomness. */
+  /** The only source of randomness, seeded in tests. */
   RandomGenerator random();
 
-  /** The memory that our objects live in. */
+  /** The heap of a process. */
   interface Heap {
-    /** Bytes in use, garbage included. */
+    /** Bytes in use by objects, including unreachable ones that are not collected yet. */
     long usedBytes();
 
-    /** Bytes that may be in use. */
+    /** The maximum size of the heap, bytes. */
     long mostBytes();
 
-    /** Removes the garbage now: what is used afterwards lives. Takes tens of milliseconds. */
+    /**
+     * Runs a full garbage collection, after which {@link #usedBytes} counts little but reachable
+     * objects. Blocks the thread for tens of milliseconds.
+     */
     void collect();
   }
 
-  /** The heap of this process. */
+  /** The heap of this process, as the Java runtime reports it. */
   default Heap heap() {
     return new Heap() {
       @Override
@@ -59,22 +63,31 @@
     };
   }
 
-  /** Told that nothing of a request was ever sent: it was not executed and never will be. */
+  /** Called if nothing of a request was ever sent: it was not executed and never will be. */
   @FunctionalInterface
   interface Unsent {
-    /** {@code tried} is false if we had no socket left: that says nothing of the other side. */
+    /**
+     * Handles the end of such a request.
+     *
+     * @param tried false if this process had no socket for the request, which says nothing about
+     *     the other side
+     */
     void over(boolean tried);
   }
 
   /**
-   * Sends a request. {@code done} gets the answer, or null if there was none in time: then the
-   * request may have been executed, or may still be. If nothing of it was ever sent, {@code unsent}
-   * is told instead.
+   * Sends a request.
+   *
+   * @param address host and port
+   * @param timeoutMs the longest wait for the answer, ms
+   * @param done receives the answer, or null if none arrived in time: then the request may have
+   *     been executed, or may still be
+   * @param unsent called instead of {@code done} if nothing of the request was ever sent
    */
   void call(String address, Call call, long timeoutMs, Consumer<Answer> done, Unsent unsent);
 
-  /** Sends a request whose sender need not know whether an unanswered one was sent at all. */
+  /** Sends a request; {@code done} receives null also if nothing of it was ever sent. */
   default void call(String address, Call call, long timeoutMs, Consumer<Answer> done) {
-    call(address, call, timeoutMs, done, tried -> done.accept(null));
+    call(address, call, timeoutMs, done, wasTried -> done.accept(null));
   }
 }
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -31,263 +31,286 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Our own connections to others: kept for the next call, few in all, and closed by whoever is no
- * longer worth one. Everything runs on the event loop's thread.
+ * The HTTP client of this process: pools connections to workers, peers, the state service and the
+ * cloud, and bounds the number of sockets that they take. Without that bound they could use up the
+ * process's sockets, and nobody could connect to it any more. Used on the event loop's thread only.
  */
 final class HttpClient {
   private final EventLoop eventLoop;
   private final XnioIoThread thread;
   private final ByteBufferPool buffers;
   private final UndertowClient client = UndertowClient.getInstance();
-  private final Map<String, Peer> peers = new HashMap<>();
-  private final int mostOutbound;
-  private final int mostSpareOpening;
-  private final Set<String> essential;
-  private final Set<Link> idle = new LinkedHashSet<>();
-  private final ArrayDeque<Peer> starved = new ArrayDeque<>();
-  private int outbound;
-  private int spareOpening;
-
-  /** Creates a client; {@code essential} addresses never wait for room among the connections. */
+  private final Map<String, Destination> destinations = new HashMap<>();
+  private final int maxSockets;
+  private final int maxSpareAttempts;
+  private final Set<String> essentialAddresses;
+  private final Set<PooledConnection> idleConnections = new LinkedHashSet<>();
+  private final ArrayDeque<Destination> destinationsWaiting = new ArrayDeque<>();
+  private int socketCount;
+  private int spareAttempts;
+
+  /**
+   * Creates a client without connections.
+   *
+   * @param maxSockets the most sockets that connections and connection attempts may take
+   * @param essentialAddresses addresses that are connected to beyond that bound too
+   */
   HttpClient(
       EventLoop eventLoop,
       XnioIoThread thread,
       ByteBufferPool buffers,
-      int mostOutbound,
-      Set<String> essential) {
+      int maxSockets,
+      Set<String> essentialAddresses) {
     this.eventLoop = eventLoop;
     this.thread = thread;
     this.buffers = buffers;
-    this.mostOutbound = mostOutbound;
-    this.mostSpareOpening =
-        Math.max(1, (int) (mostOutbound * NetConstants.MAX_SPARE_CONNECT_SHARE));
-    this.essential = essential;
+    this.maxSockets = maxSockets;
+    this.maxSpareAttempts = Math.max(1, (int) (maxSockets * NetConstants.SPARE_SHARE));
+    this.essentialAddresses = essentialAddresses;
   }
 
-  /** Sockets that it holds, those that are still being opened included. */
-  int sockets() {
-    return outbound;
+  /** The number of sockets in use, including those of connection attempts. */
+  int socketCount() {
+    return socketCount;
   }
 
-  /** A connection of ours; it counts against the bound until it is closed. */
-  private static final class Link {
+  /** An open connection; it counts against the bound on sockets until it is closed. */
+  private static final class PooledConnection {
     final ClientConnection connection;
-    final Peer peer;
+    final Destination destination;
     long idleSinceMs;
-    boolean counted = true;
+    boolean isCounted = true;
 
-    Link(ClientConnection connection, Peer peer) {
+    PooledConnection(ClientConnection connection, Destination destination) {
       this.connection = connection;
-      this.peer = peer;
+      this.destination = destination;
     }
   }
 
-  private static final class Peer {
+  /** An address that requests are sent to, with its connections and waiting calls. */
+  private static final class Destination {
     final String address;
-    final ArrayDeque<Link> idle = new ArrayDeque<>();
-    final ArrayDeque<Pending> waiting = new ArrayDeque<>();
-    int connecting;
-    int opening;
-    boolean starved;
+    final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
+    final ArrayDeque<PendingCall> waitingCalls = new ArrayDeque<>();
+
+    /** Connection attempts that keep later calls from making another. */
+    int countedAttempts;
+
+    /** Connection attempts that hold a socket, those that have timed out here included. */
+    int openAttempts;
 
-    Peer(String address) {
+    /** True while the destination waits in {@link #destinationsWaiting} for a free socket. */
+    boolean isQueued;
+
+    Destination(String address) {
       this.address = address;
     }
   }
 
-  /** One call under way, answered exactly once. */
-  private final class Pending {
+  /** A call in flight or waiting for a connection; exactly one of its callbacks is called, once. */
+  private final class PendingCall {
     final String address;
     final Call call;
     final Consumer<Answer> done;
     final EventLoop.Unsent unsent;
     EventLoop.Cancellable timer;
-    Link link;
-    boolean over;
+    PooledConnection pooled;
+    boolean isFinished;
 
-    Pending(String address, Call call, Consumer<Answer> done, EventLoop.Unsent unsent) {
+    PendingCall(String address, Call call, Consumer<Answer> done, EventLoop.Unsent unsent) {
       this.unsent = unsent;
       this.address = address;
       this.call = call;
       this.done = done;
     }
 
-    void finish(Answer answer, boolean reusable) {
-      if (over) {
+    /** Finishes the call with an answer, or with null if there is none. */
+    void finish(Answer answer, boolean isReusable) {
+      if (isFinished) {
         return;
       }
-      if (answer == null && link == null) {
-        // Never handed to a connection, and being over it never will be.
-        leaveUnsent(!peers.get(address).starved);
+      if (answer == null && pooled == null) {
+        // It was never handed to a connection, and never will be once it is finished.
+        finishUnsent(!destinations.get(address).isQueued);
         return;
       }
       end();
-      if (link != null) {
-        if (reusable && link.connection.isOpen()) {
-          keep(link);
+      if (pooled != null) {
+        if (isReusable && pooled.connection.isOpen()) {
+          reuse(pooled);
         } else {
-          close(link);
+          close(pooled);
         }
       }
       XnioEventLoop.guarded(() -> done.accept(answer)).run();
     }
 
-    void leaveUnsent(boolean tried) {
-      if (!over) {
+    void finishUnsent(boolean wasTried) {
+      if (!isFinished) {
         end();
-        XnioEventLoop.guarded(() -> unsent.over(tried)).run();
+        XnioEventLoop.guarded(() -> unsent.over(wasTried)).run();
       }
     }
 
     private void end() {
-      over = true;
+      isFinished = true;
       timer.cancel();
     }
   }
 
-  private void keep(Link link) {
-    Pending next = nextWaiting(link.peer);
+  /** Uses a free connection for a waiting call, or keeps it in the pool, or closes it. */
+  private void reuse(PooledConnection pooled) {
+    PendingCall next = nextWaiting(pooled.destination);
     if (next != null) {
-      send(next, link);
-    } else if (link.peer.idle.size() < NetConstants.MAX_IDLE_CONNECTIONS_PER_ADDRESS
-        && starved.isEmpty()) {
-      link.idleSinceMs = eventLoop.nowMs();
-      link.peer.idle.push(link);
-      idle.add(link);
+      send(next, pooled);
+    } else if (pooled.destination.idle.size() < NetConstants.IDLE_PER_ADDRESS
+        && destinationsWaiting.isEmpty()) {
+      pooled.idleSinceMs = eventLoop.nowMs();
+      pooled.destination.idle.push(pooled);
+      idleConnections.add(pooled);
     } else {
-      close(link);
+      close(pooled);
     }
   }
 
-  private static Pending nextWaiting(Peer peer) {
-    Pending next = peer.waiting.poll();
-    while (next != null && next.over) {
-      next = peer.waiting.poll();
+  private static PendingCall nextWaiting(Destination destination) {
+    PendingCall next = destination.waitingCalls.poll();
+    while (next != null && next.isFinished) {
+      next = destination.waitingCalls.poll();
     }
     return next;
   }
 
-  private void close(Link link) {
-    forget(link);
-    IoUtils.safeClose(link.connection);
+  private void close(PooledConnection pooled) {
+    release(pooled);
+    IoUtils.safeClose(pooled.connection);
   }
 
-  /** A connection no longer counts: another that waited for room may be opened. */
-  private void forget(Link link) {
-    idle.remove(link);
-    link.peer.idle.remove(link);
-    if (link.counted) {
-      link.counted = false;
-      outbound--;
-      feedStarved();
+  /** Stops counting a connection that is closed; a waiting destination may take its socket. */
+  private void release(PooledConnection pooled) {
+    idleConnections.remove(pooled);
+    pooled.destination.idle.remove(pooled);
+    if (pooled.isCounted) {
+      pooled.isCounted = false;
+      socketCount--;
+      openForWaiting();
     }
   }
 
-  private void feedStarved() {
-    while (outbound < mostOutbound && !starved.isEmpty()) {
-      Peer peer = starved.poll();
-      peer.starved = false;
-      peer.waiting.removeIf(p -> p.over);
-      if (!peer.waiting.isEmpty()) {
-        open(peer, peer.waiting.stream().allMatch(p -> p.call.spare()));
+  /**
+   * Opens connections for waiting destinations while sockets are free. Such an attempt counts as
+   * spare if all calls that wait for it are spare.
+   */
+  private void openForWaiting() {
+    while (socketCount < maxSockets && !destinationsWaiting.isEmpty()) {
+      Destination destination = destinationsWaiting.poll();
+      destination.isQueued = false;
+      destination.waitingCalls.removeIf(p -> p.isFinished);
+      if (!destination.waitingCalls.isEmpty()) {
+        open(destination, destination.waitingCalls.stream().allMatch(p -> p.call.spare()));
       }
     }
   }
 
-  /** Sends a request, as {@link EventLoop#call} says. */
+  /** Sends a request; the callbacks follow the contract of {@link EventLoop#call}. */
   void call(
       String address, Call call, long timeoutMs, Consumer<Answer> done, EventLoop.Unsent unsent) {
-    Pending p = new Pending(address, call, done, unsent);
-    p.timer = eventLoop.after(timeoutMs, () -> p.finish(null, false));
-    Peer peer = peers.computeIfAbsent(address, Peer::new);
-    while (!peer.idle.isEmpty()) {
-      Link link = peer.idle.pop();
-      idle.remove(link);
-      if (link.connection.isOpen()
-          && eventLoop.nowMs() - link.idleSinceMs < NetConstants.IDLE_CONNECTION_TIMEOUT_MS) {
-        send(p, link);
+    PendingCall pending = new PendingCall(address, call, done, unsent);
+    pending.timer = eventLoop.after(timeoutMs, () -> pending.finish(null, false));
+    Destination destination = destinations.computeIfAbsent(address, Destination::new);
+    while (!destination.idle.isEmpty()) {
+      PooledConnection pooled = destination.idle.pop();
+      idleConnections.remove(pooled);
+      if (pooled.connection.isOpen()
+          && eventLoop.nowMs() - pooled.idleSinceMs < NetConstants.IDLE_MS) {
+        send(pending, pooled);
         return;
       }
-      close(link);
+      close(pooled);
     }
-    if (call.spare() && peer.opening == 0 && spareOpening >= mostSpareOpening) {
-      eventLoop.after(0, () -> p.leaveUnsent(false));
+    // Attempts to connect to machines that are cut off hold their sockets for long, so spare calls
+    // may take only a part of the sockets.
+    if (call.spare() && destination.openAttempts == 0 && spareAttempts >= maxSpareAttempts) {
+      eventLoop.after(0, () -> pending.finishUnsent(false));
       return;
     }
-    peer.waiting.add(p);
-    // A spare call waits for an attempt under way, however long that takes.
-    if (!call.spare() || peer.opening == 0) {
-      open(peer, call.spare());
+    destination.waitingCalls.add(pending);
+    // A spare call makes no attempt of its own while one holds a socket, however long that takes.
+    if (!call.spare() || destination.openAttempts == 0) {
+      open(destination, call.spare());
     }
   }
 
   /**
-   * Opens a connection if there is room: hundreds of workers' own connections and the users' share
-   * the process's sockets with ours, and past the limit nobody gets in any more.
+   * Opens a connection if the bounds on attempts and sockets allow it. If all sockets are taken,
+   * the connection that has been idle longest is closed for it; without an idle one the destination
+   * waits. An essential address does not wait.
    */
-  private void open(Peer peer, boolean spare) {
-    boolean vital = essential.contains(peer.address);
-    int most = vital ? NetConstants.MAX_CONNECTS_PER_ADDRESS : NetConstants.MAX_CONNECTS_PER_WORKER;
-    if (peer.connecting >= most
-        || (!vital && peer.opening >= NetConstants.MAX_OPENING_SOCKETS_PER_WORKER)) {
+  private void open(Destination destination, boolean isSpare) {
+    boolean isEssential = essentialAddresses.contains(destination.address);
+    int maxAttempts =
+        isEssential ? NetConstants.CONNECTING_PER_ADDRESS : NetConstants.CONNECTING_PER_WORKER;
+    if (destination.countedAttempts >= maxAttempts
+        || (!isEssential && destination.openAttempts >= NetConstants.OPENING_PER_WORKER)) {
       return;
     }
-    if (outbound >= mostOutbound && !vital) {
-      if (idle.isEmpty()) {
-        if (!peer.starved) {
-          peer.starved = true;
-          starved.add(peer);
+    if (socketCount >= maxSockets && !isEssential) {
+      if (idleConnections.isEmpty()) {
+        if (!destination.isQueued) {
+          destination.isQueued = true;
+          destinationsWaiting.add(destination);
         }
         return;
       }
-      close(idle.iterator().next());
+      close(idleConnections.iterator().next());
     }
-    connect(peer, spare);
+    connect(destination, isSpare);
   }
 
-  private void connect(Peer peer, boolean spare) {
+  private void connect(Destination destination, boolean isSpare) {
     client.connect(
-        new ConnectAttempt(peer, spare),
-        URI.create("http://" + peer.address),
+        new ConnectAttempt(destination, isSpare),
+        URI.create("http://" + destination.address),
         thread,
         buffers,
         OptionMap.create(Options.TCP_NODELAY, true));
   }
 
-  /** One attempt to open a connection; it holds a socket until the system ends it. */
+  /** An attempt to open a connection; it holds a socket until the operating system ends it. */
   private final class ConnectAttempt implements ClientCallback<ClientConnection> {
-    private final Peer peer;
-    private final boolean spare;
+    private final Destination destination;
+    private final boolean isSpare;
     private final EventLoop.Cancellable timeout;
 
-    /** True once later calls may make an attempt of their own. */
-    private boolean uncounted;
-
-    /** Counts the attempt as under way. */
-    ConnectAttempt(Peer peer, boolean spare) {
-      this.peer = peer;
-      this.spare = spare;
-      peer.connecting++;
-      peer.opening++;
-      outbound++;
-      spareOpening += spare ? 1 : 0;
-      // A peer without power never refuses: after a while the attempt no longer counts, and a later
-      // call makes a fresh one. Its socket is taken until the system gives up, though.
-      this.timeout = eventLoop.after(NetConstants.CONNECT_TIMEOUT_MS, this::uncount);
+    /** True once a later call may make another attempt beside this one. */
+    private boolean isReplaceable;
+
+    /** Counts an attempt that is about to start. */
+    ConnectAttempt(Destination destination, boolean isSpare) {
+      this.destination = destination;
+      this.isSpare = isSpare;
+      destination.countedAttempts++;
+      destination.openAttempts++;
+      socketCount++;
+      spareAttempts += isSpare ? 1 : 0;
+      // A machine without power never refuses a connection. After a timeout the attempt no longer
+      // keeps later calls from making another, but its socket stays taken until the operating
+      // system gives up.
+      this.timeout = eventLoop.after(NetConstants.CONNECT_TIMEOUT_MS, this::makeReplaceable);
     }
 
-    private void uncount() {
-      if (!uncounted) {
-        uncounted = true;
-        peer.connecting--;
+    private void makeReplaceable() {
+      if (!isReplaceable) {
+        isReplaceable = true;
+        destination.countedAttempts--;
       }
     }
 
     private void end() {
-      peer.opening--;
-      spareOpening -= spare ? 1 : 0;
-      if (!uncounted) {
-        uncount();
+      destination.openAttempts--;
+      spareAttempts -= isSpare ? 1 : 0;
+      if (!isReplaceable) {
+        makeReplaceable();
         timeout.cancel();
       }
     }
@@ -295,44 +318,44 @@
     @Override
     public void completed(ClientConnection connection) {
       end();
-      Link link = new Link(connection, peer);
-      connection.getCloseSetter().set(c -> forget(link));
-      keep(link);
+      PooledConnection pooled = new PooledConnection(connection, destination);
+      connection.getCloseSetter().set(c -> release(pooled));
+      reuse(pooled);
     }
 
     @Override
     public void failed(IOException e) {
-      boolean timedOut = uncounted;
+      boolean hasTimedOut = isReplaceable;
       end();
-      outbound--;
-      feedStarved();
-      if (timedOut) {
+      socketCount--;
+      openForWaiting();
+      if (hasTimedOut) {
         return;
       }
-      Pending next = nextWaiting(peer);
+      PendingCall next = nextWaiting(destination);
       if (next != null) {
         next.finish(null, false);
       }
-      if (!peer.waiting.isEmpty() && peer.connecting == 0) {
-        open(peer, spare);
+      if (!destination.waitingCalls.isEmpty() && destination.countedAttempts == 0) {
+        open(destination, isSpare);
       }
     }
   }
 
-  private void send(Pending p, Link link) {
-    p.link = link;
-    byte[] body = p.call.body();
+  private void send(PendingCall pending, PooledConnection pooled) {
+    pending.pooled = pooled;
+    byte[] body = pending.call.body();
     ClientRequest request =
         new ClientRequest()
-            .setMethod(new HttpString(p.call.method()))
-            .setPath(p.call.path())
+            .setMethod(new HttpString(pending.call.method()))
+            .setPath(pending.call.path())
             .setProtocol(Protocols.HTTP_1_1);
-    request.getRequestHeaders().put(Headers.HOST, p.address);
+    request.getRequestHeaders().put(Headers.HOST, pending.address);
     request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body == null ? 0 : body.length);
     if (body != null) {
-      request.getRequestHeaders().put(Headers.CONTENT_TYPE, p.call.codec().contentType());
+      request.getRequestHeaders().put(Headers.CONTENT_TYPE, pending.call.codec().contentType());
     }
-    link.connection.sendRequest(
+    pooled.connection.sendRequest(
         request,
         new ClientCallback<>() {
           @Override
@@ -341,29 +364,29 @@
                 new ClientCallback<>() {
                   @Override
                   public void completed(ClientExchange answered) {
-                    receive(p, answered);
+                    receive(pending, answered);
                   }
 
                   @Override
                   public void failed(IOException e) {
-                    p.finish(null, false);
+                    pending.finish(null, false);
                   }
                 });
-            write(p, exchange.getRequestChannel(), body);
+            write(pending, exchange.getRequestChannel(), body);
           }
 
           @Override
           public void failed(IOException e) {
-            p.finish(null, false);
+            pending.finish(null, false);
           }
         });
   }
 
-  private static void write(Pending p, StreamSinkChannel channel, byte[] body) {
+  private static void write(PendingCall pending, StreamSinkChannel channel, byte[] body) {
     ByteBuffer data = ByteBuffer.wrap(body == null ? new byte[0] : body);
     ChannelListener<StreamSinkChannel> writer =
         new ChannelListener<>() {
-          private boolean shut;
+          private boolean isShutDown;
 
           @Override
           public void handleEvent(StreamSinkChannel c) {
@@ -374,8 +397,8 @@
                   return;
                 }
               }
-              if (!shut) {
-                shut = true;
+              if (!isShutDown) {
+                isShutDown = true;
                 c.shutdownWrites();
               }
               if (!c.flush()) {
@@ -384,7 +407,7 @@
               }
               c.suspendWrites();
             } catch (IOException e) {
-              p.finish(null, false);
+              pending.finish(null, false);
             }
           }
         };
@@ -392,29 +415,29 @@
     writer.handleEvent(channel);
   }
 
-  private void receive(Pending pending, ClientExchange exchange) {
+  private void receive(PendingCall pending, ClientExchange exchange) {
     StreamSourceChannel channel = exchange.getResponseChannel();
     ResponseReader reader = new ResponseReader(pending, exchange.getResponse());
     channel.getReadSetter().set(reader);
     reader.handleEvent(channel);
   }
 
-  /** Collects the body of a response, and finishes its call at the end. */
+  /** Reads the body of a response and finishes the call at its end. */
   private final class ResponseReader implements ChannelListener<StreamSourceChannel> {
-    private final Pending pending;
+    private final PendingCall pending;
     private final ClientResponse response;
     private final ByteArrayOutputStream body =
-        new ByteArrayOutputStream(NetConstants.INITIAL_RESPONSE_BUFFER_BYTES);
+        new ByteArrayOutputStream(NetConstants.RESPONSE_BUFFER_BYTES);
 
-    ResponseReader(Pending pending, ClientResponse response) {
+    ResponseReader(PendingCall pending, ClientResponse response) {
       this.pending = pending;
       this.response = response;
     }
 
     @Override
     public void handleEvent(StreamSourceChannel channel) {
-      try (PooledByteBuffer pooled = buffers.allocate()) {
-        ByteBuffer buffer = pooled.getBuffer();
+      try (PooledByteBuffer pooledBuffer = buffers.allocate()) {
+        ByteBuffer buffer = pooledBuffer.getBuffer();
         while (true) {
           buffer.clear();
           int count = channel.read(buffer);
@@ -454,7 +477,7 @@
       return connection == null || !connection.equalsIgnoreCase("close");
     }
 
-    /** The pause that the response asks for, seconds; 0 if it asks for none that can be read. */
+    /** The value of the Retry-After header, s; 0 if it is absent or not a whole number. */
     private int retryAfterS() {
       String text = response.getResponseHeaders().getFirst(Headers.RETRY_AFTER);
       if (text == null) {
--- a/src/main/java/fennelthread/net/HttpServer.java
+++ b/src/main/java/fennelthread/net/HttpServer.java
@@ -17,7 +17,10 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Listens for users, workers and peers, and answers them. Everything runs on one thread. */
+/**
+ * The HTTP server of a controller, with one listener for users and workers and one for peers. Used
+ * on the event loop's thread only.
+ */
 final class HttpServer {
   private static final Logger log = LoggerFactory.getLogger(HttpServer.class);
 
@@ -25,16 +28,20 @@
   private final InboundConnections<ServerConnection> inbound;
 
   /**
-   * Creates a server that listens once it is started; {@code inbound} keeps its connections few.
+   * Creates a server; {@link #start} begins to listen.
+   *
+   * @param inbound closes stale connections when sockets become scarce
+   * @param apiAddress host and port for users and workers
+   * @param peerAddress host and port for peers
    */
   HttpServer(
       XnioWorker worker,
       ByteBufferPool buffers,
       InboundConnections<ServerConnection> inbound,
-      String apiAddr,
-      Service api,
-      String peerAddr,
-      Service peers) {
+      String apiAddress,
+      Service apiService,
+      String peerAddress,
+      Service peerService) {
     this.inbound = inbound;
     this.server =
         Undertow.builder()
@@ -43,37 +50,37 @@
             .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
             .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
             .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, NetConstants.NO_REQUEST_TIMEOUT_MS)
-            .setSocketOption(Options.BACKLOG, NetConstants.ACCEPT_BACKLOG)
+            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, NetConstants.NO_REQUEST_MS)
+            .setSocketOption(Options.BACKLOG, NetConstants.BACKLOG)
             .setSocketOption(Options.REUSE_ADDRESSES, true)
-            .addListener(listener(apiAddr, handler(api)))
-            .addListener(listener(peerAddr, handler(peers)))
+            .addListener(listener(apiAddress, handler(apiService)))
+            .addListener(listener(peerAddress, handler(peerService)))
             .build();
   }
 
-  /** Listens. */
+  /** Starts listening. */
   void start() {
     server.start();
   }
 
-  /** Listens no more. */
+  /** Stops listening. */
   void stop() {
     server.stop();
   }
 
-  private static Undertow.ListenerBuilder listener(String addr, HttpHandler handler) {
-    int colon = addr.lastIndexOf(':');
+  private static Undertow.ListenerBuilder listener(String address, HttpHandler handler) {
+    int colon = address.lastIndexOf(':');
     return new Undertow.ListenerBuilder()
         .setType(Undertow.ListenerType.HTTP)
-        .setHost(addr.substring(0, colon))
-        .setPort(Integer.parseInt(addr.substring(colon + 1)))
+        .setHost(address.substring(0, colon))
+        .setPort(Integer.parseInt(address.substring(colon + 1)))
         .setRootHandler(handler);
   }
 
   private HttpHandler handler(Service service) {
     return exchange -> {
-      if (inbound.used(exchange.getConnection())) {
-        exchange.getConnection().addCloseListener(inbound::gone);
+      if (inbound.recordRequest(exchange.getConnection())) {
+        exchange.getConnection().addCloseListener(inbound::recordClosed);
       }
       exchange.dispatch(SameThreadExecutor.INSTANCE, () -> read(exchange, service));
     };
@@ -87,7 +94,7 @@
       return;
     }
     if (exchange.getRequestContentLength() > ProtocolConstants.MAX_BODY_BYTES) {
-      tooLarge(exchange);
+      refuseAsTooLarge(exchange);
       return;
     }
     exchange.getRequestReceiver().setMaxBufferSize(ProtocolConstants.MAX_BODY_BYTES);
@@ -96,21 +103,21 @@
         .receiveFullBytes(
             (e, body) -> {
               if (body.length > ProtocolConstants.MAX_BODY_BYTES) {
-                tooLarge(e);
+                refuseAsTooLarge(e);
               } else {
                 serve(e, service, new Request(method, path, body));
               }
             },
             (e, failure) -> {
               if (failure instanceof io.undertow.io.Receiver.RequestToLargeException) {
-                tooLarge(e);
+                refuseAsTooLarge(e);
               } else {
                 IoUtils.safeClose(e.getConnection());
               }
             });
   }
 
-  private void tooLarge(HttpServerExchange exchange) {
+  private void refuseAsTooLarge(HttpServerExchange exchange) {
     respond(
         exchange,
         Answer.error(413, "body: is larger than " + ProtocolConstants.MAX_BODY_BYTES + " bytes")
@@ -121,7 +128,8 @@
     try {
       service.handle(request, answer -> respond(exchange, answer));
     } catch (RuntimeException e) {
-      log.error("{} {} failed", request.method(), request.path(), e);
+      log.error(
+          "request handler failed method={} path=\"{}\"", request.method(), request.path(), e);
       respond(exchange, Answer.error(500, "internal error"));
     }
   }
@@ -135,13 +143,13 @@
     if (answer.retryAfterS() > 0) {
       exchange.getResponseHeaders().put(Headers.RETRY_AFTER, answer.retryAfterS());
     }
-    boolean close =
+    boolean isClosing =
         switch (answer.afterwards()) {
           case KEEP -> false;
-          case KEEP_IF_ROOM -> inbound.isCrowded();
+          case KEEP_IF_ROOM -> inbound.areSocketsScarce();
           case CLOSE -> true;
         };
-    if (close) {
+    if (isClosing) {
       exchange.setPersistent(false);
       exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
     }
--- a/src/main/java/fennelthread/net/InboundConnections.java
+++ b/src/main/java/fennelthread/net/InboundConnections.java
@@ -8,68 +8,75 @@
 import java.util.function.LongSupplier;
 
 /**
- * The connections that others have opened to us, the longest unused first. A process at its limit
- * of sockets refuses whoever comes next, users and health checks among them, while it still holds
- * connections that nobody will ever use again: machines that were cut off or died leave theirs, and
- * come back on new ones. Near the limit those go.
+ * The connections that clients have opened to this process, the least recently used first. A
+ * process at its limit of sockets refuses every new connection, also of users and health checks,
+ * while it still holds connections that no client will use again: machines that fail or are cut off
+ * leave theirs open here, and reconnect later. Near the limit, stale connections are closed. Used
+ * on the event loop's thread only.
  *
- * @param <C> a connection
+ * @param <C> the type of a connection
  */
 final class InboundConnections<C> {
   private final LongSupplier nowMs;
-  private final int most;
-  private final int crowded;
-  private final IntSupplier outbound;
+  private final int maxOpenSockets;
+  private final int scarceAboveSockets;
+  private final IntSupplier outboundSockets;
   private final Consumer<C> close;
-  private final Map<C, Long> usedAtMs = new LinkedHashMap<>(64, 0.75f, true);
+  private final Map<C, Long> lastRequestAtMs = new LinkedHashMap<>(64, 0.75f, true);
 
   /**
-   * Creates it empty.
+   * Creates an empty set of connections.
    *
-   * @param nowMs the steady clock, ms
-   * @param mostSockets how many sockets the process may hold
-   * @param outbound how many of them our own connections take
+   * @param nowMs the monotonic clock, ms
+   * @param maxSockets the number of sockets that the process may hold
+   * @param outboundSockets the number of sockets that connections to other components take
    * @param close closes a connection
    */
-  InboundConnections(LongSupplier nowMs, int mostSockets, IntSupplier outbound, Consumer<C> close) {
+  InboundConnections(
+      LongSupplier nowMs, int maxSockets, IntSupplier outboundSockets, Consumer<C> close) {
     this.nowMs = nowMs;
-    this.most = (int) (mostSockets * NetConstants.FULL_SOCKET_SHARE);
-    this.crowded = (int) (mostSockets * NetConstants.CROWDED_SOCKET_SHARE);
-    this.outbound = outbound;
+    this.maxOpenSockets = (int) (maxSockets * NetConstants.SOCKETS_FULL_SHARE);
+    this.scarceAboveSockets = (int) (maxSockets * NetConstants.SOCKETS_CROWDED_SHARE);
+    this.outboundSockets = outboundSockets;
     this.close = close;
   }
 
-  /** A request came in on a connection; true if it is the first one there. */
-  boolean used(C connection) {
-    boolean first = usedAtMs.put(connection, nowMs.getAsLong()) == null;
-    if (first) {
-      makeRoom();
+  /**
+   * Records a request on a connection. The first one on a new connection closes stale connections
+   * if sockets run out.
+   *
+   * @return true if it is the first request on the connection
+   */
+  boolean recordRequest(C connection) {
+    boolean isFirst = lastRequestAtMs.put(connection, nowMs.getAsLong()) == null;
+    if (isFirst) {
+      closeStaleConnections();
     }
-    return first;
+    return isFirst;
   }
 
-  /** A connection was closed. */
-  void gone(C connection) {
-    usedAtMs.remove(connection);
+  /** Records that a connection was closed. */
+  void recordClosed(C connection) {
+    lastRequestAtMs.remove(connection);
   }
 
   /**
-   * True if connections that are used rarely had better be closed after an answer. A fleet with
-   * more workers than there are sockets is served that way: each worker needs one for a moment
-   * only.
+   * True if so many sockets are open that rarely used connections are to be closed after each
+   * answer. This lets a process serve more workers than it has sockets: each worker needs one for a
+   * moment only.
    */
-  boolean isCrowded() {
-    return usedAtMs.size() + outbound.getAsInt() > crowded;
+  boolean areSocketsScarce() {
+    return lastRequestAtMs.size() + outboundSockets.getAsInt() > scarceAboveSockets;
   }
 
-  private void makeRoom() {
-    while (usedAtMs.size() + outbound.getAsInt() > most) {
-      Map.Entry<C, Long> longest = usedAtMs.entrySet().iterator().next();
-      if (nowMs.getAsLong() - longest.getValue() < NetConstants.STALE_CONNECTION_MS) {
+  private void closeStaleConnections() {
+    while (lastRequestAtMs.size() + outboundSockets.getAsInt() > maxOpenSockets) {
+      Map.Entry<C, Long> leastRecent = lastRequestAtMs.entrySet().iterator().next();
+      if (nowMs.getAsLong() - leastRecent.getValue() < NetConstants.STALE_CONNECTION_MS) {
         return;
       }
-      C connection = longest.getKey();
-      usedAtMs.remove(connection);
+      C connection = leastRecent.getKey();
+      lastRequestAtMs.remove(connection);
       close.accept(connection);
     }
   }
--- a/src/main/java/fennelthread/net/Request.java
+++ b/src/main/java/fennelthread/net/Request.java
@@ -1,5 +1,11 @@
 package fennelthread.net;
 
-/** A request received; {@code path} is without the query. */
-@SuppressWarnings("ArrayRecordComponent") // handed on, never compared
+/**
+ * A request received.
+ *
+ * @param method the HTTP method
+ * @param path the path without the query
+ * @param body the encoded body; null for a GET request without one
+ */
+@SuppressWarnings("ArrayRecordComponent") // never compared
 public record Request(String method, String path, byte[] body) {}
--- a/src/main/java/fennelthread/net/StallDetector.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -5,60 +5,61 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices that this process stood still while its clocks ran on: a frozen machine, a long
- * collection, a processor share that is used up. On waking all timers are due at once and what came
- * in meanwhile waits to be read, so that everybody else seems to have been silent. Nobody is judged
- * by their silence until we have listened for as long as we slept.
+ * Detects that this process stalled while its clocks ran on: the machine froze, a garbage
+ * collection took long, or the processor quota was used up. After a stall all timers are due at
+ * once and the messages that arrived meanwhile are still unread, so every other component seems to
+ * have been silent. Silence is not to be trusted until the process has been reading messages for as
+ * long as it stalled, up to a bound.
  *
- * <p>Timers run in any order after a sleep, so that whoever asks looks at the clock first.
+ * <p>Timers fire in any order after a stall, so {@link #isListening} checks the clock itself.
  */
 public final class StallDetector {
   private static final Logger log = LoggerFactory.getLogger(StallDetector.class);
 
-  /** What may be concluded from silence. */
+  /** Whether silence of other components may be trusted. */
   private enum Phase {
-    /** We hear what is said. */
-    AWAKE,
-    /** We stood still, and what was said meanwhile is still being read. */
-    LISTENING
+    /** Messages are read as they arrive: silence may be trusted. */
+    NORMAL,
+    /** The process stalled and may still be reading old messages: silence means nothing. */
+    CATCHING_UP
   }
 
   private final EventLoop eventLoop;
-  private Phase phase = Phase.AWAKE;
-  private long lookedAtMs;
-  private long listensUntilMs;
-  private long sleeps;
+  private Phase phase = Phase.NORMAL;
+  private long lastCheckAtMs;
+  private long catchingUpUntilMs;
+  private long stalls;
 
-  /** Creates it; {@link #start} sets it going. */
+  /** Creates the detector; {@link #start} begins to check the clock. */
   public StallDetector(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
-    this.lookedAtMs = eventLoop.nowMs();
+    this.lastCheckAtMs = eventLoop.nowMs();
   }
 
-  /** Begins to look at the clock. */
+  /** Checks the clock now and then periodically; call it once. */
   public void start() {
     isListening();
-    eventLoop.after(NetConstants.STALL_CHECK_INTERVAL_MS, this::start);
+    eventLoop.after(NetConstants.WAKE_LOOK_MS, this::start);
   }
 
   /**
-   * True if others' silence says nothing at this moment, since we may have slept through what they
-   * said.
+   * True if the silence of other components means nothing at the moment, because the process
+   * stalled lately and their messages may still be unread.
    */
   public boolean isListening() {
-    long now = eventLoop.nowMs();
-    long gapMs = now - lookedAtMs;
-    lookedAtMs = now;
-    if (gapMs > NetConstants.MIN_STALL_MS) {
-      sleeps++;
-      log.info("we stood still for {} ms, for the {}. time", gapMs, sleeps);
-      listensUntilMs =
-          Math.max(listensUntilMs, now + Math.min(NetConstants.MAX_LISTEN_AFTER_STALL_MS, gapMs));
-      moveTo(Phase.LISTENING);
-    } else if (now >= listensUntilMs) {
-      moveTo(Phase.AWAKE);
+    long nowMs = eventLoop.nowMs();
+    long gapMs = nowMs - lastCheckAtMs;
+    lastCheckAtMs = nowMs;
+    if (gapMs > NetConstants.WAKE_LATE_MS) {
+      stalls++;
+      log.info("process stalled gapMs={} stalls={}", gapMs, stalls);
+      catchingUpUntilMs =
+          Math.max(catchingUpUntilMs, nowMs + Math.min(NetConstants.WAKE_LISTEN_MOST_MS, gapMs));
+      moveTo(Phase.CATCHING_UP);
+    } else if (nowMs >= catchingUpUntilMs) {
+      moveTo(Phase.NORMAL);
     }
-    return phase == Phase.LISTENING;
+    return phase == Phase.CATCHING_UP;
   }
 
   /** The only place where the phase changes. */
--- a/src/main/java/fennelthread/net/XnioEventLoop.java
+++ b/src/main/java/fennelthread/net/XnioEventLoop.java
@@ -19,7 +19,10 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The real machine: Undertow's server and client over one XNIO thread, which owns all state. */
+/**
+ * The event loop of a real process: Undertow's HTTP server and client on one XNIO thread, on which
+ * all tasks, timers and callbacks run.
+ */
 public final class XnioEventLoop implements EventLoop {
   private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
 
@@ -33,13 +36,14 @@
   private HttpServer server;
 
   /**
-   * Creates the event loop with its thread; nothing listens yet.
+   * Creates the event loop and starts its thread; it does not listen yet.
    *
-   * @param mostSockets how many sockets the process may hold
-   * @param mostOutbound how many of them may be connections of ours at once
-   * @param essential addresses whose connections never wait for room among them
+   * @param maxSockets the number of sockets that the process may hold
+   * @param maxOutboundSockets how many of them connections to other components may take
+   * @param essentialAddresses addresses that are connected to beyond that bound too
+   * @throws IOException if the thread cannot be created
    */
-  public XnioEventLoop(int mostSockets, int mostOutbound, Set<String> essential)
+  public XnioEventLoop(int maxSockets, int maxOutboundSockets, Set<String> essentialAddresses)
       throws IOException {
     worker =
         Xnio.getInstance()
@@ -53,23 +57,28 @@
                     .set(Options.WORKER_NAME, "fennelthread")
                     .getMap());
     thread = worker.getIoThread();
-    client = new HttpClient(this, thread, buffers, mostOutbound, essential);
+    client = new HttpClient(this, thread, buffers, maxOutboundSockets, essentialAddresses);
     inbound =
-        new InboundConnections<>(this::nowMs, mostSockets, client::sockets, IoUtils::safeClose);
+        new InboundConnections<>(this::nowMs, maxSockets, client::socketCount, IoUtils::safeClose);
   }
 
-  /** Runs a task on the thread that owns all state. */
+  /** Runs a task on the event loop's thread; may be called from any thread. */
   public void run(Runnable task) {
     thread.execute(guarded(task));
   }
 
-  /** Listens; the services are called on the one thread. */
-  public void listen(String apiAddr, Service api, String peerAddr, Service peers) {
-    server = new HttpServer(worker, buffers, inbound, apiAddr, api, peerAddr, peers);
+  /**
+   * Starts to listen on both addresses, host and port; the services are called on the event loop's
+   * thread.
+   */
+  public void listen(
+      String apiAddress, Service apiService, String peerAddress, Service peerService) {
+    server =
+        new HttpServer(worker, buffers, inbound, apiAddress, apiService, peerAddress, peerService);
     server.start();
   }
 
-  /** Stops listening and ends the thread. */
+  /** Stops listening and ends the event loop's thread. */
   public void stop() {
     if (server != null) {
       server.stop();
@@ -99,13 +108,13 @@
     return random;
   }
 
-  /** One task's mistake must not end the thread that everything runs on. */
+  /** A task that logs its exceptions, so that they do not end the event loop's thread. */
   static Runnable guarded(Runnable task) {
     return () -> {
       try {
         task.run();
       } catch (RuntimeException e) {
-        log.error("a task failed", e);
+        log.error("event loop task failed", e);
       }
     };
   }
--- a/src/main/java/fennelthread/peers/HeartbeatExtension.java
+++ b/src/main/java/fennelthread/peers/HeartbeatExtension.java
@@ -1,21 +1,23 @@
 package fennelthread.peers;
 
 /**
- * A subsystem that adds to heartbeats and their answers, and handles what peers add. Called on the
- * event loop's thread, in the order in which extensions were added.
+ * A subsystem that adds fields to heartbeats and their answers, and handles those of peers. Called
+ * on the event loop's thread, in the order in which extensions were added.
  */
 public interface HeartbeatExtension {
-  /** Returns a heartbeat that is about to be sent to a peer, with what this subsystem adds. */
+  /** Returns a heartbeat that is about to be sent to a peer, with this subsystem's additions. */
   default PeerHeartbeat extendHeartbeat(String member, PeerHeartbeat heartbeat) {
     return heartbeat;
   }
 
   /**
-   * Returns the answer to a heartbeat with what this subsystem adds. The heartbeat has been
+   * Returns the answer to a heartbeat, with this subsystem's additions. The heartbeat has been
    * recorded already.
    */
   PeerHeartbeat extendAnswer(PeerHeartbeat heartbeat, PeerHeartbeat answer);
 
-  /** Handles a peer's answer to the heartbeat that was sent at {@code sentAtMs}. */
+  /**
+   * Handles a peer's answer to a heartbeat; {@code sentAtMs} is when the heartbeat was sent, ms.
+   */
   void onAnswer(String member, PeerHeartbeat answer, long sentAtMs);
 }
--- a/src/main/java/fennelthread/peers/LocalStatus.java
+++ b/src/main/java/fennelthread/peers/LocalStatus.java
@@ -2,14 +2,14 @@
 
 import java.util.Map;
 
-/** What this controller shares with its peers in heartbeats, and does with what they say. */
+/** Supplies what this controller sends in heartbeats, and handles those of its peers. */
 public interface LocalStatus {
-  /** What this controller says of itself now. */
+  /** The current state of this controller. */
   HeartbeatSender sender();
 
   /**
-   * The workers' addresses by worker that peers should have in case they have to lead; none while
-   * another controller leads.
+   * The addresses by worker that peers need in case they have to lead; empty while another
+   * controller leads.
    */
   Map<String, String> workerAddresses();
 
--- a/src/main/java/fennelthread/peers/PeerConnection.java
+++ b/src/main/java/fennelthread/peers/PeerConnection.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /**
- * The state of the exchange with one peer: what it last said, when it was last heard from, and
+ * The state of the heartbeats with one peer: its last heartbeat, when it was last heard from, and
  * which workers' addresses it has. Used on the event loop's thread only.
  */
 final class PeerConnection {
@@ -20,7 +20,7 @@
   private long lastHeardAtMs = PeerConstants.NEVER_MS;
   private long epochSinceMs = Long.MAX_VALUE;
   private long lastUnansweredAtMs = PeerConstants.NEVER_MS;
-  private boolean heartbeatOutstanding;
+  private boolean isHeartbeatInFlight;
 
   PeerConnection(Settings.Peer peer) {
     this.peer = peer;
@@ -34,7 +34,7 @@
     return peer.addr();
   }
 
-  /** What the peer said last, in a heartbeat or an answer; null if it was never heard from. */
+  /** The last heartbeat of the peer, or answer to one; null if it was never heard from. */
   PeerHeartbeat latest() {
     return latest;
   }
@@ -53,20 +53,23 @@
     return latest != null && nowMs - lastHeardAtMs < PeerConstants.PEER_SILENT_MS;
   }
 
-  /** True if the peer relays, and answered or was heard from since a heartbeat was unanswered. */
+  /** True if the peer relays, and was heard from after the last heartbeat that got no answer. */
   boolean canRelay(long nowMs) {
     return isHeard(nowMs) && latest.features().relaying() && lastHeardAtMs > lastUnansweredAtMs;
   }
 
-  /** True if the peer bounds its renewals, and knows of an epoch no older than this one. */
+  /**
+   * True if the peer's version renews leases for a bounded time only, and the peer knows of this
+   * epoch or a later one.
+   */
   boolean boundsRenewals(long unboundedEpoch) {
     return latest != null && latest.renewal() != null && latest.epoch() >= unboundedEpoch;
   }
 
   /**
-   * Records what the peer says.
+   * Records a heartbeat of the peer, or an answer to one.
    *
-   * @return false if it is outdated, a message that was delayed
+   * @return false if it is an outdated message that was delayed
    */
   boolean record(PeerHeartbeat heartbeat, long nowMs) {
     if (latest == null || heartbeat.epoch() > latest.epoch()) {
@@ -84,28 +87,28 @@
 
   // ---------------------------------------------------------------- sending
 
-  /** Starts a heartbeat unless one is under way, which the return value says. */
+  /** Marks a heartbeat as in flight; false if one is in flight already. */
   boolean tryStartHeartbeat() {
-    if (heartbeatOutstanding) {
+    if (isHeartbeatInFlight) {
       return false;
     }
-    heartbeatOutstanding = true;
+    isHeartbeatInFlight = true;
     return true;
   }
 
   void onHeartbeatAnswered() {
-    heartbeatOutstanding = false;
+    isHeartbeatInFlight = false;
   }
 
   void onHeartbeatUnanswered(long nowMs) {
-    heartbeatOutstanding = false;
+    isHeartbeatInFlight = false;
     lastUnansweredAtMs = nowMs;
   }
 
   /**
-   * The changes to the workers' addresses that the peer does not have. All addresses of hundreds of
-   * workers in each heartbeat would be tens of kilobytes a second, to be encoded and decoded on a
-   * small processor.
+   * The changes to the workers' addresses that the peer does not have. Sending all addresses of
+   * hundreds of workers in each heartbeat would take tens of kilobytes a second, and the time of a
+   * small processor to encode and decode them.
    */
   WorkerAddressUpdate addressUpdate(Map<String, String> currentAddresses) {
     if (currentAddresses.isEmpty()) {
@@ -131,10 +134,10 @@
     return new WorkerAddressUpdate(changed, removed);
   }
 
-  /** Records that this process of the peer has received an update of the workers' addresses. */
+  /** Records that a process of the peer has received an update of the workers' addresses. */
   void acknowledgeAddresses(String incarnation, WorkerAddressUpdate update) {
     if (!incarnation.equals(acknowledgingIncarnation)) {
-      // A new process has no addresses but those of this update.
+      // A restarted peer has only the addresses of this update.
       acknowledgingIncarnation = incarnation;
       acknowledgedAddresses.clear();
     }
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -9,12 +9,12 @@
 /**
  * A heartbeat between controllers, or the answer to one.
  *
- * @param sender what the sender says of itself
+ * @param sender the state of the sender
  * @param features what its version supports
  * @param promisedEpoch in an answer: the epoch whose leader is promised that the sender helps
  *     nobody take over, 0 for none
- * @param renewal about the renewal of leases; null from a version that never renews any in a silent
- *     leader's place
+ * @param renewal about the renewal of leases; null from a version that never renews leases in place
+ *     of a silent leader
  * @param addresses changes to the workers' addresses
  */
 public record PeerHeartbeat(
@@ -24,7 +24,7 @@
     RenewalStatus renewal,
     WorkerAddressUpdate addresses) {
 
-  /** A heartbeat of this version that promises nothing and shares no addresses. */
+  /** A heartbeat of this version without a promise, a renewal status or addresses. */
   public static PeerHeartbeat of(HeartbeatSender sender) {
     return new PeerHeartbeat(sender, PeerFeatures.current(), 0, null, WorkerAddressUpdate.none());
   }
@@ -34,7 +34,7 @@
     return sender.member();
   }
 
-  /** The process of that controller. */
+  /** Identifies the sender's process: a restart changes it. */
   public String incarnation() {
     return sender.incarnation();
   }
@@ -44,17 +44,17 @@
     return sender.epoch();
   }
 
-  /** True if the sender leads that epoch. */
+  /** True if the sender leads its {@link #epoch}. */
   public boolean leading() {
     return sender.leading();
   }
 
-  /** The same with a promise to help nobody take over from the leader of {@code epoch}. */
+  /** A copy with a promise to help nobody take over from the leader of {@code epoch}. */
   public PeerHeartbeat withPromise(long epoch) {
     return new PeerHeartbeat(sender, features, epoch, renewal, addresses);
   }
 
-  /** The same with a status of the renewal of leases. */
+  /** A copy with a status of the renewal of leases. */
   public PeerHeartbeat withRenewal(RenewalStatus status) {
     return new PeerHeartbeat(sender, features, promisedEpoch, status, addresses);
   }
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The heartbeats between this controller and its peers, and what follows from them about each peer.
- * A heartbeat that names an epoch acknowledges it: from then on its sender answers no report for an
- * older one. Used on the event loop's thread only.
+ * Sends and receives the heartbeats between this controller and its peers, and answers questions
+ * about the peers from them. A heartbeat acknowledges its epoch: its sender answers no more reports
+ * for older epochs. Used on the event loop's thread only.
  */
 public final class PeerHeartbeats implements Service {
   private static final Logger log = LoggerFactory.getLogger(PeerHeartbeats.class);
@@ -57,11 +57,13 @@
   /** Sends a heartbeat to all peers, now and then periodically; call it once. */
   public void start() {
     sendHeartbeats();
-    double jitter = 1 + ProtocolConstants.PAUSE_JITTER_SHARE * eventLoop.random().nextDouble();
+    double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
     eventLoop.after((long) (PeerConstants.HEARTBEAT_INTERVAL_MS * jitter), this::start);
   }
 
-  /** Sends a heartbeat to all peers now: after a claim, every moment counts. */
+  /**
+   * Sends a heartbeat to all peers now; after a claim, waiting for the next one would cost time.
+   */
   public void sendHeartbeats() {
     peers.values().forEach(this::sendHeartbeat);
   }
@@ -105,7 +107,7 @@
     }
   }
 
-  /** Sends a request to a peer's service, as {@link EventLoop#call} says. */
+  /** Sends a request to a peer; the callbacks follow the contract of {@link EventLoop#call}. */
   public void call(
       String member,
       String path,
@@ -117,14 +119,14 @@
         peers.get(member).address(), Call.post(path, Codec.JSON, body), timeoutMs, done, unsent);
   }
 
-  /** The same for a caller that need not know whether an unanswered request was sent at all. */
+  /** Sends a request to a peer; {@code done} receives null also if nothing of it was sent. */
   public void call(String member, String path, Fields body, long timeoutMs, Consumer<Answer> done) {
-    call(member, path, body, timeoutMs, done, tried -> done.accept(null));
+    call(member, path, body, timeoutMs, done, wasTried -> done.accept(null));
   }
 
   // ---------------------------------------------------------------- receiving
 
-  /** Handles a peer's request: a heartbeat, or one for a service. */
+  /** Handles a peer's request: a heartbeat, or a request to one of the added services. */
   @Override
   public void handle(Request request, Consumer<Answer> reply) {
     if (services.tryHandle(request, reply)) {
@@ -150,7 +152,7 @@
       reply.accept(error(400, e.getMessage()));
       return;
     }
-    // After it was recorded: the answer acknowledges the epoch that the heartbeat has brought.
+    // Created after the heartbeat was recorded, so that it acknowledges the heartbeat's epoch.
     PeerHeartbeat answer = PeerHeartbeat.of(localStatus.sender());
     for (HeartbeatExtension extension : extensions) {
       answer = extension.extendAnswer(heartbeat, answer);
@@ -171,13 +173,16 @@
 
   // ---------------------------------------------------------------- relays
 
-  /** True if a peer relays reports and commands, and was reached or heard from the last time. */
+  /**
+   * True if a peer relays reports and commands, and was heard from lately, also after the last
+   * heartbeat that it did not answer.
+   */
   public boolean canRelayThrough(String member) {
     PeerConnection peer = peers.get(member);
     return peer != null && peer.canRelay(eventLoop.nowMs());
   }
 
-  /** The members through which this controller can relay. */
+  /** The peers through which this controller can relay, by member name. */
   public List<String> relayingMembers() {
     long nowMs = eventLoop.nowMs();
     return peers.values().stream()
@@ -186,7 +191,7 @@
         .toList();
   }
 
-  /** The relaying peer that receives reports of the most workers, or null if no peer relays. */
+  /** The peer that can relay and receives the most workers' reports, or null if none can relay. */
   public String bestRelay() {
     long nowMs = eventLoop.nowMs();
     PeerConnection best = null;
@@ -215,7 +220,7 @@
     return reports;
   }
 
-  /** True if this peer says that it leads and receives no reports from its workers itself. */
+  /** True if the peer was heard from lately, leads, and receives no reports directly. */
   public boolean leadsWithWorkersUnreachable(String member) {
     PeerConnection peer = peers.get(member);
     return peer != null
@@ -224,7 +229,7 @@
         && peer.latest().sender().workersUnreachable();
   }
 
-  /** A peer heard from lately that renews leases in a silent leader's place, or null if none. */
+  /** A peer heard from lately that renews leases in place of a silent leader, or null if none. */
   public String anyRenewingPeer() {
     long nowMs = eventLoop.nowMs();
     for (PeerConnection peer : peers.values()) {
@@ -247,9 +252,9 @@
 
   /**
    * The moment since which each peer either acknowledges {@code epoch} or can answer no report for
-   * an older one, ms; {@code Long.MAX_VALUE} while one may.
+   * an older one, ms; {@code Long.MAX_VALUE} while some peer still may answer one.
    *
-   * @param boundMs the moment from which peers that bound their renewals answer none
+   * @param boundMs the moment from which peers that bound their renewals answer no such report
    * @param unboundedEpoch the last epoch whose leader may be of a version that does not, 0 for none
    */
   public long acknowledgedSince(long epoch, long boundMs, long unboundedEpoch) {
@@ -275,8 +280,8 @@
   }
 
   /**
-   * True if the state service has served some peer after {@code timeMs}. That a peer says it is
-   * served is not enough: in an outage that has just begun, it may not have noticed yet.
+   * True if the state service has served some peer after {@code timeMs}. A peer's statement that it
+   * is being served would not be enough, because it may not have noticed a new outage yet.
    */
   public boolean peerServedAfter(long timeMs) {
     return anyPeer(peer -> peer.lastHeardAtMs() - peer.latest().sender().servedAgoMs() > timeMs);
@@ -284,7 +289,7 @@
 
   /**
    * True if a peer heard from lately is of a version that does not hold jobs back for their
-   * dependencies. One that is silent does not count: it may be gone for good.
+   * dependencies. A silent peer does not count, because it may never return.
    */
   public boolean hasHeardOutdatedPeer() {
     long nowMs = eventLoop.nowMs();
@@ -294,7 +299,7 @@
                 && nowMs - peer.lastHeardAtMs() < PeerConstants.OUTDATED_PEER_MS);
   }
 
-  /** True if the condition holds of a peer that was ever heard from. */
+  /** True if the condition holds for some peer that was ever heard from. */
   private boolean anyPeer(Predicate<PeerConnection> condition) {
     return peers.values().stream().anyMatch(peer -> peer.latest() != null && condition.test(peer));
   }
--- a/src/main/java/fennelthread/peers/PeerServices.java
+++ b/src/main/java/fennelthread/peers/PeerServices.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The services of other subsystems that peers can call, each under a prefix of the path. */
+/** The services of other subsystems that peers can call, each under its own path prefix. */
 final class PeerServices {
   private final Map<String, Service> servicesByPrefix = new HashMap<>();
 
@@ -16,7 +16,7 @@
     servicesByPrefix.put(prefix, service);
   }
 
-  /** Hands a request to the service that it is for; false if there is none. */
+  /** Passes a POST request to the service with a matching path prefix; false if there is none. */
   boolean tryHandle(Request request, Consumer<Answer> reply) {
     for (Map.Entry<String, Service> entry : servicesByPrefix.entrySet()) {
       if (request.path().startsWith(entry.getKey()) && request.method().equals("POST")) {
--- a/src/main/java/fennelthread/peers/RenewalStatus.java
+++ b/src/main/java/fennelthread/peers/RenewalStatus.java
@@ -6,20 +6,20 @@
 import java.util.List;
 
 /**
- * The part of a heartbeat, or of its answer, about the renewal of workers' leases without the
- * leader.
+ * The part of a heartbeat, or of its answer, about the renewal of workers' leases by followers in
+ * place of a silent leader.
  *
  * @param receiverHeard in a heartbeat: true if the sender has lately heard from the receiver
  * @param logPosition in a heartbeat: the number of the last entry of the receiver's log of
  *     cancellations that the sender has
  * @param abstainingForEpoch in an answer: the epoch whose leader is promised that the sender renews
- *     no lease in its place for a while, 0 for none
+ *     no lease in its place for a while; 0 for none
  * @param cancelledJobIds in an answer: the entries of the sender's log that follow the position
  *     asked for
  * @param lastNumber in an answer: the number of the last of these entries
  * @param complete in an answer: true if no entries follow
- * @param renewing true if the sender renews leases in a silent leader's place
- * @param renewedAgoMs the time since it last did so, ms, {@link PeerConstants#NEVER_RENEWED} if it
+ * @param renewing true if the sender renews leases in place of a silent leader
+ * @param renewedAgoMs the time since it last did so, ms; {@link PeerConstants#NEVER_RENEWED} if it
  *     never did
  */
 public record RenewalStatus(
--- a/src/main/java/fennelthread/peers/WorkerAddressUpdate.java
+++ b/src/main/java/fennelthread/peers/WorkerAddressUpdate.java
@@ -11,7 +11,7 @@
  * @param removed workers that have no address any more
  */
 public record WorkerAddressUpdate(Map<String, String> changed, List<String> removed) {
-  /** The update of a controller that has nothing to share. */
+  /** An update without changes. */
   static WorkerAddressUpdate none() {
     return new WorkerAddressUpdate(Map.of(), List.of());
   }
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -21,106 +21,114 @@
 import java.util.function.LongSupplier;
 
 /**
- * How a leader reaches workers: directly, or through a peer while it does not hear them itself. A
- * command through a peer is a command that takes longer: without an answer it counts as one that
- * may still be executed, and it is the worker that refuses what comes under an old token.
+ * Sends a leader's commands and probes to workers: directly, or through a peer for workers whose
+ * reports do not reach the leader directly. A relayed command that gets no answer may still be
+ * executed; the worker itself refuses commands under an outdated fencing token. Also serves the
+ * peers' relay requests. Used on the event loop's thread only.
  */
 public final class CommandSender implements CommandTransport {
 
-  /** Answers reports that peers pass on. */
+  /** Answers workers' reports that peers relay. */
   @FunctionalInterface
-  public interface Reports {
+  public interface RelayedReportHandler {
     /**
-     * Answers one under the given epoch as if it had come directly; null if we are not entitled to.
+     * Answers a report as if the worker had sent it here.
+     *
+     * @param epoch the epoch that the relaying peer takes this controller to lead
+     * @param peer the relaying peer
+     * @return null if this controller must not answer
      */
-    Answer answer(WorkerReport report, long epoch, String from);
+    Answer answer(WorkerReport report, long epoch, String peer);
   }
 
-  /** By whom a worker's last report was passed on. */
-  private record Via(String member, long atMs) {}
+  /** The peer through which a worker was last heard, and when. */
+  private record RelayRoute(String peer, long heardAtMs) {}
 
   private final EventLoop eventLoop;
   private final Settings settings;
   private final PeerHeartbeats peers;
-  private final WorkerReachability hearing;
+  private final WorkerReachability reachability;
   private final LongSupplier highestEpoch;
-  private final Map<String, Via> vias = new HashMap<>();
+  private final Map<String, RelayRoute> routesByWorker = new HashMap<>();
   private long epoch;
-  private long carried;
+  private long relayedCommands;
 
   /**
-   * Creates a courier.
+   * Creates a sender without relay routes.
    *
-   * @param highestEpoch the highest epoch heard of: commands of an older one are not passed on
+   * @param reachability whether workers' reports reach this leader directly
+   * @param highestEpoch the highest epoch known here; peers' commands of an older one are not
+   *     relayed
    */
   public CommandSender(
       EventLoop eventLoop,
       Settings settings,
       PeerHeartbeats peers,
-      WorkerReachability hearing,
+      WorkerReachability reachability,
       LongSupplier highestEpoch) {
     this.eventLoop = eventLoop;
     this.settings = settings;
     this.peers = peers;
-    this.hearing = hearing;
+    this.reachability = reachability;
     this.highestEpoch = highestEpoch;
   }
 
-  /** A term of ours begins. */
+  /** Starts a term of this controller as leader of {@code newEpoch}; forgets all relay routes. */
   public void beginTerm(long newEpoch) {
     epoch = newEpoch;
-    vias.clear();
+    routesByWorker.clear();
   }
 
-  /** A worker reported to us directly. */
+  /** Records that a worker reported to this leader directly: commands to it need no peer. */
   public void onDirectReport(String machine) {
-    vias.remove(machine);
+    routesByWorker.remove(machine);
   }
 
-  /** How many commands peers were asked to pass on, since the start of the process. */
-  public long carried() {
-    return carried;
+  /** The number of commands and probes sent through peers since the start of the process. */
+  public long relayedCommands() {
+    return relayedCommands;
   }
 
   @Override
   public void send(
-      Machine m,
+      Machine machine,
       String address,
       Call call,
       long timeoutMs,
       Consumer<Answer> done,
       EventLoop.Unsent unsent) {
-    String peer = peer(m);
+    String peer = choosePeer(machine);
     if (peer != null) {
-      // A question does no harm if it comes again; of anything else a peer's word proves nothing.
-      Runnable notPassedOn = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
-      long relayedMs = timeoutMs + RelayConstants.RELAY_HOP_MS;
-      around(peer, address, call, relayedMs, done, unsent, notPassedOn);
+      // A probe is harmless if it arrives twice, so the peer's word that it did not send it counts.
+      // For a command it proves nothing: the peer may get the request again, and then send it.
+      Runnable onNotRelayed = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
+      long relayTimeoutMs = timeoutMs + RelayConstants.RELAY_HOP_MS;
+      sendThroughPeer(peer, address, call, relayTimeoutMs, done, unsent, onNotRelayed);
     } else if (call.spare() && peers.bestRelay() != null) {
-      new Question(m, address, call, timeoutMs, done, unsent).ask();
+      new HedgedProbe(machine, address, call, timeoutMs, done, unsent).send();
     } else {
       eventLoop.call(address, call, timeoutMs, done, unsent);
     }
   }
 
   /**
-   * A question that is put to a worker directly, and through a peer too if its answer stays away: a
-   * machine that only we can't reach is not to be taken for dead.
+   * A probe that is sent to a worker directly, and through a peer too if its answer is slow: a
+   * machine that only this leader cannot reach must not count as failed.
    */
-  private final class Question {
+  private final class HedgedProbe {
     private final Machine machine;
     private final String address;
     private final Call call;
     private final long timeoutMs;
     private final Consumer<Answer> done;
     private final EventLoop.Unsent unsent;
-    private final long askedAtMs = eventLoop.nowMs();
-    private int open = 1;
-    private boolean over;
-    private boolean sent;
-    private boolean tried;
+    private final long startedAtMs = eventLoop.nowMs();
+    private int attemptsInFlight = 1;
+    private boolean isFinished;
+    private boolean mayHaveBeenSent;
+    private boolean wasTried;
 
-    Question(
+    HedgedProbe(
         Machine machine,
         String address,
         Call call,
@@ -135,49 +143,51 @@
       this.unsent = unsent;
     }
 
-    void ask() {
-      eventLoop.call(address, call, timeoutMs, this::answered, this::notSent);
+    void send() {
+      eventLoop.call(address, call, timeoutMs, this::onAttemptDone, this::onAttemptUnsent);
       eventLoop.after(
           Math.min(RelayConstants.HEDGE_DELAY_MS, timeoutMs / 2),
           () -> {
-            String peer = over ? null : peers.bestRelay();
+            String peer = isFinished ? null : peers.bestRelay();
             if (peer != null) {
-              open++;
-              around(
+              attemptsInFlight++;
+              sendThroughPeer(
                   peer,
                   address,
                   call,
-                  timeoutMs - (eventLoop.nowMs() - askedAtMs),
+                  timeoutMs - (eventLoop.nowMs() - startedAtMs),
                   answer -> {
-                    if (answer != null && !over) {
-                      vias.put(machine.name(), new Via(peer, eventLoop.nowMs()));
+                    if (answer != null && !isFinished) {
+                      routesByWorker.put(machine.name(), new RelayRoute(peer, eventLoop.nowMs()));
                     }
-                    answered(answer);
+                    onAttemptDone(answer);
                   },
-                  this::notSent,
-                  () -> notSent(false));
+                  this::onAttemptUnsent,
+                  () -> onAttemptUnsent(false));
             }
           });
     }
 
-    private void answered(Answer answer) {
-      sent = true;
-      end(answer);
+    /** Handles the answer to an attempt that was or may have been sent; null if there was none. */
+    private void onAttemptDone(Answer answer) {
+      mayHaveBeenSent = true;
+      endAttempt(answer);
     }
 
-    private void notSent(boolean wasTried) {
-      tried |= wasTried;
-      end(null);
+    private void onAttemptUnsent(boolean wasAttemptTried) {
+      wasTried |= wasAttemptTried;
+      endAttempt(null);
     }
 
-    private void end(Answer answer) {
-      open--;
-      if (over || (answer == null && open > 0)) {
+    /** The first answer finishes the probe; without one, the end of the last attempt does. */
+    private void endAttempt(Answer answer) {
+      attemptsInFlight--;
+      if (isFinished || (answer == null && attemptsInFlight > 0)) {
         return;
       }
-      over = true;
-      if (answer == null && !sent) {
-        unsent.over(tried);
+      isFinished = true;
+      if (answer == null && !mayHaveBeenSent) {
+        unsent.over(wasTried);
       } else {
         done.accept(answer);
       }
@@ -185,27 +195,28 @@
   }
 
   /**
-   * Sends a request through a peer; {@code timeoutMs} is for all of it.
+   * Sends a request to a worker through a peer.
    *
-   * @param unsent called if nothing left this process
-   * @param notPassedOn called if the peer says that it found no connection to the worker: what we
-   *     asked of it may reach it a second time, and then go through
+   * @param timeoutMs the timeout of the whole exchange with the peer, ms
+   * @param unsent called if nothing of the request left this process
+   * @param onNotRelayed called if the peer says that it sent nothing to the worker; a duplicate of
+   *     the relay request may still reach the peer later and be sent on
    */
-  private void around(
+  private void sendThroughPeer(
       String peer,
       String address,
       Call call,
       long timeoutMs,
       Consumer<Answer> done,
       EventLoop.Unsent unsent,
-      Runnable notPassedOn) {
+      Runnable onNotRelayed) {
     Fields body;
     try {
       body = call.codec().decode(call.body());
     } catch (WireException e) {
-      throw new IllegalStateException(e);
+      throw new IllegalStateException("the body of a command to relay can't be decoded", e);
     }
-    carried++;
+    relayedCommands++;
     peers.call(
         peer,
         RelayWire.COMMANDS,
@@ -214,42 +225,44 @@
             .write(),
         timeoutMs,
         answer -> {
-          RelayWire.Outcome outcome = Relay.outcome(answer);
+          RelayWire.Outcome outcome = Relay.readOutcome(answer);
           if (outcome != null && outcome.unsent()) {
-            notPassedOn.run();
+            onNotRelayed.run();
           } else {
             done.accept(outcome == null ? null : outcome.answer());
           }
         },
-        tried -> unsent.over(false));
+        // A failure to reach the peer says nothing of the worker.
+        wasTried -> unsent.over(false));
   }
 
-  /** The peer to go through, or null for the onDirectReport way. */
-  private String peer(Machine m) {
-    Via via = vias.get(m.name());
-    if (via != null) {
-      if (eventLoop.nowMs() - via.atMs
+  /** The peer through which to reach a worker, or null to reach it directly. */
+  private String choosePeer(Machine machine) {
+    RelayRoute route = routesByWorker.get(machine.name());
+    if (route != null) {
+      if (eventLoop.nowMs() - route.heardAtMs
               <= settings.workers().reportMs() * RelayConstants.MAX_MISSED_REPORTS
-          && peers.canRelayThrough(via.member)) {
-        return via.member;
+          && peers.canRelayThrough(route.peer)) {
+        return route.peer;
       }
-      vias.remove(m.name());
+      routesByWorker.remove(machine.name());
     }
-    return hearing.areWorkersUnreachable() ? peers.bestRelay() : null;
+    return reachability.areWorkersUnreachable() ? peers.bestRelay() : null;
   }
 
   /**
-   * What peers ask for: reports for us to answer, commands for us to pass on.
+   * The service for peers' relay requests: reports for this leader to answer, and another leader's
+   * commands for this controller to send to a worker.
    *
-   * @param reports answers what peers pass on
+   * @param reports answers the relayed reports
    */
-  public Service peerService(Reports reports) {
+  public Service peerService(RelayedReportHandler reports) {
     return (request, reply) -> {
       try {
         if (request.path().equals(RelayWire.REPORT)) {
-          report(request, reports, reply);
+          handleReport(request, reports, reply);
         } else {
-          commands(request, reply);
+          handleCommands(request, reply);
         }
       } catch (WireException e) {
         reply.accept(Answer.of(400, Codec.JSON, Fields.create().with("error", e.getMessage())));
@@ -257,24 +270,25 @@
     };
   }
 
-  private void report(Request request, Reports reports, Consumer<Answer> reply)
+  private void handleReport(Request request, RelayedReportHandler reports, Consumer<Answer> reply)
       throws WireException {
     RelayWire.Report report = RelayWire.Report.read(Codec.JSON.decode(request.body()));
     Answer answer = reports.answer(report.workerReport(), report.epoch(), report.from());
     if (answer != null && answer.status() == 200) {
-      vias.put(report.workerReport().machine(), new Via(report.from(), eventLoop.nowMs()));
+      routesByWorker.put(
+          report.workerReport().machine(), new RelayRoute(report.from(), eventLoop.nowMs()));
     }
     reply.accept(
         Answer.of(
             200,
             Codec.JSON,
-            RelayWire.Outcome.of(answer == null ? Relay.tryNext() : answer).write()));
+            RelayWire.Outcome.of(answer == null ? Relay.redirectToNext() : answer).write()));
   }
 
-  private void commands(Request request, Consumer<Answer> reply) throws WireException {
+  private void handleCommands(Request request, Consumer<Answer> reply) throws WireException {
     RelayWire.Commands commands = RelayWire.Commands.read(Codec.JSON.decode(request.body()));
     if (commands.epoch() < highestEpoch.getAsLong()) {
-      // Another leads by now: never sent, so nothing of it can be executed.
+      // A later leader is known: nothing is sent to the worker, so nothing can be executed.
       reply.accept(Answer.of(200, Codec.JSON, new RelayWire.Outcome(0, null, true).write()));
       return;
     }
@@ -284,7 +298,7 @@
         commands.spare() ? call.asSpare() : call,
         Math.min(commands.timeoutMs(), FleetConstants.COMMAND_TIMEOUT_MS),
         answer -> reply.accept(Answer.of(200, Codec.JSON, RelayWire.Outcome.of(answer).write())),
-        tried ->
+        wasTried ->
             reply.accept(Answer.of(200, Codec.JSON, new RelayWire.Outcome(0, null, true).write())));
   }
 }
--- a/src/main/java/fennelthread/relay/KnownLeader.java
+++ b/src/main/java/fennelthread/relay/KnownLeader.java
@@ -1,4 +1,9 @@
 package fennelthread.relay;
 
-/** Who leads, as far as this controller knows, and under which epoch. */
+/**
+ * The leader as far as this controller knows.
+ *
+ * @param member the leading controller's name, or null if none is known
+ * @param epoch the epoch that it leads
+ */
 public record KnownLeader(String member, long epoch) {}
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -17,51 +17,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A follower's part for workers that can't reach the leader: it passes their reports on and the
- * leader's answers back. It never answers a report itself, and gives up long before the worker
- * does; what the worker then gets is the order to try the next controller.
+ * A follower's relay for workers that cannot reach the leader: it sends their reports to the leader
+ * and the leader's answers back. It never answers a report itself. It gives up long before the
+ * worker's own timeout, and then redirects the worker to the next controller. Used on the event
+ * loop's thread only.
  */
 public final class Relay {
   private static final Logger log = LoggerFactory.getLogger(Relay.class);
 
-  /** Whether reports are passed on at the moment. */
+  /** Whether reports are relayed at the moment. */
   private enum Phase {
-    /** They are. */
+    /** Reports are relayed. */
     OPEN,
-    /** The leader did not answer several in a row: none is until the pause is over. */
+    /** The leader left several reports in a row unanswered: none is relayed until a pause ends. */
     PAUSED
   }
 
-  /** What becomes of a report that this controller must not answer. */
+  /** What happens to a report that this controller must not answer. */
   public enum Decision {
-    /** It is passed on, and its sender answered once the leader has. */
+    /** It is relayed to the leader, and the worker gets the leader's answer. */
     RELAYED,
-    /** Its sender is to report to the leader. */
+    /** The worker is redirected to the leader. */
     REDIRECT_TO_LEADER,
-    /** The leader does not answer its sender, and we can't ask it: another controller may. */
+    /**
+     * The worker is redirected to the next controller: the leader does not answer it, and this
+     * controller can't relay.
+     */
     REDIRECT_TO_NEXT
   }
 
-  /** A worker that was sent to the leader, or whose reports are passed on. */
-  private static final class Worker {
-    long sentOnAtMs;
+  /** What this controller did with a worker's reports; {@code -1} stands for "not relayed". */
+  private static final class WorkerRoute {
+    long redirectedAtMs;
     long relayedSinceMs = -1;
-    long holdMs = RelayConstants.MIN_RELAY_HOLD_MS;
+    long relayPeriodMs = RelayConstants.MIN_RELAY_HOLD_MS;
   }
 
   private final EventLoop eventLoop;
   private final Settings settings;
   private final PeerHeartbeats peers;
-  private final Map<String, Worker> workers = new LinkedHashMap<>(64, 0.75f, true);
+
+  /** By worker, the least recently used first. */
+  private final Map<String, WorkerRoute> routes = new LinkedHashMap<>(64, 0.75f, true);
+
   private Phase phase = Phase.OPEN;
   private long epoch = -1;
   private long epochSinceMs;
   private long pausedUntilMs;
-  private int unanswered;
-  private int underWay;
-  private long relayed;
+  private int consecutiveFailures;
+  private int reportsInFlight;
+  private long relayedReports;
 
-  /** Creates a relay. */
+  /** Creates a relay that sends reports to the leader as requests between peers. */
   public Relay(EventLoop eventLoop, Settings settings, PeerHeartbeats peers) {
     this.eventLoop = eventLoop;
     this.settings = settings;
@@ -69,124 +76,129 @@
   }
 
   /**
-   * Takes a report that this controller must not answer; {@code reply} is called if it is passed
-   * on.
+   * Relays a report that this controller must not answer, or decides where the worker is to be
+   * redirected. {@code reply} is called only if the report is relayed.
    */
   public Decision relayOrRedirect(WorkerReport report, KnownLeader leader, Consumer<Answer> reply) {
-    long now = eventLoop.nowMs();
+    long nowMs = eventLoop.nowMs();
     if (leader.epoch() != epoch) {
       epoch = leader.epoch();
-      epochSinceMs = now;
-      workers.clear();
+      epochSinceMs = nowMs;
+      routes.clear();
     }
-    boolean left = hasLeft(report, now);
-    if (!left && !peers.leadsWithWorkersUnreachable(leader.member())) {
+    boolean isUnanswered = isUnansweredByLeader(report, nowMs);
+    if (!isUnanswered && !peers.leadsWithWorkersUnreachable(leader.member())) {
       return Decision.REDIRECT_TO_LEADER;
     }
-    if (!isOpen(now) || !peers.canRelayThrough(leader.member())) {
-      // To send it back would cost it the time it waits for the leader's answer, most of its lease.
-      return left ? Decision.REDIRECT_TO_NEXT : Decision.REDIRECT_TO_LEADER;
+    if (!isOpen(nowMs) || !peers.canRelayThrough(leader.member())) {
+      // Sent back to the leader, the worker would wait for its answer for most of its lease.
+      return isUnanswered ? Decision.REDIRECT_TO_NEXT : Decision.REDIRECT_TO_LEADER;
     }
-    pass(report, leader, reply);
+    relay(report, leader, reply);
     return Decision.RELAYED;
   }
 
-  /** True if the worker comes from the leader, which does not answer it. */
-  private boolean hasLeft(WorkerReport report, long now) {
-    Worker w = workers.get(report.machine());
-    if (w == null) {
-      w = new Worker();
-      w.sentOnAtMs = Long.MIN_VALUE / 2;
-      workers.put(report.machine(), w);
-      trim();
+  /**
+   * True if the worker has tried the leader without getting an answer, as far as this controller
+   * can tell. Records the decision for the worker's next reports.
+   */
+  private boolean isUnansweredByLeader(WorkerReport report, long nowMs) {
+    WorkerRoute route = routes.get(report.machine());
+    if (route == null) {
+      route = new WorkerRoute();
+      route.redirectedAtMs = Long.MIN_VALUE / 2;
+      routes.put(report.machine(), route);
+      removeLeastRecentlyUsed();
     }
-    if (w.relayedSinceMs >= 0) {
-      if (now - w.relayedSinceMs < w.holdMs) {
+    if (route.relayedSinceMs >= 0) {
+      if (nowMs - route.relayedSinceMs < route.relayPeriodMs) {
         return true;
       }
-      // Now and then it tries the leader again, less often each time.
-      w.relayedSinceMs = -1;
-      w.holdMs = Math.min(RelayConstants.MAX_RELAY_HOLD_MS, w.holdMs * 2);
-      w.sentOnAtMs = now;
+      // The worker is to try the leader again, after a longer period each time.
+      route.relayedSinceMs = -1;
+      route.relayPeriodMs = Math.min(RelayConstants.MAX_RELAY_HOLD_MS, route.relayPeriodMs * 2);
+      route.redirectedAtMs = nowMs;
       return false;
     }
-    // Whoever obeys the leader for long has reported to it, and would not come here otherwise. In
-    // the
-    // first moments of a term workers know its token from questions, before they have come over.
-    boolean obeyed =
+    // A worker that has held a token of the leader's epoch for long has reported to the leader, and
+    // would report there if it were answered. Early in a term it may hold the token from a probe,
+    // before its first report to the new leader.
+    boolean hasReportedToLeader =
         report.token() >> ProtocolConstants.TOKEN_BITS == epoch
-            && now - epochSinceMs > RelayConstants.TERM_SETTLING_MS;
-    boolean sentOn = now - w.sentOnAtMs < settings.workers().leaseMs();
-    if (obeyed || sentOn) {
-      w.relayedSinceMs = now;
+            && nowMs - epochSinceMs > RelayConstants.TERM_SETTLING_MS;
+    boolean wasRedirected = nowMs - route.redirectedAtMs < settings.workers().leaseMs();
+    if (hasReportedToLeader || wasRedirected) {
+      route.relayedSinceMs = nowMs;
       return true;
     }
-    w.sentOnAtMs = now;
+    route.redirectedAtMs = nowMs;
     return false;
   }
 
-  private void trim() {
-    while (workers.size() > RelayConstants.MAX_KNOWN_WORKERS) {
-      workers.remove(workers.keySet().iterator().next());
+  private void removeLeastRecentlyUsed() {
+    while (routes.size() > RelayConstants.MAX_KNOWN_WORKERS) {
+      routes.remove(routes.keySet().iterator().next());
     }
   }
 
-  private boolean isOpen(long now) {
-    if (phase == Phase.PAUSED && now >= pausedUntilMs) {
+  /** True if another report may be relayed now; ends a pause that is over. */
+  private boolean isOpen(long nowMs) {
+    if (phase == Phase.PAUSED && nowMs >= pausedUntilMs) {
       moveTo(Phase.OPEN);
-      unanswered = 0;
+      consecutiveFailures = 0;
     }
-    return phase == Phase.OPEN && underWay < RelayConstants.MAX_RELAYS_IN_FLIGHT;
+    return phase == Phase.OPEN && reportsInFlight < RelayConstants.MAX_RELAYS_IN_FLIGHT;
   }
 
   /** The only place where the phase changes. */
   private void moveTo(Phase next) {
-    log.info("relay {} -> {}, {} reports passed on so far", phase, next, relayed);
+    log.info("relay phase changed from={} to={} relayedReports={}", phase, next, relayedReports);
     phase = next;
   }
 
-  private void pass(WorkerReport report, KnownLeader leader, Consumer<Answer> reply) {
-    underWay++;
+  private void relay(WorkerReport report, KnownLeader leader, Consumer<Answer> reply) {
+    reportsInFlight++;
     peers.call(
         leader.member(),
         RelayWire.REPORT,
         new RelayWire.Report(settings.member(), leader.epoch(), report).write(),
         RelayConstants.RELAY_TIMEOUT_MS,
         answer -> {
-          underWay--;
-          RelayWire.Outcome outcome = outcome(answer);
+          reportsInFlight--;
+          RelayWire.Outcome outcome = readOutcome(answer);
           if (outcome == null) {
-            failed();
+            onRelayFailed();
           } else {
-            unanswered = 0;
-            relayed++;
+            consecutiveFailures = 0;
+            relayedReports++;
           }
-          Answer own = outcome == null ? null : outcome.answer();
-          reply.accept(own != null ? own : Relay.tryNext());
+          Answer leaderAnswer = outcome == null ? null : outcome.answer();
+          reply.accept(leaderAnswer != null ? leaderAnswer : redirectToNext());
         });
   }
 
-  private void failed() {
-    if (++unanswered >= RelayConstants.MAX_UNANSWERED_RELAYS && phase == Phase.OPEN) {
+  private void onRelayFailed() {
+    if (++consecutiveFailures >= RelayConstants.MAX_UNANSWERED_RELAYS && phase == Phase.OPEN) {
       pausedUntilMs = eventLoop.nowMs() + RelayConstants.RELAY_PAUSE_MS;
       moveTo(Phase.PAUSED);
     }
   }
 
-  static RelayWire.Outcome outcome(Answer answer) {
+  /** Reads a peer's answer to a relayed request; null if there is none that can be read. */
+  static RelayWire.Outcome readOutcome(Answer answer) {
     if (answer == null || answer.status() != 200) {
       return null;
     }
     try {
       return RelayWire.Outcome.read(answer.fields());
     } catch (WireException e) {
-      log.info("malformed answer of a sibling: {}", e.getMessage());
+      log.info("peer relay answer malformed reason={}", e.getMessage());
       return null;
     }
   }
 
-  /** What a worker gets that nobody can answer here: it tries the next controller. */
-  static Answer tryNext() {
+  /** The answer to a worker that no leader answers here: it tries the next controller. */
+  static Answer redirectToNext() {
     return Answer.of(421, Codec.CBOR, new Redirect(null).write());
   }
 }
--- a/src/main/java/fennelthread/relay/RelayWire.java
+++ b/src/main/java/fennelthread/relay/RelayWire.java
@@ -6,20 +6,23 @@
 import fennelthread.wire.WireException;
 import fennelthread.wire.WorkerReport;
 
-/**
- * What passes between controllers for workers that only one of them reaches: JSON over the peer
- * network.
- */
+/** The messages by which controllers relay reports and commands, as JSON on the peer network. */
 final class RelayWire {
-  /** A worker's report on its way to the leader. */
+  /** The path of a worker's report that a follower relays to the leader. */
   static final String REPORT = "/relay/report";
 
-  /** A leader's commands on their way to a worker. */
+  /** The path of a leader's commands that a follower relays to a worker. */
   static final String COMMANDS = "/relay/commands";
 
   private RelayWire() {}
 
-  /** A report; {@code epoch} is the one that the sender takes for the latest. */
+  /**
+   * A relayed report.
+   *
+   * @param from the relaying controller's name
+   * @param epoch the epoch of the leader as the relaying controller knows it
+   * @param workerReport the worker's report
+   */
   record Report(String from, long epoch, WorkerReport workerReport) {
     Fields write() {
       return Fields.create()
@@ -28,14 +31,20 @@
           .with("beat", workerReport.write());
     }
 
-    static Report read(Fields f) throws WireException {
-      return new Report(f.text("from"), f.count("epoch"), WorkerReport.read(f.inner("beat")));
+    static Report read(Fields fields) throws WireException {
+      return new Report(
+          fields.text("from"), fields.count("epoch"), WorkerReport.read(fields.inner("beat")));
     }
   }
 
   /**
-   * Commands for the worker at {@code address}; {@code body} is what the worker is to get, {@code
-   * spare} as of {@link fennelthread.net.Call}.
+   * Commands to be relayed to a worker.
+   *
+   * @param epoch the epoch of the leader that sends them
+   * @param address the worker's address, host and port
+   * @param timeoutMs how long the relaying controller may wait for the worker's answer, ms
+   * @param spare as in {@link fennelthread.net.Call}
+   * @param body the commands as the worker receives them
    */
   record Commands(long epoch, String address, long timeoutMs, boolean spare, Fields body) {
     Fields write() {
@@ -47,21 +56,26 @@
           .with("body", body);
     }
 
-    static Commands read(Fields f) throws WireException {
+    static Commands read(Fields fields) throws WireException {
       return new Commands(
-          f.count("epoch"),
-          f.text("address"),
-          f.count("timeout_ms"),
-          f.optFlag("spare"),
-          f.inner("body"));
+          fields.count("epoch"),
+          fields.text("address"),
+          fields.count("timeout_ms"),
+          fields.optFlag("spare"),
+          fields.inner("body"));
     }
   }
 
   /**
-   * What became of it: the other side's answer, or none, or that nothing of it was ever sent. Only
-   * the last of these proves that it can't be executed any more.
+   * The result of a relayed request.
+   *
+   * @param status the HTTP status of the answer, 0 for no answer
+   * @param body the body of the answer; null if there is none, or it can't be decoded
+   * @param unsent true if nothing of the request was sent on; only this says that this relaying did
+   *     not deliver it
    */
   record Outcome(int status, Fields body, boolean unsent) {
+    /** The outcome for an answer, or for none if it is null. */
     static Outcome of(Answer answer) {
       try {
         return answer == null
@@ -76,12 +90,14 @@
       return Fields.create().with("status", status).with("body", body).with("unsent", unsent);
     }
 
-    static Outcome read(Fields f) throws WireException {
+    static Outcome read(Fields fields) throws WireException {
       return new Outcome(
-          (int) f.count("status"), f.has("body") ? f.inner("body") : null, f.optFlag("unsent"));
+          (int) fields.count("status"),
+          fields.has("body") ? fields.inner("body") : null,
+          fields.optFlag("unsent"));
     }
 
-    /** The answer as if it had come directly, or null if there was none. */
+    /** The answer as if it had come directly, or null if there was none that can be decoded. */
     Answer answer() {
       return status == 0 || body == null ? null : Answer.of(status, Codec.CBOR, body);
     }
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -15,9 +15,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a follower says through the state service when the peer network is silent: workers of the
- * leader come to me. A leader that hears none of them itself then knows that it is cut off, and
- * that they are not gone.
+ * A follower's notice, written to the state service, that workers of the leader report to the
+ * follower although the leader is silent on the peer network. A leader that receives no reports
+ * itself learns from it that it is cut off from its workers, and that they have not failed. Used on
+ * the event loop's thread only.
  */
 public final class UnreachableLeaderNotice {
   private static final Logger log = LoggerFactory.getLogger(UnreachableLeaderNotice.class);
@@ -25,77 +26,97 @@
   private final EventLoop eventLoop;
   private final StateClient state;
   private final String member;
-  private final Runnable onRead;
-  private final Map<String, Long> comers = new LinkedHashMap<>();
-  private long writtenAtMs = Long.MIN_VALUE / 2;
-  private long readAtMs = Long.MIN_VALUE / 2;
-  private long readEpoch = -1;
-  private boolean writing;
+  private final Runnable onPeerNotice;
+  private final Map<String, Long> reportAtMsByWorker = new LinkedHashMap<>();
+  private long publishedAtMs = Long.MIN_VALUE / 2;
+  private long peerNoticeAtMs = Long.MIN_VALUE / 2;
+  private long peerNoticeEpoch = -1;
+  private boolean isPublishing;
 
-  /** Creates it for a member; {@code onRead} is called when a peer's word was read. */
+  /**
+   * Creates the notice of one member.
+   *
+   * @param onPeerNotice called after a peer's notice was read
+   */
   public UnreachableLeaderNotice(
-      EventLoop eventLoop, StateClient state, Replica replica, String member, Runnable onRead) {
+      EventLoop eventLoop,
+      StateClient state,
+      Replica replica,
+      String member,
+      Runnable onPeerNotice) {
     this.eventLoop = eventLoop;
     this.state = state;
     this.member = member;
-    this.onRead = onRead;
-    replica.addListener((key, value, revision) -> changed(key, value));
+    this.onPeerNotice = onPeerNotice;
+    replica.addListener((key, value, revision) -> onRecordChanged(key, value));
   }
 
-  /** A worker addWorker here that obeys the leader of this epoch. */
+  /** Records that a worker whose fencing token is of the leader's epoch reported here. */
   public void addWorker(String machine) {
-    comers.put(machine, eventLoop.nowMs());
+    reportAtMsByWorker.put(machine, eventLoop.nowMs());
   }
 
-  /** Forgets who addWorker: another leads, or the leader can be reached. */
+  /** Forgets the workers that reported here: another leads, or the leader can be reached. */
   public void clear() {
-    comers.clear();
+    reportAtMsByWorker.clear();
   }
 
   /**
-   * Says so if it is time to: {@code known} workers are known, the leader of {@code epoch} silent.
+   * Writes the notice if enough workers of the silent leader have reported here lately, and the
+   * last notice is not too recent.
+   *
+   * @param epoch the epoch of the leader
+   * @param knownWorkers the number of workers that this controller knows of
    */
-  public void publishIfDue(long epoch, int known) {
-    long now = eventLoop.nowMs();
-    comers.values().removeIf(at -> now - at > RelayConstants.NOTICE_VALIDITY_MS);
-    if (writing
-        || comers.size()
+  public void publishIfDue(long epoch, int knownWorkers) {
+    long nowMs = eventLoop.nowMs();
+    reportAtMsByWorker
+        .values()
+        .removeIf(reportAtMs -> nowMs - reportAtMs > RelayConstants.NOTICE_VALIDITY_MS);
+    if (isPublishing
+        || reportAtMsByWorker.size()
             < Math.max(
-                RelayConstants.MIN_NOTICE_WORKERS, known * RelayConstants.MIN_NOTICE_WORKER_SHARE)
-        || now - writtenAtMs < RelayConstants.MIN_NOTICE_INTERVAL_MS) {
+                RelayConstants.MIN_NOTICE_WORKERS,
+                knownWorkers * RelayConstants.MIN_NOTICE_WORKER_SHARE)
+        || nowMs - publishedAtMs < RelayConstants.MIN_NOTICE_INTERVAL_MS) {
       return;
     }
-    writing = true;
-    writtenAtMs = now;
+    isPublishing = true;
+    publishedAtMs = nowMs;
     log.info(
-        "epoch {}: {} workers of a leader that can't be reached come here", epoch, comers.size());
+        "workers of unreachable leader report here epoch={} workers={}",
+        epoch,
+        reportAtMsByWorker.size());
     state.submitTxn(
         RequestPriority.INTERACTIVE,
-        // Not conditional on anything: it is a hint, and says itself which epoch it is about.
+        // Unconditional: the notice is a hint, and names the epoch that it is about.
         new Txn()
             .write(
                 Keys.unreachableLeader(member),
-                Fields.create().with("epoch", epoch).with("workers", (long) comers.size())),
-        result -> writing = false);
+                Fields.create()
+                    .with("epoch", epoch)
+                    .with("workers", (long) reportAtMsByWorker.size())),
+        result -> isPublishing = false);
   }
 
-  private void changed(String key, Fields value) {
+  private void onRecordChanged(String key, Fields value) {
     if (value == null
         || !key.startsWith(Keys.UNREACHABLE_LEADER_PREFIX)
         || key.equals(Keys.unreachableLeader(member))) {
       return;
     }
     try {
-      readEpoch = value.count("epoch");
-      readAtMs = eventLoop.nowMs();
-      onRead.run();
+      peerNoticeEpoch = value.count("epoch");
+      peerNoticeAtMs = eventLoop.nowMs();
+      onPeerNotice.run();
     } catch (WireException e) {
-      log.error("unreadable {}: {}", key, e.getMessage());
+      log.error("record unreadable key={} reason={}", key, e.getMessage());
     }
   }
 
-  /** True if a peer has just said that workers of this epoch's leader come to it. */
+  /** True if a peer's notice about the leader of this epoch was read lately. */
   public boolean hasFreshNotice(long epoch) {
-    return readEpoch == epoch && eventLoop.nowMs() - readAtMs < RelayConstants.NOTICE_VALIDITY_MS;
+    return peerNoticeEpoch == epoch
+        && eventLoop.nowMs() - peerNoticeAtMs < RelayConstants.NOTICE_VALIDITY_MS;
   }
 }
--- a/src/main/java/fennelthread/relay/WorkerReachability.java
+++ b/src/main/java/fennelthread/relay/WorkerReachability.java
@@ -3,100 +3,109 @@
 import fennelthread.constants.RelayConstants;
 
 /**
- * Whether a leader still hears its workers by itself. Hundreds of workers report at random moments,
- * so that a second without a word from any of them is no chance: either we are cut off from them,
- * or they are all gone, and which of the two, others have to say. Silence tells nothing while our
- * own timers run late, since then we were not listening.
+ * Whether workers' reports still reach this leader directly. Hundreds of workers report at random
+ * moments, so a second without a report from any of them is not chance: either this leader is cut
+ * off from them, or they have all failed. Only the peers can tell which. Silence counts for nothing
+ * after this process's own timers have run late, since it was not receiving either. Used on the
+ * event loop's thread only.
  */
 public final class WorkerReachability {
 
-  /** What the leader can say of its ears. */
+  /** Whether the leader receives reports directly. */
   public enum Phase {
-    /** Reports come in, or too few are due to tell. */
+    /** Reports arrive, or too few are due to tell. */
     REACHABLE,
-    /** So many reports are missing that it can't be chance. */
+    /** More reports are missing than chance explains. */
     UNREACHABLE
   }
 
   private final long reportMs;
   private Phase phase = Phase.REACHABLE;
-  private long heardAtMs;
-  private long lookedAtMs;
-  private long deafAtMs = Long.MIN_VALUE / 2;
-  private long backAtMs = Long.MIN_VALUE / 2;
-  private long patienceMs = RelayConstants.MIN_DISTRUST_MS;
+  private long lastReportAtMs;
+  private long lastCheckAtMs;
+  private long unreachableSinceMs = Long.MIN_VALUE / 2;
+  private long reachableSinceMs = Long.MIN_VALUE / 2;
+  private long probeDistrustMs = RelayConstants.MIN_DISTRUST_MS;
 
-  /** Creates it; workers report every {@code reportMs}, ms, more or less. */
+  /** Creates the check of workers that report about every {@code reportMs}, ms. */
   public WorkerReachability(long reportMs) {
     this.reportMs = reportMs;
   }
 
-  /** A term begins: workers need until after the next report to come over. */
+  /**
+   * Starts a new term. Silence counts only after two report intervals, because workers reach a new
+   * leader with their next report at the earliest.
+   */
   public void beginTerm(long nowMs) {
-    heardAtMs = nowMs + 2 * reportMs;
-    lookedAtMs = nowMs;
-    patienceMs = RelayConstants.MIN_DISTRUST_MS;
-    deafAtMs = Long.MIN_VALUE / 2;
-    backAtMs = Long.MIN_VALUE / 2;
+    lastReportAtMs = nowMs + 2 * reportMs;
+    lastCheckAtMs = nowMs;
+    probeDistrustMs = RelayConstants.MIN_DISTRUST_MS;
+    unreachableSinceMs = Long.MIN_VALUE / 2;
+    reachableSinceMs = Long.MIN_VALUE / 2;
     moveTo(Phase.REACHABLE);
   }
 
-  /** A worker's own report came in. */
+  /** Records a report that a worker sent to this leader directly. */
   public void onReport(long nowMs) {
-    heardAtMs = Math.max(heardAtMs, nowMs);
-    back(nowMs);
+    lastReportAtMs = Math.max(lastReportAtMs, nowMs);
+    becomeReachable(nowMs);
   }
 
-  /** A worker answered a question that was put to it directly: the way there and back is open. */
+  /**
+   * Records that a worker answered a direct probe, which shows that the network works both ways. It
+   * is ignored for some time after reports went missing, which grows if they soon go missing again:
+   * a network that passes probes may still lose the workers' own requests.
+   */
   public void onProbeAnswered(long nowMs) {
-    if (phase == Phase.UNREACHABLE && nowMs - deafAtMs >= patienceMs) {
-      heardAtMs = Math.max(heardAtMs, nowMs);
-      back(nowMs);
+    if (phase == Phase.UNREACHABLE && nowMs - unreachableSinceMs >= probeDistrustMs) {
+      lastReportAtMs = Math.max(lastReportAtMs, nowMs);
+      becomeReachable(nowMs);
     }
   }
 
-  private void back(long nowMs) {
+  private void becomeReachable(long nowMs) {
     if (phase == Phase.UNREACHABLE) {
-      backAtMs = nowMs;
+      reachableSinceMs = nowMs;
       moveTo(Phase.REACHABLE);
     }
   }
 
   /**
-   * Looks again; to be called every {@link RelayConstants#CHECK_INTERVAL_MS}.
+   * Checks whether too many reports are missing; to be called every {@link
+   * RelayConstants#CHECK_INTERVAL_MS}.
    *
-   * @param workers how many workers report to this leader, by whatever way
-   * @return true if the phase has changed
+   * @param workers the number of workers that report to this leader, directly or through peers
+   * @return true if the workers have just become unreachable
    */
   public boolean check(long nowMs, int workers) {
-    boolean late = nowMs - lookedAtMs > 2 * RelayConstants.CHECK_INTERVAL_MS;
-    lookedAtMs = nowMs;
-    if (late) {
-      heardAtMs = Math.max(heardAtMs, nowMs);
+    boolean isCheckLate = nowMs - lastCheckAtMs > 2 * RelayConstants.CHECK_INTERVAL_MS;
+    lastCheckAtMs = nowMs;
+    if (isCheckLate) {
+      lastReportAtMs = Math.max(lastReportAtMs, nowMs);
     }
     if (phase == Phase.UNREACHABLE) {
       return false;
     }
-    long silentMs = nowMs - heardAtMs;
-    double due = (double) workers * silentMs / reportMs;
-    boolean allMissed =
+    long silentMs = nowMs - lastReportAtMs;
+    double missingReports = (double) workers * silentMs / reportMs;
+    boolean allWorkersMissed =
         workers >= RelayConstants.MIN_SILENT_WORKERS
             && silentMs > reportMs * RelayConstants.UNREACHABLE_REPORT_INTERVALS;
     if (silentMs < RelayConstants.MIN_UNREACHABLE_SILENCE_MS
-        || (due < RelayConstants.MIN_MISSING_REPORTS && !allMissed)) {
+        || (missingReports < RelayConstants.MIN_MISSING_REPORTS && !allWorkersMissed)) {
       return false;
     }
-    // Ears that close again soon after they opened are believed later the next time.
-    patienceMs =
-        nowMs - backAtMs < RelayConstants.RECURRENCE_WINDOW_MS
-            ? Math.min(RelayConstants.MAX_DISTRUST_MS, patienceMs * 2)
+    // If reports go missing again soon after a recovery, probe answers are distrusted for longer.
+    probeDistrustMs =
+        nowMs - reachableSinceMs < RelayConstants.RECURRENCE_WINDOW_MS
+            ? Math.min(RelayConstants.MAX_DISTRUST_MS, probeDistrustMs * 2)
             : RelayConstants.MIN_DISTRUST_MS;
-    deafAtMs = nowMs;
+    unreachableSinceMs = nowMs;
     moveTo(Phase.UNREACHABLE);
     return true;
   }
 
-  /** True if our own ears are of no use at the moment. */
+  /** True if workers' reports do not reach this leader directly at the moment. */
   public boolean areWorkersUnreachable() {
     return phase == Phase.UNREACHABLE;
   }
--- a/src/test/java/fennelthread/net/InboundConnectionsTest.java
+++ b/src/test/java/fennelthread/net/InboundConnectionsTest.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which connections go when a process nears its limit of sockets. */
+/** Which connections a process closes near its limit of sockets. */
 class InboundConnectionsTest {
   private long nowMs;
   private final Set<String> open = new LinkedHashSet<>();
 
   /**
-   * A fifth of the machines is cut off, and each comes back on a new connection while its old one
-   * is still open here: the old ones go, nobody else's does.
+   * A fifth of the machines is cut off, and each reconnects while its old connection is still open
+   * here. Only the old connections are closed, as far as sockets are needed.
    */
   @Test
-  void staleConnectionsMakeRoomForTheirMachines() {
+  void onlyStaleConnectionsAreClosedForNewOnes() {
     InboundConnections<String> inbound = inbound(1_000, 100);
     for (int t = 0; t <= 30_000; t += 3_000) {
       nowMs = t;
@@ -29,15 +29,15 @@
     for (int i = 0; i < 160; i++) {
       use(inbound, "new-m" + i);
     }
-    assertEquals(800, open.size(), "as many as leave a tenth of the sockets free");
+    assertEquals(800, open.size(), "a tenth of the sockets stays free");
     for (int i = 160; i < 780; i++) {
       assertTrue(open.contains("m" + i), "m" + i + " was in use");
     }
   }
 
-  /** Connections that are in use are not closed, however many there are. */
+  /** A connection in use is not closed, however many are open. */
   @Test
-  void noConnectionInUseIsClosed() {
+  void connectionsInUseStayOpen() {
     InboundConnections<String> inbound = inbound(100, 10);
     for (int i = 0; i < 300; i++) {
       nowMs += 10;
@@ -47,29 +47,29 @@
   }
 
   /**
-   * Workers' connections are closed after an answer once so many are open that others need the
-   * rest.
+   * Once sockets are scarce, workers' connections are closed after each answer, so that the rest
+   * stays free for users, peers and health checks.
    */
   @Test
-  void aCrowdedProcessKeepsNoConnectionsOfWorkers() {
+  void workersConnectionsAreClosedWhileSocketsAreScarce() {
     InboundConnections<String> inbound = inbound(1_000, 100);
     for (int i = 0; i < 2_000; i++) {
       nowMs += 2;
       use(inbound, "m" + i);
-      if (inbound.isCrowded()) {
+      if (inbound.areSocketsScarce()) {
         open.remove("m" + i);
-        inbound.gone("m" + i);
+        inbound.recordClosed("m" + i);
       }
     }
     assertEquals(730, open.size());
   }
 
-  private InboundConnections<String> inbound(int sockets, int outbound) {
-    return new InboundConnections<>(() -> nowMs, sockets, () -> outbound, open::remove);
+  private InboundConnections<String> inbound(int maxSockets, int outboundSockets) {
+    return new InboundConnections<>(() -> nowMs, maxSockets, () -> outboundSockets, open::remove);
   }
 
   private void use(InboundConnections<String> inbound, String connection) {
     open.add(connection);
-    inbound.used(connection);
+    inbound.recordRequest(connection);
   }
 }
--- a/src/test/java/fennelthread/net/OpenConnections.java
+++ b/src/test/java/fennelthread/net/OpenConnections.java
@@ -11,9 +11,9 @@
 import java.util.List;
 
 /**
- * A process of its own that holds connections open, so that only the server's side of them is in
- * the process that measures: reads a number, opens so many in all, sends one request on each, and
- * answers {@code open}.
+ * A client process that holds connections open, so that the measuring process holds only the
+ * server's side of them. Reads the total number of connections from each line of standard input,
+ * opens the missing ones, sends one request on each, and prints {@code open}.
  */
 final class OpenConnections {
   private static final String REQUEST =
@@ -25,16 +25,16 @@
   public static void main(String[] args) throws IOException {
     int port = Integer.parseInt(args[0]);
     List<Socket> open = new ArrayList<>();
-    BufferedReader in =
+    BufferedReader input =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
     byte[] buffer = new byte[1_024];
-    for (String line = in.readLine(); line != null; line = in.readLine()) {
+    for (String line = input.readLine(); line != null; line = input.readLine()) {
       while (open.size() < Integer.parseInt(line)) {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
-        InputStream answer = socket.getInputStream();
-        if (answer.read(buffer) <= 0) {
-          throw new IOException("closed");
+        InputStream response = socket.getInputStream();
+        if (response.read(buffer) <= 0) {
+          throw new IOException("the server closed the connection");
         }
         open.add(socket);
       }
--- a/src/test/java/fennelthread/net/RequestCostTest.java
+++ b/src/test/java/fennelthread/net/RequestCostTest.java
@@ -28,8 +28,9 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * What a request served over a real socket costs the controller's thread beside what the service
- * does with it: sockets, HTTP, buffers. Measured on the loopback, requests of the size of a report.
+ * Measures the processor time that a request over a real socket costs the event loop's thread, and
+ * the heap that an open connection takes, without the work of the service: sockets, HTTP, buffers.
+ * Requests go over the loopback interface and have the size of a worker's report.
  */
 @EnabledIfSystemProperty(named = "slopes.file", matches = ".+")
 class RequestCostTest {
@@ -39,7 +40,7 @@
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
   @Test
-  void processorTimeOfRequests() throws Exception {
+  void measuresProcessorTimePerRequest() throws Exception {
     XnioEventLoop eventLoop = new XnioEventLoop(100, 10, Set.of());
     int port = freePort();
     byte[] body = Codec.CBOR.encode(Fields.create().with("texto", "x".repeat(300)));
@@ -51,11 +52,11 @@
     List<LinearFit.Point> points = new ArrayList<>();
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.setTcpNoDelay(true);
-      exchange(socket, body, WARM_UP);
+      sendRequests(socket, body, WARM_UP);
       for (int requests : new int[] {1_000, 2_000, 4_000, 8_000, 16_000}) {
-        long before = nanosOf(eventLoop);
-        exchange(socket, body, requests);
-        double ms = (nanosOf(eventLoop) - before) / 1e6;
+        long before = cpuNanosOf(eventLoop);
+        sendRequests(socket, body, requests);
+        double ms = (cpuNanosOf(eventLoop) - before) / 1e6;
         points.add(new LinearFit.Point(requests, ms));
         System.out.printf(
             "%d requests: %.1f us each on the controller's thread%n",
@@ -64,12 +65,12 @@
     } finally {
       eventLoop.stop();
     }
-    keep(List.of("leader", "follower"), "request", Quantity.PROCESSOR, points);
+    saveSlopes(List.of("leader", "follower"), "request", Quantity.PROCESSOR, points);
   }
 
-  /** The server's side of open connections that were used once, as those of workers are. */
+  /** Measures the server's side of open connections that each served one request. */
   @Test
-  void heapOfConnections() throws Exception {
+  void measuresHeapPerConnection() throws Exception {
     XnioEventLoop eventLoop = new XnioEventLoop(10_000, 10, Set.of());
     int port = freePort();
     eventLoop.listen(
@@ -87,12 +88,12 @@
             .redirectError(ProcessBuilder.Redirect.INHERIT)
             .start();
     List<LinearFit.Point> points = new ArrayList<>();
-    try (BufferedReader answers = clients.inputReader();
-        BufferedWriter orders = clients.outputWriter()) {
+    try (BufferedReader responses = clients.inputReader();
+        BufferedWriter commands = clients.outputWriter()) {
       for (int open : new int[] {100, 250, 500, 1_000, 1_500, 2_000, 2_500, 3_000, 3_500, 4_000}) {
-        orders.write(open + "\n");
-        orders.flush();
-        assertEquals("open", answers.readLine());
+        commands.write(open + "\n");
+        commands.flush();
+        assertEquals("open", responses.readLine());
         long live = liveBytes();
         points.add(new LinearFit.Point(open, live));
         System.out.printf("%d connections: %d bytes live%n", open, live);
@@ -101,22 +102,22 @@
       clients.destroy();
       eventLoop.stop();
     }
-    keep(List.of("leader"), "connection", Quantity.HEAP, points);
+    saveSlopes(List.of("leader"), "connection", Quantity.HEAP, points);
   }
 
-  /** The least of several: only each fourth full collection leaves no dead objects in place. */
+  /** The minimum of several: only every fourth full collection leaves no dead objects in place. */
   private static long liveBytes() throws InterruptedException {
     Runtime runtime = Runtime.getRuntime();
-    long least = Long.MAX_VALUE;
+    long minBytes = Long.MAX_VALUE;
     for (int i = 0; i < 8; i++) {
       System.gc();
       Thread.sleep(50);
-      least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+      minBytes = Math.min(minBytes, runtime.totalMemory() - runtime.freeMemory());
     }
-    return least;
+    return minBytes;
   }
 
-  private static void keep(
+  private static void saveSlopes(
       List<String> roles, String cause, Quantity quantity, List<LinearFit.Point> points)
       throws IOException {
     SlopeCatalogue catalogue =
@@ -127,32 +128,32 @@
     catalogue.save(FILE);
   }
 
-  private static void exchange(Socket socket, byte[] body, int requests) throws IOException {
-    byte[] head =
+  private static void sendRequests(Socket socket, byte[] body, int requests) throws IOException {
+    byte[] header =
         ("POST /agent/beat HTTP/1.1\r\nHost: 127.0.0.1\r\nContent-Type: application/cbor\r\n"
                 + "Content-Length: "
                 + body.length
                 + "\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
-    byte[] request = new byte[head.length + body.length];
-    System.arraycopy(head, 0, request, 0, head.length);
-    System.arraycopy(body, 0, request, head.length, body.length);
-    DataInputStream in = new DataInputStream(socket.getInputStream());
+    byte[] request = new byte[header.length + body.length];
+    System.arraycopy(header, 0, request, 0, header.length);
+    System.arraycopy(body, 0, request, header.length, body.length);
+    DataInputStream input = new DataInputStream(socket.getInputStream());
     byte[] buffer = new byte[4_096];
     int length = 0;
     for (int i = 0; i < requests; i++) {
       socket.getOutputStream().write(request);
       if (length == 0) {
-        length = in.read(buffer);
+        length = input.read(buffer);
         System.out.println(
-            "request headers " + head.length + " bytes, response of " + length + " bytes");
+            "request headers " + header.length + " bytes, response of " + length + " bytes");
       } else {
-        in.readFully(buffer, 0, length);
+        input.readFully(buffer, 0, length);
       }
     }
   }
 
-  private static long nanosOf(XnioEventLoop eventLoop) throws Exception {
+  private static long cpuNanosOf(XnioEventLoop eventLoop) throws Exception {
     CompletableFuture<Long> nanos = new CompletableFuture<>();
     eventLoop.run(() -> nanos.complete(THREADS.getCurrentThreadCpuTime()));
     return nanos.get();
--- a/src/test/java/fennelthread/net/XnioEventLoopTest.java
+++ b/src/test/java/fennelthread/net/XnioEventLoopTest.java
@@ -17,32 +17,34 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The real sockets, on loopback. */
+/** The event loop on real sockets of the loopback interface. */
 class XnioEventLoopTest {
-  private static final int MOST_OUTBOUND = 10;
+  private static final int MAX_OUTBOUND_SOCKETS = 10;
 
   /**
-   * Questions to machines that are cut off hold their sockets until the system gives up. They once
-   * took all connections there may be, and for twenty seconds no start found one.
+   * Connection attempts for probes of machines that are cut off hold their sockets until the
+   * operating system gives up. If they could take all sockets, no start could be sent for twenty
+   * seconds.
    */
   @Test
-  void questionsToSilentMachinesLeaveConnectionsForStarts() throws Exception {
-    XnioEventLoop eventLoop = new XnioEventLoop(100, MOST_OUTBOUND, Set.of());
-    String alive = "127.0.0.1:" + freePort();
+  void probesOfSilentMachinesLeaveSocketsForStarts() throws Exception {
+    XnioEventLoop eventLoop = new XnioEventLoop(100, MAX_OUTBOUND_SOCKETS, Set.of());
+    String liveAddress = "127.0.0.1:" + freePort();
     eventLoop.listen(
-        alive,
+        liveAddress,
         (request, reply) -> reply.accept(Answer.of(200, Codec.CBOR, Fields.create())),
         "127.0.0.1:" + freePort(),
         (request, reply) -> reply.accept(Answer.error(404, "unknown path")));
-    List<SocketChannel> filling = new ArrayList<>();
-    // One that never accepts: once its queue is full, attempts hang as at a machine that is cut
-    // off.
-    try (ServerSocket silent = new ServerSocket(0, 1, null)) {
+    List<SocketChannel> backlogFillers = new ArrayList<>();
+    // It never accepts: once its backlog is full, connection attempts hang, as they do for machines
+    // that are cut off.
+    try (ServerSocket silentServer = new ServerSocket(0, 1, null)) {
       for (int i = 0; i < 4; i++) {
-        SocketChannel c = SocketChannel.open();
-        c.configureBlocking(false);
-        c.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), silent.getLocalPort()));
-        filling.add(c);
+        SocketChannel filler = SocketChannel.open();
+        filler.configureBlocking(false);
+        filler.connect(
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), silentServer.getLocalPort()));
+        backlogFillers.add(filler);
       }
       CompletableFuture<Boolean> unsent = new CompletableFuture<>();
       CompletableFuture<Answer> answer = new CompletableFuture<>();
@@ -50,28 +52,28 @@
       eventLoop.run(
           () -> {
             for (int i = 2; i < 40; i++) {
-              String address = "127.0.0." + i + ":" + silent.getLocalPort();
+              String address = "127.0.0." + i + ":" + silentServer.getLocalPort();
               eventLoop.call(
                   address, start.asSpare(), 1_000, a -> {}, tried -> unsent.complete(tried));
             }
-            eventLoop.after(200, () -> eventLoop.call(alive, start, 2_000, answer::complete));
+            eventLoop.after(200, () -> eventLoop.call(liveAddress, start, 2_000, answer::complete));
           });
-      Answer got = answer.get(10, TimeUnit.SECONDS);
-      assertNotNull(got, "a start found no connection");
-      assertEquals(200, got.status());
-      // Those beyond the bound are told so at once, and that it says nothing of their machines.
+      Answer startAnswer = answer.get(10, TimeUnit.SECONDS);
+      assertNotNull(startAnswer, "the start got no answer");
+      assertEquals(200, startAnswer.status());
+      // Probes beyond the bound end as unsent and not tried, which says nothing of their machines.
       assertEquals(false, unsent.get(10, TimeUnit.SECONDS));
     } finally {
-      for (SocketChannel c : filling) {
-        c.close();
+      for (SocketChannel filler : backlogFillers) {
+        filler.close();
       }
       eventLoop.stop();
     }
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0)) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0)) {
+      return socket.getLocalPort();
     }
   }
 }
--- a/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
+++ b/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The wire form of heartbeats between controllers, which older and newer versions must read. */
+/** The wire format of heartbeats between controllers, which older and newer versions must read. */
 class PeerHeartbeatTest {
-  private static final String NOW =
+  private static final String CURRENT_FORMAT =
       "{\"member\":\"nodo-0\",\"incarnation\":\"a1\",\"epoch\":7,\"leading\":true,"
           + "\"served_ago_ms\":12,\"beats_heard\":3,\"chains\":true,\"relays\":true,"
           + "\"deaf\":false,\"promises\":true,\"promised\":0,"
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void theWireFormIsUnchanged() throws WireException {
+  void currentFormatIsWrittenAndReadUnchanged() throws WireException {
     PeerHeartbeat heartbeat =
         new PeerHeartbeat(
             new HeartbeatSender("nodo-0", "a1", 7, true, 12, 3, false),
@@ -39,24 +39,25 @@
             0,
             RENEWAL,
             new WorkerAddressUpdate(Map.of("n-1", "10.1.0.1:9000"), List.of("n-2")));
-    assertEquals(NOW, new String(Codec.JSON.encode(heartbeat.write()), StandardCharsets.UTF_8));
-    assertEquals(heartbeat, read(NOW));
+    assertEquals(
+        CURRENT_FORMAT, new String(Codec.JSON.encode(heartbeat.write()), StandardCharsets.UTF_8));
+    assertEquals(heartbeat, read(CURRENT_FORMAT));
   }
 
   /**
-   * The version in production says nothing of dependencies; unknown fields of a newer one are
-   * ignored.
+   * A field that an older version omits reads as its default; an unknown field of a newer version
+   * is ignored.
    */
   @Test
-  void formsOfOlderAndNewerVersionsAreRead() throws WireException {
-    assertFalse(read(NOW.replace("\"chains\":true,", "")).features().dependencies());
+  void olderAndNewerFormatsAreRead() throws WireException {
+    assertFalse(read(CURRENT_FORMAT.replace("\"chains\":true,", "")).features().dependencies());
     assertTrue(
-        read(NOW.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],"))
+        read(CURRENT_FORMAT.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],"))
             .features()
             .dependencies());
-    assertNull(read(NOW.replace("keep", "kept")).renewal());
+    assertNull(read(CURRENT_FORMAT.replace("keep", "kept")).renewal());
     assertEquals(
         PeerConstants.NEVER_RENEWED,
-        read(NOW.replace(",\"kept_ms_ago\":900", "")).renewal().renewedAgoMs());
+        read(CURRENT_FORMAT.replace(",\"kept_ms_ago\":900", "")).renewal().renewedAgoMs());
   }
 }
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -33,23 +33,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a leader may conclude from commands that a peer passes on. */
+/** What a leader may conclude from the outcomes of commands and probes that a peer relays. */
 class CommandSenderTest {
-  private record Sent(String address, Call call, Consumer<Answer> done, EventLoop.Unsent unsent) {}
+  private record SentRequest(
+      String address, Call call, Consumer<Answer> done, EventLoop.Unsent unsent) {}
 
-  private long now = 100_000;
-  private final List<Sent> sent = new ArrayList<>();
+  private long nowMs = 100_000;
+  private final List<SentRequest> sent = new ArrayList<>();
   private final List<Runnable> timers = new ArrayList<>();
   private final EventLoop eventLoop =
       new EventLoop() {
         @Override
         public long nowMs() {
-          return now;
+          return nowMs;
         }
 
         @Override
         public long wallMs() {
-          return now;
+          return nowMs;
         }
 
         @Override
@@ -66,7 +67,7 @@
         @Override
         public void call(
             String address, Call call, long timeoutMs, Consumer<Answer> done, Unsent unsent) {
-          sent.add(new Sent(address, call, done, unsent));
+          sent.add(new SentRequest(address, call, done, unsent));
         }
       };
   private final Settings settings =
@@ -103,9 +104,9 @@
             @Override
             public void onHeartbeat(PeerHeartbeat heartbeat) {}
           });
-  private final WorkerReachability hearing = new WorkerReachability(1_500);
-  private final CommandSender courier =
-      new CommandSender(eventLoop, settings, peers, hearing, () -> 7);
+  private final WorkerReachability reachability = new WorkerReachability(1_500);
+  private final CommandSender commandSender =
+      new CommandSender(eventLoop, settings, peers, reachability, () -> 7);
   private final Machine machine =
       new Fleet(
               eventLoop,
@@ -115,28 +116,28 @@
               () -> 0,
               Map::of,
               ZoneHealth.ALWAYS_HEALTHY,
-              new WorkerLink(courier, null, new StallDetector(eventLoop)))
+              new WorkerLink(commandSender, null, new StallDetector(eventLoop)))
           .getOrAddMachine("n-1", "10.1.0.1:9000");
   private final List<Object> outcomes = new ArrayList<>();
 
   @BeforeEach
-  void deafWithHeartbeats() {
+  void connectPeerAndLoseWorkers() {
     byte[] heartbeat =
         ("{\"member\":\"nodo-1\",\"incarnation\":\"b\",\"epoch\":7,\"leading\":false,"
                 + "\"served_ago_ms\":1,\"beats_heard\":3,\"chains\":true,\"relays\":true}")
             .getBytes(StandardCharsets.UTF_8);
     peers.handle(new Request("POST", "/hail", heartbeat), a -> {});
-    courier.beginTerm(7);
-    hearing.beginTerm(now - 100_000);
-    for (long t = now - 10_000; t <= now; t += RelayConstants.CHECK_INTERVAL_MS) {
-      hearing.check(t, 500);
+    commandSender.beginTerm(7);
+    reachability.beginTerm(nowMs - 100_000);
+    for (long t = nowMs - 10_000; t <= nowMs; t += RelayConstants.CHECK_INTERVAL_MS) {
+      reachability.check(t, 500);
     }
-    assertTrue(hearing.areWorkersUnreachable());
+    assertTrue(reachability.areWorkersUnreachable());
   }
 
-  private Sent send(boolean spare) {
+  private SentRequest send(boolean spare) {
     Call call = Call.post("/commands", Codec.CBOR, WorkerCommand.write(7L << 20, 1, List.of()));
-    courier.send(
+    commandSender.send(
         machine,
         machine.address(),
         spare ? call.asSpare() : call,
@@ -151,12 +152,12 @@
   }
 
   /**
-   * No word of the peer: the worker may have got it. Its word that it found no connection proves
-   * nothing of a start either, since what was asked of it may come a second time; only that nothing
-   * left this process does.
+   * Without an answer of the peer, the worker may have received the command. The peer's answer that
+   * it sent nothing is no proof either, since a duplicate of the request may still reach the peer.
+   * Only a request that never left this process counts as unsent.
    */
   @Test
-  void silenceOfThePeerProvesNothing() {
+  void relayedCommandCountsAsUnsentOnlyIfItNeverLeftThisProcess() {
     send(false).done.accept(null);
     send(false).done.accept(outcome(new RelayWire.Outcome(0, null, false)));
     send(false).done.accept(Answer.error(404, "unknown path"));
@@ -167,14 +168,14 @@
     assertTrue(sent.stream().allMatch(s -> s.address.equals("10.0.0.2:8081")));
   }
 
-  /** A peer that knows of a later leader passes nothing on, and says so. */
+  /** A peer that knows of a later epoch does not relay the command, and answers that it did not. */
   @Test
-  void commandsOfAnOldLeaderAreNotPassedOn() throws WireException {
+  void commandsOfAnOutdatedLeaderAreNotRelayed() throws WireException {
     for (long epoch = 6; epoch <= 7; epoch++) {
       RelayWire.Commands commands =
           new RelayWire.Commands(epoch, "10.1.0.1:9000", 2_500, false, Fields.create());
       Answer[] answer = new Answer[1];
-      courier
+      commandSender
           .peerService((report, e, from) -> null)
           .handle(
               new Request("POST", RelayWire.COMMANDS, Codec.JSON.encode(commands.write())),
@@ -189,19 +190,21 @@
     }
   }
 
-  /** A question goes both ways; the machine is silent only if neither brings an answer. */
+  /**
+   * A probe goes directly and through a peer; it has no answer only if both attempts end without.
+   */
   @Test
-  void aQuestionGoesBothWays() {
-    hearing.onReport(now);
-    Sent direct = send(true);
+  void slowProbeIsAlsoSentThroughAPeer() {
+    reachability.onReport(nowMs);
+    SentRequest direct = send(true);
     assertEquals("10.1.0.1:9000", direct.address);
     timers.get(timers.size() - 1).run();
-    Sent around = sent.get(sent.size() - 1);
-    assertEquals("10.0.0.2:8081", around.address);
+    SentRequest relayed = sent.get(sent.size() - 1);
+    assertEquals("10.0.0.2:8081", relayed.address);
     direct.done.accept(null);
     assertTrue(outcomes.isEmpty());
-    around.done.accept(outcome(new RelayWire.Outcome(200, Fields.create(), false)));
+    relayed.done.accept(outcome(new RelayWire.Outcome(200, Fields.create(), false)));
     assertEquals(List.of(200), outcomes);
-    assertEquals("10.0.0.2:8081", send(false).address, "starts take the way that works");
+    assertEquals("10.0.0.2:8081", send(false).address, "starts go through the peer that answered");
   }
 }
--- a/src/test/java/fennelthread/relay/WorkerReachabilityTest.java
+++ b/src/test/java/fennelthread/relay/WorkerReachabilityTest.java
@@ -9,88 +9,92 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When a leader takes itself for deaf: soon where many are due, never by chance, late if it was
- * late.
+ * When workers count as unreachable: soon if many reports are due, never by chance, and only after
+ * further silence if the process itself stalled.
  */
 class WorkerReachabilityTest {
   private static final long REPORT_MS = 4_000;
 
-  private long now;
+  private long nowMs;
 
-  /** Reports of so many workers for an hour, a twentieth of them lost: no false alarm. */
+  /**
+   * One report in twenty is lost for an hour: more than three workers never count as unreachable.
+   */
   @Test
-  void chanceMakesNobodyDeaf() {
+  void randomLossOfReportsIsNotUnreachability() {
     for (int workers : new int[] {3, 15, 200, 1_000}) {
-      WorkerReachability hearing = new WorkerReachability(REPORT_MS);
-      hearing.beginTerm(0);
+      WorkerReachability reachability = new WorkerReachability(REPORT_MS);
+      reachability.beginTerm(0);
       SplittableRandom random = new SplittableRandom(workers);
-      long[] next = new long[workers];
+      long[] nextReportAtMs = new long[workers];
       for (int i = 0; i < workers; i++) {
-        next[i] = random.nextInt((int) REPORT_MS);
+        nextReportAtMs[i] = random.nextInt((int) REPORT_MS);
       }
-      for (now = 0; now < 3_600_000; now += RelayConstants.CHECK_INTERVAL_MS) {
+      for (nowMs = 0; nowMs < 3_600_000; nowMs += RelayConstants.CHECK_INTERVAL_MS) {
         for (int i = 0; i < workers; i++) {
-          while (next[i] <= now) {
+          while (nextReportAtMs[i] <= nowMs) {
             if (random.nextInt(20) > 0) {
-              hearing.onReport(next[i]);
+              reachability.onReport(nextReportAtMs[i]);
             }
-            next[i] += (long) (REPORT_MS * (0.75 + 0.5 * random.nextDouble()));
+            nextReportAtMs[i] += (long) (REPORT_MS * (0.75 + 0.5 * random.nextDouble()));
           }
         }
-        boolean deaf = hearing.check(now, workers);
-        assertFalse(deaf && workers > 3, workers + " workers, deaf at " + now);
+        boolean becameUnreachable = reachability.check(nowMs, workers);
+        assertFalse(
+            becameUnreachable && workers > 3, workers + " workers, unreachable at " + nowMs);
       }
     }
   }
 
   @Test
-  void manyMissingAreNoticedSoonFewLate() {
-    assertEquals(1_000, deafAfter(1_000));
-    assertEquals(1_500, deafAfter(100));
-    assertEquals(6_500, deafAfter(10));
-    assertEquals(-1, deafAfter(2));
+  void silenceOfMoreWorkersIsDetectedSooner() {
+    assertEquals(1_000, unreachableAfterMs(1_000));
+    assertEquals(1_500, unreachableAfterMs(100));
+    assertEquals(6_500, unreachableAfterMs(10));
+    assertEquals(-1, unreachableAfterMs(2));
   }
 
-  private long deafAfter(int workers) {
-    WorkerReachability hearing = new WorkerReachability(REPORT_MS);
-    hearing.beginTerm(-100_000);
-    hearing.onReport(0);
-    hearing.check(-RelayConstants.CHECK_INTERVAL_MS, workers);
-    for (now = 0; now < 60_000; now += RelayConstants.CHECK_INTERVAL_MS) {
-      if (hearing.check(now, workers)) {
-        return now;
+  private long unreachableAfterMs(int workers) {
+    WorkerReachability reachability = new WorkerReachability(REPORT_MS);
+    reachability.beginTerm(-100_000);
+    reachability.onReport(0);
+    reachability.check(-RelayConstants.CHECK_INTERVAL_MS, workers);
+    for (nowMs = 0; nowMs < 60_000; nowMs += RelayConstants.CHECK_INTERVAL_MS) {
+      if (reachability.check(nowMs, workers)) {
+        return nowMs;
       }
     }
     return -1;
   }
 
-  /** A process that stood still has not listened. */
+  /** Silence during a stall of this process does not count: it could not receive reports. */
   @Test
-  void silenceOfOurOwnTellsNothing() {
-    WorkerReachability hearing = new WorkerReachability(REPORT_MS);
-    hearing.beginTerm(-100_000);
-    hearing.onReport(0);
-    hearing.check(0, 1_000);
-    assertFalse(hearing.check(20_000, 1_000));
-    assertFalse(hearing.check(20_500, 1_000));
-    assertTrue(hearing.check(21_000, 1_000));
+  void silenceDuringOwnStallDoesNotCount() {
+    WorkerReachability reachability = new WorkerReachability(REPORT_MS);
+    reachability.beginTerm(-100_000);
+    reachability.onReport(0);
+    reachability.check(0, 1_000);
+    assertFalse(reachability.check(20_000, 1_000));
+    assertFalse(reachability.check(20_500, 1_000));
+    assertTrue(reachability.check(21_000, 1_000));
   }
 
   /**
-   * A way that opens one way only closes the ears again: direct answers are then believed later.
+   * Probes are answered although no report arrives. Each time the workers become unreachable again,
+   * an answer is trusted only after a longer time, so that the state does not flap.
    */
   @Test
-  void earsThatCloseAgainAreBelievedLater() {
-    WorkerReachability hearing = new WorkerReachability(REPORT_MS);
-    hearing.beginTerm(-100_000);
-    hearing.onReport(0);
-    int opened = 0;
-    for (now = 0; now < 120_000; now += RelayConstants.CHECK_INTERVAL_MS) {
-      hearing.check(now, 1_000);
-      boolean before = hearing.areWorkersUnreachable();
-      hearing.onProbeAnswered(now);
-      opened += before && !hearing.areWorkersUnreachable() ? 1 : 0;
+  void probeAnswersAreTrustedLaterEachTimeReportsStayMissing() {
+    WorkerReachability reachability = new WorkerReachability(REPORT_MS);
+    reachability.beginTerm(-100_000);
+    reachability.onReport(0);
+    int recoveries = 0;
+    for (nowMs = 0; nowMs < 120_000; nowMs += RelayConstants.CHECK_INTERVAL_MS) {
+      reachability.check(nowMs, 1_000);
+      boolean wasUnreachable = reachability.areWorkersUnreachable();
+      reachability.onProbeAnswered(nowMs);
+      recoveries += wasUnreachable && !reachability.areWorkersUnreachable() ? 1 : 0;
     }
-    assertTrue(opened <= 9, opened + " times");
+    assertTrue(recoveries <= 9, recoveries + " recoveries");
   }
 }
