--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -65,7 +65,7 @@
     this.thread = thread;
     this.buffers = buffers;
     this.maxSockets = maxSockets;
-    this.maxSpareAttempts = Math.max(1, (int) (maxSockets * NetConstants.SPARE_SHARE));
+    this.maxSpareAttempts = Math.max(1, (int) (maxSockets * NetConstants.MAX_SPARE_CONNECT_SHARE));
     this.essentialAddresses = essentialAddresses;
   }
 
@@ -163,7 +163,7 @@
     PendingCall next = nextWaiting(pooled.destination);
     if (next != null) {
       send(next, pooled);
-    } else if (pooled.destination.idle.size() < NetConstants.IDLE_PER_ADDRESS
+    } else if (pooled.destination.idle.size() < NetConstants.MAX_IDLE_CONNECTIONS_PER_ADDRESS
         && destinationsWaiting.isEmpty()) {
       pooled.idleSinceMs = eventLoop.nowMs();
       pooled.destination.idle.push(pooled);
@@ -222,7 +222,7 @@
       PooledConnection pooled = destination.idle.pop();
       idleConnections.remove(pooled);
       if (pooled.connection.isOpen()
-          && eventLoop.nowMs() - pooled.idleSinceMs < NetConstants.IDLE_MS) {
+          && eventLoop.nowMs() - pooled.idleSinceMs < NetConstants.IDLE_CONNECTION_TIMEOUT_MS) {
         send(pending, pooled);
         return;
       }
@@ -249,9 +249,10 @@
   private void open(Destination destination, boolean isSpare) {
     boolean isEssential = essentialAddresses.contains(destination.address);
     int maxAttempts =
-        isEssential ? NetConstants.CONNECTING_PER_ADDRESS : NetConstants.CONNECTING_PER_WORKER;
+        isEssential ? NetConstants.MAX_CONNECTS_PER_ADDRESS : NetConstants.MAX_CONNECTS_PER_WORKER;
     if (destination.countedAttempts >= maxAttempts
-        || (!isEssential && destination.openAttempts >= NetConstants.OPENING_PER_WORKER)) {
+        || (!isEssential
+            && destination.openAttempts >= NetConstants.MAX_OPENING_SOCKETS_PER_WORKER)) {
       return;
     }
     if (socketCount >= maxSockets && !isEssential) {
@@ -427,7 +428,7 @@
     private final PendingCall pending;
     private final ClientResponse response;
     private final ByteArrayOutputStream body =
-        new ByteArrayOutputStream(NetConstants.RESPONSE_BUFFER_BYTES);
+        new ByteArrayOutputStream(NetConstants.INITIAL_RESPONSE_BUFFER_BYTES);
 
     ResponseReader(PendingCall pending, ClientResponse response) {
       this.pending = pending;
--- a/src/main/java/fennelthread/net/InboundConnections.java
+++ b/src/main/java/fennelthread/net/InboundConnections.java
@@ -35,8 +35,8 @@
   InboundConnections(
       LongSupplier nowMs, int maxSockets, IntSupplier outboundSockets, Consumer<C> close) {
     this.nowMs = nowMs;
-    this.maxOpenSockets = (int) (maxSockets * NetConstants.SOCKETS_FULL_SHARE);
-    this.scarceAboveSockets = (int) (maxSockets * NetConstants.SOCKETS_CROWDED_SHARE);
+    this.maxOpenSockets = (int) (maxSockets * NetConstants.FULL_SOCKET_SHARE);
+    this.scarceAboveSockets = (int) (maxSockets * NetConstants.CROWDED_SOCKET_SHARE);
     this.outboundSockets = outboundSockets;
     this.close = close;
   }
--- a/src/main/java/fennelthread/net/StallDetector.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -39,7 +39,7 @@
   /** Checks the clock now and then periodically; call it once. */
   public void start() {
     isListening();
-    eventLoop.after(NetConstants.WAKE_LOOK_MS, this::start);
+    eventLoop.after(NetConstants.STALL_CHECK_INTERVAL_MS, this::start);
   }
 
   /**
@@ -50,11 +50,12 @@
     long nowMs = eventLoop.nowMs();
     long gapMs = nowMs - lastCheckAtMs;
     lastCheckAtMs = nowMs;
-    if (gapMs > NetConstants.WAKE_LATE_MS) {
+    if (gapMs > NetConstants.MIN_STALL_MS) {
       stalls++;
       log.info("process stalled gapMs={} stalls={}", gapMs, stalls);
       catchingUpUntilMs =
-          Math.max(catchingUpUntilMs, nowMs + Math.min(NetConstants.WAKE_LISTEN_MOST_MS, gapMs));
+          Math.max(
+              catchingUpUntilMs, nowMs + Math.min(NetConstants.MAX_LISTEN_AFTER_STALL_MS, gapMs));
       moveTo(Phase.CATCHING_UP);
     } else if (nowMs >= catchingUpUntilMs) {
       moveTo(Phase.NORMAL);
