--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -57,7 +57,7 @@
   /** Sends a heartbeat to all peers, now and then periodically; call it once. */
   public void start() {
     sendHeartbeats();
-    double jitter = 1 + ProtocolConstants.JITTER * eventLoop.random().nextDouble();
+    double jitter = 1 + ProtocolConstants.PAUSE_JITTER_SHARE * eventLoop.random().nextDouble();
     eventLoop.after((long) (PeerConstants.HEARTBEAT_INTERVAL_MS * jitter), this::start);
   }
 
