--- a/src/main/java/fennelthread/control/KnownWorkers.java
+++ b/src/main/java/fennelthread/control/KnownWorkers.java
@@ -11,17 +11,17 @@
  * The workers that a follower knows, so that it can probe them at once when it is elected: their
  * addresses, from reports and from the leader's heartbeats, and which of them have reported to this
  * controller within {@link PeerConstants#PEER_SILENT_MS}. Holds at most {@link
- * RelayConstants#KNOWN_ADDRESSES} addresses. Used on the event loop's thread only.
+ * RelayConstants#MAX_KNOWN_WORKERS} addresses. Used on the event loop's thread only.
  */
 public final class KnownWorkers {
   private final Map<String, String> addresses = new LinkedHashMap<>();
   private final Map<String, Long> reportedAtMs = new LinkedHashMap<>();
 
-  /** Records a report that a worker sent to this controller while it follows. */
+  /** Records a report that a worker sent to this controller while this controller follows. */
   void recordReport(WorkerReport report, long nowMs) {
     reportedAtMs.put(report.machine(), nowMs);
     addresses.put(report.machine(), report.address());
-    evictOldest();
+    evictOldestAddresses();
   }
 
   /** Applies the leader's heartbeat: changed addresses by machine name, and removed machines. */
@@ -29,11 +29,11 @@
       Map<String, String> changedAddresses, Collection<String> removedMachines) {
     addresses.putAll(changedAddresses);
     removedMachines.forEach(addresses::remove);
-    evictOldest();
+    evictOldestAddresses();
   }
 
-  private void evictOldest() {
-    while (addresses.size() > RelayConstants.KNOWN_ADDRESSES) {
+  private void evictOldestAddresses() {
+    while (addresses.size() > RelayConstants.MAX_KNOWN_WORKERS) {
       addresses.remove(addresses.keySet().iterator().next());
     }
   }
@@ -44,7 +44,7 @@
   }
 
   /** The number of workers that have recently reported to this controller. */
-  public int recentReporters() {
+  public int recentReporterCount() {
     return reportedAtMs.size();
   }
 
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -53,14 +53,16 @@
         200, Codec.JSON, Fields.create().with(STATUS_FIELD, (long) revocation.status()));
   }
 
-  /** Asks all peers that are in contact to revoke a lease under which this one no longer leads. */
+  /**
+   * Asks all peers that can relay to revoke a lease under which this controller no longer leads.
+   */
   public void revokeThroughPeers(long leaseId) {
     for (String member : peers.relayingMembers()) {
       peers.call(
           member,
           REVOKE_PATH,
           Fields.create().with(LEASE_ID_FIELD, leaseId),
-          StateConstants.REQUEST_TIMEOUT_MS + RelayConstants.RELAY_SLACK_MS,
+          StateConstants.REQUEST_TIMEOUT_MS + RelayConstants.RELAY_HOP_MS,
           answer ->
               log.info(
                   "lease revocation through peer finished peer={} lease={} status={}",
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -136,7 +136,9 @@
   @Override
   public void onResult(Batch batch, TxnResult result) {
     Set<String> failedKeys =
-        result instanceof TxnResult.Conflict conflict ? new HashSet<>(conflict.failed()) : Set.of();
+        result instanceof TxnResult.Conflict conflict
+            ? new HashSet<>(conflict.failedKeys())
+            : Set.of();
     batch.jobs.forEach(
         (query, job) -> {
           if (job == null || failedKeys.contains(Keys.job(query.id()))) {
@@ -144,8 +146,8 @@
           } else if (hasNewProgress(job, failedKeys)) {
             reader.readProgress(query.id(), query::answer);
           } else if (result instanceof TxnResult.Applied || !failedKeys.isEmpty()) {
-            // A conflict over other keys confirms this job too: all conditions are compared at
-            // once.
+            // A conflict over other keys confirms this job too: the service compares all keys of a
+            // transaction at one moment.
             query.answer(new LookupResult.Live(job));
           } else if (!batch.requeuedQueries.contains(query)) {
             query.answer(new LookupResult.Unavailable(Unavailability.of(result)));
--- a/src/main/java/fennelthread/leader/StartBatches.java
+++ b/src/main/java/fennelthread/leader/StartBatches.java
@@ -68,6 +68,7 @@
     Txn txn = batch.txn();
     Machine machine = fleet.findMachine(start.machine());
     boolean needsCondition = !jobs.contains(id);
+    // Each of the records, at most one per change, may need a condition of its own as well.
     if ((needsCondition
             && txn.conditionCount() + limits.maxTxnChanges() >= limits.maxTxnConditions())
         || !packer.tryReserve(start.spec(), start.task(), machine.name(), machine.session())) {
@@ -111,7 +112,7 @@
   }
 
   private void send(Machine machine, List<Attempt> attempts) {
-    attempts.removeIf(attempt -> attempt.phase() != Attempt.Phase.RECORDED);
+    attempts.removeIf(attempt -> attempt.phase() != Attempt.Phase.CREATED);
     for (Attempt attempt : List.copyOf(attempts)) {
       if (activeJobs.jobOf(attempt) == null) {
         fleet.discardUnsent(machine, attempt);
--- a/src/main/java/fennelthread/wire/Priority.java
+++ b/src/main/java/fennelthread/wire/Priority.java
@@ -1,34 +1,34 @@
 package fennelthread.wire;
 
-/** How urgent a job is, most urgent first. */
+/** The priority of a job, most urgent first. */
 public enum Priority {
   CRITICAL("critical", 0),
   URGENT("urgent", 1),
   STANDARD("standard", 2),
   BEST_EFFORT("best_effort", 3);
 
-  private final String wire;
+  private final String wireName;
   private final int rank;
 
-  Priority(String wire, int rank) {
-    this.wire = wire;
+  Priority(String wireName, int rank) {
+    this.wireName = wireName;
     this.rank = rank;
   }
 
-  /** The name used in messages. */
-  public String wire() {
-    return wire;
+  /** Returns the name used in messages. */
+  public String wireName() {
+    return wireName;
   }
 
-  /** How many priorities are more urgent. */
+  /** Returns the number of more urgent priorities: 0 for the most urgent. */
   public int rank() {
     return rank;
   }
 
   static Priority of(String field, String text) throws WireException {
-    for (Priority p : values()) {
-      if (p.wire.equals(text)) {
-        return p;
+    for (Priority priority : values()) {
+      if (priority.wireName.equals(text)) {
+        return priority;
       }
     }
     throw new WireException(field, "is not a known priority");
