--- a/src/main/java/fennelthread/cli/Archive.java
+++ b/src/main/java/fennelthread/cli/Archive.java
@@ -11,7 +11,7 @@
 /**
  * The last step of the build: creates the class-data sharing (CDS) archive in a separate process.
  * The archive only makes starts faster, so a failure here must not fail the build: training can
- * fail because many builds share one machine, and without a build the service can't be started. The
+ * fail when ten builds share one machine, and without a build the service can't be started. The
  * archive is replaced atomically: it is written to a temporary file in the same directory, a start
  * with it is tested, and only then is it moved into place.
  */
--- a/src/main/java/fennelthread/constants/NetConstants.java
+++ b/src/main/java/fennelthread/constants/NetConstants.java
@@ -42,8 +42,8 @@
   public static final int MAX_OPENING_SOCKETS_PER_WORKER = 2;
 
   /**
-   * Time for which a connection attempt counts as in flight, ms: a reachable peer answers within a
-   * few.
+   * Time for which a connection attempt counts as in flight, ms: a reachable peer answers it within
+   * a few milliseconds.
    */
   public static final long CONNECT_TIMEOUT_MS = 5_000;
 
