--- a/src/main/java/fennelthread/jobs/DependencyCheckResult.java
+++ b/src/main/java/fennelthread/jobs/DependencyCheckResult.java
@@ -14,8 +14,7 @@
   /**
    * A dependency was never accepted, or is a service.
    *
-   * @param reason a predicate for the error message to the user, which puts the field's name before
-   *     it
+   * @param reason the end of the error message to the user, which begins with the name of the field
    */
   record Invalid(String reason) implements DependencyCheckResult {}
 
--- a/src/main/java/fennelthread/jobs/DependencyCheck.java
+++ b/src/main/java/fennelthread/jobs/DependencyChecker.java
@@ -11,18 +11,18 @@
 
 /**
  * Checks that every dependency of a submission was accepted. The submission is written after the
- * check, without a condition on its dependencies. That is safe: an accepted id stays accepted,
- * whatever becomes of its job. A dependency that neither the replica nor the cache of final records
- * holds is read from the state service, since the replica may lag behind.
+ * check, without a condition on its dependencies. That is safe, since an accepted id stays accepted
+ * even after its job is done or cancelled. A dependency that neither the replica nor the cache of
+ * final records holds is read from the state service, since the replica may lag behind.
  */
-final class DependencyCheck {
+final class DependencyChecker {
   private final StateClient state;
   private final JobTable table;
   private final FinalRecords finalRecords;
   private final JobQueries queries;
   private final DependencyGraph graph;
 
-  DependencyCheck(
+  DependencyChecker(
       StateClient state,
       JobTable table,
       FinalRecords finalRecords,
@@ -38,7 +38,7 @@
   /** Checks a submission; {@code done} is called once, possibly before this returns. */
   void check(JobSpec spec, Consumer<DependencyCheckResult> done) {
     List<String> unknownDependencies = new ArrayList<>();
-    boolean cancelled = false;
+    boolean hasCancelledDependency = false;
     for (String dependency : spec.dependencies()) {
       Job job = table.get(dependency);
       if (job != null && job.spec().service()) {
@@ -49,32 +49,33 @@
       if (job == null && finalRecord.isEmpty()) {
         unknownDependencies.add(dependency);
       }
-      cancelled |= isCancelled(dependency, finalRecord.orElse(null));
+      hasCancelledDependency |= isOrWillBeCancelled(dependency, finalRecord.orElse(null));
     }
     Optional<Unavailability> unavailability =
         unknownDependencies.isEmpty() ? Optional.empty() : state.unavailability(0);
     if (unavailability.isPresent()) {
       done.accept(new DependencyCheckResult.Unavailable(unavailability.get()));
     } else {
-      readRemaining(unknownDependencies, 0, cancelled, done);
+      readRemaining(unknownDependencies, 0, hasCancelledDependency, done);
     }
   }
 
-  private boolean isCancelled(String id, LookupResult found) {
+  private boolean isOrWillBeCancelled(String id, LookupResult found) {
     return graph.isToBeCancelled(id)
         || (found instanceof FinalRecord record && record.state() == JobState.CANCELLED);
   }
 
   /**
-   * Reads the dependencies from an index on, one at a time, until one of them decides the result.
+   * Reads the dependencies from position {@code index} on, one after the other. Stops at the first
+   * that makes the submission invalid or can't be read.
    */
   private void readRemaining(
       List<String> dependencies,
       int index,
-      boolean cancelled,
+      boolean hasCancelledDependency,
       Consumer<DependencyCheckResult> done) {
     if (index == dependencies.size()) {
-      done.accept(new DependencyCheckResult.Valid(cancelled));
+      done.accept(new DependencyCheckResult.Valid(hasCancelledDependency));
       return;
     }
     String dependency = dependencies.get(index);
@@ -90,8 +91,9 @@
           } else if (found instanceof LookupResult.Live live && live.job().spec().service()) {
             done.accept(invalidService(dependency));
           } else {
-            boolean cancelledSoFar = cancelled || isCancelled(dependency, found);
-            readRemaining(dependencies, index + 1, cancelledSoFar, done);
+            boolean hasCancelledSoFar =
+                hasCancelledDependency || isOrWillBeCancelled(dependency, found);
+            readRemaining(dependencies, index + 1, hasCancelledSoFar, done);
           }
         });
   }
--- a/src/main/java/fennelthread/jobs/DependencyGraph.java
+++ b/src/main/java/fennelthread/jobs/DependencyGraph.java
@@ -159,8 +159,8 @@
   }
 
   /**
-   * The live jobs that are to be cancelled because of a dependency, each after the live
-   * dependencies that are to be cancelled too.
+   * The live jobs that are to be cancelled because of a dependency, in the order in which they were
+   * marked: a job comes after the dependency that it was marked for.
    */
   public Collection<Job> jobsToCancel() {
     return Collections.unmodifiableCollection(toCancel.values());
--- a/src/main/java/fennelthread/jobs/Job.java
+++ b/src/main/java/fennelthread/jobs/Job.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * The number of keys that hold its finished tasks; 0 for a service and for a single task, of
-   * which only the final record is written.
+   * The number of keys that hold its finished tasks; 0 for a service and for a job of one task,
+   * since only their final records are written.
    */
   int chunkCount() {
     return spec.service() || spec.tasks() == 1
--- a/src/main/java/fennelthread/jobs/JobAcceptor.java
+++ b/src/main/java/fennelthread/jobs/JobAcceptor.java
@@ -26,7 +26,7 @@
  * once, and never after it has become final.
  */
 final class JobAcceptor implements TransactionPipeline.Handler<JobAcceptor.Batch> {
-  /** Receives the transactions of submissions that were applied. */
+  /** Receives each transaction of submissions that was applied. */
   @FunctionalInterface
   interface AppliedListener {
     /**
@@ -36,24 +36,28 @@
     void onApplied(Txn txn, long revision, Map<String, FinalRecord> finalRecords);
   }
 
-  /** Tells whether a job is known to be accepted without reading the state service. */
+  /**
+   * Tells from memory, without reading the state service, whether a job is known to be accepted.
+   */
   @FunctionalInterface
   interface AcceptedJobs {
-    /** True if the replica or the cache of final records holds the job. */
-    boolean isAccepted(String jobId);
+    /**
+     * True if the replica or the cache of final records holds the job. If false, the job may still
+     * have been accepted.
+     */
+    boolean isKnownAccepted(String jobId);
   }
 
-  /**
-   * The submissions of one transaction, each with the number of transactions it had been sent in
-   * then, this one included.
-   */
+  /** The submissions of one transaction, each with its send count as of this transaction. */
   static final class Batch extends TransactionPipeline.Batch {
-    final Map<PendingSubmission, Integer> sendNumbers = new LinkedHashMap<>();
+    final Map<PendingSubmission, Integer> sendCounts = new LinkedHashMap<>();
 
-    /** True if the submission was sent in no later transaction and its callers still wait. */
+    /**
+     * True if the submission was neither answered nor queued or sent again after this transaction.
+     */
     boolean isLatestSendOf(PendingSubmission submission) {
       return submission.phase() == PendingSubmission.Phase.SENT
-          && submission.sendCount() == sendNumbers.get(submission);
+          && submission.sendCount() == sendCounts.get(submission);
     }
   }
 
@@ -81,9 +85,9 @@
   /** Accepts a job; {@code done} is called once, possibly before this returns. */
   void accept(Submission submission, Consumer<AcceptResult> done) {
     String id = submission.spec().id();
-    if (acceptedJobs.isAccepted(id)) {
-      // Its conditions would fail the transaction for all submissions that share it, and the
-      // attempt would still use up part of the rate limit on writes.
+    if (acceptedJobs.isKnownAccepted(id)) {
+      // The conditions of this submission would fail the transaction for all that share
+      // it, and the attempt would still use up part of the rate limit on writes.
       done.accept(new AcceptResult.AlreadyAccepted());
       return;
     }
@@ -100,20 +104,20 @@
       done.accept(new AcceptResult.Unavailable(unavailability.get()));
       return;
     }
-    PendingSubmission next = new PendingSubmission(submission);
-    next.addCaller(done);
-    pending.put(id, next);
-    queue.put(id, next);
-    pipeline.sendNext();
+    PendingSubmission pendingSubmission = new PendingSubmission(submission);
+    pendingSubmission.addCaller(done);
+    pending.put(id, pendingSubmission);
+    queue.put(id, pendingSubmission);
+    pipeline.sendNextBatch();
   }
 
   @Override
-  public boolean hasWaiting() {
+  public boolean hasWaitingRequests() {
     return !queue.isEmpty();
   }
 
   @Override
-  public Batch nextBatch() {
+  public Batch takeNextBatch() {
     Batch batch = new Batch();
     int bytes = 0;
     boolean isFull = false;
@@ -125,7 +129,7 @@
               && batch.txn.changeCount() + next.submission().records().size()
                   <= limits.maxTxnChanges()
               && bytes <= limits.maxTxnBytes();
-      if (!batch.sendNumbers.isEmpty() && !fits) {
+      if (!batch.sendCounts.isEmpty() && !fits) {
         break;
       }
       isFull = next.needsOwnTransaction();
@@ -134,9 +138,9 @@
           .requireRevision(Keys.job(next.id()), 0)
           .requireRevision(Keys.finalJob(next.id()), 0);
       next.submission().records().forEach(batch.txn::write);
-      batch.sendNumbers.put(next, next.countSend());
+      batch.sendCounts.put(next, next.countSend());
     }
-    for (PendingSubmission sent : batch.sendNumbers.keySet()) {
+    for (PendingSubmission sent : batch.sendCounts.keySet()) {
       queue.remove(sent.id());
       sent.transitionTo(PendingSubmission.Phase.SENT);
     }
@@ -144,16 +148,17 @@
   }
 
   /**
-   * Completes the submissions that are known to be accepted by now, and sends the others again if
-   * an answer can still come in time.
+   * Completes the submissions that are known to be accepted by now. The others are queued again
+   * while they have been sent fewer than {@link JobConstants#MAX_SENDS} times and an answer can
+   * still come in time.
    */
   @Override
   public void onOverdue(Batch batch) {
-    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+    for (PendingSubmission submission : batch.sendCounts.keySet()) {
       if (!batch.isLatestSendOf(submission)) {
         continue;
       }
-      if (acceptedJobs.isAccepted(submission.id())) {
+      if (acceptedJobs.isKnownAccepted(submission.id())) {
         complete(submission, new AcceptResult.AlreadyAccepted());
       } else if (submission.sendCount() < JobConstants.MAX_SENDS
           && state.canAnswerInTime(submission.submission().records().size())) {
@@ -177,13 +182,13 @@
 
   private void completeApplied(Batch batch, long revision) {
     Map<String, FinalRecord> finalRecords = new HashMap<>();
-    for (PendingSubmission accepted : batch.sendNumbers.keySet()) {
+    for (PendingSubmission accepted : batch.sendCounts.keySet()) {
       if (accepted.submission().finalRecord() != null) {
         finalRecords.put(accepted.id(), accepted.submission().finalRecord());
       }
     }
     listener.onApplied(batch.txn, revision, finalRecords);
-    batch.sendNumbers.keySet().forEach(job -> complete(job, new AcceptResult.Accepted()));
+    batch.sendCounts.keySet().forEach(accepted -> complete(accepted, new AcceptResult.Accepted()));
   }
 
   private void resolveConflict(Batch batch, Set<String> failedKeys) {
@@ -192,7 +197,7 @@
       completeUnavailable(batch, Unavailability.REFUSED);
       return;
     }
-    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+    for (PendingSubmission submission : batch.sendCounts.keySet()) {
       String id = submission.id();
       if (failedKeys.contains(Keys.job(id)) || failedKeys.contains(Keys.finalJob(id))) {
         complete(submission, new AcceptResult.AlreadyAccepted());
@@ -203,11 +208,11 @@
   }
 
   private void resolveTooLarge(Batch batch) {
-    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+    for (PendingSubmission submission : batch.sendCounts.keySet()) {
       if (!batch.isLatestSendOf(submission)) {
         continue;
       }
-      if (batch.sendNumbers.size() == 1) {
+      if (batch.sendCounts.size() == 1) {
         complete(submission, new AcceptResult.TooLarge());
       } else {
         // Any one of them may be the one that is too large: each is sent alone from now on, so that
@@ -218,10 +223,10 @@
     }
   }
 
-  private void completeUnavailable(Batch batch, Unavailability why) {
-    for (PendingSubmission submission : batch.sendNumbers.keySet()) {
+  private void completeUnavailable(Batch batch, Unavailability reason) {
+    for (PendingSubmission submission : batch.sendCounts.keySet()) {
       if (batch.isLatestSendOf(submission)) {
-        complete(submission, new AcceptResult.Unavailable(why));
+        complete(submission, new AcceptResult.Unavailable(reason));
       }
     }
   }
--- a/src/main/java/fennelthread/jobs/JobCanceller.java
+++ b/src/main/java/fennelthread/jobs/JobCanceller.java
@@ -28,7 +28,7 @@
   private final JobQueries queries;
   private final DependencyGraph graph;
   private final SizeLimits limits;
-  private boolean isCancellingDependents;
+  private boolean isCancellingDependentJobs;
 
   JobCanceller(
       EventLoop eventLoop,
@@ -127,27 +127,27 @@
    * records.
    */
   void cancelDependentJobs() {
-    if (isCancellingDependents || graph.jobsToCancel().isEmpty()) {
+    if (isCancellingDependentJobs || graph.jobsToCancel().isEmpty()) {
       return;
     }
     Txn txn = new Txn();
-    Map<String, FinalRecord> written = new LinkedHashMap<>();
+    Map<String, FinalRecord> writtenRecords = new LinkedHashMap<>();
     for (Job job : graph.jobsToCancel()) {
       if (txn.changeCount() + JobConstants.CHANGES_PER_FINAL_RECORD > limits.maxTxnChanges()) {
         break;
       }
       FinalRecord finalRecord = cancelledRecord(job);
       addFinalRecord(txn, job, finalRecord);
-      written.put(job.spec().id(), finalRecord);
+      writtenRecords.put(job.spec().id(), finalRecord);
     }
-    isCancellingDependents = true;
+    isCancellingDependentJobs = true;
     state.submitTxn(
         RequestPriority.SCHEDULING,
         txn,
         result -> {
-          isCancellingDependents = false;
+          isCancellingDependentJobs = false;
           if (result instanceof TxnResult.Applied applied) {
-            onJobsFinal(txn, applied.revision(), written);
+            onJobsFinal(txn, applied.revision(), writtenRecords);
             cancelDependentJobs();
           }
         });
@@ -170,10 +170,10 @@
    * Updates the cache of final records and the replica after a transaction that was applied at a
    * revision and made these jobs final.
    */
-  void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
+  void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> writtenRecords) {
     // The final records come first: when the replica's listeners see a job removed, they look
     // up its final record in the cache.
-    written.forEach(finalRecords::add);
+    writtenRecords.forEach(finalRecords::add);
     replica.applyCommitted(txn, revision);
   }
 }
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -81,17 +81,17 @@
       reader.readProgress(id, done);
     } else {
       queue.computeIfAbsent(id, JobQuery::new).addCaller(done);
-      pipeline.sendNext();
+      pipeline.sendNextBatch();
     }
   }
 
   @Override
-  public boolean hasWaiting() {
+  public boolean hasWaitingRequests() {
     return !queue.isEmpty();
   }
 
   @Override
-  public Batch nextBatch() {
+  public Batch takeNextBatch() {
     Batch batch = new Batch();
     for (JobQuery query : new ArrayList<>(queue.values())) {
       Job job = table.get(query.id());
--- a/src/main/java/fennelthread/jobs/JobRecordCodec.java
+++ b/src/main/java/fennelthread/jobs/JobRecordCodec.java
@@ -14,7 +14,7 @@
 /**
  * Encodes and decodes the records of a live job: the job's own record, and further records (parts)
  * with the dependencies that don't fit into it. The record of a job without dependencies has no
- * field for them, so that versions without dependencies can read it and run the job.
+ * field for them, so that versions that do not support dependencies can read it and run the job.
  */
 final class JobRecordCodec {
   /** The field with the number of parts that hold further dependencies. */
@@ -58,24 +58,24 @@
       throws WireException {
     List<String> dependencies = spec.dependencies();
     int bytesPerPart = limits.maxValueBytes() - JobConstants.DEPENDENCIES_FIELD_BYTES;
-    int next = endOfFitting(dependencies, 0, bytesPerPart - recordBytes);
+    int next = findFittingEnd(dependencies, 0, bytesPerPart - recordBytes);
     List<Object> ownDependencies = new ArrayList<>(dependencies.subList(0, next));
     int partsBytes = 0;
-    int parts = 0;
+    int partCount = 0;
     while (next < dependencies.size()) {
-      int end = endOfFitting(dependencies, next, bytesPerPart);
-      if (end == next || parts >= limits.maxTxnChanges()) {
+      int end = findFittingEnd(dependencies, next, bytesPerPart);
+      if (end == next || partCount >= limits.maxTxnChanges()) {
         throw tooManyDependencies();
       }
       List<Object> ids = new ArrayList<>(dependencies.subList(next, end));
       Fields part = Fields.create().with(JobSpec.DEPENDENCIES, ids);
       partsBytes += SizeLimits.encodedBytes(part);
-      records.put(Keys.dependencies(spec.id(), parts++), part);
+      records.put(Keys.dependencies(spec.id(), partCount++), part);
       next = end;
     }
     record.with(JobSpec.DEPENDENCIES, ownDependencies);
-    if (parts > 0) {
-      record.with(PART_COUNT, (long) parts);
+    if (partCount > 0) {
+      record.with(PART_COUNT, (long) partCount);
     }
     return partsBytes;
   }
@@ -83,7 +83,7 @@
   /**
    * The end index, exclusive, of the dependencies from {@code from} on that fit into {@code bytes}.
    */
-  private static int endOfFitting(List<String> dependencies, int from, int bytes) {
+  private static int findFittingEnd(List<String> dependencies, int from, int bytes) {
     int end = from;
     int bytesLeft = bytes;
     while (end < dependencies.size()) {
--- a/src/main/java/fennelthread/jobs/JobRecordReader.java
+++ b/src/main/java/fennelthread/jobs/JobRecordReader.java
@@ -10,7 +10,10 @@
 import fennelthread.wire.WireException;
 import java.util.function.Consumer;
 
-/** Reads a job's records from the state service where the replica holds none or older ones. */
+/**
+ * Reads the records of a job from the state service if the replica does not hold the job, or holds
+ * an older state of it.
+ */
 final class JobRecordReader {
   /** Receives the live record that was read. */
   @FunctionalInterface
@@ -32,7 +35,7 @@
 
   /** Reads a job's live or final record, and its finished tasks if it is live. */
   void read(String id, Consumer<LookupResult> done) {
-    readLiveOrFinal(id, done, record -> readProgressOf(id, record, done));
+    readLiveOrFinal(id, done, record -> readProgressOfLiveRecord(id, record, done));
   }
 
   /**
@@ -67,7 +70,7 @@
         });
   }
 
-  private void readProgressOf(String id, KeyValue live, Consumer<LookupResult> done) {
+  private void readProgressOfLiveRecord(String id, KeyValue live, Consumer<LookupResult> done) {
     try {
       Job job =
           table.get(id) != null
--- a/src/main/java/fennelthread/jobs/JobStore.java
+++ b/src/main/java/fennelthread/jobs/JobStore.java
@@ -14,10 +14,11 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts, cancels and looks up jobs on any controller, whether or not it is the leader. Each
- * operation compares the revision of the job's one record in the state service, so that no
- * controller reports an older state than another has reported. docs/lost-answers.md explains what
- * happens when an answer of the state service is lost.
+ * Accepts, cancels and looks up jobs on any controller, whether or not it is the leader.
+ * Submissions and cancellations are conditional on the revisions of the job's records in the state
+ * service, and a lookup reads or confirms them unless the job is final, so that no controller
+ * reports an older state than another has reported. docs/lost-answers.md explains what happens when
+ * an answer of the state service is lost.
  *
  * <p>Used on the event loop's thread only. Each callback is called once on that thread, possibly
  * before the method returns.
@@ -28,8 +29,8 @@
   private final SizeLimits limits;
   private final FinalRecords finalRecords;
   private final JobQueries queries;
-  private final DependencyTracker dependencies;
-  private final DependencyCheck dependencyCheck;
+  private final DependencyTracker dependencyTracker;
+  private final DependencyChecker dependencyChecker;
   private final JobCanceller canceller;
   private final JobAcceptor acceptor;
 
@@ -46,17 +47,17 @@
     this.limits = state.limits();
     this.finalRecords = new FinalRecords(state, cancellationListener);
     this.queries = new JobQueries(state, replica, table, finalRecords);
-    this.dependencies = new DependencyTracker(eventLoop, table, settings, finalRecords);
-    DependencyGraph graph = dependencies.graph();
+    this.dependencyTracker = new DependencyTracker(eventLoop, table, settings, finalRecords);
+    DependencyGraph graph = dependencyTracker.graph();
     finalRecords.setListener(graph::onFinalRecord);
-    this.dependencyCheck = new DependencyCheck(state, table, finalRecords, queries, graph);
+    this.dependencyChecker = new DependencyChecker(state, table, finalRecords, queries, graph);
     this.canceller = new JobCanceller(eventLoop, state, replica, finalRecords, queries, graph);
     this.acceptor = new JobAcceptor(state, this::isKnownAccepted, canceller::onJobsFinal);
   }
 
   /** The dependencies among live jobs. */
   public DependencyTracker dependencyTracker() {
-    return dependencies;
+    return dependencyTracker;
   }
 
   /**
@@ -69,9 +70,9 @@
   }
 
   /**
-   * Returns the submission of a job that depends on a cancelled one: it is accepted and cancelled
-   * in one write. If it were accepted as pending first, it could be reported as pending after its
-   * user was told of the cancellation.
+   * Returns the submission of a job that depends on a cancelled one: its final record is written in
+   * place of a live one. If a live record were written first, a lookup could still report the job
+   * as pending after the user was told that it is cancelled.
    */
   public Submission prepareCancelledSubmission(Submission submission) {
     FinalRecord finalRecord = new FinalRecord(JobState.CANCELLED, 0, eventLoop.wallMs());
@@ -104,10 +105,10 @@
 
   /** Checks that every dependency of a submission was accepted. */
   public void checkDependencies(JobSpec spec, Consumer<DependencyCheckResult> done) {
-    dependencyCheck.check(spec, done);
+    dependencyChecker.check(spec, done);
   }
 
-  /** Accepts a validated job with one transaction. */
+  /** Accepts a validated job; {@code done} gets the outcome. */
   public void accept(Submission submission, Consumer<AcceptResult> done) {
     acceptor.accept(submission, done);
   }
@@ -120,7 +121,7 @@
     queries.lookup(
         id,
         found -> {
-          if (found instanceof LookupResult.Live && dependencies.graph().isToBeCancelled(id)) {
+          if (found instanceof LookupResult.Live && dependencyTracker.graph().isToBeCancelled(id)) {
             cancel(id, done);
           } else {
             done.accept(found);
@@ -153,7 +154,7 @@
    * Updates the cache of final records and the replica after a transaction that was applied at a
    * revision and made these jobs final.
    */
-  public void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> written) {
-    canceller.onJobsFinal(txn, revision, written);
+  public void onJobsFinal(Txn txn, long revision, Map<String, FinalRecord> writtenRecords) {
+    canceller.onJobsFinal(txn, revision, writtenRecords);
   }
 }
--- a/src/main/java/fennelthread/jobs/JobTable.java
+++ b/src/main/java/fennelthread/jobs/JobTable.java
@@ -28,8 +28,8 @@
   /** Receives the jobs that become live and those that cease to be live. */
   public interface Listener {
     /**
-     * Called when a job that any controller has accepted is in the replica with all its
-     * dependencies.
+     * Called when a job has reached the replica with all its dependencies, whichever controller
+     * accepted it.
      */
     void onJobAdded(Job job);
 
@@ -38,16 +38,19 @@
   }
 
   /**
-   * A job of whose dependencies some parts have not reached the replica; it is not live to
-   * listeners until they have.
+   * A job that lacks parts of its dependencies, since they have not reached the replica yet.
+   * Listeners are not told of the job before all parts are there.
    */
   private record IncompleteJob(Job job, int partCount) {}
 
   private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
       new Object2ObjectLinkedOpenHashMap<>();
+
+  /** Chunks of finished tasks that arrived before their job, by job and key. */
   private final Map<String, Map<String, Fields>> earlyChunks = new HashMap<>();
+
   private final Map<String, TreeMap<Integer, List<String>>> dependencyParts = new HashMap<>();
-  private final Map<String, IncompleteJob> incomplete = new HashMap<>();
+  private final Map<String, IncompleteJob> incompleteJobs = new HashMap<>();
   private final StartRecordIndex startRecordIndex = new StartRecordIndex();
   private final List<Listener> listeners = new ArrayList<>();
 
@@ -134,7 +137,7 @@
 
   private void onJobRecord(String id, Fields value, long revision) throws WireException {
     if (value == null) {
-      incomplete.remove(id);
+      incompleteJobs.remove(id);
       Job job = jobs.remove(id);
       if (job != null) {
         List.copyOf(listeners).forEach(listener -> listener.onJobRemoved(job));
@@ -142,9 +145,9 @@
       return;
     }
     Job job = JobRecordCodec.decode(value, revision);
-    int parts = JobRecordCodec.partCount(value);
-    if (parts > 0) {
-      incomplete.put(id, new IncompleteJob(job, parts));
+    int partCount = JobRecordCodec.partCount(value);
+    if (partCount > 0) {
+      incompleteJobs.put(id, new IncompleteJob(job, partCount));
       addIfComplete(id);
     } else {
       add(job);
@@ -172,12 +175,12 @@
    * record, since the pages of one load are not read at the same revision.
    */
   private void addIfComplete(String id) throws WireException {
-    IncompleteJob candidate = incomplete.get(id);
+    IncompleteJob candidate = incompleteJobs.get(id);
     if (candidate == null
         || dependencyParts.getOrDefault(id, new TreeMap<>()).size() < candidate.partCount) {
       return;
     }
-    incomplete.remove(id);
+    incompleteJobs.remove(id);
     List<String> dependencies = new ArrayList<>(candidate.job.spec().dependencies());
     dependencyParts.get(id).values().forEach(dependencies::addAll);
     add(candidate.job.withDependencies(dependencies));
@@ -202,7 +205,8 @@
     String id = Keys.jobIdOf(Keys.FINISHED_TASKS_PREFIX, key);
     Job job = jobs.get(id);
     if (job == null) {
-      // A load delivers keys in the order of their names, so that chunks come before their jobs.
+      // A load delivers keys in the order of their names, so that chunks of finished
+      // tasks come before their jobs.
       earlyChunks.computeIfAbsent(id, k -> new HashMap<>()).put(key, value);
       if (earlyChunks.size() > JobConstants.MAX_JOBS_WITH_EARLY_CHUNKS) {
         earlyChunks.clear();
--- a/src/main/java/fennelthread/jobs/PendingSubmission.java
+++ b/src/main/java/fennelthread/jobs/PendingSubmission.java
@@ -59,7 +59,7 @@
     return needsOwnTransaction;
   }
 
-  /** Makes every later transaction of the submission hold no other one. */
+  /** From now on sends the submission only in transactions that hold no other submission. */
   void requireOwnTransaction() {
     needsOwnTransaction = true;
   }
--- a/src/main/java/fennelthread/jobs/PriorityInheritance.java
+++ b/src/main/java/fennelthread/jobs/PriorityInheritance.java
@@ -51,9 +51,10 @@
     Deque<String> pending = new ArrayDeque<>(ids);
     while (!pending.isEmpty()) {
       String id = pending.poll();
-      InheritedPriority now = compute(id);
-      InheritedPriority before = now == null ? inherited.remove(id) : inherited.put(id, now);
-      if (now == null ? before == null : now.equals(before)) {
+      InheritedPriority updated = compute(id);
+      InheritedPriority previous =
+          updated == null ? inherited.remove(id) : inherited.put(id, updated);
+      if (updated == null ? previous == null : updated.equals(previous)) {
         continue;
       }
       listener.onInheritedPriorityChanged(id);
--- a/src/main/java/fennelthread/jobs/StartRecord.java
+++ b/src/main/java/fennelthread/jobs/StartRecord.java
@@ -11,16 +11,17 @@
 import java.util.Map;
 
 /**
- * The tasks that one scheduling round is about to start, written before any start is sent to a
- * worker. It also holds each job's team and resources: after a failover the new leader must count
- * the tasks of a cancelled job, whose own record is gone by then.
+ * Tasks that a scheduling round is about to start, written before any of these starts is sent to a
+ * worker. A round may need several records. It also holds each job's team and resources: after a
+ * failover the new leader must still count the resources that the tasks of a cancelled job take,
+ * although the job's own record is gone by then.
  */
 public record StartRecord(List<Start> starts) {
   /**
    * One attempt to start a task on a machine.
    *
    * @param task the task to start
-   * @param attempt the number of the attempt, which no other attempt has
+   * @param attempt the attempt's number, unique among all attempts
    * @param machine the name of the machine
    * @param session the incarnation of the machine's worker
    * @param team the job's team
--- a/src/main/java/fennelthread/jobs/StartRecordPacker.java
+++ b/src/main/java/fennelthread/jobs/StartRecordPacker.java
@@ -9,8 +9,8 @@
 
 /**
  * Packs the starts of one scheduling round into as many start records as needed, each of which fits
- * into a value; all are written in one transaction. Each record is complete by itself, so that a
- * new leader of a version that expects a single record for a round reads them too.
+ * into a value; all are written in one transaction. Each record can be read on its own, so that a
+ * new leader whose version expects one record per round can read them too.
  */
 public final class StartRecordPacker {
   private final int maxRecordBytes;
@@ -46,7 +46,7 @@
     int bytesLeftBefore = bytesLeft;
     int recordsBefore = records.size();
     Set<String> jobsBefore = Set.copyOf(jobsInLastRecord);
-    List<StartRecord.Start> lastBefore =
+    List<StartRecord.Start> lastRecordStartsBefore =
         recordsBefore == 0 ? List.of() : List.copyOf(records.get(recordsBefore - 1));
     for (StartRecord.Start start : starts) {
       if (tryReserve(start)) {
@@ -57,7 +57,7 @@
         records.remove(records.size() - 1);
       }
       if (recordsBefore > 0) {
-        records.set(recordsBefore - 1, new ArrayList<>(lastBefore));
+        records.set(recordsBefore - 1, new ArrayList<>(lastRecordStartsBefore));
       }
       bytesLeft = bytesLeftBefore;
       jobsInLastRecord.clear();
--- a/src/main/java/fennelthread/jobs/TransactionPipeline.java
+++ b/src/main/java/fennelthread/jobs/TransactionPipeline.java
@@ -20,13 +20,13 @@
   /** Assembles the batches and handles their results. */
   interface Handler<B extends Batch> {
     /** True if requests wait for a transaction. */
-    boolean hasWaiting();
+    boolean hasWaitingRequests();
 
     /** Takes the next requests out of the queue. */
-    B nextBatch();
+    B takeNextBatch();
 
     /**
-     * Called if a batch has no result by the time {@link StateClient#submitTxn} calls it overdue.
+     * Called if the transaction of a batch is overdue, as defined by {@link StateClient#submitTxn}.
      */
     void onOverdue(B batch);
 
@@ -46,11 +46,11 @@
   }
 
   /** Sends the next batch if any request waits and a slot is free. */
-  void sendNext() {
-    if (transactionsInFlight >= maxInFlight || !handler.hasWaiting()) {
+  void sendNextBatch() {
+    if (transactionsInFlight >= maxInFlight || !handler.hasWaitingRequests()) {
       return;
     }
-    B batch = handler.nextBatch();
+    B batch = handler.takeNextBatch();
     transactionsInFlight++;
     state.submitTxn(
         RequestPriority.INTERACTIVE,
@@ -58,12 +58,12 @@
         () -> {
           releaseSlot(batch);
           handler.onOverdue(batch);
-          sendNext();
+          sendNextBatch();
         },
         result -> {
           releaseSlot(batch);
           handler.onResult(batch, result);
-          sendNext();
+          sendNextBatch();
         });
   }
 
--- a/src/main/java/fennelthread/state/Keys.java
+++ b/src/main/java/fennelthread/state/Keys.java
@@ -40,15 +40,15 @@
   public static final String DEPENDENCIES_PREFIX = LIVE_PREFIX + "chain/";
 
   /**
-   * Prefix of the notices of followers that can't reach the leader themselves while workers of that
-   * leader reach them.
+   * Prefix of the notices that followers write when they can't reach the leader but receive reports
+   * from workers that the leader commands.
    */
   public static final String UNREACHABLE_LEADER_PREFIX = LIVE_PREFIX + "heard/";
 
   /** A key that is never written: a read of it returns the revision that the store has reached. */
   static final String NEVER_WRITTEN = "none";
 
-  private static final String FINAL = "final/";
+  private static final String FINAL_PREFIX = "final/";
 
   private Keys() {}
 
@@ -70,10 +70,13 @@
 
   /** The record of a job that is done or cancelled. */
   public static String finalJob(String jobId) {
-    return FINAL + jobId;
+    return FINAL_PREFIX + jobId;
   }
 
-  /** The notice of a member that it can't reach the leader whose workers reach it. */
+  /**
+   * The notice of a follower that it can't reach the leader but receives reports from the leader's
+   * workers.
+   */
   public static String unreachableLeader(String member) {
     return UNREACHABLE_LEADER_PREFIX + member;
   }
--- a/src/main/java/fennelthread/state/Replica.java
+++ b/src/main/java/fennelthread/state/Replica.java
@@ -69,7 +69,10 @@
     listeners.add(listener);
   }
 
-  /** Loads all keys and then follows their changes; also restarts after the watch was compacted. */
+  /**
+   * Loads all keys and then follows their changes; called again once the store has compacted
+   * changes that the watch has not delivered yet.
+   */
   public void start() {
     transitionTo(Phase.LOADING);
     loadedKeys = new HashSet<>();
--- a/src/main/java/fennelthread/state/RequestQueue.java
+++ b/src/main/java/fennelthread/state/RequestQueue.java
@@ -40,8 +40,9 @@
   }
 
   /**
-   * True if an interactive request with {@code changes} puts and deletes, submitted now, would be
-   * sent within {@link StateConstants#MAX_INTERACTIVE_WAIT_MS}.
+   * True if an interactive request with {@code changes} puts and deletes, submitted now, is
+   * expected to be sent within {@link StateConstants#MAX_INTERACTIVE_WAIT_MS}. Overdue requests of
+   * the other lanes, which may be sent first, are not counted.
    */
   boolean canSendInTime(int changes) {
     refill();
--- a/src/main/java/fennelthread/state/ResponseDecoder.java
+++ b/src/main/java/fennelthread/state/ResponseDecoder.java
@@ -11,8 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decodes the state service's answers. A malformed answer is logged and treated like a missing one.
- * An answer is null if there was none in time.
+ * Decodes the state service's answers. A malformed answer is logged and treated like a missing one,
+ * except that a conflict still counts as a transaction that was not applied. An answer is null if
+ * there was none in time.
  */
 final class ResponseDecoder {
   private static final Logger log = LoggerFactory.getLogger(ResponseDecoder.class);
@@ -25,9 +26,9 @@
 
   /** Decodes the answer to the read of one key. */
   static ReadResult readResult(String key, Answer answer) {
-    boolean absent = answer != null && answer.status() == 404;
+    boolean isAbsent = answer != null && answer.status() == 404;
     Optional<ReadResult> result =
-        absent
+        isAbsent
             ? decode(answer, body -> new ReadResult.Absent(body.count("asiento", 0)))
             : decode(answer, body -> new ReadResult.Found(keyValue(key, body)));
     return result.orElseGet(ReadResult.Unavailable::new);
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -52,7 +52,7 @@
     lastServedAtMs = nowMs;
   }
 
-  /** Records an answer with 503: the request was not executed. */
+  /** Records an answer with a status of 500 or above: the service failed to serve the request. */
   public void recordRefusal(long requestId, long nowMs) {
     recordTimedAnswer(requestId, nowMs);
     lastFailureAtMs = nowMs;
@@ -145,7 +145,10 @@
     return lastServedAtMs;
   }
 
-  /** How long the service has not served a request, ms; 0 if it served the last one. */
+  /**
+   * How long the service has not served a request, ms; 0 if no request has failed since it served
+   * one.
+   */
   public long failingForMs(long nowMs) {
     return lastFailureAtMs > lastServedAtMs ? nowMs - lastServedAtMs : 0;
   }
--- a/src/main/java/fennelthread/state/StateClient.java
+++ b/src/main/java/fennelthread/state/StateClient.java
@@ -63,7 +63,8 @@
   }
 
   /**
-   * How long the service has failed to serve this controller, ms; 0 if it served the last request.
+   * How long the service has failed to serve this controller, ms; 0 if no request has failed since
+   * it served one.
    */
   public long failingForMs() {
     return health.failingForMs(eventLoop.nowMs());
@@ -158,7 +159,7 @@
    *
    * @param onOverdue run if there is no answer within {@link ServiceHealth#overdueAfterMs} of
    *     sending. The answer may still arrive; until then the caller may learn the outcome by other
-   *     means.
+   *     means. Not run once the service has answered with 429.
    */
   public void submitTxn(
       RequestPriority priority, Txn txn, Runnable onOverdue, Consumer<TxnResult> done) {
@@ -173,7 +174,7 @@
     EventLoop.Cancellable timer = eventLoop.after(health.overdueAfterMs(), onOverdue);
     StateRequest request =
         new StateRequest(
-            Call.post("/multi", Codec.CBOR, txn.body()),
+            Call.post("/multi", Codec.CBOR, txn.encodeBody()),
             StateConstants.REQUEST_TIMEOUT_MS,
             false,
             // The service answers but is overloaded: the transaction must not be sent twice now.
--- a/src/main/java/fennelthread/state/StateTransport.java
+++ b/src/main/java/fennelthread/state/StateTransport.java
@@ -16,11 +16,11 @@
    * A request to the state service.
    *
    * @param timeoutMs the longest wait for the answer, ms
-   * @param longPoll true if the service answers only when something changes, so that the time to
-   *     the answer does not measure its health
+   * @param isLongPoll true if the service holds the answer back until something changes or the poll
+   *     ends, so that the time to the answer does not measure its health
    * @param onRateLimited run each time the service rejects the request with 429
    */
-  record StateRequest(Call call, long timeoutMs, boolean longPoll, Runnable onRateLimited) {
+  record StateRequest(Call call, long timeoutMs, boolean isLongPoll, Runnable onRateLimited) {
     static StateRequest of(Call call, long timeoutMs) {
       return new StateRequest(call, timeoutMs, false, () -> {});
     }
@@ -63,7 +63,7 @@
   }
 
   private void send(StateRequest request, int retriesLeft, Consumer<Answer> done) {
-    boolean isTimed = !request.longPoll;
+    boolean isTimed = !request.isLongPoll;
     long requestId = isTimed ? health.recordSent(eventLoop.nowMs()) : 0;
     if (isTimed) {
       scheduleOverdueCheck();
@@ -75,9 +75,8 @@
         answer -> {
           recordOutcome(requestId, isTimed, answer);
           if (answer != null && answer.status() == 429) {
-            // Not executed, since all controllers together exceed the limit: this one backs off,
-            // and
-            // retries the request so that its sender need not.
+            // Not executed, since all controllers together exceed the limit: this one backs
+            // off, and retries the request so that its sender need not.
             queue.backOff();
             request.onRateLimited.run();
             if (retriesLeft > 0) {
--- a/src/main/java/fennelthread/state/Txn.java
+++ b/src/main/java/fennelthread/state/Txn.java
@@ -11,7 +11,7 @@
  * only if every key of its conditions has the required revision. Not thread-safe.
  */
 public final class Txn {
-  private final Map<String, Long> revisionsByKey = new LinkedHashMap<>();
+  private final Map<String, Long> requiredRevisions = new LinkedHashMap<>();
   private final Map<String, Fields> writesByKey = new LinkedHashMap<>();
   private final List<String> removedKeys = new ArrayList<>();
   private String leaseBoundKey;
@@ -19,7 +19,7 @@
 
   /** Adds the condition that {@code key} has this revision; 0 means that it must not exist. */
   public Txn requireRevision(String key, long revision) {
-    revisionsByKey.put(key, revision);
+    requiredRevisions.put(key, revision);
     return this;
   }
 
@@ -56,7 +56,7 @@
 
   /** The number of conditions. */
   public int conditionCount() {
-    return revisionsByKey.size();
+    return requiredRevisions.size();
   }
 
   Map<String, Fields> writesByKey() {
@@ -68,9 +68,9 @@
   }
 
   /** Encodes the body of the request. */
-  Fields body() {
+  Fields encodeBody() {
     List<Object> conditions = new ArrayList<>();
-    revisionsByKey.forEach(
+    requiredRevisions.forEach(
         (key, revision) ->
             conditions.add(Fields.create().with("key", key).with("edicion", revision).map()));
     List<Object> changes = new ArrayList<>();
--- a/src/main/java/fennelthread/state/TxnResult.java
+++ b/src/main/java/fennelthread/state/TxnResult.java
@@ -7,10 +7,16 @@
   /** Applied, at this revision. */
   record Applied(long revision) implements TxnResult {}
 
-  /** Not applied: these keys have revisions other than the conditions require. */
+  /**
+   * Not applied: these keys have revisions other than the conditions require. The list is empty if
+   * the answer names none.
+   */
   record Conflict(List<String> failedKeys) implements TxnResult {}
 
-  /** Not applied: an outage, a rate limit, or too many requests queued in this controller. */
+  /**
+   * Not applied: an outage, a rate limit, too many requests queued in this controller, or a
+   * conflict whose answer can't be decoded.
+   */
   record Refused(String reason) implements TxnResult {}
 
   /**
--- a/src/main/java/fennelthread/state/Unavailability.java
+++ b/src/main/java/fennelthread/state/Unavailability.java
@@ -13,7 +13,10 @@
   REFUSED("the state service refuses requests"),
   /** The request got no answer in its time. */
   UNANSWERED("the state service has not answered"),
-  /** Every attempt at a compare-and-swap failed because the record had changed. */
+  /**
+   * No attempt at a compare-and-swap succeeded: the record had changed each time, or an attempt got
+   * no answer.
+   */
   CONTENDED("the job changes too often"),
   /** The stored record can't be decoded. */
   UNREADABLE("the job's record can't be read");
--- a/src/test/java/fennelthread/jobs/DependencyGraphTest.java
+++ b/src/test/java/fennelthread/jobs/DependencyGraphTest.java
@@ -24,6 +24,7 @@
 /** Tests the dependency graph by itself, also against a model that scans all jobs at each query. */
 class DependencyGraphTest {
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
+  private static final int NO_PRIORITY = 4;
   private final Map<String, Job> live = new LinkedHashMap<>();
   private final Map<String, FinalRecord> storedRecords = new HashMap<>();
   private final Map<String, FinalRecord> knownRecords = new HashMap<>();
@@ -45,7 +46,7 @@
           spec -> spec.deadlineS() * 1.5,
           new DependencyGraph.Listener() {
             @Override
-            public void onPhaseChanged(Job job, DependencyGraph.Phase to) {
+            public void onPhaseChanged(Job job, DependencyGraph.Phase newPhase) {
               changeCount++;
             }
 
@@ -75,19 +76,19 @@
         1_000L * number);
   }
 
-  private void accept(Job job) {
+  private void acceptJob(Job job) {
     live.put(job.spec().id(), job);
     graph.add(job, knownJobs);
   }
 
-  private void end(String id, JobState state) {
+  private void endJob(String id, JobState state) {
     live.remove(id);
     storedRecords.put(id, new FinalRecord(state, 1, 5_000_000 + id.hashCode() % 1_000));
     graph.remove(id);
   }
 
   /** Delivers a final record as if it had been read from the state service. */
-  private void read(String id) {
+  private void deliverFinalRecord(String id) {
     knownRecords.put(id, storedRecords.get(id));
     graph.onFinalRecord(id, storedRecords.get(id));
   }
@@ -96,14 +97,14 @@
   void onlyAFinalRecordReleasesADependant() {
     Job first = job(1, Priority.STANDARD, -1, List.of());
     Job second = job(2, Priority.STANDARD, -1, List.of("job-1"));
-    accept(first);
-    accept(second);
+    acceptJob(first);
+    acceptJob(second);
     assertTrue(graph.isReleased(first));
     assertFalse(graph.isReleased(second));
-    end("job-1", JobState.DONE);
+    endJob("job-1", JobState.DONE);
     assertFalse(graph.isReleased(second), "a job that is no longer live may have been cancelled");
     assertEquals(Set.of("job-1"), Set.copyOf(graph.unresolvedDependencies()));
-    read("job-1");
+    deliverFinalRecord("job-1");
     assertTrue(graph.isReleased(second));
     assertEquals(storedRecords.get("job-1").endedWallMs(), graph.releasedAtMs(second));
     assertTrue(graph.unresolvedDependencies().isEmpty());
@@ -117,25 +118,25 @@
   void aFinalRecordWithoutATimeReleasesAtAcceptance() {
     knownRecords.put("job-1", new FinalRecord(JobState.DONE, 1, 0));
     Job second = job(2, Priority.STANDARD, -1, List.of("job-1"));
-    accept(second);
+    acceptJob(second);
     assertTrue(graph.isReleased(second));
     assertEquals(2_000, graph.releasedAtMs(second));
   }
 
   @Test
   void priorityAndDeadlineAreInheritedFromDependants() {
-    accept(job(1, Priority.BEST_EFFORT, -1, List.of()));
-    accept(job(2, Priority.BEST_EFFORT, -1, List.of("job-1")));
+    acceptJob(job(1, Priority.BEST_EFFORT, -1, List.of()));
+    acceptJob(job(2, Priority.BEST_EFFORT, -1, List.of("job-1")));
     assertEquals(Priority.BEST_EFFORT, graph.inheritedPriority("job-1").priority());
-    accept(job(3, Priority.URGENT, 100, List.of("job-2")));
+    acceptJob(job(3, Priority.URGENT, 100, List.of("job-2")));
     // Job 3 is due at 103 s, or at 153 s by its latest deadline; each dependant runs 10 s.
     assertEquals(
         new InheritedPriority(Priority.URGENT, 93_000, 143_000), graph.inheritedPriority("job-2"));
     assertEquals(
         new InheritedPriority(Priority.URGENT, 83_000, 133_000), graph.inheritedPriority("job-1"));
-    end("job-3", JobState.CANCELLED);
+    endJob("job-3", JobState.CANCELLED);
     assertEquals(Priority.BEST_EFFORT, graph.inheritedPriority("job-1").priority());
-    end("job-2", JobState.CANCELLED);
+    endJob("job-2", JobState.CANCELLED);
     assertNull(graph.inheritedPriority("job-1"), "nothing is inherited from a cancelled job");
   }
 
@@ -164,33 +165,33 @@
                 List.copyOf(dependencies));
         ids.add(job.spec().id());
         all.put(job.spec().id(), job);
-        accept(job);
+        acceptJob(job);
       } else if (action < 6 && !live.isEmpty()) {
         List<Job> released = live.values().stream().filter(graph::isReleased).toList();
-        boolean done = random.nextInt(5) > 0 && !released.isEmpty();
-        List<Job> from = done ? released : List.copyOf(live.values());
-        end(
-            from.get(random.nextInt(from.size())).spec().id(),
-            done ? JobState.DONE : JobState.CANCELLED);
+        boolean isDone = random.nextInt(5) > 0 && !released.isEmpty();
+        List<Job> candidates = isDone ? released : List.copyOf(live.values());
+        endJob(
+            candidates.get(random.nextInt(candidates.size())).spec().id(),
+            isDone ? JobState.DONE : JobState.CANCELLED);
       } else if (!graph.unresolvedDependencies().isEmpty()) {
-        read(
+        deliverFinalRecord(
             List.copyOf(graph.unresolvedDependencies())
                 .get(random.nextInt(graph.unresolvedDependencies().size())));
       }
       for (Job job : live.values()) {
-        check(job, all);
+        checkJob(job, all);
       }
     }
   }
 
-  private void check(Job job, Map<String, Job> all) {
+  private void checkJob(Job job, Map<String, Job> all) {
     String id = job.spec().id();
     boolean isReleasable = true;
     for (String dependency : job.spec().dependencies()) {
-      FinalRecord end = knownRecords.get(dependency);
-      isReleasable &= end != null && end.state() == JobState.DONE;
+      FinalRecord finalRecord = knownRecords.get(dependency);
+      isReleasable &= finalRecord != null && finalRecord.state() == JobState.DONE;
       assertEquals(
-          !live.containsKey(dependency) && end == null,
+          !live.containsKey(dependency) && finalRecord == null,
           graph.unresolvedDependencies().contains(dependency),
           dependency);
     }
@@ -203,12 +204,15 @@
     }
     InheritedPriority inherited = graph.inheritedPriority(id);
     assertEquals(
-        urgency(id, all), inherited == null ? 4 : PRIORITIES.indexOf(inherited.priority()), id);
+        inheritedPriorityIndex(id, all),
+        inherited == null ? NO_PRIORITY : PRIORITIES.indexOf(inherited.priority()),
+        id);
   }
 
   /**
-   * Follows only dependencies that are live, or with {@code throughEndedJobs} also those that have
-   * ended without a known final record.
+   * True if a direct or indirect dependency is known to be cancelled. Indirect ones are found
+   * through live jobs, and with {@code throughEndedJobs} also through jobs that have ended without
+   * a known final record.
    */
   private boolean isToBeCancelled(String id, Map<String, Job> all, boolean throughEndedJobs) {
     return all.get(id).spec().dependencies().stream()
@@ -220,35 +224,40 @@
                         && isToBeCancelled(dependency, all, throughEndedJobs));
   }
 
-  private int urgency(String id, Map<String, Job> all) {
-    int most = 4;
+  /**
+   * The model: the index of the priority that the job should inherit, {@code NO_PRIORITY} if it
+   * should inherit none.
+   */
+  private int inheritedPriorityIndex(String id, Map<String, Job> all) {
+    int mostUrgent = NO_PRIORITY;
     for (Job other : live.values()) {
       if (other.spec().dependencies().contains(id) && !graph.isToBeCancelled(other.spec().id())) {
-        most = Math.min(most, PRIORITIES.indexOf(other.spec().priority()));
-        most = Math.min(most, urgency(other.spec().id(), all));
+        mostUrgent = Math.min(mostUrgent, PRIORITIES.indexOf(other.spec().priority()));
+        mostUrgent = Math.min(mostUrgent, inheritedPriorityIndex(other.spec().id(), all));
       }
     }
-    return most;
+    return mostUrgent;
   }
 
   /**
-   * Guards against recursion and repeated updates: each step on a chain of 1,000 jobs makes a
-   * number of changes proportional to its length.
+   * Guards against a stack overflow from recursion along a long chain of dependencies, and against
+   * repeated updates: each step on a chain of 1,000 jobs makes a number of changes proportional to
+   * its length.
    */
   @Test
   void aLongChainIsUpdatedWithoutRecursionOrExtraChanges() {
-    accept(job(0, Priority.BEST_EFFORT, -1, List.of()));
+    acceptJob(job(0, Priority.BEST_EFFORT, -1, List.of()));
     for (int i = 1; i < 1_000; i++) {
-      accept(job(i, Priority.BEST_EFFORT, -1, List.of("job-" + (i - 1))));
+      acceptJob(job(i, Priority.BEST_EFFORT, -1, List.of("job-" + (i - 1))));
     }
     assertEquals(
         1_000 - 1, changeCount, "one inherited priority for each job that has a dependant");
-    accept(job(1_000, Priority.URGENT, 60, List.of("job-999")));
+    acceptJob(job(1_000, Priority.URGENT, 60, List.of("job-999")));
     assertEquals(2 * 1_000 - 1, changeCount);
     assertEquals(Priority.URGENT, graph.inheritedPriority("job-0").priority());
     changeCount = 0;
-    end("job-0", JobState.CANCELLED);
-    read("job-0");
+    endJob("job-0", JobState.CANCELLED);
+    deliverFinalRecord("job-0");
     assertEquals(1_000, graph.jobsToCancel().size());
     assertTrue(changeCount <= 3_000, changeCount + " changes");
   }
@@ -256,14 +265,14 @@
   /** A job with 1,000 dependants makes one change for each of them when it is done. */
   @Test
   void manyDependantsOfOneJobAreReleasedOnce() {
-    accept(job(0, Priority.BEST_EFFORT, -1, List.of()));
+    acceptJob(job(0, Priority.BEST_EFFORT, -1, List.of()));
     for (int i = 1; i <= 1_000; i++) {
-      accept(job(i, Priority.STANDARD, -1, List.of("job-0")));
+      acceptJob(job(i, Priority.STANDARD, -1, List.of("job-0")));
     }
     assertEquals(1, changeCount, "the inherited priority changes only once");
-    end("job-0", JobState.DONE);
+    endJob("job-0", JobState.DONE);
     changeCount = 0;
-    read("job-0");
+    deliverFinalRecord("job-0");
     assertEquals(1_000, changeCount);
     assertTrue(live.values().stream().allMatch(graph::isReleased));
   }
--- a/src/test/java/fennelthread/jobs/JobTableTest.java
+++ b/src/test/java/fennelthread/jobs/JobTableTest.java
@@ -31,7 +31,7 @@
 
   private final JobTable table = new JobTable();
 
-  private static StartRecord record(int from, int until) {
+  private static StartRecord startRecord(int from, int until) {
     List<StartRecord.Start> starts = new ArrayList<>();
     for (int i = from; i < until; i++) {
       starts.add(StartRecord.Start.of(HUGE_JOB, i, 1_000 + i, "n-" + i % 200, 1));
@@ -45,18 +45,18 @@
 
   /**
    * Guards against a search of all starts of a job whenever a start record is removed. With 25,000
-   * recorded tasks of one team's array job, every controller did that search: it made up two thirds
-   * of the leader's work and used up a share of a sixth of a core.
+   * recorded tasks of one team's array job, every controller ran that search, which was two thirds
+   * of the leader's work and used up a CPU share of a sixth of a core.
    */
   @Test
-  void theCostOfAStartRecordDependsOnItsSizeNotOnItsJobs() {
+  void removingAStartRecordDoesNotSearchAllStartsOfItsJob() {
     assertTimeoutPreemptively(
         Duration.ofSeconds(10),
         () -> {
           for (int i = 0; i < TASKS / STARTS_PER_RECORD; i++) {
             table.onChange(
                 Keys.startRecord(1, i),
-                record(i * STARTS_PER_RECORD, (i + 1) * STARTS_PER_RECORD).encode(),
+                startRecord(i * STARTS_PER_RECORD, (i + 1) * STARTS_PER_RECORD).encode(),
                 1 + i);
           }
           assertEquals(TASKS, startedTaskCount());
@@ -73,16 +73,16 @@
    */
   @Test
   void aStartInTwoRecordsIsKnownUntilBothAreRemoved() {
-    table.onChange(Keys.startRecord(1, 1), record(0, 3).encode(), 1);
-    table.onChange(Keys.startRecord(1, 2), record(2, 4).encode(), 2);
+    table.onChange(Keys.startRecord(1, 1), startRecord(0, 3).encode(), 1);
+    table.onChange(Keys.startRecord(1, 2), startRecord(2, 4).encode(), 2);
     assertEquals(4, startedTaskCount());
     table.onChange(Keys.startRecord(1, 1), null, 3);
     assertEquals(2, startedTaskCount());
-    TaskRef second = new TaskRef(HUGE_JOB.id(), 2);
-    assertEquals("n-2", table.recordedStart(second, 1_002, "n-2").machine());
-    assertNull(table.recordedStart(second, 1_002, "n-3"));
+    TaskRef taskInBoth = new TaskRef(HUGE_JOB.id(), 2);
+    assertEquals("n-2", table.recordedStart(taskInBoth, 1_002, "n-2").machine());
+    assertNull(table.recordedStart(taskInBoth, 1_002, "n-3"));
     assertNull(table.recordedStart(new TaskRef(HUGE_JOB.id(), 0), 1_000, "n-0"));
-    table.onChange(Keys.startRecord(1, 2), record(5, 6).encode(), 4);
+    table.onChange(Keys.startRecord(1, 2), startRecord(5, 6).encode(), 4);
     assertEquals(1, startedTaskCount());
   }
 }
--- a/src/test/java/fennelthread/jobs/RecordsTest.java
+++ b/src/test/java/fennelthread/jobs/RecordsTest.java
@@ -62,11 +62,11 @@
         .build();
   }
 
-  private static String json(Fields value) {
+  private static String toJson(Fields value) {
     return new String(Codec.JSON.encode(value), StandardCharsets.UTF_8);
   }
 
-  private static Fields parsed(String json) throws WireException {
+  private static Fields fromJson(String json) throws WireException {
     return Codec.JSON.decode(json.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -75,25 +75,25 @@
     JobSpec withoutDependencies = spec("job-000412", "roja", List.of());
     Map<String, Fields> records = JobRecordCodec.encode(withoutDependencies, 1_234, WIDE_LIMITS);
     assertEquals(List.of("live/job/job-000412"), List.copyOf(records.keySet()));
-    assertEquals(JOB_JSON + "}", json(records.get(Keys.job("job-000412"))));
+    assertEquals(JOB_JSON + "}", toJson(records.get(Keys.job("job-000412"))));
     assertEquals(
-        withoutDependencies, JobRecordCodec.decode(parsed(JOB_JSON + ",\"mas\":1}"), 5).spec());
+        withoutDependencies, JobRecordCodec.decode(fromJson(JOB_JSON + ",\"mas\":1}"), 5).spec());
 
     JobSpec withDependencies = spec("job-000412", "roja", List.of("job-1", "job-2"));
     Fields record =
         JobRecordCodec.encode(withDependencies, 1_234, WIDE_LIMITS).get(Keys.job("job-000412"));
-    assertEquals(JOB_JSON + ",\"espera\":[\"job-1\",\"job-2\"]}", json(record));
+    assertEquals(JOB_JSON + ",\"espera\":[\"job-1\",\"job-2\"]}", toJson(record));
     assertEquals(withDependencies, JobRecordCodec.decode(record, 5).spec());
   }
 
   @Test
   void aFinalRecordKeepsItsStoredForm() throws WireException {
-    FinalRecord end = new FinalRecord(JobState.DONE, 3, 77);
-    assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", json(end.encode()));
-    assertEquals(end, FinalRecord.decode(end.encode()));
+    FinalRecord finalRecord = new FinalRecord(JobState.DONE, 3, 77);
+    assertEquals("{\"estado\":\"done\",\"done\":3,\"at_ms\":77}", toJson(finalRecord.encode()));
+    assertEquals(finalRecord, FinalRecord.decode(finalRecord.encode()));
     assertEquals(
         new FinalRecord(JobState.CANCELLED, 2, 0),
-        FinalRecord.decode(parsed("{\"estado\":\"withdrawn\",\"done\":2}")),
+        FinalRecord.decode(fromJson("{\"estado\":\"withdrawn\",\"done\":2}")),
         "as the version in production writes it");
   }
 
@@ -104,7 +104,7 @@
     finished.set(300);
     BitSet covered = new BitSet();
     assertEquals(
-        "{\"r\":[0,2,44,44]}", json(FinishedTasksCodec.encode(1, finished, 1_000, covered)));
+        "{\"r\":[0,2,44,44]}", toJson(FinishedTasksCodec.encode(1, finished, 1_000, covered)));
     assertEquals(finished, covered);
   }
 
@@ -118,7 +118,7 @@
                     new TaskRef("job-1", 1), 10, "n-2", 1, "roja", 1.5, 0.0, 2.0)));
     assertEquals(
         "{\"j\":[[\"job-1\",\"roja\",1.5,0.0,2.0,0,9,\"n-1\",2,1,10,\"n-2\",1]]}",
-        json(record.encode()));
+        toJson(record.encode()));
     assertEquals(record, StartRecord.decode(record.encode()));
   }
 
@@ -149,13 +149,13 @@
       largestCount = count;
       assertTrue(records.size() <= maxChanges);
       List<String> read = new ArrayList<>();
-      for (Map.Entry<String, Fields> e : records.entrySet()) {
-        assertTrue(json(e.getValue()).length() <= valueBytes, e.getKey());
-        if (e.getKey().startsWith(Keys.DEPENDENCIES_PREFIX)) {
-          read.addAll(e.getValue().optTexts("espera"));
+      for (Map.Entry<String, Fields> entry : records.entrySet()) {
+        assertTrue(toJson(entry.getValue()).length() <= valueBytes, entry.getKey());
+        if (entry.getKey().startsWith(Keys.DEPENDENCIES_PREFIX)) {
+          read.addAll(entry.getValue().optTexts("espera"));
         } else {
-          assertEquals(records.size() - 1, JobRecordCodec.partCount(e.getValue()));
-          read.addAll(0, JobRecordCodec.decode(e.getValue(), 1).spec().dependencies());
+          assertEquals(records.size() - 1, JobRecordCodec.partCount(entry.getValue()));
+          read.addAll(0, JobRecordCodec.decode(entry.getValue(), 1).spec().dependencies());
         }
       }
       assertEquals(dependencies, read);
@@ -175,7 +175,7 @@
       }
       BitSet covered = new BitSet();
       Fields chunk = FinishedTasksCodec.encode(0, finished, limits.maxValueBytes(), covered);
-      assertTrue(json(chunk).length() <= valueBytes);
+      assertTrue(toJson(chunk).length() <= valueBytes);
       Job job = new Job(spec("job-1", "roja", List.of()), 1, 1);
       job.addFinishedChunk(0, chunk);
       assertEquals(covered, job.finishedTasks());
