--- a/src/test/java/fennelthread/simulation/CarriedStartsTest.java
+++ b/src/test/java/fennelthread/simulation/DeferredStartsTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A start that rides on the answer to a report, step by step. */
-class CarriedStartsTest {
+class DeferredStartsTest {
   private final SimulatedNetwork world = new SimulatedNetwork(1);
   private final SimulatedProcess eventLoop = new SimulatedProcess(world, "nodo");
   private final List<Attempt> ended = new ArrayList<>();
--- a/src/test/java/fennelthread/simulation/CopiesTest.java
+++ b/src/test/java/fennelthread/simulation/DuplicateMessagesTest.java
@@ -17,7 +17,7 @@
  * Copies of messages that come again late, once and many times and in any order: what they say was
  * true once. Leases are of 10 s.
  */
-class CopiesTest {
+class DuplicateMessagesTest {
   private static final int MACHINES = 60;
   private static final long LATEST_MS = 30_000;
 
@@ -30,15 +30,15 @@
     return Scenes.settled(seed, Deployment.large(MACHINES), 0);
   }
 
-  private static void copyAll(SimulatedCluster c, double share, long forMs) {
+  private static void copyAll(SimulatedCluster cluster, double share, long forMs) {
     for (String path : PATHS) {
-      c.world.copy(new SimulatedNetwork.Copies(path, share, 200, LATEST_MS), forMs);
+      cluster.world.copy(new SimulatedNetwork.Copies(path, share, 200, LATEST_MS), forMs);
     }
   }
 
-  private static WorkerEmulator hostOf(SimulatedCluster c, JobSpec job) {
-    return c.cloud.machines().values().stream()
-        .filter(w -> c.rules.isOn(job.id(), w))
+  private static WorkerEmulator hostOf(SimulatedCluster cluster, JobSpec job) {
+    return cluster.cloud.machines().values().stream()
+        .filter(worker -> cluster.rules.isOn(job.id(), worker))
         .findFirst()
         .orElseThrow();
   }
@@ -47,15 +47,15 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 115})
   void storm(long seed) {
-    SimulatedCluster c = new SimulatedCluster(seed);
-    copyAll(c, 0.4, 300_000);
-    c.storm(300_000);
-    SimulationTest.settle(c);
-    assertTrue(c.world.copied > 1_000, c.world.copied + " copies");
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    copyAll(cluster, 0.4, 300_000);
+    cluster.storm(300_000);
+    SimulationTest.settle(cluster);
+    assertTrue(cluster.world.copied > 1_000, cluster.world.copied + " copies");
   }
 
   /**
-   * More seeds than every build needs: {@code mvn test -Dtest=CopiesTest -Dsim.from=100
+   * More seeds than every build needs: {@code mvn test -Dtest=DuplicateMessagesTest -Dsim.from=100
    * -Dsim.to=300}.
    */
   @Test
@@ -85,22 +85,22 @@
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
   void copiesAloneDoNoHarm(long seed) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    int before = c.rules.starts;
-    int takeovers = c.state.takeovers;
-    copyAll(c, 0.5, 60_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
+    int before = cluster.rules.starts;
+    int takeovers = cluster.state.takeovers;
+    copyAll(cluster, 0.5, 60_000);
     for (int i = 0; i < 40; i++) {
-      JobSpec job = c.plain(false, 5);
-      c.world.after(i * 1_000L, () -> c.submit(job));
+      JobSpec job = cluster.plain(false, 5);
+      cluster.world.after(i * 1_000L, () -> cluster.submit(job));
     }
-    c.rules.troublesAreOver();
-    c.world.runUntil(c.world.now() + 100_000);
-    assertTrue(c.world.copied > 1_000, c.world.copied + " copies");
-    assertTrue(c.allRun(services));
-    assertEquals(before + 40 * 5, c.rules.starts, "started again");
-    assertEquals(takeovers, c.state.takeovers);
-    assertEquals(Set.of(), Set.copyOf(c.cloud.returned));
+    cluster.rules.troublesAreOver();
+    cluster.world.runUntil(cluster.world.now() + 100_000);
+    assertTrue(cluster.world.copied > 1_000, cluster.world.copied + " copies");
+    assertTrue(cluster.allRun(services));
+    assertEquals(before + 40 * 5, cluster.rules.starts, "started again");
+    assertEquals(takeovers, cluster.state.takeovers);
+    assertEquals(Set.of(), Set.copyOf(cluster.cloud.returned));
   }
 
   /**
@@ -110,19 +110,19 @@
   @ParameterizedTest
   @CsvSource({"21,false", "22,false", "23,true", "24,true", "25,true"})
   void copiesHideNoDeath(long seed, boolean leaderToo) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
-    c.world.runUntil(c.world.now() + 15_000);
-    WorkerEmulator dead = hostOf(c, services.get(0));
-    c.cloud.end(dead, true);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
+    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
+    cluster.world.runUntil(cluster.world.now() + 15_000);
+    WorkerEmulator dead = hostOf(cluster, services.get(0));
+    cluster.cloud.end(dead, true);
     if (leaderToo) {
-      c.crash(c.leader(), 3_000);
+      cluster.crash(cluster.leader(), 3_000);
     }
-    long took = Scenes.until(c, 60_000, () -> c.allRun(services));
+    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
     assertTrue(took < (leaderToo ? 12_000 : 8_500), "whole after " + took + " ms");
-    c.world.runUntil(c.world.now() + 40_000);
-    assertTrue(c.allRun(services));
+    cluster.world.runUntil(cluster.world.now() + 40_000);
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -132,14 +132,14 @@
   @ParameterizedTest
   @ValueSource(longs = {26, 27, 28})
   void copiesRenewNoLease(long seed) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    c.cloud.outage(80_000);
-    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
-    c.world.runUntil(c.world.now() + 15_000);
-    WorkerEmulator dead = hostOf(c, services.get(0));
-    c.cloud.end(dead, true);
-    long took = Scenes.until(c, 60_000, () -> c.allRun(services));
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
+    cluster.cloud.outage(80_000);
+    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
+    cluster.world.runUntil(cluster.world.now() + 15_000);
+    WorkerEmulator dead = hostOf(cluster, services.get(0));
+    cluster.cloud.end(dead, true);
+    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
     assertTrue(took < 14_000, "whole after " + took + " ms");
   }
 
@@ -150,18 +150,19 @@
   @ParameterizedTest
   @CsvSource({"31,20", "32,50", "33,300", "34,4000"})
   void takeoversWithCopiesFromBefore(long seed, long downMs) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    int before = c.rules.starts;
-    copyAll(c, 0.5, 80_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
+    int before = cluster.rules.starts;
+    copyAll(cluster, 0.5, 80_000);
     for (int i = 0; i < 5; i++) {
-      c.world.runUntil(c.world.now() + 12_000);
-      if (c.leader() != null) {
-        c.crash(c.leader(), downMs);
+      cluster.world.runUntil(cluster.world.now() + 12_000);
+      if (cluster.leader() != null) {
+        cluster.crash(cluster.leader(), downMs);
       }
     }
-    c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.allRun(services));
-    assertTrue(c.rules.starts - before <= 4, c.rules.starts - before + " started again");
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    assertTrue(cluster.allRun(services));
+    assertTrue(
+        cluster.rules.starts - before <= 4, cluster.rules.starts - before + " started again");
   }
 }
--- a/src/test/java/fennelthread/simulation/MeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/FaultCombinationsTest.java
@@ -17,19 +17,20 @@
 
 /**
  * Where two troubles meet. The rules are checked after each step; each test sees to it that its
- * meeting came about. The gap has {@link GapTest}, late copies {@link CopiesTest}, machines that
- * hear nothing {@link UntoldTest}, processes that are back within a second {@link RestartTest}.
- * Leases are of 10 s, cancelled jobs' tasks gone after 30 s.
+ * meeting came about. The gap has {@link UnseenCancellationsTest}, late copies {@link
+ * DuplicateMessagesTest}, machines that hear nothing {@link OneWayPartitionTest}, processes that
+ * are back within a second {@link RestartTest}. Leases are of 10 s, cancelled jobs' tasks gone
+ * after 30 s.
  */
-class MeetingsTest {
+class FaultCombinationsTest {
   private static final int MACHINES = 60;
 
   private static SimulatedCluster settled(long seed) {
     return Scenes.settled(seed, Deployment.large(MACHINES), 0);
   }
 
-  private static JobSpec lasting(SimulatedCluster c, int tasks, double estimateS) {
-    JobSpec any = c.plain(false, tasks);
+  private static JobSpec lasting(SimulatedCluster cluster, int tasks, double estimateS) {
+    JobSpec any = cluster.plain(false, tasks);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
         .team(any.team())
@@ -45,32 +46,32 @@
   }
 
   /** Jobs of some tasks, one every so often, of which every third is cancelled a little later. */
-  private static List<JobSpec> busy(SimulatedCluster c, int count, long everyMs) {
+  private static List<JobSpec> busy(SimulatedCluster cluster, int count, long everyMs) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      JobSpec job = lasting(c, 1 + i % 4, 2 + i % 11);
+      JobSpec job = lasting(cluster, 1 + i % 4, 2 + i % 11);
       jobs.add(job);
-      c.world.after(i * everyMs, () -> c.submit(job));
+      cluster.world.after(i * everyMs, () -> cluster.submit(job));
       if (i % 3 == 0) {
-        c.world.after(i * everyMs + 300 + i % 7 * 400L, () -> c.cancel(job.id()));
+        cluster.world.after(i * everyMs + 300 + i % 7 * 400L, () -> cluster.cancel(job.id()));
       }
     }
     return jobs;
   }
 
   /** Nothing fails any more: every job is over, every question answered, every service whole. */
-  private static void settle(SimulatedCluster c, List<JobSpec> services, List<JobSpec> jobs) {
-    c.world.runUntil(c.world.now() + 60_000);
-    c.rules.troublesAreOver();
-    c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.allRun(services), "services are whole");
+  private static void settle(SimulatedCluster cluster, List<JobSpec> services, List<JobSpec> jobs) {
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    cluster.rules.troublesAreOver();
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    assertTrue(cluster.allRun(services), "services are whole");
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
-    c.rules.checkServed(30_000);
+        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !cluster.rules.isOver(id)).toList());
+    cluster.rules.checkServed(30_000);
   }
 
-  private static int staleRuns(SimulatedCluster c) {
-    return c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
+  private static int staleRuns(SimulatedCluster cluster) {
+    return cluster.cloud.machines().values().stream().mapToInt(worker -> worker.staleRuns).sum();
   }
 
   // ---------------------------------------------------------------- a command is held up, and the
@@ -84,31 +85,32 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void commandsAreHeldAndTheMachineGoesOn(long seed) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    c.world.hold(new SimulatedNetwork.Held("/commands", false, 0.25, 2_000, 60_000), 60_000);
-    c.world.hold(new SimulatedNetwork.Held("/commands", true, 0.15, 2_000, 60_000), 60_000);
-    List<JobSpec> jobs = busy(c, 80, 700);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 0.25, 2_000, 60_000), 60_000);
+    cluster.world.hold(new SimulatedNetwork.Held("/commands", true, 0.15, 2_000, 60_000), 60_000);
+    List<JobSpec> jobs = busy(cluster, 80, 700);
     for (int i = 0; i < 12; i++) {
-      c.world.after(
+      cluster.world.after(
           2_000 + i * 4_500L,
           () -> {
-            List<WorkerEmulator> all = List.copyOf(c.cloud.machines().values());
-            all.get(c.world.faults.nextInt(all.size())).hang(3_000 + c.world.faults.nextInt(6_000));
+            List<WorkerEmulator> all = List.copyOf(cluster.cloud.machines().values());
+            all.get(cluster.world.faults.nextInt(all.size()))
+                .hang(3_000 + cluster.world.faults.nextInt(6_000));
           });
     }
     for (int i = 0; i < 3; i++) {
-      c.world.after(10_000 + i * 17_000L, () -> ifLed(c, m -> c.crash(m, 300)));
+      cluster.world.after(10_000 + i * 17_000L, () -> ifLed(cluster, m -> cluster.crash(m, 300)));
     }
-    c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.world.deliveredLate > 50, c.world.deliveredLate + " late");
-    settle(c, services, jobs);
-    assertTrue(staleRuns(c) > 0, "no start came under an old token");
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    assertTrue(cluster.world.deliveredLate > 50, cluster.world.deliveredLate + " late");
+    settle(cluster, services, jobs);
+    assertTrue(staleRuns(cluster) > 0, "no start came under an old token");
   }
 
-  private static void ifLed(SimulatedCluster c, java.util.function.Consumer<String> trouble) {
-    if (c.leader() != null) {
-      trouble.accept(c.leader());
+  private static void ifLed(SimulatedCluster cluster, java.util.function.Consumer<String> trouble) {
+    if (cluster.leader() != null) {
+      trouble.accept(cluster.leader());
     }
   }
 
@@ -123,29 +125,29 @@
   @ParameterizedTest
   @CsvSource({"1,0.1", "2,0.3", "3,0.3", "4,0.5", "5,0.2", "6,0.3"})
   void transactionsAreCarriedOutLate(long seed, double share) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    c.state.lateWrites(share, 70_000);
-    List<JobSpec> jobs = busy(c, 80, 800);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    cluster.state.lateWrites(share, 70_000);
+    List<JobSpec> jobs = busy(cluster, 80, 800);
     for (int i = 0; i < 4; i++) {
-      c.world.after(8_000 + i * 15_000L, () -> ifLed(c, m -> c.crash(m, 50)));
+      cluster.world.after(8_000 + i * 15_000L, () -> ifLed(cluster, m -> cluster.crash(m, 50)));
     }
-    c.world.runUntil(c.world.now() + 82_000);
-    assertTrue(c.state.appliedLate > 20, c.state.appliedLate + " late");
-    settle(c, services, jobs);
+    cluster.world.runUntil(cluster.world.now() + 82_000);
+    assertTrue(cluster.state.appliedLate > 20, cluster.state.appliedLate + " late");
+    settle(cluster, services, jobs);
   }
 
   /** The same in the storm of everything. */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14})
   void lateTransactionsInAStorm(long seed) {
-    SimulatedCluster c = new SimulatedCluster(seed);
-    c.state.lateWrites(0.2, 300_000);
-    c.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 2_000, 60_000), 300_000);
-    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.2, 2_000, 30_000), 300_000);
-    c.storm(300_000);
-    SimulationTest.settle(c);
-    assertTrue(c.state.appliedLate > 50, c.state.appliedLate + " late");
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.state.lateWrites(0.2, 300_000);
+    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 2_000, 60_000), 300_000);
+    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.2, 2_000, 30_000), 300_000);
+    cluster.storm(300_000);
+    SimulationTest.settle(cluster);
+    assertTrue(cluster.state.appliedLate > 50, cluster.state.appliedLate + " late");
   }
 
   /**
@@ -154,12 +156,12 @@
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
   void lateTransactionsOfChainedJobs(long seed) {
-    SimulatedCluster c = new SimulatedCluster(seed);
-    c.state.lateWrites(0.25, 200_000);
-    c.pipelines(200_000);
-    c.storm(200_000);
-    SimulationTest.settle(c);
-    assertTrue(c.state.appliedLate > 50, c.state.appliedLate + " late");
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.state.lateWrites(0.25, 200_000);
+    cluster.pipelines(200_000);
+    cluster.storm(200_000);
+    SimulationTest.settle(cluster);
+    assertTrue(cluster.state.appliedLate > 50, cluster.state.appliedLate + " late");
   }
 
   // ---------------------------------------------------------------- small jobs end far apart
@@ -174,44 +176,44 @@
   @ParameterizedTest
   @CsvSource({"1,50,0", "2,300,0", "3,4000,0", "4,50,0.3", "5,4000,0.3"})
   void smallJobsEndFarApart(long seed, long downMs, double lateShare) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 6, 100, 15_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 6, 100, 15_000);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      JobSpec job = lasting(c, 2 + i % 2, 1 + i % 5 * 9);
+      JobSpec job = lasting(cluster, 2 + i % 2, 1 + i % 5 * 9);
       jobs.add(job);
-      c.world.after(i * 500L, () -> c.submit(job));
+      cluster.world.after(i * 500L, () -> cluster.submit(job));
     }
-    c.state.lateWrites(lateShare, 50_000);
+    cluster.state.lateWrites(lateShare, 50_000);
     int[] changes = new int[1];
     int[] inTheWriting = new int[1];
-    c.state.onWrite.add(
+    cluster.state.onWrite.add(
         key -> {
           if (key.startsWith("live/done/")
               && inTheWriting[0] < 4
-              && c.state.caller().equals(c.leader())) {
+              && cluster.state.caller().equals(cluster.leader())) {
             inTheWriting[0]++;
-            c.crash(c.state.caller(), downMs);
+            cluster.crash(cluster.state.caller(), downMs);
           }
         });
     for (int i = 0; i < 5; i++) {
-      c.world.after(
+      cluster.world.after(
           3_000 + i * 9_000L,
           () ->
               ifLed(
-                  c,
+                  cluster,
                   m -> {
                     changes[0]++;
-                    c.crash(m, downMs);
+                    cluster.crash(m, downMs);
                   }));
     }
-    c.world.runUntil(c.world.now() + 60_000);
+    cluster.world.runUntil(cluster.world.now() + 60_000);
     assertTrue(changes[0] >= 3, changes[0] + " changes of leader");
-    settle(c, services, jobs);
+    settle(cluster, services, jobs);
     for (JobSpec job : jobs) {
-      assertTrue(c.rules.allCompleted(job.id()), job.id());
+      assertTrue(cluster.rules.allCompleted(job.id()), job.id());
     }
-    assertEquals(0, c.rules.startsAfterDone, "completed tasks started again");
+    assertEquals(0, cluster.rules.startsAfterDone, "completed tasks started again");
   }
 
   /**
@@ -222,39 +224,39 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aLateBatchOfFinishedTasksTakesNothingBack(long seed) {
-    SimulatedCluster c = settled(seed);
+    SimulatedCluster cluster = settled(seed);
     long[] carriedOutAt = {Long.MAX_VALUE};
     int[] ends = new int[1];
-    c.state.delay =
+    cluster.state.delay =
         (caller, body) -> {
           if (ends[0] > 0
               || carriedOutAt[0] != Long.MAX_VALUE
               || !body.contains("live/finished/")) {
             return 0;
           }
-          carriedOutAt[0] = c.world.now() + 8_000;
+          carriedOutAt[0] = cluster.world.now() + 8_000;
           return 8_000;
         };
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      JobSpec job = lasting(c, 60, 14);
+      JobSpec job = lasting(cluster, 60, 14);
       jobs.add(job);
-      c.submit(job);
+      cluster.submit(job);
     }
     for (int i = 0; i < 60_000 / 5 && ends[0] == 0; i++) {
-      c.world.runUntil(c.world.now() + 5);
-      if (c.world.now() > carriedOutAt[0]) {
+      cluster.world.runUntil(cluster.world.now() + 5);
+      if (cluster.world.now() > carriedOutAt[0]) {
         ends[0]++;
         // All of them: a follower that saw the newer batch come would remember it.
-        List.copyOf(c.controllers.keySet()).forEach(m -> c.crash(m, 300));
+        List.copyOf(cluster.controllers.keySet()).forEach(m -> cluster.crash(m, 300));
       }
     }
     assertEquals(1, ends[0], "no batch came late");
     assertTrue(
-        jobs.stream().noneMatch(job -> c.rules.allCompleted(job.id())), "too late to matter");
+        jobs.stream().noneMatch(job -> cluster.rules.allCompleted(job.id())), "too late to matter");
     // That no record of finished tasks loses one is checked with each write (Cluster).
-    settle(c, List.of(), jobs);
-    assertEquals(0, c.rules.startsAfterDone, "completed tasks started again");
+    settle(cluster, List.of(), jobs);
+    assertEquals(0, cluster.rules.startsAfterDone, "completed tasks started again");
   }
 
   // ---------------------------------------------------------------- machines can't be reached when
@@ -268,38 +270,39 @@
   @ParameterizedTest
   @CsvSource({"1,false", "2,true", "3,false", "4,true"})
   void theLeaderEndsWhileMachinesCanNotBeReached(long seed, boolean oneWay) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 8, 100, 15_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 8, 100, 15_000);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      JobSpec job = lasting(c, 6, 60);
+      JobSpec job = lasting(cluster, 6, 60);
       jobs.add(job);
-      c.world.after(i * 100L, () -> c.submit(job));
+      cluster.world.after(i * 100L, () -> cluster.submit(job));
     }
-    c.world.runUntil(c.world.now() + 6_000);
+    cluster.world.runUntil(cluster.world.now() + 6_000);
     int untold = 0;
     int with = 0;
-    for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
+    for (WorkerEmulator worker : List.copyOf(cluster.cloud.machines().values())) {
       if (untold++ % 3 != 0) {
         continue;
       }
-      with += c.rules.present().stream().anyMatch(p -> p.endsWith("@" + w.name())) ? 1 : 0;
+      with +=
+          cluster.rules.present().stream().anyMatch(p -> p.endsWith("@" + worker.name())) ? 1 : 0;
       if (oneWay) {
-        c.world.cutOneWay("nodo", w.name(), 35_000);
+        cluster.world.cutOneWay("nodo", worker.name(), 35_000);
       } else {
-        c.world.cut(w.name(), "nodo", 8_500);
+        cluster.world.cut(worker.name(), "nodo", 8_500);
       }
     }
     assertTrue(with > 2, with + " machines with tasks");
-    String first = c.leader();
-    c.crash(first, 3_000);
-    c.world.runUntil(c.world.now() + 4_000);
-    assertNotEquals(first, c.leader());
-    ifLed(c, m -> c.crash(m, 300));
-    c.world.runUntil(c.world.now() + 5_000);
-    ifLed(c, m -> c.crash(m, 50));
-    c.world.runUntil(c.world.now() + 40_000);
-    settle(c, services, jobs);
+    String first = cluster.leader();
+    cluster.crash(first, 3_000);
+    cluster.world.runUntil(cluster.world.now() + 4_000);
+    assertNotEquals(first, cluster.leader());
+    ifLed(cluster, m -> cluster.crash(m, 300));
+    cluster.world.runUntil(cluster.world.now() + 5_000);
+    ifLed(cluster, m -> cluster.crash(m, 50));
+    cluster.world.runUntil(cluster.world.now() + 40_000);
+    settle(cluster, services, jobs);
   }
 
   // ---------------------------------------------------------------- a leader is alone with its
@@ -323,45 +326,46 @@
     "8,20000,in turn"
   })
   void aLeaderAloneWithItsWorkers(long seed, long forMs, String outage) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 20, 100, 15_000);
-    String old = c.leader();
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 15_000);
+    String old = cluster.leader();
     if (outage.equals("before")) {
-      c.state.outage(12_000);
-      c.world.runUntil(c.world.now() + 11_000);
+      cluster.state.outage(12_000);
+      cluster.world.runUntil(cluster.world.now() + 11_000);
     }
-    c.leaveAlone(old, forMs);
+    cluster.leaveAlone(old, forMs);
     if (outage.equals("inside")) {
-      c.world.after(15_000, () -> c.state.outage(40_000));
+      cluster.world.after(15_000, () -> cluster.state.outage(40_000));
     }
-    List<String> others = c.controllers.keySet().stream().filter(m -> !m.equals(old)).toList();
+    List<String> others =
+        cluster.controllers.keySet().stream().filter(m -> !m.equals(old)).toList();
     if (outage.equals("in turn")) {
-      c.world.after(forMs / 2, () -> ifLed(c, m -> c.leaveAlone(m, forMs / 2)));
+      cluster.world.after(forMs / 2, () -> ifLed(cluster, m -> cluster.leaveAlone(m, forMs / 2)));
     }
     List<JobSpec> cancelled = services.subList(0, 12);
     int[] there = new int[1];
     for (int i = 0; i < cancelled.size(); i++) {
       String id = cancelled.get(i).id();
       String by = others.get(i % 2);
-      c.world.after(
+      cluster.world.after(
           400 + i * Math.min(1_000, forMs / 12),
           () -> {
-            there[0] += c.rules.running(id) > 0 ? 1 : 0;
-            c.cancelThrough(by, id, 30);
+            there[0] += cluster.rules.running(id) > 0 ? 1 : 0;
+            cluster.cancelThrough(by, id, 30);
           });
     }
-    c.world.runUntil(c.world.now() + forMs);
+    cluster.world.runUntil(cluster.world.now() + forMs);
     assertTrue(there[0] >= 10, there[0] + " cancelled while their tasks ran");
     assertNotEquals(
         old,
-        forMs > 10_000 && !outage.equals("in turn") ? c.leaderOtherThan(old) : "",
+        forMs > 10_000 && !outage.equals("in turn") ? cluster.leaderOtherThan(old) : "",
         "who leads");
-    settle(c, services.subList(12, 20), List.of());
+    settle(cluster, services.subList(12, 20), List.of());
     assertTrue(
-        cancelled.stream().allMatch(job -> c.rules.cancelledAt(job.id()) >= 0),
+        cancelled.stream().allMatch(job -> cluster.rules.cancelledAt(job.id()) >= 0),
         "not all were told");
     for (JobSpec job : cancelled) {
-      assertEquals(0, c.rules.running(job.id()), job.id());
+      assertEquals(0, cluster.rules.running(job.id()), job.id());
     }
   }
 
@@ -376,47 +380,52 @@
   @ParameterizedTest
   @CsvSource({"1,50", "2,300", "3,2000", "4,50", "5,8000", "6,300"})
   void machinesAreBackWithinAMoment(long seed, long downMs) {
-    SimulatedCluster c = settled(seed);
+    SimulatedCluster cluster = settled(seed);
     // Half of the machines lose a lease first: what is copied of them is of a higher session than
     // what comes after.
     int half = 0;
-    for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
+    for (WorkerEmulator worker : List.copyOf(cluster.cloud.machines().values())) {
       if (half++ % 2 == 0) {
-        c.world.cut(w.name(), "nodo", 12_000);
+        cluster.world.cut(worker.name(), "nodo", 12_000);
       }
     }
-    c.world.runUntil(c.world.now() + 16_000);
-    List<JobSpec> services = Scenes.services(c, 12, 100, 15_000);
-    c.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.4, 200, 30_000), 70_000);
-    c.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 500, 30_000), 70_000);
-    List<JobSpec> jobs = busy(c, 60, 1_000);
+    cluster.world.runUntil(cluster.world.now() + 16_000);
+    List<JobSpec> services = Scenes.services(cluster, 12, 100, 15_000);
+    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.4, 200, 30_000), 70_000);
+    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 500, 30_000), 70_000);
+    List<JobSpec> jobs = busy(cluster, 60, 1_000);
     int[] reboots = new int[1];
     for (int i = 0; i < 30; i++) {
-      c.world.after(
+      cluster.world.after(
           1_000 + i * 2_000L,
           () -> {
             List<WorkerEmulator> with =
-                c.cloud.machines().values().stream()
+                cluster.cloud.machines().values().stream()
                     .filter(
-                        w -> c.rules.present().stream().anyMatch(p -> p.endsWith("@" + w.name())))
+                        worker ->
+                            cluster.rules.present().stream()
+                                .anyMatch(p -> p.endsWith("@" + worker.name())))
                     .toList();
             if (!with.isEmpty()) {
               reboots[0]++;
-              with.get(c.world.faults.nextInt(with.size())).reboot(downMs);
+              with.get(cluster.world.faults.nextInt(with.size())).reboot(downMs);
             }
           });
     }
     for (int i = 0; i < 8; i++) {
-      c.world.after(5_000 + i * 7_000L, () -> ifLed(c, m -> c.crash(m, 300)));
+      cluster.world.after(5_000 + i * 7_000L, () -> ifLed(cluster, m -> cluster.crash(m, 300)));
     }
-    c.world.runUntil(c.world.now() + 70_000);
+    cluster.world.runUntil(cluster.world.now() + 70_000);
     assertTrue(reboots[0] > 20, reboots[0] + " machines started anew");
-    settle(c, services, jobs);
+    settle(cluster, services, jobs);
   }
 
   // ---------------------------------------------------------------- on demand
 
-  /** More seeds of each: {@code mvn test -Dtest=MeetingsTest#soak -Dsim.from=100 -Dsim.to=120}. */
+  /**
+   * More seeds of each: {@code mvn test -Dtest=FaultCombinationsTest#soak -Dsim.from=100
+   * -Dsim.to=120}.
+   */
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
   void soak() {
--- a/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
+++ b/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
@@ -88,10 +88,11 @@
   private WorkerEmulator machine(MachineType type, String zone, boolean spot) {
     String name = String.format("n-%06d", machines.size() + 1);
     String address = "10.1.0." + (machines.size() + 1) + ":9000";
-    WorkerEmulator w = new WorkerEmulator(network, surroundings, name, address, type, zone, spot);
-    machines.add(w);
-    w.boot();
-    return w;
+    WorkerEmulator worker =
+        new WorkerEmulator(network, surroundings, name, address, type, zone, spot);
+    machines.add(worker);
+    worker.boot();
+    return worker;
   }
 
   /** A job of the red team, which may use 8 CPUs and 2 cards. */
--- a/src/test/java/fennelthread/simulation/LateCommandsMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/LateCommandsTest.java
@@ -18,7 +18,7 @@
  * hang and go on, old reports, and cancellations, over changes of leader. Leases are of 10 s,
  * cancelled jobs' tasks gone after 30 s.
  */
-class LateCommandsMeetingsTest {
+class LateCommandsTest {
   private static final int MACHINES = 60;
   private static final long SPELL_MS = 35_000;
 
@@ -27,24 +27,24 @@
   }
 
   /** Jobs of two or three tasks, of which those of every fourth job last long. */
-  private static List<JobSpec> smallJobs(SimulatedCluster c, long forMs) {
+  private static List<JobSpec> smallJobs(SimulatedCluster cluster, long forMs) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i * 300L < forMs; i++) {
       String team = i % 2 == 0 ? "roja" : "azul";
-      JobSpec job = FleetLoad.array(c, team, 2 + i % 2, i % 4 == 0 ? 25 : 2);
+      JobSpec job = FleetLoad.array(cluster, team, 2 + i % 2, i % 4 == 0 ? 25 : 2);
       jobs.add(job);
-      c.world.after(i * 300L, () -> c.submit(job));
+      cluster.world.after(i * 300L, () -> cluster.submit(job));
     }
     return jobs;
   }
 
-  private static int staleStarts(SimulatedCluster c) {
-    return c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
+  private static int staleStarts(SimulatedCluster cluster) {
+    return cluster.cloud.machines().values().stream().mapToInt(worker -> worker.staleRuns).sum();
   }
 
-  private static void crashLeader(SimulatedCluster c, long downMs) {
-    if (c.leader() != null) {
-      c.crash(c.leader(), downMs);
+  private static void crashLeader(SimulatedCluster cluster, long downMs) {
+    if (cluster.leader() != null) {
+      cluster.crash(cluster.leader(), downMs);
     }
   }
 
@@ -63,30 +63,30 @@
     "6,1,8000,3000"
   })
   void heldCommandsOverChangesOfLeader(long seed, double share, long hangMs, long copiesAfterMs) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    List<JobSpec> jobs = smallJobs(c, SPELL_MS);
-    c.holdCommands(share, SPELL_MS);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    List<JobSpec> jobs = smallJobs(cluster, SPELL_MS);
+    cluster.holdCommands(share, SPELL_MS);
     if (copiesAfterMs >= 0) {
-      c.keepReportsForNextLeader(0.5, SPELL_MS, copiesAfterMs);
+      cluster.keepReportsForNextLeader(0.5, SPELL_MS, copiesAfterMs);
     }
-    c.world.after(5_000, () -> c.cancelNow(8, hangMs));
-    c.world.after(5_300, () -> crashLeader(c, 300));
-    c.world.after(15_000, () -> crashLeader(c, 4_000));
-    c.world.after(15_400, () -> c.cancelNow(8, hangMs));
-    c.world.after(26_000, () -> crashLeader(c, 50));
-    c.world.runUntil(c.world.now() + SPELL_MS + 20_000);
-    assertTrue(c.world.requestFaults.commandsDelivered > 20, "commands came late");
-    assertTrue(c.cancellations.hung > 4, c.cancellations.hung + " machines hung");
-    assertTrue(copiesAfterMs < 0 || c.reportCopies.handed() > 50, "copies were handed out");
-    c.rules.troublesAreOver();
-    c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(staleStarts(c) > 0, "no start came under an old token");
+    cluster.world.after(5_000, () -> cluster.cancelNow(8, hangMs));
+    cluster.world.after(5_300, () -> crashLeader(cluster, 300));
+    cluster.world.after(15_000, () -> crashLeader(cluster, 4_000));
+    cluster.world.after(15_400, () -> cluster.cancelNow(8, hangMs));
+    cluster.world.after(26_000, () -> crashLeader(cluster, 50));
+    cluster.world.runUntil(cluster.world.now() + SPELL_MS + 20_000);
+    assertTrue(cluster.world.requestFaults.commandsDelivered > 20, "commands came late");
+    assertTrue(cluster.cancellations.hung > 4, cluster.cancellations.hung + " machines hung");
+    assertTrue(copiesAfterMs < 0 || cluster.reportCopies.handed() > 50, "copies were handed out");
+    cluster.rules.troublesAreOver();
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    assertTrue(staleStarts(cluster) > 0, "no start came under an old token");
     assertTrue(
-        c.allRun(services.stream().filter(s -> !c.rules.isOver(s.id())).toList()),
+        cluster.allRun(services.stream().filter(s -> !cluster.rules.isOver(s.id())).toList()),
         "services are whole");
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
+        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !cluster.rules.isOver(id)).toList());
   }
 
   /**
@@ -97,25 +97,25 @@
   @ParameterizedTest
   @CsvSource({"11,3000,false", "12,7000,false", "13,3000,true", "14,7000,true"})
   void cancelledTasksOfHungMachinesAreStopped(long seed, long hangMs, boolean leaderEnds) {
-    SimulatedCluster c = settled(seed);
-    c.cloud.outage(40_000);
-    Scenes.services(c, 12, 100, 15_000);
-    long fromMs = c.world.now();
-    List<String> cancelled = c.cancelNow(10, hangMs);
+    SimulatedCluster cluster = settled(seed);
+    cluster.cloud.outage(40_000);
+    Scenes.services(cluster, 12, 100, 15_000);
+    long fromMs = cluster.world.now();
+    List<String> cancelled = cluster.cancelNow(10, hangMs);
     if (leaderEnds) {
-      c.world.after(100, () -> crashLeader(c, 300));
+      cluster.world.after(100, () -> crashLeader(cluster, 300));
     }
-    c.world.runUntil(fromMs + hangMs - 20);
-    int there = cancelled.stream().mapToInt(c.rules::running).sum();
+    cluster.world.runUntil(fromMs + hangMs - 20);
+    int there = cancelled.stream().mapToInt(cluster.rules::running).sum();
     assertTrue(there > 0, "nothing that is cancelled is on a hung machine");
-    c.world.runUntil(fromMs + hangMs + (leaderEnds ? 6_000 : 3_000));
-    assertEquals(0, cancelled.stream().mapToInt(c.rules::running).sum(), "cancelled tasks run");
-    c.world.runUntil(c.world.now() + 30_000);
+    cluster.world.runUntil(fromMs + hangMs + (leaderEnds ? 6_000 : 3_000));
+    assertEquals(
+        0, cancelled.stream().mapToInt(cluster.rules::running).sum(), "cancelled tasks run");
+    cluster.world.runUntil(cluster.world.now() + 30_000);
   }
 
   /**
-   * More seeds of each: {@code mvn test -Dtest=LateCommandsMeetingsTest#soak -Dsim.from=100
-   * -Dsim.to=140}.
+   * More seeds of each: {@code mvn test -Dtest=LateCommandsTest#soak -Dsim.from=100 -Dsim.to=140}.
    */
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
--- a/src/test/java/fennelthread/simulation/LeaderChangeMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
@@ -24,7 +24,7 @@
  * it that its meeting came about. Leases are of 10 s and cancelled jobs' tasks gone after 30 s, if
  * nothing else is said.
  */
-class LeaderChangeMeetingsTest {
+class LeaderChangeFaultsTest {
   private static final int MACHINES = 60;
 
   private static SimulatedCluster settled(long seed) {
@@ -50,47 +50,48 @@
     "7,200,true"
   })
   void reportsOfAnEarlierLifeReachTheNextLeader(long seed, long afterMs, boolean slowCopy) {
-    SimulatedCluster c = settled(seed);
+    SimulatedCluster cluster = settled(seed);
     // The cloud takes nothing back: of whoever is silent only its lease's end tells.
-    c.cloud.outage(90_000);
-    c.world.cut("n-", "nodo", 12_000);
-    c.world.runUntil(c.world.now() + 16_000);
+    cluster.cloud.outage(90_000);
+    cluster.world.cut("n-", "nodo", 12_000);
+    cluster.world.runUntil(cluster.world.now() + 16_000);
     Map<WorkerEmulator, byte[]> old = new LinkedHashMap<>();
-    for (WorkerEmulator w : c.cloud.machines().values()) {
-      if (w.isUp() && w.peek().session() > 1) {
-        old.put(w, LeaderChanges.reportOf(w));
+    for (WorkerEmulator worker : cluster.cloud.machines().values()) {
+      if (worker.isUp() && worker.peek().session() > 1) {
+        old.put(worker, LeaderChanges.reportOf(worker));
       }
     }
-    old.keySet().forEach(w -> w.reboot(50));
-    c.world.runUntil(c.world.now() + 8_000);
-    List<JobSpec> services = Scenes.services(c, 30, 100, 15_000);
-    List<WorkerEmulator> carrying = LeaderChanges.carrying(c);
+    old.keySet().forEach(worker -> worker.reboot(50));
+    cluster.world.runUntil(cluster.world.now() + 8_000);
+    List<JobSpec> services = Scenes.services(cluster, 30, 100, 15_000);
+    List<WorkerEmulator> loaded = LeaderChanges.machinesWithTasks(cluster);
     List<WorkerEmulator> silent = new ArrayList<>(old.keySet());
-    silent.removeAll(carrying.subList(0, carrying.size() / 2));
-    assertTrue(silent.stream().filter(carrying::contains).count() > 5, "too few with tasks");
+    silent.removeAll(loaded.subList(0, loaded.size() / 2));
+    assertTrue(silent.stream().filter(loaded::contains).count() > 5, "too few with tasks");
     int[] handed = new int[1];
     LeaderChanges.onClaim(
-        c,
+        cluster,
         member -> {
           if (handed[0]++ == 0) {
-            c.world.after(afterMs, () -> LeaderChanges.handToAll(c, old.values()));
+            cluster.world.after(
+                afterMs, () -> LeaderChanges.deliverToAllControllers(cluster, old.values()));
           }
         });
     if (slowCopy) {
-      c.world.hold(new SimulatedNetwork.Held("/watch", true, 1, 400, 600), 6_000);
+      cluster.world.hold(new SimulatedNetwork.Held("/watch", true, 1, 400, 600), 6_000);
     }
-    silent.forEach(w -> c.world.cut(w.name(), "nodo", 7_000));
-    c.crash(c.leader(), 3_000);
-    c.world.runUntil(c.world.now() + 9_000);
+    silent.forEach(worker -> cluster.world.cut(worker.name(), "nodo", 7_000));
+    cluster.crash(cluster.leader(), 3_000);
+    cluster.world.runUntil(cluster.world.now() + 9_000);
     assertTrue(handed[0] > 0, "nobody has claimed");
-    c.world.runUntil(c.world.now() + 6_000);
-    c.submit(LeaderChanges.batch(c, 300, 20));
-    c.world.runUntil(c.world.now() + 5_000);
+    cluster.world.runUntil(cluster.world.now() + 6_000);
+    cluster.submit(LeaderChanges.batchJob(cluster, 300, 20));
+    cluster.world.runUntil(cluster.world.now() + 5_000);
     List<WorkerEmulator> idle = new ArrayList<>(silent);
-    idle.removeAll(LeaderChanges.carrying(c));
+    idle.removeAll(LeaderChanges.machinesWithTasks(cluster));
     assertTrue(idle.size() <= 2, idle.size() + " machines are not used again");
-    c.world.runUntil(c.world.now() + 20_000);
-    assertTrue(c.allRun(services));
+    cluster.world.runUntil(cluster.world.now() + 20_000);
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -100,26 +101,26 @@
   @ParameterizedTest
   @CsvSource({
     "1,0,CRASH",
-    "2,3,REFUSED",
+    "2,3,STATE_REFUSED",
     "3,50,FROZEN",
-    "4,1000,BACK_AT_ONCE",
+    "4,1000,QUICK_RESTART",
     "5,8000,CRASH",
-    "6,25000,ALONE"
+    "6,25000,WORKERS_ONLY"
   })
   void oldReportsReachEveryController(long seed, long afterMs, Change change) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    c.keepReportsForNextLeader(0.5, 70_000, afterMs);
-    List<JobSpec> jobs = LeaderChanges.busy(c, 80, 800);
-    long epoch = LeaderChanges.epoch(c);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    cluster.keepReportsForNextLeader(0.5, 70_000, afterMs);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 80, 800);
+    long epoch = LeaderChanges.lastClaimedEpoch(cluster);
     for (int i = 0; i < 6; i++) {
-      c.world.after(6_000 + i * 10_500L, () -> LeaderChanges.end(c, change));
+      cluster.world.after(6_000 + i * 10_500L, () -> LeaderChanges.endLeader(cluster, change));
     }
-    c.world.runUntil(c.world.now() + 75_000);
-    long changes = LeaderChanges.epoch(c) - epoch;
+    cluster.world.runUntil(cluster.world.now() + 75_000);
+    long changes = LeaderChanges.lastClaimedEpoch(cluster) - epoch;
     assertTrue(changes >= 4, changes + " changes of leader");
-    assertTrue(c.reportCopies.handed() > 200, c.reportCopies.handed() + " copies");
-    LeaderChanges.settle(c, services, jobs);
+    assertTrue(cluster.reportCopies.handed() > 200, cluster.reportCopies.handed() + " copies");
+    LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
@@ -130,19 +131,19 @@
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
   void oldReportsRenewNoLeaseAtTheNextLeader(long seed) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
-    c.cloud.outage(90_000);
-    c.keepReportsForNextLeader(0.9, 15_000, 8_000);
-    c.world.runUntil(c.world.now() + 15_000);
-    long epoch = LeaderChanges.epoch(c);
-    c.crash(c.leader(), 3_000);
-    Scenes.until(c, 15_000, () -> LeaderChanges.epoch(c) > epoch);
-    c.world.runUntil(c.world.now() + 200);
-    WorkerEmulator dead = LeaderChanges.carrying(c).get(0);
-    c.cloud.end(dead, true);
-    long took = Scenes.until(c, 60_000, () -> c.allRun(services));
-    assertTrue(c.reportCopies.handed() > 100, c.reportCopies.handed() + " copies");
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
+    cluster.cloud.outage(90_000);
+    cluster.keepReportsForNextLeader(0.9, 15_000, 8_000);
+    cluster.world.runUntil(cluster.world.now() + 15_000);
+    long epoch = LeaderChanges.lastClaimedEpoch(cluster);
+    cluster.crash(cluster.leader(), 3_000);
+    Scenes.until(cluster, 15_000, () -> LeaderChanges.lastClaimedEpoch(cluster) > epoch);
+    cluster.world.runUntil(cluster.world.now() + 200);
+    WorkerEmulator dead = LeaderChanges.machinesWithTasks(cluster).get(0);
+    cluster.cloud.end(dead, true);
+    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
+    assertTrue(cluster.reportCopies.handed() > 100, cluster.reportCopies.handed() + " copies");
     assertTrue(took < 14_000, "whole after " + took + " ms");
   }
 
@@ -156,43 +157,47 @@
   @CsvSource({
     "1,CRASH,false",
     "2,FROZEN,false",
-    "3,REFUSED,false",
-    "4,ALONE,false",
+    "3,STATE_REFUSED,false",
+    "4,WORKERS_ONLY,false",
     "5,CRASH,true",
-    "6,REFUSED,true",
-    "7,BACK_AT_ONCE,true"
+    "6,STATE_REFUSED,true",
+    "7,QUICK_RESTART,true"
   })
   void commandsOfTheLeaderBefore(long seed, Change change, boolean outOfReach) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    long epoch = LeaderChanges.epoch(c);
-    List<JobSpec> jobs = LeaderChanges.busy(c, 90, 600);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    long epoch = LeaderChanges.lastClaimedEpoch(cluster);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 90, 600);
     for (int i = 0; i < 4; i++) {
-      c.world.after(
+      cluster.world.after(
           4_000 + i * 13_000L,
           () -> {
-            c.holdCommands(0.6, 3_000);
-            c.world.after(2_000, () -> LeaderChanges.end(c, change));
+            cluster.holdCommands(0.6, 3_000);
+            cluster.world.after(2_000, () -> LeaderChanges.endLeader(cluster, change));
             if (outOfReach) {
-              c.world.after(
+              cluster.world.after(
                   2_000,
                   () ->
-                      c.cloud
+                      cluster
+                          .cloud
                           .machines()
                           .values()
-                          .forEach(w -> LeaderChanges.cutEveryOther(c, w, 6_500)));
+                          .forEach(
+                              worker -> LeaderChanges.cutIfHashIsEven(cluster, worker, 6_500)));
             }
           });
     }
-    c.world.runUntil(c.world.now() + 60_000);
-    long changes = LeaderChanges.epoch(c) - epoch;
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    long changes = LeaderChanges.lastClaimedEpoch(cluster) - epoch;
     assertTrue(changes >= 3, changes + " changes of leader");
     int afterwards =
-        c.cloud.machines().values().stream().mapToInt(w -> w.runsOfEarlierLeaders).sum();
+        cluster.cloud.machines().values().stream()
+            .mapToInt(worker -> worker.runsOfEarlierLeaders)
+            .sum();
     assertTrue(
-        afterwards > 0 && c.world.requestFaults.commandsDelivered > 10,
+        afterwards > 0 && cluster.world.requestFaults.commandsDelivered > 10,
         afterwards + " starts came after the next leader's first command");
-    LeaderChanges.settle(c, services, jobs);
+    LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
@@ -203,13 +208,14 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void startsWithoutAnswerAreMadeElsewhere(long seed) {
-    SimulatedCluster c = settled(seed);
-    c.world.hold(new SimulatedNetwork.Held("/commands", false, 1, 40_000, 60_000), 3_000);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    c.world.runUntil(c.world.now() + 60_000);
-    int stale = c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
+    SimulatedCluster cluster = settled(seed);
+    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 1, 40_000, 60_000), 3_000);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    int stale =
+        cluster.cloud.machines().values().stream().mapToInt(worker -> worker.staleRuns).sum();
     assertTrue(stale >= 10, stale + " came late");
-    assertTrue(c.allRun(services));
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -226,24 +232,24 @@
     "6,80000,20000,0.2"
   })
   void leadersChangeTenTimes(long seed, long outageAtMs, long outageMs, double lateShare) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    List<JobSpec> jobs = LeaderChanges.busy(c, 100, 1_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 100, 1_000);
     int[] claims = new int[1];
-    LeaderChanges.onClaim(c, member -> claims[0]++);
-    c.state.lateWrites(lateShare, 110_000);
+    LeaderChanges.onClaim(cluster, member -> claims[0]++);
+    cluster.state.lateWrites(lateShare, 110_000);
     if (outageMs > 0) {
-      c.world.after(outageAtMs, () -> c.state.outage(outageMs));
+      cluster.world.after(outageAtMs, () -> cluster.state.outage(outageMs));
       for (long at = 1_000; at < outageMs; at += 4_000) {
         String member = "nodo-" + at / 4_000 % 3;
-        c.world.after(outageAtMs + at, () -> c.crash(member, 2_000));
+        cluster.world.after(outageAtMs + at, () -> cluster.crash(member, 2_000));
       }
     }
-    Change[] ways = {Change.CRASH, Change.BACK_AT_ONCE, Change.REFUSED, Change.FROZEN};
-    LeaderChanges.endEach(c, ways, 5_500, c.world.now() + 118_000);
-    c.world.runUntil(c.world.now() + 120_000);
+    Change[] ways = {Change.CRASH, Change.QUICK_RESTART, Change.STATE_REFUSED, Change.FROZEN};
+    LeaderChanges.endLeadersRepeatedly(cluster, ways, 5_500, cluster.world.now() + 118_000);
+    cluster.world.runUntil(cluster.world.now() + 120_000);
     assertTrue(claims[0] >= 10, claims[0] + " claims");
-    LeaderChanges.settle(c, services, jobs);
+    LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   // ---------------------------------------------------------------- cancellations in between
@@ -256,51 +262,51 @@
   @CsvSource({
     "1,CRASH,0",
     "2,FROZEN,300",
-    "3,REFUSED,600",
-    "4,ALONE,600",
-    "5,UNHEARD,600",
-    "6,UNHEARD,0",
-    "7,BACK_AT_ONCE,600",
+    "3,STATE_REFUSED,600",
+    "4,WORKERS_ONLY,600",
+    "5,UNREACHABLE,600",
+    "6,UNREACHABLE,0",
+    "7,QUICK_RESTART,600",
     "8,CRASH,1500"
   })
   void cancelledWhileWorkChangesHands(long seed, Change change, long copyLateMs) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 36, 100, 15_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 36, 100, 15_000);
     List<JobSpec> cancelled = services.subList(0, 24);
-    String old = c.leader();
+    String old = cluster.leader();
     long[] claimedAt = {-1};
-    List<String> members = List.copyOf(c.controllers.keySet());
+    List<String> members = List.copyOf(cluster.controllers.keySet());
     LeaderChanges.onClaim(
-        c,
+        cluster,
         member -> {
           if (claimedAt[0] >= 0) {
             return;
           }
-          claimedAt[0] = c.world.now();
+          claimedAt[0] = cluster.world.now();
           for (int i = 0; i < cancelled.size(); i++) {
             String by = members.get(i % 3);
             String id = cancelled.get(i).id();
-            c.world.after(i / 3 * 120L, () -> c.cancelThrough(by, id, 25));
+            cluster.world.after(i / 3 * 120L, () -> cluster.cancelThrough(by, id, 25));
           }
         });
     if (copyLateMs > 0) {
-      c.world.hold(
+      cluster.world.hold(
           new SimulatedNetwork.Held("/watch", true, 1, copyLateMs, copyLateMs + 300), 14_000);
     }
-    LeaderChanges.end(c, change);
+    LeaderChanges.endLeader(cluster, change);
     for (int i = 0; i < 30_000 / 10 && claimedAt[0] < 0; i++) {
-      c.world.runUntil(c.world.now() + 10);
+      cluster.world.runUntil(cluster.world.now() + 10);
     }
     assertTrue(claimedAt[0] >= 0, "nobody has claimed");
-    c.world.runUntil(claimedAt[0] + 60_000);
+    cluster.world.runUntil(claimedAt[0] + 60_000);
     long soon =
         cancelled.stream()
-            .filter(job -> c.rules.ranWhenCancelled(job.id()) > 0)
-            .filter(job -> c.rules.cancelledAt(job.id()) < claimedAt[0] + 1_500)
+            .filter(job -> cluster.rules.ranWhenCancelled(job.id()) > 0)
+            .filter(job -> cluster.rules.cancelledAt(job.id()) < claimedAt[0] + 1_500)
             .count();
     assertTrue(soon >= 6, soon + " were cancelled at once, while they ran; leader was " + old);
-    LeaderChanges.settle(c, services.subList(24, 36), List.of());
-    LeaderChanges.assertCancelled(c, cancelled);
+    LeaderChanges.assertSettles(cluster, services.subList(24, 36), List.of());
+    LeaderChanges.assertCancelled(cluster, cancelled);
   }
 
   /**
@@ -313,30 +319,31 @@
   void cancelledAsTheLeaderIsRefused(long seed, int peersHeard) {
     long cancelMs = 50_000;
     Deployment deployment = Deployment.large(MACHINES).withLease(4_000, 22_000, cancelMs);
-    SimulatedCluster c = Scenes.settled(seed, deployment, 0.0005);
-    List<JobSpec> services = Scenes.services(c, 24, 50, 20_000);
+    SimulatedCluster cluster = Scenes.settled(seed, deployment, 0.0005);
+    List<JobSpec> services = Scenes.services(cluster, 24, 50, 20_000);
     List<JobSpec> cancelled = services.subList(0, 16);
-    String old = c.leader();
-    List<String> others = LeaderChanges.others(c, old);
-    others.subList(peersHeard, 2).forEach(m -> c.world.cut(old, m, 2 * cancelMs));
-    c.state.refuse(old, 2 * cancelMs);
+    String old = cluster.leader();
+    List<String> others = LeaderChanges.otherControllers(cluster, old);
+    others.subList(peersHeard, 2).forEach(m -> cluster.world.cut(old, m, 2 * cancelMs));
+    cluster.state.refuse(old, 2 * cancelMs);
     for (int i = 0; i < cancelled.size(); i++) {
       String id = cancelled.get(i).id();
       String by = others.get(i % 2);
-      c.world.after(i % 4, () -> c.cancelThrough(by, id, 3));
+      cluster.world.after(i % 4, () -> cluster.cancelThrough(by, id, 3));
     }
-    List<WorkerEmulator> hanging = LeaderChanges.carrying(c).subList(0, 4);
-    hanging.forEach(w -> w.hang(12_000));
-    c.world.after(1_000, () -> c.state.outage(cancelMs + 20_000));
-    c.world.runUntil(c.world.now() + 1_000);
-    long told = cancelled.stream().filter(j -> c.rules.ranWhenCancelled(j.id()) > 0).count();
+    List<WorkerEmulator> hanging = LeaderChanges.machinesWithTasks(cluster).subList(0, 4);
+    hanging.forEach(worker -> worker.hang(12_000));
+    cluster.world.after(1_000, () -> cluster.state.outage(cancelMs + 20_000));
+    cluster.world.runUntil(cluster.world.now() + 1_000);
+    long told = cancelled.stream().filter(j -> cluster.rules.ranWhenCancelled(j.id()) > 0).count();
     assertTrue(told >= 12, told + " were told");
-    assertEquals(old, c.leader(), "it has stepped down before the outage");
-    c.world.runUntil(c.world.now() + 2 * cancelMs + 60_000);
-    assertTrue(c.allRun(services.subList(16, 24)), "services are whole");
+    assertEquals(old, cluster.leader(), "it has stepped down before the outage");
+    cluster.world.runUntil(cluster.world.now() + 2 * cancelMs + 60_000);
+    assertTrue(cluster.allRun(services.subList(16, 24)), "services are whole");
     for (JobSpec job : cancelled) {
       assertTrue(
-          c.rules.cancelledAt(job.id()) < 0 || c.rules.running(job.id()) == 0, job.id() + " runs");
+          cluster.rules.cancelledAt(job.id()) < 0 || cluster.rules.running(job.id()) == 0,
+          job.id() + " runs");
     }
   }
 
@@ -365,34 +372,34 @@
   }
 
   private static void allAway(long seed, Away away, long awayMs) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 20, 100, 15_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 15_000);
     List<JobSpec> cancelled = services.subList(0, 6);
     List<JobSpec> kept = services.subList(6, 20);
-    c.keepReportsForNextLeader(0.5, 3_000, 200);
-    c.holdCommands(0.5, 3_000);
-    List<JobSpec> jobs = LeaderChanges.busy(c, 10, 250);
-    c.world.runUntil(c.world.now() + 2_500);
-    cancelled.forEach(job -> c.cancel(job.id()));
-    c.world.runUntil(c.world.now() + 60);
-    for (String member : List.copyOf(c.controllers.keySet())) {
+    cluster.keepReportsForNextLeader(0.5, 3_000, 200);
+    cluster.holdCommands(0.5, 3_000);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 10, 250);
+    cluster.world.runUntil(cluster.world.now() + 2_500);
+    cancelled.forEach(job -> cluster.cancel(job.id()));
+    cluster.world.runUntil(cluster.world.now() + 60);
+    for (String member : List.copyOf(cluster.controllers.keySet())) {
       boolean last = member.equals("nodo-2");
       switch (away) {
-        case FROZEN -> c.processes.get(member).pause(awayMs);
-        case CUT_FROM_WORKERS -> c.world.cut(member, "n-", awayMs);
-        case ONE_RETURNS -> c.crash(member, last ? awayMs : awayMs + 40_000);
-        default -> c.crash(member, awayMs);
+        case FROZEN -> cluster.processes.get(member).pause(awayMs);
+        case CUT_FROM_WORKERS -> cluster.world.cut(member, "n-", awayMs);
+        case ONE_RETURNS -> cluster.crash(member, last ? awayMs : awayMs + 40_000);
+        default -> cluster.crash(member, awayMs);
       }
     }
     if (away == Away.ENDED_IN_AN_OUTAGE) {
-      c.state.outage(awayMs + 4_000);
+      cluster.state.outage(awayMs + 4_000);
     }
-    c.world.runUntil(c.world.now() + awayMs - 50);
-    assertEquals(0, c.rules.running(), "some lease is not over");
-    long took = Scenes.until(c, 60_000, () -> c.allRun(kept));
+    cluster.world.runUntil(cluster.world.now() + awayMs - 50);
+    assertEquals(0, cluster.rules.running(), "some lease is not over");
+    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(kept));
     assertTrue(took < 30_000, away + ": whole after " + took + " ms");
-    LeaderChanges.settle(c, kept, jobs);
-    LeaderChanges.assertCancelled(c, cancelled);
+    LeaderChanges.assertSettles(cluster, kept, jobs);
+    LeaderChanges.assertCancelled(cluster, cancelled);
   }
 
   /**
@@ -402,28 +409,28 @@
   @ParameterizedTest
   @CsvSource({"1,50", "2,300", "3,900", "4,50", "5,2000"})
   void handedOverAndBackThenOneReturns(long seed, long downMs) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 12, 100, 15_000);
-    List<JobSpec> jobs = LeaderChanges.busy(c, 60, 900);
-    String first = c.leader();
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 12, 100, 15_000);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 60, 900);
+    String first = cluster.leader();
     List<String> led = new ArrayList<>();
-    LeaderChanges.onClaim(c, led::add);
-    c.state.refuse(first, 7_000);
-    c.world.runUntil(c.world.now() + 9_000);
-    String second = c.leader();
+    LeaderChanges.onClaim(cluster, led::add);
+    cluster.state.refuse(first, 7_000);
+    cluster.world.runUntil(cluster.world.now() + 9_000);
+    String second = cluster.leader();
     assertNotNull(second);
-    LeaderChanges.others(c, first).forEach(m -> c.state.refuse(m, 7_000));
-    c.world.runUntil(c.world.now() + 9_000);
+    LeaderChanges.otherControllers(cluster, first).forEach(m -> cluster.state.refuse(m, 7_000));
+    cluster.world.runUntil(cluster.world.now() + 9_000);
     assertTrue(led.indexOf(second) >= 0 && led.lastIndexOf(first) > 0, "went to " + led);
-    int before = c.rules.starts;
-    List.copyOf(c.controllers.keySet())
-        .forEach(m -> c.crash(m, m.equals(second) ? downMs : 30_000));
-    c.world.runUntil(c.world.now() + downMs + 7_000);
-    assertEquals(second, c.leader());
+    int before = cluster.rules.starts;
+    List.copyOf(cluster.controllers.keySet())
+        .forEach(m -> cluster.crash(m, m.equals(second) ? downMs : 30_000));
+    cluster.world.runUntil(cluster.world.now() + downMs + 7_000);
+    assertEquals(second, cluster.leader());
     // Users and workers wait 4 to 5 s for each of the two that are gone before they come over.
-    c.world.runUntil(c.world.now() + 7_000);
-    assertTrue(c.rules.starts > before, "nothing is started");
-    LeaderChanges.settle(c, services, jobs);
+    cluster.world.runUntil(cluster.world.now() + 7_000);
+    assertTrue(cluster.rules.starts > before, "nothing is started");
+    LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
@@ -433,38 +440,38 @@
   @ParameterizedTest
   @CsvSource({"1,true,7000", "2,true,30000", "3,false,7000", "4,false,30000"})
   void machinesDoNotHearTheNextLeader(long seed, boolean onlyAnswers, long forMs) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
-      JobSpec job = LeaderChanges.batch(c, 6, 60);
+      JobSpec job = LeaderChanges.batchJob(cluster, 6, 60);
       jobs.add(job);
-      c.world.after(i * 50L, () -> c.submit(job));
+      cluster.world.after(i * 50L, () -> cluster.submit(job));
     }
-    c.world.runUntil(c.world.now() + 6_000);
+    cluster.world.runUntil(cluster.world.now() + 6_000);
     int unheard = 0;
-    List<WorkerEmulator> carrying = LeaderChanges.carrying(c);
-    for (WorkerEmulator w : carrying) {
+    List<WorkerEmulator> loaded = LeaderChanges.machinesWithTasks(cluster);
+    for (WorkerEmulator worker : loaded) {
       if (unheard++ % 3 == 0) {
-        c.world.cutOneWay("nodo", w.name(), forMs);
+        cluster.world.cutOneWay("nodo", worker.name(), forMs);
       }
     }
     if (onlyAnswers) {
-      c.world.hold(new SimulatedNetwork.Held("/agent/beat", true, 0.5, 4_500, 9_000), forMs);
+      cluster.world.hold(new SimulatedNetwork.Held("/agent/beat", true, 0.5, 4_500, 9_000), forMs);
     }
-    String first = c.leader();
-    c.crash(first, 3_000);
-    c.world.runUntil(c.world.now() + 5_000);
-    LeaderChanges.end(c, Change.BACK_AT_ONCE);
-    c.world.runUntil(c.world.now() + 5_000);
-    LeaderChanges.end(c, Change.CRASH);
-    c.world.runUntil(c.world.now() + 35_000);
+    String first = cluster.leader();
+    cluster.crash(first, 3_000);
+    cluster.world.runUntil(cluster.world.now() + 5_000);
+    LeaderChanges.endLeader(cluster, Change.QUICK_RESTART);
+    cluster.world.runUntil(cluster.world.now() + 5_000);
+    LeaderChanges.endLeader(cluster, Change.CRASH);
+    cluster.world.runUntil(cluster.world.now() + 35_000);
     assertTrue(unheard > 6, unheard + " machines with tasks");
-    LeaderChanges.settle(c, services, jobs);
+    LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
-   * More seeds of each: {@code mvn test -Dtest=LeaderChangeMeetingsTest#soak -Dsim.from=100
+   * More seeds of each: {@code mvn test -Dtest=LeaderChangeFaultsTest#soak -Dsim.from=100
    * -Dsim.to=139}.
    */
   @Test
@@ -494,6 +501,6 @@
         "one returns", s -> handedOverAndBackThenOneReturns(s, delays[(int) (s % 5)] + 50));
     meetings.put(
         "unheard", s -> machinesDoNotHearTheNextLeader(s, s % 2 == 0, s % 3 == 0 ? 7_000 : 25_000));
-    assertEquals(List.of(), LeaderChanges.broken(meetings));
+    assertEquals(List.of(), LeaderChanges.failuresOf(meetings));
   }
 }
--- a/src/test/java/fennelthread/simulation/LeaderChanges.java
+++ b/src/test/java/fennelthread/simulation/LeaderChanges.java
@@ -24,76 +24,77 @@
     /** Its process ends and is back after a few seconds. */
     CRASH,
     /** Its process ends and is back within a moment. */
-    BACK_AT_ONCE,
+    QUICK_RESTART,
     /** Its process stands still and goes on as if nothing had happened. */
     FROZEN,
     /** The state service refuses it alone: it resigns and has its grant ended by a peer. */
-    REFUSED,
+    STATE_REFUSED,
     /** It loses the state service and the other controllers, not its workers and users. */
-    ALONE,
+    WORKERS_ONLY,
     /** No worker and no controller reaches it, the state service does: it resigns. */
-    UNHEARD
+    UNREACHABLE
   }
 
   /** Ends whoever leads in this way; does nothing while nobody leads. */
-  static void end(SimulatedCluster c, Change change) {
-    String leader = c.leader();
+  static void endLeader(SimulatedCluster cluster, Change change) {
+    String leader = cluster.leader();
     if (leader == null) {
       return;
     }
     switch (change) {
-      case CRASH -> c.crash(leader, 3_000);
-      case BACK_AT_ONCE -> c.crash(leader, 50);
-      case FROZEN -> c.processes.get(leader).pause(7_000);
-      case REFUSED -> c.state.refuse(leader, 8_000);
-      case ALONE -> c.leaveAlone(leader, 8_000);
-      case UNHEARD -> {
-        c.world.cut(leader, "n-", 15_000);
-        others(c, leader).forEach(m -> c.world.cut(leader, m, 15_000));
+      case CRASH -> cluster.crash(leader, 3_000);
+      case QUICK_RESTART -> cluster.crash(leader, 50);
+      case FROZEN -> cluster.processes.get(leader).pause(7_000);
+      case STATE_REFUSED -> cluster.state.refuse(leader, 8_000);
+      case WORKERS_ONLY -> cluster.leaveAlone(leader, 8_000);
+      case UNREACHABLE -> {
+        cluster.world.cut(leader, "n-", 15_000);
+        otherControllers(cluster, leader).forEach(m -> cluster.world.cut(leader, m, 15_000));
       }
       default -> throw new IllegalStateException();
     }
   }
 
   /** Cuts a machine from the controllers, if its name is one of every other. */
-  static void cutEveryOther(SimulatedCluster c, WorkerEmulator w, long forMs) {
-    if (w.name().hashCode() % 2 == 0) {
-      c.world.cut(w.name(), "nodo", forMs);
+  static void cutIfHashIsEven(SimulatedCluster cluster, WorkerEmulator worker, long forMs) {
+    if (worker.name().hashCode() % 2 == 0) {
+      cluster.world.cut(worker.name(), "nodo", forMs);
     }
   }
 
-  static List<String> others(SimulatedCluster c, String member) {
-    return c.controllers.keySet().stream().filter(m -> !m.equals(member)).toList();
+  static List<String> otherControllers(SimulatedCluster cluster, String member) {
+    return cluster.controllers.keySet().stream().filter(m -> !m.equals(member)).toList();
   }
 
   /** Calls back with the member at each claim, the moment the state service has applied it. */
-  static void onClaim(SimulatedCluster c, Consumer<String> task) {
-    c.state.onWrite.add(
+  static void onClaim(SimulatedCluster cluster, Consumer<String> task) {
+    cluster.state.onWrite.add(
         key -> {
           if (key.equals("live/lead")) {
-            task.accept(c.state.caller());
+            task.accept(cluster.state.caller());
           }
         });
   }
 
   /** Ends whoever leads again and again, each time in the next way. */
-  static void endEach(SimulatedCluster c, Change[] ways, long everyMs, long untilMs) {
+  static void endLeadersRepeatedly(
+      SimulatedCluster cluster, Change[] ways, long everyMs, long untilMs) {
     int[] next = new int[1];
     Runnable[] again = new Runnable[1];
     again[0] =
         () -> {
-          if (c.world.now() < untilMs) {
-            end(c, ways[next[0]++ % ways.length]);
-            c.world.after(everyMs, again[0]);
+          if (cluster.world.now() < untilMs) {
+            endLeader(cluster, ways[next[0]++ % ways.length]);
+            cluster.world.after(everyMs, again[0]);
           }
         };
-    c.world.after(1_000, again[0]);
+    cluster.world.after(1_000, again[0]);
   }
 
   /**
    * Plays each meeting with each seed from {@code sim.from} to {@code sim.to}; gives what failed.
    */
-  static List<String> broken(Map<String, LongConsumer> meetings) {
+  static List<String> failuresOf(Map<String, LongConsumer> meetings) {
     return LongStream.rangeClosed(Long.getLong("sim.from"), Long.getLong("sim.to"))
         .boxed()
         .flatMap(seed -> meetings.keySet().stream().map(name -> Map.entry(seed, name)))
@@ -112,18 +113,20 @@
   }
 
   /** The epoch that was claimed last. */
-  static long epoch(SimulatedCluster c) {
+  static long lastClaimedEpoch(SimulatedCluster cluster) {
     try {
-      return c.state.epoch();
+      return cluster.state.epoch();
     } catch (WireException e) {
       throw new AssertionError(e);
     }
   }
 
   /** The machines that carry tasks. */
-  static List<WorkerEmulator> carrying(SimulatedCluster c) {
-    return c.cloud.machines().values().stream()
-        .filter(w -> c.rules.present().stream().anyMatch(p -> p.endsWith("@" + w.name())))
+  static List<WorkerEmulator> machinesWithTasks(SimulatedCluster cluster) {
+    return cluster.cloud.machines().values().stream()
+        .filter(
+            worker ->
+                cluster.rules.present().stream().anyMatch(p -> p.endsWith("@" + worker.name())))
         .toList();
   }
 
@@ -133,17 +136,17 @@
   }
 
   /** Hands reports to every controller that is there. */
-  static void handToAll(SimulatedCluster c, Collection<byte[]> reports) {
-    for (String address : c.controllers().values()) {
+  static void deliverToAllControllers(SimulatedCluster cluster, Collection<byte[]> reports) {
+    for (String address : cluster.controllers().values()) {
       for (byte[] body : reports) {
-        c.world.deliver("n-late", address, new Call("POST", "/agent/beat", body, Codec.CBOR));
+        cluster.world.deliver("n-late", address, new Call("POST", "/agent/beat", body, Codec.CBOR));
       }
     }
   }
 
   /** A job of batch tasks that any machine takes. */
-  static JobSpec batch(SimulatedCluster c, int tasks, double estimateS) {
-    JobSpec any = c.plain(false, tasks);
+  static JobSpec batchJob(SimulatedCluster cluster, int tasks, double estimateS) {
+    JobSpec any = cluster.plain(false, tasks);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
         .team(any.team())
@@ -159,35 +162,35 @@
   }
 
   /** Jobs of some tasks, one every so often, of which every third is cancelled a little later. */
-  static List<JobSpec> busy(SimulatedCluster c, int count, long everyMs) {
+  static List<JobSpec> submitAndCancelJobs(SimulatedCluster cluster, int count, long everyMs) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      JobSpec job = batch(c, 1 + i % 4, 2 + i % 11);
+      JobSpec job = batchJob(cluster, 1 + i % 4, 2 + i % 11);
       jobs.add(job);
-      c.world.after(i * everyMs, () -> c.submit(job));
+      cluster.world.after(i * everyMs, () -> cluster.submit(job));
       if (i % 3 == 0) {
-        c.world.after(i * everyMs + 300 + i % 7 * 400L, () -> c.cancel(job.id()));
+        cluster.world.after(i * everyMs + 300 + i % 7 * 400L, () -> cluster.cancel(job.id()));
       }
     }
     return jobs;
   }
 
   /** Nothing fails any more: every service is whole, every job over, every question answered. */
-  static void settle(SimulatedCluster c, List<JobSpec> services, List<JobSpec> jobs) {
-    c.world.runUntil(c.world.now() + 60_000);
-    c.rules.troublesAreOver();
-    c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.allRun(services), "services are whole");
+  static void assertSettles(SimulatedCluster cluster, List<JobSpec> services, List<JobSpec> jobs) {
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    cluster.rules.troublesAreOver();
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    assertTrue(cluster.allRun(services), "services are whole");
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
-    c.rules.checkServed(30_000);
+        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !cluster.rules.isOver(id)).toList());
+    cluster.rules.checkServed(30_000);
   }
 
   /** Every one of these was told to be cancelled, and nothing of it is on a machine any more. */
-  static void assertCancelled(SimulatedCluster c, List<JobSpec> jobs) {
+  static void assertCancelled(SimulatedCluster cluster, List<JobSpec> jobs) {
     for (JobSpec job : jobs) {
-      assertTrue(c.rules.cancelledAt(job.id()) >= 0, job.id() + ": its user was not told");
-      assertEquals(0, c.rules.running(job.id()), job.id() + " runs on");
+      assertTrue(cluster.rules.cancelledAt(job.id()) >= 0, job.id() + ": its user was not told");
+      assertEquals(0, cluster.rules.running(job.id()), job.id() + " runs on");
     }
   }
 }
--- a/src/test/java/fennelthread/simulation/LeaseRenewalTest.java
+++ b/src/test/java/fennelthread/simulation/LeaseRenewalTest.java
@@ -28,22 +28,22 @@
   @ParameterizedTest
   @CsvSource({"1,norte", "2,norte", "3,sur", "4,sur", "5,norte", "6,sur"})
   void cancelledJobsEndInAZoneThatIsCutOff(long seed, String zone) {
-    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
-    List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
-    c.world.cutZone(zone, 100_000);
+    SimulatedCluster cluster = settled(seed, List.of("norte", "sur"));
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
+    cluster.world.cutZone(zone, 100_000);
     for (int i = 0; i < 15; i++) {
       String id = services.get(i).id();
-      c.world.after(500 + i * 4_000, () -> c.cancel(id));
+      cluster.world.after(500 + i * 4_000, () -> cluster.cancel(id));
     }
     // Rules are checked after each step.
-    c.world.runUntil(c.world.now() + 180_000);
+    cluster.world.runUntil(cluster.world.now() + 180_000);
     for (JobSpec job : services.subList(0, 15)) {
-      assertEquals(0, c.rules.running(job.id()), job.id());
+      assertEquals(0, cluster.rules.running(job.id()), job.id());
     }
     for (JobSpec job : services.subList(15, 20)) {
-      assertEquals(job.tasks(), c.rules.running(job.id()), job.id());
+      assertEquals(job.tasks(), cluster.rules.running(job.id()), job.id());
     }
-    c.rules.checkServed(30_000);
+    cluster.rules.checkServed(30_000);
   }
 
   /**
@@ -53,43 +53,43 @@
   @ParameterizedTest
   @CsvSource({"1,norte", "2,norte", "3,sur", "4,sur", "5,norte", "6,sur"})
   void whatRunsInAZoneThatIsCutOffGoesOn(long seed, String zone) {
-    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
-    List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
-    int before = c.rules.starts;
-    c.world.cutZone(zone, 40_000);
-    c.world.runUntil(c.world.now() + 70_000);
-    assertFewAgain(before, c);
-    assertTrue(c.allRun(services));
-    c.rules.checkServed(30_000);
+    SimulatedCluster cluster = settled(seed, List.of("norte", "sur"));
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
+    int before = cluster.rules.starts;
+    cluster.world.cutZone(zone, 40_000);
+    cluster.world.runUntil(cluster.world.now() + 70_000);
+    assertFewAgain(before, cluster);
+    assertTrue(cluster.allRun(services));
+    cluster.rules.checkServed(30_000);
   }
 
   /** The same with the leader's end 2 s after the cut, in the zone and elsewhere. */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14})
   void theLeaderEndsInTheCut(long seed) {
-    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
-    List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
-    int before = c.rules.starts;
+    SimulatedCluster cluster = settled(seed, List.of("norte", "sur"));
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
+    int before = cluster.rules.starts;
     // Two controllers are in norte: whichever of the three ends, one that knew its leader is left
     // there.
-    c.world.cutZone("norte", 38_000);
-    c.world.runUntil(c.world.now() + 2_000);
-    c.crash(c.leader(), 300);
-    c.world.runUntil(c.world.now() + 70_000);
-    assertTrue(c.allRun(services));
-    assertFewAgain(before, c);
+    cluster.world.cutZone("norte", 38_000);
+    cluster.world.runUntil(cluster.world.now() + 2_000);
+    cluster.crash(cluster.leader(), 300);
+    cluster.world.runUntil(cluster.world.now() + 70_000);
+    assertTrue(cluster.allRun(services));
+    assertFewAgain(before, cluster);
   }
 
   /** Without a controller in the zone its workers' leases end, and the tasks start elsewhere. */
   @Test
   void nobodyKeepsAZoneWithoutAController() {
-    SimulatedCluster c = settled(21, List.of("norte", "sur", "este", "oeste"));
-    List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
-    int before = c.rules.starts;
-    c.world.cutZone("oeste", 60_000);
-    c.world.runUntil(c.world.now() + 40_000);
-    assertTrue(c.allRun(services), "not all run elsewhere");
-    assertNotEquals(before, c.rules.starts);
+    SimulatedCluster cluster = settled(21, List.of("norte", "sur", "este", "oeste"));
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
+    int before = cluster.rules.starts;
+    cluster.world.cutZone("oeste", 60_000);
+    cluster.world.runUntil(cluster.world.now() + 40_000);
+    assertTrue(cluster.allRun(services), "not all run elsewhere");
+    assertNotEquals(before, cluster.rules.starts);
   }
 
   /**
@@ -99,37 +99,38 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
   void theLeaderEndsInAnOutage(long seed) {
-    SimulatedCluster c = settled(seed, List.of("norte", "sur"));
-    List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
-    int before = c.rules.starts;
-    c.state.outage(36_000);
-    c.world.runUntil(c.world.now() + 500);
-    c.crash(c.leader(), 60_000);
-    c.world.runUntil(c.world.now() + 35_000);
-    assertTrue(c.allRun(services));
-    c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.allRun(services));
-    assertFewAgain(before, c);
+    SimulatedCluster cluster = settled(seed, List.of("norte", "sur"));
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
+    int before = cluster.rules.starts;
+    cluster.state.outage(36_000);
+    cluster.world.runUntil(cluster.world.now() + 500);
+    cluster.crash(cluster.leader(), 60_000);
+    cluster.world.runUntil(cluster.world.now() + 35_000);
+    assertTrue(cluster.allRun(services));
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    assertTrue(cluster.allRun(services));
+    assertFewAgain(before, cluster);
   }
 
   /** In an outage without end the controllers together know that nobody can be told anything. */
   @Test
   void aLongOutageCostsNothing() {
-    SimulatedCluster c = settled(41, List.of("norte", "sur"));
-    List<JobSpec> services = Scenes.services(c, 20, 100, 20_000);
-    int before = c.rules.starts;
-    c.state.outage(600_000);
-    c.world.runUntil(c.world.now() + 620_000);
-    assertTrue(c.allRun(services));
-    assertFewAgain(before, c);
+    SimulatedCluster cluster = settled(41, List.of("norte", "sur"));
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
+    int before = cluster.rules.starts;
+    cluster.state.outage(600_000);
+    cluster.world.runUntil(cluster.world.now() + 620_000);
+    assertTrue(cluster.allRun(services));
+    assertFewAgain(before, cluster);
   }
 
   /**
    * A worker whose answers were lost in the last moment may have no time left to try the next
    * controller.
    */
-  private static void assertFewAgain(int before, SimulatedCluster c) {
-    assertTrue(c.rules.starts - before <= 3, c.rules.starts - before + " started again");
+  private static void assertFewAgain(int before, SimulatedCluster cluster) {
+    assertTrue(
+        cluster.rules.starts - before <= 3, cluster.rules.starts - before + " started again");
   }
 
   private static SimulatedCluster settled(long seed, List<String> zones) {
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -58,35 +58,35 @@
   @ParameterizedTest
   @MethodSource("leaderWrites")
   void answersToOneKindOfTheLeadersWritesAreLost(LeaderWrite write, long seed) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 2, 100, 15_000);
-    c.closeLooks(60_000);
-    c.state.loseAnswerOf((caller, body) -> write.matches(body), 3);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 2, 100, 15_000);
+    cluster.closeLooks(60_000);
+    cluster.state.loseAnswerOf((caller, body) -> write.matches(body), 3);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      JobSpec job = Scenes.lasting(c, 1 + i % 4, 1 + i % 5);
+      JobSpec job = Scenes.lasting(cluster, 1 + i % 4, 1 + i % 5);
       jobs.add(job);
-      c.world.after(i * 600L, () -> c.submit(job));
+      cluster.world.after(i * 600L, () -> cluster.submit(job));
       if (i % 4 == 0) {
-        c.world.after(i * 600L + 300 + i % 7 * 300L, () -> c.cancel(job.id()));
+        cluster.world.after(i * 600L + 300 + i % 7 * 300L, () -> cluster.cancel(job.id()));
       }
     }
-    c.world.after(
+    cluster.world.after(
         5_000,
         () -> {
           if (write == LeaderWrite.CLAIM) {
-            c.crash(c.leader(), 2_000);
+            cluster.crash(cluster.leader(), 2_000);
           } else if (write == LeaderWrite.UNILATERAL) {
-            c.refuseMesh(15_000);
+            cluster.refuseMesh(15_000);
           }
         });
-    c.world.runUntil(c.world.now() + 40_000);
-    assertEquals(3, c.state.answersLost, "answers lost");
-    c.world.runUntil(c.world.now() + 30_000);
-    c.rules.troublesAreOver();
-    c.world.runUntil(c.world.now() + 30_000);
-    assertTrue(c.allRun(services), "services are whole");
-    assertTrue(jobs.stream().allMatch(j -> c.rules.isOver(j.id())), "all are over");
+    cluster.world.runUntil(cluster.world.now() + 40_000);
+    assertEquals(3, cluster.state.answersLost, "answers lost");
+    cluster.world.runUntil(cluster.world.now() + 30_000);
+    cluster.rules.troublesAreOver();
+    cluster.world.runUntil(cluster.world.now() + 30_000);
+    assertTrue(cluster.allRun(services), "services are whole");
+    assertTrue(jobs.stream().allMatch(j -> cluster.rules.isOver(j.id())), "all are over");
   }
 
   /**
@@ -96,43 +96,47 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aWordWhoseAnswersAreLostIsCancelled(long seed) throws WireException {
-    SimulatedCluster c = settled(seed);
-    long lostUntil = c.world.now() + 6_000;
-    c.state.loseAnswerOf(
-        (caller, body) -> LeaderWrite.UNILATERAL.matches(body) && c.world.now() < lostUntil, 100);
-    c.refuseMesh(3_000);
-    c.world.runUntil(c.world.now() + 6_000);
-    assertTrue(c.state.answersLost > 0, "none was lost");
-    assertEquals(c.state.epoch(), c.state.values("live/solo").get(0).count("epoch"), "it stands");
-    c.world.runUntil(c.world.now() + 10_000);
-    assertEquals(0, c.state.values("live/solo").get(0).count("epoch"), "and is withdrawn");
+    SimulatedCluster cluster = settled(seed);
+    long lostUntil = cluster.world.now() + 6_000;
+    cluster.state.loseAnswerOf(
+        (caller, body) -> LeaderWrite.UNILATERAL.matches(body) && cluster.world.now() < lostUntil,
+        100);
+    cluster.refuseMesh(3_000);
+    cluster.world.runUntil(cluster.world.now() + 6_000);
+    assertTrue(cluster.state.answersLost > 0, "none was lost");
+    assertEquals(
+        cluster.state.epoch(),
+        cluster.state.values("live/solo").get(0).count("epoch"),
+        "it stands");
+    cluster.world.runUntil(cluster.world.now() + 10_000);
+    assertEquals(0, cluster.state.values("live/solo").get(0).count("epoch"), "and is withdrawn");
   }
 
   /** Jobs are cancelled with one that they wait for; the answers to that are lost. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void answersToInheritedCancellationsAreLost(long seed) {
-    SimulatedCluster c = settled(seed);
-    c.closeLooks(60_000);
+    SimulatedCluster cluster = settled(seed);
+    cluster.closeLooks(60_000);
     List<JobSpec> waiting = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      JobSpec job = Scenes.lasting(c, 1, 120);
-      JobSpec next = Scenes.lasting(c, 2, 2).withDependencies(List.of(job.id()));
+      JobSpec job = Scenes.lasting(cluster, 1, 120);
+      JobSpec next = Scenes.lasting(cluster, 2, 2).withDependencies(List.of(job.id()));
       waiting.add(next);
-      c.submit(job);
-      c.world.after(1_000, () -> c.submit(next));
-      c.world.after(5_000 + i * 3_000, () -> c.cancel(job.id()));
+      cluster.submit(job);
+      cluster.world.after(1_000, () -> cluster.submit(next));
+      cluster.world.after(5_000 + i * 3_000, () -> cluster.cancel(job.id()));
     }
-    c.state.loseAnswerOf(
+    cluster.state.loseAnswerOf(
         (caller, body) -> waiting.stream().anyMatch(j -> body.contains("final/" + j.id())), 3);
-    c.world.runUntil(c.world.now() + 25_000);
-    assertEquals(3, c.state.answersLost, "answers lost");
-    c.rules.troublesAreOver();
-    c.world.runUntil(c.world.now() + 20_000);
+    cluster.world.runUntil(cluster.world.now() + 25_000);
+    assertEquals(3, cluster.state.answersLost, "answers lost");
+    cluster.rules.troublesAreOver();
+    cluster.world.runUntil(cluster.world.now() + 20_000);
     for (JobSpec job : waiting) {
-      assertTrue(c.rules.cancelledAt(job.id()) >= 0, job.id() + " is cancelled");
-      assertEquals(0, c.state.count("live/job/" + job.id()));
+      assertTrue(cluster.rules.cancelledAt(job.id()) >= 0, job.id() + " is cancelled");
+      assertEquals(0, cluster.state.count("live/job/" + job.id()));
     }
-    assertEquals(6, c.state.count("final/"));
+    assertEquals(6, cluster.state.count("final/"));
   }
 }
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -34,20 +34,20 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderCutFromItsWorkersGoesOn(long seed) {
-    SimulatedCluster c = fleet(seed);
-    List<JobSpec> services = services(c);
-    String leader = c.leader();
-    int before = c.rules.starts;
-    c.world.cut(leader, "n-", CUT_MS);
-    c.world.runUntil(33_000);
-    JobSpec job = c.plain(true, 10);
-    c.submit(job);
-    c.world.runUntil(37_000);
-    assertEquals(10, c.rules.running(job.id()), "a job submitted while it is cut off runs");
-    c.world.runUntil(60_000);
-    assertEquals(leader, c.leader());
-    assertEquals(before + 10, c.rules.starts, "a task was lost");
-    assertTrue(c.allRun(services));
+    SimulatedCluster cluster = fleet(seed);
+    List<JobSpec> services = services(cluster);
+    String leader = cluster.leader();
+    int before = cluster.rules.starts;
+    cluster.world.cut(leader, "n-", CUT_MS);
+    cluster.world.runUntil(33_000);
+    JobSpec job = cluster.plain(true, 10);
+    cluster.submit(job);
+    cluster.world.runUntil(37_000);
+    assertEquals(10, cluster.rules.running(job.id()), "a job submitted while it is cut off runs");
+    cluster.world.runUntil(60_000);
+    assertEquals(leader, cluster.leader());
+    assertEquals(before + 10, cluster.rules.starts, "a task was lost");
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -56,43 +56,48 @@
   @ParameterizedTest
   @ValueSource(longs = {4, 5, 6})
   void cutOffInAnOutage(long seed) {
-    cutOffAt(seed, 30_000, 0, c -> c.world.at(31_000, () -> c.state.outage(12_000)));
+    cutOffAt(
+        seed, 30_000, 0, cluster -> cluster.world.at(31_000, () -> cluster.state.outage(12_000)));
   }
 
   /** Cuts the leader off from its workers beside another trouble; so many tasks may be lost. */
   private static void cutOffAt(
       long seed, long atMs, int mayBeLost, Consumer<SimulatedCluster> trouble) {
-    SimulatedCluster c = fleet(seed);
-    List<JobSpec> services = services(c);
-    int before = c.rules.starts;
-    trouble.accept(c);
-    c.world.at(atMs, () -> c.world.cut(c.leader(), "n-", CUT_MS));
-    c.world.runUntil(60_000);
-    assertTrue(c.rules.starts - before <= mayBeLost, c.rules.starts - before + " tasks were lost");
-    assertTrue(c.allRun(services));
+    SimulatedCluster cluster = fleet(seed);
+    List<JobSpec> services = services(cluster);
+    int before = cluster.rules.starts;
+    trouble.accept(cluster);
+    cluster.world.at(atMs, () -> cluster.world.cut(cluster.leader(), "n-", CUT_MS));
+    cluster.world.runUntil(60_000);
+    assertTrue(
+        cluster.rules.starts - before <= mayBeLost,
+        cluster.rules.starts - before + " tasks were lost");
+    assertTrue(cluster.allRun(services));
   }
 
   /** No path between controllers either: the peers say through the state service what they hear. */
   @ParameterizedTest
   @ValueSource(longs = {7, 8, 9})
   void cutOffWhileTheMeshIsRefused(long seed) {
-    SimulatedCluster c = fleet(seed);
-    List<JobSpec> services = services(c);
-    String leader = c.leader();
-    int before = c.rules.starts;
-    c.refuseMesh(25_000);
-    c.world.runUntil(32_000);
-    c.world.cut(leader, "n-", CUT_MS);
-    long at = c.world.now();
-    while (c.world.now() < 45_000 && (c.leader() == null || c.leader().equals(leader))) {
-      c.world.runUntil(c.world.now() + 50);
+    SimulatedCluster cluster = fleet(seed);
+    List<JobSpec> services = services(cluster);
+    String leader = cluster.leader();
+    int before = cluster.rules.starts;
+    cluster.refuseMesh(25_000);
+    cluster.world.runUntil(32_000);
+    cluster.world.cut(leader, "n-", CUT_MS);
+    long at = cluster.world.now();
+    while (cluster.world.now() < 45_000
+        && (cluster.leader() == null || cluster.leader().equals(leader))) {
+      cluster.world.runUntil(cluster.world.now() + 50);
     }
-    System.out.printf("seed %d: another leads %d ms after the cut%n", seed, c.world.now() - at);
-    assertNotEquals(leader, c.leader());
-    assertTrue(c.world.now() < 39_000, "another leads at " + c.world.now());
-    c.world.runUntil(70_000);
-    assertEquals(before, c.rules.starts, "a task was lost");
-    assertTrue(c.allRun(services));
+    System.out.printf(
+        "seed %d: another leads %d ms after the cut%n", seed, cluster.world.now() - at);
+    assertNotEquals(leader, cluster.leader());
+    assertTrue(cluster.world.now() < 39_000, "another leads at " + cluster.world.now());
+    cluster.world.runUntil(70_000);
+    assertEquals(before, cluster.rules.starts, "a task was lost");
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -102,7 +107,7 @@
   @ParameterizedTest
   @ValueSource(longs = {10, 11})
   void cutOffWithOnePeerDead(long seed) {
-    cutOffAt(seed, 31_000, 80, c -> c.crash(follower(c), 9_000));
+    cutOffAt(seed, 31_000, 80, cluster -> cluster.crash(follower(cluster), 9_000));
   }
 
   /**
@@ -112,14 +117,18 @@
   @ParameterizedTest
   @ValueSource(longs = {12, 13})
   void cutOffWhileAFollowerIsCutFromTheState(long seed) {
-    cutOffAt(seed, 32_000, 0, c -> c.world.cut(follower(c), "state", 20_000));
+    cutOffAt(seed, 32_000, 0, cluster -> cluster.world.cut(follower(cluster), "state", 20_000));
   }
 
   /** The relay ends in the middle: the other one takes over within the workers' lease. */
   @ParameterizedTest
   @ValueSource(longs = {14, 15})
   void theRelayCrashes(long seed) {
-    cutOffAt(seed, 30_000, 20, c -> c.world.at(36_000, () -> c.crash(follower(c), 3_000)));
+    cutOffAt(
+        seed,
+        30_000,
+        20,
+        cluster -> cluster.world.at(36_000, () -> cluster.crash(follower(cluster), 3_000)));
   }
 
   /**
@@ -129,17 +138,17 @@
   @ParameterizedTest
   @ValueSource(longs = {16, 17})
   void aDeafLeaderIsFrozen(long seed) {
-    SimulatedCluster c = fleet(seed);
-    List<JobSpec> services = services(c);
-    String leader = c.leader();
-    c.world.cut(leader, "n-", CUT_MS);
-    c.world.runUntil(35_000);
-    c.processes.get(leader).pause(8_000);
+    SimulatedCluster cluster = fleet(seed);
+    List<JobSpec> services = services(cluster);
+    String leader = cluster.leader();
+    cluster.world.cut(leader, "n-", CUT_MS);
+    cluster.world.runUntil(35_000);
+    cluster.processes.get(leader).pause(8_000);
     for (int i = 0; i < 20; i++) {
-      c.submit(c.plain(false, 10));
+      cluster.submit(cluster.plain(false, 10));
     }
-    c.world.runUntil(90_000);
-    assertTrue(c.allRun(services));
+    cluster.world.runUntil(90_000);
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -148,21 +157,21 @@
   @ParameterizedTest
   @ValueSource(longs = {18, 19, 20})
   void oldAndNewSideBySide(long seed) {
-    SimulatedCluster c = new SimulatedCluster(seed, Deployment.tiny().inProduction());
-    c.storm(60_000);
-    c.world.runUntil(10_000);
-    c.upgrade("nodo-" + seed % 3, 2_000);
+    SimulatedCluster cluster = new SimulatedCluster(seed, Deployment.tiny().inProduction());
+    cluster.storm(60_000);
+    cluster.world.runUntil(10_000);
+    cluster.upgrade("nodo-" + seed % 3, 2_000);
     for (int i = 0; i < 3; i++) {
-      c.world.at(
+      cluster.world.at(
           16_000 + i * 16_000,
           () -> {
-            if (c.leader() != null) {
-              c.world.cut(c.leader(), "n-", 9_000);
+            if (cluster.leader() != null) {
+              cluster.world.cut(cluster.leader(), "n-", 9_000);
             }
           });
     }
-    c.world.runUntil(110_000);
-    assertTrue(c.rules.starts > 30, c.rules.starts + " starts");
+    cluster.world.runUntil(110_000);
+    assertTrue(cluster.rules.starts > 30, cluster.rules.starts + " starts");
   }
 
   /**
@@ -172,25 +181,25 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
   void theRelaysAnswerIsLost(long seed) {
-    SimulatedCluster c = fleet(seed);
-    List<JobSpec> services = services(c);
-    String leader = c.leader();
+    SimulatedCluster cluster = fleet(seed);
+    List<JobSpec> services = services(cluster);
+    String leader = cluster.leader();
     String relay = "nodo-" + (leader.charAt(5) - '0' + 1) % 3;
-    c.world.cut(leader, "n-", 20_000);
-    c.world.runUntil(38_000);
-    int before = c.rules.starts;
+    cluster.world.cut(leader, "n-", 20_000);
+    cluster.world.runUntil(38_000);
+    int before = cluster.rules.starts;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      jobs.add(c.plain(true, 10));
-      c.submit(jobs.get(i));
+      jobs.add(cluster.plain(true, 10));
+      cluster.submit(jobs.get(i));
     }
-    while (c.rules.starts == before) {
-      c.world.runUntil(c.world.now() + 1);
+    while (cluster.rules.starts == before) {
+      cluster.world.runUntil(cluster.world.now() + 1);
     }
-    c.world.cut(relay, leader, 9_000);
-    c.world.runUntil(80_000);
-    assertTrue(c.allRun(services));
-    assertTrue(c.allRun(jobs));
+    cluster.world.cut(relay, leader, 9_000);
+    cluster.world.runUntil(80_000);
+    assertTrue(cluster.allRun(services));
+    assertTrue(cluster.allRun(jobs));
   }
 
   /**
@@ -199,15 +208,15 @@
    */
   @Test
   void aResignedLeaderStopsOnceAnotherLeads() throws WireException {
-    SimulatedCluster c = fleet(40);
-    String old = c.leader();
-    c.state.refuse(old, 30_000);
+    SimulatedCluster cluster = fleet(40);
+    String old = cluster.leader();
+    cluster.state.refuse(old, 30_000);
     int answers = 0;
     long another = 1_000_000;
-    while (c.world.now() < 30_000) {
-      c.world.runUntil(c.world.now() + 20);
-      String next = c.leaderOtherThan(old);
-      another = next == null ? another : Math.min(another, c.world.now());
+    while (cluster.world.now() < 30_000) {
+      cluster.world.runUntil(cluster.world.now() + 20);
+      String next = cluster.leaderOtherThan(old);
+      another = next == null ? another : Math.min(another, cluster.world.now());
       WorkerReport report =
           new WorkerReport(
               "n-900000",
@@ -216,12 +225,13 @@
               "norte",
               false,
               1,
-              c.world.now(),
+              cluster.world.now(),
               0,
               WorkerReport.NO_NOTICE,
               List.of());
       Answer[] answer = new Answer[1];
-      c.controllers
+      cluster
+          .controllers
           .get(old)
           .api()
           .handle(
@@ -230,7 +240,7 @@
       if (answer[0] != null && answer[0].status() == 200) {
         answers++;
         // Heartbeats that bring the news take a few milliseconds, and one in between may be lost.
-        assertTrue(c.world.now() < another + 1_000, "answers at " + c.world.now());
+        assertTrue(cluster.world.now() < another + 1_000, "answers at " + cluster.world.now());
       }
     }
     System.out.printf("another led at %d, %d answers%n", another, answers);
@@ -242,53 +252,57 @@
    */
   @Test
   void aFewMachinesCutFromTheLeaderAlone() {
-    cutOffAt(21, 1_000_000, 0, c -> c.world.cut(c.leader(), "n-00001", 30_000));
+    cutOffAt(21, 1_000_000, 0, cluster -> cluster.world.cut(cluster.leader(), "n-00001", 30_000));
   }
 
   /** Storms of cuts, losses and late packets in which relays are always in use. */
   @ParameterizedTest
   @ValueSource(longs = {22, 23, 24, 25, 26, 27})
   void stormsOfCuts(long seed) {
-    SimulatedCluster c = new SimulatedCluster(seed);
-    c.world.loss = 0.02;
-    c.world.late = 0.01;
-    c.storm(150_000);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.world.loss = 0.02;
+    cluster.world.late = 0.01;
+    cluster.storm(150_000);
     for (int i = 1; i < 12; i++) {
-      c.world.at(
+      cluster.world.at(
           i * 12_000L,
           () -> {
-            if (c.leader() != null) {
-              c.world.cut(c.leader(), "n-", 3_000 + c.world.random.nextInt(12_000));
+            if (cluster.leader() != null) {
+              cluster.world.cut(
+                  cluster.leader(), "n-", 3_000 + cluster.world.random.nextInt(12_000));
             }
           });
     }
-    c.world.runUntil(200_000);
-    assertTrue(c.rules.starts > 100, c.rules.starts + " starts");
+    cluster.world.runUntil(200_000);
+    assertTrue(cluster.rules.starts > 100, cluster.rules.starts + " starts");
   }
 
   private static SimulatedCluster fleet(long seed) {
-    SimulatedCluster c = SimulatedCluster.large(seed, MACHINES);
-    c.world.loss = 0;
-    c.world.late = 0;
-    c.world.runUntil(15_000);
-    return c;
+    SimulatedCluster cluster = SimulatedCluster.large(seed, MACHINES);
+    cluster.world.loss = 0;
+    cluster.world.late = 0;
+    cluster.world.runUntil(15_000);
+    return cluster;
   }
 
   /** A hundred replicas, running for a while when this returns, at 30 s. */
-  private static List<JobSpec> services(SimulatedCluster c) {
+  private static List<JobSpec> services(SimulatedCluster cluster) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
-      JobSpec job = c.plain(true, 4);
+      JobSpec job = cluster.plain(true, 4);
       services.add(job);
-      c.submit(job);
+      cluster.submit(job);
     }
-    c.world.runUntil(30_000);
-    assertTrue(c.allRun(services));
+    cluster.world.runUntil(30_000);
+    assertTrue(cluster.allRun(services));
     return services;
   }
 
-  private static String follower(SimulatedCluster c) {
-    String leader = c.leader();
-    return c.controllers.keySet().stream().filter(m -> !m.equals(leader)).findFirst().orElseThrow();
+  private static String follower(SimulatedCluster cluster) {
+    String leader = cluster.leader();
+    return cluster.controllers.keySet().stream()
+        .filter(m -> !m.equals(leader))
+        .findFirst()
+        .orElseThrow();
   }
 }
--- a/src/test/java/fennelthread/simulation/RestartTest.java
+++ b/src/test/java/fennelthread/simulation/RestartTest.java
@@ -44,39 +44,41 @@
   void crashInTheMiddle(String prefix, String trouble) {
     for (long seed = 1; seed <= 3; seed++) {
       for (long downMs : new long[] {50, 300, 1_000}) {
-        SimulatedCluster c = settled(seed);
-        List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-        int before = c.rules.starts;
+        SimulatedCluster cluster = settled(seed);
+        List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+        int before = cluster.rules.starts;
         int[] crashes = new int[1];
-        c.state.onWrite.add(
+        cluster.state.onWrite.add(
             key -> {
-              String writer = c.state.caller();
-              if (key.startsWith(prefix) && c.controllers.containsKey(writer) && crashes[0] < 3) {
+              String writer = cluster.state.caller();
+              if (key.startsWith(prefix)
+                  && cluster.controllers.containsKey(writer)
+                  && crashes[0] < 3) {
                 crashes[0]++;
-                c.crash(writer, downMs);
+                cluster.crash(writer, downMs);
               }
             });
-        String leader = c.leader();
+        String leader = cluster.leader();
         switch (trouble) {
-          case "crash" -> c.crash(leader, downMs);
-          case "freeze" -> c.processes.get(leader).pause(20_000);
-          case "refuse" -> c.refuseMesh(8_000);
+          case "crash" -> cluster.crash(leader, downMs);
+          case "freeze" -> cluster.processes.get(leader).pause(20_000);
+          case "refuse" -> cluster.refuseMesh(8_000);
           default -> {}
         }
         List<JobSpec> batches = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-          JobSpec job = c.plain(false, 4);
+          JobSpec job = cluster.plain(false, 4);
           batches.add(job);
-          c.world.after(200 + i * 400L, () -> c.submit(job));
+          cluster.world.after(200 + i * 400L, () -> cluster.submit(job));
         }
-        c.world.runUntil(c.world.now() + 60_000);
+        cluster.world.runUntil(cluster.world.now() + 60_000);
         String what = prefix + " seed " + seed + " back after " + downMs;
         assertTrue(crashes[0] > 0, what + ": nothing was written");
-        assertTrue(c.allRun(services), what);
-        c.rules.checkServed(30_000);
-        assertFewAgain(before + 12 * 4, c, what);
+        assertTrue(cluster.allRun(services), what);
+        cluster.rules.checkServed(30_000);
+        assertFewAgain(before + 12 * 4, cluster, what);
         for (JobSpec job : batches) {
-          assertTrue(c.rules.isOver(job.id()), what + ": " + job.id());
+          assertTrue(cluster.rules.isOver(job.id()), what + ": " + job.id());
         }
       }
     }
@@ -89,44 +91,44 @@
   @ParameterizedTest
   @ValueSource(longs = {50, 300})
   void aProcessThatEndsAtOnceEachTime(long downMs) {
-    SimulatedCluster c = settled(5);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    int before = c.rules.starts;
-    String faulty = c.leader();
+    SimulatedCluster cluster = settled(5);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    int before = cluster.rules.starts;
+    String faulty = cluster.leader();
     int led = 0;
     int ledByFaulty = 0;
     for (int i = 0; i < 20; i++) {
-      c.crash(faulty, downMs);
+      cluster.crash(faulty, downMs);
       for (int t = 0; t < 12; t++) {
-        c.world.runUntil(c.world.now() + 100);
-        led += c.leader() == null ? 0 : 1;
-        ledByFaulty += faulty.equals(c.leader()) ? 1 : 0;
+        cluster.world.runUntil(cluster.world.now() + 100);
+        led += cluster.leader() == null ? 0 : 1;
+        ledByFaulty += faulty.equals(cluster.leader()) ? 1 : 0;
       }
     }
     System.out.printf(
         "back after %d ms: led %d of 240 looks, %d by the faulty one%n", downMs, led, ledByFaulty);
-    assertNotEquals(faulty, c.leader());
+    assertNotEquals(faulty, cluster.leader());
     assertTrue(led > 180, led + " of 240");
     assertTrue(ledByFaulty < 30, ledByFaulty + " of 240");
-    assertEquals(before, c.rules.starts, "a task was lost");
-    assertTrue(c.allRun(services));
+    assertEquals(before, cluster.rules.starts, "a task was lost");
+    assertTrue(cluster.allRun(services));
   }
 
   /** Two of three in turns, 20 times: the third leads. */
   @Test
   void twoInTurns() {
-    SimulatedCluster c = settled(6);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    int before = c.rules.starts;
-    String third = c.leader();
-    List<String> two = c.controllers.keySet().stream().filter(m -> !m.equals(third)).toList();
+    SimulatedCluster cluster = settled(6);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    int before = cluster.rules.starts;
+    String third = cluster.leader();
+    List<String> two = cluster.controllers.keySet().stream().filter(m -> !m.equals(third)).toList();
     for (int i = 0; i < 20; i++) {
-      c.crash(two.get(i % 2), 50);
-      c.world.runUntil(c.world.now() + 600);
+      cluster.crash(two.get(i % 2), 50);
+      cluster.world.runUntil(cluster.world.now() + 600);
     }
-    assertEquals(third, c.leader());
-    assertEquals(before, c.rules.starts, "a task was lost");
-    assertTrue(c.allRun(services));
+    assertEquals(third, cluster.leader());
+    assertEquals(before, cluster.rules.starts, "a task was lost");
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -136,73 +138,74 @@
   @ParameterizedTest
   @CsvSource({"50,60", "300,60", "50,480"})
   void allOfThemAgainAndAgain(long downMs, int machines) {
-    SimulatedCluster c = settled(7, machines);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    int before = c.rules.starts;
+    SimulatedCluster cluster = settled(7, machines);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    int before = cluster.rules.starts;
     for (int i = 0; i < 13; i++) {
-      c.controllers.keySet().forEach(m -> c.crash(m, downMs));
-      c.world.runUntil(c.world.now() + 1_500);
+      cluster.controllers.keySet().forEach(m -> cluster.crash(m, downMs));
+      cluster.world.runUntil(cluster.world.now() + 1_500);
     }
-    JobSpec job = c.plain(false, 4);
-    c.submit(job);
-    c.world.runUntil(c.world.now() + 5_000);
-    assertTrue(c.leader() != null);
-    assertTrue(c.rules.starts >= before + 4, "nothing starts");
-    assertFewAgain(before + 4, c, "all again and again");
-    assertTrue(c.allRun(services));
+    JobSpec job = cluster.plain(false, 4);
+    cluster.submit(job);
+    cluster.world.runUntil(cluster.world.now() + 5_000);
+    assertTrue(cluster.leader() != null);
+    assertTrue(cluster.rules.starts >= before + 4, "nothing starts");
+    assertFewAgain(before + 4, cluster, "all again and again");
+    assertTrue(cluster.allRun(services));
   }
 
   /** Back during an outage, all of them, and the heir at the moment it would claim. */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
   void backDuringAnOutage(long seed) {
-    SimulatedCluster c = settled(seed);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    int before = c.rules.starts;
-    c.state.outage(5_000);
-    c.world.runUntil(c.world.now() + 800);
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    int before = cluster.rules.starts;
+    cluster.state.outage(5_000);
+    cluster.world.runUntil(cluster.world.now() + 800);
     // When it is over: whoever claims first ends there and then.
     int[] claims = new int[1];
-    c.state.onWrite.add(
+    cluster.state.onWrite.add(
         key -> {
           if (key.equals("live/lead") && claims[0]++ < 4) {
-            c.crash(c.state.caller(), 50);
+            cluster.crash(cluster.state.caller(), 50);
           }
         });
-    c.controllers.keySet().forEach(m -> c.crash(m, 50));
-    c.world.runUntil(c.world.now() + 4_300);
-    c.world.runUntil(c.world.now() + 8_000);
+    cluster.controllers.keySet().forEach(m -> cluster.crash(m, 50));
+    cluster.world.runUntil(cluster.world.now() + 4_300);
+    cluster.world.runUntil(cluster.world.now() + 8_000);
     assertTrue(claims[0] >= 4, claims[0] + " claims");
-    assertTrue(c.leader() != null);
-    assertFewAgain(before, c, "outage");
-    assertTrue(c.allRun(services));
+    assertTrue(cluster.leader() != null);
+    assertFewAgain(before, cluster, "outage");
+    assertTrue(cluster.allRun(services));
   }
 
   /** The version in production beside, crashing and back at once in the same way. */
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
   void theOldVersionLikewise(long seed) {
-    SimulatedCluster c = new SimulatedCluster(seed, Deployment.large(MACHINES).inProduction());
-    c.world.loss = 0;
-    c.world.late = 0;
-    c.world.runUntil(15_000);
-    List<JobSpec> services = Scenes.services(c, 10, 100, 15_000);
-    List<String> members = List.copyOf(c.controllers.keySet());
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, Deployment.large(MACHINES).inProduction());
+    cluster.world.loss = 0;
+    cluster.world.late = 0;
+    cluster.world.runUntil(15_000);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    List<String> members = List.copyOf(cluster.controllers.keySet());
     for (int i = 0; i < 6; i++) {
-      c.crash(members.get(i % 3), 50);
-      c.world.runUntil(c.world.now() + 700);
+      cluster.crash(members.get(i % 3), 50);
+      cluster.world.runUntil(cluster.world.now() + 700);
     }
-    c.upgrade(members.get(0), 50);
-    c.world.runUntil(c.world.now() + 4_000);
+    cluster.upgrade(members.get(0), 50);
+    cluster.world.runUntil(cluster.world.now() + 4_000);
     for (int i = 0; i < 12; i++) {
-      c.crash(members.get(i % 3), 50);
-      c.world.runUntil(c.world.now() + 700);
+      cluster.crash(members.get(i % 3), 50);
+      cluster.world.runUntil(cluster.world.now() + 700);
     }
-    c.upgrade(members.get(1), 300);
-    c.upgrade(members.get(2), 300);
-    c.world.runUntil(c.world.now() + 25_000);
-    assertTrue(c.leader() != null);
-    assertTrue(c.allRun(services));
+    cluster.upgrade(members.get(1), 300);
+    cluster.upgrade(members.get(2), 300);
+    cluster.world.runUntil(cluster.world.now() + 25_000);
+    assertTrue(cluster.leader() != null);
+    assertTrue(cluster.allRun(services));
   }
 
   /**
@@ -217,15 +220,15 @@
       int itself = 0;
       long changes = 0;
       for (long seed = 1; seed <= 15; seed++) {
-        SimulatedCluster c = settled(seed);
-        String leader = c.leader();
-        long from = c.world.now();
+        SimulatedCluster cluster = settled(seed);
+        String leader = cluster.leader();
+        long from = cluster.world.now();
         int[] writes = new int[1];
-        c.state.onWrite.add(key -> writes[0] += key.startsWith("live/") ? 1 : 0);
-        c.crash(leader, downMs);
-        until(c, from + 20_000, () -> c.leader() != null);
-        next.add(c.world.now() - from);
-        itself += leader.equals(c.leader()) ? 1 : 0;
+        cluster.state.onWrite.add(key -> writes[0] += key.startsWith("live/") ? 1 : 0);
+        cluster.crash(leader, downMs);
+        until(cluster, from + 20_000, () -> cluster.leader() != null);
+        next.add(cluster.world.now() - from);
+        itself += leader.equals(cluster.leader()) ? 1 : 0;
         changes += writes[0];
       }
       next.sort(null);
@@ -239,14 +242,15 @@
    * Here a dead process's address stays silent half of the time: a worker that waits 4 s for each
    * of several in a row may have no time left of its lease.
    */
-  private static void assertFewAgain(int starts, SimulatedCluster c, String what) {
+  private static void assertFewAgain(int starts, SimulatedCluster cluster, String what) {
     assertTrue(
-        c.rules.starts - starts <= 3, what + ": " + (c.rules.starts - starts) + " started again");
+        cluster.rules.starts - starts <= 3,
+        what + ": " + (cluster.rules.starts - starts) + " started again");
   }
 
-  private static void until(SimulatedCluster c, long latest, BooleanSupplier holds) {
-    while (c.world.now() < latest && !holds.getAsBoolean()) {
-      c.world.runUntil(c.world.now() + 10);
+  private static void until(SimulatedCluster cluster, long latest, BooleanSupplier holds) {
+    while (cluster.world.now() < latest && !holds.getAsBoolean()) {
+      cluster.world.runUntil(cluster.world.now() + 10);
     }
   }
 
--- a/src/test/java/fennelthread/simulation/StartRecordFormsTest.java
+++ b/src/test/java/fennelthread/simulation/StartRecordSizeTest.java
@@ -20,7 +20,7 @@
  * a form, not a form that is stored.
  */
 @EnabledIfSystemProperty(named = "slopes.file", matches = ".+")
-class StartRecordFormsTest {
+class StartRecordSizeTest {
   private static final int STARTS_PER_SECOND = 817;
 
   @Test
--- a/src/test/java/fennelthread/simulation/TakeoverTest.java
+++ b/src/test/java/fennelthread/simulation/TakeoverTest.java
@@ -23,21 +23,21 @@
   private long[][] play(BiConsumer<SimulatedCluster, String> fault) {
     long[][] times = new long[2][SEEDS];
     for (int i = 0; i < SEEDS; i++) {
-      SimulatedCluster c = settled(100 + i);
-      String leader = c.leader();
-      long at = c.world.now();
-      fault.accept(c, leader);
-      while (c.leaderOtherThan(leader) == null && c.world.now() < at + 20_000) {
-        c.world.runUntil(c.world.now() + 10);
+      SimulatedCluster cluster = settled(100 + i);
+      String leader = cluster.leader();
+      long at = cluster.world.now();
+      fault.accept(cluster, leader);
+      while (cluster.leaderOtherThan(leader) == null && cluster.world.now() < at + 20_000) {
+        cluster.world.runUntil(cluster.world.now() + 10);
       }
-      times[0][i] = c.world.now() - at;
-      int before = c.rules.starts;
-      JobSpec job = c.job(false, 5, 1, true, false, false);
-      c.submit(job);
-      while (c.rules.starts == before && c.world.now() < at + 30_000) {
-        c.world.runUntil(c.world.now() + 10);
+      times[0][i] = cluster.world.now() - at;
+      int before = cluster.rules.starts;
+      JobSpec job = cluster.job(false, 5, 1, true, false, false);
+      cluster.submit(job);
+      while (cluster.rules.starts == before && cluster.world.now() < at + 30_000) {
+        cluster.world.runUntil(cluster.world.now() + 10);
       }
-      times[1][i] = c.world.now() - at;
+      times[1][i] = cluster.world.now() - at;
     }
     Arrays.sort(times[0]);
     Arrays.sort(times[1]);
@@ -52,14 +52,14 @@
 
   @Test
   void aCrash() {
-    long[][] t = play((c, leader) -> c.crash(leader, 30_000));
+    long[][] t = play((cluster, leader) -> cluster.crash(leader, 30_000));
     print("crash", t);
     assertTrue(t[0][SEEDS / 2] < 3_300, t[0][SEEDS / 2] + " ms on the median");
   }
 
   @Test
   void aFreeze() {
-    long[][] t = play((c, leader) -> c.processes.get(leader).pause(25_000));
+    long[][] t = play((cluster, leader) -> cluster.processes.get(leader).pause(25_000));
     print("freeze", t);
     assertTrue(t[0][SEEDS / 2] < 3_300, t[0][SEEDS / 2] + " ms on the median");
   }
@@ -74,20 +74,21 @@
     int takenOver = 0;
     int stale = 0;
     for (long seed = 50; seed < 62; seed++) {
-      SimulatedCluster c = settled(seed);
-      String first = c.leader();
+      SimulatedCluster cluster = settled(seed);
+      String first = cluster.leader();
       boolean[] stalled = new boolean[1];
-      c.state.onWrite.add(
+      cluster.state.onWrite.add(
           key -> {
             if (key.startsWith("live/round/") && !stalled[0]) {
               stalled[0] = true;
-              c.processes.get(first).pause(2_850);
+              cluster.processes.get(first).pause(2_850);
             }
           });
-      c.submit(c.job(false, 6, 1, true, false, false));
-      c.world.runUntil(c.world.now() + 20_000);
-      takenOver += c.state.takeovers;
-      stale += c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
+      cluster.submit(cluster.job(false, 6, 1, true, false, false));
+      cluster.world.runUntil(cluster.world.now() + 20_000);
+      takenOver += cluster.state.takeovers;
+      stale +=
+          cluster.cloud.machines().values().stream().mapToInt(worker -> worker.staleRuns).sum();
     }
     assertTrue(takenOver >= 3, takenOver + " takeovers");
     assertEquals(0, stale, "starts sent after another had taken over");
@@ -100,16 +101,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderWithoutItsPeersGoesOn(long seed) {
-    SimulatedCluster c = settled(seed);
-    String leader = c.leader();
-    c.refuseMesh(40_000);
+    SimulatedCluster cluster = settled(seed);
+    String leader = cluster.leader();
+    cluster.refuseMesh(40_000);
     int starts = 0;
     for (int i = 0; i < 30; i++) {
-      int before = c.rules.starts;
-      c.submit(c.job(false, 3, 1, true, false, false));
-      c.world.runUntil(c.world.now() + 1_000);
-      starts += c.rules.starts > before ? 1 : 0;
-      assertEquals(leader, c.leader());
+      int before = cluster.rules.starts;
+      cluster.submit(cluster.job(false, 3, 1, true, false, false));
+      cluster.world.runUntil(cluster.world.now() + 1_000);
+      starts += cluster.rules.starts > before ? 1 : 0;
+      assertEquals(leader, cluster.leader());
     }
     assertTrue(starts >= 25, "starts in " + starts + " of 30 seconds");
   }
@@ -117,65 +118,66 @@
   /** One peer is gone for good: the other one's promises are enough, and nobody can take over. */
   @Test
   void onePeerIsGone() {
-    SimulatedCluster c = settled(4);
-    String leader = c.leader();
-    String gone = c.controllers.keySet().stream().filter(m -> !m.equals(leader)).findFirst().get();
-    c.crash(gone, 1_000_000);
+    SimulatedCluster cluster = settled(4);
+    String leader = cluster.leader();
+    String gone =
+        cluster.controllers.keySet().stream().filter(m -> !m.equals(leader)).findFirst().get();
+    cluster.crash(gone, 1_000_000);
     int starts = 0;
     for (int i = 0; i < 20; i++) {
-      int before = c.rules.starts;
-      c.submit(c.job(false, 3, 1, true, false, false));
-      c.world.runUntil(c.world.now() + 1_000);
-      starts += c.rules.starts > before ? 1 : 0;
+      int before = cluster.rules.starts;
+      cluster.submit(cluster.job(false, 3, 1, true, false, false));
+      cluster.world.runUntil(cluster.world.now() + 1_000);
+      starts += cluster.rules.starts > before ? 1 : 0;
     }
     // A third of the submissions go to the dead one and come again later.
     assertTrue(starts >= 12, "starts in " + starts + " of 20 seconds");
-    assertEquals(leader, c.leader());
+    assertEquals(leader, cluster.leader());
   }
 
   /** An hour of a lossy network with late packets and nobody failing: nobody is taken over from. */
   @Test
   void noFalseVerdicts() {
     for (long seed = 1; seed <= 4; seed++) {
-      SimulatedCluster c = new SimulatedCluster(seed);
-      c.world.runUntil(15_000);
-      c.world.loss = 0.05;
-      c.world.late = 0.01;
-      c.world.runUntil(900_000);
-      assertEquals(0, c.state.takeovers, "seed " + seed);
+      SimulatedCluster cluster = new SimulatedCluster(seed);
+      cluster.world.runUntil(15_000);
+      cluster.world.loss = 0.05;
+      cluster.world.late = 0.01;
+      cluster.world.runUntil(900_000);
+      assertEquals(0, cluster.state.takeovers, "seed " + seed);
     }
   }
 
   /** Controllers that restart one after the other: whoever leads next, no task is lost. */
   @Test
   void fiveLeadersCrashAsTheyBecomeActive() {
-    SimulatedCluster c = settled(6);
+    SimulatedCluster cluster = settled(6);
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      JobSpec job = c.job(true, 4, 1, false, false, false);
+      JobSpec job = cluster.job(true, 4, 1, false, false, false);
       services.add(job);
-      c.submit(job);
+      cluster.submit(job);
     }
-    c.world.runUntil(c.world.now() + 15_000);
+    cluster.world.runUntil(cluster.world.now() + 15_000);
     for (int i = 0; i < 5; i++) {
-      String leader = c.leader();
-      c.crash(leader, 3_000);
-      while (c.leader() == null) {
-        c.world.runUntil(c.world.now() + 10);
+      String leader = cluster.leader();
+      cluster.crash(leader, 3_000);
+      while (cluster.leader() == null) {
+        cluster.world.runUntil(cluster.world.now() + 10);
       }
-      c.world.runUntil(c.world.now() + 500);
+      cluster.world.runUntil(cluster.world.now() + 500);
     }
-    c.world.runUntil(c.world.now() + 40_000);
+    cluster.world.runUntil(cluster.world.now() + 40_000);
     for (JobSpec job : services) {
-      assertEquals(job.tasks(), c.rules.running(job.id()), job.id());
+      assertEquals(job.tasks(), cluster.rules.running(job.id()), job.id());
     }
   }
 
   private static SimulatedCluster settled(long seed) {
-    SimulatedCluster c = SimulatedCluster.large(seed, MACHINES);
-    c.world.loss = 0.001;
-    c.world.late = 0;
-    c.world.runUntil(35_000);
-    return c;
+    SimulatedCluster cluster = SimulatedCluster.large(seed, MACHINES);
+    cluster.world.loss = 0.001;
+    cluster.world.late = 0;
+    cluster.world.runUntil(35_000);
+    return cluster;
   }
 }
--- a/src/test/java/fennelthread/simulation/GapTest.java
+++ b/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
@@ -21,7 +21,7 @@
  * {@code ran_cancelled} and {@code ran_twice} above all, is checked after each step; here it is
  * seen to that the gap came about.
  */
-class GapTest {
+class UnseenCancellationsTest {
   private static final int MACHINES = 60;
   private static final int SERVICES = 24;
   private static final int CANCELLED = 16;
@@ -34,28 +34,28 @@
   }
 
   /** What happens beside the gap itself. */
-  private enum With {
-    NOTHING,
+  private enum Complication {
+    NONE,
     /** The old leader is cut off from one peer, the one that confirms. */
-    CUT_FROM_ONE,
+    CUT_FROM_ONE_PEER,
     /** From both. */
-    CUT_FROM_BOTH,
+    CUT_FROM_BOTH_PEERS,
     /** From a third of its workers. */
-    CUT_FROM_A_THIRD,
+    CUT_FROM_A_THIRD_OF_WORKERS,
     /** Whoever has confirmed ends 50 ms later and is back 50 ms after that, knowing nothing. */
-    CONFIRMER_BACK_AT_ONCE,
+    CONFIRMER_RESTARTS,
     /** Or never comes back. */
-    CONFIRMER_GONE,
+    CONFIRMER_STAYS_DOWN,
     /** All are restarted in the outage. */
     ALL_RESTART,
     /**
      * The third controller has a user told by a question only; the one that carried it out ends.
      */
-    TOLD_BY_QUESTION,
+    CONFIRMED_BY_LOOKUP,
     /** The leader has just claimed, and its copy of the state has not come to its claim. */
     JUST_CLAIMED,
     /** Tasks that take 60 s to save have been told to stop, and are at it. */
-    SAVING,
+    SAVING_CHECKPOINTS,
     /** Another of the three is of the version in production. */
     OLD_VERSION,
     /** The whole of it again, right after. */
@@ -66,70 +66,77 @@
     return Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, CANCEL_MS);
   }
 
-  private static List<String> others(SimulatedCluster c, String leader) {
-    return c.controllers.keySet().stream().filter(m -> !m.equals(leader)).toList();
+  private static List<String> others(SimulatedCluster cluster, String leader) {
+    return cluster.controllers.keySet().stream().filter(m -> !m.equals(leader)).toList();
   }
 
   /**
    * One gap: {@code leadMs} between the refusal and the outage, in which the jobs are cancelled.
    *
-   * @return how many were confirmed before the outage, with tasks on machines at that moment
+   * @return how many were confirmed before the outage, complication tasks on machines at that
+   *     moment
    */
   private static int gap(
-      SimulatedCluster c, List<JobSpec> jobs, long leadMs, long outageMs, With with) {
-    String leader = c.leader();
+      SimulatedCluster cluster,
+      List<JobSpec> jobs,
+      long leadMs,
+      long outageMs,
+      Complication complication) {
+    String leader = cluster.leader();
     assertNotNull(leader);
-    if (with == With.JUST_CLAIMED) {
-      leader = claimOf(c, leader);
+    if (complication == Complication.JUST_CLAIMED) {
+      leader = claimOf(cluster, leader);
     }
     String old = leader;
-    String confirms = others(c, old).get(0);
-    String third = others(c, old).get(1);
+    String confirms = others(cluster, old).get(0);
+    String third = others(cluster, old).get(1);
     long all = leadMs + outageMs;
-    switch (with) {
-      case CUT_FROM_ONE -> c.world.cut(old, confirms, all);
-      case CUT_FROM_BOTH -> others(c, old).forEach(m -> c.world.cut(old, m, all));
-      case CUT_FROM_A_THIRD -> {
+    switch (complication) {
+      case CUT_FROM_ONE_PEER -> cluster.world.cut(old, confirms, all);
+      case CUT_FROM_BOTH_PEERS -> others(cluster, old).forEach(m -> cluster.world.cut(old, m, all));
+      case CUT_FROM_A_THIRD_OF_WORKERS -> {
         int i = 0;
-        for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
+        for (WorkerEmulator worker : List.copyOf(cluster.cloud.machines().values())) {
           if (i++ % 3 == 0) {
-            c.world.cut(old, w.name(), all);
+            cluster.world.cut(old, worker.name(), all);
           }
         }
       }
-      case OLD_VERSION -> c.downgrade(third, 50);
-      case SAVING -> c.cloud.machines().values().forEach(w -> w.notice(leadMs + 30_000));
+      case OLD_VERSION -> cluster.downgrade(third, 50);
+      case SAVING_CHECKPOINTS ->
+          cluster.cloud.machines().values().forEach(worker -> worker.notice(leadMs + 30_000));
       default -> {}
     }
-    if (with == With.SAVING) {
-      c.world.runUntil(c.world.now() + REPORT_MS + 2_000);
+    if (complication == Complication.SAVING_CHECKPOINTS) {
+      cluster.world.runUntil(cluster.world.now() + REPORT_MS + 2_000);
     }
-    c.state.refuse(old, all);
-    long from = c.world.now();
+    cluster.state.refuse(old, all);
+    long from = cluster.world.now();
     long outageAt = from + leadMs;
-    c.world.at(outageAt, () -> c.state.outage(outageMs));
+    cluster.world.at(outageAt, () -> cluster.state.outage(outageMs));
     for (int i = 0; i < jobs.size(); i++) {
       String id = jobs.get(i).id();
-      c.world.at(
+      cluster.world.at(
           from + leadMs * i / (jobs.size() + 1),
-          () -> c.cancelThrough(confirms, id, 1 + (int) leadMs / 1_000));
-      if (with == With.TOLD_BY_QUESTION) {
-        c.world.at(from + leadMs * i / (jobs.size() + 1) + 100, () -> c.askThrough(third, id));
+          () -> cluster.cancelThrough(confirms, id, 1 + (int) leadMs / 1_000));
+      if (complication == Complication.CONFIRMED_BY_LOOKUP) {
+        cluster.world.at(
+            from + leadMs * i / (jobs.size() + 1) + 100, () -> cluster.askThrough(third, id));
       }
     }
-    switch (with) {
-      case CONFIRMER_BACK_AT_ONCE -> c.world.at(outageAt - 1, () -> c.crash(confirms, 50));
-      case CONFIRMER_GONE, TOLD_BY_QUESTION ->
-          c.world.at(outageAt - 1, () -> c.crash(confirms, 10 * outageMs));
+    switch (complication) {
+      case CONFIRMER_RESTARTS -> cluster.world.at(outageAt - 1, () -> cluster.crash(confirms, 50));
+      case CONFIRMER_STAYS_DOWN, CONFIRMED_BY_LOOKUP ->
+          cluster.world.at(outageAt - 1, () -> cluster.crash(confirms, 10 * outageMs));
       case ALL_RESTART ->
-          c.world.at(
+          cluster.world.at(
               outageAt + outageMs / 3,
-              () -> List.copyOf(c.controllers.keySet()).forEach(m -> c.crash(m, 300)));
+              () -> List.copyOf(cluster.controllers.keySet()).forEach(m -> cluster.crash(m, 300)));
       default -> {}
     }
-    c.world.runUntil(outageAt);
-    long there = jobs.stream().filter(job -> c.rules.ranWhenCancelled(job.id()) > 0).count();
-    c.world.runUntil(outageAt + outageMs);
+    cluster.world.runUntil(outageAt);
+    long there = jobs.stream().filter(job -> cluster.rules.ranWhenCancelled(job.id()) > 0).count();
+    cluster.world.runUntil(outageAt + outageMs);
     return (int) there;
   }
 
@@ -137,60 +144,64 @@
    * A claim after which the state service refuses the new leader at once, so that it never reads
    * it.
    */
-  private static String claimOf(SimulatedCluster c, String before) {
+  private static String claimOf(SimulatedCluster cluster, String before) {
     String[] claimed = new String[1];
-    c.state.onWrite.add(
+    cluster.state.onWrite.add(
         key -> {
           if (key.equals("live/lead") && claimed[0] == null) {
-            claimed[0] = c.state.caller();
-            c.state.refuse(claimed[0], 60_000);
+            claimed[0] = cluster.state.caller();
+            cluster.state.refuse(claimed[0], 60_000);
           }
         });
     // Frozen and back, not ended: a new process of a peer would have everybody wait for the
     // state service.
     long frozenAt = Long.MIN_VALUE / 2;
-    while (claimed[0] == null || !claimed[0].equals(c.leader())) {
-      if (claimed[0] == null && c.world.now() - frozenAt > 8_000) {
-        c.processes.get(before).pause(3_000);
-        frozenAt = c.world.now();
+    while (claimed[0] == null || !claimed[0].equals(cluster.leader())) {
+      if (claimed[0] == null && cluster.world.now() - frozenAt > 8_000) {
+        cluster.processes.get(before).pause(3_000);
+        frozenAt = cluster.world.now();
       }
-      c.world.runUntil(c.world.now() + 5);
-      assertTrue(c.world.now() < 120_000, "nobody claims");
+      cluster.world.runUntil(cluster.world.now() + 5);
+      assertTrue(cluster.world.now() < 120_000, "nobody claims");
     }
     return claimed[0];
   }
 
-  private static void play(long seed, long leadMs, double outages, With with) {
-    SimulatedCluster c = Scenes.settled(seed, deployment(), 0.0005);
+  private static void play(long seed, long leadMs, double outages, Complication complication) {
+    SimulatedCluster cluster = Scenes.settled(seed, deployment(), 0.0005);
     List<JobSpec> services =
-        with == With.SAVING ? savers(c) : Scenes.services(c, SERVICES, 50, 20_000);
+        complication == Complication.SAVING_CHECKPOINTS
+            ? savers(cluster)
+            : Scenes.services(cluster, SERVICES, 50, 20_000);
     List<JobSpec> cancelled = services.subList(0, CANCELLED);
     long outageMs = (long) (outages * CANCEL_MS);
-    int there = gap(c, cancelled, leadMs, outageMs, with);
-    String what = with + " seed " + seed + ", " + leadMs + " ms before " + outageMs;
+    int there = gap(cluster, cancelled, leadMs, outageMs, complication);
+    String what = complication + " seed " + seed + ", " + leadMs + " ms before " + outageMs;
     assertTrue(there >= 3, what + ": only " + there + " confirmed while their tasks ran");
-    if (with == With.TWICE) {
-      c.world.runUntil(c.world.now() + 25_000);
-      int again = gap(c, services.subList(CANCELLED, SERVICES), leadMs, outageMs, With.NOTHING);
+    if (complication == Complication.TWICE) {
+      cluster.world.runUntil(cluster.world.now() + 25_000);
+      int again =
+          gap(cluster, services.subList(CANCELLED, SERVICES), leadMs, outageMs, Complication.NONE);
       assertTrue(again >= 2, what + ": only " + again + " the second time");
     }
     // Rules are checked after each step: until all that was told is long due.
-    c.world.runUntil(c.world.now() + CANCEL_MS + 30_000);
+    cluster.world.runUntil(cluster.world.now() + CANCEL_MS + 30_000);
     for (JobSpec job : cancelled) {
-      if (c.rules.cancelledAt(job.id()) >= 0) {
-        assertEquals(0, c.rules.running(job.id()), what);
+      if (cluster.rules.cancelledAt(job.id()) >= 0) {
+        assertEquals(0, cluster.rules.running(job.id()), what);
       }
     }
-    if (with != With.TWICE && with != With.SAVING) {
+    if (complication != Complication.TWICE && complication != Complication.SAVING_CHECKPOINTS) {
       assertTrue(
-          c.allRun(services.subList(CANCELLED, SERVICES)), what + ": what was not cancelled runs");
+          cluster.allRun(services.subList(CANCELLED, SERVICES)),
+          what + ": what was not cancelled runs");
     }
   }
 
-  private static List<JobSpec> savers(SimulatedCluster c) {
+  private static List<JobSpec> savers(SimulatedCluster cluster) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < SERVICES; i++) {
-      JobSpec any = c.plain(false, 4);
+      JobSpec any = cluster.plain(false, 4);
       JobSpec job =
           JobSpec.builder(any.id())
               .jobClass(any.jobClass())
@@ -207,30 +218,32 @@
               .saveS(60)
               .build();
       jobs.add(job);
-      c.world.after(i * 50L, () -> c.submit(job));
+      cluster.world.after(i * 50L, () -> cluster.submit(job));
     }
-    c.world.runUntil(c.world.now() + 20_000);
-    assertTrue(c.allRun(jobs));
+    cluster.world.runUntil(cluster.world.now() + 20_000);
+    assertTrue(cluster.allRun(jobs));
     return jobs;
   }
 
   @ParameterizedTest
   @EnumSource
-  void withWhateverElse(With with) {
+  void withWhateverElse(Complication complication) {
     for (long seed = 1; seed <= 2; seed++) {
       // A leader that is refused alone for longer than 2.5 s steps down: one that has just claimed
       // must not have.
-      play(seed, with == With.JUST_CLAIMED ? 1_000 : 1_500, 2, with);
+      play(seed, complication == Complication.JUST_CLAIMED ? 1_000 : 1_500, 2, complication);
     }
   }
 
   @ParameterizedTest
   @CsvSource({"300,1", "2000,0.5", "2000,1", "2000,5", "5000,2", "10000,1", "20000,2"})
   void longerAndShorter(long leadMs, double outages) {
-    play(3, leadMs, outages, With.NOTHING);
+    play(3, leadMs, outages, Complication.NONE);
   }
 
-  /** More of it: {@code mvn test -Dtest=GapTest#soak -Dsim.from=100 -Dsim.to=110}. */
+  /**
+   * More of it: {@code mvn test -Dtest=UnseenCancellationsTest#soak -Dsim.from=100 -Dsim.to=110}.
+   */
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
   void soak() {
@@ -241,21 +254,22 @@
             .boxed()
             .flatMap(
                 seed ->
-                    java.util.Arrays.stream(With.values()).map(with -> new Object[] {seed, with}))
+                    java.util.Arrays.stream(Complication.values())
+                        .map(complication -> new Object[] {seed, complication}))
             .parallel()
             .map(
                 o -> {
                   long seed = (Long) o[0];
-                  With with = (With) o[1];
+                  Complication complication = (Complication) o[1];
                   try {
                     play(
                         seed,
                         leads[(int) (seed % leads.length)],
                         outages[(int) (seed / 2 % outages.length)],
-                        with);
+                        complication);
                     return "";
                   } catch (AssertionError | RuntimeException e) {
-                    return with + " seed " + seed + ": " + e;
+                    return complication + " seed " + seed + ": " + e;
                   }
                 })
             .filter(text -> !text.isEmpty())
@@ -271,25 +285,25 @@
   void thousandsAtOnce() {
     long seed = 1;
     Settings.StateLimits roomy = new Settings.StateLimits(9_000, 9_000, 8 * 1024, 16);
-    SimulatedCluster c = Scenes.settled(seed, deployment().withLimits(roomy), 0.0005);
-    List<JobSpec> services = Scenes.services(c, 20, 50, 20_000);
+    SimulatedCluster cluster = Scenes.settled(seed, deployment().withLimits(roomy), 0.0005);
+    List<JobSpec> services = Scenes.services(cluster, 20, 50, 20_000);
     List<JobSpec> waiting = new ArrayList<>();
     for (int i = 0; i < 4_980; i++) {
-      JobSpec job = c.plain(false, 1);
+      JobSpec job = cluster.plain(false, 1);
       waiting.add(job);
-      c.world.after(i * 4L, () -> c.submitOnly(job));
+      cluster.world.after(i * 4L, () -> cluster.submitOnly(job));
     }
-    c.world.runUntil(c.world.now() + 21_000);
+    cluster.world.runUntil(cluster.world.now() + 21_000);
     List<JobSpec> all = new ArrayList<>(waiting);
     for (int i = 0; i < services.size(); i++) {
       all.add(i * all.size() / services.size(), services.get(i));
     }
-    int there = gap(c, all, 10_000, 2 * CANCEL_MS, With.CUT_FROM_ONE);
-    long told = all.stream().filter(job -> c.rules.cancelledAt(job.id()) >= 0).count();
+    int there = gap(cluster, all, 10_000, 2 * CANCEL_MS, Complication.CUT_FROM_ONE_PEER);
+    long told = all.stream().filter(job -> cluster.rules.cancelledAt(job.id()) >= 0).count();
     System.out.printf("%d of %d were told, tasks of %d ran then%n", told, all.size(), there);
     assertTrue(told > 2_500, told + " were told");
     assertTrue(there >= 10, there + " ran");
-    c.world.runUntil(c.world.now() + CANCEL_MS + 5_000);
+    cluster.world.runUntil(cluster.world.now() + CANCEL_MS + 5_000);
   }
 
   /**
@@ -299,24 +313,26 @@
   @ParameterizedTest
   @CsvSource({"1,26000", "2,26000", "3,30000", "4,36000"})
   void littleRoomBesideTheLease(long seed, long cancelMs) {
-    SimulatedCluster c =
+    SimulatedCluster cluster =
         Scenes.settled(
             seed, Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, cancelMs), 0.0005);
-    List<JobSpec> services = Scenes.services(c, SERVICES, 50, 20_000);
-    int before = c.rules.starts;
-    c.world.runUntil(c.world.now() + 60_000);
-    assertEquals(before, c.rules.starts, "started again on a quiet day");
-    for (With with : new With[] {With.CUT_FROM_BOTH, With.CUT_FROM_ONE}) {
+    List<JobSpec> services = Scenes.services(cluster, SERVICES, 50, 20_000);
+    int before = cluster.rules.starts;
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    assertEquals(before, cluster.rules.starts, "started again on a quiet day");
+    for (Complication complication :
+        new Complication[] {Complication.CUT_FROM_BOTH_PEERS, Complication.CUT_FROM_ONE_PEER}) {
       int there =
           gap(
-              c,
+              cluster,
               services.subList(
-                  with == With.CUT_FROM_BOTH ? 0 : 8, with == With.CUT_FROM_BOTH ? 8 : 16),
+                  complication == Complication.CUT_FROM_BOTH_PEERS ? 0 : 8,
+                  complication == Complication.CUT_FROM_BOTH_PEERS ? 8 : 16),
               1_500,
               2 * cancelMs,
-              with);
+              complication);
       assertTrue(there >= 3, there + " confirmed while their tasks ran");
-      c.world.runUntil(c.world.now() + 60_000);
+      cluster.world.runUntil(cluster.world.now() + 60_000);
     }
   }
 }
