--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -114,7 +114,7 @@
         new UnreachableLeaderPublisher(settings.member(), directory, workers, peers, notice);
     this.supervisor = createSupervisor(handover);
     this.reports = createReportRouter(relay);
-    peers.serve("/relay/", commands.peerService(reports::handleRelayed));
+    peers.addService("/relay/", commands.peerService(reports::handleRelayed));
     this.api = createApi();
   }
 
@@ -264,7 +264,7 @@
 
     @Override
     public long epochIfUnbounded(long epoch) {
-      return peers.allBoundRenewals(epoch) ? 0 : epoch;
+      return peers.doAllPeersBoundRenewals(epoch) ? 0 : epoch;
     }
   }
 
--- a/src/main/java/fennelthread/control/FollowerReportHandler.java
+++ b/src/main/java/fennelthread/control/FollowerReportHandler.java
@@ -78,7 +78,7 @@
   private String redirectTarget(KnownLeader leader, boolean peerLeads, Relay.Decision decision) {
     boolean isLeaderUnknownOrSilent =
         !peerLeads || peers.silentMs(leader.member()) > LeaseRenewalConstants.RENEWAL_ABSTENTION_MS;
-    String renewingPeer = isLeaderUnknownOrSilent ? peers.anyRenewingPeer() : null;
+    String renewingPeer = isLeaderUnknownOrSilent ? peers.findRenewingPeer() : null;
     if (renewingPeer != null) {
       return renewingPeer;
     }
--- a/src/main/java/fennelthread/control/StateServiceCheck.java
+++ b/src/main/java/fennelthread/control/StateServiceCheck.java
@@ -51,7 +51,7 @@
    */
   public boolean isRefusedOnlyHere() {
     return state.failingForMs() > ControlConstants.REFUSED_ONLY_HERE_MS
-        && peers.peerServedAfter(
+        && peers.wasAnyPeerServedAfter(
             state.lastServedAtMs() + ControlConstants.REFUSED_ONLY_HERE_MS / 2);
   }
 }
--- a/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
+++ b/src/main/java/fennelthread/control/UnreachableLeaderPublisher.java
@@ -37,7 +37,7 @@
 
   /** Records that a worker under the current leader's epoch reported here, and publishes if due. */
   void recordWorkerOfLeader(String machine) {
-    notice.addWorker(machine);
+    notice.recordWorkerReport(machine);
     publishIfDue();
   }
 
@@ -48,7 +48,7 @@
     if (peerLeads && peers.silentMs(leader.member()) >= ControlConstants.LEADER_UNREACHABLE_MS) {
       notice.publishIfDue(leader.epoch(), workers.addressCount());
     } else {
-      notice.clear();
+      notice.forgetWorkers();
     }
   }
 }
--- a/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
+++ b/src/main/java/fennelthread/control/WorkerReachabilityCheck.java
@@ -113,6 +113,6 @@
    */
   boolean workersReachOnlyPeers() {
     return eventLoop.nowMs() - term.lastReportAtMs() > noReportsLimitMs
-        && peers.reportsReceivedByPeers() > 0;
+        && peers.workersReportingToPeers() > 0;
   }
 }
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -38,7 +38,7 @@
     this.protection = new LeaderProtection(eventLoop, lease, promises, declaration);
     this.takeover =
         new TakeoverCoordinator(eventLoop, settings, peers, state, replica, lease, declaration);
-    peers.serve("/member/", takeover::handleAgreementRequest);
+    peers.addService("/member/", takeover::handleAgreementRequest);
     peers.addExtension(new PromiseExtension());
     replica.addListener(
         (key, value, revision) -> {
--- a/src/main/java/fennelthread/handover/Handover.java
+++ b/src/main/java/fennelthread/handover/Handover.java
@@ -36,7 +36,7 @@
   public Handover(StateClient state, PeerHeartbeats peers) {
     this.state = state;
     this.peers = peers;
-    peers.serve(PATH_PREFIX, this::handleRevocation);
+    peers.addService(PATH_PREFIX, this::handleRevocation);
   }
 
   private void handleRevocation(Request request, Consumer<Answer> reply) {
--- a/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
+++ b/src/main/java/fennelthread/leaserenewal/FollowerLeaseRenewer.java
@@ -101,7 +101,7 @@
    *     time limit, 0 for none
    */
   public long olderEpochsSilentSinceMs(long epoch, long electedAtMs, long unboundedEpoch) {
-    return peers.acknowledgedSince(epoch, electedAtMs + maxPeerRenewalWindowMs, unboundedEpoch);
+    return peers.acknowledgedSinceMs(epoch, electedAtMs + maxPeerRenewalWindowMs, unboundedEpoch);
   }
 
   // ---------------------------------------------------------------- heartbeats
--- a/src/main/java/fennelthread/peers/HeartbeatSender.java
+++ b/src/main/java/fennelthread/peers/HeartbeatSender.java
@@ -8,7 +8,7 @@
  * @param epoch the highest epoch that it knows of; sending it acknowledges that epoch
  * @param leading true if it leads that epoch
  * @param servedAgoMs the time since the state service last served it, ms
- * @param reportsReceived the number of workers whose reports it receives
+ * @param reportingWorkers the number of workers whose reports it receives
  * @param workersUnreachable true if it leads and receives no reports from its workers directly
  */
 public record HeartbeatSender(
@@ -17,5 +17,5 @@
     long epoch,
     boolean leading,
     long servedAgoMs,
-    long reportsReceived,
+    long reportingWorkers,
     boolean workersUnreachable) {}
--- a/src/main/java/fennelthread/peers/PeerHeartbeat.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeat.java
@@ -71,7 +71,7 @@
             .with("epoch", sender.epoch())
             .with("leading", sender.leading())
             .with("served_ago_ms", sender.servedAgoMs())
-            .with("beats_heard", sender.reportsReceived())
+            .with("beats_heard", sender.reportingWorkers())
             .with("chains", features.dependencies())
             .with("relays", features.relaying())
             .with("deaf", sender.workersUnreachable())
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -48,7 +48,7 @@
   }
 
   /** Adds a service that handles peers' requests under paths with this prefix. */
-  public void serve(String prefix, Service service) {
+  public void addService(String prefix, Service service) {
     services.add(prefix, service);
   }
 
@@ -205,11 +205,11 @@
   }
 
   private static long reportsReceivedBy(PeerConnection peer) {
-    return peer.latest().sender().reportsReceived();
+    return peer.latest().sender().reportingWorkers();
   }
 
   /** The number of workers whose reports the peers receive, of those peers heard from lately. */
-  public long reportsReceivedByPeers() {
+  public long workersReportingToPeers() {
     long nowMs = eventLoop.nowMs();
     long reports = 0;
     for (PeerConnection peer : peers.values()) {
@@ -230,7 +230,7 @@
   }
 
   /** A peer heard from lately that renews leases in place of a silent leader, or null if none. */
-  public String anyRenewingPeer() {
+  public String findRenewingPeer() {
     long nowMs = eventLoop.nowMs();
     for (PeerConnection peer : peers.values()) {
       if (peer.isHeard(nowMs)
@@ -257,7 +257,7 @@
    * @param boundMs the moment from which peers that bound their renewals answer no such report
    * @param unboundedEpoch the last epoch whose leader may be of a version that does not, 0 for none
    */
-  public long acknowledgedSince(long epoch, long boundMs, long unboundedEpoch) {
+  public long acknowledgedSinceMs(long epoch, long boundMs, long unboundedEpoch) {
     long sinceMs = Long.MIN_VALUE;
     for (PeerConnection peer : peers.values()) {
       if (peer.latest() != null && peer.latest().epoch() >= epoch) {
@@ -275,7 +275,7 @@
    * True if no peer can be the leader of that epoch, or of an older one, in a version that renews
    * leases without bound.
    */
-  public boolean allBoundRenewals(long unboundedEpoch) {
+  public boolean doAllPeersBoundRenewals(long unboundedEpoch) {
     return peers.values().stream().allMatch(peer -> peer.boundsRenewals(unboundedEpoch));
   }
 
@@ -283,7 +283,7 @@
    * True if the state service has served some peer after {@code timeMs}. A peer's statement that it
    * is being served would not be enough, because it may not have noticed a new outage yet.
    */
-  public boolean peerServedAfter(long timeMs) {
+  public boolean wasAnyPeerServedAfter(long timeMs) {
     return anyPeer(peer -> peer.lastHeardAtMs() - peer.latest().sender().servedAgoMs() > timeMs);
   }
 
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -52,12 +52,12 @@
   }
 
   /** Records that a worker whose fencing token is of the leader's epoch reported here. */
-  public void addWorker(String machine) {
+  public void recordWorkerReport(String machine) {
     reportAtMsByWorker.put(machine, eventLoop.nowMs());
   }
 
   /** Forgets the workers that reported here: another leads, or the leader can be reached. */
-  public void clear() {
+  public void forgetWorkers() {
     reportAtMsByWorker.clear();
   }
 
