--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -25,7 +25,7 @@
   private final List<MachineType> machineTypes;
   private final SimulatedNetwork world;
   private final Consumer<WorkerEmulator> onWorker;
-  private final WorkerEmulator.Surroundings surroundings;
+  private final WorkerEmulator.Environment surroundings;
   private final TreeMap<String, WorkerEmulator> machines = new TreeMap<>();
   private final Map<String, List<Object>> requests = new HashMap<>();
   private final Map<String, Integer> left = new HashMap<>();
@@ -37,7 +37,7 @@
 
   CloudEmulator(
       SimulatedNetwork world,
-      WorkerEmulator.Surroundings surroundings,
+      WorkerEmulator.Environment surroundings,
       Consumer<WorkerEmulator> onWorker,
       Deployment deployment) {
     this.world = world;
@@ -59,7 +59,7 @@
           double chance = world.random.nextDouble();
           return chance < 0.05 ? -1 : chance < 0.2 ? 200 : 4_000 + world.random.nextInt(9_000);
         };
-    listAge = () -> 2 + world.random.nextInt(5);
+    listAgeSnapshots = () -> 2 + world.random.nextInt(5);
     snapshot();
   }
 
@@ -67,7 +67,7 @@
   LongSupplier bootMs;
 
   /** How many half seconds the next list is late. */
-  IntSupplier listAge;
+  IntSupplier listAgeSnapshots;
 
   /** How many machines were rented since the start of the day, by type. */
   final Map<String, Integer> rented = new HashMap<>();
@@ -78,13 +78,13 @@
   private boolean bootsQuickly;
 
   /** Nothing more can be rented in a zone for so long. */
-  void noCapacity(String zone, long forMs) {
+  void exhaustZone(String zone, long forMs) {
     exhausted.add(zone);
     world.after(forMs, () -> exhausted.remove(zone));
   }
 
   /** Machines rented meanwhile are up within 0.1 to 2 s; the list shows them late as ever. */
-  void quickBoots(long forMs) {
+  void bootQuickly(long forMs) {
     bootsQuickly = true;
     world.after(forMs, () -> bootsQuickly = false);
   }
@@ -115,7 +115,7 @@
     WorkerEmulator worker =
         new WorkerEmulator(
             world, surroundings, name, "10.1.0." + seq + ":9000", machineType, zone, spot);
-    world.place(name, zone);
+    world.setZone(name, zone);
     machines.put(name, worker);
     rentedAt.put(name, world.now());
     onWorker.accept(worker);
@@ -126,8 +126,8 @@
   }
 
   /** A machine is taken back, or dies. */
-  void end(WorkerEmulator worker, boolean failed) {
-    worker.end(failed);
+  void terminate(WorkerEmulator worker, boolean failed) {
+    worker.terminate(failed);
     if (!failed) {
       machines.remove(worker.name());
       left.merge(worker.machineType().name() + worker.zone() + worker.spot(), 1, Integer::sum);
@@ -168,7 +168,7 @@
       if (path.equals("/flavors")) {
         reply.accept(Answer.of(200, Codec.CBOR, MachineType.writeAll(machineTypes)));
       } else if (path.startsWith("/hosts?")) {
-        int age = listAge.getAsInt();
+        int age = listAgeSnapshots.getAsInt();
         List<Object> old = snapshots.get(Math.max(0, snapshots.size() - age));
         reply.accept(
             Answer.of(200, Codec.CBOR, Fields.create().with("equipos", old).with("more", false)));
@@ -177,7 +177,7 @@
           WorkerEmulator w = machines.get(name);
           if (w != null) {
             returned.add(name);
-            end(w, false);
+            terminate(w, false);
           }
         }
         reply.accept(Answer.of(200, Codec.CBOR, Fields.create()));
--- a/src/main/java/fennelthread/simulation/Deployment.java
+++ b/src/main/java/fennelthread/simulation/Deployment.java
@@ -82,7 +82,7 @@
         production);
   }
 
-  Deployment withNext(Settings.StateLimits announced) {
+  Deployment withAnnouncedLimits(Settings.StateLimits announced) {
     return new Deployment(
         controllers,
         zones,
@@ -169,7 +169,7 @@
         production);
   }
 
-  Deployment inProduction() {
+  Deployment withProductionVersion() {
     return new Deployment(
         controllers,
         zones,
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -76,7 +76,7 @@
     throw new AssertionError("t=" + world.now() + " " + rule + ": " + what);
   }
 
-  void submits(JobSpec spec) {
+  void recordSubmission(JobSpec spec) {
     submitted.put(spec.id(), spec);
     Set<String> before = new HashSet<>(spec.dependencies());
     spec.dependencies()
@@ -85,7 +85,7 @@
   }
 
   /** A user submits something that can't run or lacks a field: it must never be accepted. */
-  void submitsInvalid(String id) {
+  void recordInvalidSubmission(String id) {
     invalid.add(id);
   }
 
@@ -105,7 +105,7 @@
     return false;
   }
 
-  void asksToCancel(String id) {
+  void recordCancelRequest(String id) {
     cancelAsked.add(id);
   }
 
@@ -159,7 +159,7 @@
   }
 
   /** What teams use at the moment, and what of it are services, CPUs. */
-  String usage() {
+  String describeUsage() {
     StringBuilder text = new StringBuilder();
     settings
         .teams()
@@ -180,7 +180,7 @@
   }
 
   /** The tasks that are on machines, each with its machine's name: {@code job/0@n-1}. */
-  Set<String> present() {
+  Set<String> tasksOnMachines() {
     Set<String> present = new HashSet<>();
     presence.machineOf().forEach((task, w) -> present.add(task + "@" + w.name()));
     return present;
@@ -273,12 +273,12 @@
   }
 
   /** A user asks about a job, and may get no answer. */
-  void asks(String id) {
+  void recordQuery(String id) {
     unanswered.putIfAbsent(id, world.now());
   }
 
   /** From now on nothing fails any more: whoever is asked has to answer. */
-  void troublesAreOver() {
+  void recordEndOfFaults() {
     calmSince = world.now();
   }
 
@@ -298,7 +298,7 @@
         });
   }
 
-  void begins(WorkerEmulator w, JobSpec spec, int index) {
+  void recordTaskStart(WorkerEmulator w, JobSpec spec, int index) {
     starts++;
     begunAt.putIfAbsent(spec.id(), world.now());
     String task = spec.id() + "/" + index;
@@ -334,7 +334,7 @@
     }
   }
 
-  void ends(WorkerEmulator w, JobSpec spec, int index, boolean done) {
+  void recordTaskEnd(WorkerEmulator w, JobSpec spec, int index, boolean done) {
     presence.remove(w, spec, index, done);
   }
 
@@ -351,16 +351,17 @@
   }
 
   /** What a user knows of a job when asking: answers to earlier questions may be older. */
-  record Known(boolean accepted, boolean done, boolean cancelled, boolean orphan, long doneTasks) {
+  record UserKnowledge(
+      boolean accepted, boolean done, boolean cancelled, boolean orphan, long doneTasks) {
 
     /** True if something was told for the first time since then. */
-    boolean isNewsAfter(Known then) {
+    boolean isNewsAfter(UserKnowledge then) {
       return accepted != then.accepted || done != then.done || cancelled != then.cancelled;
     }
   }
 
-  Known known(String id) {
-    return new Known(
+  UserKnowledge userKnowledge(String id) {
+    return new UserKnowledge(
         accepted.contains(id),
         doneTold.contains(id),
         cancelTold.containsKey(id),
@@ -369,8 +370,8 @@
   }
 
   /** The same for an answer without a count of completed tasks. */
-  void told(String id, String state, Known before) {
-    told(id, state, -1, before);
+  void recordAnswer(String id, String state, UserKnowledge before) {
+    recordAnswer(id, state, -1, before);
   }
 
   /**
@@ -379,7 +380,7 @@
    * @param doneTasks how many tasks were called done, less than 0 if the answer says nothing of it
    * @param before what users knew when the request was sent
    */
-  void told(String id, String state, long doneTasks, Known before) {
+  void recordAnswer(String id, String state, long doneTasks, UserKnowledge before) {
     if (invalid.contains(id)) {
       broken("accepted_invalid", id);
     }
@@ -419,7 +420,7 @@
     }
   }
 
-  private void checkCount(String id, String state, long doneTasks, Known before) {
+  private void checkCount(String id, String state, long doneTasks, UserKnowledge before) {
     if (doneTasks < 0) {
       return;
     }
@@ -432,7 +433,7 @@
   }
 
   /** A user was answered with another status. */
-  void refused(String id, int status, Known before) {
+  void recordRefusal(String id, int status, UserKnowledge before) {
     if (before.accepted && (status == 404 || status == 400 || status == 422)) {
       broken("forgotten", id + " gets " + status);
     }
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -22,13 +22,13 @@
   private double endShare;
 
   /** How many jobs were cancelled in bursts. */
-  int cancelledNow;
+  int cancelledInBursts;
 
   /** How many machines were made to hang. */
-  int hung;
+  int machinesHung;
 
   /** How many jobs were cancelled at their ends. */
-  int cancelledAtEnd;
+  int cancelledAtCompletion;
 
   /** When a job's last task will be complete, as far as its running tasks tell. */
   private static final class ExpectedEnd {
@@ -48,10 +48,10 @@
    *
    * @return the ids of the jobs, fewer if fewer run
    */
-  List<String> cancelNow(int count, long hangMs) {
+  List<String> cancelRunningJobs(int count, long hangMs) {
     List<JobSpec> running = new ArrayList<>();
     for (JobSpec job : cluster.jobs) {
-      if (cluster.rules.running(job.id()) > 0 && !cluster.rules.isCancelAsked(job.id())) {
+      if (cluster.checker.running(job.id()) > 0 && !cluster.checker.isCancelAsked(job.id())) {
         running.add(job);
       }
     }
@@ -61,7 +61,7 @@
       hang(ids, hangMs);
     }
     for (String id : ids) {
-      cancelledNow++;
+      cancelledInBursts++;
       world.after(
           world.faults.nextInt(SimulationConstants.CANCEL_BURST_WINDOW_MS),
           () -> cluster.cancel(id));
@@ -73,12 +73,12 @@
     Set<WorkerEmulator> machines = new LinkedHashSet<>();
     for (WorkerEmulator w : cluster.cloud.machines().values()) {
       if (machines.size() < SimulationConstants.MAX_HANGING_MACHINES
-          && ids.stream().anyMatch(id -> cluster.rules.isOn(id, w))) {
+          && ids.stream().anyMatch(id -> cluster.checker.isOn(id, w))) {
         machines.add(w);
       }
     }
     for (WorkerEmulator w : machines) {
-      hung++;
+      machinesHung++;
       w.hang(hangMs);
     }
   }
@@ -90,7 +90,7 @@
   /**
    * For so long that share of the jobs that end is cancelled within 3 ms of the last task's end.
    */
-  void cancelAtEnd(double share, long forMs) {
+  void cancelAtCompletion(double share, long forMs) {
     endShare = share;
     world.after(forMs, () -> endShare = 0);
   }
@@ -108,7 +108,7 @@
     ExpectedEnd end = expectedEnds.computeIfAbsent(spec.id(), k -> new ExpectedEnd());
     end.timed.set(index);
     end.atMs = Math.max(end.atMs, atMs);
-    BitSet accounted = cluster.rules.completedTasks(spec.id());
+    BitSet accounted = cluster.checker.completedTasks(spec.id());
     accounted.or(end.timed);
     if (!end.drawn && accounted.cardinality() == spec.tasks()) {
       end.drawn = true;
@@ -123,7 +123,7 @@
   }
 
   private void cancel(String id) {
-    cancelledAtEnd++;
+    cancelledAtCompletion++;
     cluster.cancel(id);
   }
 }
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -12,14 +12,14 @@
   private final SimulatedNetwork network;
   private final SimulatedUsers users;
   private final RandomJobs jobs;
-  private final InvariantChecker rules;
+  private final InvariantChecker checker;
 
   JobPipelines(
-      SimulatedNetwork network, SimulatedUsers users, RandomJobs jobs, InvariantChecker rules) {
+      SimulatedNetwork network, SimulatedUsers users, RandomJobs jobs, InvariantChecker checker) {
     this.network = network;
     this.users = users;
     this.jobs = jobs;
-    this.rules = rules;
+    this.checker = checker;
   }
 
   private JobSpec stage(List<String> dependencies) {
@@ -47,7 +47,7 @@
   private void pipeline() {
     List<String> earlier = new ArrayList<>();
     for (JobSpec job : users.jobs) {
-      if (!job.service() && rules.isAccepted(job.id())) {
+      if (!job.service() && checker.isAccepted(job.id())) {
         earlier.add(job.id());
       }
     }
@@ -62,11 +62,11 @@
     boolean late = network.random.nextInt(4) == 0;
     users.submit(first);
     when(
-        () -> rules.isAccepted(first.id()),
+        () -> checker.isAccepted(first.id()),
         () -> {
           middle.forEach(users::submit);
           when(
-              () -> ids.stream().allMatch(late ? rules::isOver : rules::isAccepted),
+              () -> ids.stream().allMatch(late ? checker::isOver : checker::isAccepted),
               () -> users.submit(last));
         });
     if (network.random.nextInt(3) == 0) {
@@ -75,7 +75,7 @@
       network.after(
           network.random.nextInt(30_000),
           () -> {
-            if (rules.isAccepted(unlucky)) {
+            if (checker.isAccepted(unlucky)) {
               users.cancel(unlucky);
             }
           });
--- a/src/main/java/fennelthread/simulation/NetworkCuts.java
+++ b/src/main/java/fennelthread/simulation/NetworkCuts.java
@@ -59,22 +59,22 @@
     return null;
   }
 
-  private record ZoneCut(String zone, SimulatedNetwork.Way way, double share) {}
+  private record ZoneCut(String zone, SimulatedNetwork.CutDirection way, double share) {}
 
   /**
    * Says in which zone something is; what is in none is reached from everywhere but cut-off zones.
    */
-  void place(String name, String zone) {
+  void setZone(String name, String zone) {
     zoneOf.put(name, zone);
   }
 
   /** Cuts a zone off from all that is not in it; inside it everything goes on. */
   void cutZone(String zone, long forMs) {
-    cutZone(zone, forMs, SimulatedNetwork.Way.BOTH, 1);
+    cutZone(zone, forMs, SimulatedNetwork.CutDirection.BOTH, 1);
   }
 
   /** The same for one way, or for a share of what is in the zone: always the same ones. */
-  void cutZone(String zone, long forMs, SimulatedNetwork.Way way, double share) {
+  void cutZone(String zone, long forMs, SimulatedNetwork.CutDirection way, double share) {
     ZoneCut cut = new ZoneCut(zone, way, share);
     zoneCuts.add(cut);
     network.after(
@@ -103,8 +103,9 @@
     }
     for (ZoneCut c : zoneCuts) {
       boolean out =
-          c.zone.equals(fromZone) && c.way != SimulatedNetwork.Way.IN && isPartOf(from, c);
-      boolean in = c.zone.equals(toZone) && c.way != SimulatedNetwork.Way.OUT && isPartOf(to, c);
+          c.zone.equals(fromZone) && c.way != SimulatedNetwork.CutDirection.IN && isPartOf(from, c);
+      boolean in =
+          c.zone.equals(toZone) && c.way != SimulatedNetwork.CutDirection.OUT && isPartOf(to, c);
       if (out || in) {
         return "zone " + c.zone;
       }
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -81,7 +81,7 @@
 
   private void repeat(Kind kind, boolean lacksField) {
     JobSpec job =
-        pick(spec -> cluster.rules.isAccepted(spec.id()) && !cluster.rules.isOver(spec.id()));
+        pick(spec -> cluster.checker.isAccepted(spec.id()) && !cluster.checker.isOver(spec.id()));
     if (job != null) {
       count(kind);
       Fields body = job.write();
@@ -90,7 +90,7 @@
   }
 
   private void cancelDone(Kind kind) {
-    JobSpec job = pick(spec -> cluster.rules.isDoneTold(spec.id()));
+    JobSpec job = pick(spec -> cluster.checker.isDoneTold(spec.id()));
     if (job != null) {
       count(kind);
       cluster.cancelAt(anyMember(), job.id());
@@ -139,7 +139,7 @@
   private void submitInvalid(Kind kind, Fields body) {
     count(kind);
     String id = (String) body.map().get("name_id");
-    cluster.rules.submitsInvalid(id);
+    cluster.checker.recordInvalidSubmission(id);
     submitInvalid(id, body, SimulationConstants.MAX_ODD_REQUEST_TRIES);
   }
 
--- a/src/main/java/fennelthread/simulation/RandomTroubles.java
+++ b/src/main/java/fennelthread/simulation/RandomFaults.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /** Users and troubles at random, all drawn from the network's chance. */
-final class RandomTroubles {
+final class RandomFaults {
   private final SimulatedCluster cluster;
   private final SimulatedNetwork network;
   private final SimulatedUsers users;
   private final RandomJobs jobs;
 
-  RandomTroubles(SimulatedCluster cluster, SimulatedUsers users, RandomJobs jobs) {
+  RandomFaults(SimulatedCluster cluster, SimulatedUsers users, RandomJobs jobs) {
     this.cluster = cluster;
     this.network = cluster.world;
     this.users = users;
@@ -49,7 +49,7 @@
       case 2 ->
           List.copyOf(cluster.controllers().keySet()).forEach(m -> cluster.crash(m, span / 2));
       case 3 -> cluster.state.outage(span);
-      case 4 -> cluster.state.refuse(busiest, span);
+      case 4 -> cluster.state.refuseCaller(busiest, span);
       case 5 -> cluster.cloud.outage(span);
       case 6 -> cluster.processes.get(busiest).pause(span);
       case 7 -> network.cut(busiest, "state", span);
@@ -67,15 +67,15 @@
       }
       case 12 -> {
         if (worker != null) {
-          cluster.cloud.end(worker, true);
+          cluster.cloud.terminate(worker, true);
         }
       }
       default -> {
         if (worker != null && worker.spot()) {
-          worker.notice(4_000);
-          network.after(4_000, () -> cluster.cloud.end(worker, false));
+          worker.announceTermination(4_000);
+          network.after(4_000, () -> cluster.cloud.terminate(worker, false));
         } else if (worker != null) {
-          worker.sicken(span);
+          worker.failTasks(span);
         }
       }
     }
--- a/src/main/java/fennelthread/simulation/RandomJobs.java
+++ b/src/main/java/fennelthread/simulation/RandomJobs.java
@@ -41,7 +41,7 @@
   }
 
   /** A job that may run on any machine, or on any ordinary one if it is a service. */
-  JobSpec plain(boolean service, int tasks) {
+  JobSpec plainJob(boolean service, int tasks) {
     JobSpec any = job(service, tasks, 1, !service, false, false);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
--- a/src/main/java/fennelthread/simulation/CloseLooks.java
+++ b/src/main/java/fennelthread/simulation/RepeatedQueries.java
@@ -7,21 +7,21 @@
  * Users who look closely: each time one of them is told that a job is accepted, done or cancelled,
  * they ask every controller about it several times within milliseconds, and repeat the submission.
  */
-final class CloseLooks {
+final class RepeatedQueries {
   private static final long[] OFFSETS_MS = {0, 1, 2, 5, 20, 100};
 
   private final SimulatedCluster cluster;
   private boolean on;
 
   /** How many questions were asked. */
-  int asked;
+  int queriesSent;
 
   /** How many submissions were repeated. */
-  int repeated;
+  int submissionsRepeated;
 
-  CloseLooks(SimulatedCluster cluster) {
+  RepeatedQueries(SimulatedCluster cluster) {
     this.cluster = cluster;
-    cluster.onNews(this::look);
+    cluster.onNewStatus(this::look);
   }
 
   /** For so long users look closely. */
@@ -44,14 +44,14 @@
   }
 
   private void askEach(List<String> members, String id) {
-    asked += members.size();
+    queriesSent += members.size();
     members.forEach(member -> cluster.askAt(member, id));
   }
 
   private void repeat(String member, String id) {
-    JobSpec spec = cluster.rules.job(id);
+    JobSpec spec = cluster.checker.job(id);
     if (spec != null) {
-      repeated++;
+      submissionsRepeated++;
       cluster.submitAt(member, id, spec.write(), answer -> {});
     }
   }
--- a/src/main/java/fennelthread/simulation/ReportCopies.java
+++ b/src/main/java/fennelthread/simulation/ReportCopies.java
@@ -46,12 +46,12 @@
   }
 
   /** How many copies wait for a claim. */
-  int kept() {
+  int waiting() {
     return kept.size();
   }
 
   /** How many copies were delivered, one for each controller. */
-  int handed() {
+  int delivered() {
     return handed;
   }
 
--- a/src/main/java/fennelthread/simulation/RequestFaults.java
+++ b/src/main/java/fennelthread/simulation/RequestFaults.java
@@ -30,7 +30,7 @@
   private double heldCommandShare;
 
   /** How many requests found no connection because their sender was mute. */
-  int muted;
+  int requestsBlocked;
 
   /** How many direct commands were held up. */
   int commandsHeld;
@@ -53,17 +53,17 @@
   }
 
   /** Requests from those to those, given by prefixes of their names, get no connection. */
-  void mute(String fromPrefix, String toPrefix, long forMs) {
+  void blockRequests(String fromPrefix, String toPrefix, long forMs) {
     Mute mute = new Mute(fromPrefix, toPrefix);
     mutes.add(mute);
     world.after(forMs, () -> mutes.remove(mute));
   }
 
   /** True if a request between these two gets no connection; it is counted. */
-  boolean takesConnection(String from, String to) {
+  boolean blocksConnection(String from, String to) {
     for (Mute m : mutes) {
       if (from.startsWith(m.from) && to.startsWith(m.to)) {
-        muted++;
+        requestsBlocked++;
         return true;
       }
     }
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 
 /** Controllers and everything around them, in one seeded world. */
-final class SimulatedCluster implements WorkerEmulator.Surroundings {
+final class SimulatedCluster implements WorkerEmulator.Environment {
   static final String STATE = "10.2.0.1:2379";
   static final String CLOUD = "10.2.0.2:8443";
 
@@ -21,7 +21,7 @@
    * Makes controllers of the version in production, which is not part of this one: the tests set
    * it, since they take it from the repository's history.
    */
-  static OldVersion oldVersion =
+  static ProductionControllerFactory productionControllerFactory =
       (eventLoop, settings, limits) -> {
         throw new IllegalStateException("nobody knows the version in production here");
       };
@@ -31,12 +31,12 @@
    * knows.
    */
   @FunctionalInterface
-  interface OldVersion {
-    Node controller(EventLoop eventLoop, Settings settings, Settings.StateLimits limits);
+  interface ProductionControllerFactory {
+    ControllerHandle create(EventLoop eventLoop, Settings settings, Settings.StateLimits limits);
   }
 
   final SimulatedNetwork world;
-  final InvariantChecker rules;
+  final InvariantChecker checker;
   final StateEmulator state;
   final CloudEmulator cloud;
   final Settings settings;
@@ -44,25 +44,25 @@
   final SimulatedControllers members;
   final SimulatedUsers users;
   final Map<String, SimulatedProcess> processes;
-  final Map<String, Node> controllers;
+  final Map<String, ControllerHandle> controllers;
   final List<JobSpec> jobs;
   final ReportCopies reportCopies;
   final JobCancellations cancellations;
-  final CloseLooks closeLooks;
+  final RepeatedQueries repeatedQueries;
   final OddRequests oddRequests;
   private final RandomJobs randomJobs;
 
   /** Called with each task that a command stops which has arrived at its machine. */
-  final List<StopObserver> onStop = new ArrayList<>();
+  final List<StopObserver> stopObservers = new ArrayList<>();
 
   /** Sees the commands that stop tasks as workers execute them. */
   @FunctionalInterface
   interface StopObserver {
-    void stopOrdered(WorkerEmulator worker, JobSpec spec, int index);
+    void onStopCommand(WorkerEmulator worker, JobSpec spec, int index);
   }
 
   /** A running controller, whatever its version. */
-  interface Node {
+  interface ControllerHandle {
     Service api();
 
     Service peerService();
@@ -71,8 +71,8 @@
 
     boolean isLeading();
 
-    static Node of(Controller controller) {
-      return new Node() {
+    static ControllerHandle of(Controller controller) {
+      return new ControllerHandle() {
         @Override
         public Service api() {
           return controller.api();
@@ -106,8 +106,8 @@
 
   /** A cluster whose state service will have lower limits, which its controllers know of. */
   static SimulatedCluster limited(long seed, Settings.StateLimits next, boolean production) {
-    Deployment d = Deployment.tiny().withNext(next);
-    return new SimulatedCluster(seed, production ? d.inProduction() : d);
+    Deployment d = Deployment.tiny().withAnnouncedLimits(next);
+    return new SimulatedCluster(seed, production ? d.withProductionVersion() : d);
   }
 
   /**
@@ -124,9 +124,9 @@
     processes = members.processes;
     controllers = members.running;
     settings = members.settings;
-    rules = new InvariantChecker(world, settings);
+    checker = new InvariantChecker(world, settings);
     // The version in production takes counts from its own copy of the state, which may be behind.
-    rules.countsMustNotFall = members::areAllNew;
+    checker.countsMustNotFall = members::areAllNew;
     randomJobs = new RandomJobs(world);
     SimulatedProcess stateProcess = new SimulatedProcess(world, "state");
     state = new StateEmulator(world, stateProcess, deployment.limits());
@@ -137,16 +137,16 @@
     cloudProcess.listen(CLOUD, cloud);
     world.name(CLOUD, "cloud");
     users =
-        new SimulatedUsers(world, rules, new SimulatedProcess(world, "users"), members.addresses);
+        new SimulatedUsers(world, checker, new SimulatedProcess(world, "users"), members.addresses);
     jobs = users.jobs;
     members.startAll();
     rentFirstMachines();
-    world.afterEach(rules::check);
+    world.afterEach(checker::check);
     new StateInvariants(world, state);
-    rules.watch(cloud.types(), () -> cloud.machines().values());
+    checker.watch(cloud.types(), () -> cloud.machines().values());
     reportCopies = new ReportCopies(world, state, members.addresses.values());
     cancellations = new JobCancellations(this);
-    closeLooks = new CloseLooks(this);
+    repeatedQueries = new RepeatedQueries(this);
     oddRequests = new OddRequests(this);
   }
 
@@ -163,8 +163,8 @@
   // ---------------------------------------------------------------- controllers
 
   /** The zone that a controller is in. */
-  String siteOf(String member) {
-    return members.siteOf(member);
+  String zoneOf(String member) {
+    return members.zoneOf(member);
   }
 
   /** Ends a controller of the old version; the next one is of the new. */
@@ -201,8 +201,8 @@
   }
 
   /** A job that may run on any machine, or on any ordinary one if it is a service. */
-  JobSpec plain(boolean service, int tasks) {
-    return randomJobs.plain(service, tasks);
+  JobSpec plainJob(boolean service, int tasks) {
+    return randomJobs.plainJob(service, tasks);
   }
 
   /** A random array or service. */
@@ -217,7 +217,7 @@
 
   /** True if all replicas of these services are on machines. */
   boolean allRun(List<JobSpec> services) {
-    return services.stream().allMatch(job -> rules.running(job.id()) == job.tasks());
+    return services.stream().allMatch(job -> checker.running(job.id()) == job.tasks());
   }
 
   /** A user submits a job until it is accepted, and asks about it for ever. */
@@ -226,8 +226,8 @@
   }
 
   /** The same by a user who never asks about it. */
-  void submitOnly(JobSpec spec) {
-    users.submitOnly(spec);
+  void submitOnce(JobSpec spec) {
+    users.submitOnce(spec);
   }
 
   /** A user asks some controller to cancel a job until it is answered. */
@@ -271,30 +271,30 @@
   }
 
   /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
-  void onNews(Consumer<String> listener) {
-    users.onNews(listener);
+  void onNewStatus(Consumer<String> listener) {
+    users.onNewStatus(listener);
   }
 
   /** Users' pipelines until then, see {@link JobPipelines#submitUntil}. */
   void pipelines(long untilMs) {
-    new JobPipelines(world, users, randomJobs, rules).submitUntil(untilMs);
+    new JobPipelines(world, users, randomJobs, checker).submitUntil(untilMs);
   }
 
   // ---------------------------------------------------------------- troubles
 
   /** Users and troubles at random until {@code untilMs}. */
-  void storm(long untilMs) {
-    new RandomTroubles(this, users, randomJobs).until(untilMs);
+  void addRandomUsersAndFaults(long untilMs) {
+    new RandomFaults(this, users, randomJobs).until(untilMs);
   }
 
-  int withheld;
+  int delayedRoundRecords;
 
   /** The next round record that a controller sends arrives so much later. */
-  void withholdRounds(String member, long byMs) {
-    state.delay =
+  void delayNextRoundRecord(String member, long byMs) {
+    state.transactionDelayMs =
         (caller, body) -> {
-          if (withheld == 0 && caller.equals(member) && body.contains("live/round/")) {
-            withheld++;
+          if (delayedRoundRecords == 0 && caller.equals(member) && body.contains("live/round/")) {
+            delayedRoundRecords++;
             return byMs;
           }
           return 0;
@@ -302,26 +302,26 @@
   }
 
   /** A controller loses the state service and the other controllers, not its workers or users. */
-  void leaveAlone(String member, long forMs) {
-    members.leaveAlone(member, forMs);
+  void isolateFromPeersAndState(String member, long forMs) {
+    members.isolateFromPeersAndState(member, forMs);
   }
 
   /** No controller reaches another for so long. */
-  void refuseMesh(long forMs) {
-    members.refuseMesh(forMs);
+  void cutPeerLinks(long forMs) {
+    members.cutPeerLinks(forMs);
   }
 
   /**
    * Copies of that share of the reports are kept; when a controller has claimed the leadership,
    * each is handed to every controller {@code afterClaimMs} later.
    */
-  void keepReportsForNextLeader(double share, long forMs, long afterClaimMs) {
+  void replayReportsToNextLeader(double share, long forMs, long afterClaimMs) {
     reportCopies.keep(share, forMs, afterClaimMs);
   }
 
   /** The machine reaches no controller; direct commands reach it. */
-  void mute(WorkerEmulator worker, long forMs) {
-    world.muteRequests(worker.name(), "nodo", forMs);
+  void blockRequests(WorkerEmulator worker, long forMs) {
+    world.blockRequests(worker.name(), "nodo", forMs);
   }
 
   /**
@@ -332,19 +332,21 @@
     world.requestFaults.holdCommands(share, forMs);
   }
 
-  /** Cancels that many running jobs at once, see {@link JobCancellations#cancelNow}. */
-  List<String> cancelNow(int count, long hangMs) {
-    return cancellations.cancelNow(count, hangMs);
+  /** Cancels that many running jobs at once, see {@link JobCancellations#cancelRunningJobs}. */
+  List<String> cancelRunningJobs(int count, long hangMs) {
+    return cancellations.cancelRunningJobs(count, hangMs);
   }
 
-  /** Cancels that share of the jobs as they end, see {@link JobCancellations#cancelAtEnd}. */
-  void cancelAtEnd(double share, long forMs) {
-    cancellations.cancelAtEnd(share, forMs);
+  /**
+   * Cancels that share of the jobs as they end, see {@link JobCancellations#cancelAtCompletion}.
+   */
+  void cancelAtCompletion(double share, long forMs) {
+    cancellations.cancelAtCompletion(share, forMs);
   }
 
-  /** Users look closely at whatever they are told, see {@link CloseLooks}. */
-  void closeLooks(long forMs) {
-    closeLooks.begin(forMs);
+  /** Users look closely at whatever they are told, see {@link RepeatedQueries}. */
+  void repeatedQueries(long forMs) {
+    repeatedQueries.begin(forMs);
   }
 
   /** Users send odd requests, see {@link OddRequests}. */
@@ -354,7 +356,7 @@
 
   /** A zone with its workers and controllers is cut off from all else. */
   void cutZoneWithControllers(String zone, long forMs) {
-    if (members.addresses.keySet().stream().noneMatch(member -> siteOf(member).equals(zone))) {
+    if (members.addresses.keySet().stream().noneMatch(member -> zoneOf(member).equals(zone))) {
       throw new IllegalArgumentException("no controller is in zone " + zone);
     }
     world.cutZone(zone, forMs);
@@ -369,26 +371,26 @@
 
   @Override
   public JobSpec job(String id) {
-    return rules.job(id);
+    return checker.job(id);
   }
 
   @Override
-  public void begins(WorkerEmulator worker, JobSpec spec, int index) {
-    rules.begins(worker, spec, index);
+  public void onTaskStart(WorkerEmulator worker, JobSpec spec, int index) {
+    checker.recordTaskStart(worker, spec, index);
   }
 
   @Override
-  public void stopOrdered(WorkerEmulator worker, JobSpec spec, int index) {
-    onStop.forEach(o -> o.stopOrdered(worker, spec, index));
+  public void onStopCommand(WorkerEmulator worker, JobSpec spec, int index) {
+    stopObservers.forEach(o -> o.onStopCommand(worker, spec, index));
   }
 
   @Override
-  public void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {
-    rules.ends(worker, spec, index, completed);
+  public void onTaskEnd(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {
+    checker.recordTaskEnd(worker, spec, index, completed);
   }
 
   @Override
-  public void willComplete(WorkerEmulator worker, JobSpec spec, int index, long atMs) {
+  public void onExpectedCompletion(WorkerEmulator worker, JobSpec spec, int index, long atMs) {
     cancellations.expect(spec, index, atMs);
   }
 
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -24,7 +24,7 @@
   final Map<String, SimulatedProcess> processes = new TreeMap<>();
 
   /** The last controller of each member. */
-  final Map<String, SimulatedCluster.Node> running = new TreeMap<>();
+  final Map<String, SimulatedCluster.ControllerHandle> running = new TreeMap<>();
 
   /** The settings of the first member; those of the others differ in what is their own. */
   final Settings settings;
@@ -49,7 +49,7 @@
     for (String member : addresses.keySet()) {
       network.name(addresses.get(member), member);
       network.name(peerAddressOf(member), member);
-      network.place(member, siteOf(member));
+      network.setZone(member, zoneOf(member));
       if (deployment.production()) {
         inProduction.add(member);
       }
@@ -66,7 +66,7 @@
   }
 
   /** The zone that a controller is in. */
-  String siteOf(String member) {
+  String zoneOf(String member) {
     List<String> zones = deployment.zones();
     return zones.get(indexOf(member) % zones.size());
   }
@@ -75,12 +75,12 @@
     List<Settings.Peer> peers = new ArrayList<>();
     for (String other : addresses.keySet()) {
       if (!other.equals(member)) {
-        peers.add(new Settings.Peer(other, siteOf(other), peerAddressOf(other)));
+        peers.add(new Settings.Peer(other, zoneOf(other), peerAddressOf(other)));
       }
     }
     return new Settings(
         member,
-        siteOf(member),
+        zoneOf(member),
         addresses.get(member),
         peerAddressOf(member),
         peers,
@@ -100,10 +100,10 @@
   void start(String member) {
     SimulatedProcess process = new SimulatedProcess(network, member);
     Settings own = settingsOf(member, settings.teams());
-    SimulatedCluster.Node controller =
+    SimulatedCluster.ControllerHandle controller =
         inProduction.contains(member)
-            ? SimulatedCluster.oldVersion.controller(process, own, deployment.limits())
-            : SimulatedCluster.Node.of(new Controller(process, own, Options.DEFAULTS));
+            ? SimulatedCluster.productionControllerFactory.create(process, own, deployment.limits())
+            : SimulatedCluster.ControllerHandle.of(new Controller(process, own, Options.DEFAULTS));
     process.listen(addresses.get(member), controller.api());
     process.listen(peerAddressOf(member), controller.peerService());
     processes.put(member, process);
@@ -143,7 +143,7 @@
 
   /** The member that leads, by its own account, or null. */
   String leader() {
-    for (Map.Entry<String, SimulatedCluster.Node> e : running.entrySet()) {
+    for (Map.Entry<String, SimulatedCluster.ControllerHandle> e : running.entrySet()) {
       if (processes.get(e.getKey()).alive && e.getValue().isLeading()) {
         return e.getKey();
       }
@@ -153,7 +153,7 @@
 
   /** The same, passing over one member. */
   String leaderOtherThan(String member) {
-    for (Map.Entry<String, SimulatedCluster.Node> e : running.entrySet()) {
+    for (Map.Entry<String, SimulatedCluster.ControllerHandle> e : running.entrySet()) {
       if (!e.getKey().equals(member)
           && processes.get(e.getKey()).alive
           && e.getValue().isLeading()) {
@@ -164,7 +164,7 @@
   }
 
   /** A controller loses the state service and the other controllers, not its workers or users. */
-  void leaveAlone(String member, long forMs) {
+  void isolateFromPeersAndState(String member, long forMs) {
     network.cut(member, "state", forMs);
     addresses.keySet().stream()
         .filter(m -> !m.equals(member))
@@ -172,7 +172,7 @@
   }
 
   /** No controller reaches another for so long. */
-  void refuseMesh(long forMs) {
+  void cutPeerLinks(long forMs) {
     List<String> members = List.copyOf(addresses.keySet());
     for (int i = 0; i < members.size(); i++) {
       for (int j = i + 1; j < members.size(); j++) {
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -13,13 +13,13 @@
   private final EventQueue events = new EventQueue();
   final Map<String, SimulatedProcess> byAddress = new HashMap<>();
   private final NetworkCuts cuts = new NetworkCuts(this);
-  private final List<Held> holds = new ArrayList<>();
+  private final List<HeldMessages> holds = new ArrayList<>();
 
   /** What is copied at the moment. */
-  final List<Copies> copies = new ArrayList<>();
+  final List<RequestCopies> copies = new ArrayList<>();
 
   /** How many copies were delivered. */
-  int copied;
+  int copiesDelivered;
 
   /** How many requests or answers were delivered late on purpose. */
   int deliveredLate;
@@ -53,7 +53,7 @@
   double late = 0.001;
 
   /** Share of the requests of controllers to workers for which no socket is to be had. */
-  double shortOfSockets;
+  double unavailableSocketShare;
 
   private long now;
 
@@ -110,7 +110,7 @@
    * @param path what the paths of such requests begin with
    * @param share of those requests, each time anew: a copy may be copied again
    */
-  record Copies(String path, double share, long leastMs, long mostMs) {}
+  record RequestCopies(String path, double share, long leastMs, long mostMs) {}
 
   /**
    * Requests, or answers to them, that are held up and delivered when their senders have long given
@@ -120,29 +120,29 @@
    * @param answers true if the requests arrive at once and their answers are held up
    * @param share of those requests
    */
-  record Held(String path, boolean answers, double share, long leastMs, long mostMs) {}
+  record HeldMessages(String path, boolean answers, double share, long leastMs, long mostMs) {}
 
   /** For so long requests are copied. */
-  void copy(Copies what, long forMs) {
+  void copyRequests(RequestCopies what, long forMs) {
     copies.add(what);
     after(forMs, () -> copies.remove(what));
   }
 
   /** For so long requests or answers are held up. */
-  void hold(Held what, long forMs) {
+  void holdMessages(HeldMessages what, long forMs) {
     holds.add(what);
     after(forMs, () -> holds.remove(what));
   }
 
-  void copyPerhaps(String path, Runnable deliver) {
-    for (Copies c : copies) {
+  void maybeCopy(String path, Runnable deliver) {
+    for (RequestCopies c : copies) {
       if (path.startsWith(c.path) && connections.nextDouble() < c.share) {
         after(
             c.leastMs + connections.nextLong(c.mostMs - c.leastMs + 1),
             () -> {
-              copied++;
+              copiesDelivered++;
               deliver.run();
-              copyPerhaps(path, deliver);
+              maybeCopy(path, deliver);
             });
       }
     }
@@ -152,9 +152,9 @@
    * Carries a packet of a request, or holds it up. What is held up belongs to a connection with the
    * process that is there now: a later one at the same address never gets it.
    */
-  void carryOrHold(
+  void carryOrHoldMessage(
       String path, boolean answer, String from, String to, String address, Runnable deliver) {
-    for (Held h : holds) {
+    for (HeldMessages h : holds) {
       if (h.answers == answer && path.startsWith(h.path) && faults.nextDouble() < h.share) {
         SimulatedProcess now = byAddress.get(address);
         after(
@@ -172,7 +172,7 @@
   }
 
   /** Which packets a cut-off zone loses. */
-  enum Way {
+  enum CutDirection {
     BOTH,
     /** Only those from the zone to elsewhere. */
     OUT,
@@ -191,8 +191,8 @@
   }
 
   /** Says in which zone something is; what is in none is reached from all zones not cut off. */
-  void place(String name, String zone) {
-    cuts.place(name, zone);
+  void setZone(String name, String zone) {
+    cuts.setZone(name, zone);
   }
 
   /** Cuts a zone off from all that is not in it; inside it everything goes on. */
@@ -201,7 +201,7 @@
   }
 
   /** The same for one way, or for a share of what is in the zone: always the same ones. */
-  void cutZone(String zone, long forMs, Way way, double share) {
+  void cutZone(String zone, long forMs, CutDirection way, double share) {
     cuts.cutZone(zone, forMs, way, share);
   }
 
@@ -229,8 +229,8 @@
    * Requests from those to those get no connection; what the others ask them, and the answers to
    * it, pass.
    */
-  void muteRequests(String fromPrefix, String toPrefix, long forMs) {
-    requestFaults.mute(fromPrefix, toPrefix, forMs);
+  void blockRequests(String fromPrefix, String toPrefix, long forMs) {
+    requestFaults.blockRequests(fromPrefix, toPrefix, forMs);
   }
 
   /** Messages to and from those take so much longer. */
--- a/src/main/java/fennelthread/simulation/SimulatedProcess.java
+++ b/src/main/java/fennelthread/simulation/SimulatedProcess.java
@@ -127,7 +127,7 @@
             done.accept(null);
           }
         });
-    network.copyPerhaps(call.path(), () -> network.deliver(name, address, call));
+    network.maybeCopy(call.path(), () -> network.deliver(name, address, call));
     long holdMs = network.requestFaults.holdMs(call.path());
     if (holdMs > 0) {
       deliverLate(address, call, holdMs);
@@ -138,14 +138,14 @@
 
   /** Draws whether a connection can be had; if not, reports the request as unsent later. */
   private boolean failsToConnect(String address, long timeoutMs, Unsent unsent) {
-    if (network.requestFaults.takesConnection(name, network.nameOf(address))) {
+    if (network.requestFaults.blocksConnection(name, network.nameOf(address))) {
       long giveUpMs = network.faults.nextBoolean() ? 1 : timeoutMs;
       after(giveUpMs, () -> unsent.over(true));
       return true;
     }
-    if (network.shortOfSockets > 0
+    if (network.unavailableSocketShare > 0
         && network.nameOf(address).startsWith("n-")
-        && network.connections.nextDouble() < network.shortOfSockets) {
+        && network.connections.nextDouble() < network.unavailableSocketShare) {
       after(0, () -> unsent.over(false));
       return true;
     }
@@ -160,7 +160,7 @@
 
   private void send(String address, Call call, boolean[] over, Consumer<Answer> done) {
     String to = network.nameOf(address);
-    network.carryOrHold(
+    network.carryOrHoldMessage(
         call.path(),
         false,
         name,
@@ -180,7 +180,7 @@
               address,
               call,
               answer ->
-                  network.carryOrHold(
+                  network.carryOrHoldMessage(
                       call.path(),
                       true,
                       to,
@@ -222,14 +222,14 @@
   }
 
   /** What lives on its heap, as a share; garbage is never made. */
-  double heapLive = 0.3;
+  double liveHeapShare = 0.3;
 
   @Override
   public Heap heap() {
     return new Heap() {
       @Override
       public long usedBytes() {
-        return (long) (heapLive * mostBytes());
+        return (long) (liveHeapShare * mostBytes());
       }
 
       @Override
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -17,10 +17,10 @@
   private static final String JOBS_PATH = "/v1/jobs";
 
   private final SimulatedNetwork network;
-  private final InvariantChecker rules;
+  private final InvariantChecker checker;
   private final SimulatedProcess process;
   private final Map<String, String> addresses;
-  private final List<Consumer<String>> onNews = new ArrayList<>();
+  private final List<Consumer<String>> onNewStatus = new ArrayList<>();
 
   /** The jobs that were submitted, invalid ones apart. */
   final List<JobSpec> jobs = new ArrayList<>();
@@ -32,11 +32,11 @@
    */
   SimulatedUsers(
       SimulatedNetwork network,
-      InvariantChecker rules,
+      InvariantChecker checker,
       SimulatedProcess process,
       Map<String, String> addresses) {
     this.network = network;
-    this.rules = rules;
+    this.checker = checker;
     this.process = process;
     this.addresses = addresses;
   }
@@ -48,7 +48,7 @@
   }
 
   /** The same by a user who submits once and never asks. */
-  void submitOnly(JobSpec spec) {
+  void submitOnce(JobSpec spec) {
     note(spec);
     ask(
         anyAddress(),
@@ -59,7 +59,7 @@
   }
 
   private void note(JobSpec spec) {
-    rules.submits(spec);
+    checker.recordSubmission(spec);
     jobs.add(spec);
   }
 
@@ -82,11 +82,11 @@
   private void poll(String id) {
     // Of one that is over users ask again now and then, for ever.
     network.after(
-        rules.isOver(id)
+        checker.isOver(id)
             ? 5_000 + network.random.nextInt(20_000)
             : 2_000 + network.random.nextInt(3_000),
         () -> {
-          rules.asks(id);
+          checker.recordQuery(id);
           question(id);
         });
   }
@@ -108,7 +108,7 @@
 
   /** A user asks some controller to cancel a job until it is answered. */
   void cancel(String id) {
-    rules.asksToCancel(id);
+    checker.recordCancelRequest(id);
     ask(
         anyAddress(),
         cancellationOf(id),
@@ -123,7 +123,7 @@
 
   /** A user asks one controller to cancel a job, as often as it takes or its user has patience. */
   void cancelThrough(String member, String id, int tries) {
-    rules.asksToCancel(id);
+    checker.recordCancelRequest(id);
     ask(
         addresses.get(member),
         cancellationOf(id),
@@ -160,8 +160,8 @@
   }
 
   /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
-  void onNews(Consumer<String> listener) {
-    onNews.add(listener);
+  void onNewStatus(Consumer<String> listener) {
+    onNewStatus.add(listener);
   }
 
   private static Call submission(Fields body) {
@@ -183,7 +183,7 @@
 
   /** Sends a request; the checker hears the answer before {@code then} does. */
   private void ask(String to, Call call, String id, long timeoutMs, Consumer<Answer> then) {
-    InvariantChecker.Known before = rules.known(id);
+    InvariantChecker.UserKnowledge before = checker.userKnowledge(id);
     process.call(
         to,
         call,
@@ -194,20 +194,21 @@
         });
   }
 
-  private void hear(String id, Answer answer, InvariantChecker.Known before) {
+  private void hear(String id, Answer answer, InvariantChecker.UserKnowledge before) {
     if (answer == null) {
       return;
     }
     if (!isGranted(answer)) {
-      rules.refused(id, answer.status(), before);
+      checker.recordRefusal(id, answer.status(), before);
       return;
     }
     try {
       Fields body = answer.fields();
-      InvariantChecker.Known until = rules.known(id);
-      rules.told(id, body.text("estado"), body.count("done", SimulationConstants.NO_COUNT), before);
-      if (rules.known(id).isNewsAfter(until)) {
-        onNews.forEach(listener -> listener.accept(id));
+      InvariantChecker.UserKnowledge until = checker.userKnowledge(id);
+      checker.recordAnswer(
+          id, body.text("estado"), body.count("done", SimulationConstants.NO_COUNT), before);
+      if (checker.userKnowledge(id).isNewsAfter(until)) {
+        onNewStatus.forEach(listener -> listener.accept(id));
       }
     } catch (WireException e) {
       throw new AssertionError("an answer to a user can't be read", e);
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -100,7 +100,7 @@
   }
 
   /** From now on other limits hold; what is stored stays readable. */
-  void limit(Settings.StateLimits next) {
+  void setLimits(Settings.StateLimits next) {
     limits = next;
   }
 
@@ -121,7 +121,7 @@
   int appliedLate;
 
   /** For so long a share of the transactions gets no answer and is carried out 2 to 12 s later. */
-  void lateWrites(double share, long forMs) {
+  void delayTransactions(double share, long forMs) {
     lateShare = share;
     world.after(forMs, () -> lateShare = 0);
   }
@@ -136,17 +136,17 @@
    *
    * @param which tests the caller's name and the body, decoded as ISO-8859-1
    */
-  void loseAnswerOf(BiPredicate<String, String> which, int times) {
+  void loseNextAnswers(BiPredicate<String, String> which, int times) {
     answers.loseNext(which, times);
   }
 
   /** For so long every request is answered so much later. */
-  void slow(long extraMs, long forMs) {
+  void delayAnswers(long extraMs, long forMs) {
     answers.delay(extraMs, forMs);
   }
 
   /** Refuses one caller for so long. */
-  void refuse(String member, long forMs) {
+  void refuseCaller(String member, long forMs) {
     refused.add(member);
     world.after(
         forMs,
@@ -157,17 +157,17 @@
   }
 
   /** How many keys there are with this prefix. */
-  int count(String prefix) {
+  int countKeys(String prefix) {
     return items.subMap(prefix, prefix + '\uffff').size();
   }
 
   /** The values of the keys with this prefix. */
-  List<Fields> values(String prefix) {
+  List<Fields> valuesUnder(String prefix) {
     return items.subMap(prefix, prefix + '\uffff').values().stream().map(Item::value).toList();
   }
 
   /** The epoch that was claimed last. */
-  long epoch() throws WireException {
+  long claimedEpoch() throws WireException {
     return items.get("live/epoch").value.count("epoch");
   }
 
@@ -202,7 +202,7 @@
   }
 
   /** Holds a transaction back in the network for so many milliseconds. */
-  java.util.function.ToLongBiFunction<String, String> delay = (caller, body) -> 0;
+  java.util.function.ToLongBiFunction<String, String> transactionDelayMs = (caller, body) -> 0;
 
   /** Whose request is being handled. */
   String caller() {
@@ -214,7 +214,7 @@
     Consumer<Answer> reply = answers.through(process.caller, request, caller);
     if (request.path().equals("/multi")) {
       long hold =
-          delay.applyAsLong(
+          transactionDelayMs.applyAsLong(
               process.caller,
               new String(request.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
       if (hold > 0) {
--- a/src/main/java/fennelthread/simulation/StateInvariants.java
+++ b/src/main/java/fennelthread/simulation/StateInvariants.java
@@ -29,7 +29,7 @@
     try {
       if (key.startsWith(START_RECORDS)
           && Long.parseLong(key.substring(START_RECORDS.length(), key.lastIndexOf('-')))
-              < state.epoch()) {
+              < state.claimedEpoch()) {
         throw new AssertionError("t=" + network.now() + " written after a takeover: " + key);
       }
     } catch (WireException e) {
@@ -43,7 +43,7 @@
       return;
     }
     BitSet now = new BitSet();
-    for (Fields value : state.values(key)) {
+    for (Fields value : state.valuesUnder(key)) {
       if (value.map().get("r") instanceof List<?> ranges) {
         for (int i = 0; i + 1 < ranges.size(); i += 2) {
           now.set(((Number) ranges.get(i)).intValue(), ((Number) ranges.get(i + 1)).intValue() + 1);
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -25,7 +25,7 @@
 final class WorkerEmulator implements Service {
 
   /** What a worker meets. */
-  interface Surroundings {
+  interface Environment {
     /** The controllers' addresses, by member. */
     Map<String, String> controllers();
 
@@ -33,16 +33,16 @@
     JobSpec job(String id);
 
     /** A task is on the machine from now on. */
-    void begins(WorkerEmulator worker, JobSpec spec, int index);
+    void onTaskStart(WorkerEmulator worker, JobSpec spec, int index);
 
     /** A task is no longer on the machine. */
-    void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed);
+    void onTaskEnd(WorkerEmulator worker, JobSpec spec, int index, boolean completed);
 
     /** A running task will be complete at that time if nothing happens to it. */
-    default void willComplete(WorkerEmulator worker, JobSpec spec, int index, long atMs) {}
+    default void onExpectedCompletion(WorkerEmulator worker, JobSpec spec, int index, long atMs) {}
 
     /** A command has arrived that stops a task which is waiting for its image or runs. */
-    default void stopOrdered(WorkerEmulator worker, JobSpec spec, int index) {}
+    default void onStopCommand(WorkerEmulator worker, JobSpec spec, int index) {}
 
     long reportMs();
 
@@ -65,7 +65,7 @@
   }
 
   private final SimulatedNetwork world;
-  private final Surroundings around;
+  private final Environment around;
   private final String name;
   private final String address;
   private final MachineType machineType;
@@ -95,7 +95,7 @@
 
   WorkerEmulator(
       SimulatedNetwork world,
-      Surroundings around,
+      Environment around,
       String name,
       String address,
       MachineType machineType,
@@ -171,7 +171,7 @@
   }
 
   /** The machine is gone with all that is on it. */
-  void end(boolean asFailed) {
+  void terminate(boolean asFailed) {
     failed = asFailed;
     epochOfLife = -1;
     if (up) {
@@ -181,12 +181,12 @@
     }
   }
 
-  void notice(long inMs) {
+  void announceTermination(long inMs) {
     noticeAt = world.now() + inMs;
     changed();
   }
 
-  void sicken(long forMs) {
+  void failTasks(long forMs) {
     sick = true;
     world.after(forMs, () -> sick = false);
   }
@@ -228,7 +228,7 @@
   private void leave(Task t, boolean done) {
     if (t.present) {
       t.present = false;
-      around.ends(this, t.spec, t.ref.index(), done);
+      around.onTaskEnd(this, t.spec, t.ref.index(), done);
     }
   }
 
@@ -382,7 +382,7 @@
   }
 
   /** A report as the worker would send it now. */
-  WorkerReport peek() {
+  WorkerReport nextReport() {
     return currentReport();
   }
 
@@ -393,7 +393,7 @@
       Task t = tasks.get(stop.task() + "#" + stop.attempt());
       if (t != null && t.phase != WorkerReport.Phase.ENDED) {
         if (t.phase != WorkerReport.Phase.FLUSHING) {
-          around.stopOrdered(this, t.spec, t.ref.index());
+          around.onStopCommand(this, t.spec, t.ref.index());
         }
         stop(t, stop.graceS());
       }
@@ -447,7 +447,7 @@
       finish(t, WorkerReport.EndReason.FULL);
     } else {
       t.present = true;
-      around.begins(this, spec, t.ref.index());
+      around.onTaskStart(this, spec, t.ref.index());
       changed();
       long fetchMs = (long) ((200 + world.random.nextInt(1_500)) * fetchFactor);
       process.after(fetchMs, () -> started(t));
@@ -470,7 +470,7 @@
       finishIfHere(t, WorkerReport.EndReason.DONE);
     } else if (!t.spec.service()) {
       long runMs = (long) (t.spec.estimateS() * 1000 * (0.5 + world.random.nextDouble()));
-      around.willComplete(this, t.spec, t.ref.index(), world.now() + runMs);
+      around.onExpectedCompletion(this, t.spec, t.ref.index(), world.now() + runMs);
       process.after(runMs, () -> finishIfHere(t, WorkerReport.EndReason.DONE));
     }
   }
--- a/src/test/java/fennelthread/simulation/BadInputTest.java
+++ b/src/test/java/fennelthread/simulation/BadInputTest.java
@@ -126,7 +126,7 @@
       throws WireException {
     SimulatedCluster c = Scenes.settled(3, Deployment.tiny(), 0);
     JobSpec job = Scenes.lasting(c, 1, 60);
-    c.rules.submits(job);
+    c.checker.recordSubmission(job);
     if (known) {
       assertEquals(201, submit(c, "nodo-0", Body.GOOD.of(job)).status());
     }
@@ -154,7 +154,7 @@
     c.world.late = 0;
     c.world.runUntil(15_000);
     JobSpec job = Scenes.lasting(c, 1, 60);
-    c.rules.submits(job);
+    c.checker.recordSubmission(job);
     assertEquals(body.needsTypes() ? 503 : body.status, submit(c, "nodo-1", body.of(job)).status());
   }
 
@@ -166,15 +166,15 @@
   void aKnownJobThatHasBecomeTooLargeIsKnown() throws WireException {
     SimulatedCluster c = Scenes.settled(3, Deployment.tiny(), 0);
     JobSpec job = Scenes.lasting(c, 1, 60);
-    c.rules.submits(job);
+    c.checker.recordSubmission(job);
     assertEquals(201, submit(c, "nodo-0", Body.GOOD.of(job)).status());
-    c.rules.asksToCancel(job.id());
+    c.checker.recordCancelRequest(job.id());
     c.cancelAt("nodo-0", job.id());
     c.world.runUntil(c.world.now() + 1_000);
     c.crash("nodo-1", 100);
     c.world.runUntil(c.world.now() + 5_000);
     Settings.StateLimits now = c.deployment.limits();
-    c.state.limit(new Settings.StateLimits(now.rps(), now.writeRps(), 100, now.txnOps()));
+    c.state.setLimits(new Settings.StateLimits(now.rps(), now.writeRps(), 100, now.txnOps()));
     int before = c.state.refusedAsTooLarge;
     Answer answer = submit(c, "nodo-1", Body.GOOD.of(job));
     assertEquals(1, c.state.refusedAsTooLarge - before, "refused for its size");
--- a/src/test/java/fennelthread/simulation/BootingTest.java
+++ b/src/test/java/fennelthread/simulation/BootingTest.java
@@ -47,7 +47,7 @@
 
   /** A job of so many tasks, each of which takes a small ordinary machine whole for so long. */
   private static JobSpec wholes(SimulatedCluster c, int tasks, double takesS) {
-    JobSpec any = c.plain(false, tasks);
+    JobSpec any = c.plainJob(false, tasks);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
         .team(any.team())
@@ -109,7 +109,7 @@
     assertEquals(List.of(), c.cloud.returned);
     assertEquals(asked, c.cloud.rented.get("mesa"), "asked for others");
     c.world.runUntil(until + 8_000);
-    assertEquals(FIRST + 20, c.rules.running(job.id()));
+    assertEquals(FIRST + 20, c.checker.running(job.id()));
     assertEquals(List.of(), c.cloud.returned);
   }
 
@@ -119,11 +119,11 @@
   void oneThatIsUpAtOnceIsUsedAtOnce(long seed) {
     SimulatedCluster c = cluster(seed, 30);
     c.cloud.bootMs = () -> 300;
-    c.cloud.listAge = () -> 48;
+    c.cloud.listAgeSnapshots = () -> 48;
     c.world.runUntil(30_000);
     JobSpec job = wholes(c, FIRST + 10, 300);
     c.submit(job);
-    long took = waitUntil(c, () -> c.rules.running(job.id()) == FIRST + 10, 60_000);
+    long took = waitUntil(c, () -> c.checker.running(job.id()) == FIRST + 10, 60_000);
     assertTrue(took < 10_000, "all at work after " + took + " ms");
   }
 
@@ -175,6 +175,6 @@
     c.cloud.outage(40_000);
     c.world.runUntil(up + 6_000);
     assertEquals(List.of(), c.cloud.returned);
-    assertEquals(FIRST + 1, c.rules.running(job.id()));
+    assertEquals(FIRST + 1, c.checker.running(job.id()));
   }
 }
--- a/src/test/java/fennelthread/simulation/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/simulation/ChainedJobsTest.java
@@ -36,14 +36,15 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void storm(long seed) {
     SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, false);
-    c.world.at(120_000, () -> c.state.limit(NEXT));
+    c.world.at(120_000, () -> c.state.setLimits(NEXT));
     c.pipelines(300_000);
-    c.storm(300_000);
+    c.addRandomUsersAndFaults(300_000);
     SimulationTest.settle(c);
     assertTrue(
-        c.jobs.stream().anyMatch(j -> !j.dependencies().isEmpty() && c.rules.allCompleted(j.id())));
+        c.jobs.stream()
+            .anyMatch(j -> !j.dependencies().isEmpty() && c.checker.allCompleted(j.id())));
     assertEquals(0, c.state.refusedAsTooLarge, "transactions above the limits");
-    assertEquals(0, c.state.count("live/chain/"), "needs left behind");
+    assertEquals(0, c.state.countKeys("live/chain/"), "needs left behind");
   }
 
   /**
@@ -55,7 +56,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void upgrade(long seed) {
     SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, true);
-    c.storm(260_000);
+    c.addRandomUsersAndFaults(260_000);
     long at = 40_000;
     for (String member : List.of("nodo-0", "nodo-1", "nodo-2")) {
       c.world.at(at, () -> c.upgrade(member, 4_000));
@@ -72,10 +73,11 @@
           });
     }
     c.world.at(105_000, () -> c.pipelines(260_000));
-    c.world.at(150_000, () -> c.state.limit(NEXT));
+    c.world.at(150_000, () -> c.state.setLimits(NEXT));
     SimulationTest.settle(c);
     assertTrue(
-        c.jobs.stream().anyMatch(j -> !j.dependencies().isEmpty() && c.rules.allCompleted(j.id())));
+        c.jobs.stream()
+            .anyMatch(j -> !j.dependencies().isEmpty() && c.checker.allCompleted(j.id())));
     assertEquals(0, c.state.refusedAsTooLarge, "transactions above the limits");
   }
 
@@ -105,15 +107,15 @@
     JobSpec service = c.job(true, 3, 1, false, false, false);
     c.submit(service);
     c.world.runUntil(40_000);
-    assertEquals(3, c.rules.running(service.id()));
-    int before = c.rules.starts;
+    assertEquals(3, c.checker.running(service.id()));
+    int before = c.checker.starts;
     for (String member : List.of("nodo-0", "nodo-1", "nodo-2")) {
       c.upgrade(member, 4_000);
       c.world.runUntil(c.world.now() + 20_000);
       assertNotNull(c.leader());
     }
-    assertEquals(3, c.rules.running(service.id()));
-    assertEquals(before, c.rules.starts, "a task was started again");
+    assertEquals(3, c.checker.running(service.id()));
+    assertEquals(before, c.checker.starts, "a task was started again");
   }
 
   /** While a controller serves that would run a chained job too early, none is taken. */
@@ -156,7 +158,7 @@
         });
     c.world.runUntil(c.world.now() + 90_000);
     assertTrue(crashed[0]);
-    assertTrue(c.rules.allCompleted(second.id()));
+    assertTrue(c.checker.allCompleted(second.id()));
   }
 
   /**
@@ -177,7 +179,7 @@
     }
     String leader = c.leader();
     String other = leader.equals("nodo-0") ? "nodo-1" : "nodo-0";
-    c.state.delay =
+    c.state.transactionDelayMs =
         (caller, body) -> caller.equals(leader) && body.contains("withdrawn") ? 60_000 : 0;
     Answer a = cancel(c, other, root);
     assertEquals("withdrawn", a.fields().text("estado"));
@@ -208,8 +210,8 @@
     c.cancel(root.id());
     c.world.runUntil(c.world.now() + 25_000);
     assertNotEquals(leader, c.leader());
-    assertEquals(1, c.state.count("final/" + last.id()));
-    assertEquals(0, c.state.count("live/job/"));
+    assertEquals(1, c.state.countKeys("final/" + last.id()));
+    assertEquals(0, c.state.countKeys("live/job/"));
   }
 
   /** An outage right after a need's end and a cancellation: nothing is lost of either. */
@@ -235,9 +237,9 @@
           }
         });
     c.world.runUntil(c.world.now() + 90_000);
-    assertTrue(c.rules.allCompleted(second.id()));
-    assertEquals(1, c.state.count("final/" + orphan.id()));
-    assertEquals(0, c.rules.running(orphan.id()));
+    assertTrue(c.checker.allCompleted(second.id()));
+    assertEquals(1, c.state.countKeys("final/" + orphan.id()));
+    assertEquals(0, c.checker.running(orphan.id()));
   }
 
   /** Submissions that race with the cancellation of what they need all end cancelled, and early. */
@@ -256,9 +258,9 @@
     }
     c.world.runUntil(c.world.now() + 20_000);
     for (JobSpec job : late) {
-      assertEquals(1, c.state.count("final/" + job.id()), job.id());
+      assertEquals(1, c.state.countKeys("final/" + job.id()), job.id());
     }
-    assertEquals(0, c.state.count("live/job/"));
+    assertEquals(0, c.state.countKeys("live/job/"));
   }
 
   /** The leader cancels all that depends on a cancelled job, asked or not. */
@@ -266,7 +268,7 @@
   @ValueSource(longs = {61, 62})
   void cascadeReachesAll(long seed) throws WireException {
     SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, false);
-    c.state.limit(NEXT);
+    c.state.setLimits(NEXT);
     calm(c);
     JobSpec root = endless(c);
     assertEquals(201, submit(c, "nodo-0", root).status());
@@ -279,7 +281,7 @@
     }
     cancel(c, "nodo-1", root);
     c.world.runUntil(c.world.now() + 10_000);
-    assertEquals(0, c.state.count("live/job/"));
+    assertEquals(0, c.state.countKeys("live/job/"));
     for (JobSpec job : all) {
       Answer a = ask(c, "nodo-2", "GET", "/v1/jobs/" + job.id(), null);
       assertEquals("withdrawn", a.fields().text("estado"));
@@ -312,11 +314,11 @@
     submit(c, "nodo-0", first);
     submit(c, "nodo-0", second);
     c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.rules.allCompleted(first.id()));
+    assertTrue(c.checker.allCompleted(first.id()));
     Answer a = ask(c, "nodo-1", "POST", "/v1/jobs/" + first.id() + "/withdraw", new byte[0]);
     assertEquals("done", a.fields().text("estado"));
     c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.rules.allCompleted(second.id()));
+    assertTrue(c.checker.allCompleted(second.id()));
   }
 
   /** What a submission may name, and what it gets otherwise. */
@@ -333,7 +335,7 @@
     JobSpec self = plain(c, List.of());
     assertEquals(422, submit(c, "nodo-1", self.withDependencies(List.of(self.id()))).status());
     JobSpec service = c.job(true, 1, 1, false, false, false);
-    c.rules.submits(service);
+    c.checker.recordSubmission(service);
     submit(c, "nodo-0", service);
     assertEquals(422, submit(c, "nodo-1", plain(c, List.of(service.id()))).status());
     Fields bad = plain(c, List.of()).write().with("espera", "job-1");
@@ -358,7 +360,7 @@
   @Test
   void manyNeeds() throws WireException {
     SimulatedCluster c = SimulatedCluster.limited(91, NEXT, false);
-    c.state.limit(NEXT);
+    c.state.setLimits(NEXT);
     calm(c);
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < 260; i++) {
@@ -368,7 +370,7 @@
     }
     JobSpec last = plain(c, ids);
     assertEquals(201, submit(c, "nodo-0", last).status());
-    assertTrue(c.state.count("live/chain/") > 0);
+    assertTrue(c.state.countKeys("live/chain/") > 0);
     for (String member : c.controllers.keySet()) {
       c.crash(member, 1_000);
     }
@@ -389,7 +391,7 @@
   @Test
   void smallerThanAnnounced() {
     SimulatedCluster c = new SimulatedCluster(95);
-    c.state.limit(new Settings.StateLimits(500, 200, 1_000, 2));
+    c.state.setLimits(new Settings.StateLimits(500, 200, 1_000, 2));
     calm(c);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -399,7 +401,7 @@
     }
     c.world.runUntil(c.world.now() + 200_000);
     for (JobSpec job : jobs) {
-      assertTrue(c.rules.isOver(job.id()), job.toString());
+      assertTrue(c.checker.isOver(job.id()), job.toString());
     }
     assertNotEquals(0, c.state.refusedAsTooLarge);
     assertTrue(c.state.refusedAsTooLarge < 40, c.state.refusedAsTooLarge + " refusals");
@@ -415,7 +417,7 @@
     JobSpec next = plain(c, List.of(root.id()));
     submit(c, "nodo-0", next);
     c.world.runUntil(c.world.now() + 20_000);
-    assertEquals(0, c.rules.running(next.id()));
+    assertEquals(0, c.checker.running(next.id()));
     Fields f = ask(c, "nodo-1", "GET", "/v1/jobs/" + next.id(), null).fields();
     assertEquals("pending", f.text("estado"));
     assertEquals(List.of(root.id()), f.optTexts("espera"));
@@ -457,12 +459,12 @@
             .estimateS(estimateS)
             .dependencies(dependencies)
             .build();
-    c.rules.submits(spec);
+    c.checker.recordSubmission(spec);
     return spec;
   }
 
   private static Answer cancel(SimulatedCluster c, String member, JobSpec job) {
-    c.rules.asksToCancel(job.id());
+    c.checker.recordCancelRequest(job.id());
     return ask(c, member, "POST", "/v1/jobs/" + job.id() + "/withdraw", new byte[0]);
   }
 
--- a/src/test/java/fennelthread/simulation/CostTest.java
+++ b/src/test/java/fennelthread/simulation/CostTest.java
@@ -53,7 +53,7 @@
     c.world.late = 0;
     c.world.runUntil(15_000);
     c.world.costs = new HashMap<>();
-    JobSpec any = c.plain(false, 1);
+    JobSpec any = c.plainJob(false, 1);
     JobSpec huge =
         JobSpec.builder(any.id())
             .jobClass("padron")
@@ -69,13 +69,13 @@
             .build();
     c.submit(huge);
     long writesBefore = c.state.changes;
-    while (!c.rules.allCompleted(huge.id()) && c.world.now() < 600_000) {
+    while (!c.checker.allCompleted(huge.id()) && c.world.now() < 600_000) {
       c.world.runUntil(c.world.now() + 1_000);
     }
     double seconds = (c.world.now() - 15_000) / 1000.0;
     System.out.printf(
         "25,000 tasks done after %.0f s, %d starts, %.3f changes a task%n%s",
-        seconds, c.rules.starts, (c.state.changes - writesBefore) / 25_000.0, costs(c, seconds));
+        seconds, c.checker.starts, (c.state.changes - writesBefore) / 25_000.0, costs(c, seconds));
   }
 
   private static String measure(int machines) {
@@ -97,7 +97,7 @@
     }
     c.world.runUntil(65_000);
     return String.format(
-        "%d machines, %d starts in 50 s%n%s", machines, c.rules.starts, costs(c, 50));
+        "%d machines, %d starts in 50 s%n%s", machines, c.checker.starts, costs(c, 50));
   }
 
   /** What each kind of event has cost the leader over so many seconds. */
--- a/src/test/java/fennelthread/simulation/DuplicateMessagesTest.java
+++ b/src/test/java/fennelthread/simulation/DuplicateMessagesTest.java
@@ -32,13 +32,14 @@
 
   private static void copyAll(SimulatedCluster cluster, double share, long forMs) {
     for (String path : PATHS) {
-      cluster.world.copy(new SimulatedNetwork.Copies(path, share, 200, LATEST_MS), forMs);
+      cluster.world.copyRequests(
+          new SimulatedNetwork.RequestCopies(path, share, 200, LATEST_MS), forMs);
     }
   }
 
   private static WorkerEmulator hostOf(SimulatedCluster cluster, JobSpec job) {
     return cluster.cloud.machines().values().stream()
-        .filter(worker -> cluster.rules.isOn(job.id(), worker))
+        .filter(worker -> cluster.checker.isOn(job.id(), worker))
         .findFirst()
         .orElseThrow();
   }
@@ -49,9 +50,9 @@
   void storm(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     copyAll(cluster, 0.4, 300_000);
-    cluster.storm(300_000);
+    cluster.addRandomUsersAndFaults(300_000);
     SimulationTest.settle(cluster);
-    assertTrue(cluster.world.copied > 1_000, cluster.world.copied + " copies");
+    assertTrue(cluster.world.copiesDelivered > 1_000, cluster.world.copiesDelivered + " copies");
   }
 
   /**
@@ -87,18 +88,18 @@
   void copiesAloneDoNoHarm(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     int takeovers = cluster.state.takeovers;
     copyAll(cluster, 0.5, 60_000);
     for (int i = 0; i < 40; i++) {
-      JobSpec job = cluster.plain(false, 5);
+      JobSpec job = cluster.plainJob(false, 5);
       cluster.world.after(i * 1_000L, () -> cluster.submit(job));
     }
-    cluster.rules.troublesAreOver();
+    cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 100_000);
-    assertTrue(cluster.world.copied > 1_000, cluster.world.copied + " copies");
+    assertTrue(cluster.world.copiesDelivered > 1_000, cluster.world.copiesDelivered + " copies");
     assertTrue(cluster.allRun(services));
-    assertEquals(before + 40 * 5, cluster.rules.starts, "started again");
+    assertEquals(before + 40 * 5, cluster.checker.starts, "started again");
     assertEquals(takeovers, cluster.state.takeovers);
     assertEquals(Set.of(), Set.copyOf(cluster.cloud.returned));
   }
@@ -112,10 +113,11 @@
   void copiesHideNoDeath(long seed, boolean leaderToo) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
-    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
+    cluster.world.copyRequests(
+        new SimulatedNetwork.RequestCopies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
     cluster.world.runUntil(cluster.world.now() + 15_000);
     WorkerEmulator dead = hostOf(cluster, services.get(0));
-    cluster.cloud.end(dead, true);
+    cluster.cloud.terminate(dead, true);
     if (leaderToo) {
       cluster.crash(cluster.leader(), 3_000);
     }
@@ -135,10 +137,11 @@
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
     cluster.cloud.outage(80_000);
-    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
+    cluster.world.copyRequests(
+        new SimulatedNetwork.RequestCopies("/agent/beat", 0.9, 500, LATEST_MS), 15_000);
     cluster.world.runUntil(cluster.world.now() + 15_000);
     WorkerEmulator dead = hostOf(cluster, services.get(0));
-    cluster.cloud.end(dead, true);
+    cluster.cloud.terminate(dead, true);
     long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
     assertTrue(took < 14_000, "whole after " + took + " ms");
   }
@@ -152,7 +155,7 @@
   void takeoversWithCopiesFromBefore(long seed, long downMs) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     copyAll(cluster, 0.5, 80_000);
     for (int i = 0; i < 5; i++) {
       cluster.world.runUntil(cluster.world.now() + 12_000);
@@ -163,6 +166,6 @@
     cluster.world.runUntil(cluster.world.now() + 60_000);
     assertTrue(cluster.allRun(services));
     assertTrue(
-        cluster.rules.starts - before <= 4, cluster.rules.starts - before + " started again");
+        cluster.checker.starts - before <= 4, cluster.checker.starts - before + " started again");
   }
 }
--- a/src/test/java/fennelthread/simulation/FaultCombinationsTest.java
+++ b/src/test/java/fennelthread/simulation/FaultCombinationsTest.java
@@ -30,7 +30,7 @@
   }
 
   private static JobSpec lasting(SimulatedCluster cluster, int tasks, double estimateS) {
-    JobSpec any = cluster.plain(false, tasks);
+    JobSpec any = cluster.plainJob(false, tasks);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
         .team(any.team())
@@ -62,12 +62,13 @@
   /** Nothing fails any more: every job is over, every question answered, every service whole. */
   private static void settle(SimulatedCluster cluster, List<JobSpec> services, List<JobSpec> jobs) {
     cluster.world.runUntil(cluster.world.now() + 60_000);
-    cluster.rules.troublesAreOver();
+    cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 60_000);
     assertTrue(cluster.allRun(services), "services are whole");
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !cluster.rules.isOver(id)).toList());
-    cluster.rules.checkServed(30_000);
+        List.of(),
+        jobs.stream().map(JobSpec::id).filter(id -> !cluster.checker.isOver(id)).toList());
+    cluster.checker.checkServed(30_000);
   }
 
   private static int staleRuns(SimulatedCluster cluster) {
@@ -87,8 +88,10 @@
   void commandsAreHeldAndTheMachineGoesOn(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 0.25, 2_000, 60_000), 60_000);
-    cluster.world.hold(new SimulatedNetwork.Held("/commands", true, 0.15, 2_000, 60_000), 60_000);
+    cluster.world.holdMessages(
+        new SimulatedNetwork.HeldMessages("/commands", false, 0.25, 2_000, 60_000), 60_000);
+    cluster.world.holdMessages(
+        new SimulatedNetwork.HeldMessages("/commands", true, 0.15, 2_000, 60_000), 60_000);
     List<JobSpec> jobs = busy(cluster, 80, 700);
     for (int i = 0; i < 12; i++) {
       cluster.world.after(
@@ -127,7 +130,7 @@
   void transactionsAreCarriedOutLate(long seed, double share) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    cluster.state.lateWrites(share, 70_000);
+    cluster.state.delayTransactions(share, 70_000);
     List<JobSpec> jobs = busy(cluster, 80, 800);
     for (int i = 0; i < 4; i++) {
       cluster.world.after(8_000 + i * 15_000L, () -> ifLed(cluster, m -> cluster.crash(m, 50)));
@@ -142,10 +145,12 @@
   @ValueSource(longs = {11, 12, 13, 14})
   void lateTransactionsInAStorm(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
-    cluster.state.lateWrites(0.2, 300_000);
-    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 2_000, 60_000), 300_000);
-    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.2, 2_000, 30_000), 300_000);
-    cluster.storm(300_000);
+    cluster.state.delayTransactions(0.2, 300_000);
+    cluster.world.holdMessages(
+        new SimulatedNetwork.HeldMessages("/commands", false, 0.1, 2_000, 60_000), 300_000);
+    cluster.world.copyRequests(
+        new SimulatedNetwork.RequestCopies("/agent/beat", 0.2, 2_000, 30_000), 300_000);
+    cluster.addRandomUsersAndFaults(300_000);
     SimulationTest.settle(cluster);
     assertTrue(cluster.state.appliedLate > 50, cluster.state.appliedLate + " late");
   }
@@ -157,9 +162,9 @@
   @ValueSource(longs = {21, 22, 23})
   void lateTransactionsOfChainedJobs(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
-    cluster.state.lateWrites(0.25, 200_000);
+    cluster.state.delayTransactions(0.25, 200_000);
     cluster.pipelines(200_000);
-    cluster.storm(200_000);
+    cluster.addRandomUsersAndFaults(200_000);
     SimulationTest.settle(cluster);
     assertTrue(cluster.state.appliedLate > 50, cluster.state.appliedLate + " late");
   }
@@ -184,7 +189,7 @@
       jobs.add(job);
       cluster.world.after(i * 500L, () -> cluster.submit(job));
     }
-    cluster.state.lateWrites(lateShare, 50_000);
+    cluster.state.delayTransactions(lateShare, 50_000);
     int[] changes = new int[1];
     int[] inTheWriting = new int[1];
     cluster.state.onWrite.add(
@@ -211,9 +216,9 @@
     assertTrue(changes[0] >= 3, changes[0] + " changes of leader");
     settle(cluster, services, jobs);
     for (JobSpec job : jobs) {
-      assertTrue(cluster.rules.allCompleted(job.id()), job.id());
+      assertTrue(cluster.checker.allCompleted(job.id()), job.id());
     }
-    assertEquals(0, cluster.rules.startsAfterDone, "completed tasks started again");
+    assertEquals(0, cluster.checker.startsAfterDone, "completed tasks started again");
   }
 
   /**
@@ -227,7 +232,7 @@
     SimulatedCluster cluster = settled(seed);
     long[] carriedOutAt = {Long.MAX_VALUE};
     int[] ends = new int[1];
-    cluster.state.delay =
+    cluster.state.transactionDelayMs =
         (caller, body) -> {
           if (ends[0] > 0
               || carriedOutAt[0] != Long.MAX_VALUE
@@ -253,10 +258,11 @@
     }
     assertEquals(1, ends[0], "no batch came late");
     assertTrue(
-        jobs.stream().noneMatch(job -> cluster.rules.allCompleted(job.id())), "too late to matter");
+        jobs.stream().noneMatch(job -> cluster.checker.allCompleted(job.id())),
+        "too late to matter");
     // That no record of finished tasks loses one is checked with each write (Cluster).
     settle(cluster, List.of(), jobs);
-    assertEquals(0, cluster.rules.startsAfterDone, "completed tasks started again");
+    assertEquals(0, cluster.checker.startsAfterDone, "completed tasks started again");
   }
 
   // ---------------------------------------------------------------- machines can't be reached when
@@ -286,7 +292,9 @@
         continue;
       }
       with +=
-          cluster.rules.present().stream().anyMatch(p -> p.endsWith("@" + worker.name())) ? 1 : 0;
+          cluster.checker.tasksOnMachines().stream().anyMatch(p -> p.endsWith("@" + worker.name()))
+              ? 1
+              : 0;
       if (oneWay) {
         cluster.world.cutOneWay("nodo", worker.name(), 35_000);
       } else {
@@ -333,14 +341,15 @@
       cluster.state.outage(12_000);
       cluster.world.runUntil(cluster.world.now() + 11_000);
     }
-    cluster.leaveAlone(old, forMs);
+    cluster.isolateFromPeersAndState(old, forMs);
     if (outage.equals("inside")) {
       cluster.world.after(15_000, () -> cluster.state.outage(40_000));
     }
     List<String> others =
         cluster.controllers.keySet().stream().filter(m -> !m.equals(old)).toList();
     if (outage.equals("in turn")) {
-      cluster.world.after(forMs / 2, () -> ifLed(cluster, m -> cluster.leaveAlone(m, forMs / 2)));
+      cluster.world.after(
+          forMs / 2, () -> ifLed(cluster, m -> cluster.isolateFromPeersAndState(m, forMs / 2)));
     }
     List<JobSpec> cancelled = services.subList(0, 12);
     int[] there = new int[1];
@@ -350,7 +359,7 @@
       cluster.world.after(
           400 + i * Math.min(1_000, forMs / 12),
           () -> {
-            there[0] += cluster.rules.running(id) > 0 ? 1 : 0;
+            there[0] += cluster.checker.running(id) > 0 ? 1 : 0;
             cluster.cancelThrough(by, id, 30);
           });
     }
@@ -362,10 +371,10 @@
         "who leads");
     settle(cluster, services.subList(12, 20), List.of());
     assertTrue(
-        cancelled.stream().allMatch(job -> cluster.rules.cancelledAt(job.id()) >= 0),
+        cancelled.stream().allMatch(job -> cluster.checker.cancelledAt(job.id()) >= 0),
         "not all were told");
     for (JobSpec job : cancelled) {
-      assertEquals(0, cluster.rules.running(job.id()), job.id());
+      assertEquals(0, cluster.checker.running(job.id()), job.id());
     }
   }
 
@@ -391,8 +400,10 @@
     }
     cluster.world.runUntil(cluster.world.now() + 16_000);
     List<JobSpec> services = Scenes.services(cluster, 12, 100, 15_000);
-    cluster.world.copy(new SimulatedNetwork.Copies("/agent/beat", 0.4, 200, 30_000), 70_000);
-    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 0.1, 500, 30_000), 70_000);
+    cluster.world.copyRequests(
+        new SimulatedNetwork.RequestCopies("/agent/beat", 0.4, 200, 30_000), 70_000);
+    cluster.world.holdMessages(
+        new SimulatedNetwork.HeldMessages("/commands", false, 0.1, 500, 30_000), 70_000);
     List<JobSpec> jobs = busy(cluster, 60, 1_000);
     int[] reboots = new int[1];
     for (int i = 0; i < 30; i++) {
@@ -403,7 +414,7 @@
                 cluster.cloud.machines().values().stream()
                     .filter(
                         worker ->
-                            cluster.rules.present().stream()
+                            cluster.checker.tasksOnMachines().stream()
                                 .anyMatch(p -> p.endsWith("@" + worker.name())))
                     .toList();
             if (!with.isEmpty()) {
--- a/src/test/java/fennelthread/simulation/FewSocketsTest.java
+++ b/src/test/java/fennelthread/simulation/FewSocketsTest.java
@@ -24,7 +24,7 @@
     c.world.loss = 0;
     c.world.late = 0;
     c.world.runUntil(15_000);
-    c.world.shortOfSockets = 1;
+    c.world.unavailableSocketShare = 1;
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       JobSpec job = c.job(true, 5, 1, false, false, false);
@@ -34,7 +34,7 @@
     c.world.runUntil(18_000);
     int running = 0;
     for (JobSpec job : services) {
-      running += c.rules.running(job.id());
+      running += c.checker.running(job.id());
     }
     assertEquals(200, running);
   }
@@ -47,11 +47,11 @@
   @ValueSource(longs = {2, 3, 4, 5})
   void lostAnswersWithStartsAreDoubted(long seed) {
     SimulatedCluster c = new SimulatedCluster(seed);
-    c.world.shortOfSockets = 0.5;
+    c.world.unavailableSocketShare = 0.5;
     c.world.loss = 0.05;
     c.world.late = 0.02;
-    c.storm(150_000);
+    c.addRandomUsersAndFaults(150_000);
     c.world.runUntil(200_000);
-    assertTrue(c.rules.starts > 100, c.rules.starts + " starts");
+    assertTrue(c.checker.starts > 100, c.checker.starts + " starts");
   }
 }
--- a/src/test/java/fennelthread/simulation/FleetLoad.java
+++ b/src/test/java/fennelthread/simulation/FleetLoad.java
@@ -11,7 +11,7 @@
 
   /** An array job of a team whose tasks take one CPU each and run on any machine. */
   static JobSpec array(SimulatedCluster c, String team, int tasks, double estimateS) {
-    JobSpec any = c.plain(false, tasks);
+    JobSpec any = c.plainJob(false, tasks);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
         .team(team)
@@ -27,8 +27,8 @@
 
   /** CPUs that a team's tasks take on machines at this moment. */
   static double used(SimulatedCluster c, String team) {
-    return c.rules.present().stream()
-        .map(task -> c.rules.job(task.substring(0, task.indexOf('/'))))
+    return c.checker.tasksOnMachines().stream()
+        .map(task -> c.checker.job(task.substring(0, task.indexOf('/'))))
         .filter(job -> job.team().equals(team))
         .mapToDouble(JobSpec::cpus)
         .sum();
@@ -41,7 +41,7 @@
 
   /** The tasks on a machine. */
   static Set<String> tasksOn(SimulatedCluster c, WorkerEmulator machine) {
-    return c.rules.present().stream()
+    return c.checker.tasksOnMachines().stream()
         .filter(task -> task.endsWith("@" + machine.name()))
         .collect(Collectors.toSet());
   }
@@ -49,7 +49,7 @@
   /** The machines that carry tasks of some of these jobs, in the order of their names. */
   static List<WorkerEmulator> carrying(SimulatedCluster c, List<JobSpec> jobs) {
     return c.cloud.machines().values().stream()
-        .filter(w -> jobs.stream().anyMatch(job -> c.rules.isOn(job.id(), w)))
+        .filter(w -> jobs.stream().anyMatch(job -> c.checker.isOn(job.id(), w)))
         .toList();
   }
 }
--- a/src/test/java/fennelthread/simulation/HeapTest.java
+++ b/src/test/java/fennelthread/simulation/HeapTest.java
@@ -15,7 +15,7 @@
 
   private Answer submit(JobSpec job) {
     Answer[] answer = new Answer[1];
-    c.rules.submits(job);
+    c.checker.recordSubmission(job);
     c.controllers
         .get("nodo-0")
         .api()
@@ -37,14 +37,14 @@
     JobSpec service = c.job(true, 3, 1, false, false, false);
     assertEquals(201, submit(service).status());
     c.world.runUntil(30_000);
-    c.processes.values().forEach(p -> p.heapLive = 0.62);
+    c.processes.values().forEach(p -> p.liveHeapShare = 0.62);
     c.world.runUntil(50_000);
     Answer refused = submit(c.job(false, 3, 1, true, false, false));
     assertEquals(503, refused.status());
     assertTrue(refused.retryAfterS() > 1, "when to come back");
     assertEquals(200, submit(service).status());
-    assertEquals(3, c.rules.running(service.id()));
-    c.processes.values().forEach(p -> p.heapLive = 0.3);
+    assertEquals(3, c.checker.running(service.id()));
+    c.processes.values().forEach(p -> p.liveHeapShare = 0.3);
     c.world.runUntil(80_000);
     assertEquals(201, submit(c.job(false, 3, 1, true, false, false)).status());
   }
--- a/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
+++ b/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
@@ -28,11 +28,11 @@
 
   private final SimulatedNetwork network = new SimulatedNetwork(1);
   private final List<WorkerEmulator> machines = new ArrayList<>();
-  private final Surroundings surroundings = new Surroundings();
+  private final Environment surroundings = new Environment();
   private InvariantChecker checker;
 
   /** Nobody: the machines of these histories boot, and no controller answers them. */
-  private static final class Surroundings implements WorkerEmulator.Surroundings {
+  private static final class Environment implements WorkerEmulator.Environment {
     @Override
     public Map<String, String> controllers() {
       return Map.of("nodo-0", "10.0.0.1:8080");
@@ -44,10 +44,10 @@
     }
 
     @Override
-    public void begins(WorkerEmulator worker, JobSpec spec, int index) {}
+    public void onTaskStart(WorkerEmulator worker, JobSpec spec, int index) {}
 
     @Override
-    public void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {}
+    public void onTaskEnd(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {}
 
     @Override
     public long reportMs() {
@@ -139,17 +139,17 @@
 
   private JobSpec accepted(JobBuilder builder) {
     JobSpec spec = builder.build();
-    checker.submits(spec);
+    checker.recordSubmission(spec);
     tell(spec, "pending");
     return spec;
   }
 
   private void tell(JobSpec spec, String state) {
-    checker.told(spec.id(), state, checker.known(spec.id()));
+    checker.recordAnswer(spec.id(), state, checker.userKnowledge(spec.id()));
   }
 
   private void cancel(JobSpec spec) {
-    checker.asksToCancel(spec.id());
+    checker.recordCancelRequest(spec.id());
     tell(spec, "withdrawn");
   }
 
@@ -170,8 +170,8 @@
   void waitingBreaksAfterNinetySeconds() {
     machine(SMALL, "norte", false);
     JobSpec spec = accepted(job());
-    checker.begins(machines.get(0), spec, 0);
-    checker.troublesAreOver();
+    checker.recordTaskStart(machines.get(0), spec, 0);
+    checker.recordEndOfFaults();
     assertDoesNotThrow(() -> pass(90_000));
     assertBroken("waiting", () -> pass(3_000));
   }
@@ -181,7 +181,7 @@
     machine(SMALL, "norte", false);
     accepted(job());
     pass(300_000);
-    checker.troublesAreOver();
+    checker.recordEndOfFaults();
     assertDoesNotThrow(() -> pass(90_000));
     assertBroken("waiting", () -> pass(3_000));
   }
@@ -199,7 +199,7 @@
   void waitingNeedsAMachineOfTheRightKind(String type, String zone, boolean spot, boolean breaks) {
     machine(type.equals("mesa") ? SMALL : LARGE, zone, spot);
     accepted(job());
-    checker.troublesAreOver();
+    checker.recordEndOfFaults();
     if (breaks) {
       assertBroken("waiting", () -> pass(95_000));
     } else {
@@ -231,19 +231,19 @@
     together.spot = true;
     List.of(elsewhere, otherType, tooLarge).forEach(this::accepted);
     JobSpec apart = accepted(crowded);
-    checker.begins(small, apart, 0);
+    checker.recordTaskStart(small, apart, 0);
     JobSpec place = accepted(together);
-    checker.begins(far, place, 0);
+    checker.recordTaskStart(far, place, 0);
     JobBuilder filler = job();
     filler.id = "job-000006";
     filler.spot = true;
     filler.tasks = 1;
     filler.memGb = 62;
     JobSpec full = accepted(filler);
-    checker.begins(far, full, 0);
-    checker.troublesAreOver();
+    checker.recordTaskStart(far, full, 0);
+    checker.recordEndOfFaults();
     assertDoesNotThrow(() -> pass(300_000));
-    checker.ends(far, full, 0, true);
+    checker.recordTaskEnd(far, full, 0, true);
     assertBroken("waiting", () -> pass(95_000));
   }
 
@@ -254,14 +254,14 @@
     eight.tasks = 8;
     JobSpec first = accepted(eight);
     for (int i = 0; i < 8; i++) {
-      checker.begins(large, first, i);
+      checker.recordTaskStart(large, first, i);
     }
     JobBuilder second = job();
     second.id = "job-000002";
     accepted(second);
-    checker.troublesAreOver();
+    checker.recordEndOfFaults();
     assertDoesNotThrow(() -> pass(300_000));
-    checker.ends(large, first, 0, true);
+    checker.recordTaskEnd(large, first, 0, true);
     assertBroken("waiting", () -> pass(95_000));
   }
 
@@ -271,14 +271,14 @@
     JobBuilder needed = job();
     needed.tasks = 1;
     JobSpec first = accepted(needed);
-    checker.begins(small, first, 0);
+    checker.recordTaskStart(small, first, 0);
     JobBuilder dependent = job();
     dependent.id = "job-000002";
     dependent.dependencies = List.of(first.id());
     accepted(dependent);
-    checker.troublesAreOver();
+    checker.recordEndOfFaults();
     assertDoesNotThrow(() -> pass(300_000));
-    checker.ends(small, first, 0, true);
+    checker.recordTaskEnd(small, first, 0, true);
     assertBroken("waiting", () -> pass(95_000));
   }
 
@@ -289,11 +289,11 @@
     unwanted.id = "job-000002";
     cancel(accepted(unwanted));
     JobSpec spec = accepted(job());
-    checker.troublesAreOver();
+    checker.recordEndOfFaults();
     for (int i = 0; i < 4; i++) {
       assertDoesNotThrow(() -> pass(80_000));
-      checker.begins(small, spec, 0);
-      checker.ends(small, spec, 0, false);
+      checker.recordTaskStart(small, spec, 0);
+      checker.recordTaskEnd(small, spec, 0, false);
     }
     assertBroken("waiting", () -> pass(95_000));
   }
@@ -302,7 +302,7 @@
   void aCancelledTaskMustBeGoneInTime() {
     WorkerEmulator small = machine(SMALL, "norte", false);
     JobSpec spec = accepted(job());
-    checker.begins(small, spec, 0);
+    checker.recordTaskStart(small, spec, 0);
     pass(5_000);
     cancel(spec);
     assertDoesNotThrow(() -> pass(CANCEL_MS));
@@ -315,12 +315,12 @@
   void aCancelledTaskMustNotGoOnLongAfter(long laterMs) {
     WorkerEmulator small = machine(SMALL, "norte", false);
     JobSpec spec = accepted(job());
-    checker.begins(small, spec, 0);
+    checker.recordTaskStart(small, spec, 0);
     cancel(spec);
     pass(1_000);
-    checker.ends(small, spec, 0, false);
+    checker.recordTaskEnd(small, spec, 0, false);
     network.runUntil(network.now() + laterMs);
-    assertBroken("ran_cancelled", () -> checker.begins(small, spec, 0));
+    assertBroken("ran_cancelled", () -> checker.recordTaskStart(small, spec, 0));
   }
 
   /** The task was there all the time, and nothing happened until long after: still seen. */
@@ -328,9 +328,9 @@
   void aCancelledTaskIsFoundHoweverLateOneLooks() {
     WorkerEmulator small = machine(SMALL, "norte", false);
     JobSpec spec = accepted(job());
-    checker.begins(small, spec, 0);
+    checker.recordTaskStart(small, spec, 0);
     cancel(spec);
-    small.end(true);
+    small.terminate(true);
     network.at(network.now() + 20 * CANCEL_MS, () -> {});
     assertBroken("ran_cancelled", () -> network.runUntil(network.now() + 21 * CANCEL_MS));
   }
@@ -339,10 +339,10 @@
   void startsAfterAConfirmedCancellationAreCounted() {
     WorkerEmulator small = machine(SMALL, "norte", false);
     JobSpec spec = accepted(job());
-    checker.begins(small, spec, 0);
+    checker.recordTaskStart(small, spec, 0);
     assertEquals(0, checker.startsAfterCancel);
     cancel(spec);
-    checker.begins(small, spec, 1);
+    checker.recordTaskStart(small, spec, 1);
     assertEquals(1, checker.startsAfterCancel);
   }
 
@@ -350,15 +350,15 @@
   @Test
   void countsOfDoneTasksMustNotFall() {
     JobSpec spec = accepted(job());
-    InvariantChecker.Known early = checker.known(spec.id());
+    InvariantChecker.UserKnowledge early = checker.userKnowledge(spec.id());
     network.runUntil(network.now() + 1);
-    checker.told(spec.id(), "running", 2, early);
+    checker.recordAnswer(spec.id(), "running", 2, early);
     // A question sent before that answer may be answered with less, one sent after it not.
-    checker.told(spec.id(), "running", 1, early);
-    InvariantChecker.Known late = checker.known(spec.id());
-    assertDoesNotThrow(() -> checker.told(spec.id(), "running", -1, late));
-    assertDoesNotThrow(() -> checker.told(spec.id(), "running", 2, late));
-    assertBroken("went_back", () -> checker.told(spec.id(), "running", 1, late));
+    checker.recordAnswer(spec.id(), "running", 1, early);
+    InvariantChecker.UserKnowledge late = checker.userKnowledge(spec.id());
+    assertDoesNotThrow(() -> checker.recordAnswer(spec.id(), "running", -1, late));
+    assertDoesNotThrow(() -> checker.recordAnswer(spec.id(), "running", 2, late));
+    assertBroken("went_back", () -> checker.recordAnswer(spec.id(), "running", 1, late));
   }
 
   /** A millisecond between an answer and the next question is enough. */
@@ -368,11 +368,11 @@
     JobBuilder single = job();
     single.tasks = 1;
     JobSpec done = accepted(single);
-    checker.begins(small, done, 0);
-    checker.ends(small, done, 0, true);
-    InvariantChecker.Known early = checker.known(done.id());
+    checker.recordTaskStart(small, done, 0);
+    checker.recordTaskEnd(small, done, 0, true);
+    InvariantChecker.UserKnowledge early = checker.userKnowledge(done.id());
     tell(done, "done");
-    assertDoesNotThrow(() -> checker.told(done.id(), "running", early));
+    assertDoesNotThrow(() -> checker.recordAnswer(done.id(), "running", early));
     network.runUntil(network.now() + 1);
     assertBroken("went_back", () -> tell(done, "running"));
     JobBuilder other = job();
@@ -380,8 +380,8 @@
     JobSpec cancelled = accepted(other);
     cancel(cancelled);
     assertBroken("went_back", () -> tell(cancelled, "pending"));
-    InvariantChecker.Known known = checker.known(cancelled.id());
-    assertBroken("forgotten", () -> checker.refused(cancelled.id(), 404, known));
+    InvariantChecker.UserKnowledge known = checker.userKnowledge(cancelled.id());
+    assertBroken("forgotten", () -> checker.recordRefusal(cancelled.id(), 404, known));
   }
 
   @ParameterizedTest
@@ -432,9 +432,9 @@
 
   @Test
   void whatLacksAFieldMustNotBeAccepted() {
-    checker.submitsInvalid("job-000077");
-    InvariantChecker.Known before = checker.known("job-000077");
-    assertDoesNotThrow(() -> checker.refused("job-000077", 400, before));
-    assertBroken("accepted_invalid", () -> checker.told("job-000077", "pending", before));
+    checker.recordInvalidSubmission("job-000077");
+    InvariantChecker.UserKnowledge before = checker.userKnowledge("job-000077");
+    assertDoesNotThrow(() -> checker.recordRefusal("job-000077", 400, before));
+    assertBroken("accepted_invalid", () -> checker.recordAnswer("job-000077", "pending", before));
   }
 }
--- a/src/test/java/fennelthread/simulation/JobDraft.java
+++ b/src/test/java/fennelthread/simulation/JobDraft.java
@@ -25,12 +25,12 @@
 
   /** An array whose tasks run for half to one and a half times so long, s. */
   static JobDraft array(SimulatedCluster c, int tasks, double runS) {
-    return new JobDraft(c.plain(false, tasks), runS);
+    return new JobDraft(c.plainJob(false, tasks), runS);
   }
 
   /** A service of so many replicas. */
   static JobDraft service(SimulatedCluster c, int tasks) {
-    return new JobDraft(c.plain(true, tasks), 0).priority(Priority.CRITICAL);
+    return new JobDraft(c.plainJob(true, tasks), 0).priority(Priority.CRITICAL);
   }
 
   JobDraft team(String name) {
--- a/src/test/java/fennelthread/simulation/LargeFleetTest.java
+++ b/src/test/java/fennelthread/simulation/LargeFleetTest.java
@@ -31,11 +31,11 @@
       c.world.after(11_000 + i * 32L, () -> c.submit(job));
     }
     c.world.runUntil(32_000);
-    int live = c.rules.running();
+    int live = c.checker.running();
     assertTrue(live >= 1_500, live + " tasks run");
     List<WorkerEmulator> all = new ArrayList<>(c.cloud.machines().values());
     for (int i = 0; i < 30; i++) {
-      c.cloud.end(all.get(i * 7), true);
+      c.cloud.terminate(all.get(i * 7), true);
     }
     c.world.runUntil(34_000);
     c.crash(c.leader(), 6_000);
@@ -50,12 +50,12 @@
     assertNotNull(c.leader());
     for (JobSpec job : c.jobs) {
       if (job.service()) {
-        assertEquals(job.tasks(), c.rules.running(job.id()), job.toString());
+        assertEquals(job.tasks(), c.checker.running(job.id()), job.toString());
       } else {
-        assertTrue(c.rules.isOver(job.id()), job.toString());
+        assertTrue(c.checker.isOver(job.id()), job.toString());
       }
     }
-    assertTrue(c.rules.starts > 2_000, c.rules.starts + " starts");
+    assertTrue(c.checker.starts > 2_000, c.checker.starts + " starts");
   }
 
   /** Nobody needs an option for a fleet of hundreds: machines that are lost are rented anew. */
@@ -73,7 +73,7 @@
     assertTrue(cpusUp(c) >= wanted, cpusUp(c) + " CPUs of " + wanted);
     List<WorkerEmulator> all = new ArrayList<>(c.cloud.machines().values());
     for (int i = 0; i < 100; i++) {
-      c.cloud.end(all.get(i * 3), true);
+      c.cloud.terminate(all.get(i * 3), true);
     }
     assertTrue(cpusUp(c) < wanted, "nothing was lost");
     // Time enough to notice one that never comes up.
--- a/src/test/java/fennelthread/simulation/LateCommandsTest.java
+++ b/src/test/java/fennelthread/simulation/LateCommandsTest.java
@@ -68,25 +68,29 @@
     List<JobSpec> jobs = smallJobs(cluster, SPELL_MS);
     cluster.holdCommands(share, SPELL_MS);
     if (copiesAfterMs >= 0) {
-      cluster.keepReportsForNextLeader(0.5, SPELL_MS, copiesAfterMs);
+      cluster.replayReportsToNextLeader(0.5, SPELL_MS, copiesAfterMs);
     }
-    cluster.world.after(5_000, () -> cluster.cancelNow(8, hangMs));
+    cluster.world.after(5_000, () -> cluster.cancelRunningJobs(8, hangMs));
     cluster.world.after(5_300, () -> crashLeader(cluster, 300));
     cluster.world.after(15_000, () -> crashLeader(cluster, 4_000));
-    cluster.world.after(15_400, () -> cluster.cancelNow(8, hangMs));
+    cluster.world.after(15_400, () -> cluster.cancelRunningJobs(8, hangMs));
     cluster.world.after(26_000, () -> crashLeader(cluster, 50));
     cluster.world.runUntil(cluster.world.now() + SPELL_MS + 20_000);
     assertTrue(cluster.world.requestFaults.commandsDelivered > 20, "commands came late");
-    assertTrue(cluster.cancellations.hung > 4, cluster.cancellations.hung + " machines hung");
-    assertTrue(copiesAfterMs < 0 || cluster.reportCopies.handed() > 50, "copies were handed out");
-    cluster.rules.troublesAreOver();
+    assertTrue(
+        cluster.cancellations.machinesHung > 4,
+        cluster.cancellations.machinesHung + " machines hung");
+    assertTrue(
+        copiesAfterMs < 0 || cluster.reportCopies.delivered() > 50, "copies were handed out");
+    cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 60_000);
     assertTrue(staleStarts(cluster) > 0, "no start came under an old token");
     assertTrue(
-        cluster.allRun(services.stream().filter(s -> !cluster.rules.isOver(s.id())).toList()),
+        cluster.allRun(services.stream().filter(s -> !cluster.checker.isOver(s.id())).toList()),
         "services are whole");
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !cluster.rules.isOver(id)).toList());
+        List.of(),
+        jobs.stream().map(JobSpec::id).filter(id -> !cluster.checker.isOver(id)).toList());
   }
 
   /**
@@ -101,16 +105,16 @@
     cluster.cloud.outage(40_000);
     Scenes.services(cluster, 12, 100, 15_000);
     long fromMs = cluster.world.now();
-    List<String> cancelled = cluster.cancelNow(10, hangMs);
+    List<String> cancelled = cluster.cancelRunningJobs(10, hangMs);
     if (leaderEnds) {
       cluster.world.after(100, () -> crashLeader(cluster, 300));
     }
     cluster.world.runUntil(fromMs + hangMs - 20);
-    int there = cancelled.stream().mapToInt(cluster.rules::running).sum();
+    int there = cancelled.stream().mapToInt(cluster.checker::running).sum();
     assertTrue(there > 0, "nothing that is cancelled is on a hung machine");
     cluster.world.runUntil(fromMs + hangMs + (leaderEnds ? 6_000 : 3_000));
     assertEquals(
-        0, cancelled.stream().mapToInt(cluster.rules::running).sum(), "cancelled tasks run");
+        0, cancelled.stream().mapToInt(cluster.checker::running).sum(), "cancelled tasks run");
     cluster.world.runUntil(cluster.world.now() + 30_000);
   }
 
--- a/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
+++ b/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
@@ -57,7 +57,7 @@
     cluster.world.runUntil(cluster.world.now() + 16_000);
     Map<WorkerEmulator, byte[]> old = new LinkedHashMap<>();
     for (WorkerEmulator worker : cluster.cloud.machines().values()) {
-      if (worker.isUp() && worker.peek().session() > 1) {
+      if (worker.isUp() && worker.nextReport().session() > 1) {
         old.put(worker, LeaderChanges.reportOf(worker));
       }
     }
@@ -78,7 +78,8 @@
           }
         });
     if (slowCopy) {
-      cluster.world.hold(new SimulatedNetwork.Held("/watch", true, 1, 400, 600), 6_000);
+      cluster.world.holdMessages(
+          new SimulatedNetwork.HeldMessages("/watch", true, 1, 400, 600), 6_000);
     }
     silent.forEach(worker -> cluster.world.cut(worker.name(), "nodo", 7_000));
     cluster.crash(cluster.leader(), 3_000);
@@ -110,7 +111,7 @@
   void oldReportsReachEveryController(long seed, long afterMs, Change change) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    cluster.keepReportsForNextLeader(0.5, 70_000, afterMs);
+    cluster.replayReportsToNextLeader(0.5, 70_000, afterMs);
     List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 80, 800);
     long epoch = LeaderChanges.lastClaimedEpoch(cluster);
     for (int i = 0; i < 6; i++) {
@@ -119,7 +120,8 @@
     cluster.world.runUntil(cluster.world.now() + 75_000);
     long changes = LeaderChanges.lastClaimedEpoch(cluster) - epoch;
     assertTrue(changes >= 4, changes + " changes of leader");
-    assertTrue(cluster.reportCopies.handed() > 200, cluster.reportCopies.handed() + " copies");
+    assertTrue(
+        cluster.reportCopies.delivered() > 200, cluster.reportCopies.delivered() + " copies");
     LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
@@ -134,16 +136,17 @@
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
     cluster.cloud.outage(90_000);
-    cluster.keepReportsForNextLeader(0.9, 15_000, 8_000);
+    cluster.replayReportsToNextLeader(0.9, 15_000, 8_000);
     cluster.world.runUntil(cluster.world.now() + 15_000);
     long epoch = LeaderChanges.lastClaimedEpoch(cluster);
     cluster.crash(cluster.leader(), 3_000);
     Scenes.until(cluster, 15_000, () -> LeaderChanges.lastClaimedEpoch(cluster) > epoch);
     cluster.world.runUntil(cluster.world.now() + 200);
     WorkerEmulator dead = LeaderChanges.machinesWithTasks(cluster).get(0);
-    cluster.cloud.end(dead, true);
+    cluster.cloud.terminate(dead, true);
     long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
-    assertTrue(cluster.reportCopies.handed() > 100, cluster.reportCopies.handed() + " copies");
+    assertTrue(
+        cluster.reportCopies.delivered() > 100, cluster.reportCopies.delivered() + " copies");
     assertTrue(took < 14_000, "whole after " + took + " ms");
   }
 
@@ -209,7 +212,8 @@
   @ValueSource(longs = {1, 2, 3})
   void startsWithoutAnswerAreMadeElsewhere(long seed) {
     SimulatedCluster cluster = settled(seed);
-    cluster.world.hold(new SimulatedNetwork.Held("/commands", false, 1, 40_000, 60_000), 3_000);
+    cluster.world.holdMessages(
+        new SimulatedNetwork.HeldMessages("/commands", false, 1, 40_000, 60_000), 3_000);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     cluster.world.runUntil(cluster.world.now() + 60_000);
     int stale =
@@ -237,7 +241,7 @@
     List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 100, 1_000);
     int[] claims = new int[1];
     LeaderChanges.onClaim(cluster, member -> claims[0]++);
-    cluster.state.lateWrites(lateShare, 110_000);
+    cluster.state.delayTransactions(lateShare, 110_000);
     if (outageMs > 0) {
       cluster.world.after(outageAtMs, () -> cluster.state.outage(outageMs));
       for (long at = 1_000; at < outageMs; at += 4_000) {
@@ -290,8 +294,9 @@
           }
         });
     if (copyLateMs > 0) {
-      cluster.world.hold(
-          new SimulatedNetwork.Held("/watch", true, 1, copyLateMs, copyLateMs + 300), 14_000);
+      cluster.world.holdMessages(
+          new SimulatedNetwork.HeldMessages("/watch", true, 1, copyLateMs, copyLateMs + 300),
+          14_000);
     }
     LeaderChanges.endLeader(cluster, change);
     for (int i = 0; i < 30_000 / 10 && claimedAt[0] < 0; i++) {
@@ -301,8 +306,8 @@
     cluster.world.runUntil(claimedAt[0] + 60_000);
     long soon =
         cancelled.stream()
-            .filter(job -> cluster.rules.ranWhenCancelled(job.id()) > 0)
-            .filter(job -> cluster.rules.cancelledAt(job.id()) < claimedAt[0] + 1_500)
+            .filter(job -> cluster.checker.ranWhenCancelled(job.id()) > 0)
+            .filter(job -> cluster.checker.cancelledAt(job.id()) < claimedAt[0] + 1_500)
             .count();
     assertTrue(soon >= 6, soon + " were cancelled at once, while they ran; leader was " + old);
     LeaderChanges.assertSettles(cluster, services.subList(24, 36), List.of());
@@ -325,7 +330,7 @@
     String old = cluster.leader();
     List<String> others = LeaderChanges.otherControllers(cluster, old);
     others.subList(peersHeard, 2).forEach(m -> cluster.world.cut(old, m, 2 * cancelMs));
-    cluster.state.refuse(old, 2 * cancelMs);
+    cluster.state.refuseCaller(old, 2 * cancelMs);
     for (int i = 0; i < cancelled.size(); i++) {
       String id = cancelled.get(i).id();
       String by = others.get(i % 2);
@@ -335,14 +340,15 @@
     hanging.forEach(worker -> worker.hang(12_000));
     cluster.world.after(1_000, () -> cluster.state.outage(cancelMs + 20_000));
     cluster.world.runUntil(cluster.world.now() + 1_000);
-    long told = cancelled.stream().filter(j -> cluster.rules.ranWhenCancelled(j.id()) > 0).count();
+    long told =
+        cancelled.stream().filter(j -> cluster.checker.ranWhenCancelled(j.id()) > 0).count();
     assertTrue(told >= 12, told + " were told");
     assertEquals(old, cluster.leader(), "it has stepped down before the outage");
     cluster.world.runUntil(cluster.world.now() + 2 * cancelMs + 60_000);
     assertTrue(cluster.allRun(services.subList(16, 24)), "services are whole");
     for (JobSpec job : cancelled) {
       assertTrue(
-          cluster.rules.cancelledAt(job.id()) < 0 || cluster.rules.running(job.id()) == 0,
+          cluster.checker.cancelledAt(job.id()) < 0 || cluster.checker.running(job.id()) == 0,
           job.id() + " runs");
     }
   }
@@ -376,7 +382,7 @@
     List<JobSpec> services = Scenes.services(cluster, 20, 100, 15_000);
     List<JobSpec> cancelled = services.subList(0, 6);
     List<JobSpec> kept = services.subList(6, 20);
-    cluster.keepReportsForNextLeader(0.5, 3_000, 200);
+    cluster.replayReportsToNextLeader(0.5, 3_000, 200);
     cluster.holdCommands(0.5, 3_000);
     List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 10, 250);
     cluster.world.runUntil(cluster.world.now() + 2_500);
@@ -395,7 +401,7 @@
       cluster.state.outage(awayMs + 4_000);
     }
     cluster.world.runUntil(cluster.world.now() + awayMs - 50);
-    assertEquals(0, cluster.rules.running(), "some lease is not over");
+    assertEquals(0, cluster.checker.running(), "some lease is not over");
     long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(kept));
     assertTrue(took < 30_000, away + ": whole after " + took + " ms");
     LeaderChanges.assertSettles(cluster, kept, jobs);
@@ -415,21 +421,22 @@
     String first = cluster.leader();
     List<String> led = new ArrayList<>();
     LeaderChanges.onClaim(cluster, led::add);
-    cluster.state.refuse(first, 7_000);
+    cluster.state.refuseCaller(first, 7_000);
     cluster.world.runUntil(cluster.world.now() + 9_000);
     String second = cluster.leader();
     assertNotNull(second);
-    LeaderChanges.otherControllers(cluster, first).forEach(m -> cluster.state.refuse(m, 7_000));
+    LeaderChanges.otherControllers(cluster, first)
+        .forEach(m -> cluster.state.refuseCaller(m, 7_000));
     cluster.world.runUntil(cluster.world.now() + 9_000);
     assertTrue(led.indexOf(second) >= 0 && led.lastIndexOf(first) > 0, "went to " + led);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     List.copyOf(cluster.controllers.keySet())
         .forEach(m -> cluster.crash(m, m.equals(second) ? downMs : 30_000));
     cluster.world.runUntil(cluster.world.now() + downMs + 7_000);
     assertEquals(second, cluster.leader());
     // Users and workers wait 4 to 5 s for each of the two that are gone before they come over.
     cluster.world.runUntil(cluster.world.now() + 7_000);
-    assertTrue(cluster.rules.starts > before, "nothing is started");
+    assertTrue(cluster.checker.starts > before, "nothing is started");
     LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
@@ -457,7 +464,8 @@
       }
     }
     if (onlyAnswers) {
-      cluster.world.hold(new SimulatedNetwork.Held("/agent/beat", true, 0.5, 4_500, 9_000), forMs);
+      cluster.world.holdMessages(
+          new SimulatedNetwork.HeldMessages("/agent/beat", true, 0.5, 4_500, 9_000), forMs);
     }
     String first = cluster.leader();
     cluster.crash(first, 3_000);
--- a/src/test/java/fennelthread/simulation/LeaderChanges.java
+++ b/src/test/java/fennelthread/simulation/LeaderChanges.java
@@ -45,8 +45,8 @@
       case CRASH -> cluster.crash(leader, 3_000);
       case QUICK_RESTART -> cluster.crash(leader, 50);
       case FROZEN -> cluster.processes.get(leader).pause(7_000);
-      case STATE_REFUSED -> cluster.state.refuse(leader, 8_000);
-      case WORKERS_ONLY -> cluster.leaveAlone(leader, 8_000);
+      case STATE_REFUSED -> cluster.state.refuseCaller(leader, 8_000);
+      case WORKERS_ONLY -> cluster.isolateFromPeersAndState(leader, 8_000);
       case UNREACHABLE -> {
         cluster.world.cut(leader, "n-", 15_000);
         otherControllers(cluster, leader).forEach(m -> cluster.world.cut(leader, m, 15_000));
@@ -115,7 +115,7 @@
   /** The epoch that was claimed last. */
   static long lastClaimedEpoch(SimulatedCluster cluster) {
     try {
-      return cluster.state.epoch();
+      return cluster.state.claimedEpoch();
     } catch (WireException e) {
       throw new AssertionError(e);
     }
@@ -126,13 +126,14 @@
     return cluster.cloud.machines().values().stream()
         .filter(
             worker ->
-                cluster.rules.present().stream().anyMatch(p -> p.endsWith("@" + worker.name())))
+                cluster.checker.tasksOnMachines().stream()
+                    .anyMatch(p -> p.endsWith("@" + worker.name())))
         .toList();
   }
 
   /** A report as its machine would send it now, to be delivered at some later time. */
   static byte[] reportOf(WorkerEmulator machine) {
-    return Codec.CBOR.encode(machine.peek().write());
+    return Codec.CBOR.encode(machine.nextReport().write());
   }
 
   /** Hands reports to every controller that is there. */
@@ -146,7 +147,7 @@
 
   /** A job of batch tasks that any machine takes. */
   static JobSpec batchJob(SimulatedCluster cluster, int tasks, double estimateS) {
-    JobSpec any = cluster.plain(false, tasks);
+    JobSpec any = cluster.plainJob(false, tasks);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
         .team(any.team())
@@ -178,19 +179,20 @@
   /** Nothing fails any more: every service is whole, every job over, every question answered. */
   static void assertSettles(SimulatedCluster cluster, List<JobSpec> services, List<JobSpec> jobs) {
     cluster.world.runUntil(cluster.world.now() + 60_000);
-    cluster.rules.troublesAreOver();
+    cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 60_000);
     assertTrue(cluster.allRun(services), "services are whole");
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !cluster.rules.isOver(id)).toList());
-    cluster.rules.checkServed(30_000);
+        List.of(),
+        jobs.stream().map(JobSpec::id).filter(id -> !cluster.checker.isOver(id)).toList());
+    cluster.checker.checkServed(30_000);
   }
 
   /** Every one of these was told to be cancelled, and nothing of it is on a machine any more. */
   static void assertCancelled(SimulatedCluster cluster, List<JobSpec> jobs) {
     for (JobSpec job : jobs) {
-      assertTrue(cluster.rules.cancelledAt(job.id()) >= 0, job.id() + ": its user was not told");
-      assertEquals(0, cluster.rules.running(job.id()), job.id() + " runs on");
+      assertTrue(cluster.checker.cancelledAt(job.id()) >= 0, job.id() + ": its user was not told");
+      assertEquals(0, cluster.checker.running(job.id()), job.id() + " runs on");
     }
   }
 }
--- a/src/test/java/fennelthread/simulation/LeaseRenewalTest.java
+++ b/src/test/java/fennelthread/simulation/LeaseRenewalTest.java
@@ -38,12 +38,12 @@
     // Rules are checked after each step.
     cluster.world.runUntil(cluster.world.now() + 180_000);
     for (JobSpec job : services.subList(0, 15)) {
-      assertEquals(0, cluster.rules.running(job.id()), job.id());
+      assertEquals(0, cluster.checker.running(job.id()), job.id());
     }
     for (JobSpec job : services.subList(15, 20)) {
-      assertEquals(job.tasks(), cluster.rules.running(job.id()), job.id());
+      assertEquals(job.tasks(), cluster.checker.running(job.id()), job.id());
     }
-    cluster.rules.checkServed(30_000);
+    cluster.checker.checkServed(30_000);
   }
 
   /**
@@ -55,12 +55,12 @@
   void whatRunsInAZoneThatIsCutOffGoesOn(long seed, String zone) {
     SimulatedCluster cluster = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     cluster.world.cutZone(zone, 40_000);
     cluster.world.runUntil(cluster.world.now() + 70_000);
     assertFewAgain(before, cluster);
     assertTrue(cluster.allRun(services));
-    cluster.rules.checkServed(30_000);
+    cluster.checker.checkServed(30_000);
   }
 
   /** The same with the leader's end 2 s after the cut, in the zone and elsewhere. */
@@ -69,7 +69,7 @@
   void theLeaderEndsInTheCut(long seed) {
     SimulatedCluster cluster = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     // Two controllers are in norte: whichever of the three ends, one that knew its leader is left
     // there.
     cluster.world.cutZone("norte", 38_000);
@@ -85,11 +85,11 @@
   void nobodyKeepsAZoneWithoutAController() {
     SimulatedCluster cluster = settled(21, List.of("norte", "sur", "este", "oeste"));
     List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     cluster.world.cutZone("oeste", 60_000);
     cluster.world.runUntil(cluster.world.now() + 40_000);
     assertTrue(cluster.allRun(services), "not all run elsewhere");
-    assertNotEquals(before, cluster.rules.starts);
+    assertNotEquals(before, cluster.checker.starts);
   }
 
   /**
@@ -101,7 +101,7 @@
   void theLeaderEndsInAnOutage(long seed) {
     SimulatedCluster cluster = settled(seed, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     cluster.state.outage(36_000);
     cluster.world.runUntil(cluster.world.now() + 500);
     cluster.crash(cluster.leader(), 60_000);
@@ -117,7 +117,7 @@
   void aLongOutageCostsNothing() {
     SimulatedCluster cluster = settled(41, List.of("norte", "sur"));
     List<JobSpec> services = Scenes.services(cluster, 20, 100, 20_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     cluster.state.outage(600_000);
     cluster.world.runUntil(cluster.world.now() + 620_000);
     assertTrue(cluster.allRun(services));
@@ -130,7 +130,7 @@
    */
   private static void assertFewAgain(int before, SimulatedCluster cluster) {
     assertTrue(
-        cluster.rules.starts - before <= 3, cluster.rules.starts - before + " started again");
+        cluster.checker.starts - before <= 3, cluster.checker.starts - before + " started again");
   }
 
   private static SimulatedCluster settled(long seed, List<String> zones) {
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -60,8 +60,8 @@
   void answersToOneKindOfTheLeadersWritesAreLost(LeaderWrite write, long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 2, 100, 15_000);
-    cluster.closeLooks(60_000);
-    cluster.state.loseAnswerOf((caller, body) -> write.matches(body), 3);
+    cluster.repeatedQueries(60_000);
+    cluster.state.loseNextAnswers((caller, body) -> write.matches(body), 3);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       JobSpec job = Scenes.lasting(cluster, 1 + i % 4, 1 + i % 5);
@@ -77,16 +77,16 @@
           if (write == LeaderWrite.CLAIM) {
             cluster.crash(cluster.leader(), 2_000);
           } else if (write == LeaderWrite.UNILATERAL) {
-            cluster.refuseMesh(15_000);
+            cluster.cutPeerLinks(15_000);
           }
         });
     cluster.world.runUntil(cluster.world.now() + 40_000);
     assertEquals(3, cluster.state.answersLost, "answers lost");
     cluster.world.runUntil(cluster.world.now() + 30_000);
-    cluster.rules.troublesAreOver();
+    cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 30_000);
     assertTrue(cluster.allRun(services), "services are whole");
-    assertTrue(jobs.stream().allMatch(j -> cluster.rules.isOver(j.id())), "all are over");
+    assertTrue(jobs.stream().allMatch(j -> cluster.checker.isOver(j.id())), "all are over");
   }
 
   /**
@@ -98,18 +98,19 @@
   void aWordWhoseAnswersAreLostIsCancelled(long seed) throws WireException {
     SimulatedCluster cluster = settled(seed);
     long lostUntil = cluster.world.now() + 6_000;
-    cluster.state.loseAnswerOf(
+    cluster.state.loseNextAnswers(
         (caller, body) -> LeaderWrite.UNILATERAL.matches(body) && cluster.world.now() < lostUntil,
         100);
-    cluster.refuseMesh(3_000);
+    cluster.cutPeerLinks(3_000);
     cluster.world.runUntil(cluster.world.now() + 6_000);
     assertTrue(cluster.state.answersLost > 0, "none was lost");
     assertEquals(
-        cluster.state.epoch(),
-        cluster.state.values("live/solo").get(0).count("epoch"),
+        cluster.state.claimedEpoch(),
+        cluster.state.valuesUnder("live/solo").get(0).count("epoch"),
         "it stands");
     cluster.world.runUntil(cluster.world.now() + 10_000);
-    assertEquals(0, cluster.state.values("live/solo").get(0).count("epoch"), "and is withdrawn");
+    assertEquals(
+        0, cluster.state.valuesUnder("live/solo").get(0).count("epoch"), "and is withdrawn");
   }
 
   /** Jobs are cancelled with one that they wait for; the answers to that are lost. */
@@ -117,7 +118,7 @@
   @ValueSource(longs = {1, 2, 3})
   void answersToInheritedCancellationsAreLost(long seed) {
     SimulatedCluster cluster = settled(seed);
-    cluster.closeLooks(60_000);
+    cluster.repeatedQueries(60_000);
     List<JobSpec> waiting = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       JobSpec job = Scenes.lasting(cluster, 1, 120);
@@ -127,16 +128,16 @@
       cluster.world.after(1_000, () -> cluster.submit(next));
       cluster.world.after(5_000 + i * 3_000, () -> cluster.cancel(job.id()));
     }
-    cluster.state.loseAnswerOf(
+    cluster.state.loseNextAnswers(
         (caller, body) -> waiting.stream().anyMatch(j -> body.contains("final/" + j.id())), 3);
     cluster.world.runUntil(cluster.world.now() + 25_000);
     assertEquals(3, cluster.state.answersLost, "answers lost");
-    cluster.rules.troublesAreOver();
+    cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 20_000);
     for (JobSpec job : waiting) {
-      assertTrue(cluster.rules.cancelledAt(job.id()) >= 0, job.id() + " is cancelled");
-      assertEquals(0, cluster.state.count("live/job/" + job.id()));
+      assertTrue(cluster.checker.cancelledAt(job.id()) >= 0, job.id() + " is cancelled");
+      assertEquals(0, cluster.state.countKeys("live/job/" + job.id()));
     }
-    assertEquals(6, cluster.state.count("final/"));
+    assertEquals(6, cluster.state.countKeys("final/"));
   }
 }
--- a/src/test/java/fennelthread/simulation/ManyMachinesTest.java
+++ b/src/test/java/fennelthread/simulation/ManyMachinesTest.java
@@ -38,11 +38,11 @@
     SimulatedCluster c = fleet(seed);
     List<JobSpec> services = services(c, 60);
     for (int i = 0; i < 60; i++) {
-      JobSpec job = c.plain(false, 20);
+      JobSpec job = c.plainJob(false, 20);
       c.world.after(23_500 + i * 20, () -> c.submit(job));
     }
     c.world.runUntil(40_000);
-    int before = c.rules.starts;
+    int before = c.checker.starts;
     Set<String> up = up(c);
     c.world.cut(FIFTH, "nodo", 22_000);
     c.world.runUntil(43_000);
@@ -54,10 +54,10 @@
     long whole = until(c, 80_000, () -> c.allRun(services));
     System.out.printf(
         "seed %d: %d starts, %d returned, replicas whole again after %d ms%n",
-        seed, c.rules.starts - before, returned(c, up), whole - 40_000);
+        seed, c.checker.starts - before, returned(c, up), whole - 40_000);
     assertTrue(whole < 58_000, "replicas whole again at " + whole);
     c.world.runUntil(120_000);
-    c.rules.checkServed(30_000);
+    c.checker.checkServed(30_000);
     assertTrue(c.allRun(services));
   }
 
@@ -67,11 +67,11 @@
     SimulatedCluster c = fleet(4);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
-    int before = c.rules.starts;
+    int before = c.checker.starts;
     Set<String> up = up(c);
     hang(c, FIFTH, 2_000);
     c.world.runUntil(60_000);
-    assertEquals(before, c.rules.starts);
+    assertEquals(before, c.checker.starts);
     assertEquals(0, returned(c, up));
     assertTrue(c.allRun(services));
   }
@@ -116,15 +116,15 @@
     c.world.runUntil(40_000);
     // From here on nothing can start before a controller has claimed again: a round may be as quick
     // as the claim.
-    int before = c.rules.starts;
+    int before = c.checker.starts;
     c.state.outage(10_000);
     c.world.runUntil(47_000);
     c.controllers.keySet().forEach(member -> c.crash(member, 2_500));
-    JobSpec job = c.plain(false, 20);
+    JobSpec job = c.plainJob(false, 20);
     // Once the new processes are there: a user who asks one that is gone may wait 5 s for nothing.
     c.world.at(49_600, () -> c.submit(job));
     long claimed = until(c, 70_000, () -> c.leader() != null);
-    long started = until(c, 70_000, () -> c.rules.starts > before);
+    long started = until(c, 70_000, () -> c.checker.starts > before);
     System.out.printf(
         "seed %d: claimed %d ms after the outage, first start %d ms%n",
         seed, claimed - 50_000, started - 50_000);
@@ -135,7 +135,7 @@
     assertTrue(started < 55_000, "first start at " + started);
     c.world.runUntil(90_000);
     assertTrue(c.allRun(services));
-    assertTrue(c.rules.isOver(job.id()));
+    assertTrue(c.checker.isOver(job.id()));
   }
 
   /**
@@ -148,7 +148,7 @@
     SimulatedCluster c = fleet(10);
     List<JobSpec> services = services(c, 60);
     c.world.runUntil(40_000);
-    int before = c.rules.starts;
+    int before = c.checker.starts;
     Set<String> up = up(c);
     int takeovers = 0;
     long questions = 0;
@@ -166,7 +166,7 @@
     assertTrue(takeovers > 0, "the leader was never restarted");
     assertTrue(questions >= up.size() * (long) takeovers / 2, questions + " questions");
     assertTrue(questions <= up.size() * 2L * takeovers, questions + " questions");
-    assertEquals(before, c.rules.starts, "a task was started again");
+    assertEquals(before, c.checker.starts, "a task was started again");
     assertTrue(c.allRun(services));
   }
 
@@ -186,14 +186,14 @@
   void aFloodOfSubmissionsDoesNotStopStarts() {
     SimulatedCluster c = fleet(9);
     for (int i = 0; i < 3_000; i++) {
-      JobSpec job = c.plain(false, 20);
+      JobSpec job = c.plainJob(false, 20);
       c.world.after(i * 10L, () -> c.submit(job));
     }
     c.world.runUntil(45_000);
-    long accepted = c.jobs.stream().filter(job -> c.rules.isAccepted(job.id())).count();
-    System.out.printf("flood: %d accepted, %d starts%n", accepted, c.rules.starts);
+    long accepted = c.jobs.stream().filter(job -> c.checker.isAccepted(job.id())).count();
+    System.out.printf("flood: %d accepted, %d starts%n", accepted, c.checker.starts);
     assertTrue(accepted > 300, accepted + " accepted");
-    assertTrue(c.rules.starts > 1_500, c.rules.starts + " starts");
+    assertTrue(c.checker.starts > 1_500, c.checker.starts + " starts");
   }
 
   private static SimulatedCluster fleet(long seed) {
@@ -207,7 +207,7 @@
   private static List<JobSpec> services(SimulatedCluster c, int count) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      JobSpec job = c.plain(true, 5);
+      JobSpec job = c.plainJob(true, 5);
       services.add(job);
       c.world.after(i * 60L, () -> c.submit(job));
     }
--- a/src/test/java/fennelthread/simulation/MuteMachinesTest.java
+++ b/src/test/java/fennelthread/simulation/MuteMachinesTest.java
@@ -84,12 +84,12 @@
   }
 
   private static void settle(SimulatedCluster c, List<JobSpec> services, List<JobSpec> jobs) {
-    c.rules.troublesAreOver();
+    c.checker.recordEndOfFaults();
     c.world.runUntil(c.world.now() + 60_000);
     assertTrue(c.allRun(services), "services are whole");
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
-    c.rules.checkServed(30_000);
+        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.checker.isOver(id)).toList());
+    c.checker.checkServed(30_000);
   }
 
   /**
@@ -116,7 +116,7 @@
     List<WorkerEmulator> all = new ArrayList<>(busy);
     c.cloud.machines().values().stream().filter(w -> !busy.contains(w)).forEach(all::add);
     List<WorkerEmulator> mute = all.subList(0, count);
-    mute.forEach(w -> c.mute(w, 60_000));
+    mute.forEach(w -> c.blockRequests(w, 60_000));
     long fromMs = c.world.now();
     StartsOnMute starts = new StartsOnMute(c, mute, 60_000);
     long claimMs = 0;
@@ -134,14 +134,14 @@
       mute.forEach(w -> assertTrue(c.cloud.returned.contains(w.name()), w.name() + " is kept"));
     }
     c.world.runUntil(fromMs + 60_000);
-    assertTrue(c.world.requestFaults.muted > 3 * count, "they reached controllers");
+    assertTrue(c.world.requestFaults.requestsBlocked > 3 * count, "they reached controllers");
     assertEquals(List.of(), starts.after(claimMs + NO_ROOM_MS + UNDER_WAY_MS));
     settle(c, services, jobs);
   }
 
   private static boolean areOn(
       SimulatedCluster c, List<JobSpec> jobs, List<WorkerEmulator> machines) {
-    return machines.stream().anyMatch(w -> jobs.stream().anyMatch(j -> c.rules.isOn(j.id(), w)));
+    return machines.stream().anyMatch(w -> jobs.stream().anyMatch(j -> c.checker.isOn(j.id(), w)));
   }
 
   /**
@@ -154,10 +154,10 @@
     SimulatedCluster c = settled(seed);
     List<JobSpec> services = Scenes.services(c, 15, 100, 15_000);
     List<WorkerEmulator> mute = FleetLoad.carrying(c, services).subList(0, count);
-    int before = c.rules.starts;
-    mute.forEach(w -> c.mute(w, 3_000));
+    int before = c.checker.starts;
+    mute.forEach(w -> c.blockRequests(w, 3_000));
     c.world.runUntil(c.world.now() + 12_000);
-    assertEquals(before, c.rules.starts, "started again");
+    assertEquals(before, c.checker.starts, "started again");
     assertEquals(List.of(), c.cloud.returned);
     for (WorkerEmulator w : c.cloud.machines().values()) {
       if (!mute.contains(w)) {
@@ -167,7 +167,7 @@
     c.world.runUntil(c.world.now() + 4_500);
     JobSpec job = FleetLoad.array(c, "azul", 4, 1);
     c.submit(job);
-    long took = Scenes.until(c, 3_000, () -> c.rules.running(job.id()) == 4);
+    long took = Scenes.until(c, 3_000, () -> c.checker.running(job.id()) == 4);
     assertTrue(took < 3_000, "they are no room");
     assertFalse(FleetLoad.carrying(c, List.of(job)).isEmpty());
   }
@@ -189,12 +189,12 @@
       c.submit(job);
     }
     c.world.runUntil(c.world.now() + 8_000);
-    assertTrue(FleetLoad.areAtLimit(c, teams), c.rules.usage());
+    assertTrue(FleetLoad.areAtLimit(c, teams), c.checker.describeUsage());
     List<JobSpec> cancelled =
-        jobs.stream().filter(job -> c.rules.running(job.id()) == 4).limit(6).toList();
+        jobs.stream().filter(job -> c.checker.running(job.id()) == 4).limit(6).toList();
     List<WorkerEmulator> mute = FleetLoad.carrying(c, cancelled);
     mute = mute.subList(0, Math.min(count, mute.size()));
-    mute.forEach(w -> c.mute(w, 30_000));
+    mute.forEach(w -> c.blockRequests(w, 30_000));
     c.world.runUntil(c.world.now() + 1_000);
     if (leaderEnds) {
       String ended = c.leader();
@@ -207,17 +207,17 @@
     long took = Scenes.until(c, 8_000, () -> isFullWithout(c, teams, cancelled));
     assertTrue(took < (leaderEnds ? 4_000 : 2_000), "at the limit after " + took + " ms");
     c.world.runUntil(c.world.now() + 40_000);
-    assertTrue(FleetLoad.areAtLimit(c, teams), c.rules.usage());
+    assertTrue(FleetLoad.areAtLimit(c, teams), c.checker.describeUsage());
   }
 
   private static boolean isFullWithout(
       SimulatedCluster c, List<String> teams, List<JobSpec> cancelled) {
     return FleetLoad.areAtLimit(c, teams)
-        && cancelled.stream().allMatch(job -> c.rules.running(job.id()) == 0);
+        && cancelled.stream().allMatch(job -> c.checker.running(job.id()) == 0);
   }
 
   private static boolean isToldOver(SimulatedCluster c, JobSpec job) {
-    return c.rules.cancelledAt(job.id()) >= 0;
+    return c.checker.cancelledAt(job.id()) >= 0;
   }
 
   /** Commands to them are held up as well, for 2 to 16 s, and users cancel what runs there. */
@@ -229,15 +229,15 @@
     List<JobSpec> jobs = stream(c, 40_000);
     c.world.runUntil(c.world.now() + 3_000);
     List<WorkerEmulator> mute = FleetLoad.carrying(c, services).subList(0, 6);
-    mute.forEach(w -> c.mute(w, 40_000));
+    mute.forEach(w -> c.blockRequests(w, 40_000));
     c.holdCommands(share, 30_000);
-    c.world.after(2_000, () -> c.cancelNow(8, 6_000));
+    c.world.after(2_000, () -> c.cancelRunningJobs(8, 6_000));
     if (leaderEnds) {
       c.world.after(2_500, () -> c.crash(c.leader(), 300));
     }
     c.world.runUntil(c.world.now() + 60_000);
     assertTrue(c.world.requestFaults.commandsDelivered > 10, "no command was carried out late");
-    List<JobSpec> wanted = services.stream().filter(j -> !c.rules.isOver(j.id())).toList();
+    List<JobSpec> wanted = services.stream().filter(j -> !c.checker.isOver(j.id())).toList();
     settle(c, wanted, jobs);
   }
 
--- a/src/test/java/fennelthread/simulation/OneWayPartitionTest.java
+++ b/src/test/java/fennelthread/simulation/OneWayPartitionTest.java
@@ -27,7 +27,7 @@
 
   private static List<WorkerEmulator> carrying(SimulatedCluster cluster) {
     Set<String> names =
-        cluster.rules.present().stream()
+        cluster.checker.tasksOnMachines().stream()
             .map(p -> p.substring(p.indexOf('@') + 1))
             .collect(Collectors.toSet());
     return cluster.cloud.machines().values().stream()
@@ -38,7 +38,7 @@
   private static boolean nothingOn(
       SimulatedCluster cluster, List<WorkerEmulator> machines, List<JobSpec> services) {
     return machines.stream()
-        .noneMatch(worker -> services.stream().anyMatch(s -> cluster.rules.isOn(s.id(), worker)));
+        .noneMatch(worker -> services.stream().anyMatch(s -> cluster.checker.isOn(s.id(), worker)));
   }
 
   /**
@@ -74,17 +74,17 @@
   void whoeverOnlyTheLeaderCanNotTellIsToldByPeers(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     String leader = cluster.leader();
     cluster.world.cutOneWay(leader, "n-", 40_000);
     cluster.world.runUntil(cluster.world.now() + 15_000);
-    JobSpec job = cluster.plain(false, 6);
+    JobSpec job = cluster.plainJob(false, 6);
     cluster.submit(job);
     cluster.world.runUntil(cluster.world.now() + 24_000);
-    assertTrue(cluster.rules.starts >= before + 6, "nothing starts");
+    assertTrue(cluster.checker.starts >= before + 6, "nothing starts");
     assertTrue(
-        cluster.rules.starts <= before + 6 + 4,
-        cluster.rules.starts - before - 6 + " started again");
+        cluster.checker.starts <= before + 6 + 4,
+        cluster.checker.starts - before - 6 + " started again");
     cluster.world.runUntil(cluster.world.now() + 20_000);
     assertTrue(cluster.allRun(services));
   }
@@ -150,10 +150,10 @@
     cluster.cloud.outage(200_000);
     cluster.world.cutOneWay("nodo", "n-", 25_000);
     cluster.world.runUntil(cluster.world.now() + 32_000);
-    JobSpec job = cluster.plain(false, 20);
+    JobSpec job = cluster.plainJob(false, 20);
     cluster.submit(job);
     cluster.world.runUntil(cluster.world.now() + 25_000);
-    assertTrue(cluster.rules.isOver(job.id()));
+    assertTrue(cluster.checker.isOver(job.id()));
   }
 
   /**
@@ -173,18 +173,18 @@
     }
     List<JobSpec> batches = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      JobSpec job = cluster.plain(false, 4);
+      JobSpec job = cluster.plainJob(false, 4);
       batches.add(job);
       cluster.world.after(i * 2_000L, () -> cluster.submit(job));
     }
     cluster.world.runUntil(cluster.world.now() + 60_000);
-    cluster.rules.troublesAreOver();
+    cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 40_000);
     assertTrue(cluster.allRun(services));
     assertEquals(
         List.of(),
-        batches.stream().map(JobSpec::id).filter(id -> !cluster.rules.isOver(id)).toList());
-    cluster.rules.checkServed(0);
+        batches.stream().map(JobSpec::id).filter(id -> !cluster.checker.isOver(id)).toList());
+    cluster.checker.checkServed(0);
   }
 
   /**
--- a/src/test/java/fennelthread/simulation/PreemptionMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/PreemptionMeetingsTest.java
@@ -49,7 +49,7 @@
   })
   void moreWorkThanRoom(long seed, Flood flood, long extraMs) {
     SimulatedCluster c = Scenes.settled(seed, Deployment.large(MACHINES), 0);
-    c.deployment.zones().forEach(zone -> c.cloud.noCapacity(zone, FLOOD_MS + 60_000));
+    c.deployment.zones().forEach(zone -> c.cloud.exhaustZone(zone, FLOOD_MS + 60_000));
     c.world.slowLinks("n-", extraMs, FLOOD_MS);
     if (extraMs > 0) {
       c.cloud.machines().values().forEach(w -> w.slowFetches(3, FLOOD_MS));
@@ -63,11 +63,11 @@
       assertTrue(stops.forGuarantee >= 5, stops.toString());
     }
     assertTrue(stops.most() <= MOST_STOPS, "a task was stopped " + stops.most() + " times");
-    c.rules.troublesAreOver();
-    Scenes.until(c, 600_000, () -> jobs.stream().allMatch(job -> c.rules.allCompleted(job.id())));
+    c.checker.recordEndOfFaults();
+    Scenes.until(c, 600_000, () -> jobs.stream().allMatch(job -> c.checker.allCompleted(job.id())));
     c.world.runUntil(c.world.now() + 20_000);
     assertEquals(
-        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
+        List.of(), jobs.stream().map(JobSpec::id).filter(id -> !c.checker.isOver(id)).toList());
     assertTrue(stops.most() <= MOST_STOPS, "a task was stopped " + stops.most() + " times");
   }
 
--- a/src/test/java/fennelthread/simulation/Production.java
+++ b/src/test/java/fennelthread/simulation/Production.java
@@ -50,13 +50,13 @@
 
   /** Clusters whose deployment says so begin with the version in production from now on. */
   static void serve() {
-    SimulatedCluster.oldVersion = Production::controller;
+    SimulatedCluster.productionControllerFactory = Production::controller;
   }
 
   private Production() {}
 
   /** A controller of the old version; {@code limits} are those that it knows of. */
-  static SimulatedCluster.Node controller(
+  static SimulatedCluster.ControllerHandle controller(
       EventLoop eventLoop, Settings settings, Settings.StateLimits limits) {
     try {
       Path file = Files.createTempFile("production", ".toml");
@@ -82,8 +82,8 @@
     }
   }
 
-  private static SimulatedCluster.Node node(Class<?> type, Object controller) {
-    return new SimulatedCluster.Node() {
+  private static SimulatedCluster.ControllerHandle node(Class<?> type, Object controller) {
+    return new SimulatedCluster.ControllerHandle() {
       @Override
       public Service api() {
         return (Service) call("api");
--- a/src/test/java/fennelthread/simulation/QuickBootMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/QuickBootMeetingsTest.java
@@ -77,8 +77,8 @@
       Deployment small =
           new Deployment(3, zones, 6, 0, 40, 2, 60, limits, limits, 1_500, 10_000, 30_000, false);
       c = Scenes.settled(seed, small, 0);
-      c.cloud.listAge = () -> (int) (LIST_LAG_MS / 500);
-      c.cloud.quickBoots(60_000);
+      c.cloud.listAgeSnapshots = () -> (int) (LIST_LAG_MS / 500);
+      c.cloud.bootQuickly(60_000);
       used.addAll(c.cloud.machines().keySet());
       c.state.onWrite.add(this::written);
       noteRentals();
@@ -98,10 +98,10 @@
         c.world.after(i * 100L, () -> c.submit(job));
       }
       switch (when) {
-        case BEFORE_THE_RECORD_IS_APPLIED -> c.state.delay = this::holdRecord;
-        case AS_THE_RECORD_IS_APPLIED -> c.state.slow(600, WRITES_LAG_MS);
-        case AFTER_THE_ANSWER_IS_LOST -> c.state.loseAnswerOf(this::isFirstUse, mostEnds);
-        case WHILE_WRITES_COME_LATE -> c.state.lateWrites(0.3, WRITES_LAG_MS);
+        case BEFORE_THE_RECORD_IS_APPLIED -> c.state.transactionDelayMs = this::holdRecord;
+        case AS_THE_RECORD_IS_APPLIED -> c.state.delayAnswers(600, WRITES_LAG_MS);
+        case AFTER_THE_ANSWER_IS_LOST -> c.state.loseNextAnswers(this::isFirstUse, mostEnds);
+        case WHILE_WRITES_COME_LATE -> c.state.delayTransactions(0.3, WRITES_LAG_MS);
         case AFTER_THE_STARTS -> {}
       }
     }
@@ -135,7 +135,7 @@
         return;
       }
       boolean first = false;
-      for (String machine : machinesOf(c.state.values(key))) {
+      for (String machine : machinesOf(c.state.valuesUnder(key))) {
         first |= isUnlistedAtFirstUse(machine);
       }
       if (first && ends < mostEnds) {
@@ -172,7 +172,7 @@
 
     /** How far it has come, for messages. */
     String state() {
-      return c.rules.usage()
+      return c.checker.describeUsage()
           + ", "
           + (c.world.now() - claimedAtMs)
           + " ms after the claim, "
@@ -223,9 +223,9 @@
         c, 90_000, () -> FleetLoad.areAtLimit(c, TEAMS) || c.world.now() > g.provenFreeAtMs());
     assertTrue(FleetLoad.areAtLimit(c, TEAMS), g.state());
     c.world.runUntil(Math.max(c.world.now(), 55_000));
-    c.rules.troublesAreOver();
+    c.checker.recordEndOfFaults();
     c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(FleetLoad.areAtLimit(c, TEAMS), c.rules.usage());
+    assertTrue(FleetLoad.areAtLimit(c, TEAMS), c.checker.describeUsage());
   }
 
   /** More seeds: {@code mvn test -Dtest=QuickBootMeetingsTest#soak -Dsim.from=100 -Dsim.to=140}. */
--- a/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
+++ b/src/test/java/fennelthread/simulation/RecordsAtScaleTest.java
@@ -36,7 +36,7 @@
     int most = 0;
     int mostStarts = 0;
     load(c, 400_000, 220, 4);
-    c.state.delay =
+    c.state.transactionDelayMs =
         (caller, body) -> {
           assertConditional(c, body);
           return 0;
@@ -44,13 +44,13 @@
     for (long t = 20_000; t <= 400_000; t += 1_000) {
       c.world.runUntil(t);
       assertAllRecorded(c);
-      most = Math.max(most, c.state.count(ROUNDS));
+      most = Math.max(most, c.state.countKeys(ROUNDS));
       mostStarts = Math.max(mostStarts, starts(c));
     }
     System.out.printf(
         "records: at most %d with %d starts, %d rounds, %d starts in all, %d live at the end%n",
-        most, mostStarts, rounds, c.rules.starts, c.rules.running());
-    assertTrue(c.rules.starts > 9_000, c.rules.starts + " starts");
+        most, mostStarts, rounds, c.checker.starts, c.checker.running());
+    assertTrue(c.checker.starts > 9_000, c.checker.starts + " starts");
     assertTrue(most < 200, most + " records");
   }
 
@@ -64,7 +64,7 @@
   void lateTransactionsLoseNoRecord(long seed) {
     SimulatedCluster c = fleet(seed);
     load(c, 90_000, 120, 2);
-    c.state.delay =
+    c.state.transactionDelayMs =
         (caller, body) -> {
           assertConditional(c, body);
           return body.contains(ROUNDS)
@@ -78,7 +78,7 @@
       c.world.runUntil(t);
       assertAllRecorded(c);
     }
-    assertTrue(c.rules.starts > 300, c.rules.starts + " starts");
+    assertTrue(c.checker.starts > 300, c.checker.starts + " starts");
   }
 
   private int rounds;
@@ -109,7 +109,7 @@
   private static int starts(SimulatedCluster c) {
     try {
       int starts = 0;
-      for (Fields value : c.state.values(ROUNDS)) {
+      for (Fields value : c.state.valuesUnder(ROUNDS)) {
         starts += StartRecord.decode(value).starts().size();
       }
       return starts;
@@ -122,7 +122,7 @@
    * Whatever changes a record of the latest epoch says which one it means: it may come too late.
    */
   private static void assertConditional(SimulatedCluster c, String sent) {
-    if (c.state.count(Keys.EPOCH) == 0) {
+    if (c.state.countKeys(Keys.EPOCH) == 0) {
       return;
     }
     try {
@@ -133,9 +133,9 @@
       }
       for (Fields f : body.maps("then")) {
         String key = f.has("write") ? f.text("write") : f.text("remove");
-        boolean ours = key.startsWith(Keys.startRecordPrefix(c.state.epoch()));
+        boolean ours = key.startsWith(Keys.startRecordPrefix(c.state.claimedEpoch()));
         assertTrue(
-            !ours || meant.contains(key) || c.state.count(key) == 0, "unconditional: " + key);
+            !ours || meant.contains(key) || c.state.countKeys(key) == 0, "unconditional: " + key);
       }
     } catch (WireException e) {
       throw new AssertionError(e);
@@ -145,12 +145,12 @@
   private static void assertAllRecorded(SimulatedCluster c) {
     try {
       Set<String> recorded = new HashSet<>();
-      for (Fields value : c.state.values(ROUNDS)) {
+      for (Fields value : c.state.valuesUnder(ROUNDS)) {
         for (StartRecord.Start s : StartRecord.decode(value).starts()) {
           recorded.add(s.task() + "@" + s.machine());
         }
       }
-      Set<String> present = c.rules.present();
+      Set<String> present = c.checker.tasksOnMachines();
       present.removeAll(recorded);
       assertTrue(present.isEmpty(), "t=" + c.world.now() + " without a record: " + present);
     } catch (WireException e) {
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -37,16 +37,16 @@
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
     String leader = cluster.leader();
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     cluster.world.cut(leader, "n-", CUT_MS);
     cluster.world.runUntil(33_000);
-    JobSpec job = cluster.plain(true, 10);
+    JobSpec job = cluster.plainJob(true, 10);
     cluster.submit(job);
     cluster.world.runUntil(37_000);
-    assertEquals(10, cluster.rules.running(job.id()), "a job submitted while it is cut off runs");
+    assertEquals(10, cluster.checker.running(job.id()), "a job submitted while it is cut off runs");
     cluster.world.runUntil(60_000);
     assertEquals(leader, cluster.leader());
-    assertEquals(before + 10, cluster.rules.starts, "a task was lost");
+    assertEquals(before + 10, cluster.checker.starts, "a task was lost");
     assertTrue(cluster.allRun(services));
   }
 
@@ -65,13 +65,13 @@
       long seed, long atMs, int mayBeLost, Consumer<SimulatedCluster> trouble) {
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     trouble.accept(cluster);
     cluster.world.at(atMs, () -> cluster.world.cut(cluster.leader(), "n-", CUT_MS));
     cluster.world.runUntil(60_000);
     assertTrue(
-        cluster.rules.starts - before <= mayBeLost,
-        cluster.rules.starts - before + " tasks were lost");
+        cluster.checker.starts - before <= mayBeLost,
+        cluster.checker.starts - before + " tasks were lost");
     assertTrue(cluster.allRun(services));
   }
 
@@ -82,8 +82,8 @@
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
     String leader = cluster.leader();
-    int before = cluster.rules.starts;
-    cluster.refuseMesh(25_000);
+    int before = cluster.checker.starts;
+    cluster.cutPeerLinks(25_000);
     cluster.world.runUntil(32_000);
     cluster.world.cut(leader, "n-", CUT_MS);
     long at = cluster.world.now();
@@ -96,7 +96,7 @@
     assertNotEquals(leader, cluster.leader());
     assertTrue(cluster.world.now() < 39_000, "another leads at " + cluster.world.now());
     cluster.world.runUntil(70_000);
-    assertEquals(before, cluster.rules.starts, "a task was lost");
+    assertEquals(before, cluster.checker.starts, "a task was lost");
     assertTrue(cluster.allRun(services));
   }
 
@@ -145,7 +145,7 @@
     cluster.world.runUntil(35_000);
     cluster.processes.get(leader).pause(8_000);
     for (int i = 0; i < 20; i++) {
-      cluster.submit(cluster.plain(false, 10));
+      cluster.submit(cluster.plainJob(false, 10));
     }
     cluster.world.runUntil(90_000);
     assertTrue(cluster.allRun(services));
@@ -157,8 +157,9 @@
   @ParameterizedTest
   @ValueSource(longs = {18, 19, 20})
   void oldAndNewSideBySide(long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(seed, Deployment.tiny().inProduction());
-    cluster.storm(60_000);
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, Deployment.tiny().withProductionVersion());
+    cluster.addRandomUsersAndFaults(60_000);
     cluster.world.runUntil(10_000);
     cluster.upgrade("nodo-" + seed % 3, 2_000);
     for (int i = 0; i < 3; i++) {
@@ -171,7 +172,7 @@
           });
     }
     cluster.world.runUntil(110_000);
-    assertTrue(cluster.rules.starts > 30, cluster.rules.starts + " starts");
+    assertTrue(cluster.checker.starts > 30, cluster.checker.starts + " starts");
   }
 
   /**
@@ -187,13 +188,13 @@
     String relay = "nodo-" + (leader.charAt(5) - '0' + 1) % 3;
     cluster.world.cut(leader, "n-", 20_000);
     cluster.world.runUntil(38_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      jobs.add(cluster.plain(true, 10));
+      jobs.add(cluster.plainJob(true, 10));
       cluster.submit(jobs.get(i));
     }
-    while (cluster.rules.starts == before) {
+    while (cluster.checker.starts == before) {
       cluster.world.runUntil(cluster.world.now() + 1);
     }
     cluster.world.cut(relay, leader, 9_000);
@@ -210,7 +211,7 @@
   void aResignedLeaderStopsOnceAnotherLeads() throws WireException {
     SimulatedCluster cluster = fleet(40);
     String old = cluster.leader();
-    cluster.state.refuse(old, 30_000);
+    cluster.state.refuseCaller(old, 30_000);
     int answers = 0;
     long another = 1_000_000;
     while (cluster.world.now() < 30_000) {
@@ -262,7 +263,7 @@
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.world.loss = 0.02;
     cluster.world.late = 0.01;
-    cluster.storm(150_000);
+    cluster.addRandomUsersAndFaults(150_000);
     for (int i = 1; i < 12; i++) {
       cluster.world.at(
           i * 12_000L,
@@ -274,7 +275,7 @@
           });
     }
     cluster.world.runUntil(200_000);
-    assertTrue(cluster.rules.starts > 100, cluster.rules.starts + " starts");
+    assertTrue(cluster.checker.starts > 100, cluster.checker.starts + " starts");
   }
 
   private static SimulatedCluster fleet(long seed) {
@@ -289,7 +290,7 @@
   private static List<JobSpec> services(SimulatedCluster cluster) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
-      JobSpec job = cluster.plain(true, 4);
+      JobSpec job = cluster.plainJob(true, 4);
       services.add(job);
       cluster.submit(job);
     }
--- a/src/test/java/fennelthread/simulation/RestartTest.java
+++ b/src/test/java/fennelthread/simulation/RestartTest.java
@@ -46,7 +46,7 @@
       for (long downMs : new long[] {50, 300, 1_000}) {
         SimulatedCluster cluster = settled(seed);
         List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-        int before = cluster.rules.starts;
+        int before = cluster.checker.starts;
         int[] crashes = new int[1];
         cluster.state.onWrite.add(
             key -> {
@@ -62,12 +62,12 @@
         switch (trouble) {
           case "crash" -> cluster.crash(leader, downMs);
           case "freeze" -> cluster.processes.get(leader).pause(20_000);
-          case "refuse" -> cluster.refuseMesh(8_000);
+          case "refuse" -> cluster.cutPeerLinks(8_000);
           default -> {}
         }
         List<JobSpec> batches = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-          JobSpec job = cluster.plain(false, 4);
+          JobSpec job = cluster.plainJob(false, 4);
           batches.add(job);
           cluster.world.after(200 + i * 400L, () -> cluster.submit(job));
         }
@@ -75,10 +75,10 @@
         String what = prefix + " seed " + seed + " back after " + downMs;
         assertTrue(crashes[0] > 0, what + ": nothing was written");
         assertTrue(cluster.allRun(services), what);
-        cluster.rules.checkServed(30_000);
+        cluster.checker.checkServed(30_000);
         assertFewAgain(before + 12 * 4, cluster, what);
         for (JobSpec job : batches) {
-          assertTrue(cluster.rules.isOver(job.id()), what + ": " + job.id());
+          assertTrue(cluster.checker.isOver(job.id()), what + ": " + job.id());
         }
       }
     }
@@ -93,7 +93,7 @@
   void aProcessThatEndsAtOnceEachTime(long downMs) {
     SimulatedCluster cluster = settled(5);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     String faulty = cluster.leader();
     int led = 0;
     int ledByFaulty = 0;
@@ -110,7 +110,7 @@
     assertNotEquals(faulty, cluster.leader());
     assertTrue(led > 180, led + " of 240");
     assertTrue(ledByFaulty < 30, ledByFaulty + " of 240");
-    assertEquals(before, cluster.rules.starts, "a task was lost");
+    assertEquals(before, cluster.checker.starts, "a task was lost");
     assertTrue(cluster.allRun(services));
   }
 
@@ -119,7 +119,7 @@
   void twoInTurns() {
     SimulatedCluster cluster = settled(6);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     String third = cluster.leader();
     List<String> two = cluster.controllers.keySet().stream().filter(m -> !m.equals(third)).toList();
     for (int i = 0; i < 20; i++) {
@@ -127,7 +127,7 @@
       cluster.world.runUntil(cluster.world.now() + 600);
     }
     assertEquals(third, cluster.leader());
-    assertEquals(before, cluster.rules.starts, "a task was lost");
+    assertEquals(before, cluster.checker.starts, "a task was lost");
     assertTrue(cluster.allRun(services));
   }
 
@@ -140,16 +140,16 @@
   void allOfThemAgainAndAgain(long downMs, int machines) {
     SimulatedCluster cluster = settled(7, machines);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     for (int i = 0; i < 13; i++) {
       cluster.controllers.keySet().forEach(m -> cluster.crash(m, downMs));
       cluster.world.runUntil(cluster.world.now() + 1_500);
     }
-    JobSpec job = cluster.plain(false, 4);
+    JobSpec job = cluster.plainJob(false, 4);
     cluster.submit(job);
     cluster.world.runUntil(cluster.world.now() + 5_000);
     assertTrue(cluster.leader() != null);
-    assertTrue(cluster.rules.starts >= before + 4, "nothing starts");
+    assertTrue(cluster.checker.starts >= before + 4, "nothing starts");
     assertFewAgain(before + 4, cluster, "all again and again");
     assertTrue(cluster.allRun(services));
   }
@@ -160,7 +160,7 @@
   void backDuringAnOutage(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     cluster.state.outage(5_000);
     cluster.world.runUntil(cluster.world.now() + 800);
     // When it is over: whoever claims first ends there and then.
@@ -185,7 +185,7 @@
   @ValueSource(longs = {21, 22, 23})
   void theOldVersionLikewise(long seed) {
     SimulatedCluster cluster =
-        new SimulatedCluster(seed, Deployment.large(MACHINES).inProduction());
+        new SimulatedCluster(seed, Deployment.large(MACHINES).withProductionVersion());
     cluster.world.loss = 0;
     cluster.world.late = 0;
     cluster.world.runUntil(15_000);
@@ -244,8 +244,8 @@
    */
   private static void assertFewAgain(int starts, SimulatedCluster cluster, String what) {
     assertTrue(
-        cluster.rules.starts - starts <= 3,
-        what + ": " + (cluster.rules.starts - starts) + " started again");
+        cluster.checker.starts - starts <= 3,
+        what + ": " + (cluster.checker.starts - starts) + " started again");
   }
 
   private static void until(SimulatedCluster cluster, long latest, BooleanSupplier holds) {
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -22,7 +22,7 @@
  * that controllers send, store and compute is counted. Nothing fails here, and rules aren't
  * checked: other tests do.
  */
-final class ScaledCell implements WorkerEmulator.Surroundings {
+final class ScaledCell implements WorkerEmulator.Environment {
   static final String STATE = "10.2.0.1:2379";
   static final String CLOUD = "10.2.0.2:8443";
   static final String FULL_TEAM = "llena";
@@ -237,7 +237,7 @@
     state.onWrite.add(
         key -> {
           if (key.startsWith("live/round/")) {
-            startRecords.addAll(state.values(key));
+            startRecords.addAll(state.valuesUnder(key));
           }
         });
   }
@@ -298,7 +298,7 @@
   }
 
   private double storedBytes() {
-    return state.values("").stream().mapToDouble(v -> Codec.JSON.encode(v).length).sum();
+    return state.valuesUnder("").stream().mapToDouble(v -> Codec.JSON.encode(v).length).sum();
   }
 
   // ---------------------------------------------------------------- surroundings
@@ -314,12 +314,12 @@
   }
 
   @Override
-  public void begins(WorkerEmulator worker, JobSpec spec, int index) {
+  public void onTaskStart(WorkerEmulator worker, JobSpec spec, int index) {
     starts++;
   }
 
   @Override
-  public void ends(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {
+  public void onTaskEnd(WorkerEmulator worker, JobSpec spec, int index, boolean completed) {
     ends += completed ? 1 : 0;
   }
 
--- a/src/test/java/fennelthread/simulation/Scenes.java
+++ b/src/test/java/fennelthread/simulation/Scenes.java
@@ -37,7 +37,7 @@
   static List<JobSpec> services(SimulatedCluster c, int count, long everyMs, long settleMs) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      JobSpec job = c.plain(true, 4);
+      JobSpec job = c.plainJob(true, 4);
       services.add(job);
       c.world.after(i * everyMs, () -> c.submit(job));
     }
@@ -75,7 +75,7 @@
 
   /** An array that may run on any machine, each of its tasks for so long more or less. */
   static JobSpec lasting(SimulatedCluster c, int tasks, double estimateS) {
-    JobSpec any = c.plain(false, tasks);
+    JobSpec any = c.plainJob(false, tasks);
     return JobSpec.builder(any.id())
         .jobClass(any.jobClass())
         .team(any.team())
--- a/src/test/java/fennelthread/simulation/SimulationTest.java
+++ b/src/test/java/fennelthread/simulation/SimulationTest.java
@@ -38,7 +38,7 @@
   @ValueSource(longs = {12, 21, 22, 27, 41, 43, 59, 94, 105, 108, 109, 116, 118, 121, 128, 150})
   void storm(long seed) {
     SimulatedCluster c = new SimulatedCluster(seed);
-    c.storm(300_000);
+    c.addRandomUsersAndFaults(300_000);
     settle(c);
   }
 
@@ -46,14 +46,14 @@
   static void settle(SimulatedCluster c) {
     // The last trouble may begin at 300 s and last for 20 s; what is late may come for a minute
     // more.
-    c.world.at(325_000, c.rules::troublesAreOver);
+    c.world.at(325_000, c.checker::recordEndOfFaults);
     c.world.runUntil(300_000);
     c.world.loss = 0;
     c.world.late = 0;
     // Services run for ever and would fill their team's cap: one of each team goes on.
     Set<String> kept = new HashSet<>();
     for (JobSpec job : c.jobs) {
-      if (job.service() && (c.rules.isOver(job.id()) || !kept.add(job.team()))) {
+      if (job.service() && (c.checker.isOver(job.id()) || !kept.add(job.team()))) {
         c.cancel(job.id());
       }
     }
@@ -101,8 +101,8 @@
             .build();
     c.submit(huge);
     c.world.runUntil(1_500_000);
-    assertTrue(c.rules.allCompleted(huge.id()));
-    assertTrue(c.rules.isOver(huge.id()));
+    assertTrue(c.checker.allCompleted(huge.id()));
+    assertTrue(c.checker.isOver(huge.id()));
   }
 
   /**
@@ -128,7 +128,7 @@
     assertTrue(stalled[0]);
     assertNotEquals(first, c.leader());
     c.world.runUntil(120_000);
-    assertTrue(c.rules.isOver(job.id()));
+    assertTrue(c.checker.isOver(job.id()));
     int stale = c.cloud.machines().values().stream().mapToInt(w -> w.staleRuns).sum();
     assertEquals(0, stale, "starts sent after the local lease was over");
   }
@@ -157,16 +157,16 @@
     c.world.runUntil(44_000);
     c.world.cut(first, "state", 56_000);
     c.cloud.outage(51_000);
-    int before = c.rules.starts;
+    int before = c.checker.starts;
     c.world.runUntil(66_000);
     assertNotNull(c.leaderOtherThan(first));
-    assertEquals(before, c.rules.starts, "started again while the first was alive");
+    assertEquals(before, c.checker.starts, "started again while the first was alive");
     // It can't be any more once the time in which a cancelled job's tasks must be gone is over.
     c.world.runUntil(86_000);
-    assertEquals(1, c.rules.running(job.id()), "not started elsewhere");
-    assertEquals(before + 1, c.rules.starts);
+    assertEquals(1, c.checker.running(job.id()), "not started elsewhere");
+    assertEquals(before + 1, c.checker.starts);
     c.world.runUntil(160_000);
-    assertEquals(1, c.rules.running(job.id()));
+    assertEquals(1, c.checker.running(job.id()));
   }
 
   /**
@@ -189,7 +189,7 @@
     JobSpec second = replica(c);
     c.submit(second);
     c.world.runUntil(80_000);
-    assertEquals(1, c.rules.running(second.id()));
+    assertEquals(1, c.checker.running(second.id()));
   }
 
   /** A service of one replica whose image all such jobs share. */
@@ -213,14 +213,14 @@
   void lateTransactionOfAnOldLeaderIsRefused() {
     SimulatedCluster c = calmCluster(8);
     String first = c.leader();
-    c.withholdRounds(first, 20_000);
+    c.delayNextRoundRecord(first, 20_000);
     JobSpec job = c.job(false, 6, 1, true, false, false);
     c.submit(job);
     c.world.runUntil(22_000);
     c.crash(first, 5_000);
     c.world.runUntil(90_000);
-    assertEquals(1, c.withheld, "no round record was held back");
-    assertTrue(c.rules.isOver(job.id()));
+    assertEquals(1, c.delayedRoundRecords, "no round record was held back");
+    assertTrue(c.checker.isOver(job.id()));
   }
 
   /** A leader that crashes is replaced before any worker's lease runs out. */
@@ -231,13 +231,13 @@
     JobSpec job = c.job(true, 3, 1, false, false, false);
     c.submit(job);
     c.world.runUntil(40_000);
-    assertEquals(3, c.rules.running(job.id()));
-    int before = c.rules.starts;
+    assertEquals(3, c.checker.running(job.id()));
+    int before = c.checker.starts;
     c.crash(c.leader(), 60_000);
     c.world.runUntil(80_000);
     assertNotNull(c.leader());
-    assertEquals(3, c.rules.running(job.id()));
-    assertEquals(before, c.rules.starts, "a task was started again");
+    assertEquals(3, c.checker.running(job.id()));
+    assertEquals(before, c.checker.starts, "a task was started again");
   }
 
   /**
@@ -252,7 +252,7 @@
     JobSpec job = c.job(true, 3, 1, false, false, false);
     c.submit(job);
     c.world.runUntil(300_000);
-    assertEquals(3, c.rules.running(job.id()));
+    assertEquals(3, c.checker.running(job.id()));
     String first = c.leader();
     c.crash(first, 60_000);
     while (c.leaderOtherThan(first) == null) {
@@ -260,7 +260,7 @@
     }
     c.world.cut("n-", "nodo", 3_000);
     c.world.runUntil(340_000);
-    assertEquals(3, c.rules.running(job.id()));
+    assertEquals(3, c.checker.running(job.id()));
     assertEquals(Set.of(), Set.copyOf(c.cloud.returned));
   }
 
@@ -271,19 +271,19 @@
     JobSpec job = c.job(true, 3, 1, false, false, false);
     c.submit(job);
     c.world.runUntil(40_000);
-    int before = c.rules.starts;
+    int before = c.checker.starts;
     String leader = c.leader();
     c.state.outage(45_000);
     c.world.runUntil(80_000);
     // It once took the outage for a refusal that only it got, and yielded to nobody.
     assertEquals(leader, c.leader());
-    assertEquals(3, c.rules.running(job.id()));
+    assertEquals(3, c.checker.running(job.id()));
     JobSpec later = c.job(false, 4, 1, true, false, false);
     c.submit(later);
     c.world.runUntil(84_000);
-    assertEquals(before, c.rules.starts);
+    assertEquals(before, c.checker.starts);
     c.world.runUntil(150_000);
-    assertTrue(c.rules.isOver(later.id()));
+    assertTrue(c.checker.isOver(later.id()));
   }
 
   /** A dead machine's tasks start elsewhere well before its lease of 10 s would be over. */
@@ -294,20 +294,20 @@
     c.submit(job);
     c.world.runUntil(40_000);
     for (WorkerEmulator w : List.copyOf(c.cloud.machines().values())) {
-      if (c.rules.isOn(job.id(), w)) {
-        c.cloud.end(w, true);
+      if (c.checker.isOn(job.id(), w)) {
+        c.cloud.terminate(w, true);
         break;
       }
     }
-    assertTrue(c.rules.running(job.id()) < 2);
+    assertTrue(c.checker.running(job.id()) < 2);
     c.world.runUntil(48_500);
-    assertEquals(2, c.rules.running(job.id()));
+    assertEquals(2, c.checker.running(job.id()));
   }
 
   /** The machine that some task of the job is on. */
   private static WorkerEmulator hostOf(SimulatedCluster c, JobSpec job) {
     return c.cloud.machines().values().stream()
-        .filter(w -> c.rules.isOn(job.id(), w))
+        .filter(w -> c.checker.isOn(job.id(), w))
         .findFirst()
         .orElseThrow();
   }
@@ -322,15 +322,15 @@
   }
 
   private static void everythingRan(SimulatedCluster c) {
-    assertTrue(c.rules.starts > 0, "nothing ran");
+    assertTrue(c.checker.starts > 0, "nothing ran");
     assertNotNull(c.leader());
     int unfinished = 0;
     StringBuilder which = new StringBuilder();
     for (JobSpec job : c.jobs) {
-      if (!c.rules.isAccepted(job.id()) || c.rules.isOver(job.id())) {
+      if (!c.checker.isAccepted(job.id()) || c.checker.isOver(job.id())) {
         continue;
       }
-      boolean fine = job.service() && c.rules.running(job.id()) == job.tasks();
+      boolean fine = job.service() && c.checker.running(job.id()) == job.tasks();
       if (!fine) {
         unfinished++;
         which
@@ -341,12 +341,12 @@
             .append(job.zone() == null ? "" : " " + job.zone())
             .append(job.sameZone() ? " same_place" : job.spreadAcrossZones() ? " apart" : "")
             .append(" running ")
-            .append(c.rules.running(job.id()))
+            .append(c.checker.running(job.id()))
             .append(" completed ")
-            .append(c.rules.allCompleted(job.id()))
+            .append(c.checker.allCompleted(job.id()))
             .append("; ");
       }
     }
-    assertEquals(0, unfinished, which + c.rules.usage());
+    assertEquals(0, unfinished, which + c.checker.describeUsage());
   }
 }
--- a/src/test/java/fennelthread/simulation/StopChecker.java
+++ b/src/test/java/fennelthread/simulation/StopChecker.java
@@ -34,7 +34,7 @@
   StopChecker(SimulatedCluster c, long commandMs) {
     this.c = c;
     this.commandMs = commandMs;
-    c.onStop.add(this::check);
+    c.stopObservers.add(this::check);
     sample();
   }
 
@@ -43,15 +43,15 @@
     Map<String, double[]> demanded = new HashMap<>();
     Map<String, Double> used = new HashMap<>();
     for (JobSpec job : List.copyOf(c.jobs)) {
-      if (c.rules.isCancelAsked(job.id()) || c.rules.allCompleted(job.id())) {
+      if (c.checker.isCancelAsked(job.id()) || c.checker.allCompleted(job.id())) {
         continue;
       }
-      used.merge(job.team(), c.rules.running(job.id()) * job.cpus(), Double::sum);
+      used.merge(job.team(), c.checker.running(job.id()) * job.cpus(), Double::sum);
       Settings.Team team = c.settings.teams().get(job.team());
-      double unfinished = job.tasks() - c.rules.taskPresence().completed(job.id()).cardinality();
+      double unfinished = job.tasks() - c.checker.taskPresence().completed(job.id()).cardinality();
       double[] sum = demanded.computeIfAbsent(job.team(), k -> new double[1]);
       sum[0] += unfinished * job.cpus();
-      if (c.rules.taskPresence().waiting(job) > 0) {
+      if (c.checker.taskPresence().waiting(job) > 0) {
         waitedAt.put(job.priority(), now);
         if (sum[0] <= team.cpus()) {
           owedAt.put(job.team(), now);
@@ -73,8 +73,8 @@
 
   private void check(WorkerEmulator worker, JobSpec spec, int index) {
     String task = spec.id() + "/" + index;
-    if (c.rules.isCancelAsked(spec.id())
-        || c.rules.taskPresence().isCompleted(spec.id(), index)
+    if (c.checker.isCancelAsked(spec.id())
+        || c.checker.taskPresence().isCompleted(spec.id(), index)
         || worker.hasNotice()) {
       return;
     }
--- a/src/test/java/fennelthread/simulation/TakeoverTest.java
+++ b/src/test/java/fennelthread/simulation/TakeoverTest.java
@@ -31,10 +31,10 @@
         cluster.world.runUntil(cluster.world.now() + 10);
       }
       times[0][i] = cluster.world.now() - at;
-      int before = cluster.rules.starts;
+      int before = cluster.checker.starts;
       JobSpec job = cluster.job(false, 5, 1, true, false, false);
       cluster.submit(job);
-      while (cluster.rules.starts == before && cluster.world.now() < at + 30_000) {
+      while (cluster.checker.starts == before && cluster.world.now() < at + 30_000) {
         cluster.world.runUntil(cluster.world.now() + 10);
       }
       times[1][i] = cluster.world.now() - at;
@@ -103,13 +103,13 @@
   void aLeaderWithoutItsPeersGoesOn(long seed) {
     SimulatedCluster cluster = settled(seed);
     String leader = cluster.leader();
-    cluster.refuseMesh(40_000);
+    cluster.cutPeerLinks(40_000);
     int starts = 0;
     for (int i = 0; i < 30; i++) {
-      int before = cluster.rules.starts;
+      int before = cluster.checker.starts;
       cluster.submit(cluster.job(false, 3, 1, true, false, false));
       cluster.world.runUntil(cluster.world.now() + 1_000);
-      starts += cluster.rules.starts > before ? 1 : 0;
+      starts += cluster.checker.starts > before ? 1 : 0;
       assertEquals(leader, cluster.leader());
     }
     assertTrue(starts >= 25, "starts in " + starts + " of 30 seconds");
@@ -125,10 +125,10 @@
     cluster.crash(gone, 1_000_000);
     int starts = 0;
     for (int i = 0; i < 20; i++) {
-      int before = cluster.rules.starts;
+      int before = cluster.checker.starts;
       cluster.submit(cluster.job(false, 3, 1, true, false, false));
       cluster.world.runUntil(cluster.world.now() + 1_000);
-      starts += cluster.rules.starts > before ? 1 : 0;
+      starts += cluster.checker.starts > before ? 1 : 0;
     }
     // A third of the submissions go to the dead one and come again later.
     assertTrue(starts >= 12, "starts in " + starts + " of 20 seconds");
@@ -169,7 +169,7 @@
     }
     cluster.world.runUntil(cluster.world.now() + 40_000);
     for (JobSpec job : services) {
-      assertEquals(job.tasks(), cluster.rules.running(job.id()), job.id());
+      assertEquals(job.tasks(), cluster.checker.running(job.id()), job.id());
     }
   }
 
--- a/src/test/java/fennelthread/simulation/TeamLimitMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/TeamLimitMeetingsTest.java
@@ -66,7 +66,7 @@
     MUTE {
       @Override
       void begin(SimulatedCluster c, WorkerEmulator w) {
-        c.mute(w, TROUBLE_MS);
+        c.blockRequests(w, TROUBLE_MS);
       }
     };
 
@@ -107,7 +107,7 @@
         c.world.after(i * 20L, () -> c.submit(job));
       }
       c.world.runUntil(c.world.now() + 10_000);
-      assertTrue(FleetLoad.areAtLimit(c, teams), c.rules.usage());
+      assertTrue(FleetLoad.areAtLimit(c, teams), c.checker.describeUsage());
       c.state.onWrite.add(
           key -> {
             if (key.equals("live/lead")) {
@@ -122,7 +122,7 @@
       List<JobSpec> some = new ArrayList<>();
       for (String team : teams) {
         jobs.stream()
-            .filter(job -> job.team().equals(team) && c.rules.running(job.id()) == job.tasks())
+            .filter(job -> job.team().equals(team) && c.checker.running(job.id()) == job.tasks())
             .limit(ofEach)
             .forEach(some::add);
       }
@@ -132,9 +132,11 @@
     /** Waits until all are told to be cancelled; gives when the last was, ms. */
     long toldAll(List<JobSpec> cancelled) {
       Scenes.until(
-          c, 20_000, () -> cancelled.stream().allMatch(job -> c.rules.cancelledAt(job.id()) >= 0));
+          c,
+          20_000,
+          () -> cancelled.stream().allMatch(job -> c.checker.cancelledAt(job.id()) >= 0));
       long last =
-          cancelled.stream().mapToLong(job -> c.rules.cancelledAt(job.id())).max().orElseThrow();
+          cancelled.stream().mapToLong(job -> c.checker.cancelledAt(job.id())).max().orElseThrow();
       assertTrue(last >= 0, "not all were told");
       return last;
     }
@@ -144,16 +146,16 @@
       Scenes.until(c, Math.max(1, byMs - c.world.now()), () -> isFullWithout(cancelled));
       assertTrue(
           isFullWithout(cancelled),
-          c.rules.usage()
+          c.checker.describeUsage()
               + ", "
               + (c.world.now() - claimedAtMs)
               + " ms after the claim, of cancelled jobs run "
-              + cancelled.stream().mapToInt(job -> c.rules.running(job.id())).sum());
+              + cancelled.stream().mapToInt(job -> c.checker.running(job.id())).sum());
     }
 
     private boolean isFullWithout(List<JobSpec> cancelled) {
       return FleetLoad.areAtLimit(c, teams)
-          && cancelled.stream().allMatch(job -> c.rules.running(job.id()) == 0);
+          && cancelled.stream().allMatch(job -> c.checker.running(job.id()) == 0);
     }
   }
 
@@ -215,7 +217,7 @@
     }
     int there =
         cancelled.stream()
-            .mapToInt(job -> troubled.stream().anyMatch(w -> c.rules.isOn(job.id(), w)) ? 1 : 0)
+            .mapToInt(job -> troubled.stream().anyMatch(w -> c.checker.isOn(job.id(), w)) ? 1 : 0)
             .sum();
     assertTrue(there > 0, "nothing that is cancelled runs there");
     troubled.forEach(w -> trouble.begin(c, w));
@@ -251,7 +253,7 @@
         .forEach(machines::add);
     List<WorkerEmulator> troubled = machines.subList(0, Math.min(count, machines.size()));
     List<String> others = c.controllers.keySet().stream().filter(m -> !m.equals(old)).toList();
-    c.leaveAlone(old, TROUBLE_MS);
+    c.isolateFromPeersAndState(old, TROUBLE_MS);
     c.cloud.machines().values().stream()
         .filter(w -> !troubled.contains(w))
         .forEach(w -> c.world.cut(w.name(), old, TROUBLE_MS));
@@ -263,7 +265,7 @@
     c.world.runUntil(f.claimedAtMs + 12_000);
     int there =
         cancelled.stream()
-            .mapToInt(job -> troubled.stream().anyMatch(w -> c.rules.isOn(job.id(), w)) ? 1 : 0)
+            .mapToInt(job -> troubled.stream().anyMatch(w -> c.checker.isOn(job.id(), w)) ? 1 : 0)
             .sum();
     assertTrue(there > 0, "their leases were over a lease after the claim");
     f.areFullWithout(cancelled, f.claimedAtMs + PREDECESSOR_MS + LEASE_MS);
@@ -283,11 +285,11 @@
     SimulatedCluster c = Scenes.settled(seed, Deployment.large(MACHINES).withTeamCap(LIMIT), 0);
     List.copyOf(c.cloud.machines().values()).forEach(w -> c.world.cut(w.name(), "nodo", 10_600));
     c.world.runUntil(c.world.now() + 18_000);
-    c.keepReportsForNextLeader(1, 3_000, afterClaimMs);
+    c.replayReportsToNextLeader(1, 3_000, afterClaimMs);
     c.world.runUntil(c.world.now() + 3_000);
     List<WorkerEmulator> machines =
         c.cloud.machines().values().stream()
-            .filter(w -> w.isUp() && w.peek().session() > 1)
+            .filter(w -> w.isUp() && w.nextReport().session() > 1)
             .toList();
     assertTrue(machines.size() > 20, machines.size() + " machines have lost a lease");
     machines.forEach(w -> w.reboot(200));
@@ -298,9 +300,10 @@
     machines.forEach(w -> c.world.cut(w.name(), "nodo", 4_000));
     c.crash(old, 300);
     c.world.runUntil(c.world.now() + 25_000);
-    assertTrue(c.reportCopies.handed() > MACHINES, c.reportCopies.handed() + " copies");
+    assertTrue(c.reportCopies.delivered() > MACHINES, c.reportCopies.delivered() + " copies");
     c.world.runUntil(c.world.now() + 30_000);
-    assertTrue(FleetLoad.areAtLimit(c, TEAMS), c.rules.usage() + " of " + jobs.jobs.size());
+    assertTrue(
+        FleetLoad.areAtLimit(c, TEAMS), c.checker.describeUsage() + " of " + jobs.jobs.size());
   }
 
   /**
@@ -341,7 +344,7 @@
         c.submit(job);
       }
       c.world.runUntil(c.world.now() + 8_000);
-      assertTrue(FleetLoad.areAtLimit(c, TEAMS), c.rules.usage());
+      assertTrue(FleetLoad.areAtLimit(c, TEAMS), c.checker.describeUsage());
     }
   }
 }
--- a/src/test/java/fennelthread/simulation/TrafficDigestTest.java
+++ b/src/test/java/fennelthread/simulation/TrafficDigestTest.java
@@ -53,7 +53,7 @@
           digest(
               new SimulatedCluster(seed),
               c -> {
-                c.storm(300_000);
+                c.addRandomUsersAndFaults(300_000);
                 SimulationTest.settle(c);
               }));
     }
@@ -67,9 +67,9 @@
           digest(
               SimulatedCluster.limited(seed, LOWER_LIMITS, false),
               c -> {
-                c.world.at(120_000, () -> c.state.limit(LOWER_LIMITS));
+                c.world.at(120_000, () -> c.state.setLimits(LOWER_LIMITS));
                 c.pipelines(300_000);
-                c.storm(300_000);
+                c.addRandomUsersAndFaults(300_000);
                 SimulationTest.settle(c);
               }));
     }
@@ -78,7 +78,7 @@
         digest(
             SimulatedCluster.limited(2, LOWER_LIMITS, true),
             c -> {
-              c.storm(260_000);
+              c.addRandomUsersAndFaults(260_000);
               c.world.at(40_000, () -> c.upgrade("nodo-0", 4_000));
               c.world.at(65_000, () -> c.upgrade("nodo-1", 4_000));
               c.world.at(90_000, () -> c.upgrade("nodo-2", 4_000));
--- a/src/test/java/fennelthread/simulation/TroubleStormTest.java
+++ b/src/test/java/fennelthread/simulation/TroubleStormTest.java
@@ -17,7 +17,7 @@
 
 /**
  * Storms in which the troubles of the operators' second page come one after another, several at
- * once, beside those of {@link RandomTroubles}; in the end everything that was accepted is served.
+ * once, beside those of {@link RandomFaults}; in the end everything that was accepted is served.
  */
 class TroubleStormTest {
   private static final long UNTIL_MS = 280_000;
@@ -33,16 +33,17 @@
 
   static {
     TROUBLES.put("answers lost", (c, ms) -> c.state.loseAnswers(0.3, ms));
-    TROUBLES.put("writes late", (c, ms) -> c.state.lateWrites(0.2, ms));
-    TROUBLES.put("state slow", (c, ms) -> c.state.slow(400, ms));
-    TROUBLES.put("copies kept", (c, ms) -> c.keepReportsForNextLeader(0.3, ms, delay(c)));
-    TROUBLES.put("machine mute", (c, ms) -> withMachine(c, w -> c.mute(w, ms)));
+    TROUBLES.put("writes late", (c, ms) -> c.state.delayTransactions(0.2, ms));
+    TROUBLES.put("state slow", (c, ms) -> c.state.delayAnswers(400, ms));
+    TROUBLES.put("copies kept", (c, ms) -> c.replayReportsToNextLeader(0.3, ms, delay(c)));
+    TROUBLES.put("machine mute", (c, ms) -> withMachine(c, w -> c.blockRequests(w, ms)));
     TROUBLES.put("commands held", (c, ms) -> c.holdCommands(0.3, ms));
-    TROUBLES.put("many cancelled", (c, ms) -> c.cancelNow(3, c.world.faults.nextInt(9_000)));
-    TROUBLES.put("cancelled at end", (c, ms) -> c.cancelAtEnd(0.5, ms));
-    TROUBLES.put("close looks", (c, ms) -> c.closeLooks(ms));
+    TROUBLES.put(
+        "many cancelled", (c, ms) -> c.cancelRunningJobs(3, c.world.faults.nextInt(9_000)));
+    TROUBLES.put("cancelled at end", (c, ms) -> c.cancelAtCompletion(0.5, ms));
+    TROUBLES.put("close looks", (c, ms) -> c.repeatedQueries(ms));
     TROUBLES.put("odd requests", (c, ms) -> c.oddRequests(ms));
-    TROUBLES.put("quick boots", (c, ms) -> c.cloud.quickBoots(ms));
+    TROUBLES.put("quick boots", (c, ms) -> c.cloud.bootQuickly(ms));
     TROUBLES.put("zone cut", (c, ms) -> c.cutZoneWithControllers("sur", ms));
     TROUBLES.put("links slow", (c, ms) -> c.world.slowLinks("nodo-0", 250, ms));
     TROUBLES.put(
@@ -86,7 +87,7 @@
   /** Plays the whole storm on a cluster. */
   static void play(SimulatedCluster c) {
     next(c, new ArrayDeque<>());
-    c.storm(300_000);
+    c.addRandomUsersAndFaults(300_000);
     SimulationTest.settle(c);
   }
 
@@ -97,8 +98,8 @@
     play(c);
     System.out.printf(
         "seed %d: %d starts, %d after a user was told of the cancellation%n",
-        seed, c.rules.starts, c.rules.startsAfterCancel);
-    assertTrue(c.closeLooks.asked > 0 && c.state.answersLost > 0);
+        seed, c.checker.starts, c.checker.startsAfterCancel);
+    assertTrue(c.repeatedQueries.queriesSent > 0 && c.state.answersLost > 0);
   }
 
   /** More of it: {@code mvn test -Dtest=TroubleStormTest#soak -Dsim.from=100 -Dsim.to=140}. */
--- a/src/test/java/fennelthread/simulation/TroubledDay.java
+++ b/src/test/java/fennelthread/simulation/TroubledDay.java
@@ -105,10 +105,10 @@
       day.cluster.pipelines(calmAt);
     }
     day.bringAbout(event, troubles);
-    day.cluster.world.at(calmAt, day.cluster.rules::troublesAreOver);
+    day.cluster.world.at(calmAt, day.cluster.checker::recordEndOfFaults);
     day.watchServices(calmAt);
     day.runUntilSettled(calmAt);
-    day.cluster.rules.checkServed(SETTLE_MS);
+    day.cluster.checker.checkServed(SETTLE_MS);
     return day.outcome();
   }
 
@@ -123,11 +123,11 @@
 
   /** True if its user knows that the job is over and none of it runs, or if all replicas run. */
   private boolean isSettled(JobSpec job) {
-    return cluster.rules.isOver(job.id())
-        ? cluster.rules.running(job.id()) == 0
+    return cluster.checker.isOver(job.id())
+        ? cluster.checker.running(job.id()) == 0
         : job.service()
-            && !cluster.rules.isCancelAsked(job.id())
-            && cluster.rules.running(job.id()) == job.tasks();
+            && !cluster.checker.isCancelAsked(job.id())
+            && cluster.checker.running(job.id()) == job.tasks();
   }
 
   // ---------------------------------------------------------------- the event and its troubles
@@ -192,7 +192,7 @@
 
   private void submitAll(long untilMs) {
     for (int i = 0; i < machines * 3 / 20; i++) {
-      JobSpec service = cluster.plain(true, REPLICAS);
+      JobSpec service = cluster.plainJob(true, REPLICAS);
       services.add(service);
       cluster.world.at(SERVICES_FROM_MS, () -> cluster.submit(service));
     }
@@ -203,7 +203,7 @@
     }
     long everyMs = 140_000 / machines;
     for (long at = JOBS_FROM_MS; at < untilMs; at += everyMs) {
-      submitShort(at, cluster.plain(false, ARRAY_TASKS));
+      submitShort(at, cluster.plainJob(false, ARRAY_TASKS));
     }
     for (long at = JOBS_FROM_MS; at < untilMs; at += 500) {
       submitShort(at, lasting(1, 1));
@@ -212,7 +212,7 @@
 
   /** Starts, ends and cancellations of running jobs at the moment of a trouble. */
   private void surround(long atMs) {
-    submitShort(atMs - 30, cluster.plain(false, ARRAY_TASKS));
+    submitShort(atMs - 30, cluster.plainJob(false, ARRAY_TASKS));
     submitShort(atMs + 30, lasting(1, 1));
     submitCancelled(atMs - 200, atMs, 1);
     submitCancelled(atMs - 1_000, atMs + 500, 3);
@@ -240,7 +240,7 @@
   }
 
   private JobSpec lasting(int tasks, double estimateS) {
-    return copy(cluster.plain(false, tasks), estimateS, null, false, false);
+    return copy(cluster.plainJob(false, tasks), estimateS, null, false, false);
   }
 
   /** Every second long job is bound to one zone, to any one, or to several. */
@@ -284,8 +284,8 @@
   /** Samples the share of replicas that run, of the services that nobody has cancelled. */
   private void sampleServices() {
     List<JobSpec> wanted =
-        services.stream().filter(job -> !cluster.rules.isCancelAsked(job.id())).toList();
-    int running = wanted.stream().mapToInt(job -> cluster.rules.running(job.id())).sum();
+        services.stream().filter(job -> !cluster.checker.isCancelAsked(job.id())).toList();
+    int running = wanted.stream().mapToInt(job -> cluster.checker.running(job.id())).sum();
     replicasUp.add(wanted.isEmpty() ? 1 : running / (double) (wanted.size() * REPLICAS));
   }
 
@@ -298,8 +298,8 @@
     return new Outcome(
         average(replicasUp),
         windows.stream().min(Comparator.naturalOrder()).orElse(1.0),
-        shareOfShortJobs(job -> cluster.rules.allCompleted(job.id())),
-        shareOfShortJobs(job -> cluster.rules.isAccepted(job.id())));
+        shareOfShortJobs(job -> cluster.checker.allCompleted(job.id())),
+        shareOfShortJobs(job -> cluster.checker.isAccepted(job.id())));
   }
 
   private static double average(List<Double> shares) {
--- a/src/test/java/fennelthread/simulation/Troubles.java
+++ b/src/test/java/fennelthread/simulation/Troubles.java
@@ -86,7 +86,7 @@
     add(
         "leader refused",
         ms(500, 15_000, 40_000),
-        (c, s, ms) -> withLeader(c, m -> c.state.refuse(m, ms)));
+        (c, s, ms) -> withLeader(c, m -> c.state.refuseCaller(m, ms)));
   }
 
   private static void addLinks() {
@@ -94,8 +94,11 @@
     add("leader cut: state", cut, (c, s, ms) -> withLeader(c, m -> c.world.cut(m, "state", ms)));
     add("leader cut: workers", cut, (c, s, ms) -> withLeader(c, m -> c.world.cut(m, "n-", ms)));
     add("leader cut: all", cut, (c, s, ms) -> withLeader(c, m -> cutFromAll(c, m, ms)));
-    add("leader partitioned", cut, (c, s, ms) -> withLeader(c, m -> c.leaveAlone(m, ms)));
-    add("peers cut", ms(500, 18_000, 40_000), (c, s, ms) -> c.refuseMesh(ms));
+    add(
+        "leader partitioned",
+        cut,
+        (c, s, ms) -> withLeader(c, m -> c.isolateFromPeersAndState(m, ms)));
+    add("peers cut", ms(500, 18_000, 40_000), (c, s, ms) -> c.cutPeerLinks(ms));
     add("leader's zone cut", cut, (c, s, ms) -> withLeader(c, m -> cutZone(c, m, ms)));
     add("another zone cut", cut, (c, s, ms) -> withFollowerElsewhere(c, m -> cutZone(c, m, ms)));
     add(
@@ -110,14 +113,17 @@
         "a fifth cut off",
         ms(500, 18_000, 30_000),
         (c, s, ms) -> fifth(c, w -> c.world.cut(w.name(), "nodo", ms)));
-    add("a fifth dies", ms(0, 0, 0), (c, s, ms) -> fifth(c, w -> c.cloud.end(w, true)));
+    add("a fifth dies", ms(0, 0, 0), (c, s, ms) -> fifth(c, w -> c.cloud.terminate(w, true)));
     add("a fifth hangs", ms(500, 8_000, 12_000), (c, s, ms) -> fifth(c, w -> w.hang(ms)));
     add("a fifth restarts", ms(50, 2_000, 12_000), (c, s, ms) -> fifth(c, w -> w.reboot(ms)));
     add(
         "a fifth hears nothing",
         ms(500, 18_000, 30_000),
         (c, s, ms) -> fifth(c, w -> c.world.cutOneWay("nodo", w.name(), ms)));
-    add("a fifth mute", ms(500, 18_000, 30_000), (c, s, ms) -> fifth(c, w -> c.mute(w, ms)));
+    add(
+        "a fifth mute",
+        ms(500, 18_000, 30_000),
+        (c, s, ms) -> fifth(c, w -> c.blockRequests(w, ms)));
     add("a fifth noticed", ms(1_000, 4_000, 10_000), Troubles::noticeAndEnd);
   }
 
@@ -127,7 +133,7 @@
         "writes late",
         new Range(0.05, 0.3, 0.6),
         ms(1_000, 15_000, 25_000),
-        (c, s, ms) -> c.state.lateWrites(s, ms));
+        (c, s, ms) -> c.state.delayTransactions(s, ms));
     add(
         "answers lost",
         new Range(0.05, 0.3, 0.6),
@@ -137,7 +143,7 @@
         "state slow",
         new Range(50, 800, 3_000),
         ms(1_000, 15_000, 25_000),
-        (c, s, ms) -> c.state.slow((long) s, ms));
+        (c, s, ms) -> c.state.delayAnswers((long) s, ms));
   }
 
   private static void addCommandsAndReports() {
@@ -148,31 +154,31 @@
         "reports kept for the next leader",
         share,
         length,
-        (c, s, ms) -> c.keepReportsForNextLeader(s, ms, 0));
+        (c, s, ms) -> c.replayReportsToNextLeader(s, ms, 0));
     add(
         "reports kept until the next leader acted",
         share,
         length,
-        (c, s, ms) -> c.keepReportsForNextLeader(s, ms, AFTER_CLAIM_MS));
+        (c, s, ms) -> c.replayReportsToNextLeader(s, ms, AFTER_CLAIM_MS));
     add("commands and answers held", new Range(0.05, 0.2, 0.6), length, Troubles::holdBothWays);
     add("commands held", share, length, (c, s, ms) -> c.holdCommands(s, ms));
   }
 
   private static void addUsersAndCloud() {
     add("cloud down", ms(1_000, 15_000, 40_000), (c, s, ms) -> c.cloud.outage(ms));
-    add("quick boots", ms(5_000, 20_000, 40_000), (c, s, ms) -> c.cloud.quickBoots(ms));
+    add("quick boots", ms(5_000, 20_000, 40_000), (c, s, ms) -> c.cloud.bootQuickly(ms));
     add("burst", ms(1_000, 6_000, 12_000), Troubles::burst);
     add(
         "cancelled and machines hang",
         new Range(1, 4, 12),
         ms(500, 8_000, 12_000),
-        (c, s, ms) -> c.cancelNow((int) s, ms));
+        (c, s, ms) -> c.cancelRunningJobs((int) s, ms));
     add(
         "cancelled at the end",
         new Range(0.1, 0.5, 1),
         ms(1_000, 15_000, 25_000),
-        (c, s, ms) -> c.cancelAtEnd(s, ms));
-    add("close looks", ms(1_000, 15_000, 25_000), (c, s, ms) -> c.closeLooks(ms));
+        (c, s, ms) -> c.cancelAtCompletion(s, ms));
+    add("close looks", ms(1_000, 15_000, 25_000), (c, s, ms) -> c.repeatedQueries(ms));
     add("odd requests", ms(1_000, 15_000, 25_000), (c, s, ms) -> c.oddRequests(ms));
   }
 
@@ -194,11 +200,11 @@
 
   private static void cutFromAll(SimulatedCluster c, String member, long lengthMs) {
     c.world.cut(member, "n-", lengthMs);
-    c.leaveAlone(member, lengthMs);
+    c.isolateFromPeersAndState(member, lengthMs);
   }
 
   private static void cutZone(SimulatedCluster c, String member, long lengthMs) {
-    c.cutZoneWithControllers(c.siteOf(member), lengthMs);
+    c.cutZoneWithControllers(c.zoneOf(member), lengthMs);
   }
 
   /** Messages to and from machines take {@code extraMs} longer, and images are slow to fetch. */
@@ -212,26 +218,28 @@
     fifth(
         c,
         w -> {
-          w.notice(noticeMs);
-          c.world.after(noticeMs, () -> c.cloud.end(w, false));
+          w.announceTermination(noticeMs);
+          c.world.after(noticeMs, () -> c.cloud.terminate(w, false));
         });
   }
 
   private static void copyReports(SimulatedCluster c, double share, long lengthMs) {
     for (String path : List.of("/agent/beat", "/relay/report")) {
-      c.world.copy(new SimulatedNetwork.Copies(path, share, 1_000, 30_000), lengthMs);
+      c.world.copyRequests(
+          new SimulatedNetwork.RequestCopies(path, share, 1_000, 30_000), lengthMs);
     }
   }
 
   private static void holdBothWays(SimulatedCluster c, double share, long lengthMs) {
     for (boolean answers : new boolean[] {false, true}) {
-      c.world.hold(new SimulatedNetwork.Held("/commands", answers, share, 2_000, 40_000), lengthMs);
+      c.world.holdMessages(
+          new SimulatedNetwork.HeldMessages("/commands", answers, share, 2_000, 40_000), lengthMs);
     }
   }
 
   private static void burst(SimulatedCluster c, double strength, long lengthMs) {
     for (long after = 0; after < lengthMs; after += 100) {
-      c.world.after(after, () -> c.submit(c.plain(false, 10)));
+      c.world.after(after, () -> c.submit(c.plainJob(false, 10)));
     }
   }
 
@@ -256,7 +264,7 @@
         c,
         leader ->
             members(c).stream()
-                .filter(m -> !c.siteOf(m).equals(c.siteOf(leader)))
+                .filter(m -> !c.zoneOf(m).equals(c.zoneOf(leader)))
                 .findFirst()
                 .ifPresent(effect));
   }
