--- a/src/test/java/fennelthread/simulation/TroublesTest.java
+++ b/src/test/java/fennelthread/simulation/TroublesTest.java
@@ -63,13 +63,13 @@
   }
 
   private boolean isStored(JobSpec job) {
-    return c.state.count("live/job/" + job.id()) > 0;
+    return c.state.countKeys("live/job/" + job.id()) > 0;
   }
 
   @Test
   void answersOfTransactionsAreLostThoughTheyAreCarriedOut() {
-    JobSpec job = c.plain(false, 1);
-    c.rules.submits(job);
+    JobSpec job = c.plainJob(false, 1);
+    c.checker.recordSubmission(job);
     c.state.loseAnswers(1, 3_000);
     Answer[] got = new Answer[1];
     c.submitAt("nodo-0", job.id(), job.write(), answer -> got[0] = answer);
@@ -82,14 +82,14 @@
   /** What a controller makes of it is not looked at here: it may ask again within milliseconds. */
   @Test
   void oneAnswerThatIsPickedIsLost() {
-    c.state.loseAnswerOf((caller, body) -> body.contains("probe/picked"), 1);
+    c.state.loseNextAnswers((caller, body) -> body.contains("probe/picked"), 1);
     Probe other = write("probe/other").after(100);
     Probe picked = write("probe/picked").after(100);
     Probe next = write("probe/picked-next").after(100);
     assertEquals(200, other.answer.status());
     assertEquals(-1, picked.tookMs, "answered");
     assertEquals(200, next.answer.status());
-    assertEquals(2, c.state.count("probe/picked"), "not both applied");
+    assertEquals(2, c.state.countKeys("probe/picked"), "not both applied");
     assertEquals(1, c.state.answersLost);
   }
 
@@ -103,7 +103,7 @@
   @Test
   void aSlowStateServiceAnswersLater() {
     Probe usual = probe(SimulatedCluster.STATE, "/keys/live/epoch").after(1_000);
-    c.state.slow(700, 800);
+    c.state.delayAnswers(700, 800);
     Probe slow = probe(SimulatedCluster.STATE, "/keys/live/epoch").after(1_000);
     Probe again = probe(SimulatedCluster.STATE, "/keys/live/epoch").after(1_000);
     assertTrue(usual.tookMs < 20 && again.tookMs < 20);
@@ -117,36 +117,38 @@
     long[] claimedAt = {-1};
     c.state.onWrite.add(
         key -> claimedAt[0] = key.equals("live/lead") ? c.world.now() : claimedAt[0]);
-    c.keepReportsForNextLeader(1, 5_000, afterClaimMs);
+    c.replayReportsToNextLeader(1, 5_000, afterClaimMs);
     c.world.runUntil(c.world.now() + 6_000);
-    int kept = c.reportCopies.kept();
+    int kept = c.reportCopies.waiting();
     assertTrue(kept >= 10, kept + " kept");
-    assertEquals(0, c.reportCopies.handed());
+    assertEquals(0, c.reportCopies.delivered());
     c.crash(c.leader(), 200);
     Scenes.until(c, 30_000, () -> claimedAt[0] >= 0);
     if (afterClaimMs > 0) {
-      assertEquals(0, c.reportCopies.handed());
+      assertEquals(0, c.reportCopies.delivered());
       c.world.runUntil(claimedAt[0] + afterClaimMs);
     }
-    assertEquals(CONTROLLERS * kept, c.reportCopies.handed());
-    assertEquals(0, c.reportCopies.kept());
+    assertEquals(CONTROLLERS * kept, c.reportCopies.delivered());
+    assertEquals(0, c.reportCopies.waiting());
     c.world.runUntil(c.world.now() + 30_000);
   }
 
   @Test
   void aMuteMachineReachesNoControllerAndHearsCommands() {
     WorkerEmulator mute = aWorker();
-    long session = mute.peek().session();
+    long session = mute.nextReport().session();
     // A silent machine would be given back.
     c.cloud.outage(120_000);
-    c.mute(mute, 25_000);
+    c.blockRequests(mute, 25_000);
     c.world.runUntil(c.world.now() + 20_000);
-    assertTrue(c.world.requestFaults.muted > 3, c.world.requestFaults.muted + " muted");
-    assertTrue(mute.peek().session() > session, "some controller answered its reports");
+    assertTrue(
+        c.world.requestFaults.requestsBlocked > 3,
+        c.world.requestFaults.requestsBlocked + " muted");
+    assertTrue(mute.nextReport().session() > session, "some controller answered its reports");
     Fields none =
         Fields.create()
-            .with("ficha", mute.peek().token())
-            .with("turno", mute.peek().session())
+            .with("ficha", mute.nextReport().token())
+            .with("turno", mute.nextReport().session())
             .with("ordenes", List.of());
     Call command = Call.post("/commands", Codec.CBOR, none);
     Probe direct = new Probe(c.world, "probe", mute.address(), command).after(1_000);
@@ -156,15 +158,15 @@
   @Test
   void aMachineThatWasMuteForLessThanItsLeaseKeepsItsSession() {
     WorkerEmulator mute = aWorker();
-    long session = mute.peek().session();
-    c.mute(mute, 4_000);
+    long session = mute.nextReport().session();
+    c.blockRequests(mute, 4_000);
     c.world.runUntil(c.world.now() + 30_000);
-    assertTrue(c.world.requestFaults.muted >= 1);
-    assertEquals(session, mute.peek().session());
+    assertTrue(c.world.requestFaults.requestsBlocked >= 1);
+    assertEquals(session, mute.nextReport().session());
   }
 
   /** A machine beside the cluster, which no controller answers. */
-  private static final class Alone implements WorkerEmulator.Surroundings {
+  private static final class Alone implements WorkerEmulator.Environment {
     final Map<Integer, Long> begunAt = new TreeMap<>();
     final SimulatedNetwork network = new SimulatedNetwork(3);
     final JobSpec job;
@@ -204,12 +206,12 @@
     }
 
     @Override
-    public void begins(WorkerEmulator w, JobSpec spec, int index) {
+    public void onTaskStart(WorkerEmulator w, JobSpec spec, int index) {
       assertNull(begunAt.put(index, network.now()), "begun twice");
     }
 
     @Override
-    public void ends(WorkerEmulator w, JobSpec spec, int index, boolean completed) {}
+    public void onTaskEnd(WorkerEmulator w, JobSpec spec, int index, boolean completed) {}
 
     @Override
     public long reportMs() {
@@ -224,7 +226,7 @@
 
   @Test
   void heldCommandsAreCarriedOutOnceAndLateAndUnanswered() {
-    Alone alone = new Alone(c.plain(false, 8), 1_000_000);
+    Alone alone = new Alone(c.plainJob(false, 8), 1_000_000);
     alone.network.requestFaults.holdCommands(1, 1_000);
     List<Probe> sent = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
@@ -241,7 +243,7 @@
 
   @Test
   void heldCommandsOfAnOldSessionDoNothing() {
-    Alone alone = new Alone(c.plain(false, 1), 1_000);
+    Alone alone = new Alone(c.plainJob(false, 1), 1_000);
     alone.network.requestFaults.holdCommands(1, 1_000);
     alone.run(0);
     alone.network.runUntil(40_000);
@@ -251,41 +253,41 @@
 
   @Test
   void imagesAreSlowToFetch() {
-    Alone alone = new Alone(c.plain(false, 2), 1_000_000);
+    Alone alone = new Alone(c.plainJob(false, 2), 1_000_000);
     alone.worker.slowFetches(20, 10);
     alone.run(0);
     alone.network.runUntil(3_500);
-    assertEquals("FETCHING", alone.worker.peek().tasks().get(0).phase().name());
+    assertEquals("FETCHING", alone.worker.nextReport().tasks().get(0).phase().name());
     alone.run(1);
     alone.network.runUntil(5_300);
-    assertEquals("RUNNING", alone.worker.peek().tasks().get(1).phase().name());
+    assertEquals("RUNNING", alone.worker.nextReport().tasks().get(1).phase().name());
   }
 
   @Test
   void manyRunningJobsAreCancelledAtOnceWhileMachinesHang() {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      services.add(c.plain(true, 1));
+      services.add(c.plainJob(true, 1));
       c.submit(services.get(i));
     }
     Scenes.until(c, 60_000, () -> c.allRun(services));
     long from = c.world.now();
-    List<String> ids = c.cancelNow(6, 8_000);
+    List<String> ids = c.cancelRunningJobs(6, 8_000);
     assertEquals(6, ids.size());
-    assertTrue(c.cancellations.hung >= 1 && c.cancellations.hung <= 8);
+    assertTrue(c.cancellations.machinesHung >= 1 && c.cancellations.machinesHung <= 8);
     WorkerEmulator hanging =
         c.cloud.machines().values().stream()
-            .filter(w -> ids.stream().anyMatch(id -> c.rules.isOn(id, w)))
+            .filter(w -> ids.stream().anyMatch(id -> c.checker.isOn(id, w)))
             .findFirst()
             .orElseThrow();
     Probe unanswered = probe(hanging.address(), "/show");
     c.world.runUntil(from + 200);
-    assertTrue(ids.stream().allMatch(c.rules::isCancelAsked));
+    assertTrue(ids.stream().allMatch(c.checker::isCancelAsked));
     c.world.runUntil(from + 7_000);
     assertEquals(-1, unanswered.tookMs, "the machine doesn't hang");
-    assertTrue(ids.stream().allMatch(id -> c.rules.cancelledAt(id) >= from));
+    assertTrue(ids.stream().allMatch(id -> c.checker.cancelledAt(id) >= from));
     c.world.runUntil(from + 40_000);
-    assertEquals(2, services.stream().filter(job -> c.rules.running(job.id()) == 1).count());
+    assertEquals(2, services.stream().filter(job -> c.checker.running(job.id()) == 1).count());
   }
 
   @Test
@@ -295,21 +297,21 @@
     c.world.afterEach(
         () -> {
           for (JobSpec job : c.jobs) {
-            if (c.rules.allCompleted(job.id())) {
+            if (c.checker.allCompleted(job.id())) {
               endedAt.putIfAbsent(job.id(), c.world.now());
             }
-            if (c.rules.isCancelAsked(job.id())) {
+            if (c.checker.isCancelAsked(job.id())) {
               cancelledAt.putIfAbsent(job.id(), c.world.now());
             }
           }
         });
-    c.cancelAtEnd(1, 60_000);
+    c.cancelAtCompletion(1, 60_000);
     for (int i = 0; i < 20; i++) {
-      JobSpec job = c.plain(false, 1 + i % 2);
+      JobSpec job = c.plainJob(false, 1 + i % 2);
       c.world.after(i * 1_000L, () -> c.submit(job));
     }
     c.world.runUntil(c.world.now() + 70_000);
-    assertEquals(20, c.cancellations.cancelledAtEnd);
+    assertEquals(20, c.cancellations.cancelledAtCompletion);
     Set<Long> offsets = new HashSet<>();
     endedAt.forEach((id, at) -> offsets.add(Long.signum(cancelledAt.get(id) - at) * 1L));
     endedAt.forEach((id, at) -> assertTrue(Math.abs(cancelledAt.get(id) - at) <= 3));
@@ -318,32 +320,32 @@
 
   @Test
   void usersAskEveryControllerWithinMilliseconds() {
-    JobSpec job = c.plain(false, 1);
+    JobSpec job = c.plainJob(false, 1);
     Map<String, List<Long>> askedAt = new TreeMap<>();
     long[] acceptedAt = {-1};
-    c.onNews(id -> acceptedAt[0] = c.world.now());
+    c.onNewStatus(id -> acceptedAt[0] = c.world.now());
     c.world.requestFaults.onRequest(
         (from, to, call) -> {
           if (call.path().equals("/v1/jobs/" + job.id())) {
             askedAt.computeIfAbsent(to, k -> new ArrayList<>()).add(c.world.now() - acceptedAt[0]);
           }
         });
-    c.closeLooks(60_000);
+    c.repeatedQueries(60_000);
     c.submit(job);
     Scenes.until(c, 1_000, () -> acceptedAt[0] >= 0);
     c.world.runUntil(acceptedAt[0] + 100);
     assertEquals(c.controllers.keySet(), askedAt.keySet());
     askedAt.values().forEach(times -> assertEquals(List.of(0L, 1L, 2L, 5L, 20L, 100L), times));
-    assertEquals(1, c.closeLooks.repeated);
+    assertEquals(1, c.repeatedQueries.submissionsRepeated);
     c.world.runUntil(c.world.now() + 60_000);
-    assertTrue(c.rules.isOver(job.id()));
-    assertEquals(2, c.closeLooks.repeated, "after the end too");
+    assertTrue(c.checker.isOver(job.id()));
+    assertEquals(2, c.repeatedQueries.submissionsRepeated, "after the end too");
   }
 
   @Test
   void oddRequestsOfEveryKindAreSentAndInvalidOnesRefused() {
     for (int i = 0; i < 10; i++) {
-      JobSpec job = c.plain(i % 2 == 0, 2);
+      JobSpec job = c.plainJob(i % 2 == 0, 2);
       c.world.after(i * 3_000L, () -> c.submit(job));
     }
     c.world.runUntil(c.world.now() + 20_000);
@@ -361,8 +363,8 @@
   void machinesAreUpWithinTwoSeconds() {
     c.cloud.bootMs = () -> -1;
     Set<String> before = Set.copyOf(c.cloud.machines().keySet());
-    c.cloud.quickBoots(60_000);
-    c.submit(c.plain(true, 40));
+    c.cloud.bootQuickly(60_000);
+    c.submit(c.plainJob(true, 40));
     Scenes.until(c, 30_000, () -> c.cloud.machines().size() > before.size());
     List<WorkerEmulator> rented = new ArrayList<>(c.cloud.machines().values());
     rented.removeIf(w -> before.contains(w.name()));
@@ -374,8 +376,8 @@
   @Test
   void aZoneIsCutOffWithItsControllers() {
     String inside = "nodo-1";
-    assertEquals("sur", c.siteOf(inside));
-    c.world.place("probe-sur", "sur");
+    assertEquals("sur", c.zoneOf(inside));
+    c.world.setZone("probe-sur", "sur");
     c.cutZoneWithControllers("sur", 20_000);
     String address = c.controllers().get(inside);
     Probe outside = new Probe(c.world, "probe", address, Call.get("/up"));
--- a/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
@@ -104,13 +104,17 @@
       }
       case OLD_VERSION -> cluster.downgrade(third, 50);
       case SAVING_CHECKPOINTS ->
-          cluster.cloud.machines().values().forEach(worker -> worker.notice(leadMs + 30_000));
+          cluster
+              .cloud
+              .machines()
+              .values()
+              .forEach(worker -> worker.announceTermination(leadMs + 30_000));
       default -> {}
     }
     if (complication == Complication.SAVING_CHECKPOINTS) {
       cluster.world.runUntil(cluster.world.now() + REPORT_MS + 2_000);
     }
-    cluster.state.refuse(old, all);
+    cluster.state.refuseCaller(old, all);
     long from = cluster.world.now();
     long outageAt = from + leadMs;
     cluster.world.at(outageAt, () -> cluster.state.outage(outageMs));
@@ -135,7 +139,8 @@
       default -> {}
     }
     cluster.world.runUntil(outageAt);
-    long there = jobs.stream().filter(job -> cluster.rules.ranWhenCancelled(job.id()) > 0).count();
+    long there =
+        jobs.stream().filter(job -> cluster.checker.ranWhenCancelled(job.id()) > 0).count();
     cluster.world.runUntil(outageAt + outageMs);
     return (int) there;
   }
@@ -150,7 +155,7 @@
         key -> {
           if (key.equals("live/lead") && claimed[0] == null) {
             claimed[0] = cluster.state.caller();
-            cluster.state.refuse(claimed[0], 60_000);
+            cluster.state.refuseCaller(claimed[0], 60_000);
           }
         });
     // Frozen and back, not ended: a new process of a peer would have everybody wait for the
@@ -187,8 +192,8 @@
     // Rules are checked after each step: until all that was told is long due.
     cluster.world.runUntil(cluster.world.now() + CANCEL_MS + 30_000);
     for (JobSpec job : cancelled) {
-      if (cluster.rules.cancelledAt(job.id()) >= 0) {
-        assertEquals(0, cluster.rules.running(job.id()), what);
+      if (cluster.checker.cancelledAt(job.id()) >= 0) {
+        assertEquals(0, cluster.checker.running(job.id()), what);
       }
     }
     if (complication != Complication.TWICE && complication != Complication.SAVING_CHECKPOINTS) {
@@ -201,7 +206,7 @@
   private static List<JobSpec> savers(SimulatedCluster cluster) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < SERVICES; i++) {
-      JobSpec any = cluster.plain(false, 4);
+      JobSpec any = cluster.plainJob(false, 4);
       JobSpec job =
           JobSpec.builder(any.id())
               .jobClass(any.jobClass())
@@ -289,9 +294,9 @@
     List<JobSpec> services = Scenes.services(cluster, 20, 50, 20_000);
     List<JobSpec> waiting = new ArrayList<>();
     for (int i = 0; i < 4_980; i++) {
-      JobSpec job = cluster.plain(false, 1);
+      JobSpec job = cluster.plainJob(false, 1);
       waiting.add(job);
-      cluster.world.after(i * 4L, () -> cluster.submitOnly(job));
+      cluster.world.after(i * 4L, () -> cluster.submitOnce(job));
     }
     cluster.world.runUntil(cluster.world.now() + 21_000);
     List<JobSpec> all = new ArrayList<>(waiting);
@@ -299,7 +304,7 @@
       all.add(i * all.size() / services.size(), services.get(i));
     }
     int there = gap(cluster, all, 10_000, 2 * CANCEL_MS, Complication.CUT_FROM_ONE_PEER);
-    long told = all.stream().filter(job -> cluster.rules.cancelledAt(job.id()) >= 0).count();
+    long told = all.stream().filter(job -> cluster.checker.cancelledAt(job.id()) >= 0).count();
     System.out.printf("%d of %d were told, tasks of %d ran then%n", told, all.size(), there);
     assertTrue(told > 2_500, told + " were told");
     assertTrue(there >= 10, there + " ran");
@@ -317,9 +322,9 @@
         Scenes.settled(
             seed, Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, cancelMs), 0.0005);
     List<JobSpec> services = Scenes.services(cluster, SERVICES, 50, 20_000);
-    int before = cluster.rules.starts;
+    int before = cluster.checker.starts;
     cluster.world.runUntil(cluster.world.now() + 60_000);
-    assertEquals(before, cluster.rules.starts, "started again on a quiet day");
+    assertEquals(before, cluster.checker.starts, "started again on a quiet day");
     for (Complication complication :
         new Complication[] {Complication.CUT_FROM_BOTH_PEERS, Complication.CUT_FROM_ONE_PEER}) {
       int there =
--- a/src/test/java/fennelthread/simulation/UserAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/UserAnswersTest.java
@@ -60,7 +60,7 @@
             .spotAllowed(true)
             .estimateS(5)
             .build();
-    c.rules.submits(spec);
+    c.checker.recordSubmission(spec);
     return spec.write();
   }
 
@@ -176,12 +176,12 @@
   void aLateAcceptanceIsFoundByTheRepeatedId() {
     Fields body = good();
     byte[] bytes = Codec.CBOR.encode(body);
-    c.state.delay = (caller, text) -> text.contains("at_ms") ? 3_000 : 0;
+    c.state.transactionDelayMs = (caller, text) -> text.contains("at_ms") ? 3_000 : 0;
     Answer[] got = new Answer[1];
     handle("nodo-0", "POST", "/v1/jobs", bytes, got, 0);
     c.world.runUntil(c.world.now() + ApiConstants.ANSWER_DEADLINE_MS + 10);
     assertEquals(503, got[0].status());
-    c.state.delay = (caller, text) -> 0;
+    c.state.transactionDelayMs = (caller, text) -> 0;
     c.world.runUntil(c.world.now() + 3_000);
     assertEquals(200, submit("nodo-1", body).status());
     assertEquals(200, submit("nodo-0", body).status());
@@ -195,7 +195,7 @@
   void repeatedSubmissionsCostNoTransaction() {
     byte[] bytes = Codec.CBOR.encode(good());
     int[] sent = new int[1];
-    c.state.delay =
+    c.state.transactionDelayMs =
         (caller, text) -> {
           sent[0] += text.contains("at_ms") ? 1 : 0;
           // Not so long that the controller itself takes the answer for lost.
@@ -226,7 +226,7 @@
     Fields body = good();
     submit("nodo-0", body);
     String id = body.text("name_id");
-    c.rules.asksToCancel(id);
+    c.checker.recordCancelRequest(id);
     assertEquals(
         "withdrawn",
         ask("nodo-2", "POST", "/v1/jobs/" + id + "/withdraw", null).fields().text("estado"));
--- a/src/test/java/fennelthread/simulation/UserMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/UserMeetingsTest.java
@@ -99,22 +99,22 @@
   void aCancellationMeetsTheEndOfTheLastTask(
       long seed, boolean cancelFirst, List<Write> lost, String member) throws WireException {
     SimulatedCluster c = settled(seed);
-    c.closeLooks(60_000);
+    c.repeatedQueries(60_000);
     JobSpec job = Scenes.lasting(c, 1, 2);
     c.submit(job);
     String id = job.id();
-    lost.forEach(write -> c.state.loseAnswerOf(write.of(id), 1));
+    lost.forEach(write -> c.state.loseNextAnswers(write.of(id), 1));
     Map<Write, Long> arrived = new LinkedHashMap<>();
     Answer[] told = new Answer[1];
     long[] asked = new long[1];
     long[] answered = new long[1];
-    c.state.delay =
+    c.state.transactionDelayMs =
         (caller, body) -> {
           if (Write.COMPLETION.of(id).test(caller, body)
               && arrived.putIfAbsent(Write.COMPLETION, c.world.now()) == null) {
             // The cancellation is asked for while the end is on its way to the state service.
             asked[0] = c.world.now();
-            c.rules.asksToCancel(id);
+            c.checker.recordCancelRequest(id);
             c.cancelAt(
                 member,
                 id,
@@ -140,9 +140,9 @@
     assertNotNull(told[0]);
     assertEquals(cancelFirst ? "withdrawn" : "done", told[0].fields().text("estado"));
     assertTrue(answered[0] - asked[0] <= SETTLED_MS, "took " + (answered[0] - asked[0]) + " ms");
-    assertEquals(1, c.state.count("final/" + id));
-    assertEquals(0, c.state.count("live/job/" + id));
-    assertTrue(c.closeLooks.asked > 0 && c.rules.isOver(id));
+    assertEquals(1, c.state.countKeys("final/" + id));
+    assertEquals(0, c.state.countKeys("live/job/" + id));
+    assertTrue(c.repeatedQueries.queriesSent > 0 && c.checker.isOver(id));
   }
 
   // ---------------------------------------------------------------- acceptances
@@ -165,10 +165,10 @@
   void anAcceptanceWhoseAnswerIsLostIsSettledByTheController(String second, long afterMs) {
     SimulatedCluster c = settled(11 + afterMs);
     JobSpec job = Scenes.lasting(c, 1, 2);
-    c.rules.submits(job);
-    c.state.loseAnswerOf(Write.ACCEPTANCE.of(job.id()), 1);
+    c.checker.recordSubmission(job);
+    c.state.loseNextAnswers(Write.ACCEPTANCE.of(job.id()), 1);
     int[] sent = new int[1];
-    c.state.delay =
+    c.state.transactionDelayMs =
         (caller, body) -> {
           sent[0] += Write.ACCEPTANCE.of(job.id()).test(caller, body) ? 1 : 0;
           return 0;
@@ -205,7 +205,7 @@
     for (long at : answeredAt.values()) {
       assertTrue(at - from - afterMs <= SETTLED_MS, "took " + (at - from) + " ms");
     }
-    assertEquals(1, c.state.count("final/" + job.id()), "it ran, once");
+    assertEquals(1, c.state.countKeys("final/" + job.id()), "it ran, once");
   }
 
   /** An acceptance that is carried out late is sent again, and applied once. */
@@ -214,9 +214,9 @@
   void anAcceptanceThatIsHeldUpIsSentAgain(long heldMs) throws WireException {
     SimulatedCluster c = settled(5);
     JobSpec job = Scenes.lasting(c, 1, 2);
-    c.rules.submits(job);
+    c.checker.recordSubmission(job);
     int[] sent = new int[1];
-    c.state.delay =
+    c.state.transactionDelayMs =
         (caller, body) ->
             Write.ACCEPTANCE.of(job.id()).test(caller, body) && sent[0]++ == 0 ? heldMs : 0;
     long from = c.world.now();
@@ -236,8 +236,8 @@
     assertNotNull(told[0]);
     assertEquals(201, told[0].status());
     assertTrue(at[0] - from <= SETTLED_MS, "took " + (at[0] - from) + " ms");
-    assertEquals(1, c.state.count("final/" + job.id()));
-    assertEquals(0, c.state.count("live/job/" + job.id()), "not brought back by the late one");
+    assertEquals(1, c.state.countKeys("final/" + job.id()));
+    assertEquals(0, c.state.countKeys("live/job/" + job.id()), "not brought back by the late one");
   }
 
   /**
@@ -251,12 +251,12 @@
     // Not while a watch is opened: its answer would be late too.
     c.world.runUntil(c.world.now() + 1_500);
     JobSpec job = Scenes.lasting(c, 1, 5);
-    c.rules.submits(job);
-    c.state.slow(110, 10);
+    c.checker.recordSubmission(job);
+    c.state.delayAnswers(110, 10);
     c.submitAt("nodo-0", job.id(), job.write(), a -> {});
     c.world.runUntil(c.world.now() + 12);
-    assertEquals(1, c.state.count("live/job/" + job.id()), "applied, and not answered yet");
-    c.rules.asksToCancel(job.id());
+    assertEquals(1, c.state.countKeys("live/job/" + job.id()), "applied, and not answered yet");
+    c.checker.recordCancelRequest(job.id());
     Answer[] told = new Answer[2];
     c.cancelAt("nodo-1", job.id(), a -> told[0] = a);
     c.world.runUntil(c.world.now() + afterMs);
@@ -278,7 +278,7 @@
     JobSpec job = Scenes.lasting(c, 40, 3);
     c.submit(job);
     // Other changes keep the copies of the state a moment behind.
-    every(c, 90, 250, () -> c.submitOnly(Scenes.lasting(c, 1, 60)));
+    every(c, 90, 250, () -> c.submitOnce(Scenes.lasting(c, 1, 60)));
     List<Long> counts = new ArrayList<>();
     for (int i = 0; i < 4_000; i++) {
       String member = MEMBERS.get(i % MEMBERS.size());
@@ -302,8 +302,8 @@
     for (int i = 0; i < 40; i++) {
       JobSpec other = Scenes.lasting(c, 1, 60);
       JobSpec job = Scenes.lasting(c, 1, 60);
-      c.world.after(i * 200L, () -> c.submitOnly(other));
-      c.rules.submits(job);
+      c.world.after(i * 200L, () -> c.submitOnce(other));
+      c.checker.recordSubmission(job);
       c.world.after(
           i * 200L + 10,
           () ->
@@ -312,7 +312,7 @@
                   job.id(),
                   job.write(),
                   accepted -> {
-                    c.rules.asksToCancel(job.id());
+                    c.checker.recordCancelRequest(job.id());
                     c.cancelAt("nodo-0", job.id());
                     every(
                         c,
@@ -338,7 +338,7 @@
     int all = 240;
     for (int i = 0; i < all; i++) {
       JobSpec job = Scenes.lasting(c, 1, 1);
-      c.rules.submits(job);
+      c.checker.recordSubmission(job);
       String member = MEMBERS.get(i % MEMBERS.size());
       c.world.after(
           i * 500L,
@@ -369,7 +369,7 @@
   void oneTaskJobsComeFourASecond(double lost, double mostChanges, long medianMs) {
     SimulatedCluster c = Scenes.settled(4, Deployment.large(30), 0);
     c.state.loseAnswers(lost, 320_000);
-    long keysBefore = c.state.count("live/");
+    long keysBefore = c.state.countKeys("live/");
     long changesBefore = c.state.changes;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 1_200; i++) {
@@ -381,14 +381,14 @@
       }
     }
     Map<String, Long> toDone = timesToDone(c, jobs, 320_000);
-    c.rules.troublesAreOver();
+    c.checker.recordEndOfFaults();
     c.world.runUntil(c.world.now() + 30_000);
-    long cancelled = jobs.stream().filter(j -> c.rules.cancelledAt(j.id()) >= 0).count();
-    long done = jobs.stream().filter(j -> c.rules.allCompleted(j.id())).count();
+    long cancelled = jobs.stream().filter(j -> c.checker.cancelledAt(j.id()) >= 0).count();
+    long done = jobs.stream().filter(j -> c.checker.allCompleted(j.id())).count();
     assertTrue(cancelled >= 200, cancelled + " cancelled");
-    assertTrue(jobs.stream().allMatch(j -> c.rules.isOver(j.id())), "all are over");
-    assertEquals(jobs.size(), c.state.count("final/"));
-    long keys = c.state.count("live/") - keysBefore;
+    assertTrue(jobs.stream().allMatch(j -> c.checker.isOver(j.id())), "all are over");
+    assertEquals(jobs.size(), c.state.countKeys("final/"));
+    long keys = c.state.countKeys("live/") - keysBefore;
     double changes = (c.state.changes - changesBefore) / (double) jobs.size();
     List<Long> times = toDone.values().stream().sorted().toList();
     long median = times.get(times.size() / 2);
@@ -412,7 +412,7 @@
       c.world.runUntil(c.world.now() + 50);
       for (JobSpec job : jobs) {
         String id = job.id();
-        if (!c.rules.isAccepted(id) || took.containsKey(id) || !c.rules.allCompleted(id)) {
+        if (!c.checker.isAccepted(id) || took.containsKey(id) || !c.checker.allCompleted(id)) {
           continue;
         }
         long at = completedAt.computeIfAbsent(id, k -> c.world.now());
--- a/src/test/java/fennelthread/simulation/WaitingTest.java
+++ b/src/test/java/fennelthread/simulation/WaitingTest.java
@@ -27,10 +27,10 @@
   private static SimulatedCluster calm(long seed, double teamCap) {
     Deployment deployment = Deployment.large(MACHINES).withTeamCap(teamCap);
     SimulatedCluster c = Scenes.settled(seed, deployment, 0);
-    c.deployment.zones().forEach(zone -> c.cloud.noCapacity(zone, Long.MAX_VALUE / 4));
+    c.deployment.zones().forEach(zone -> c.cloud.exhaustZone(zone, Long.MAX_VALUE / 4));
     // What was asked for before comes up.
     c.world.runUntil(c.world.now() + 20_000);
-    c.rules.troublesAreOver();
+    c.checker.recordEndOfFaults();
     return c;
   }
 
@@ -49,7 +49,7 @@
   }
 
   private static long beginsAfterMs(SimulatedCluster c, JobSpec job) {
-    return Scenes.until(c, 200_000, () -> c.rules.running(job.id()) > 0);
+    return Scenes.until(c, 200_000, () -> c.checker.running(job.id()) > 0);
   }
 
   /**
@@ -70,7 +70,7 @@
     assertTrue(tookMs > 30_000, "did not stand back, began after " + tookMs + " ms");
     assertTrue(
         tookMs < SimulationConstants.MAX_IDLE_CAPACITY_WAIT_MS, "began after " + tookMs + " ms");
-    assertEquals(0, c.rules.running(stuck.id()));
+    assertEquals(0, c.checker.running(stuck.id()));
   }
 
   /**
@@ -89,7 +89,7 @@
     JobSpec services = JobDraft.service(c, up.size() - 1).cpus(MACHINE_CPUS).team("azul").spec();
     c.submit(services);
     c.world.runUntil(c.world.now() + 10_000);
-    up.forEach(w -> w.sicken(1_800));
+    up.forEach(w -> w.failTasks(1_800));
     JobSpec filling = JobDraft.array(c, 1, 900).cpus(MACHINE_CPUS - 1).spec();
     c.submit(filling);
     c.world.runUntil(c.world.now() + 10_000);
@@ -104,9 +104,9 @@
     assertTrue(tookMs > 30_000, "did not stand back, began after " + tookMs + " ms");
     assertTrue(
         tookMs < SimulationConstants.MAX_IDLE_CAPACITY_WAIT_MS, "began after " + tookMs + " ms");
-    Scenes.until(c, 100_000, () -> c.rules.allCompleted(small.id()));
-    assertTrue(c.rules.allCompleted(small.id()), "the small job is done");
-    assertEquals(0, c.rules.running(largest.id()));
+    Scenes.until(c, 100_000, () -> c.checker.allCompleted(small.id()));
+    assertTrue(c.checker.allCompleted(small.id()), "the small job is done");
+    assertEquals(0, c.checker.running(largest.id()));
   }
 
   /**
@@ -120,7 +120,7 @@
     for (String zone : c.deployment.zones()) {
       fill(c, zone, 1);
     }
-    c.cloud.machines().values().forEach(w -> w.sicken(6_000));
+    c.cloud.machines().values().forEach(w -> w.failTasks(6_000));
     for (int i = 0; i < 12; i++) {
       c.submit(JobDraft.array(c, 6, 3).team(i % 2 == 0 ? "roja" : "azul").spec());
     }
@@ -130,9 +130,9 @@
     JobSpec next = JobDraft.array(c, 3 * up, 1_200).spec();
     c.submit(next);
     int[] early = new int[1];
-    c.world.after(15_000, () -> early[0] = c.rules.running(next.id()));
-    Scenes.until(c, 200_000, () -> c.rules.running(next.id()) == next.tasks());
-    assertEquals(next.tasks(), c.rules.running(next.id()), "all its tasks run");
+    c.world.after(15_000, () -> early[0] = c.checker.running(next.id()));
+    Scenes.until(c, 200_000, () -> c.checker.running(next.id()) == next.tasks());
+    assertEquals(next.tasks(), c.checker.running(next.id()), "all its tasks run");
     assertTrue(early[0] < next.tasks(), "no machine was taken for faulty");
   }
 
--- a/src/test/java/fennelthread/simulation/WorstMinuteTest.java
+++ b/src/test/java/fennelthread/simulation/WorstMinuteTest.java
@@ -47,7 +47,7 @@
   private static void loseAThird(ScaledCell cell) {
     List<WorkerEmulator> all = List.copyOf(cell.cloud.machines().values());
     for (int i = 0; i < all.size(); i += 3) {
-      cell.cloud.end(all.get(i), true);
+      cell.cloud.terminate(all.get(i), true);
     }
   }
 
--- a/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
@@ -51,7 +51,11 @@
     "12,false,OUT,0.5,60000"
   })
   void aZoneIsCutOffWithItsController(
-      long seed, boolean leaderInside, SimulatedNetwork.Way way, double share, long forMs) {
+      long seed,
+      boolean leaderInside,
+      SimulatedNetwork.CutDirection way,
+      double share,
+      long forMs) {
     SimulatedCluster c = Scenes.settled(seed, Deployment.large(24), 0);
     List<JobSpec> services = Scenes.services(c, 12, 100, 15_000);
     for (int i = 0; i < 10; i++) {
@@ -68,7 +72,7 @@
     int[] there = new int[1];
     String outside =
         c.controllers.keySet().stream()
-            .filter(m -> !c.siteOf(m).equals(zone))
+            .filter(m -> !c.zoneOf(m).equals(zone))
             .findFirst()
             .orElseThrow();
     for (int i = 0; i < cancelled.size(); i++) {
@@ -76,7 +80,7 @@
       c.world.after(
           400 + i * 900L,
           () -> {
-            there[0] += c.rules.taskPresence().running(id, zone) > 0 ? 1 : 0;
+            there[0] += c.checker.taskPresence().running(id, zone) > 0 ? 1 : 0;
             c.cancelThrough(outside, id, 30);
           });
     }
@@ -86,22 +90,22 @@
     c.world.runUntil(cutAt + BEYOND_LEASE_MS);
     Set<String> still = tasksIn(c, zone);
     still.retainAll(before);
-    if (way == SimulatedNetwork.Way.BOTH && share == 1) {
+    if (way == SimulatedNetwork.CutDirection.BOTH && share == 1) {
       // Workers whose next controller is outside too find the one inside too late.
       int least = leaderInside ? 5 : isNextInside(c, first, zone) ? 3 : 0;
       assertTrue(still.size() >= least, still.size() + " tasks lived inside beyond a lease");
-      assertNotEquals(zone, c.siteOf(leaderOutside(c, zone)), "nobody leads outside");
+      assertNotEquals(zone, c.zoneOf(leaderOutside(c, zone)), "nobody leads outside");
     }
     c.world.runUntil(cutAt + forMs);
     assertTrue(there[0] >= 3, there[0] + " cancelled while tasks of theirs were in " + zone);
     assertTrue(
-        cancelled.stream().allMatch(job -> c.rules.cancelledAt(job.id()) >= 0),
+        cancelled.stream().allMatch(job -> c.checker.cancelledAt(job.id()) >= 0),
         "not all were told");
     settle(c, services.subList(6, 12));
   }
 
   private static String zoneOf(SimulatedCluster c, String leader, boolean same) {
-    String own = c.siteOf(leader);
+    String own = c.zoneOf(leader);
     return c.deployment.zones().stream()
         .filter(zone -> zone.equals(own) == same)
         .findFirst()
@@ -111,12 +115,12 @@
   /** True if a worker that gets no answer from that controller tries one of the zone next. */
   private static boolean isNextInside(SimulatedCluster c, String member, String zone) {
     List<String> all = List.copyOf(c.controllers.keySet());
-    return c.siteOf(all.get((all.indexOf(member) + 1) % all.size())).equals(zone);
+    return c.zoneOf(all.get((all.indexOf(member) + 1) % all.size())).equals(zone);
   }
 
   private static String leaderOutside(SimulatedCluster c, String zone) {
     return c.controllers.keySet().stream()
-        .filter(m -> !c.siteOf(m).equals(zone) && c.controllers.get(m).isLeading())
+        .filter(m -> !c.zoneOf(m).equals(zone) && c.controllers.get(m).isLeading())
         .findFirst()
         .orElseThrow(() -> new AssertionError("nobody leads outside"));
   }
@@ -124,7 +128,7 @@
   /** The tasks on machines of a zone, each with its machine's name. */
   private static Set<String> tasksIn(SimulatedCluster c, String zone) {
     Set<String> tasks = new HashSet<>();
-    for (String task : c.rules.present()) {
+    for (String task : c.checker.tasksOnMachines()) {
       WorkerEmulator w = c.cloud.machines().get(task.substring(task.indexOf('@') + 1));
       if (w != null && w.zone().equals(zone)) {
         tasks.add(task);
@@ -142,16 +146,18 @@
   /** Nothing fails any more: every array is over, every service whole, and nobody waits. */
   private static void settle(SimulatedCluster c, List<JobSpec> services) {
     c.world.runUntil(c.world.now() + 30_000);
-    c.rules.troublesAreOver();
+    c.checker.recordEndOfFaults();
     List<JobSpec> arrays =
-        c.jobs.stream().filter(job -> !job.service() && !c.rules.isCancelAsked(job.id())).toList();
+        c.jobs.stream()
+            .filter(job -> !job.service() && !c.checker.isCancelAsked(job.id()))
+            .toList();
     Scenes.until(
         c,
         240_000,
-        () -> c.allRun(services) && arrays.stream().allMatch(job -> c.rules.isOver(job.id())));
+        () -> c.allRun(services) && arrays.stream().allMatch(job -> c.checker.isOver(job.id())));
     assertTrue(c.allRun(services), "services are whole");
     assertEquals(
-        List.of(), arrays.stream().map(JobSpec::id).filter(id -> !c.rules.isOver(id)).toList());
+        List.of(), arrays.stream().map(JobSpec::id).filter(id -> !c.checker.isOver(id)).toList());
     c.world.runUntil(c.world.now() + 100_000);
     assertTrue(c.allRun(services), "services stay whole");
   }
@@ -193,15 +199,17 @@
     List<JobSpec> bound = boundJobs(c);
     bound.forEach(c::submit);
     Scenes.until(
-        c, 30_000, () -> bound.stream().filter(job -> c.rules.running(job.id()) > 0).count() > 20);
+        c,
+        30_000,
+        () -> bound.stream().filter(job -> c.checker.running(job.id()) > 0).count() > 20);
     c.world.runUntil(c.world.now() + 3_000);
     List<WorkerEmulator> lost = halfOf(c, "sur");
     long hit =
         bound.stream()
-            .filter(job -> lost.stream().anyMatch(w -> c.rules.isOn(job.id(), w)))
+            .filter(job -> lost.stream().anyMatch(w -> c.checker.isOn(job.id(), w)))
             .count();
     assertTrue(hit >= 4, hit + " bound jobs lose a machine");
-    c.cloud.noCapacity("sur", 40_000);
+    c.cloud.exhaustZone("sur", 40_000);
     lost.forEach(w -> lose(c, w, loss));
     for (int i = 0; i < leaderChanges; i++) {
       c.world.after(1_500 + i * 5_000L, () -> ifLed(c, m -> c.crash(m, 1_000)));
@@ -211,7 +219,7 @@
     assertEquals(
         List.of(),
         bound.stream()
-            .filter(job -> !job.service() && !c.rules.allCompleted(job.id()))
+            .filter(job -> !job.service() && !c.checker.allCompleted(job.id()))
             .map(JobSpec::id)
             .toList());
   }
@@ -245,7 +253,7 @@
 
   private static void lose(SimulatedCluster c, WorkerEmulator w, Loss loss) {
     switch (loss) {
-      case DIE -> c.cloud.end(w, true);
+      case DIE -> c.cloud.terminate(w, true);
       case HANG -> w.hang(7_000 + c.world.faults.nextInt(20_000));
       case CUT -> c.world.cut(w.name(), "nodo", 7_000 + c.world.faults.nextInt(25_000));
       case DEAF -> c.world.cutOneWay("nodo", w.name(), LEASE_MS + 15_000);
@@ -279,7 +287,7 @@
     JobDraft draft = JobDraft.array(c, 1, 5).priority(Priority.STANDARD).cpus(4);
     JobSpec bound = (type == null ? draft : draft.type(type)).zone(zone).spec();
     c.submit(bound);
-    long tookMs = Scenes.until(c, 100_000, () -> c.rules.running(bound.id()) > 0);
+    long tookMs = Scenes.until(c, 100_000, () -> c.checker.running(bound.id()) > 0);
     assertTrue(tookMs < 60_000, bound.id() + " began after " + tookMs + " ms");
   }
 
@@ -306,7 +314,7 @@
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
   void soak() {
-    SimulatedNetwork.Way[] ways = SimulatedNetwork.Way.values();
+    SimulatedNetwork.CutDirection[] ways = SimulatedNetwork.CutDirection.values();
     Loss[] losses = Loss.values();
     Scenes.soak(
         seed -> {
