--- a/src/main/java/fennelthread/capacity/Slope.java
+++ b/src/main/java/fennelthread/capacity/Slope.java
@@ -29,7 +29,7 @@
   public boolean grows() {
     LinearFit fit = fit();
     boolean visible =
-        points.stream().anyMatch(p -> Math.abs(p.value()) > CapacityConstants.MIN_VISIBLE_SLOPE);
+        points.stream().anyMatch(p -> Math.abs(p.value()) > CapacityConstants.MIN_VISIBLE_VALUE);
     return visible
         && Math.abs(fit.slope()) > CapacityConstants.MIN_SLOPE_STANDARD_ERRORS * fit.slopeError();
   }
--- a/src/main/java/fennelthread/constants/CapacityConstants.java
+++ b/src/main/java/fennelthread/constants/CapacityConstants.java
@@ -9,7 +9,7 @@
   public static final double MIN_LINE_R_SQUARED = 0.98;
 
   /** Slopes below this count as zero in the capacity tables, in the unit of the table. */
-  public static final double MIN_VISIBLE_SLOPE = 1e-3;
+  public static final double MIN_VISIBLE_VALUE = 1e-3;
 
   private CapacityConstants() {}
 }
--- a/src/main/java/fennelthread/constants/ElectionConstants.java
+++ b/src/main/java/fennelthread/constants/ElectionConstants.java
@@ -12,7 +12,7 @@
   public static final long PROMISE_REMAINING_MS = 1_000;
 
   /** Shortest time between two writes of that declaration, ms: each is a change of the state. */
-  public static final long DECLARATION_RETRY_MS = 300;
+  public static final long MIN_DECLARATION_INTERVAL_MS = 300;
 
   /** Time for which promises must have sufficed before the declaration is revoked, ms. */
   public static final long REVOKE_DECLARATION_AFTER_MS = 5_000;
--- a/src/main/java/fennelthread/constants/EmulationConstants.java
+++ b/src/main/java/fennelthread/constants/EmulationConstants.java
@@ -149,7 +149,7 @@
   public static final long STARTUP_TIMEOUT_MS = 60_000;
 
   /** Longest time that an interrupted run may take to write its report, s. */
-  public static final long REPORT_TIMEOUT_S = 20;
+  public static final long RUN_REPORT_TIMEOUT_S = 20;
 
   /** Clock ticks per second in which Linux counts processor time. */
   public static final double CLOCK_TICKS_PER_S = 100;
--- a/src/main/java/fennelthread/constants/NetConstants.java
+++ b/src/main/java/fennelthread/constants/NetConstants.java
@@ -15,7 +15,7 @@
    * Longest time after a stall for which others' silence proves nothing, ms: whoever is silent for
    * longer is really silent.
    */
-  public static final long MAX_LISTEN_AFTER_STALL_MS = 10_000;
+  public static final long MAX_CATCH_UP_AFTER_STALL_MS = 10_000;
 
   /** Most idle outbound connections kept for each address. */
   public static final int MAX_IDLE_CONNECTIONS_PER_ADDRESS = 4;
--- a/src/main/java/fennelthread/constants/RelayConstants.java
+++ b/src/main/java/fennelthread/constants/RelayConstants.java
@@ -76,10 +76,10 @@
    * Time for which a worker's reports are relayed before it is first redirected to the leader
    * again, ms; doubled each time.
    */
-  public static final long MIN_RELAY_HOLD_MS = 12_000;
+  public static final long MIN_RELAY_PERIOD_MS = 12_000;
 
   /** Longest such time, ms. */
-  public static final long MAX_RELAY_HOLD_MS = 60_000;
+  public static final long MAX_RELAY_PERIOD_MS = 60_000;
 
   /**
    * Time after the start of a term from which a worker that obeys its leader must also have
--- a/src/main/java/fennelthread/constants/StateConstants.java
+++ b/src/main/java/fennelthread/constants/StateConstants.java
@@ -17,7 +17,7 @@
    * Number of overdue requests, with no answer since, after which the service counts as
    * unresponsive.
    */
-  public static final int UNRESPONSIVE_EVIDENCE = 2;
+  public static final int MIN_OVERDUE_UNRESPONSIVE = 2;
 
   /**
    * Shortest time after which an unanswered transaction counts as overdue, ms: by then its changes
--- a/src/main/java/fennelthread/election/UnilateralLeadership.java
+++ b/src/main/java/fennelthread/election/UnilateralLeadership.java
@@ -103,7 +103,7 @@
    * replica, so that an earlier write without an answer can't be applied after this one.
    */
   private void write(boolean declared) {
-    if (eventLoop.nowMs() - lastWriteAtMs < ElectionConstants.DECLARATION_RETRY_MS) {
+    if (eventLoop.nowMs() - lastWriteAtMs < ElectionConstants.MIN_DECLARATION_INTERVAL_MS) {
       return;
     }
     lastWriteAtMs = eventLoop.nowMs();
--- a/src/main/java/fennelthread/emulate/Emulation.java
+++ b/src/main/java/fennelthread/emulate/Emulation.java
@@ -97,7 +97,7 @@
   /** Ends a run early, as Ctrl-C does, and waits until its report is written. */
   public void interrupt() throws InterruptedException {
     stop.countDown();
-    over.await(EmulationConstants.REPORT_TIMEOUT_S, TimeUnit.SECONDS);
+    over.await(EmulationConstants.RUN_REPORT_TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   /** Runs to the end; how many rules were broken. */
--- a/src/main/java/fennelthread/net/StallDetector.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -55,7 +55,7 @@
       log.info("process stalled gapMs={} stalls={}", gapMs, stalls);
       catchingUpUntilMs =
           Math.max(
-              catchingUpUntilMs, nowMs + Math.min(NetConstants.MAX_LISTEN_AFTER_STALL_MS, gapMs));
+              catchingUpUntilMs, nowMs + Math.min(NetConstants.MAX_CATCH_UP_AFTER_STALL_MS, gapMs));
       moveTo(Phase.CATCHING_UP);
     } else if (nowMs >= catchingUpUntilMs) {
       moveTo(Phase.NORMAL);
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -50,7 +50,7 @@
   private static final class WorkerRoute {
     long redirectedAtMs;
     long relayedSinceMs = -1;
-    long relayPeriodMs = RelayConstants.MIN_RELAY_HOLD_MS;
+    long relayPeriodMs = RelayConstants.MIN_RELAY_PERIOD_MS;
   }
 
   private final EventLoop eventLoop;
@@ -116,7 +116,7 @@
       }
       // The worker is to try the leader again, after a longer period each time.
       route.relayedSinceMs = -1;
-      route.relayPeriodMs = Math.min(RelayConstants.MAX_RELAY_HOLD_MS, route.relayPeriodMs * 2);
+      route.relayPeriodMs = Math.min(RelayConstants.MAX_RELAY_PERIOD_MS, route.relayPeriodMs * 2);
       route.redirectedAtMs = nowMs;
       return false;
     }
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -105,7 +105,7 @@
     if (overdueRequests == 0) {
       return Status.RESPONSIVE;
     }
-    return overdueRequests < StateConstants.UNRESPONSIVE_EVIDENCE
+    return overdueRequests < StateConstants.MIN_OVERDUE_UNRESPONSIVE
         ? Status.SUSPECT
         : Status.UNRESPONSIVE;
   }
