--- a/src/main/java/fennelthread/plan/FreeCapacity.java
+++ b/src/main/java/fennelthread/plan/FreeCapacity.java
@@ -35,6 +35,8 @@
   private Set<String> fetching;
   private Map<String, Integer> tasksByClass;
   private List<Snapshot.RunningTask> runningByCompletion;
+
+  /** Computed on first use; negative until then. */
   private double firstCompletionS = -1;
 
   /**
@@ -57,7 +59,10 @@
     return index;
   }
 
-  /** A number that rises with each allocation and reservation: shows that a ranking is outdated. */
+  /**
+   * A number that rises with each allocation and reservation: a cost that was computed at a lower
+   * version is outdated.
+   */
   int version() {
     return version;
   }
@@ -68,11 +73,11 @@
 
   /**
    * Returns true if a task fits now beside all reservations. When capacity for a large task is
-   * released in parts, the first part must not go to a smaller and less urgent task, which would be
-   * preempted for the large one again, over and over.
+   * released in parts, the first part must not go to a smaller and less urgent task. The large task
+   * would preempt that one in a later round, and the same could happen again and again.
    */
   boolean fits(JobSpec spec) {
-    return isEnough(
+    return isCapacityEnough(
         spec,
         freeCpus + Math.min(0, releasingCpus),
         freeCards + Math.min(0, releasingCards),
@@ -81,7 +86,7 @@
 
   /** Returns true if a task fits now, whatever is reserved for others. */
   boolean fitsIgnoringReservations(JobSpec spec) {
-    return isEnough(spec, freeCpus, freeCards, freeMemGb);
+    return isCapacityEnough(spec, freeCpus, freeCards, freeMemGb);
   }
 
   /** Returns true if a task fits beside all reservations once the stopping tasks are gone. */
@@ -94,7 +99,7 @@
    * given capacity is released in addition.
    */
   boolean fitsAfterReleasesAnd(JobSpec spec, double moreCpus, double moreCards, double moreMemGb) {
-    return isEnough(
+    return isCapacityEnough(
         spec,
         freeCpus + releasingCpus + moreCpus,
         freeCards + releasingCards + moreCards,
@@ -106,7 +111,7 @@
    * one. Stopped tasks stay in the report for a while after their capacity is released, so free
    * capacity alone does not decide.
    */
-  private boolean isEnough(
+  private boolean isCapacityEnough(
       JobSpec spec, double availableCpus, double availableCards, double availableMemGb) {
     return freeReportSlots > 0
         && spec.cpus() <= availableCpus + ProtocolConstants.AMOUNT_TOLERANCE
@@ -169,7 +174,7 @@
     freeMemGb -= spec.memGb();
     freeReportSlots--;
     if (tasksByClass == null) {
-      // Copied on first use only: most machines get no task in a round.
+      // The snapshot's collections are copied on the first allocation: most machines get no task.
       tasksByClass = new HashMap<>(machine.tasksByClass());
       fetching = new HashSet<>(machine.fetching());
     }
--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -6,8 +6,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Computes the cost of placing a task on a machine. The time until the image is there counts most,
- * then how much capacity would be left free (best fit).
+ * Scores machines for a task; a lower score is better. The time to fetch the image usually counts
+ * most, then how much capacity would be left free (best fit). Spot machines get a bonus, and
+ * replicas of a service are spread.
  */
 final class MachineRanking {
   private MachineRanking() {}
@@ -53,24 +54,29 @@
 
   /**
    * Returns how long the machine is expected to take to fetch the job's image, s; 0 if it has it.
-   * Fetches share the bandwidth, so a new one is taken to be slower by those in flight. For
-   * services a fetch in flight counts in full.
+   * Fetches share the machine's bandwidth: a new fetch is assumed to take as many times longer as
+   * fetches would then be in flight. If the image is being fetched already, {@link
+   * PlanConstants#REMAINING_FETCH_SHARE} of its fetch time is assumed to remain; for services all
+   * of it.
    */
   static double fetchSeconds(JobSpec spec, FreeCapacity machine) {
     if (machine.hasImage(spec)) {
       return 0;
     }
-    double soleFetchS =
+    double unsharedFetchS =
         spec.imageGb()
             / Math.max(PlanConstants.MIN_FETCH_GB_PER_S, machine.machine().type().fetchGbPerS());
     return machine.fetching().contains(spec.image())
-        ? soleFetchS * (spec.service() ? 1 : PlanConstants.REMAINING_FETCH_SHARE)
-        : soleFetchS * (1 + machine.fetching().size());
+        ? unsharedFetchS * (spec.service() ? 1 : PlanConstants.REMAINING_FETCH_SHARE)
+        : unsharedFetchS * (1 + machine.fetching().size());
   }
 
   /**
-   * Returns the cost of a machine, lower is better: seconds until the task would run, plus the
-   * share of the machine's CPUs that would be left free (best fit).
+   * Returns the score of a machine, lower is better: the expected fetch time, s, plus the share of
+   * the machine's CPUs that would be left free (best fit). For latency-sensitive jobs the fetch
+   * time is weighted, and spot machines get a bonus. For services each task of the class on the
+   * machine adds a spreading penalty, and any machine without the image scores worse than one with
+   * it.
    */
   static double score(Snapshot.PendingJob pendingJob, FreeCapacity machine) {
     JobSpec spec = pendingJob.spec();
@@ -78,9 +84,10 @@
     double freeShare =
         (machine.freeCpus() - spec.cpus()) / Math.max(1, machine.machine().type().cpus());
     if (spec.service()) {
-      // A replica that must wait for its image anyway goes to a machine with few replicas: the loss
-      // of one machine then costs little, and later replicas find the image on machines with free
-      // capacity.
+      // A replica that must wait for its image anyway goes to a machine with few tasks of its
+      // class.
+      // The loss of one machine then costs little, and later replicas find the image on machines
+      // with free capacity.
       int sameClass = machine.tasksOfClass(spec.jobClass());
       return machine.hasImage(spec)
           ? sameClass * PlanConstants.SPREADING_PENALTY_CACHED + freeShare
--- a/src/main/java/fennelthread/plan/PlacementConstraints.java
+++ b/src/main/java/fennelthread/plan/PlacementConstraints.java
@@ -8,7 +8,10 @@
 final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** What a task requires of a machine; tasks of equal shapes fit the same machines. */
+  /**
+   * What a task requires of a machine, apart from where the job's other tasks are. Without
+   * constraints on that, tasks of equal shapes fit the same machines.
+   */
   record TaskShape(
       double cpus,
       double cards,
@@ -36,23 +39,24 @@
    */
   static boolean allowsMachine(
       JobSpec spec, Map<String, Integer> tasksByZone, Snapshot.MachineState machine) {
-    return allowsKind(spec, machine)
+    return satisfiesFixedConstraints(spec, machine)
         && (!dependsOnOtherTasks(spec) || allowsZone(spec, tasksByZone, machine.zone()));
   }
 
-  private static boolean allowsKind(JobSpec spec, Snapshot.MachineState machine) {
+  private static boolean satisfiesFixedConstraints(JobSpec spec, Snapshot.MachineState machine) {
     return (spec.types() == null || spec.types().contains(machine.type().name()))
         && (spec.zone() == null || spec.zone().equals(machine.zone()))
         && (!machine.isSpot() || spec.spotAllowed());
   }
 
   /**
-   * Returns true if one more task in this zone violates neither {@code same_place} nor {@code
-   * apart}.
+   * Returns true if one more task in this zone keeps the job's rules on zones: with {@code
+   * same_place} all tasks run in one zone, with {@code apart} no zone runs more than half of them,
+   * rounded up.
    */
   static boolean allowsZone(JobSpec spec, Map<String, Integer> tasksByZone, String zone) {
     if (tasksByZone.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
-      // The task may be in any zone: neither constraint is certain to hold until its machine
+      // A task of the job may be in any zone: neither rule is certain to hold until its machine
       // reports.
       return false;
     }
--- a/src/main/java/fennelthread/plan/PlacementPlan.java
+++ b/src/main/java/fennelthread/plan/PlacementPlan.java
@@ -12,8 +12,9 @@
  * @param preemptions the running tasks to preempt, in the order in which they were chosen
  * @param unplaced the jobs with tasks for which no free capacity was found
  * @param passedOverJobs the ids of the jobs with tasks that are not started although a machine has
- *     free capacity and their team's limit allows one more task: capacity that is reserved for
- *     other jobs, or requested by jobs of their team, holds them back
+ *     free capacity and their team's limit allows one more task. What holds them back is capacity
+ *     that is reserved for other jobs or requested by jobs of their team, the limit of starts per
+ *     round, or for a replica the wait for a machine that has its image
  */
 public record PlacementPlan(
     List<Start> starts,
@@ -48,7 +49,8 @@
     }
 
     /**
-     * Returns true if the job restricts machine types or zones, so that size alone does not decide.
+     * Returns true if the job restricts machine types or zones, so that a machine of sufficient
+     * size may still be unsuitable.
      */
     public boolean hasConstraints() {
       return spec.types() != null
--- a/src/main/java/fennelthread/plan/PlacementSearch.java
+++ b/src/main/java/fennelthread/plan/PlacementSearch.java
@@ -11,10 +11,10 @@
 import java.util.PriorityQueue;
 
 /**
- * Searches machines for the tasks of one job in a scheduling round. The tasks of a job are alike:
- * machines are ranked once per job and not per task, and only a machine that changes is ranked
- * again. Jobs with constraints on zones are the exception, since each task that is placed may rule
- * out machines for the next one; for them all machines are ranked for each task.
+ * Searches for machines for the tasks of one job in a scheduling round. The tasks of a job are
+ * alike: machines are ranked once per job and not per task, and only a machine that changes is
+ * ranked again. Jobs with constraints on zones are the exception, since each task that is placed
+ * may rule out machines for the next one; for them all machines are ranked for each task.
  */
 final class PlacementSearch {
   private final RoundState round;
@@ -80,7 +80,8 @@
 
   /** Returns the best machine on which a task fits now, or null. */
   FreeCapacity bestMachine() {
-    // Jobs of one shape share the result, unless zones or starvation make it differ.
+    // Jobs of equal shape share the result that no machine fits, unless zones or starvation make
+    // it differ.
     boolean mayShareResult = !hasZoneConstraint && !isStarved;
     if (mayShareResult && round.shapesWithoutCapacity().contains(shape)) {
       return null;
@@ -138,7 +139,7 @@
   private void offerPreemptible(
       PriorityQueue<Candidate> queue, FreeCapacity machine, boolean withImageOnly) {
     if (queue != null) {
-      Candidate candidate = preemptionOn(machine, withImageOnly);
+      Candidate candidate = findPreemption(machine, withImageOnly);
       if (candidate != null) {
         queue.add(candidate);
       }
@@ -147,17 +148,18 @@
 
   /**
    * Reserves capacity for a task that fits nowhere now. Tries in this order: capacity that is being
-   * released already; capacity of running tasks that complete while the job waits (delay
-   * scheduling); capacity released by preemption; and for the first task of an aged job a machine
-   * that is kept for it until it fits. Returns false if none of these is possible.
+   * released already; capacity of running tasks that complete within the time that the job waits;
+   * capacity released by preemption; and for the first task of an aged job the machine on which it
+   * fits first, however late. Reservations last for the round. Returns false if none of these is
+   * possible.
    */
   boolean reserveFutureCapacity() {
-    return reserveRelease(false)
-        || awaitCompletions()
+    return reserveReleasingCapacity(false)
+        || reserveCompletingCapacity()
         || preempt(false)
         || (pendingJob.agingBoost() == AgingBoost.ABOVE_ALL
             && round.mayReserveMachine()
-            && reserveMachine());
+            && reserveEarliestMachine());
   }
 
   /**
@@ -165,10 +167,10 @@
    * released by preemption. Returns false if there is none.
    */
   boolean reserveOnMachineWithImage() {
-    return reserveRelease(true) || preempt(true);
+    return reserveReleasingCapacity(true) || preempt(true);
   }
 
-  private boolean reserveRelease(boolean withImageOnly) {
+  private boolean reserveReleasingCapacity(boolean withImageOnly) {
     for (int i = round.unreservedReleases().nextSetBit(0);
         i >= 0;
         i = round.unreservedReleases().nextSetBit(i + 1)) {
@@ -185,11 +187,11 @@
 
   /**
    * Reserves capacity on the machine on which a task fits first because running tasks complete, if
-   * that is within the time that the job waits. Without this wait one task of four CPUs preempts
-   * sixteen tasks of a quarter CPU that would complete within seconds, which lost a third of one
-   * team's starts.
+   * that is within the time that the job waits. Otherwise one task of four CPUs preempts sixteen
+   * tasks of a quarter CPU that complete within seconds anyway, which can cost a team a third of
+   * its starts.
    */
-  private boolean awaitCompletions() {
+  private boolean reserveCompletingCapacity() {
     double maxWaitS = pendingJob.maxWaitS();
     RoundState.CompletionWait wait = new RoundState.CompletionWait(shape, maxWaitS);
     if (maxWaitS <= 0 || (!hasZoneConstraint && round.waitsWithoutCandidates().contains(wait))) {
@@ -213,9 +215,9 @@
   private void offerCompleting(FreeCapacity machine) {
     double maxWaitS = pendingJob.maxWaitS();
     if (machine.firstCompletionS(round.snapshot().nowMs()) <= maxWaitS && isAllowed(machine)) {
-      double fitsInS = fitsInS(machine, maxWaitS);
-      if (fitsInS <= maxWaitS) {
-        completingSoon.add(Candidate.of(fitsInS, machine));
+      double fitDelayS = secondsUntilFits(machine, maxWaitS);
+      if (fitDelayS <= maxWaitS) {
+        completingSoon.add(Candidate.of(fitDelayS, machine));
       }
     }
   }
@@ -224,15 +226,15 @@
    * Reserves capacity on the machine on which a task fits first, however long that takes. Counts
    * towards the limit of reserved machines.
    */
-  private boolean reserveMachine() {
+  private boolean reserveEarliestMachine() {
     FreeCapacity best = null;
-    double bestFitsInS = Double.POSITIVE_INFINITY;
+    double bestFitDelayS = Double.POSITIVE_INFINITY;
     for (FreeCapacity machine : round.machines()) {
       if (isAllowed(machine)) {
-        double fitsInS = fitsInS(machine, Double.MAX_VALUE);
-        if (fitsInS < bestFitsInS) {
+        double fitDelayS = secondsUntilFits(machine, Double.MAX_VALUE);
+        if (fitDelayS < bestFitDelayS) {
           best = machine;
-          bestFitsInS = fitsInS;
+          bestFitDelayS = fitDelayS;
         }
       }
     }
@@ -246,9 +248,9 @@
 
   /**
    * Returns when a task fits if nothing else starts on the machine, seconds from now; infinite if
-   * that is not within {@code maxS}.
+   * that is not within {@code maxDelayS}.
    */
-  private double fitsInS(FreeCapacity machine, double maxS) {
+  private double secondsUntilFits(FreeCapacity machine, double maxDelayS) {
     long nowMs = round.snapshot().nowMs();
     double cpus = 0;
     double cards = 0;
@@ -262,7 +264,7 @@
         continue;
       }
       completesInS = task.remainingS(nowMs);
-      if (completesInS > maxS) {
+      if (completesInS > maxDelayS) {
         return Double.POSITIVE_INFINITY;
       }
       cpus += task.cpus();
@@ -296,7 +298,8 @@
       }
       return false;
     }
-    // Preemption adds capacity that will be released: waits that found no candidate may find one.
+    // Preemption adds capacity that will be released: a search for completing tasks that found no
+    // candidate may find one now.
     round.waitsWithoutCandidates().clear();
     round.preemption().preempt(best.preempted(), best.machine());
     reserve(best.machine());
@@ -310,7 +313,7 @@
     }
     List<Candidate> candidates = new ArrayList<>();
     for (FreeCapacity machine : round.machines()) {
-      Candidate candidate = preemptionOn(machine, withImageOnly);
+      Candidate candidate = findPreemption(machine, withImageOnly);
       if (candidate != null) {
         candidates.add(candidate);
       }
@@ -326,13 +329,14 @@
 
   /**
    * Returns the machine as a candidate for preemption, or null if none is possible there. The cost
-   * is the work that is lost, CPU seconds, plus the weighted score of the machine.
+   * is the work that is lost, CPU seconds, plus the weighted score of the machine; a task of less
+   * than one CPU counts as one CPU.
    */
-  private Candidate preemptionOn(FreeCapacity machine, boolean withImageOnly) {
+  private Candidate findPreemption(FreeCapacity machine, boolean withImageOnly) {
     if ((withImageOnly && !machine.hasImage(spec)) || !isAllowed(machine)) {
       return null;
     }
-    List<Snapshot.RunningTask> preempted = round.preemption().chooseOn(machine, pendingJob);
+    List<Snapshot.RunningTask> preempted = round.preemption().chooseTasks(machine, pendingJob);
     if (preempted == null) {
       return null;
     }
--- a/src/main/java/fennelthread/plan/Planner.java
+++ b/src/main/java/fennelthread/plan/Planner.java
@@ -23,12 +23,13 @@
  */
 public final class Planner {
   /**
-   * The order in which jobs are placed. What counts for users is how many jobs meet their
-   * deadlines: when capacity is short, a job that can no longer meet its own must not make the next
-   * one late too, and many small jobs come before one large one. That alone would starve the
-   * largest jobs. Therefore a job's work counts for less the longer it has waited, and the first
-   * task of a job that has waited long with nothing running comes first, whatever its priority. The
-   * cost is one task of each such job.
+   * The order in which jobs are placed: by priority; then jobs that are not late, jobs within their
+   * team's guarantee, and jobs with less work left come first. What counts for users is how many
+   * jobs meet their deadlines: when capacity is short, a job that can no longer meet its own must
+   * not make the next one late too, and many small jobs come before one large one. That alone would
+   * starve the largest jobs. Therefore a job's work counts for less the longer it has waited, and
+   * aging moves the first task of a job that has waited long with nothing running to the front, or
+   * to the front of its priority ({@link AgingBoost}). The cost is one task of each such job.
    */
   public static final Comparator<Snapshot.PendingJob> ORDER =
       Comparator.<Snapshot.PendingJob>comparingLong(
@@ -110,7 +111,7 @@
     recordRemaining(pendingJob, search, unplacedCount, notStartedCount);
   }
 
-  /** Records the job's {@code unplacedCount} tasks that need more capacity, and all not started. */
+  /** Records how many tasks of the job found no free capacity, and whether any were not started. */
   private void recordRemaining(
       Snapshot.PendingJob pendingJob,
       PlacementSearch search,
@@ -127,22 +128,23 @@
 
   /**
    * Returns the ids of the jobs with tasks that are not started although some machine has free
-   * capacity and their team's limit allows one more task. They are held back only by capacity that
-   * is reserved for other jobs, or by what other jobs of their team request.
+   * capacity and their team's limit allows one more task. They are held back by capacity that is
+   * reserved for other jobs, by what other jobs of their team request, by the limit of starts per
+   * round, or by the wait for a machine that has the image.
    */
   private Set<String> passedOverJobs() {
     Set<String> passedOver = new HashSet<>();
     Map<TaskShape, Boolean> fitsByShape = new HashMap<>();
-    for (RemainingTasks unstarted : remaining) {
-      JobSpec spec = unstarted.pendingJob.spec();
+    for (RemainingTasks remainingTasks : remaining) {
+      JobSpec spec = remainingTasks.pendingJob.spec();
       if (!budgets.allowsStart(spec)) {
         continue;
       }
       boolean fits =
           PlacementConstraints.dependsOnOtherTasks(spec)
-              ? unstarted.search.fitsIgnoringReservations()
+              ? remainingTasks.search.fitsIgnoringReservations()
               : fitsByShape.computeIfAbsent(
-                  TaskShape.of(spec), shape -> unstarted.search.fitsIgnoringReservations());
+                  TaskShape.of(spec), shape -> remainingTasks.search.fitsIgnoringReservations());
       if (fits) {
         passedOver.add(spec.id());
       }
--- a/src/main/java/fennelthread/plan/Preemption.java
+++ b/src/main/java/fennelthread/plan/Preemption.java
@@ -11,20 +11,25 @@
 import java.util.Set;
 
 /**
- * Chooses the running tasks that are preempted for a waiting one: the least urgent first, and of
- * equally urgent ones those that have run for the shortest time and so lose the least work.
+ * Chooses the running tasks that are preempted for a waiting one: less urgent tasks, and for a job
+ * within its team's guarantee also equally urgent ones that borrow capacity beyond the guarantee of
+ * another team. The least urgent come first, and of equally urgent ones those that have run for the
+ * shortest time and so lose the least work.
  */
 final class Preemption {
   private final Snapshot snapshot;
   private final Set<Snapshot.RunningTask> preempted =
       Collections.newSetFromMap(new IdentityHashMap<>());
   private final List<Snapshot.RunningTask> preemptions = new ArrayList<>();
-  private final Map<String, Snapshot.TeamUsage> teams;
+
+  /** What each team uses, without tasks that are being stopped or that this round preempts. */
+  private final Map<String, Snapshot.TeamUsage> usageByTeam;
+
   private final int[] runningByPriority = new int[Priority.values().length];
 
   Preemption(Snapshot snapshot) {
     this.snapshot = snapshot;
-    this.teams = new HashMap<>(snapshot.teams());
+    this.usageByTeam = new HashMap<>(snapshot.teams());
     for (Snapshot.MachineState machine : snapshot.machines()) {
       machine.running().stream()
           .filter(Snapshot.RunningTask::isStopping)
@@ -41,7 +46,7 @@
 
   /** Subtracts a task that is being stopped from what its team uses. */
   private void subtractFromUsage(Snapshot.RunningTask task) {
-    teams.computeIfPresent(task.spec().team(), (team, usage) -> usageWithout(usage, task));
+    usageByTeam.computeIfPresent(task.spec().team(), (team, usage) -> usageWithout(usage, task));
   }
 
   /** The tasks that this round preempts, in the order in which they are chosen. */
@@ -79,7 +84,7 @@
    * Returns the tasks to preempt on a machine so that a task of the job fits, or null if no
    * preemption there is possible or enough.
    */
-  List<Snapshot.RunningTask> chooseOn(FreeCapacity machine, Snapshot.PendingJob pendingJob) {
+  List<Snapshot.RunningTask> chooseTasks(FreeCapacity machine, Snapshot.PendingJob pendingJob) {
     List<Snapshot.RunningTask> candidates = preemptibleTasks(pendingJob, machine);
     if (candidates.isEmpty()) {
       return null;
@@ -87,20 +92,20 @@
     double cpus = 0;
     double cards = 0;
     double memGb = 0;
-    Map<String, Snapshot.TeamUsage> usageLeft = new HashMap<>();
+    Map<String, Snapshot.TeamUsage> remainingUsage = new HashMap<>();
     List<Snapshot.RunningTask> chosen = new ArrayList<>();
     for (Snapshot.RunningTask task : candidates) {
       if (machine.fitsAfterReleasesAnd(pendingJob.spec(), cpus, cards, memGb)) {
         break;
       }
       String team = task.spec().team();
-      Snapshot.TeamUsage usage = usageLeft.getOrDefault(team, teams.get(team));
+      Snapshot.TeamUsage usage = remainingUsage.getOrDefault(team, usageByTeam.get(team));
       if (isLessUrgent(pendingJob, task) || isBorrowed(usage, task)) {
         chosen.add(task);
         cpus += task.cpus();
         cards += task.cards();
         memGb += task.memGb();
-        usageLeft.put(team, usageWithout(usage, task));
+        remainingUsage.put(team, usageWithout(usage, task));
       }
     }
     return machine.fitsAfterReleasesAnd(pendingJob.spec(), cpus, cards, memGb) && !chosen.isEmpty()
--- a/src/main/java/fennelthread/plan/RoundState.java
+++ b/src/main/java/fennelthread/plan/RoundState.java
@@ -12,7 +12,8 @@
 /**
  * State shared by the searches of one scheduling round: the machines' free capacity, the preempted
  * tasks, and the searches that found nothing. Free capacity only shrinks within a round, so a
- * search that found none is not repeated.
+ * search that found none is not repeated. Preemption adds capacity that will be released, so
+ * searches for completing tasks are repeated after it.
  */
 final class RoundState {
   /** A search for capacity of running tasks that complete within {@code maxWaitS} seconds. */
@@ -72,7 +73,7 @@
     return unreservedReleases;
   }
 
-  /** Brings {@link #unreservedReleases} up to date after a change of the machine. */
+  /** Updates {@link #unreservedReleases} after a change of the machine. */
   void updateReleases(FreeCapacity machine) {
     unreservedReleases.set(machine.index(), machine.hasUnreservedReleases());
   }
@@ -93,7 +94,8 @@
   }
 
   /**
-   * Returns how many machines a round may reserve for first tasks of aged jobs that fit nowhere.
+   * Returns the most machines that a round may reserve for aged jobs whose first task fits on no
+   * machine yet.
    */
   static int maxReservedMachines(Snapshot snapshot) {
     int share = (int) (snapshot.machines().size() * PlanConstants.RESERVED_MACHINES_SHARE);
--- a/src/main/java/fennelthread/plan/Snapshot.java
+++ b/src/main/java/fennelthread/plan/Snapshot.java
@@ -21,8 +21,8 @@
  * @param teams what each team uses and may use, by name
  * @param nowMs the time of the round on the leader's clock, ms
  * @param maxStarts the most tasks that the round may start
- * @param starvedJobs the ids of the jobs that have been passed over for long although a machine had
- *     free capacity: reservations for others no longer hold them back
+ * @param starvedJobs the ids of the jobs that have been passed over for a long time although a
+ *     machine had free capacity; they may take capacity that is reserved for others
  * @param preemptibleOnlyByMoreUrgent the numbers of the attempts that are preempted only for more
  *     urgent work
  */
@@ -39,7 +39,7 @@
 
   /**
    * Stands for the zone of tasks whose machine's zone is not known: an earlier leader started them,
-   * and the machine has not reported yet.
+   * and the machine has not reported yet. Such a task may be in any zone.
    */
   public static final String UNKNOWN_ZONE = "";
 
@@ -84,7 +84,7 @@
    * @param tasks the indexes of the tasks to place
    * @param tasksByZone how many of its tasks may be present in each zone; empty for jobs without
    *     constraints on zones
-   * @param isWithinGuarantee true if the job lies within its team's guarantee
+   * @param isWithinGuarantee true if the job lies within its team's guarantee and is not late
    * @param isLatencySensitive true if the time to fetch an image counts more than for other jobs
    * @param isLate true if it can no longer meet any of its deadlines
    * @param agedWork the CPU seconds that its waiting tasks still take, reduced the longer it has
@@ -109,7 +109,7 @@
       long releaseOrder) {}
 
   /**
-   * A task that may be preempted, or that is being stopped.
+   * A task that a worker has received, including one that is being stopped.
    *
    * @param spec its job
    * @param priority its job's own priority, or one that the job inherits
@@ -136,12 +136,15 @@
       long runningSinceMs,
       double expectedRunS) {
 
-    /** Returns how long it has run, s: the time that a preemption loses. */
+    /** Returns how long it has run, s; its preemption loses the work of that time. */
     double elapsedS(long nowMs) {
       return runningSinceMs < 0 ? 0 : (nowMs - runningSinceMs) / 1000.0;
     }
 
-    /** Returns how much longer it is expected to run, s; infinite for a service. */
+    /**
+     * Returns how much longer it is expected to run, s: at least {@link
+     * PlanConstants#MIN_REMAINING_SHARE} of the expected run time, and infinite for a service.
+     */
     double remainingS(long nowMs) {
       return expectedRunS <= 0
           ? Double.POSITIVE_INFINITY
--- a/src/main/java/fennelthread/plan/TeamBudgets.java
+++ b/src/main/java/fennelthread/plan/TeamBudgets.java
@@ -5,18 +5,17 @@
 import java.util.Map;
 
 /**
- * Tracks the quota that each team has left in a round. Keeps two sums: the usage including the
- * tasks that the round starts, which must never exceed the team's limit, and the same including the
- * tasks for which no free capacity was found, so that neither capacity nor machines are requested
- * beyond the limit.
+ * Tracks how much of each team's limit is left in a round. Keeps two sums: the usage including the
+ * tasks that the round starts, which must never exceed the limit, and the same including the tasks
+ * that wait for capacity, so that neither capacity nor machines are requested beyond the limit.
  */
 final class TeamBudgets {
   private final Map<String, Snapshot.TeamUsage> started;
   private final Map<String, Snapshot.TeamUsage> requested;
 
-  TeamBudgets(Map<String, Snapshot.TeamUsage> usage) {
-    started = new HashMap<>(usage);
-    requested = new HashMap<>(usage);
+  TeamBudgets(Map<String, Snapshot.TeamUsage> usageByTeam) {
+    started = new HashMap<>(usageByTeam);
+    requested = new HashMap<>(usageByTeam);
   }
 
   /** Returns true if one more task of the job may be started. */
@@ -25,8 +24,8 @@
   }
 
   /**
-   * Returns true if one more task of the job may be started or requested beside all that are
-   * requested.
+   * Returns true if the team's limit allows one more task of the job besides all started and
+   * waiting ones, so that it may be started or capacity may be requested for it.
    */
   boolean allowsRequest(JobSpec spec) {
     return allows(requested, spec);
@@ -43,7 +42,10 @@
     countRequest(spec);
   }
 
-  /** Counts a task of the job for which no free capacity was found. */
+  /**
+   * Counts a task of the job that waits for capacity: none is free for it, or capacity is reserved
+   * on a machine that has its image.
+   */
   void countRequest(JobSpec spec) {
     requested.computeIfPresent(spec.team(), (team, usage) -> usage.plus(spec.cpus(), spec.cards()));
   }
--- a/src/main/java/fennelthread/zones/ZoneMonitor.java
+++ b/src/main/java/fennelthread/zones/ZoneMonitor.java
@@ -18,8 +18,8 @@
 
 /**
  * Monitors the health of the zones, each with its {@link ZoneState}, and derives from it where
- * tasks may be placed and which machines are rented and returned. A single zone has no other to be
- * compared with and always counts as healthy.
+ * tasks may be placed and which machines are rented and returned. If there is only one zone, no
+ * other can be compared with it, and it always counts as healthy.
  *
  * <p>Not thread-safe: all methods are called on the event loop's thread.
  */
@@ -59,7 +59,8 @@
 
   /**
    * Begins a term of this controller as leader at {@code nowMs}. Workers need some time to send it
-   * their first reports, so silence of a whole zone does not count until then.
+   * their first reports, so the silence of a whole zone counts only from two report intervals
+   * later.
    */
   public void beginTerm(long nowMs) {
     termSinceMs = nowMs;
@@ -73,8 +74,8 @@
       return;
     }
     if (nowMs - observedAtMs > ZoneConstants.MAX_OBSERVATION_GAP_MS) {
-      // This process has stalled: reports that arrived meanwhile are not read yet, so that silence
-      // counts only from now on.
+      // This process has stalled: reports that arrived meanwhile have not been read yet. Silence
+      // therefore counts from now on.
       observingSinceMs = nowMs;
     }
     observedAtMs = nowMs;
@@ -101,7 +102,8 @@
   }
 
   /**
-   * Returns true if a machine reports, has reported, or has tasks that an earlier leader started.
+   * Returns true if a machine counts as one of its zone: it has reported to this leader, or has
+   * tasks that an earlier leader started. Machines that are booting or being returned do not count.
    */
   private static boolean isCounted(Machine machine) {
     return switch (machine.phase()) {
@@ -154,25 +156,29 @@
   }
 
   /**
-   * Returns for how long nothing at all has arrived from a zone, ms, or 0 if that may be chance. It
-   * is not chance if {@link RelayConstants#MIN_MISSING_REPORTS} reports or more are due in that
-   * time: hundreds of workers report at random moments, so one second without any report tells as
-   * much as the silence of each single machine does five seconds later.
+   * Returns for how long there has been no contact with any machine of a zone, ms, or 0 if that may
+   * be chance. It is not chance if {@link RelayConstants#MIN_MISSING_REPORTS} reports or more are
+   * due in that time. Hundreds of workers report at random moments, so one second without contact
+   * to any is as strong evidence as the silence of the single machines, which shows only about five
+   * seconds later.
    */
   private long zoneSilenceMs(ZoneCount count, long nowMs) {
     long silentFromMs =
         Math.max(Math.max(count.lastContactAtMs, observingSinceMs), termSinceMs + 2 * reportMs);
     long silenceMs = nowMs - silentFromMs;
-    boolean isTooLong =
+    boolean isSignificant =
         silenceMs >= ZoneConstants.MIN_ZONE_SILENCE_MS
             && (double) count.reportingMachines * silenceMs / reportMs
                 >= RelayConstants.MIN_MISSING_REPORTS;
-    return isTooLong ? silenceMs : 0;
+    return isSignificant ? silenceMs : 0;
   }
 
   // ---------------------------------------------------------------- consequences
 
-  /** Returns the state of a machine's zone, or null if none is kept: the zone counts as healthy. */
+  /**
+   * Returns the state of a machine's zone, or null if there is none; the zone then counts as
+   * healthy.
+   */
   private ZoneState zoneOf(Machine machine) {
     return hasMultipleZones && machine.zone() != null ? zones.get(machine.zone()) : null;
   }
@@ -209,8 +215,9 @@
     if (zone == null || !zone.isUnreachable()) {
       return 1;
     }
-    // An outage of ten seconds must not rent a second fleet, and a lasting one must not leave its
-    // machines unreplaced for a minute: they are replaced gradually after a delay.
+    // The replacement begins after a delay and grows gradually: for an outage of ten seconds a
+    // second fleet must not be rented, and in a lasting one machines must not stay unreplaced for
+    // a minute.
     double overdueMs = nowMs - zone.silentSinceMs() - ZoneConstants.REPLACEMENT_DELAY_MS;
     return Math.max(0, 1 - Math.max(0, overdueMs) / ZoneConstants.REPLACEMENT_RAMP_MS);
   }
--- a/src/main/java/fennelthread/zones/ZoneState.java
+++ b/src/main/java/fennelthread/zones/ZoneState.java
@@ -4,9 +4,9 @@
 import java.util.ArrayDeque;
 
 /**
- * The state machine of one zone as the leader sees it. From outside a zone that is partitioned off
- * looks like one that has failed, so what is done in each phase must be right for both
- * (docs/zones.md).
+ * The state machine of one zone, driven by what the leader observes. The leader cannot distinguish
+ * a zone that is partitioned off from one that has failed, so its actions in each phase must be
+ * safe in both cases (docs/zones.md).
  *
  * <p>Reads no clock: evidence and time are passed in. Not thread-safe.
  */
@@ -16,16 +16,22 @@
   enum Phase {
     /** Its machines are in contact, apart from single ones. */
     HEALTHY,
-    /** Many machines are silent, but not most: a rack has failed, or the network is partly cut. */
+    /**
+     * Many machines are silent, but not most: for example, a rack has failed, or the network is
+     * partially partitioned.
+     */
     DEGRADED,
     /** Most or all machines are silent at once; contact may return at any moment. */
     UNREACHABLE,
     /**
-     * Unreachable for longer than its machines' leases last: the tasks there have ended or will be
-     * ended.
+     * Unreachable for longer than its machines' leases last: workers kill their tasks when their
+     * lease expires, so the tasks there count as lost.
      */
     LOST,
-    /** Most machines are in contact again; the zone counts as healthy once that has been stable. */
+    /**
+     * Most machines are in contact again; the zone counts as healthy once almost all have been for
+     * some time.
+     */
     RECOVERING
   }
 
@@ -34,8 +40,8 @@
    *
    * @param machines number of its machines that are counted
    * @param silentMachines number of those that are silent
-   * @param zoneSilenceMs for how long nothing at all has arrived from the zone, ms, or 0 if that
-   *     may be chance
+   * @param zoneSilenceMs for how long there has been no contact with any of its machines, ms, or 0
+   *     if that may be chance
    * @param areOthersInContact whether the machines of other zones are in contact
    */
   record Evidence(
@@ -66,7 +72,9 @@
     }
   }
 
-  private final ArrayDeque<Long> outagesAtMs = new ArrayDeque<>();
+  /** When the recent outages began, ms. */
+  private final ArrayDeque<Long> outageStartsMs = new ArrayDeque<>();
+
   private Phase phase = Phase.HEALTHY;
   private long phaseSinceMs;
   private long silentSinceMs;
@@ -89,7 +97,7 @@
   private void observeReachable(Evidence evidence, long nowMs) {
     if (evidence.showsUnreachable()) {
       silentSinceMs = nowMs - Math.max(0, evidence.zoneSilenceMs);
-      outagesAtMs.add(nowMs);
+      outageStartsMs.add(nowMs);
       transitionTo(Phase.UNREACHABLE, nowMs);
     } else if (phase == Phase.RECOVERING) {
       observeRecovering(evidence, nowMs);
@@ -119,12 +127,13 @@
 
   /**
    * Returns how long a recovering zone must be stable to count as healthy, ms; doubles with each
-   * further outage that is remembered.
+   * further recent outage. Drops outages that are older than {@link
+   * ZoneConstants#OUTAGE_MEMORY_MS}.
    */
   private long requiredStableMs(long nowMs) {
-    outagesAtMs.removeIf(atMs -> nowMs - atMs > ZoneConstants.OUTAGE_MEMORY_MS);
+    outageStartsMs.removeIf(atMs -> nowMs - atMs > ZoneConstants.OUTAGE_MEMORY_MS);
     long requiredMs = ZoneConstants.MIN_STABLE_MS;
-    for (int i = 1; i < outagesAtMs.size() && requiredMs < ZoneConstants.MAX_STABLE_MS; i++) {
+    for (int i = 1; i < outageStartsMs.size() && requiredMs < ZoneConstants.MAX_STABLE_MS; i++) {
       requiredMs *= 2;
     }
     return Math.min(requiredMs, ZoneConstants.MAX_STABLE_MS);
@@ -153,7 +162,11 @@
     return lastUnreachableAtMs;
   }
 
-  /** Returns since when the zone has been silent, ms; only valid while it is unreachable. */
+  /**
+   * Returns from when the zone's silence is counted, ms: from the start of its complete silence,
+   * or, if some of its machines were still in contact, from when it was observed to be unreachable.
+   * Valid only while it is unreachable.
+   */
   long silentSinceMs() {
     return silentSinceMs;
   }
--- a/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
+++ b/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
@@ -25,12 +25,15 @@
   private static final int TRIES = 300;
   private static final long STEP_MS = 5_000;
 
-  /** Critical tasks of one CPU that run for two steps and arrive in each step: 60 of 64 CPUs. */
+  /**
+   * Number of critical tasks that arrive in each step. Each takes one CPU for two steps, so that
+   * together they take 60 of 64 CPUs.
+   */
   private static final int CRITICAL_ARRIVALS_PER_STEP = 30;
 
   /**
-   * Most steps of a run. In the worst case 40 jobs of 12 steps run one after the other on the share
-   * of the fleet for aged jobs.
+   * Most steps of a run. In the worst case 40 jobs of 12 steps run one after another, 480 steps, on
+   * the share of the fleet for aged jobs.
    */
   private static final int MAX_STEPS = 700;
 
@@ -182,29 +185,31 @@
       for (int i = 0; i < CRITICAL_ARRIVALS_PER_STEP; i++) {
         jobs.add(new ModelJob(++order, nowMs, new Arrival(Priority.CRITICAL, 1, 2, true)));
       }
-      place(jobs, running, machineByJob, nowMs);
+      runRound(jobs, running, machineByJob, nowMs);
       nowMs += STEP_MS;
       long timeMs = nowMs;
       running.removeIf(
           job -> {
-            boolean done = timeMs - job.startedAtMs >= job.arrival.runSteps * STEP_MS;
-            if (done) {
+            boolean isDone = timeMs - job.startedAtMs >= job.arrival.runSteps * STEP_MS;
+            if (isDone) {
               unfinished.remove(job);
               jobs.remove(job);
             }
-            return done;
+            return isDone;
           });
     }
     for (ModelJob job : unfinished) {
-      throw new AssertionError(job.arrival + " of " + job.arrivedAtMs + " never ended");
+      throw new AssertionError(
+          "job did not complete: " + job.arrival + ", arrived at " + job.arrivedAtMs + " ms");
     }
   }
 
-  private static void place(
+  /** Runs one round: determines the aged jobs, plans, and applies the preemptions and starts. */
+  private static void runRound(
       List<ModelJob> jobs, List<ModelJob> running, Map<ModelJob, String> machineByJob, long nowMs) {
     Aging aging = new Aging(64);
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>();
-    Map<String, ModelJob> byId = new HashMap<>();
+    Map<String, ModelJob> jobsById = new HashMap<>();
     for (ModelJob job : jobs) {
       boolean isRunning = job.startedAtMs >= 0;
       aging.consider(
@@ -218,7 +223,7 @@
               job.arrival.runSteps * STEP_MS / 1000.0));
     }
     for (ModelJob job : jobs) {
-      byId.put("job-" + job.order, job);
+      jobsById.put("job-" + job.order, job);
       if (job.startedAtMs < 0) {
         double agedWork =
             job.arrival.cpus
@@ -279,12 +284,12 @@
             SnapshotFixtures.snapshot(
                 machines, pendingJobs, Set.of(), aging.nonPreemptible(), teams, nowMs, 1_000));
     for (Snapshot.RunningTask preempted : plan.preemptions()) {
-      ModelJob job = byId.get(preempted.spec().id());
+      ModelJob job = jobsById.get(preempted.spec().id());
       running.remove(job);
       job.startedAtMs = -1;
     }
     for (PlacementPlan.Start start : plan.starts()) {
-      ModelJob job = byId.get(start.spec().id());
+      ModelJob job = jobsById.get(start.spec().id());
       job.startedAtMs = nowMs;
       machineByJob.put(job, start.machine());
       running.add(job);
--- a/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
+++ b/src/test/java/fennelthread/plan/PlannerPreemptionTest.java
@@ -4,7 +4,7 @@
 import static fennelthread.plan.SnapshotFixtures.job;
 import static fennelthread.plan.SnapshotFixtures.machine;
 import static fennelthread.plan.SnapshotFixtures.pendingJob;
-import static fennelthread.plan.SnapshotFixtures.running;
+import static fennelthread.plan.SnapshotFixtures.runningTask;
 import static fennelthread.plan.SnapshotFixtures.snapshot;
 import static fennelthread.plan.SnapshotFixtures.teams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,7 +19,7 @@
 
 /** Which running tasks are preempted for which waiting ones. */
 class PlannerPreemptionTest {
-  private static Snapshot.PendingJob inheriting(
+  private static Snapshot.PendingJob pendingJobWithInheritedPriority(
       JobSpec spec, Priority inherited, Priority preemptsAs) {
     return new Snapshot.PendingJob(
         spec,
@@ -38,8 +38,8 @@
 
   @Test
   void lessUrgentWorkIsPreempted() {
-    Snapshot.RunningTask bestEffortTask = running("job-8", "azul", Priority.BEST_EFFORT, 5);
-    Snapshot.RunningTask criticalTask = running("job-9", "azul", Priority.CRITICAL, 1);
+    Snapshot.RunningTask bestEffortTask = runningTask("job-8", "azul", Priority.BEST_EFFORT, 5);
+    Snapshot.RunningTask criticalTask = runningTask("job-9", "azul", Priority.CRITICAL, 1);
     Snapshot snapshot =
         snapshot(
             List.of(machine("a", 8, 0, null, criticalTask, bestEffortTask)),
@@ -51,20 +51,24 @@
   }
 
   /**
-   * A job on which an urgent job depends inherits its priority: it preempts with that priority and
-   * is not preempted for less urgent work.
+   * A job on which an urgent job depends inherits the urgent priority. It preempts with that
+   * priority, or only with its own while there is time left, and is not preempted for less urgent
+   * work.
    */
   @Test
   void inheritedPriorityPreemptsAndProtectsFromPreemption() {
     JobSpec bestEffort = job("job-1", "roja", Priority.BEST_EFFORT, 1, 4);
-    Snapshot.RunningTask other = running("job-9", "azul", Priority.STANDARD, 1);
-    Snapshot.PendingJob inheriting = inheriting(bestEffort, Priority.URGENT, Priority.URGENT);
+    Snapshot.RunningTask other = runningTask("job-9", "azul", Priority.STANDARD, 1);
+    Snapshot.PendingJob preemptingAsUrgent =
+        pendingJobWithInheritedPriority(bestEffort, Priority.URGENT, Priority.URGENT);
     List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, other));
     assertEquals(
-        List.of(other), Planner.plan(snapshot(machines, inheriting, Set.of())).preemptions());
-    Snapshot.PendingJob withTimeLeft =
-        inheriting(bestEffort, Priority.URGENT, Priority.BEST_EFFORT);
-    assertTrue(Planner.plan(snapshot(machines, withTimeLeft, Set.of())).preemptions().isEmpty());
+        List.of(other),
+        Planner.plan(snapshot(machines, preemptingAsUrgent, Set.of())).preemptions());
+    Snapshot.PendingJob preemptingAsBestEffort =
+        pendingJobWithInheritedPriority(bestEffort, Priority.URGENT, Priority.BEST_EFFORT);
+    assertTrue(
+        Planner.plan(snapshot(machines, preemptingAsBestEffort, Set.of())).preemptions().isEmpty());
     Snapshot.RunningTask dependency =
         new Snapshot.RunningTask(
             bestEffort, Priority.URGENT, 0, 1, "a", false, 4, 0, 1, NOW_MS, 60);
@@ -79,14 +83,15 @@
   }
 
   /**
-   * A team with a long queue must not have tasks preempted for another team's guarantee while it
-   * uses no more than its own: its later jobs lie beyond its guarantee, but what it runs does not.
+   * A team that runs no more than its guarantee must not have tasks preempted for another team's
+   * guarantee, even if its jobs lie beyond its guarantee because many others of the team are
+   * queued.
    */
   @Test
   void onlyUsageBeyondTheTeamsGuaranteeIsReclaimed() {
-    Snapshot.RunningTask first = running("job-7", "azul", Priority.STANDARD, 1);
-    Snapshot.RunningTask second = running("job-8", "azul", Priority.STANDARD, 2);
-    Snapshot.RunningTask third = running("job-9", "azul", Priority.STANDARD, 3);
+    Snapshot.RunningTask first = runningTask("job-7", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask second = runningTask("job-8", "azul", Priority.STANDARD, 2);
+    Snapshot.RunningTask third = runningTask("job-9", "azul", Priority.STANDARD, 3);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 3, 4);
     List<Snapshot.MachineState> machines = List.of(machine("a", 12, 0, null, first, second, third));
     Map<Integer, List<Snapshot.RunningTask>> expected =
@@ -123,8 +128,8 @@
 
   @Test
   void borrowedWorkIsPreemptedForGuaranteedWork() {
-    Snapshot.RunningTask borrowed = running("job-8", "azul", Priority.STANDARD, 5);
-    Snapshot.RunningTask urgent = running("job-9", "azul", Priority.URGENT, 5);
+    Snapshot.RunningTask borrowed = runningTask("job-8", "azul", Priority.STANDARD, 5);
+    Snapshot.RunningTask urgent = runningTask("job-9", "azul", Priority.URGENT, 5);
     JobSpec spec = job("job-1", "roja", Priority.STANDARD, 1, 4);
     List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, borrowed));
     assertEquals(
@@ -146,13 +151,13 @@
   }
 
   /**
-   * The task of an aged job, placed before others of its priority, must not be preempted for one of
-   * them that lies within a guarantee: it would be placed before it again, up to eight times a
-   * second.
+   * The task of an aged job must not be preempted for a job of the same priority within a
+   * guarantee. The aged job is placed before that job, so the two would alternate up to eight times
+   * a second.
    */
   @Test
   void agedTaskIsNotPreemptedForWorkOfItsPriority() {
-    Snapshot.RunningTask aged = running("job-8", "azul", Priority.STANDARD, 5);
+    Snapshot.RunningTask aged = runningTask("job-8", "azul", Priority.STANDARD, 5);
     List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, aged));
     for (Priority priority : Priority.values()) {
       Snapshot.PendingJob guaranteed = pendingJob(job("job-1", "roja", priority, 1, 4), true, 1);
@@ -178,17 +183,18 @@
    */
   @Test
   void onlyTaskOfAgedJobIsNotPreempted() {
-    Snapshot.RunningTask only = running("job-8", "azul", Priority.BEST_EFFORT, 5);
+    Snapshot.RunningTask onlyTask = runningTask("job-8", "azul", Priority.BEST_EFFORT, 5);
     Snapshot.PendingJob urgent = pendingJob(job("job-1", "roja", Priority.CRITICAL, 1, 4), true, 1);
-    List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, only));
-    assertEquals(List.of(only), Planner.plan(snapshot(machines, urgent, Set.of())).preemptions());
+    List<Snapshot.MachineState> machines = List.of(machine("a", 4, 0, null, onlyTask));
+    assertEquals(
+        List.of(onlyTask), Planner.plan(snapshot(machines, urgent, Set.of())).preemptions());
     assertTrue(
         Planner.plan(
                 SnapshotFixtures.snapshot(
                     machines,
                     List.of(urgent),
                     Set.of(),
-                    Set.of(only.attempt()),
+                    Set.of(onlyTask.attempt()),
                     teams(0),
                     NOW_MS,
                     10))
--- a/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRandomSnapshotTest.java
@@ -23,9 +23,9 @@
   private static final List<Priority> PRIORITIES = List.of(Priority.values());
 
   /**
-   * The planner's shortcuts must not change its plans: the reference planner, which has none, must
-   * choose the same. The bounds make sure that the snapshots lead to enough preemptions, starts and
-   * jobs that are passed over.
+   * The planner's shortcuts must not change its plans: they must equal those of the reference
+   * planner, which has no shortcuts. The bounds make sure that the snapshots lead to enough
+   * preemptions, starts and jobs that are passed over.
    */
   @Test
   void plannerAgreesWithReferencePlanner() {
@@ -109,7 +109,7 @@
     List<Snapshot.PendingJob> pendingJobs = new ArrayList<>();
     for (int i = 0; i < 1 + random.nextInt(6); i++) {
       int tasks = 1 + random.nextInt(9);
-      boolean apart = random.nextInt(3) == 0;
+      boolean isSpread = random.nextInt(3) == 0;
       JobSpec spec =
           JobSpec.builder("job-" + i)
               .jobClass("lote")
@@ -124,15 +124,15 @@
               .imageGb(2)
               .types(random.nextBoolean() ? null : List.of("torre"))
               .zone(random.nextInt(4) == 0 ? "z1" : null)
-              .sameZone(!apart && random.nextInt(3) == 0)
-              .spreadAcrossZones(apart)
+              .sameZone(!isSpread && random.nextInt(3) == 0)
+              .spreadAcrossZones(isSpread)
               .spotAllowed(random.nextBoolean())
               .estimateS(5)
               .build();
-      Map<String, Integer> zones =
+      Map<String, Integer> tasksByZone =
           random.nextInt(3) == 0 ? Map.of("z" + random.nextInt(3), 1) : Map.of();
       List<Integer> taskIndexes = new ArrayList<>();
-      for (int t = zones.isEmpty() ? 0 : 1; t < tasks; t++) {
+      for (int t = tasksByZone.isEmpty() ? 0 : 1; t < tasks; t++) {
         taskIndexes.add(t);
       }
       Priority priority = ownOrInherited(random, spec);
@@ -142,7 +142,7 @@
               priority,
               random.nextBoolean() ? priority : spec.priority(),
               taskIndexes,
-              zones,
+              tasksByZone,
               random.nextBoolean(),
               random.nextBoolean(),
               random.nextInt(4) == 0,
@@ -222,14 +222,15 @@
   private static void assertKeepsLimits(Snapshot snapshot, int seed) {
     PlacementPlan plan = Planner.plan(snapshot);
     assertTrue(plan.starts().size() <= snapshot.maxStarts());
-    Map<String, double[]> byMachine = new HashMap<>();
-    Map<String, double[]> byTeam = new HashMap<>();
-    Map<String, Map<String, Integer>> zonesByJob = new HashMap<>();
+    Map<String, double[]> amountsByMachine = new HashMap<>();
+    Map<String, double[]> amountsByTeam = new HashMap<>();
+    Map<String, Map<String, Integer>> tasksByZoneByJob = new HashMap<>();
     snapshot
         .pendingJobs()
         .forEach(
             pendingJob ->
-                zonesByJob.put(pendingJob.spec().id(), new HashMap<>(pendingJob.tasksByZone())));
+                tasksByZoneByJob.put(
+                    pendingJob.spec().id(), new HashMap<>(pendingJob.tasksByZone())));
     for (PlacementPlan.Start start : plan.starts()) {
       JobSpec spec = start.spec();
       Snapshot.MachineState machine =
@@ -237,7 +238,8 @@
               .filter(candidate -> candidate.name().equals(start.machine()))
               .findFirst()
               .orElseThrow();
-      double[] usedOnMachine = byMachine.computeIfAbsent(machine.name(), key -> new double[4]);
+      double[] usedOnMachine =
+          amountsByMachine.computeIfAbsent(machine.name(), key -> new double[4]);
       usedOnMachine[3]++;
       usedOnMachine[0] += spec.cpus();
       usedOnMachine[1] += spec.cards();
@@ -248,7 +250,7 @@
               && usedOnMachine[2] <= machine.freeMemGb()
               && usedOnMachine[3] <= machine.freeReportSlots(),
           "seed " + seed);
-      double[] usedByTeam = byTeam.computeIfAbsent(spec.team(), key -> new double[2]);
+      double[] usedByTeam = amountsByTeam.computeIfAbsent(spec.team(), key -> new double[2]);
       usedByTeam[0] += spec.cpus();
       usedByTeam[1] += spec.cards();
       Snapshot.TeamUsage usage = snapshot.teams().get(spec.team());
@@ -258,7 +260,7 @@
       assertTrue(spec.types() == null || spec.types().contains(machine.type().name()));
       assertTrue(spec.zone() == null || spec.zone().equals(machine.zone()));
       assertTrue(spec.spotAllowed() || !machine.isSpot());
-      Map<String, Integer> tasksByZone = zonesByJob.get(spec.id());
+      Map<String, Integer> tasksByZone = tasksByZoneByJob.get(spec.id());
       tasksByZone.merge(machine.zone(), 1, Integer::sum);
       assertTrue(!spec.sameZone() || tasksByZone.size() == 1, "seed " + seed);
       assertTrue(
--- a/src/test/java/fennelthread/plan/PlannerRankingTest.java
+++ b/src/test/java/fennelthread/plan/PlannerRankingTest.java
@@ -4,7 +4,7 @@
 import static fennelthread.plan.SnapshotFixtures.job;
 import static fennelthread.plan.SnapshotFixtures.machine;
 import static fennelthread.plan.SnapshotFixtures.pendingJob;
-import static fennelthread.plan.SnapshotFixtures.running;
+import static fennelthread.plan.SnapshotFixtures.runningTask;
 import static fennelthread.plan.SnapshotFixtures.snapshot;
 import static fennelthread.plan.SnapshotFixtures.teams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -57,8 +57,8 @@
   }
 
   /**
-   * A job that is late already must not delay one that can still meet its deadline: otherwise a
-   * backlog makes every job late by the time that those before it take.
+   * A job that is late already must not delay one that can still meet its deadline: otherwise each
+   * late job of a backlog makes the next one late too.
    */
   @Test
   void jobsThatCanMeetTheirDeadlineComeFirstThenSmallerOnes() {
@@ -102,14 +102,14 @@
             .image("img")
             .imageGb(3)
             .build();
-    Snapshot.RunningTask low = running("job-8", "azul", Priority.STANDARD, 5);
+    Snapshot.RunningTask standardTask = runningTask("job-8", "azul", Priority.STANDARD, 5);
     PlacementPlan plan =
         Planner.plan(
             snapshot(
-                List.of(machine("a", 8, 8, null), machine("b", 4, 0, "img", low)),
+                List.of(machine("a", 8, 8, null), machine("b", 4, 0, "img", standardTask)),
                 pendingJob(service, true, 1),
                 Set.of("job-8")));
-    assertEquals(List.of(low), plan.preemptions());
+    assertEquals(List.of(standardTask), plan.preemptions());
     assertTrue(plan.starts().isEmpty());
   }
 }
--- a/src/test/java/fennelthread/plan/PlannerReservationTest.java
+++ b/src/test/java/fennelthread/plan/PlannerReservationTest.java
@@ -4,7 +4,7 @@
 import static fennelthread.plan.SnapshotFixtures.job;
 import static fennelthread.plan.SnapshotFixtures.machine;
 import static fennelthread.plan.SnapshotFixtures.pendingJob;
-import static fennelthread.plan.SnapshotFixtures.running;
+import static fennelthread.plan.SnapshotFixtures.runningTask;
 import static fennelthread.plan.SnapshotFixtures.snapshot;
 import static fennelthread.plan.SnapshotFixtures.teams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -36,7 +36,7 @@
         expectedRunS);
   }
 
-  private static Snapshot.PendingJob waiting(JobSpec spec, double maxWaitS, AgingBoost boost) {
+  private static Snapshot.PendingJob waitingJob(JobSpec spec, double maxWaitS, AgingBoost boost) {
     return new Snapshot.PendingJob(
         spec,
         spec.priority(),
@@ -52,7 +52,8 @@
         1);
   }
 
-  private static Snapshot.PendingJob zoneBound(
+  /** A job of one-CPU tasks that must run in a zone; null for any zone. */
+  private static Snapshot.PendingJob pendingJobInZone(
       String id, Priority priority, int tasks, String zone) {
     JobSpec template = job(id, "roja", priority, tasks, 1);
     JobSpec spec =
@@ -72,7 +73,7 @@
     return pendingJob(spec, true, tasks);
   }
 
-  private static Snapshot withStarved(
+  private static Snapshot snapshotWithStarvedJobs(
       Set<String> starvedJobs,
       List<Snapshot.MachineState> machines,
       List<Snapshot.PendingJob> pendingJobs,
@@ -83,11 +84,11 @@
 
   /**
    * Capacity that is released in parts for a large task must not go to a smaller and less urgent
-   * task: that one would be preempted for the large task again, a thousand times a minute.
+   * task. The large task would preempt it again, up to a thousand times a minute.
    */
   @Test
   void releasedCapacityIsNotGivenToLessUrgentWork() {
-    Snapshot.RunningTask leaving =
+    Snapshot.RunningTask stoppingTask =
         new Snapshot.RunningTask(
             job("job-8", "azul", Priority.BEST_EFFORT, 1, 2),
             Priority.BEST_EFFORT,
@@ -107,7 +108,7 @@
     PlacementPlan plan =
         Planner.plan(
             SnapshotFixtures.snapshot(
-                List.of(machine("a", 4, 2, null, leaving)),
+                List.of(machine("a", 4, 2, null, stoppingTask)),
                 pendingJobs,
                 Set.of(),
                 Set.of(),
@@ -119,9 +120,9 @@
   }
 
   /**
-   * A task that may wait must wait for running tasks that complete within seconds, and their
-   * capacity must not go to others. Otherwise a task of four CPUs preempts sixteen small ones,
-   * which lost a third of a team's starts.
+   * If tasks that complete within seconds release enough capacity, a job that may wait reserves it:
+   * it preempts nothing, and others do not get that capacity. Otherwise a task of four CPUs
+   * preempts sixteen small ones, which can cost a team a third of its starts.
    */
   @Test
   void capacityReleasedByCompletionsIsAwaited() {
@@ -138,7 +139,7 @@
     JobSpec fourCpus = job("job-1", "roja", Priority.STANDARD, 1, 4);
     JobSpec halfCpu = job("job-2", "azul", Priority.BEST_EFFORT, 1, 0.5);
     PlacementPlan plan =
-        Planner.plan(snapshot(machines, waiting(fourCpus, 5, AgingBoost.NONE), Set.of()));
+        Planner.plan(snapshot(machines, waitingJob(fourCpus, 5, AgingBoost.NONE), Set.of()));
     assertTrue(plan.preemptions().isEmpty(), plan.preemptions().toString());
     // In the next round half of them have completed: the capacity must not go to another task.
     PlacementPlan next =
@@ -152,7 +153,8 @@
                         null,
                         completingSoon.subList(0, 4).toArray(new Snapshot.RunningTask[0]))),
                 List.of(
-                    waiting(fourCpus, 5, AgingBoost.NONE), waiting(halfCpu, 5, AgingBoost.NONE)),
+                    waitingJob(fourCpus, 5, AgingBoost.NONE),
+                    waitingJob(halfCpu, 5, AgingBoost.NONE)),
                 Set.of(),
                 Set.of(),
                 teams(0),
@@ -161,20 +163,20 @@
     assertTrue(next.starts().isEmpty() && next.preemptions().isEmpty(), next.toString());
     assertEquals(
         8,
-        Planner.plan(snapshot(machines, waiting(fourCpus, 0, AgingBoost.NONE), Set.of()))
+        Planner.plan(snapshot(machines, waitingJob(fourCpus, 0, AgingBoost.NONE), Set.of()))
             .preemptions()
             .size());
   }
 
   /**
-   * A task as large as a machine never finds one free while small tasks keep arriving: for an aged
-   * job a machine is reserved.
+   * While small tasks keep arriving, no machine becomes entirely free for a task as large as a
+   * machine. Once its job is aged, a machine is reserved for it.
    */
   @Test
   void machineIsReservedForTaskAsLargeAsAMachine() {
     JobSpec wholeMachine = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
-    Snapshot.RunningTask other = running("job-8", "azul", Priority.STANDARD, 1);
+    Snapshot.RunningTask other = runningTask("job-8", "azul", Priority.STANDARD, 1);
     List<Snapshot.MachineState> machines =
         List.of(
             machine("a", 16, 12, null, other),
@@ -184,7 +186,8 @@
           Planner.plan(
               SnapshotFixtures.snapshot(
                   machines,
-                  List.of(waiting(small, 0, AgingBoost.NONE), waiting(wholeMachine, 0, boost)),
+                  List.of(
+                      waitingJob(small, 0, AgingBoost.NONE), waitingJob(wholeMachine, 0, boost)),
                   Set.of(),
                   Set.of(),
                   teams(0),
@@ -200,16 +203,16 @@
   }
 
   /**
-   * An array that waits for a zone without capacity must not hold the rest of its team's limit
-   * without end, when the team's next job fits elsewhere: once that job is starved, it starts.
+   * A job whose tasks wait for a zone without capacity must not block its team's limit forever for
+   * the team's next job, which fits elsewhere: once that job counts as starved, it starts.
    */
   @Test
   void unplacedWorkDoesNotHoldBackStarvedJobsOfItsTeam() {
     List<Snapshot.MachineState> machines = List.of(machine("a", 8, 8, null));
     List<Snapshot.PendingJob> pendingJobs =
         List.of(
-            zoneBound("job-1", Priority.URGENT, 10, "elsewhere"),
-            zoneBound("job-2", Priority.STANDARD, 3, null));
+            pendingJobInZone("job-1", Priority.URGENT, 10, "elsewhere"),
+            pendingJobInZone("job-2", Priority.STANDARD, 3, null));
     PlacementPlan first =
         Planner.plan(
             SnapshotFixtures.snapshot(
@@ -217,18 +220,19 @@
     assertEquals(List.of(), first.starts());
     assertEquals(Set.of("job-2"), first.passedOverJobs());
     PlacementPlan onceStarved =
-        Planner.plan(withStarved(first.passedOverJobs(), machines, pendingJobs, teams(10)));
+        Planner.plan(
+            snapshotWithStarvedJobs(first.passedOverJobs(), machines, pendingJobs, teams(10)));
     assertEquals(3, onceStarved.starts().size());
     assertEquals(Set.of(), onceStarved.passedOverJobs());
     // Running tasks count towards the limit in any case.
-    PlacementPlan full =
+    PlacementPlan withOneCpuLeft =
         Planner.plan(
-            withStarved(
+            snapshotWithStarvedJobs(
                 Set.of("job-2"),
                 machines,
                 pendingJobs,
                 Map.of("roja", SnapshotFixtures.usage(9, 0, 10, 0))));
-    assertEquals(1, full.starts().size());
+    assertEquals(1, withOneCpuLeft.starts().size());
   }
 
   /**
@@ -238,15 +242,17 @@
   void machineReservationDoesNotHoldBackStarvedJobs() {
     JobSpec wholeMachine = job("job-1", "roja", Priority.BEST_EFFORT, 1, 16);
     JobSpec small = job("job-2", "azul", Priority.STANDARD, 1, 1);
-    Snapshot.RunningTask endless = running("job-8", "azul", Priority.STANDARD, 1);
-    List<Snapshot.MachineState> machines = List.of(machine("a", 16, 12, null, endless));
+    Snapshot.RunningTask runningTask = runningTask("job-8", "azul", Priority.STANDARD, 1);
+    List<Snapshot.MachineState> machines = List.of(machine("a", 16, 12, null, runningTask));
     List<Snapshot.PendingJob> pendingJobs =
-        List.of(waiting(small, 0, AgingBoost.NONE), waiting(wholeMachine, 0, AgingBoost.ABOVE_ALL));
+        List.of(
+            waitingJob(small, 0, AgingBoost.NONE),
+            waitingJob(wholeMachine, 0, AgingBoost.ABOVE_ALL));
     Snapshot reserved =
         SnapshotFixtures.snapshot(machines, pendingJobs, Set.of(), Set.of(), teams(0), NOW_MS, 10);
     assertEquals(Set.of("job-2"), Planner.plan(reserved).passedOverJobs());
     assertEquals(List.of(), Planner.plan(reserved).starts());
-    Snapshot starved = withStarved(Set.of("job-2"), machines, pendingJobs, teams(0));
+    Snapshot starved = snapshotWithStarvedJobs(Set.of("job-2"), machines, pendingJobs, teams(0));
     assertEquals(List.of(new PlacementPlan.Start(small, 0, "a")), Planner.plan(starved).starts());
   }
 }
--- a/src/test/java/fennelthread/plan/ReferencePlanner.java
+++ b/src/test/java/fennelthread/plan/ReferencePlanner.java
@@ -13,12 +13,12 @@
 /**
  * A reference implementation of the planner without its shortcuts: for each task it looks at every
  * machine and at all running tasks. Slow, but simple enough to be checked by reading; {@link
- * Planner} must choose the same.
+ * Planner} must produce equal plans.
  */
 final class ReferencePlanner {
   private static final double EPSILON = 1e-9;
 
-  /** What remains of a fetch in flight, as a share: unknown, so a little more than half. */
+  /** Assumed remaining share of a fetch in flight: it is unknown, so a little more than half. */
   private static final double REMAINING_FETCH_SHARE = 0.6;
 
   /**
@@ -37,7 +37,7 @@
     double releasingCpus;
     double releasingCards;
     double releasingMemGb;
-    int slots;
+    int freeReportSlots;
     final Set<String> fetching;
     final Map<String, Integer> tasksByClass;
 
@@ -46,27 +46,27 @@
       this.cpus = machine.freeCpus();
       this.cards = machine.freeCards();
       this.memGb = machine.freeMemGb();
-      this.slots = machine.freeReportSlots();
+      this.freeReportSlots = machine.freeReportSlots();
       this.fetching = new HashSet<>(machine.fetching());
       this.tasksByClass = new HashMap<>(machine.tasksByClass());
     }
 
     boolean fitsIgnoringReservations(JobSpec spec) {
-      return slots > 0
+      return freeReportSlots > 0
           && spec.cpus() <= cpus + EPSILON
           && spec.cards() <= cards + EPSILON
           && spec.memGb() <= memGb + EPSILON;
     }
 
     boolean fits(JobSpec spec) {
-      return slots > 0
+      return freeReportSlots > 0
           && spec.cpus() <= Math.min(cpus, cpus + releasingCpus) + EPSILON
           && spec.cards() <= Math.min(cards, cards + releasingCards) + EPSILON
           && spec.memGb() <= Math.min(memGb, memGb + releasingMemGb) + EPSILON;
     }
 
     boolean fitsAfterReleases(JobSpec spec) {
-      return slots > 0
+      return freeReportSlots > 0
           && spec.cpus() <= cpus + releasingCpus + EPSILON
           && spec.cards() <= cards + releasingCards + EPSILON
           && spec.memGb() <= memGb + releasingMemGb + EPSILON;
@@ -76,7 +76,7 @@
       cpus -= spec.cpus();
       cards -= spec.cards();
       memGb -= spec.memGb();
-      slots--;
+      freeReportSlots--;
       tasksByClass.merge(spec.jobClass(), 1, Integer::sum);
       if (!machine.images().contains(spec.image())) {
         fetching.add(spec.image());
@@ -92,7 +92,7 @@
   private final List<PlacementPlan.UnplacedTasks> unplaced = new ArrayList<>();
   private final Set<Snapshot.RunningTask> preemptedTasks = new HashSet<>();
   private final Map<String, Snapshot.TeamUsage> started;
-  private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> zonesByJob =
+  private final IdentityHashMap<Snapshot.PendingJob, Map<String, Integer>> tasksByZoneByJob =
       new IdentityHashMap<>();
   private final IdentityHashMap<Snapshot.PendingJob, Integer> startsByJob = new IdentityHashMap<>();
   private int reservedMachines;
@@ -135,7 +135,7 @@
     JobSpec spec = pendingJob.spec();
     boolean isStarved = snapshot.starvedJobs().contains(spec.id());
     Map<String, Integer> tasksByZone = new HashMap<>(pendingJob.tasksByZone());
-    zonesByJob.put(pendingJob, tasksByZone);
+    tasksByZoneByJob.put(pendingJob, tasksByZone);
     int unplacedCount = 0;
     for (int task : pendingJob.tasks()) {
       Snapshot.TeamUsage requestedUsage = requested.get(spec.team());
@@ -206,7 +206,8 @@
               .anyMatch(
                   capacity ->
                       capacity.fitsIgnoringReservations(spec)
-                          && allowsMachine(spec, zonesByJob.get(pendingJob), capacity.machine))) {
+                          && allowsMachine(
+                              spec, tasksByZoneByJob.get(pendingJob), capacity.machine))) {
         passedOver.add(spec.id());
       }
     }
@@ -227,7 +228,7 @@
     }
     if ((spec.sameZone() || spec.spreadAcrossZones())
         && tasksByZone.getOrDefault(Snapshot.UNKNOWN_ZONE, 0) > 0) {
-      // The task may be in any zone: neither constraint is certain to hold until its machine
+      // A task of the job may be in any zone: neither rule is certain to hold until its machine
       // reports.
       return false;
     }
@@ -268,24 +269,26 @@
     if (capacity.machine.images().contains(spec.image())) {
       return 0;
     }
-    double soleFetchS = spec.imageGb() / Math.max(0.01, capacity.machine.type().fetchGbPerS());
+    double unsharedFetchS = spec.imageGb() / Math.max(0.01, capacity.machine.type().fetchGbPerS());
     return capacity.fetching.contains(spec.image())
-        ? soleFetchS * (spec.service() ? 1 : REMAINING_FETCH_SHARE)
-        : soleFetchS * (1 + capacity.fetching.size());
+        ? unsharedFetchS * (spec.service() ? 1 : REMAINING_FETCH_SHARE)
+        : unsharedFetchS * (1 + capacity.fetching.size());
   }
 
   /**
-   * Returns the cost of a machine, lower is better: seconds until the task would run, plus the
-   * share of the machine's CPUs that would be left free.
+   * Returns the score of a machine, lower is better: the weighted fetch time, s, the share of the
+   * machine's CPUs that would be left free, the bonus of spot machines, and for services the
+   * penalties for replicas and for a missing image.
    */
   private static double score(Snapshot.PendingJob pendingJob, FreeCapacity capacity) {
     JobSpec spec = pendingJob.spec();
     double fetchS = fetchSeconds(spec, capacity);
     double freeShare = (capacity.cpus - spec.cpus()) / Math.max(1, capacity.machine.type().cpus());
     if (spec.service()) {
-      // A replica that must wait for its image anyway goes to a machine with few replicas: the loss
-      // of one machine then costs little, and later replicas find the image on machines with free
-      // capacity.
+      // A replica that must wait for its image anyway goes to a machine with few tasks of its
+      // class.
+      // The loss of one machine then costs little, and later replicas find the image on machines
+      // with free capacity.
       int sameClass = capacity.tasksByClass.getOrDefault(spec.jobClass(), 0);
       return capacity.machine.images().contains(spec.image())
           ? sameClass * SPREADING_PENALTY_CACHED + freeShare
@@ -296,13 +299,14 @@
   }
 
   /**
-   * Reserves capacity for a task: what is being released, or what running tasks release while the
-   * job waits, or what preemption releases, or else a machine for the first task of an aged job.
+   * Reserves capacity for a task, the first that is found of: capacity that is being released,
+   * capacity of running tasks that complete within the time that the job waits, capacity released
+   * by preemption, and for the first task of an aged job the machine on which it fits first.
    */
   private void reserveFutureCapacity(
       Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone) {
     boolean found =
-        reserveRelease(pendingJob, tasksByZone, false)
+        reserveReleasingCapacity(pendingJob, tasksByZone, false)
             || (pendingJob.maxWaitS() > 0
                 && reserveFirstToFit(pendingJob, tasksByZone, pendingJob.maxWaitS()))
             || preempt(pendingJob, tasksByZone, false);
@@ -316,28 +320,29 @@
 
   private boolean reserveOrPreempt(
       Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, boolean withImageOnly) {
-    return reserveRelease(pendingJob, tasksByZone, withImageOnly)
+    return reserveReleasingCapacity(pendingJob, tasksByZone, withImageOnly)
         || preempt(pendingJob, tasksByZone, withImageOnly);
   }
 
   /**
-   * Reserves capacity on the machine on which a task fits first, if within {@code maxS} seconds.
+   * Reserves capacity on the machine on which a task fits first, if within {@code maxDelayS}
+   * seconds.
    */
   private boolean reserveFirstToFit(
-      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, double maxS) {
+      Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, double maxDelayS) {
     FreeCapacity best = null;
-    double bestS = Double.POSITIVE_INFINITY;
+    double bestFitDelayS = Double.POSITIVE_INFINITY;
     for (FreeCapacity capacity : machines) {
-      double fitsInS =
+      double fitDelayS =
           allowsMachine(pendingJob.spec(), tasksByZone, capacity.machine)
               ? secondsUntilFits(pendingJob.spec(), capacity)
-              : bestS;
-      if (fitsInS < bestS) {
+              : bestFitDelayS;
+      if (fitDelayS < bestFitDelayS) {
         best = capacity;
-        bestS = fitsInS;
+        bestFitDelayS = fitDelayS;
       }
     }
-    if (best == null || bestS > maxS) {
+    if (best == null || bestFitDelayS > maxDelayS) {
       return false;
     }
     reserve(best, pendingJob.spec());
@@ -351,17 +356,17 @@
     double cpus = capacity.cpus + capacity.releasingCpus;
     double cards = capacity.cards + capacity.releasingCards;
     double memGb = capacity.memGb + capacity.releasingMemGb;
-    double fitsInS = 0;
+    double fitDelayS = 0;
     for (int i = 0; i <= byCompletion.size(); i++) {
-      if (capacity.slots > 0
+      if (capacity.freeReportSlots > 0
           && spec.cpus() <= cpus + EPSILON
           && spec.cards() <= cards + EPSILON
           && spec.memGb() <= memGb + EPSILON) {
-        return fitsInS;
+        return fitDelayS;
       }
       if (i < byCompletion.size()) {
         Snapshot.RunningTask task = byCompletion.get(i);
-        fitsInS = task.remainingS(snapshot.nowMs());
+        fitDelayS = task.remainingS(snapshot.nowMs());
         cpus += task.cpus();
         cards += task.cards();
         memGb += task.memGb();
@@ -370,7 +375,7 @@
     return Double.POSITIVE_INFINITY;
   }
 
-  private boolean reserveRelease(
+  private boolean reserveReleasingCapacity(
       Snapshot.PendingJob pendingJob, Map<String, Integer> tasksByZone, boolean withImageOnly) {
     JobSpec spec = pendingJob.spec();
     for (FreeCapacity capacity : machines) {
@@ -450,14 +455,14 @@
             .thenComparingDouble(task -> task.elapsedS(snapshot.nowMs())));
     List<Snapshot.RunningTask> preempted = new ArrayList<>();
     for (Snapshot.RunningTask task : candidates) {
-      if (!isEnough(spec, capacity, preempted) && mayPreempt(pendingJob, task, preempted)) {
+      if (!isCapacityEnough(spec, capacity, preempted) && mayPreempt(pendingJob, task, preempted)) {
         preempted.add(task);
       }
     }
-    return isEnough(spec, capacity, preempted) && !preempted.isEmpty() ? preempted : null;
+    return isCapacityEnough(spec, capacity, preempted) && !preempted.isEmpty() ? preempted : null;
   }
 
-  private static boolean isEnough(
+  private static boolean isCapacityEnough(
       JobSpec spec, FreeCapacity capacity, List<Snapshot.RunningTask> preempted) {
     double cpus = capacity.cpus + capacity.releasingCpus;
     double cards = capacity.cards + capacity.releasingCards;
@@ -467,7 +472,7 @@
       cards += task.cards();
       memGb += task.memGb();
     }
-    return capacity.slots > 0
+    return capacity.freeReportSlots > 0
         && spec.cpus() <= cpus + EPSILON
         && spec.cards() <= cards + EPSILON
         && spec.memGb() <= memGb + EPSILON;
@@ -491,10 +496,10 @@
         && !snapshot.preemptibleOnlyByMoreUrgent().contains(task.attempt())
         && !snapshot.guaranteedJobs().contains(task.spec().id())
         && !team.equals(pendingJob.spec().team())
-        && (snapshot.teams().get(team) == null || isBeyond(team, task, chosenBefore));
+        && (snapshot.teams().get(team) == null || isBeyondGuarantee(team, task, chosenBefore));
   }
 
-  private boolean isBeyond(
+  private boolean isBeyondGuarantee(
       String team, Snapshot.RunningTask task, List<Snapshot.RunningTask> chosenBefore) {
     Snapshot.TeamUsage usage = snapshot.teams().get(team);
     double cpus = usage.cpus();
--- a/src/test/java/fennelthread/plan/SnapshotFixtures.java
+++ b/src/test/java/fennelthread/plan/SnapshotFixtures.java
@@ -14,7 +14,9 @@
 
   private SnapshotFixtures() {}
 
-  /** A snapshot without starved jobs, in which more urgent work may preempt any attempt. */
+  /**
+   * A snapshot without starved jobs and without attempts that only more urgent work may preempt.
+   */
   static Snapshot snapshot(
       List<Snapshot.MachineState> machines,
       List<Snapshot.PendingJob> pendingJobs,
@@ -110,7 +112,8 @@
   }
 
   /** A task of 4 CPUs that has run on machine a for {@code elapsedS} seconds. */
-  static Snapshot.RunningTask running(String id, String team, Priority priority, long elapsedS) {
+  static Snapshot.RunningTask runningTask(
+      String id, String team, Priority priority, long elapsedS) {
     return new Snapshot.RunningTask(
         job(id, team, priority, 1, 4),
         priority,
@@ -132,9 +135,9 @@
     return snapshot(machines, List.of(pendingJob), guaranteed, Set.of(), teams(0), NOW_MS, 10);
   }
 
-  static Snapshot.PendingJob pendingJob(JobSpec spec, boolean guaranteed, int count) {
+  static Snapshot.PendingJob pendingJob(JobSpec spec, boolean isWithinGuarantee, int taskCount) {
     List<Integer> tasks = new ArrayList<>();
-    for (int i = 0; i < count; i++) {
+    for (int i = 0; i < taskCount; i++) {
       tasks.add(i);
     }
     return new Snapshot.PendingJob(
@@ -143,7 +146,7 @@
         spec.priority(),
         tasks,
         Map.of(),
-        guaranteed,
+        isWithinGuarantee,
         false,
         false,
         1,
