--- a/src/main/java/fennelthread/leader/TaskDemand.java
+++ b/src/main/java/fennelthread/leader/TaskDemand.java
@@ -114,7 +114,7 @@
     for (ActiveJob activeJob : term.activeJobs().all()) {
       long waitedMs = eventLoop.wallMs() - activeJob.releasedWallMs();
       if (waitedMs > PlanConstants.AGING_THRESHOLD_MS && isEligibleForAging(activeJob)) {
-        aging.consider(agingCandidate(activeJob, waitedMs, nowMs));
+        aging.evaluateJob(agingCandidate(activeJob, waitedMs, nowMs));
       }
     }
     return aging;
--- a/src/main/java/fennelthread/plan/Aging.java
+++ b/src/main/java/fennelthread/plan/Aging.java
@@ -52,7 +52,7 @@
   }
 
   /** Decides on one job's boost or protection from preemption; called with the oldest job first. */
-  public void consider(EligibleJob job) {
+  public void evaluateJob(EligibleJob job) {
     if (job.hasFinishedTask || job.waitedMs <= PlanConstants.AGING_THRESHOLD_MS) {
       return;
     }
--- a/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
+++ b/src/test/java/fennelthread/plan/PlacementOrderPropertyTest.java
@@ -212,7 +212,7 @@
     Map<String, ModelJob> jobsById = new HashMap<>();
     for (ModelJob job : jobs) {
       boolean isRunning = job.startedAtMs >= 0;
-      aging.consider(
+      aging.evaluateJob(
           new Aging.EligibleJob(
               "job-" + job.order,
               nowMs - job.arrivedAtMs,
