--- a/src/main/java/fennelthread/constants/NetConstants.java
+++ b/src/main/java/fennelthread/constants/NetConstants.java
@@ -15,7 +15,7 @@
    * Longest time after a stall for which others' silence proves nothing, ms: whoever is silent for
    * longer is really silent.
    */
-  public static final long MAX_LISTEN_AFTER_STALL_MS = 10_000;
+  public static final long MAX_CATCH_UP_AFTER_STALL_MS = 10_000;
 
   /** Most idle outbound connections kept for each address. */
   public static final int MAX_IDLE_CONNECTIONS_PER_ADDRESS = 4;
@@ -42,8 +42,8 @@
   public static final int MAX_OPENING_SOCKETS_PER_WORKER = 2;
 
   /**
-   * Time for which a connection attempt counts as in flight, ms: a reachable peer answers within a
-   * few.
+   * Time for which a connection attempt counts as in flight, ms: a reachable peer answers it within
+   * a few milliseconds.
    */
   public static final long CONNECT_TIMEOUT_MS = 5_000;
 
--- /dev/null
+++ b/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
@@ -0,0 +1,514 @@
+package fennelthread.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fennelthread.simulation.LeaderChanges.Change;
+import fennelthread.wire.JobSpec;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.LongConsumer;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Troubles that meet a change of leader. The rules are checked after each step; each test sees to
+ * it that its meeting came about. Leases are of 10 s and cancelled jobs' tasks gone after 30 s, if
+ * nothing else is said.
+ */
+class LeaderChangeFaultsTest {
+  private static final int MACHINES = 60;
+
+  private static SimulatedCluster settled(long seed) {
+    return Scenes.settled(seed, Deployment.large(MACHINES), 0);
+  }
+
+  // ---------------------------------------------------------------- old reports
+
+  /**
+   * Machines were in their second session, were started anew and are in their first again, with
+   * tasks. A report of the life before reaches every controller as a new leader begins, which can't
+   * ask those machines yet. Its later session proves nothing: their tasks run on and nowhere else,
+   * and the machines get work as soon as they can be asked.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "1,0,false",
+    "2,4,false",
+    "3,50,false",
+    "4,3000,false",
+    "5,4,true",
+    "6,50,true",
+    "7,200,true"
+  })
+  void reportsOfAnEarlierLifeReachTheNextLeader(long seed, long afterMs, boolean slowCopy) {
+    SimulatedCluster cluster = settled(seed);
+    // The cloud takes nothing back: of whoever is silent only its lease's end tells.
+    cluster.cloud.outage(90_000);
+    cluster.world.cut("n-", "nodo", 12_000);
+    cluster.world.runUntil(cluster.world.now() + 16_000);
+    Map<WorkerEmulator, byte[]> old = new LinkedHashMap<>();
+    for (WorkerEmulator worker : cluster.cloud.machines().values()) {
+      if (worker.isUp() && worker.nextReport().session() > 1) {
+        old.put(worker, LeaderChanges.reportOf(worker));
+      }
+    }
+    old.keySet().forEach(worker -> worker.reboot(50));
+    cluster.world.runUntil(cluster.world.now() + 8_000);
+    List<JobSpec> services = Scenes.services(cluster, 30, 100, 15_000);
+    List<WorkerEmulator> loaded = LeaderChanges.machinesWithTasks(cluster);
+    List<WorkerEmulator> silent = new ArrayList<>(old.keySet());
+    silent.removeAll(loaded.subList(0, loaded.size() / 2));
+    assertTrue(silent.stream().filter(loaded::contains).count() > 5, "too few with tasks");
+    int[] handed = new int[1];
+    LeaderChanges.onClaim(
+        cluster,
+        member -> {
+          if (handed[0]++ == 0) {
+            cluster.world.after(
+                afterMs, () -> LeaderChanges.deliverToAllControllers(cluster, old.values()));
+          }
+        });
+    if (slowCopy) {
+      cluster.world.holdMessages(
+          new SimulatedNetwork.HeldMessages("/watch", true, 1, 400, 600), 6_000);
+    }
+    silent.forEach(worker -> cluster.world.cut(worker.name(), "nodo", 7_000));
+    cluster.crash(cluster.leader(), 3_000);
+    cluster.world.runUntil(cluster.world.now() + 9_000);
+    assertTrue(handed[0] > 0, "nobody has claimed");
+    cluster.world.runUntil(cluster.world.now() + 6_000);
+    cluster.submit(LeaderChanges.batchJob(cluster, 300, 20));
+    cluster.world.runUntil(cluster.world.now() + 5_000);
+    List<WorkerEmulator> idle = new ArrayList<>(silent);
+    idle.removeAll(LeaderChanges.machinesWithTasks(cluster));
+    assertTrue(idle.size() <= 2, idle.size() + " machines are not used again");
+    cluster.world.runUntil(cluster.world.now() + 20_000);
+    assertTrue(cluster.allRun(services));
+  }
+
+  /**
+   * Half of the reports come again at every controller when the next leader begins, or when it has
+   * acted, over six changes of leader, while jobs come, end and are cancelled.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "1,0,CRASH",
+    "2,3,STATE_REFUSED",
+    "3,50,FROZEN",
+    "4,1000,QUICK_RESTART",
+    "5,8000,CRASH",
+    "6,25000,WORKERS_ONLY"
+  })
+  void oldReportsReachEveryController(long seed, long afterMs, Change change) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    cluster.replayReportsToNextLeader(0.5, 70_000, afterMs);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 80, 800);
+    long epoch = LeaderChanges.lastClaimedEpoch(cluster);
+    for (int i = 0; i < 6; i++) {
+      cluster.world.after(6_000 + i * 10_500L, () -> LeaderChanges.endLeader(cluster, change));
+    }
+    cluster.world.runUntil(cluster.world.now() + 75_000);
+    long changes = LeaderChanges.lastClaimedEpoch(cluster) - epoch;
+    assertTrue(changes >= 4, changes + " changes of leader");
+    assertTrue(
+        cluster.reportCopies.delivered() > 200, cluster.reportCopies.delivered() + " copies");
+    LeaderChanges.assertSettles(cluster, services, jobs);
+  }
+
+  /**
+   * A machine answers the next leader's question and dies; reports that it sent to the leader
+   * before come in eight seconds later. They renew nothing: with the cloud out, its tasks run
+   * elsewhere a lease after its death.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {11, 12, 13})
+  void oldReportsRenewNoLeaseAtTheNextLeader(long seed) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
+    cluster.cloud.outage(90_000);
+    cluster.replayReportsToNextLeader(0.9, 15_000, 8_000);
+    cluster.world.runUntil(cluster.world.now() + 15_000);
+    long epoch = LeaderChanges.lastClaimedEpoch(cluster);
+    cluster.crash(cluster.leader(), 3_000);
+    Scenes.until(cluster, 15_000, () -> LeaderChanges.lastClaimedEpoch(cluster) > epoch);
+    cluster.world.runUntil(cluster.world.now() + 200);
+    WorkerEmulator dead = LeaderChanges.machinesWithTasks(cluster).get(0);
+    cluster.cloud.terminate(dead, true);
+    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
+    assertTrue(
+        cluster.reportCopies.delivered() > 100, cluster.reportCopies.delivered() + " copies");
+    assertTrue(took < 14_000, "whole after " + took + " ms");
+  }
+
+  // ---------------------------------------------------------------- commands of an earlier leader
+
+  /**
+   * Starts and stops of a leader are held up, it ends or is deposed, and they arrive after the next
+   * one's first command; where the next one can't reach a machine, before it.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "1,CRASH,false",
+    "2,FROZEN,false",
+    "3,STATE_REFUSED,false",
+    "4,WORKERS_ONLY,false",
+    "5,CRASH,true",
+    "6,STATE_REFUSED,true",
+    "7,QUICK_RESTART,true"
+  })
+  void commandsOfTheLeaderBefore(long seed, Change change, boolean outOfReach) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    long epoch = LeaderChanges.lastClaimedEpoch(cluster);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 90, 600);
+    for (int i = 0; i < 4; i++) {
+      cluster.world.after(
+          4_000 + i * 13_000L,
+          () -> {
+            cluster.holdCommands(0.6, 3_000);
+            cluster.world.after(2_000, () -> LeaderChanges.endLeader(cluster, change));
+            if (outOfReach) {
+              cluster.world.after(
+                  2_000,
+                  () ->
+                      cluster
+                          .cloud
+                          .machines()
+                          .values()
+                          .forEach(
+                              worker -> LeaderChanges.cutIfHashIsEven(cluster, worker, 6_500)));
+            }
+          });
+    }
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    long changes = LeaderChanges.lastClaimedEpoch(cluster) - epoch;
+    assertTrue(changes >= 3, changes + " changes of leader");
+    int afterwards =
+        cluster.cloud.machines().values().stream()
+            .mapToInt(worker -> worker.runsOfEarlierLeaders)
+            .sum();
+    assertTrue(
+        afterwards > 0 && cluster.world.requestFaults.commandsDelivered > 10,
+        afterwards + " starts came after the next leader's first command");
+    LeaderChanges.assertSettles(cluster, services, jobs);
+  }
+
+  /**
+   * All commands of three seconds are held up for long. That they got no answer raises the tokens,
+   * reports under these show that nothing was started, and it is started elsewhere, long before the
+   * held commands arrive and are refused.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void startsWithoutAnswerAreMadeElsewhere(long seed) {
+    SimulatedCluster cluster = settled(seed);
+    cluster.world.holdMessages(
+        new SimulatedNetwork.HeldMessages("/commands", false, 1, 40_000, 60_000), 3_000);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    cluster.world.runUntil(cluster.world.now() + 60_000);
+    int stale =
+        cluster.cloud.machines().values().stream().mapToInt(worker -> worker.staleRuns).sum();
+    assertTrue(stale >= 10, stale + " came late");
+    assertTrue(cluster.allRun(services));
+  }
+
+  /**
+   * Leaders end in every way, ten times in two minutes, also inside an outage, and while a share of
+   * the transactions is carried out late, after the next leader's claim.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "1,0,0,0",
+    "2,0,0,0.2",
+    "3,30000,12000,0",
+    "4,55000,25000,0.1",
+    "5,10000,40000,0",
+    "6,80000,20000,0.2"
+  })
+  void leadersChangeTenTimes(long seed, long outageAtMs, long outageMs, double lateShare) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 100, 1_000);
+    int[] claims = new int[1];
+    LeaderChanges.onClaim(cluster, member -> claims[0]++);
+    cluster.state.delayTransactions(lateShare, 110_000);
+    if (outageMs > 0) {
+      cluster.world.after(outageAtMs, () -> cluster.state.outage(outageMs));
+      for (long at = 1_000; at < outageMs; at += 4_000) {
+        String member = "nodo-" + at / 4_000 % 3;
+        cluster.world.after(outageAtMs + at, () -> cluster.crash(member, 2_000));
+      }
+    }
+    Change[] ways = {Change.CRASH, Change.QUICK_RESTART, Change.STATE_REFUSED, Change.FROZEN};
+    LeaderChanges.endLeadersRepeatedly(cluster, ways, 5_500, cluster.world.now() + 118_000);
+    cluster.world.runUntil(cluster.world.now() + 120_000);
+    assertTrue(claims[0] >= 10, claims[0] + " claims");
+    LeaderChanges.assertSettles(cluster, services, jobs);
+  }
+
+  // ---------------------------------------------------------------- cancellations in between
+
+  /**
+   * Jobs are cancelled from the moment of a claim on, through each controller, also the one that
+   * was leader, while the new leader's copy of the state lags and no worker has reported to it.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "1,CRASH,0",
+    "2,FROZEN,300",
+    "3,STATE_REFUSED,600",
+    "4,WORKERS_ONLY,600",
+    "5,UNREACHABLE,600",
+    "6,UNREACHABLE,0",
+    "7,QUICK_RESTART,600",
+    "8,CRASH,1500"
+  })
+  void cancelledWhileWorkChangesHands(long seed, Change change, long copyLateMs) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 36, 100, 15_000);
+    List<JobSpec> cancelled = services.subList(0, 24);
+    String old = cluster.leader();
+    long[] claimedAt = {-1};
+    List<String> members = List.copyOf(cluster.controllers.keySet());
+    LeaderChanges.onClaim(
+        cluster,
+        member -> {
+          if (claimedAt[0] >= 0) {
+            return;
+          }
+          claimedAt[0] = cluster.world.now();
+          for (int i = 0; i < cancelled.size(); i++) {
+            String by = members.get(i % 3);
+            String id = cancelled.get(i).id();
+            cluster.world.after(i / 3 * 120L, () -> cluster.cancelThrough(by, id, 25));
+          }
+        });
+    if (copyLateMs > 0) {
+      cluster.world.holdMessages(
+          new SimulatedNetwork.HeldMessages("/watch", true, 1, copyLateMs, copyLateMs + 300),
+          14_000);
+    }
+    LeaderChanges.endLeader(cluster, change);
+    for (int i = 0; i < 30_000 / 10 && claimedAt[0] < 0; i++) {
+      cluster.world.runUntil(cluster.world.now() + 10);
+    }
+    assertTrue(claimedAt[0] >= 0, "nobody has claimed");
+    cluster.world.runUntil(claimedAt[0] + 60_000);
+    long soon =
+        cancelled.stream()
+            .filter(job -> cluster.checker.ranWhenCancelled(job.id()) > 0)
+            .filter(job -> cluster.checker.cancelledAt(job.id()) < claimedAt[0] + 1_500)
+            .count();
+    assertTrue(soon >= 6, soon + " were cancelled at once, while they ran; leader was " + old);
+    LeaderChanges.assertSettles(cluster, services.subList(24, 36), List.of());
+    LeaderChanges.assertCancelled(cluster, cancelled);
+  }
+
+  /**
+   * Jobs are cancelled through the others at the very moment at which the state service refuses the
+   * leader alone; a second later it is out for longer than the time in which their tasks must be
+   * gone. The leader hears the others, one of them, or none.
+   */
+  @ParameterizedTest
+  @CsvSource({"1,2", "2,1", "3,0", "4,0", "5,2", "6,1"})
+  void cancelledAsTheLeaderIsRefused(long seed, int peersHeard) {
+    long cancelMs = 50_000;
+    Deployment deployment = Deployment.large(MACHINES).withLease(4_000, 22_000, cancelMs);
+    SimulatedCluster cluster = Scenes.settled(seed, deployment, 0.0005);
+    List<JobSpec> services = Scenes.services(cluster, 24, 50, 20_000);
+    List<JobSpec> cancelled = services.subList(0, 16);
+    String old = cluster.leader();
+    List<String> others = LeaderChanges.otherControllers(cluster, old);
+    others.subList(peersHeard, 2).forEach(m -> cluster.world.cut(old, m, 2 * cancelMs));
+    cluster.state.refuseCaller(old, 2 * cancelMs);
+    for (int i = 0; i < cancelled.size(); i++) {
+      String id = cancelled.get(i).id();
+      String by = others.get(i % 2);
+      cluster.world.after(i % 4, () -> cluster.cancelThrough(by, id, 3));
+    }
+    List<WorkerEmulator> hanging = LeaderChanges.machinesWithTasks(cluster).subList(0, 4);
+    hanging.forEach(worker -> worker.hang(12_000));
+    cluster.world.after(1_000, () -> cluster.state.outage(cancelMs + 20_000));
+    cluster.world.runUntil(cluster.world.now() + 1_000);
+    long told =
+        cancelled.stream().filter(j -> cluster.checker.ranWhenCancelled(j.id()) > 0).count();
+    assertTrue(told >= 12, told + " were told");
+    assertEquals(old, cluster.leader(), "it has stepped down before the outage");
+    cluster.world.runUntil(cluster.world.now() + 2 * cancelMs + 60_000);
+    assertTrue(cluster.allRun(services.subList(16, 24)), "services are whole");
+    for (JobSpec job : cancelled) {
+      assertTrue(
+          cluster.checker.cancelledAt(job.id()) < 0 || cluster.checker.running(job.id()) == 0,
+          job.id() + " runs");
+    }
+  }
+
+  // ---------------------------------------------------------------- nobody is there
+
+  /** How all controllers are away. */
+  private enum Away {
+    ENDED,
+    FROZEN,
+    CUT_FROM_WORKERS,
+    ENDED_IN_AN_OUTAGE,
+    /** All but one come back much later still. */
+    ONE_RETURNS
+  }
+
+  /**
+   * All controllers are away for longer than a lease; jobs are cancelled just before, held commands
+   * and old reports arrive when they are back.
+   */
+  @ParameterizedTest
+  @EnumSource
+  void allAreAwayForLongerThanALease(Away away) {
+    for (long seed = 1; seed <= 2; seed++) {
+      allAway(seed, away, seed == 1 ? 13_000 : 31_000);
+    }
+  }
+
+  private static void allAway(long seed, Away away, long awayMs) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 20, 100, 15_000);
+    List<JobSpec> cancelled = services.subList(0, 6);
+    List<JobSpec> kept = services.subList(6, 20);
+    cluster.replayReportsToNextLeader(0.5, 3_000, 200);
+    cluster.holdCommands(0.5, 3_000);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 10, 250);
+    cluster.world.runUntil(cluster.world.now() + 2_500);
+    cancelled.forEach(job -> cluster.cancel(job.id()));
+    cluster.world.runUntil(cluster.world.now() + 60);
+    for (String member : List.copyOf(cluster.controllers.keySet())) {
+      boolean last = member.equals("nodo-2");
+      switch (away) {
+        case FROZEN -> cluster.processes.get(member).pause(awayMs);
+        case CUT_FROM_WORKERS -> cluster.world.cut(member, "n-", awayMs);
+        case ONE_RETURNS -> cluster.crash(member, last ? awayMs : awayMs + 40_000);
+        default -> cluster.crash(member, awayMs);
+      }
+    }
+    if (away == Away.ENDED_IN_AN_OUTAGE) {
+      cluster.state.outage(awayMs + 4_000);
+    }
+    cluster.world.runUntil(cluster.world.now() + awayMs - 50);
+    assertEquals(0, cluster.checker.running(), "some lease is not over");
+    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(kept));
+    assertTrue(took < 30_000, away + ": whole after " + took + " ms");
+    LeaderChanges.assertSettles(cluster, kept, jobs);
+    LeaderChanges.assertCancelled(cluster, cancelled);
+  }
+
+  /**
+   * The lead goes to another controller and back, by refusals of the state service; then all end,
+   * and only one returns, within a second.
+   */
+  @ParameterizedTest
+  @CsvSource({"1,50", "2,300", "3,900", "4,50", "5,2000"})
+  void handedOverAndBackThenOneReturns(long seed, long downMs) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 12, 100, 15_000);
+    List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 60, 900);
+    String first = cluster.leader();
+    List<String> led = new ArrayList<>();
+    LeaderChanges.onClaim(cluster, led::add);
+    cluster.state.refuseCaller(first, 7_000);
+    cluster.world.runUntil(cluster.world.now() + 9_000);
+    String second = cluster.leader();
+    assertNotNull(second);
+    LeaderChanges.otherControllers(cluster, first)
+        .forEach(m -> cluster.state.refuseCaller(m, 7_000));
+    cluster.world.runUntil(cluster.world.now() + 9_000);
+    assertTrue(led.indexOf(second) >= 0 && led.lastIndexOf(first) > 0, "went to " + led);
+    int before = cluster.checker.starts;
+    List.copyOf(cluster.controllers.keySet())
+        .forEach(m -> cluster.crash(m, m.equals(second) ? downMs : 30_000));
+    cluster.world.runUntil(cluster.world.now() + downMs + 7_000);
+    assertEquals(second, cluster.leader());
+    // Users and workers wait 4 to 5 s for each of the two that are gone before they come over.
+    cluster.world.runUntil(cluster.world.now() + 7_000);
+    assertTrue(cluster.checker.starts > before, "nothing is started");
+    LeaderChanges.assertSettles(cluster, services, jobs);
+  }
+
+  /**
+   * A leader ends while machines with long tasks hear nothing of the next one, commands, answers or
+   * both, for less than a lease and for longer, and two more leaders end meanwhile.
+   */
+  @ParameterizedTest
+  @CsvSource({"1,true,7000", "2,true,30000", "3,false,7000", "4,false,30000"})
+  void machinesDoNotHearTheNextLeader(long seed, boolean onlyAnswers, long forMs) {
+    SimulatedCluster cluster = settled(seed);
+    List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
+    List<JobSpec> jobs = new ArrayList<>();
+    for (int i = 0; i < 16; i++) {
+      JobSpec job = LeaderChanges.batchJob(cluster, 6, 60);
+      jobs.add(job);
+      cluster.world.after(i * 50L, () -> cluster.submit(job));
+    }
+    cluster.world.runUntil(cluster.world.now() + 6_000);
+    int unheard = 0;
+    List<WorkerEmulator> loaded = LeaderChanges.machinesWithTasks(cluster);
+    for (WorkerEmulator worker : loaded) {
+      if (unheard++ % 3 == 0) {
+        cluster.world.cutOneWay("nodo", worker.name(), forMs);
+      }
+    }
+    if (onlyAnswers) {
+      cluster.world.holdMessages(
+          new SimulatedNetwork.HeldMessages("/agent/beat", true, 0.5, 4_500, 9_000), forMs);
+    }
+    String first = cluster.leader();
+    cluster.crash(first, 3_000);
+    cluster.world.runUntil(cluster.world.now() + 5_000);
+    LeaderChanges.endLeader(cluster, Change.QUICK_RESTART);
+    cluster.world.runUntil(cluster.world.now() + 5_000);
+    LeaderChanges.endLeader(cluster, Change.CRASH);
+    cluster.world.runUntil(cluster.world.now() + 35_000);
+    assertTrue(unheard > 6, unheard + " machines with tasks");
+    LeaderChanges.assertSettles(cluster, services, jobs);
+  }
+
+  /**
+   * More seeds of each: {@code mvn test -Dtest=LeaderChangeFaultsTest#soak -Dsim.from=100
+   * -Dsim.to=139}.
+   */
+  @Test
+  @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
+  void soak() {
+    long[] delays = {0, 3, 50, 400, 3_000};
+    Change[] ways = Change.values();
+    Map<String, LongConsumer> meetings = new TreeMap<>();
+    meetings.put(
+        "earlier life",
+        s -> reportsOfAnEarlierLifeReachTheNextLeader(s, delays[(int) (s % 5)], s % 2 == 0));
+    meetings.put(
+        "old reports",
+        s -> oldReportsReachEveryController(s, delays[(int) (s % 5)], ways[(int) (s % 5)]));
+    meetings.put("commands", s -> commandsOfTheLeaderBefore(s, ways[(int) (s % 5)], s % 2 == 0));
+    meetings.put("no answer", this::startsWithoutAnswerAreMadeElsewhere);
+    meetings.put(
+        "ten changes",
+        s ->
+            leadersChangeTenTimes(
+                s, s % 10 * 9_000, s % 4 == 0 ? 0 : 8_000 + s % 4 * 9_000, s % 3 * 0.1));
+    meetings.put("hands", s -> cancelledWhileWorkChangesHands(s, ways[(int) (s % 6)], s % 4 * 400));
+    meetings.put("refused", s -> cancelledAsTheLeaderIsRefused(s, (int) (s % 3)));
+    meetings.put(
+        "away", s -> allAway(s, Away.values()[(int) (s % 5)], s % 2 == 0 ? 13_000 : 31_000));
+    meetings.put(
+        "one returns", s -> handedOverAndBackThenOneReturns(s, delays[(int) (s % 5)] + 50));
+    meetings.put(
+        "unheard", s -> machinesDoNotHearTheNextLeader(s, s % 2 == 0, s % 3 == 0 ? 7_000 : 25_000));
+    assertEquals(List.of(), LeaderChanges.failuresOf(meetings));
+  }
+}
