--- a/src/main/java/fennelthread/plan/MachineRanking.java
+++ b/src/main/java/fennelthread/plan/MachineRanking.java
@@ -85,9 +85,8 @@
         (machine.freeCpus() - spec.cpus()) / Math.max(1, machine.machine().type().cpus());
     if (spec.service()) {
       // A replica that must wait for its image anyway goes to a machine with few tasks of its
-      // class.
-      // The loss of one machine then costs little, and later replicas find the image on machines
-      // with free capacity.
+      // class. The loss of one machine then costs little, and later replicas find the image on
+      // machines with free capacity.
       int sameClass = machine.tasksOfClass(spec.jobClass());
       return machine.hasImage(spec)
           ? sameClass * PlanConstants.SPREADING_PENALTY_CACHED + freeShare
--- a/src/test/java/fennelthread/plan/ReferencePlanner.java
+++ b/src/test/java/fennelthread/plan/ReferencePlanner.java
@@ -286,9 +286,8 @@
     double freeShare = (capacity.cpus - spec.cpus()) / Math.max(1, capacity.machine.type().cpus());
     if (spec.service()) {
       // A replica that must wait for its image anyway goes to a machine with few tasks of its
-      // class.
-      // The loss of one machine then costs little, and later replicas find the image on machines
-      // with free capacity.
+      // class. The loss of one machine then costs little, and later replicas find the image on
+      // machines with free capacity.
       int sameClass = capacity.tasksByClass.getOrDefault(spec.jobClass(), 0);
       return capacity.machine.images().contains(spec.image())
           ? sameClass * SPREADING_PENALTY_CACHED + freeShare
