--- a/src/test/java/fennelthread/simulation/DeferredStartsTest.java
+++ b/src/test/java/fennelthread/simulation/DeferredStartsTest.java
@@ -23,10 +23,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A start that rides on the answer to a report, step by step. */
+/**
+ * Starts that a controller holds back until the worker's next report and sends in the answer to it:
+ * phase by phase from DEFERRED to running or ended.
+ */
 class DeferredStartsTest {
-  private final SimulatedNetwork world = new SimulatedNetwork(1);
-  private final SimulatedProcess eventLoop = new SimulatedProcess(world, "nodo");
+  private final SimulatedNetwork network = new SimulatedNetwork(1);
+  private final SimulatedProcess eventLoop = new SimulatedProcess(network, "nodo");
   private final List<Attempt> ended = new ArrayList<>();
   private boolean mayStart = true;
   private final Fleet fleet =
@@ -69,7 +72,7 @@
           Map::of,
           ZoneHealth.ALWAYS_HEALTHY,
           new WorkerLink(
-              (machine, address, call, timeoutMs, done, unsent) -> unsent.over(false),
+              (machine, address, call, timeoutMs, done, notSent) -> notSent.over(false),
               new HeartbeatResponder() {
                 @Override
                 public boolean mayRespond() {
@@ -77,15 +80,17 @@
                 }
 
                 @Override
-                public Answer respond(WorkerReport report, long token, List<WorkerCommand> orders) {
-                  return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, orders));
+                public Answer respond(
+                    WorkerReport report, long token, List<WorkerCommand> commands) {
+                  return Answer.of(200, Codec.CBOR, WorkerCommand.write(token, 0, commands));
                 }
               },
               new StallDetector(eventLoop)));
 
-  private long seq;
+  private long sequence;
 
-  private List<WorkerCommand> report(long token, WorkerReport.Task... tasks) throws WireException {
+  private List<WorkerCommand> sendReport(long token, WorkerReport.Task... tasks)
+      throws WireException {
     WorkerReport report =
         new WorkerReport(
             "n-1",
@@ -94,15 +99,15 @@
             "norte",
             false,
             1,
-            ++seq,
+            ++sequence,
             token,
             WorkerReport.NO_NOTICE,
             List.of(tasks));
     return WorkerCommand.read(fleet.handleReport(report, "nodo").fields());
   }
 
-  private Attempt start() throws WireException {
-    report(1L << 20);
+  private Attempt createDeferredStart() throws WireException {
+    sendReport(1L << 20);
     JobSpec spec =
         JobSpec.builder("job-1")
             .jobClass("lote")
@@ -115,64 +120,75 @@
             .spotAllowed(true)
             .estimateS(1)
             .build();
-    Attempt a = fleet.createAttempt(fleet.findMachine("n-1"), spec, 0);
-    fleet.sendStarts(fleet.findMachine("n-1"), new ArrayList<>(List.of(a)));
-    assertEquals(Attempt.Phase.DEFERRED, a.phase());
-    return a;
+    Attempt attempt = fleet.createAttempt(fleet.findMachine("n-1"), spec, 0);
+    fleet.sendStarts(fleet.findMachine("n-1"), new ArrayList<>(List.of(attempt)));
+    assertEquals(Attempt.Phase.DEFERRED, attempt.phase());
+    return attempt;
   }
 
   /**
-   * The answer held it, the next report does not show it: only a report under a higher token tells.
+   * An answer that carried the start is lost, so the next report does not show the task. Only a
+   * report under a higher token proves that it was not started.
    */
   @Test
-  void aLostAnswerIsDoubted() throws WireException {
-    Attempt a = start();
-    assertEquals(1, report(1L << 20).size());
-    assertEquals(Attempt.Phase.SENT, a.phase());
-    assertTrue(report(1L << 20).isEmpty(), "sent twice");
-    assertEquals(Attempt.Phase.UNCONFIRMED, a.phase());
+  void aStartWhoseAnswerIsLostEndsOnlyUnderAHigherToken() throws WireException {
+    Attempt attempt = createDeferredStart();
+    assertEquals(1, sendReport(1L << 20).size());
+    assertEquals(Attempt.Phase.SENT, attempt.phase());
+    assertTrue(sendReport(1L << 20).isEmpty(), "sent twice");
+    assertEquals(Attempt.Phase.UNCONFIRMED, attempt.phase());
     assertTrue(ended.isEmpty());
-    report(1L << 20);
-    assertTrue(ended.isEmpty(), "taken for gone under the old token");
-    report((1L << 20) + 1);
-    assertEquals(List.of(a), ended);
+    sendReport(1L << 20);
+    assertTrue(ended.isEmpty(), "ended under the old token");
+    sendReport((1L << 20) + 1);
+    assertEquals(List.of(attempt), ended);
   }
 
   @Test
-  void aShownStartIsThere() throws WireException {
-    Attempt a = start();
-    report(1L << 20);
-    report(
+  void aStartShownInTheNextReportIsRunning() throws WireException {
+    Attempt attempt = createDeferredStart();
+    sendReport(1L << 20);
+    sendReport(
         1L << 20,
         new WorkerReport.Task(
-            a.start().task(), a.start().attempt(), WorkerReport.Phase.RUNNING, null, false));
-    assertEquals(Attempt.Phase.RUNNING, a.phase());
+            attempt.start().task(),
+            attempt.start().attempt(),
+            WorkerReport.Phase.RUNNING,
+            null,
+            false));
+    assertEquals(Attempt.Phase.RUNNING, attempt.phase());
   }
 
-  /** The paper's check stands before this way of starting too. */
+  /**
+   * The leader checks that it may still start tasks before it sends a start in an answer, as before
+   * any other start.
+   */
   @Test
-  void nothingIsCarriedOutsideTheLease() throws WireException {
-    Attempt a = start();
+  void noStartIsSentWhenTheLeaderMayNotStart() throws WireException {
+    Attempt attempt = createDeferredStart();
     mayStart = false;
-    assertTrue(report(1L << 20).isEmpty());
-    assertEquals(List.of(a), ended);
+    assertTrue(sendReport(1L << 20).isEmpty());
+    assertEquals(List.of(attempt), ended);
   }
 
-  /** A report that is older than what we know may be answered late, and its answer dropped. */
+  /**
+   * The worker may get the answer to an old report late and drop it, so such an answer carries no
+   * start.
+   */
   @Test
-  void anOldReportBringsNoStart() throws WireException {
-    Attempt a = start();
-    seq = 0;
-    assertTrue(report(1L << 20).isEmpty());
-    assertEquals(Attempt.Phase.DEFERRED, a.phase());
+  void theAnswerToAnOldReportCarriesNoStart() throws WireException {
+    Attempt attempt = createDeferredStart();
+    sequence = 0;
+    assertTrue(sendReport(1L << 20).isEmpty());
+    assertEquals(Attempt.Phase.DEFERRED, attempt.phase());
   }
 
-  /** A worker that does not report: the task is tried elsewhere. */
+  /** The attempt ends, so that the task can be placed elsewhere. */
   @Test
-  void whatIsNotFetchedIsDropped() throws WireException {
-    Attempt a = start();
-    world.runUntil(5_000);
+  void aDeferredStartEndsIfTheWorkerDoesNotReport() throws WireException {
+    Attempt attempt = createDeferredStart();
+    network.runUntil(5_000);
     fleet.tick();
-    assertEquals(List.of(a), ended);
+    assertEquals(List.of(attempt), ended);
   }
 }
--- a/src/test/java/fennelthread/simulation/EventQueueTest.java
+++ b/src/test/java/fennelthread/simulation/EventQueueTest.java
@@ -10,14 +10,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The order of simulated events is that of an ordinary queue by time and number. */
+/**
+ * Compares the order of {@link EventQueue} with that of a {@link PriorityQueue} by time and then by
+ * insertion.
+ */
 class EventQueueTest {
   private record Event(long atMs, int number) {}
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void eventsComeByTimeAndThenAsTheyWereAdded(long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void eventsAreOrderedByTimeThenByInsertion(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     EventQueue queue = new EventQueue();
     PriorityQueue<Event> reference =
         new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingInt(Event::number));
@@ -25,16 +28,16 @@
     long now = 0;
     for (int number = 0; number < 50_000; number++) {
       int added = number;
-      long reachMs = chance.nextInt(4) == 0 ? 40_000 : 20;
-      Event event = new Event(now + chance.nextLong(reachMs), number);
+      long maxDelayMs = random.nextInt(4) == 0 ? 40_000 : 20;
+      Event event = new Event(now + random.nextLong(maxDelayMs), number);
       queue.add(event.atMs(), () -> taken.add(added));
       reference.add(event);
-      if (chance.nextInt(100) < 95) {
+      if (random.nextInt(100) < 95) {
         Event expected = reference.poll();
         assertEquals(expected.atMs(), queue.nextMs());
         queue.poll().run();
         assertEquals(expected.number(), taken.get(taken.size() - 1));
-        now = expected.atMs() + (chance.nextInt(1_000) == 0 ? chance.nextLong(30_000) : 0);
+        now = expected.atMs() + (random.nextInt(1_000) == 0 ? random.nextLong(30_000) : 0);
         now = reference.isEmpty() ? now : Math.min(now, reference.peek().atMs());
       }
     }
--- a/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
+++ b/src/test/java/fennelthread/simulation/InvariantCheckerTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Feeds the checker histories made up for each rule: it fires just when the rule is broken. */
+/**
+ * Feeds the checker a constructed history for each rule: it must fail exactly when the rule is
+ * broken.
+ */
 class InvariantCheckerTest {
   private static final long CANCEL_MS = 30_000;
   private static final List<String> ZONES = List.of("norte", "sur");
@@ -31,7 +34,7 @@
   private final Environment surroundings = new Environment();
   private InvariantChecker checker;
 
-  /** Nobody: the machines of these histories boot, and no controller answers them. */
+  /** The environment of machines that boot and report, with no controller that answers them. */
   private static final class Environment implements WorkerEmulator.Environment {
     @Override
     public Map<String, String> controllers() {
@@ -95,7 +98,7 @@
     return worker;
   }
 
-  /** A job of the red team, which may use 8 CPUs and 2 cards. */
+  /** A job of the team {@code roja}, whose limits are 8 CPUs and 2 GPUs. */
   private static final class JobBuilder {
     private String id = "job-000001";
     private String team = "roja";
@@ -106,8 +109,8 @@
     private double memGb = 2;
     private List<String> types;
     private String zone;
-    private boolean samePlace;
-    private boolean apart;
+    private boolean sameZone;
+    private boolean spreadAcrossZones;
     private boolean spot;
     private List<String> dependencies = List.of();
 
@@ -124,8 +127,8 @@
           .imageGb(1)
           .types(types)
           .zone(zone)
-          .sameZone(samePlace)
-          .spreadAcrossZones(apart)
+          .sameZone(sameZone)
+          .spreadAcrossZones(spreadAcrossZones)
           .spotAllowed(spot)
           .estimateS(service ? 0 : 5)
           .dependencies(dependencies)
@@ -137,57 +140,57 @@
     return new JobBuilder();
   }
 
-  private JobSpec accepted(JobBuilder builder) {
+  private JobSpec submitAndAccept(JobBuilder builder) {
     JobSpec spec = builder.build();
     checker.recordSubmission(spec);
-    tell(spec, "pending");
+    reportState(spec, "pending");
     return spec;
   }
 
-  private void tell(JobSpec spec, String state) {
+  private void reportState(JobSpec spec, String state) {
     checker.recordAnswer(spec.id(), state, checker.userKnowledge(spec.id()));
   }
 
   private void cancel(JobSpec spec) {
     checker.recordCancelRequest(spec.id());
-    tell(spec, "withdrawn");
+    reportState(spec, "withdrawn");
   }
 
-  /** Lets so much time pass, with an event every 100 ms. */
-  private void pass(long ms) {
+  /** Advances the simulated time, with an event every 100 ms at which the rules are checked. */
+  private void advance(long ms) {
     for (long t = 100; t <= ms; t += 100) {
       network.after(t, () -> {});
     }
     network.runUntil(network.now() + ms);
   }
 
-  private static void assertBroken(String rule, Runnable history) {
+  private static void assertRuleBroken(String rule, Runnable history) {
     AssertionError error = assertThrows(AssertionError.class, history::run);
     assertTrue(error.getMessage().contains(" " + rule + ": "), error.getMessage());
   }
 
   @Test
-  void waitingBreaksAfterNinetySeconds() {
+  void waitingRuleBreaksAfterNinetySeconds() {
     machine(SMALL, "norte", false);
-    JobSpec spec = accepted(job());
+    JobSpec spec = submitAndAccept(job());
     checker.recordTaskStart(machines.get(0), spec, 0);
     checker.recordEndOfFaults();
-    assertDoesNotThrow(() -> pass(90_000));
-    assertBroken("waiting", () -> pass(3_000));
+    assertDoesNotThrow(() -> advance(90_000));
+    assertRuleBroken("waiting", () -> advance(3_000));
   }
 
   @Test
-  void waitingCountsOnlyOnceTheTroublesAreOver() {
+  void waitingIsCountedOnlyAfterTheFaults() {
     machine(SMALL, "norte", false);
-    accepted(job());
-    pass(300_000);
+    submitAndAccept(job());
+    advance(300_000);
     checker.recordEndOfFaults();
-    assertDoesNotThrow(() -> pass(90_000));
-    assertBroken("waiting", () -> pass(3_000));
+    assertDoesNotThrow(() -> advance(90_000));
+    assertRuleBroken("waiting", () -> advance(3_000));
   }
 
   /**
-   * Whose room it is makes no difference: work of any priority waits in front of a free machine.
+   * The waiting rule counts any machine on which the task fits, whatever the priority of the job.
    */
   @ParameterizedTest
   @CsvSource({
@@ -196,22 +199,24 @@
     "mesa,sur,false,true",
     "mesa,norte,true,false"
   })
-  void waitingNeedsAMachineOfTheRightKind(String type, String zone, boolean spot, boolean breaks) {
+  void waitingRuleNeedsAMachineThatTheJobAllows(
+      String type, String zone, boolean spot, boolean mustBreak) {
     machine(type.equals("mesa") ? SMALL : LARGE, zone, spot);
-    accepted(job());
+    submitAndAccept(job());
     checker.recordEndOfFaults();
-    if (breaks) {
-      assertBroken("waiting", () -> pass(95_000));
+    if (mustBreak) {
+      assertRuleBroken("waiting", () -> advance(95_000));
     } else {
-      assertDoesNotThrow(() -> pass(300_000));
+      assertDoesNotThrow(() -> advance(300_000));
     }
   }
 
   /**
-   * None of these jobs could be started on the one machine there is, of the small type in norte.
+   * None of the jobs can start on either machine: zone, type, spot, size, spreading or memory
+   * stands against each.
    */
   @Test
-  void waitingIsExcusedWhereNothingFits() {
+  void waitingIsAllowedWhereNothingFits() {
     WorkerEmulator small = machine(SMALL, "norte", false);
     WorkerEmulator far = machine(LARGE, "sur", true);
     JobBuilder elsewhere = job();
@@ -222,123 +227,129 @@
     JobBuilder tooLarge = job();
     tooLarge.id = "job-000003";
     tooLarge.cpus = 4;
-    JobBuilder crowded = job();
-    crowded.id = "job-000004";
-    crowded.apart = true;
-    JobBuilder together = job();
-    together.id = "job-000005";
-    together.samePlace = true;
-    together.spot = true;
-    List.of(elsewhere, otherType, tooLarge).forEach(this::accepted);
-    JobSpec apart = accepted(crowded);
-    checker.recordTaskStart(small, apart, 0);
-    JobSpec place = accepted(together);
-    checker.recordTaskStart(far, place, 0);
+    JobBuilder spread = job();
+    spread.id = "job-000004";
+    spread.spreadAcrossZones = true;
+    JobBuilder inOneZone = job();
+    inOneZone.id = "job-000005";
+    inOneZone.sameZone = true;
+    inOneZone.spot = true;
+    List.of(elsewhere, otherType, tooLarge).forEach(this::submitAndAccept);
+    JobSpec spreadJob = submitAndAccept(spread);
+    checker.recordTaskStart(small, spreadJob, 0);
+    JobSpec sameZoneJob = submitAndAccept(inOneZone);
+    checker.recordTaskStart(far, sameZoneJob, 0);
     JobBuilder filler = job();
     filler.id = "job-000006";
     filler.spot = true;
     filler.tasks = 1;
     filler.memGb = 62;
-    JobSpec full = accepted(filler);
-    checker.recordTaskStart(far, full, 0);
+    JobSpec fillerJob = submitAndAccept(filler);
+    checker.recordTaskStart(far, fillerJob, 0);
     checker.recordEndOfFaults();
-    assertDoesNotThrow(() -> pass(300_000));
-    checker.recordTaskEnd(far, full, 0, true);
-    assertBroken("waiting", () -> pass(95_000));
+    assertDoesNotThrow(() -> advance(300_000));
+    checker.recordTaskEnd(far, fillerJob, 0, true);
+    assertRuleBroken("waiting", () -> advance(95_000));
   }
 
   @Test
-  void waitingIsExcusedAtTheTeamsLimit() {
+  void waitingIsAllowedAtTheTeamLimit() {
     WorkerEmulator large = machine(LARGE, "norte", false);
     JobBuilder eight = job();
     eight.tasks = 8;
-    JobSpec first = accepted(eight);
+    JobSpec first = submitAndAccept(eight);
     for (int i = 0; i < 8; i++) {
       checker.recordTaskStart(large, first, i);
     }
     JobBuilder second = job();
     second.id = "job-000002";
-    accepted(second);
+    submitAndAccept(second);
     checker.recordEndOfFaults();
-    assertDoesNotThrow(() -> pass(300_000));
+    assertDoesNotThrow(() -> advance(300_000));
     checker.recordTaskEnd(large, first, 0, true);
-    assertBroken("waiting", () -> pass(95_000));
+    assertRuleBroken("waiting", () -> advance(95_000));
   }
 
   @Test
-  void waitingIsExcusedWhileDependenciesAreNotDone() {
+  void waitingIsAllowedWhileDependenciesAreNotDone() {
     WorkerEmulator small = machine(SMALL, "norte", false);
-    JobBuilder needed = job();
-    needed.tasks = 1;
-    JobSpec first = accepted(needed);
+    JobBuilder dependency = job();
+    dependency.tasks = 1;
+    JobSpec first = submitAndAccept(dependency);
     checker.recordTaskStart(small, first, 0);
     JobBuilder dependent = job();
     dependent.id = "job-000002";
     dependent.dependencies = List.of(first.id());
-    accepted(dependent);
+    submitAndAccept(dependent);
     checker.recordEndOfFaults();
-    assertDoesNotThrow(() -> pass(300_000));
+    assertDoesNotThrow(() -> advance(300_000));
     checker.recordTaskEnd(small, first, 0, true);
-    assertBroken("waiting", () -> pass(95_000));
+    assertRuleBroken("waiting", () -> advance(95_000));
   }
 
   @Test
-  void waitingIsExcusedForCancelledJobsAndByProgress() {
+  void waitingIsAllowedForCancelledJobsAndAfterProgress() {
     WorkerEmulator small = machine(SMALL, "norte", false);
     JobBuilder unwanted = job();
     unwanted.id = "job-000002";
-    cancel(accepted(unwanted));
-    JobSpec spec = accepted(job());
+    cancel(submitAndAccept(unwanted));
+    JobSpec spec = submitAndAccept(job());
     checker.recordEndOfFaults();
     for (int i = 0; i < 4; i++) {
-      assertDoesNotThrow(() -> pass(80_000));
+      assertDoesNotThrow(() -> advance(80_000));
       checker.recordTaskStart(small, spec, 0);
       checker.recordTaskEnd(small, spec, 0, false);
     }
-    assertBroken("waiting", () -> pass(95_000));
+    assertRuleBroken("waiting", () -> advance(95_000));
   }
 
   @Test
   void aCancelledTaskMustBeGoneInTime() {
     WorkerEmulator small = machine(SMALL, "norte", false);
-    JobSpec spec = accepted(job());
+    JobSpec spec = submitAndAccept(job());
     checker.recordTaskStart(small, spec, 0);
-    pass(5_000);
+    advance(5_000);
     cancel(spec);
-    assertDoesNotThrow(() -> pass(CANCEL_MS));
-    assertBroken("ran_cancelled", () -> pass(200));
+    assertDoesNotThrow(() -> advance(CANCEL_MS));
+    assertRuleBroken("ran_cancelled", () -> advance(200));
   }
 
-  /** A machine that hung goes on with a task long after: there is no upper bound to the rule. */
+  /**
+   * A machine that hung may resume a cancelled task at any later time, so the rule has no upper
+   * bound.
+   */
   @ParameterizedTest
   @CsvSource({"40000", "100000", "3000000"})
-  void aCancelledTaskMustNotGoOnLongAfter(long laterMs) {
+  void aCancelledTaskMustNotResumeLater(long laterMs) {
     WorkerEmulator small = machine(SMALL, "norte", false);
-    JobSpec spec = accepted(job());
+    JobSpec spec = submitAndAccept(job());
     checker.recordTaskStart(small, spec, 0);
     cancel(spec);
-    pass(1_000);
+    advance(1_000);
     checker.recordTaskEnd(small, spec, 0, false);
     network.runUntil(network.now() + laterMs);
-    assertBroken("ran_cancelled", () -> checker.recordTaskStart(small, spec, 0));
+    assertRuleBroken("ran_cancelled", () -> checker.recordTaskStart(small, spec, 0));
   }
 
-  /** The task was there all the time, and nothing happened until long after: still seen. */
+  /**
+   * The task runs on without any event until long after its deadline: the next check still finds
+   * it.
+   */
   @Test
-  void aCancelledTaskIsFoundHoweverLateOneLooks() {
+  void aCancelledTaskThatRunsOnIsFoundByALateCheck() {
     WorkerEmulator small = machine(SMALL, "norte", false);
-    JobSpec spec = accepted(job());
+    JobSpec spec = submitAndAccept(job());
     checker.recordTaskStart(small, spec, 0);
     cancel(spec);
     small.terminate(true);
     network.at(network.now() + 20 * CANCEL_MS, () -> {});
-    assertBroken("ran_cancelled", () -> network.runUntil(network.now() + 21 * CANCEL_MS));
+    assertRuleBroken("ran_cancelled", () -> network.runUntil(network.now() + 21 * CANCEL_MS));
   }
 
   @Test
   void startsAfterAConfirmedCancellationAreCounted() {
     WorkerEmulator small = machine(SMALL, "norte", false);
-    JobSpec spec = accepted(job());
+    JobSpec spec = submitAndAccept(job());
     checker.recordTaskStart(small, spec, 0);
     assertEquals(0, checker.startsAfterCancel);
     cancel(spec);
@@ -346,42 +357,42 @@
     assertEquals(1, checker.startsAfterCancel);
   }
 
-  /** The answer is older by one task than one given before its question was sent. */
+  /** Users must not be told fewer done tasks than in an answer that preceded their request. */
   @Test
   void countsOfDoneTasksMustNotFall() {
-    JobSpec spec = accepted(job());
+    JobSpec spec = submitAndAccept(job());
     InvariantChecker.UserKnowledge early = checker.userKnowledge(spec.id());
     network.runUntil(network.now() + 1);
     checker.recordAnswer(spec.id(), "running", 2, early);
-    // A question sent before that answer may be answered with less, one sent after it not.
+    // An answer to a request sent before that answer may count less, one sent after it may not.
     checker.recordAnswer(spec.id(), "running", 1, early);
     InvariantChecker.UserKnowledge late = checker.userKnowledge(spec.id());
     assertDoesNotThrow(() -> checker.recordAnswer(spec.id(), "running", -1, late));
     assertDoesNotThrow(() -> checker.recordAnswer(spec.id(), "running", 2, late));
-    assertBroken("went_back", () -> checker.recordAnswer(spec.id(), "running", 1, late));
+    assertRuleBroken("went_back", () -> checker.recordAnswer(spec.id(), "running", 1, late));
   }
 
-  /** A millisecond between an answer and the next question is enough. */
+  /** One millisecond between an answer and the next request is enough to order the two. */
   @Test
-  void statesMustNotBeOlderThanWhatWasTold() {
+  void statesMustNotBeOlderThanAnEarlierAnswer() {
     WorkerEmulator small = machine(SMALL, "norte", false);
     JobBuilder single = job();
     single.tasks = 1;
-    JobSpec done = accepted(single);
+    JobSpec done = submitAndAccept(single);
     checker.recordTaskStart(small, done, 0);
     checker.recordTaskEnd(small, done, 0, true);
     InvariantChecker.UserKnowledge early = checker.userKnowledge(done.id());
-    tell(done, "done");
+    reportState(done, "done");
     assertDoesNotThrow(() -> checker.recordAnswer(done.id(), "running", early));
     network.runUntil(network.now() + 1);
-    assertBroken("went_back", () -> tell(done, "running"));
+    assertRuleBroken("went_back", () -> reportState(done, "running"));
     JobBuilder other = job();
     other.id = "job-000002";
-    JobSpec cancelled = accepted(other);
+    JobSpec cancelled = submitAndAccept(other);
     cancel(cancelled);
-    assertBroken("went_back", () -> tell(cancelled, "pending"));
+    assertRuleBroken("went_back", () -> reportState(cancelled, "pending"));
     InvariantChecker.UserKnowledge known = checker.userKnowledge(cancelled.id());
-    assertBroken("forgotten", () -> checker.recordRefusal(cancelled.id(), 404, known));
+    assertRuleBroken("forgotten", () -> checker.recordRefusal(cancelled.id(), 404, known));
   }
 
   @ParameterizedTest
@@ -395,7 +406,7 @@
     "roja,9,0,2,,,false,1",
     "roja,1,0,2,,,true,9"
   })
-  void whatCanNeverRunMustNotBeAccepted(
+  void jobsThatCanNeverRunMustNotBeAccepted(
       String team,
       double cpus,
       double cards,
@@ -404,20 +415,20 @@
       String zone,
       boolean service,
       int tasks) {
-    JobBuilder b = job();
-    b.team = team;
-    b.cpus = cpus;
-    b.cards = cards;
-    b.memGb = memGb;
-    b.types = type == null ? null : List.of(type);
-    b.zone = zone;
-    b.service = service;
-    b.tasks = tasks;
-    assertBroken("accepted_invalid", () -> accepted(b));
+    JobBuilder builder = job();
+    builder.team = team;
+    builder.cpus = cpus;
+    builder.cards = cards;
+    builder.memGb = memGb;
+    builder.types = type == null ? null : List.of(type);
+    builder.zone = zone;
+    builder.service = service;
+    builder.tasks = tasks;
+    assertRuleBroken("accepted_invalid", () -> submitAndAccept(builder));
   }
 
   @Test
-  void whatCanRunMayBeAccepted() {
+  void jobsThatCanRunMayBeAccepted() {
     JobBuilder array = job();
     array.tasks = 1_000;
     array.cpus = 8;
@@ -426,15 +437,16 @@
     service.id = "job-000002";
     service.service = true;
     service.tasks = 8;
-    assertDoesNotThrow(() -> accepted(array));
-    assertDoesNotThrow(() -> accepted(service));
+    assertDoesNotThrow(() -> submitAndAccept(array));
+    assertDoesNotThrow(() -> submitAndAccept(service));
   }
 
   @Test
-  void whatLacksAFieldMustNotBeAccepted() {
+  void jobsThatLackAFieldMustNotBeAccepted() {
     checker.recordInvalidSubmission("job-000077");
     InvariantChecker.UserKnowledge before = checker.userKnowledge("job-000077");
     assertDoesNotThrow(() -> checker.recordRefusal("job-000077", 400, before));
-    assertBroken("accepted_invalid", () -> checker.recordAnswer("job-000077", "pending", before));
+    assertRuleBroken(
+        "accepted_invalid", () -> checker.recordAnswer("job-000077", "pending", before));
   }
 }
--- a/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
+++ b/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Troubles that meet a change of leader. The rules are checked after each step; each test sees to
- * it that its meeting came about. Leases are of 10 s and cancelled jobs' tasks gone after 30 s, if
- * nothing else is said.
+ * Faults combined with a change of leader. The rules are checked after each step; each test asserts
+ * that its combination occurred. Unless said otherwise, leases are 10 s and tasks of cancelled jobs
+ * must be gone within 30 s.
  */
 class LeaderChangeFaultsTest {
   private static final int MACHINES = 60;
@@ -34,10 +34,10 @@
   // ---------------------------------------------------------------- old reports
 
   /**
-   * Machines were in their second session, were started anew and are in their first again, with
-   * tasks. A report of the life before reaches every controller as a new leader begins, which can't
-   * ask those machines yet. Its later session proves nothing: their tasks run on and nowhere else,
-   * and the machines get work as soon as they can be asked.
+   * Machines in their second session reboot and are in their first again, with tasks. Reports from
+   * before the reboot reach every controller as a new leader claims that cannot ask those machines
+   * yet. The higher session in them proves nothing: the tasks run on and nowhere else, and the
+   * machines get work as soon as they can be asked.
    */
   @ParameterizedTest
   @CsvSource({
@@ -49,55 +49,57 @@
     "6,50,true",
     "7,200,true"
   })
-  void reportsOfAnEarlierLifeReachTheNextLeader(long seed, long afterMs, boolean slowCopy) {
+  void reportsFromBeforeARebootProveNothingToTheNextLeader(
+      long seed, long afterMs, boolean slowWatch) {
     SimulatedCluster cluster = settled(seed);
-    // The cloud takes nothing back: of whoever is silent only its lease's end tells.
+    // With the cloud down, only the end of a silent machine's lease proves its tasks gone.
     cluster.cloud.outage(90_000);
     cluster.world.cut("n-", "nodo", 12_000);
     cluster.world.runUntil(cluster.world.now() + 16_000);
-    Map<WorkerEmulator, byte[]> old = new LinkedHashMap<>();
+    Map<WorkerEmulator, byte[]> oldReports = new LinkedHashMap<>();
     for (WorkerEmulator worker : cluster.cloud.machines().values()) {
       if (worker.isUp() && worker.nextReport().session() > 1) {
-        old.put(worker, LeaderChanges.reportOf(worker));
+        oldReports.put(worker, LeaderChanges.reportOf(worker));
       }
     }
-    old.keySet().forEach(worker -> worker.reboot(50));
+    oldReports.keySet().forEach(worker -> worker.reboot(50));
     cluster.world.runUntil(cluster.world.now() + 8_000);
     List<JobSpec> services = Scenes.services(cluster, 30, 100, 15_000);
     List<WorkerEmulator> loaded = LeaderChanges.machinesWithTasks(cluster);
-    List<WorkerEmulator> silent = new ArrayList<>(old.keySet());
+    List<WorkerEmulator> silent = new ArrayList<>(oldReports.keySet());
     silent.removeAll(loaded.subList(0, loaded.size() / 2));
-    assertTrue(silent.stream().filter(loaded::contains).count() > 5, "too few with tasks");
-    int[] handed = new int[1];
+    assertTrue(
+        silent.stream().filter(loaded::contains).count() > 5, "too few silent machines have tasks");
+    int[] claims = new int[1];
     LeaderChanges.onClaim(
         cluster,
         member -> {
-          if (handed[0]++ == 0) {
+          if (claims[0]++ == 0) {
             cluster.world.after(
-                afterMs, () -> LeaderChanges.deliverToAllControllers(cluster, old.values()));
+                afterMs, () -> LeaderChanges.deliverToAllControllers(cluster, oldReports.values()));
           }
         });
-    if (slowCopy) {
+    if (slowWatch) {
       cluster.world.holdMessages(
           new SimulatedNetwork.HeldMessages("/watch", true, 1, 400, 600), 6_000);
     }
     silent.forEach(worker -> cluster.world.cut(worker.name(), "nodo", 7_000));
     cluster.crash(cluster.leader(), 3_000);
     cluster.world.runUntil(cluster.world.now() + 9_000);
-    assertTrue(handed[0] > 0, "nobody has claimed");
+    assertTrue(claims[0] > 0, "no controller has claimed");
     cluster.world.runUntil(cluster.world.now() + 6_000);
     cluster.submit(LeaderChanges.batchJob(cluster, 300, 20));
     cluster.world.runUntil(cluster.world.now() + 5_000);
     List<WorkerEmulator> idle = new ArrayList<>(silent);
     idle.removeAll(LeaderChanges.machinesWithTasks(cluster));
-    assertTrue(idle.size() <= 2, idle.size() + " machines are not used again");
+    assertTrue(idle.size() <= 2, idle.size() + " machines got no work again");
     cluster.world.runUntil(cluster.world.now() + 20_000);
     assertTrue(cluster.allRun(services));
   }
 
   /**
-   * Half of the reports come again at every controller when the next leader begins, or when it has
-   * acted, over six changes of leader, while jobs come, end and are cancelled.
+   * Half of the reports are delivered again to every controller when the next leader claims, or
+   * some time after, across changes of leader, while jobs arrive, end and are cancelled.
    */
   @ParameterizedTest
   @CsvSource({
@@ -108,7 +110,7 @@
     "5,8000,CRASH",
     "6,25000,WORKERS_ONLY"
   })
-  void oldReportsReachEveryController(long seed, long afterMs, Change change) {
+  void oldReportsBreakNoRuleAcrossLeaderChanges(long seed, long afterMs, Change change) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     cluster.replayReportsToNextLeader(0.5, 70_000, afterMs);
@@ -121,13 +123,14 @@
     long changes = LeaderChanges.lastClaimedEpoch(cluster) - epoch;
     assertTrue(changes >= 4, changes + " changes of leader");
     assertTrue(
-        cluster.reportCopies.delivered() > 200, cluster.reportCopies.delivered() + " copies");
+        cluster.reportCopies.delivered() > 200,
+        cluster.reportCopies.delivered() + " copies delivered");
     LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
-   * A machine answers the next leader's question and dies; reports that it sent to the leader
-   * before come in eight seconds later. They renew nothing: with the cloud out, its tasks run
+   * A machine answers the next leader's request and dies. Reports that it sent to the previous
+   * leader arrive 8 s after the claim and must renew no lease: with the cloud down, its tasks run
    * elsewhere a lease after its death.
    */
   @ParameterizedTest
@@ -144,17 +147,18 @@
     cluster.world.runUntil(cluster.world.now() + 200);
     WorkerEmulator dead = LeaderChanges.machinesWithTasks(cluster).get(0);
     cluster.cloud.terminate(dead, true);
-    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
+    long tookMs = Scenes.until(cluster, 60_000, () -> cluster.allRun(services));
     assertTrue(
-        cluster.reportCopies.delivered() > 100, cluster.reportCopies.delivered() + " copies");
-    assertTrue(took < 14_000, "whole after " + took + " ms");
+        cluster.reportCopies.delivered() > 100,
+        cluster.reportCopies.delivered() + " copies delivered");
+    assertTrue(tookMs < 14_000, "all replicas run after " + tookMs + " ms");
   }
 
-  // ---------------------------------------------------------------- commands of an earlier leader
+  // ---------------------------------------------------------------- commands of a previous leader
 
   /**
-   * Starts and stops of a leader are held up, it ends or is deposed, and they arrive after the next
-   * one's first command; where the next one can't reach a machine, before it.
+   * Starts and stops of a leader are held, and it crashes or is deposed. They arrive after the next
+   * leader's first command to the machine, or before it where that leader cannot reach the machine.
    */
   @ParameterizedTest
   @CsvSource({
@@ -166,7 +170,7 @@
     "6,STATE_REFUSED,true",
     "7,QUICK_RESTART,true"
   })
-  void commandsOfTheLeaderBefore(long seed, Change change, boolean outOfReach) {
+  void lateCommandsOfAPreviousLeaderBreakNoRule(long seed, Change change, boolean cutMachines) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     long epoch = LeaderChanges.lastClaimedEpoch(cluster);
@@ -177,7 +181,7 @@
           () -> {
             cluster.holdCommands(0.6, 3_000);
             cluster.world.after(2_000, () -> LeaderChanges.endLeader(cluster, change));
-            if (outOfReach) {
+            if (cutMachines) {
               cluster.world.after(
                   2_000,
                   () ->
@@ -193,38 +197,38 @@
     cluster.world.runUntil(cluster.world.now() + 60_000);
     long changes = LeaderChanges.lastClaimedEpoch(cluster) - epoch;
     assertTrue(changes >= 3, changes + " changes of leader");
-    int afterwards =
+    int startsOfPreviousLeaders =
         cluster.cloud.machines().values().stream()
             .mapToInt(worker -> worker.runsOfEarlierLeaders)
             .sum();
     assertTrue(
-        afterwards > 0 && cluster.world.requestFaults.commandsDelivered > 10,
-        afterwards + " starts came after the next leader's first command");
+        startsOfPreviousLeaders > 0 && cluster.world.requestFaults.commandsDelivered > 10,
+        startsOfPreviousLeaders + " starts arrived after the next leader's first command");
     LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
-   * All commands of three seconds are held up for long. That they got no answer raises the tokens,
-   * reports under these show that nothing was started, and it is started elsewhere, long before the
-   * held commands arrive and are refused.
+   * All commands of 3 s are held for 40 to 60 s. The missing answers raise the tokens, reports
+   * under the higher tokens show that nothing started, and the tasks start elsewhere long before
+   * the held commands arrive and are refused.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void startsWithoutAnswerAreMadeElsewhere(long seed) {
+  void unansweredStartsAreRepeatedElsewhere(long seed) {
     SimulatedCluster cluster = settled(seed);
     cluster.world.holdMessages(
         new SimulatedNetwork.HeldMessages("/commands", false, 1, 40_000, 60_000), 3_000);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     cluster.world.runUntil(cluster.world.now() + 60_000);
-    int stale =
+    int staleStarts =
         cluster.cloud.machines().values().stream().mapToInt(worker -> worker.staleRuns).sum();
-    assertTrue(stale >= 10, stale + " came late");
+    assertTrue(staleStarts >= 10, staleStarts + " starts arrived under an old token");
     assertTrue(cluster.allRun(services));
   }
 
   /**
-   * Leaders end in every way, ten times in two minutes, also inside an outage, and while a share of
-   * the transactions is carried out late, after the next leader's claim.
+   * Leaders end in four ways, at least ten times in two minutes, also during an outage of the state
+   * service and while a share of the transactions is applied late, after the next leader's claim.
    */
   @ParameterizedTest
   @CsvSource({
@@ -235,7 +239,7 @@
     "5,10000,40000,0",
     "6,80000,20000,0.2"
   })
-  void leadersChangeTenTimes(long seed, long outageAtMs, long outageMs, double lateShare) {
+  void jobsSurviveTenLeaderChanges(long seed, long outageAtMs, long outageMs, double lateShare) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 100, 1_000);
@@ -249,18 +253,18 @@
         cluster.world.after(outageAtMs + at, () -> cluster.crash(member, 2_000));
       }
     }
-    Change[] ways = {Change.CRASH, Change.QUICK_RESTART, Change.STATE_REFUSED, Change.FROZEN};
-    LeaderChanges.endLeadersRepeatedly(cluster, ways, 5_500, cluster.world.now() + 118_000);
+    Change[] changes = {Change.CRASH, Change.QUICK_RESTART, Change.STATE_REFUSED, Change.FROZEN};
+    LeaderChanges.endLeadersRepeatedly(cluster, changes, 5_500, cluster.world.now() + 118_000);
     cluster.world.runUntil(cluster.world.now() + 120_000);
     assertTrue(claims[0] >= 10, claims[0] + " claims");
     LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
-  // ---------------------------------------------------------------- cancellations in between
+  // ---------------------------------------------------------------- cancellations around a claim
 
   /**
-   * Jobs are cancelled from the moment of a claim on, through each controller, also the one that
-   * was leader, while the new leader's copy of the state lags and no worker has reported to it.
+   * Jobs are cancelled from the moment of a claim through each controller, also the previous
+   * leader, while the new leader's copy of the state lags and no worker has reported to it.
    */
   @ParameterizedTest
   @CsvSource({
@@ -273,11 +277,11 @@
     "7,QUICK_RESTART,600",
     "8,CRASH,1500"
   })
-  void cancelledWhileWorkChangesHands(long seed, Change change, long copyLateMs) {
+  void cancellationsDuringAClaimTakeEffect(long seed, Change change, long watchDelayMs) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 36, 100, 15_000);
     List<JobSpec> cancelled = services.subList(0, 24);
-    String old = cluster.leader();
+    String oldLeader = cluster.leader();
     long[] claimedAt = {-1};
     List<String> members = List.copyOf(cluster.controllers.keySet());
     LeaderChanges.onClaim(
@@ -293,44 +297,48 @@
             cluster.world.after(i / 3 * 120L, () -> cluster.cancelThrough(by, id, 25));
           }
         });
-    if (copyLateMs > 0) {
+    if (watchDelayMs > 0) {
       cluster.world.holdMessages(
-          new SimulatedNetwork.HeldMessages("/watch", true, 1, copyLateMs, copyLateMs + 300),
+          new SimulatedNetwork.HeldMessages("/watch", true, 1, watchDelayMs, watchDelayMs + 300),
           14_000);
     }
     LeaderChanges.endLeader(cluster, change);
     for (int i = 0; i < 30_000 / 10 && claimedAt[0] < 0; i++) {
       cluster.world.runUntil(cluster.world.now() + 10);
     }
-    assertTrue(claimedAt[0] >= 0, "nobody has claimed");
+    assertTrue(claimedAt[0] >= 0, "no controller has claimed");
     cluster.world.runUntil(claimedAt[0] + 60_000);
-    long soon =
+    long cancelledSoon =
         cancelled.stream()
             .filter(job -> cluster.checker.ranWhenCancelled(job.id()) > 0)
             .filter(job -> cluster.checker.cancelledAt(job.id()) < claimedAt[0] + 1_500)
             .count();
-    assertTrue(soon >= 6, soon + " were cancelled at once, while they ran; leader was " + old);
+    assertTrue(
+        cancelledSoon >= 6,
+        cancelledSoon
+            + " were cancelled soon after the claim while they ran; leader was "
+            + oldLeader);
     LeaderChanges.assertSettles(cluster, services.subList(24, 36), List.of());
     LeaderChanges.assertCancelled(cluster, cancelled);
   }
 
   /**
-   * Jobs are cancelled through the others at the very moment at which the state service refuses the
-   * leader alone; a second later it is out for longer than the time in which their tasks must be
-   * gone. The leader hears the others, one of them, or none.
+   * Jobs are cancelled through the other controllers as the state service starts to refuse the
+   * leader alone; a second later it is down for longer than the time in which their tasks must be
+   * gone. The leader still hears both peers, one, or none.
    */
   @ParameterizedTest
   @CsvSource({"1,2", "2,1", "3,0", "4,0", "5,2", "6,1"})
-  void cancelledAsTheLeaderIsRefused(long seed, int peersHeard) {
+  void cancellationsAsTheLeaderIsRefusedTakeEffect(long seed, int peersHeard) {
     long cancelMs = 50_000;
     Deployment deployment = Deployment.large(MACHINES).withLease(4_000, 22_000, cancelMs);
     SimulatedCluster cluster = Scenes.settled(seed, deployment, 0.0005);
     List<JobSpec> services = Scenes.services(cluster, 24, 50, 20_000);
     List<JobSpec> cancelled = services.subList(0, 16);
-    String old = cluster.leader();
-    List<String> others = LeaderChanges.otherControllers(cluster, old);
-    others.subList(peersHeard, 2).forEach(m -> cluster.world.cut(old, m, 2 * cancelMs));
-    cluster.state.refuseCaller(old, 2 * cancelMs);
+    String oldLeader = cluster.leader();
+    List<String> others = LeaderChanges.otherControllers(cluster, oldLeader);
+    others.subList(peersHeard, 2).forEach(m -> cluster.world.cut(oldLeader, m, 2 * cancelMs));
+    cluster.state.refuseCaller(oldLeader, 2 * cancelMs);
     for (int i = 0; i < cancelled.size(); i++) {
       String id = cancelled.get(i).id();
       String by = others.get(i % 2);
@@ -340,44 +348,44 @@
     hanging.forEach(worker -> worker.hang(12_000));
     cluster.world.after(1_000, () -> cluster.state.outage(cancelMs + 20_000));
     cluster.world.runUntil(cluster.world.now() + 1_000);
-    long told =
+    long confirmed =
         cancelled.stream().filter(j -> cluster.checker.ranWhenCancelled(j.id()) > 0).count();
-    assertTrue(told >= 12, told + " were told");
-    assertEquals(old, cluster.leader(), "it has stepped down before the outage");
+    assertTrue(confirmed >= 12, confirmed + " cancellations were confirmed");
+    assertEquals(oldLeader, cluster.leader(), "the leader stepped down before the outage");
     cluster.world.runUntil(cluster.world.now() + 2 * cancelMs + 60_000);
-    assertTrue(cluster.allRun(services.subList(16, 24)), "services are whole");
+    assertTrue(cluster.allRun(services.subList(16, 24)), "a service lacks replicas");
     for (JobSpec job : cancelled) {
       assertTrue(
           cluster.checker.cancelledAt(job.id()) < 0 || cluster.checker.running(job.id()) == 0,
-          job.id() + " runs");
+          job.id() + " still has tasks");
     }
   }
 
-  // ---------------------------------------------------------------- nobody is there
+  // ---------------------------------------------------------------- all controllers unavailable
 
-  /** How all controllers are away. */
-  private enum Away {
-    ENDED,
+  /** Ways in which all controllers become unavailable. */
+  private enum Absence {
+    CRASHED,
     FROZEN,
     CUT_FROM_WORKERS,
-    ENDED_IN_AN_OUTAGE,
-    /** All but one come back much later still. */
+    CRASHED_IN_AN_OUTAGE,
+    /** One comes back, and the others 40 s after it. */
     ONE_RETURNS
   }
 
   /**
-   * All controllers are away for longer than a lease; jobs are cancelled just before, held commands
-   * and old reports arrive when they are back.
+   * All controllers are unavailable for longer than a lease. Jobs are cancelled just before; held
+   * commands and old reports arrive around the return.
    */
   @ParameterizedTest
   @EnumSource
-  void allAreAwayForLongerThanALease(Away away) {
+  void jobsRecoverAfterAllControllersWereUnavailable(Absence how) {
     for (long seed = 1; seed <= 2; seed++) {
-      allAway(seed, away, seed == 1 ? 13_000 : 31_000);
+      runUnavailable(seed, how, seed == 1 ? 13_000 : 31_000);
     }
   }
 
-  private static void allAway(long seed, Away away, long awayMs) {
+  private static void runUnavailable(long seed, Absence how, long unavailableMs) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 20, 100, 15_000);
     List<JobSpec> cancelled = services.subList(0, 6);
@@ -390,31 +398,32 @@
     cluster.world.runUntil(cluster.world.now() + 60);
     for (String member : List.copyOf(cluster.controllers.keySet())) {
       boolean last = member.equals("nodo-2");
-      switch (away) {
-        case FROZEN -> cluster.processes.get(member).pause(awayMs);
-        case CUT_FROM_WORKERS -> cluster.world.cut(member, "n-", awayMs);
-        case ONE_RETURNS -> cluster.crash(member, last ? awayMs : awayMs + 40_000);
-        default -> cluster.crash(member, awayMs);
+      switch (how) {
+        case FROZEN -> cluster.processes.get(member).pause(unavailableMs);
+        case CUT_FROM_WORKERS -> cluster.world.cut(member, "n-", unavailableMs);
+        case ONE_RETURNS -> cluster.crash(member, last ? unavailableMs : unavailableMs + 40_000);
+        default -> cluster.crash(member, unavailableMs);
       }
     }
-    if (away == Away.ENDED_IN_AN_OUTAGE) {
-      cluster.state.outage(awayMs + 4_000);
+    if (how == Absence.CRASHED_IN_AN_OUTAGE) {
+      cluster.state.outage(unavailableMs + 4_000);
     }
-    cluster.world.runUntil(cluster.world.now() + awayMs - 50);
-    assertEquals(0, cluster.checker.running(), "some lease is not over");
-    long took = Scenes.until(cluster, 60_000, () -> cluster.allRun(kept));
-    assertTrue(took < 30_000, away + ": whole after " + took + " ms");
+    cluster.world.runUntil(cluster.world.now() + unavailableMs - 50);
+    assertEquals(0, cluster.checker.running(), "some lease has not expired");
+    long tookMs = Scenes.until(cluster, 60_000, () -> cluster.allRun(kept));
+    assertTrue(tookMs < 30_000, how + ": all replicas run after " + tookMs + " ms");
     LeaderChanges.assertSettles(cluster, kept, jobs);
     LeaderChanges.assertCancelled(cluster, cancelled);
   }
 
   /**
-   * The lead goes to another controller and back, by refusals of the state service; then all end,
-   * and only one returns, within a second.
+   * Refusals by the state service move the leadership to another controller and back; then all
+   * controllers crash, and one alone returns, within 2 s at most, while the others stay away for 30
+   * s.
    */
   @ParameterizedTest
   @CsvSource({"1,50", "2,300", "3,900", "4,50", "5,2000"})
-  void handedOverAndBackThenOneReturns(long seed, long downMs) {
+  void theOnlyControllerThatReturnsLeads(long seed, long downMs) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 12, 100, 15_000);
     List<JobSpec> jobs = LeaderChanges.submitAndCancelJobs(cluster, 60, 900);
@@ -428,25 +437,27 @@
     LeaderChanges.otherControllers(cluster, first)
         .forEach(m -> cluster.state.refuseCaller(m, 7_000));
     cluster.world.runUntil(cluster.world.now() + 9_000);
-    assertTrue(led.indexOf(second) >= 0 && led.lastIndexOf(first) > 0, "went to " + led);
-    int before = cluster.checker.starts;
+    assertTrue(led.indexOf(second) >= 0 && led.lastIndexOf(first) > 0, "claims by " + led);
+    int startsBefore = cluster.checker.starts;
     List.copyOf(cluster.controllers.keySet())
         .forEach(m -> cluster.crash(m, m.equals(second) ? downMs : 30_000));
     cluster.world.runUntil(cluster.world.now() + downMs + 7_000);
     assertEquals(second, cluster.leader());
-    // Users and workers wait 4 to 5 s for each of the two that are gone before they come over.
+    // Users and workers wait 4 to 5 s for each of the two missing controllers before they try this
+    // one.
     cluster.world.runUntil(cluster.world.now() + 7_000);
-    assertTrue(cluster.checker.starts > before, "nothing is started");
+    assertTrue(cluster.checker.starts > startsBefore, "no task was started");
     LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
-   * A leader ends while machines with long tasks hear nothing of the next one, commands, answers or
-   * both, for less than a lease and for longer, and two more leaders end meanwhile.
+   * A leader crashes while machines with long tasks do not hear the controllers, for less than a
+   * lease or for longer; two more leaders crash meanwhile. With {@code holdAnswers}, half of the
+   * answers to reports are held as well.
    */
   @ParameterizedTest
   @CsvSource({"1,true,7000", "2,true,30000", "3,false,7000", "4,false,30000"})
-  void machinesDoNotHearTheNextLeader(long seed, boolean onlyAnswers, long forMs) {
+  void jobsSurviveMachinesThatDoNotHearTheNextLeader(long seed, boolean holdAnswers, long forMs) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     List<JobSpec> jobs = new ArrayList<>();
@@ -456,14 +467,14 @@
       cluster.world.after(i * 50L, () -> cluster.submit(job));
     }
     cluster.world.runUntil(cluster.world.now() + 6_000);
-    int unheard = 0;
+    int seen = 0;
     List<WorkerEmulator> loaded = LeaderChanges.machinesWithTasks(cluster);
     for (WorkerEmulator worker : loaded) {
-      if (unheard++ % 3 == 0) {
+      if (seen++ % 3 == 0) {
         cluster.world.cutOneWay("nodo", worker.name(), forMs);
       }
     }
-    if (onlyAnswers) {
+    if (holdAnswers) {
       cluster.world.holdMessages(
           new SimulatedNetwork.HeldMessages("/agent/beat", true, 0.5, 4_500, 9_000), forMs);
     }
@@ -474,41 +485,54 @@
     cluster.world.runUntil(cluster.world.now() + 5_000);
     LeaderChanges.endLeader(cluster, Change.CRASH);
     cluster.world.runUntil(cluster.world.now() + 35_000);
-    assertTrue(unheard > 6, unheard + " machines with tasks");
+    assertTrue(seen > 6, seen + " machines with tasks");
     LeaderChanges.assertSettles(cluster, services, jobs);
   }
 
   /**
-   * More seeds of each: {@code mvn test -Dtest=LeaderChangeFaultsTest#soak -Dsim.from=100
-   * -Dsim.to=139}.
+   * Runs each test with more seeds: {@code mvn test -Dtest=LeaderChangeFaultsTest#soak
+   * -Dsim.from=100 -Dsim.to=139}.
    */
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
   void soak() {
     long[] delays = {0, 3, 50, 400, 3_000};
-    Change[] ways = Change.values();
-    Map<String, LongConsumer> meetings = new TreeMap<>();
-    meetings.put(
-        "earlier life",
-        s -> reportsOfAnEarlierLifeReachTheNextLeader(s, delays[(int) (s % 5)], s % 2 == 0));
-    meetings.put(
+    Change[] changes = Change.values();
+    Map<String, LongConsumer> cases = new TreeMap<>();
+    cases.put(
+        "reports from before a reboot",
+        s ->
+            reportsFromBeforeARebootProveNothingToTheNextLeader(
+                s, delays[(int) (s % 5)], s % 2 == 0));
+    cases.put(
         "old reports",
-        s -> oldReportsReachEveryController(s, delays[(int) (s % 5)], ways[(int) (s % 5)]));
-    meetings.put("commands", s -> commandsOfTheLeaderBefore(s, ways[(int) (s % 5)], s % 2 == 0));
-    meetings.put("no answer", this::startsWithoutAnswerAreMadeElsewhere);
-    meetings.put(
+        s ->
+            oldReportsBreakNoRuleAcrossLeaderChanges(
+                s, delays[(int) (s % 5)], changes[(int) (s % 5)]));
+    cases.put(
+        "late commands",
+        s -> lateCommandsOfAPreviousLeaderBreakNoRule(s, changes[(int) (s % 5)], s % 2 == 0));
+    cases.put("unanswered starts", this::unansweredStartsAreRepeatedElsewhere);
+    cases.put(
         "ten changes",
         s ->
-            leadersChangeTenTimes(
+            jobsSurviveTenLeaderChanges(
                 s, s % 10 * 9_000, s % 4 == 0 ? 0 : 8_000 + s % 4 * 9_000, s % 3 * 0.1));
-    meetings.put("hands", s -> cancelledWhileWorkChangesHands(s, ways[(int) (s % 6)], s % 4 * 400));
-    meetings.put("refused", s -> cancelledAsTheLeaderIsRefused(s, (int) (s % 3)));
-    meetings.put(
-        "away", s -> allAway(s, Away.values()[(int) (s % 5)], s % 2 == 0 ? 13_000 : 31_000));
-    meetings.put(
-        "one returns", s -> handedOverAndBackThenOneReturns(s, delays[(int) (s % 5)] + 50));
-    meetings.put(
-        "unheard", s -> machinesDoNotHearTheNextLeader(s, s % 2 == 0, s % 3 == 0 ? 7_000 : 25_000));
-    assertEquals(List.of(), LeaderChanges.failuresOf(meetings));
+    cases.put(
+        "cancelled around a claim",
+        s -> cancellationsDuringAClaimTakeEffect(s, changes[(int) (s % 6)], s % 4 * 400));
+    cases.put(
+        "cancelled as the leader is refused",
+        s -> cancellationsAsTheLeaderIsRefusedTakeEffect(s, (int) (s % 3)));
+    cases.put(
+        "all absent",
+        s -> runUnavailable(s, Absence.values()[(int) (s % 5)], s % 2 == 0 ? 13_000 : 31_000));
+    cases.put("one returns", s -> theOnlyControllerThatReturnsLeads(s, delays[(int) (s % 5)] + 50));
+    cases.put(
+        "next leader not heard",
+        s ->
+            jobsSurviveMachinesThatDoNotHearTheNextLeader(
+                s, s % 2 == 0, s % 3 == 0 ? 7_000 : 25_000));
+    assertEquals(List.of(), LeaderChanges.failuresOf(cases));
   }
 }
--- a/src/test/java/fennelthread/simulation/LeaderChanges.java
+++ b/src/test/java/fennelthread/simulation/LeaderChanges.java
@@ -15,27 +15,30 @@
 import java.util.function.LongConsumer;
 import java.util.stream.LongStream;
 
-/** How leaders change in tests, what is said around it, and what has to hold afterwards. */
+/**
+ * Ways in which tests end a leader, load around the changes, and checks of what must hold
+ * afterwards.
+ */
 final class LeaderChanges {
   private LeaderChanges() {}
 
-  /** How a leader comes to an end. */
+  /** The ways in which a leader ends. */
   enum Change {
-    /** Its process ends and is back after a few seconds. */
+    /** The process crashes and is back after 3 s. */
     CRASH,
-    /** Its process ends and is back within a moment. */
+    /** The process crashes and is back after 50 ms. */
     QUICK_RESTART,
-    /** Its process stands still and goes on as if nothing had happened. */
+    /** The process is paused for 7 s and resumes with its state. */
     FROZEN,
-    /** The state service refuses it alone: it resigns and has its grant ended by a peer. */
+    /** The state service refuses it alone: it resigns, and a peer ends its grant. */
     STATE_REFUSED,
-    /** It loses the state service and the other controllers, not its workers and users. */
+    /** It loses the state service and the other controllers, but not its workers and users. */
     WORKERS_ONLY,
-    /** No worker and no controller reaches it, the state service does: it resigns. */
+    /** Neither workers nor controllers reach it, but it reaches the state service: it resigns. */
     UNREACHABLE
   }
 
-  /** Ends whoever leads in this way; does nothing while nobody leads. */
+  /** Ends the current leader in the given way; does nothing if there is none. */
   static void endLeader(SimulatedCluster cluster, Change change) {
     String leader = cluster.leader();
     if (leader == null) {
@@ -55,7 +58,10 @@
     }
   }
 
-  /** Cuts a machine from the controllers, if its name is one of every other. */
+  /**
+   * Cuts a machine off from the controllers if the hash of its name is even: about half of the
+   * machines.
+   */
   static void cutIfHashIsEven(SimulatedCluster cluster, WorkerEmulator worker, long forMs) {
     if (worker.name().hashCode() % 2 == 0) {
       cluster.world.cut(worker.name(), "nodo", forMs);
@@ -66,53 +72,60 @@
     return cluster.controllers.keySet().stream().filter(m -> !m.equals(member)).toList();
   }
 
-  /** Calls back with the member at each claim, the moment the state service has applied it. */
-  static void onClaim(SimulatedCluster cluster, Consumer<String> task) {
+  /**
+   * Calls {@code onClaimed} with the controller's name at each claim, when the state service has
+   * applied it.
+   */
+  static void onClaim(SimulatedCluster cluster, Consumer<String> onClaimed) {
     cluster.state.onWrite.add(
         key -> {
           if (key.equals("live/lead")) {
-            task.accept(cluster.state.caller());
+            onClaimed.accept(cluster.state.caller());
           }
         });
   }
 
-  /** Ends whoever leads again and again, each time in the next way. */
+  /**
+   * Ends the current leader every {@code everyMs} until {@code untilMs}, taking the given ways in
+   * turn.
+   */
   static void endLeadersRepeatedly(
       SimulatedCluster cluster, Change[] ways, long everyMs, long untilMs) {
-    int[] next = new int[1];
-    Runnable[] again = new Runnable[1];
-    again[0] =
+    int[] nextWay = new int[1];
+    Runnable[] repeat = new Runnable[1];
+    repeat[0] =
         () -> {
           if (cluster.world.now() < untilMs) {
-            endLeader(cluster, ways[next[0]++ % ways.length]);
-            cluster.world.after(everyMs, again[0]);
+            endLeader(cluster, ways[nextWay[0]++ % ways.length]);
+            cluster.world.after(everyMs, repeat[0]);
           }
         };
-    cluster.world.after(1_000, again[0]);
+    cluster.world.after(1_000, repeat[0]);
   }
 
   /**
-   * Plays each meeting with each seed from {@code sim.from} to {@code sim.to}; gives what failed.
+   * Runs each case with each seed from {@code sim.from} to {@code sim.to}; returns a line for each
+   * that failed.
    */
-  static List<String> failuresOf(Map<String, LongConsumer> meetings) {
+  static List<String> failuresOf(Map<String, LongConsumer> cases) {
     return LongStream.rangeClosed(Long.getLong("sim.from"), Long.getLong("sim.to"))
         .boxed()
-        .flatMap(seed -> meetings.keySet().stream().map(name -> Map.entry(seed, name)))
+        .flatMap(seed -> cases.keySet().stream().map(name -> Map.entry(seed, name)))
         .parallel()
         .map(
-            at -> {
+            seedAndName -> {
               try {
-                meetings.get(at.getValue()).accept(at.getKey());
+                cases.get(seedAndName.getValue()).accept(seedAndName.getKey());
                 return "";
               } catch (AssertionError | RuntimeException e) {
-                return at.getValue() + " seed " + at.getKey() + ": " + e;
+                return seedAndName.getValue() + " seed " + seedAndName.getKey() + ": " + e;
               }
             })
         .filter(text -> !text.isEmpty())
         .toList();
   }
 
-  /** The epoch that was claimed last. */
+  /** Returns the epoch of the last claim. */
   static long lastClaimedEpoch(SimulatedCluster cluster) {
     try {
       return cluster.state.claimedEpoch();
@@ -121,7 +134,7 @@
     }
   }
 
-  /** The machines that carry tasks. */
+  /** Returns the machines that have tasks. */
   static List<WorkerEmulator> machinesWithTasks(SimulatedCluster cluster) {
     return cluster.cloud.machines().values().stream()
         .filter(
@@ -131,12 +144,12 @@
         .toList();
   }
 
-  /** A report as its machine would send it now, to be delivered at some later time. */
+  /** Returns the report that the machine would send now, encoded, to be delivered later. */
   static byte[] reportOf(WorkerEmulator machine) {
     return Codec.CBOR.encode(machine.nextReport().write());
   }
 
-  /** Hands reports to every controller that is there. */
+  /** Delivers the reports to every running controller; their answers go nowhere. */
   static void deliverToAllControllers(SimulatedCluster cluster, Collection<byte[]> reports) {
     for (String address : cluster.controllers().values()) {
       for (byte[] body : reports) {
@@ -145,24 +158,24 @@
     }
   }
 
-  /** A job of batch tasks that any machine takes. */
+  /** Returns a batch job whose tasks run on any machine. */
   static JobSpec batchJob(SimulatedCluster cluster, int tasks, double estimateS) {
-    JobSpec any = cluster.plainJob(false, tasks);
-    return JobSpec.builder(any.id())
-        .jobClass(any.jobClass())
-        .team(any.team())
-        .priority(any.priority())
+    JobSpec template = cluster.plainJob(false, tasks);
+    return JobSpec.builder(template.id())
+        .jobClass(template.jobClass())
+        .team(template.team())
+        .priority(template.priority())
         .tasks(tasks)
         .cpus(1)
         .memGb(2)
-        .image(any.image())
+        .image(template.image())
         .imageGb(1)
         .spotAllowed(true)
         .estimateS(estimateS)
         .build();
   }
 
-  /** Jobs of some tasks, one every so often, of which every third is cancelled a little later. */
+  /** Submits a batch job every {@code everyMs} and cancels every third of them a little later. */
   static List<JobSpec> submitAndCancelJobs(SimulatedCluster cluster, int count, long everyMs) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -176,23 +189,30 @@
     return jobs;
   }
 
-  /** Nothing fails any more: every service is whole, every job over, every question answered. */
+  /**
+   * Runs for a minute, ends all faults and runs for another: by then every service must have all
+   * its replicas, every job must be over and every request answered.
+   */
   static void assertSettles(SimulatedCluster cluster, List<JobSpec> services, List<JobSpec> jobs) {
     cluster.world.runUntil(cluster.world.now() + 60_000);
     cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 60_000);
-    assertTrue(cluster.allRun(services), "services are whole");
+    assertTrue(cluster.allRun(services), "a service lacks replicas");
     assertEquals(
         List.of(),
         jobs.stream().map(JobSpec::id).filter(id -> !cluster.checker.isOver(id)).toList());
     cluster.checker.checkServed(30_000);
   }
 
-  /** Every one of these was told to be cancelled, and nothing of it is on a machine any more. */
+  /**
+   * Asserts that users were told of each cancellation and that no task of these jobs runs any more.
+   */
   static void assertCancelled(SimulatedCluster cluster, List<JobSpec> jobs) {
     for (JobSpec job : jobs) {
-      assertTrue(cluster.checker.cancelledAt(job.id()) >= 0, job.id() + ": its user was not told");
-      assertEquals(0, cluster.checker.running(job.id()), job.id() + " runs on");
+      assertTrue(
+          cluster.checker.cancelledAt(job.id()) >= 0,
+          job.id() + ": its user was not told of the cancellation");
+      assertEquals(0, cluster.checker.running(job.id()), job.id() + " still has tasks");
     }
   }
 }
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -14,33 +14,35 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The leader's writes are carried out at once and only their answers are lost, each kind by itself:
- * the table in docs/lost-answers.md. Users' writes have {@link UserMeetingsTest}.
+ * The leader's writes are applied and only their answers are lost, for each kind of write in the
+ * table of docs/lost-answers.md. Users' writes are covered by {@link UserMeetingsTest}.
  */
 class LostAnswersTest {
   private static SimulatedCluster settled(long seed) {
     return Scenes.settled(seed, Deployment.tiny(), 0);
   }
 
-  /** Writes of the leader, and what brings them about. */
+  /** Kinds of the leader's writes, told apart by the keys in the body. */
   private enum LeaderWrite {
     START_RECORD("live/round/", "equipo-none"),
     FINISHED_PART("live/finished/", "final/"),
     COMPLETION("final/", "withdrawn"),
     CLAIM("live/lead", "equipo-none"),
-    UNILATERAL("live/solo", "live/lead"),
+    UNILATERAL_DECLARATION("live/solo", "live/lead"),
     CLEAN_UP("remove", "write");
 
-    private final String names;
-    private final String lacks;
+    private final String includedText;
+    private final String excludedText;
 
-    LeaderWrite(String names, String lacks) {
-      this.names = names;
-      this.lacks = lacks;
+    LeaderWrite(String includedText, String excludedText) {
+      this.includedText = includedText;
+      this.excludedText = excludedText;
     }
 
     boolean matches(String body) {
-      return body.contains("live/epoch") && body.contains(names) && !body.contains(lacks);
+      return body.contains("live/epoch")
+          && body.contains(includedText)
+          && !body.contains(excludedText);
     }
   }
 
@@ -54,10 +56,13 @@
     return cases.stream();
   }
 
-  /** The leader's writes of one kind are applied and their answers lost, three in a row. */
+  /**
+   * Three writes of one kind in a row are applied and their answers lost: every service keeps its
+   * replicas and every job comes to its end.
+   */
   @ParameterizedTest
   @MethodSource("leaderWrites")
-  void answersToOneKindOfTheLeadersWritesAreLost(LeaderWrite write, long seed) {
+  void jobsEndWhenAnswersToTheLeadersWritesAreLost(LeaderWrite write, long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 2, 100, 15_000);
     cluster.repeatedQueries(60_000);
@@ -76,7 +81,7 @@
         () -> {
           if (write == LeaderWrite.CLAIM) {
             cluster.crash(cluster.leader(), 2_000);
-          } else if (write == LeaderWrite.UNILATERAL) {
+          } else if (write == LeaderWrite.UNILATERAL_DECLARATION) {
             cluster.cutPeerLinks(15_000);
           }
         });
@@ -85,57 +90,62 @@
     cluster.world.runUntil(cluster.world.now() + 30_000);
     cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 30_000);
-    assertTrue(cluster.allRun(services), "services are whole");
-    assertTrue(jobs.stream().allMatch(j -> cluster.checker.isOver(j.id())), "all are over");
+    assertTrue(cluster.allRun(services), "a service lacks replicas");
+    assertTrue(jobs.stream().allMatch(j -> cluster.checker.isOver(j.id())), "some job is not over");
   }
 
   /**
-   * The answers to a leader's word that it goes alone are lost until its peers promise again: the
-   * word is cancelled all the same. As long as it stands no peer can take over.
+   * The answers to a leader's declaration of unilateral leadership are lost until its peers promise
+   * again. The declaration is withdrawn all the same; no peer can take over while it stands.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aWordWhoseAnswersAreLostIsCancelled(long seed) throws WireException {
+  void aDeclarationWhoseAnswersAreLostIsWithdrawn(long seed) throws WireException {
     SimulatedCluster cluster = settled(seed);
-    long lostUntil = cluster.world.now() + 6_000;
+    long lostUntilMs = cluster.world.now() + 6_000;
     cluster.state.loseNextAnswers(
-        (caller, body) -> LeaderWrite.UNILATERAL.matches(body) && cluster.world.now() < lostUntil,
+        (caller, body) ->
+            LeaderWrite.UNILATERAL_DECLARATION.matches(body) && cluster.world.now() < lostUntilMs,
         100);
     cluster.cutPeerLinks(3_000);
     cluster.world.runUntil(cluster.world.now() + 6_000);
-    assertTrue(cluster.state.answersLost > 0, "none was lost");
+    assertTrue(cluster.state.answersLost > 0, "no answer was lost");
     assertEquals(
         cluster.state.claimedEpoch(),
         cluster.state.valuesUnder("live/solo").get(0).count("epoch"),
-        "it stands");
+        "the declaration is not recorded");
     cluster.world.runUntil(cluster.world.now() + 10_000);
     assertEquals(
-        0, cluster.state.valuesUnder("live/solo").get(0).count("epoch"), "and is withdrawn");
+        0,
+        cluster.state.valuesUnder("live/solo").get(0).count("epoch"),
+        "the declaration is not withdrawn");
   }
 
-  /** Jobs are cancelled with one that they wait for; the answers to that are lost. */
+  /**
+   * Jobs are cancelled because one that they depend on is; the answers to those writes are lost.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void answersToInheritedCancellationsAreLost(long seed) {
+  void dependentJobsAreCancelledWhenTheAnswersAreLost(long seed) {
     SimulatedCluster cluster = settled(seed);
     cluster.repeatedQueries(60_000);
-    List<JobSpec> waiting = new ArrayList<>();
+    List<JobSpec> dependents = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       JobSpec job = Scenes.lasting(cluster, 1, 120);
-      JobSpec next = Scenes.lasting(cluster, 2, 2).withDependencies(List.of(job.id()));
-      waiting.add(next);
+      JobSpec dependent = Scenes.lasting(cluster, 2, 2).withDependencies(List.of(job.id()));
+      dependents.add(dependent);
       cluster.submit(job);
-      cluster.world.after(1_000, () -> cluster.submit(next));
+      cluster.world.after(1_000, () -> cluster.submit(dependent));
       cluster.world.after(5_000 + i * 3_000, () -> cluster.cancel(job.id()));
     }
     cluster.state.loseNextAnswers(
-        (caller, body) -> waiting.stream().anyMatch(j -> body.contains("final/" + j.id())), 3);
+        (caller, body) -> dependents.stream().anyMatch(j -> body.contains("final/" + j.id())), 3);
     cluster.world.runUntil(cluster.world.now() + 25_000);
     assertEquals(3, cluster.state.answersLost, "answers lost");
     cluster.checker.recordEndOfFaults();
     cluster.world.runUntil(cluster.world.now() + 20_000);
-    for (JobSpec job : waiting) {
-      assertTrue(cluster.checker.cancelledAt(job.id()) >= 0, job.id() + " is cancelled");
+    for (JobSpec job : dependents) {
+      assertTrue(cluster.checker.cancelledAt(job.id()) >= 0, job.id() + " is not cancelled");
       assertEquals(0, cluster.state.countKeys("live/job/" + job.id()));
     }
     assertEquals(6, cluster.state.countKeys("final/"));
--- a/src/test/java/fennelthread/simulation/OneWayPartitionTest.java
+++ b/src/test/java/fennelthread/simulation/OneWayPartitionTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Machines whose reports arrive, but which answers and commands don't reach: their workers end
- * their tasks with each lease and come back with the next session, again and again. Leases are of
- * 10 s.
+ * One-way cuts: reports of some machines arrive, but answers and commands do not reach them. Their
+ * workers end all tasks as each lease expires and report again with the next session, over and
+ * over. Leases are 10 s.
  */
 class OneWayPartitionTest {
   private static final int MACHINES = 60;
@@ -25,7 +25,7 @@
     return Scenes.settled(seed, Deployment.large(MACHINES), 0);
   }
 
-  private static List<WorkerEmulator> carrying(SimulatedCluster cluster) {
+  private static List<WorkerEmulator> machinesWithTasks(SimulatedCluster cluster) {
     Set<String> names =
         cluster.checker.tasksOnMachines().stream()
             .map(p -> p.substring(p.indexOf('@') + 1))
@@ -35,117 +35,123 @@
         .toList();
   }
 
-  private static boolean nothingOn(
+  private static boolean noReplicasOn(
       SimulatedCluster cluster, List<WorkerEmulator> machines, List<JobSpec> services) {
     return machines.stream()
         .noneMatch(worker -> services.stream().anyMatch(s -> cluster.checker.isOn(s.id(), worker)));
   }
 
   /**
-   * Their replicas are started elsewhere in the time that a silent machine's are, and they are
-   * given back.
+   * The replicas start elsewhere as soon as those of a silent machine do, and the machines are
+   * returned to the cloud.
    */
   @ParameterizedTest
   @CsvSource({"1,1", "2,1", "3,6", "4,6", "5,6"})
-  void replicasOfMachinesThatHearNothingGoElsewhere(long seed, int count) {
+  void replicasMoveFromMachinesThatHearNothing(long seed, int count) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
-    List<WorkerEmulator> untold = carrying(cluster).subList(0, count);
-    untold.forEach(worker -> cluster.world.cutOneWay("nodo", worker.name(), 90_000));
+    List<WorkerEmulator> cutMachines = machinesWithTasks(cluster).subList(0, count);
+    cutMachines.forEach(worker -> cluster.world.cutOneWay("nodo", worker.name(), 90_000));
     cluster.world.runUntil(cluster.world.now() + 100);
-    long took =
+    long tookMs =
         Scenes.until(
             cluster,
             60_000,
-            () -> nothingOn(cluster, untold, services) && cluster.allRun(services));
-    assertTrue(took < 9_500, "whole after " + took + " ms");
+            () -> noReplicasOn(cluster, cutMachines, services) && cluster.allRun(services));
+    assertTrue(tookMs < 9_500, "all replicas run after " + tookMs + " ms");
     cluster.world.runUntil(cluster.world.now() + 40_000);
-    for (WorkerEmulator worker : untold) {
+    for (WorkerEmulator worker : cutMachines) {
       assertTrue(
           cluster.cloud.returned.contains(worker.name()),
-          worker.name() + " is charged and of no use");
+          worker.name() + " was not returned to the cloud");
     }
     assertTrue(cluster.allRun(services));
   }
 
-  /** A cut only from the leader: peers tell the machines what it says, and nothing is lost. */
+  /**
+   * Only the leader cannot reach the machines: peers pass on what it says, and next to no task is
+   * lost.
+   */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
-  void whoeverOnlyTheLeaderCanNotTellIsToldByPeers(long seed) {
+  void peersReachMachinesThatTheLeaderCannot(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     String leader = cluster.leader();
     cluster.world.cutOneWay(leader, "n-", 40_000);
     cluster.world.runUntil(cluster.world.now() + 15_000);
     JobSpec job = cluster.plainJob(false, 6);
     cluster.submit(job);
     cluster.world.runUntil(cluster.world.now() + 24_000);
-    assertTrue(cluster.checker.starts >= before + 6, "nothing starts");
+    assertTrue(cluster.checker.starts >= startsBefore + 6, "no task was started");
     assertTrue(
-        cluster.checker.starts <= before + 6 + 4,
-        cluster.checker.starts - before - 6 + " started again");
+        cluster.checker.starts <= startsBefore + 6 + 4,
+        cluster.checker.starts - startsBefore - 6 + " tasks restarted");
     cluster.world.runUntil(cluster.world.now() + 20_000);
     assertTrue(cluster.allRun(services));
   }
 
-  /** Machines that hear nothing from before a takeover on: the new leader's token never shows. */
+  /**
+   * The cut begins before a takeover, so the new leader's token never shows in the machines'
+   * reports.
+   */
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
-  void theNextLeaderNeverReachesThem(long seed) {
+  void replicasMoveWhenTheNextLeaderCannotReachMachines(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 15, 100, 15_000);
-    List<WorkerEmulator> untold = carrying(cluster).subList(0, 6);
-    untold.forEach(worker -> cluster.world.cutOneWay("nodo", worker.name(), 90_000));
+    List<WorkerEmulator> cutMachines = machinesWithTasks(cluster).subList(0, 6);
+    cutMachines.forEach(worker -> cluster.world.cutOneWay("nodo", worker.name(), 90_000));
     cluster.world.runUntil(cluster.world.now() + 500);
     cluster.crash(cluster.leader(), 4_000);
-    long took =
+    long tookMs =
         Scenes.until(
             cluster,
             60_000,
-            () -> nothingOn(cluster, untold, services) && cluster.allRun(services));
-    assertTrue(took < 14_000, "whole after " + took + " ms");
+            () -> noReplicasOn(cluster, cutMachines, services) && cluster.allRun(services));
+    assertTrue(tookMs < 14_000, "all replicas run after " + tookMs + " ms");
     cluster.world.runUntil(cluster.world.now() + 30_000);
     assertTrue(cluster.allRun(services));
   }
 
   /**
-   * Two thirds of the fleet hear nothing and the cloud takes nothing back: no proof but their own
-   * next session, or that a lease is over which nobody can have renewed. What was on them runs on
-   * the others all the same.
+   * Two thirds of the machines hear nothing and the cloud is down. The only proof that tasks are
+   * gone is a later session of the worker or the end of a lease that nobody can have renewed. The
+   * replicas run on the other machines all the same.
    */
   @ParameterizedTest
   @CsvSource({"31,false", "32,false", "33,true", "34,true"})
-  void mostOfAFleetHearsNothingAndTheCloudIsOut(long seed, boolean takeover) {
+  void replicasMoveWhenMostMachinesHearNothingAndTheCloudIsDown(long seed, boolean takeover) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     cluster.cloud.outage(90_000);
-    List<WorkerEmulator> all = List.copyOf(cluster.cloud.machines().values());
-    List<WorkerEmulator> untold = new ArrayList<>();
-    for (int i = 0; i < all.size(); i++) {
+    List<WorkerEmulator> machines = List.copyOf(cluster.cloud.machines().values());
+    List<WorkerEmulator> cutMachines = new ArrayList<>();
+    for (int i = 0; i < machines.size(); i++) {
       if (i % 3 != 0) {
-        untold.add(all.get(i));
-        cluster.world.cutOneWay("nodo", all.get(i).name(), 80_000);
+        cutMachines.add(machines.get(i));
+        cluster.world.cutOneWay("nodo", machines.get(i).name(), 80_000);
       }
     }
     if (takeover) {
       cluster.world.runUntil(cluster.world.now() + 500);
       cluster.crash(cluster.leader(), 4_000);
     }
-    long took =
+    long tookMs =
         Scenes.until(
             cluster,
             60_000,
-            () -> nothingOn(cluster, untold, services) && cluster.allRun(services));
-    assertTrue(took < (takeover ? 40_000 : 25_000), "whole after " + took + " ms");
+            () -> noReplicasOn(cluster, cutMachines, services) && cluster.allRun(services));
+    assertTrue(tookMs < (takeover ? 40_000 : 25_000), "all replicas run after " + tookMs + " ms");
     cluster.world.runUntil(cluster.world.now() + 100_000);
     assertTrue(cluster.allRun(services));
   }
 
-  /** It hears again: it is used again. */
+  /** Machines that hear the controllers again are given work again. */
   @ParameterizedTest
   @ValueSource(longs = {41, 42})
-  void whoHearsAgainIsUsedAgain(long seed) {
+  void machinesThatHearAgainAreUsedAgain(long seed) {
     SimulatedCluster cluster = Scenes.settled(seed, Deployment.tiny(), 0);
     cluster.cloud.outage(200_000);
     cluster.world.cutOneWay("nodo", "n-", 25_000);
@@ -157,19 +163,21 @@
   }
 
   /**
-   * Heard, not told, told again, every few seconds: no rule is broken, and most of the work is
-   * done.
+   * The cut comes and goes every few seconds: no rule is broken, services keep their replicas and
+   * jobs complete.
    */
   @ParameterizedTest
   @CsvSource({"51,2500", "52,4000", "53,6000", "54,11000"})
-  void flapping(long seed, long everyMs) {
+  void jobsCompleteWhileTheCutComesAndGoes(long seed, long everyMs) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    List<WorkerEmulator> some = carrying(cluster).subList(0, 8);
+    List<WorkerEmulator> cutMachines = machinesWithTasks(cluster).subList(0, 8);
     for (long at = 0; at < 60_000; at += 2 * everyMs) {
       cluster.world.after(
           at,
-          () -> some.forEach(worker -> cluster.world.cutOneWay("nodo", worker.name(), everyMs)));
+          () ->
+              cutMachines.forEach(
+                  worker -> cluster.world.cutOneWay("nodo", worker.name(), everyMs)));
     }
     List<JobSpec> batches = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
@@ -188,12 +196,12 @@
   }
 
   /**
-   * A whole zone of two hears nothing: the other one takes over what it can, and both serve
+   * A whole zone of two hears nothing: the other one takes over its replicas, and all services run
    * afterwards.
    */
   @ParameterizedTest
   @ValueSource(longs = {61, 62})
-  void aWholeZone(long seed) {
+  void replicasMoveFromAZoneThatHearsNothing(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
     for (WorkerEmulator worker : cluster.cloud.machines().values()) {
@@ -201,11 +209,11 @@
         cluster.world.cutOneWay("nodo", worker.name(), 45_000);
       }
     }
-    long took =
+    long tookMs =
         Scenes.until(
             cluster, 60_000, () -> cluster.allRun(services) && cluster.world.now() > 50_000);
     assertNotNull(cluster.leader());
-    assertTrue(took < 30_000, "whole after " + took + " ms");
+    assertTrue(tookMs < 30_000, "all replicas run after " + tookMs + " ms");
     cluster.world.runUntil(cluster.world.now() + 80_000);
     assertTrue(cluster.allRun(services));
   }
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A leader that its workers can't reach, alone and with other troubles. Workers report every 1.5 s
- * and their leases are 10 s, grants 4 s; a cut lasts longer than a lease, so that without a way
- * around it everything that runs is lost.
+ * A leader that cannot reach its workers, alone and combined with other faults; peers relay reports
+ * and commands. Workers report every 1.5 s, leases are 10 s and grants 4 s. A cut lasts longer than
+ * a lease, so that without a relay every running task is lost.
  */
 class RelayTest {
   static {
@@ -30,101 +30,110 @@
   private static final int MACHINES = 200;
   private static final long CUT_MS = 14_000;
 
-  /** Reports and commands go through peers: nothing is lost, the leader stays, jobs start. */
+  /** Reports and commands go through peers: no task is lost, the leader stays, jobs start. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aLeaderCutFromItsWorkersGoesOn(long seed) {
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
     String leader = cluster.leader();
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     cluster.world.cut(leader, "n-", CUT_MS);
     cluster.world.runUntil(33_000);
     JobSpec job = cluster.plainJob(true, 10);
     cluster.submit(job);
     cluster.world.runUntil(37_000);
-    assertEquals(10, cluster.checker.running(job.id()), "a job submitted while it is cut off runs");
+    assertEquals(10, cluster.checker.running(job.id()), "tasks of a job submitted during the cut");
     cluster.world.runUntil(60_000);
     assertEquals(leader, cluster.leader());
-    assertEquals(before + 10, cluster.checker.starts, "a task was lost");
+    assertEquals(startsBefore + 10, cluster.checker.starts, "a task was restarted");
     assertTrue(cluster.allRun(services));
   }
 
   /**
-   * The same in an outage of the state service, when nobody can claim: relaying is all there is.
+   * The cut falls into an outage of the state service, when no controller can claim: the relay is
+   * the only way.
    */
   @ParameterizedTest
   @ValueSource(longs = {4, 5, 6})
-  void cutOffInAnOutage(long seed) {
-    cutOffAt(
+  void noTaskIsLostWhenCutOffInAStateOutage(long seed) {
+    runCutOff(
         seed, 30_000, 0, cluster -> cluster.world.at(31_000, () -> cluster.state.outage(12_000)));
   }
 
-  /** Cuts the leader off from its workers beside another trouble; so many tasks may be lost. */
-  private static void cutOffAt(
-      long seed, long atMs, int mayBeLost, Consumer<SimulatedCluster> trouble) {
+  /**
+   * Cuts the leader off from its workers, with another fault; at most {@code maxLost} tasks may be
+   * restarted.
+   */
+  private static void runCutOff(
+      long seed, long atMs, int maxLost, Consumer<SimulatedCluster> fault) {
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
-    int before = cluster.checker.starts;
-    trouble.accept(cluster);
+    int startsBefore = cluster.checker.starts;
+    fault.accept(cluster);
     cluster.world.at(atMs, () -> cluster.world.cut(cluster.leader(), "n-", CUT_MS));
     cluster.world.runUntil(60_000);
     assertTrue(
-        cluster.checker.starts - before <= mayBeLost,
-        cluster.checker.starts - before + " tasks were lost");
+        cluster.checker.starts - startsBefore <= maxLost,
+        cluster.checker.starts - startsBefore + " tasks were restarted");
     assertTrue(cluster.allRun(services));
   }
 
-  /** No path between controllers either: the peers say through the state service what they hear. */
+  /**
+   * Controllers cannot reach one another either: peers report through the state service which
+   * workers they hear, and another controller takes over.
+   */
   @ParameterizedTest
   @ValueSource(longs = {7, 8, 9})
-  void cutOffWhileTheMeshIsRefused(long seed) {
+  void anotherLeadsWhenCutOffFromWorkersAndPeers(long seed) {
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
     String leader = cluster.leader();
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     cluster.cutPeerLinks(25_000);
     cluster.world.runUntil(32_000);
     cluster.world.cut(leader, "n-", CUT_MS);
-    long at = cluster.world.now();
+    long cutAtMs = cluster.world.now();
     while (cluster.world.now() < 45_000
         && (cluster.leader() == null || cluster.leader().equals(leader))) {
       cluster.world.runUntil(cluster.world.now() + 50);
     }
     System.out.printf(
-        "seed %d: another leads %d ms after the cut%n", seed, cluster.world.now() - at);
+        "seed %d: another leads %d ms after the cut%n", seed, cluster.world.now() - cutAtMs);
     assertNotEquals(leader, cluster.leader());
     assertTrue(cluster.world.now() < 39_000, "another leads at " + cluster.world.now());
     cluster.world.runUntil(70_000);
-    assertEquals(before, cluster.checker.starts, "a task was lost");
+    assertEquals(startsBefore, cluster.checker.starts, "a task was restarted");
     assertTrue(cluster.allRun(services));
   }
 
   /**
-   * One peer is dead, the other relays. Half of the workers try the dead one first, and some of
-   * those have no time left then: twice 4 s and twice 1 s is a whole lease here.
+   * One peer is down and the other relays. Half of the workers try the dead one first, and some of
+   * them have no time left then: two attempts of 4 s and two pauses of 1 s are a whole lease here.
    */
   @ParameterizedTest
   @ValueSource(longs = {10, 11})
-  void cutOffWithOnePeerDead(long seed) {
-    cutOffAt(seed, 31_000, 80, cluster -> cluster.crash(follower(cluster), 9_000));
+  void fewTasksAreLostWhenCutOffWithOnePeerDown(long seed) {
+    runCutOff(seed, 31_000, 80, cluster -> cluster.crash(follower(cluster), 9_000));
   }
 
   /**
-   * A follower is cut off from the state service too: it still knows the leader from the peer
+   * A follower is cut off from the state service too. It still knows the leader from the peer
    * network.
    */
   @ParameterizedTest
   @ValueSource(longs = {12, 13})
-  void cutOffWhileAFollowerIsCutFromTheState(long seed) {
-    cutOffAt(seed, 32_000, 0, cluster -> cluster.world.cut(follower(cluster), "state", 20_000));
+  void noTaskIsLostWhenAFollowerIsCutFromTheStateToo(long seed) {
+    runCutOff(seed, 32_000, 0, cluster -> cluster.world.cut(follower(cluster), "state", 20_000));
   }
 
-  /** The relay ends in the middle: the other one takes over within the workers' lease. */
+  /**
+   * The relaying peer crashes during the cut: the other one takes over within the workers' lease.
+   */
   @ParameterizedTest
   @ValueSource(longs = {14, 15})
-  void theRelayCrashes(long seed) {
-    cutOffAt(
+  void fewTasksAreLostWhenTheRelayCrashes(long seed) {
+    runCutOff(
         seed,
         30_000,
         20,
@@ -132,12 +141,12 @@
   }
 
   /**
-   * The leader is frozen while relayed reports wait in its buffers, and wakes when another leads:
-   * what it answers comes too late for relay and worker, and its commands are refused.
+   * The leader is paused while relayed reports wait in its buffers and resumes when another leads.
+   * Its answers come too late for relay and worker, and its commands are refused.
    */
   @ParameterizedTest
   @ValueSource(longs = {16, 17})
-  void aDeafLeaderIsFrozen(long seed) {
+  void tasksSurviveAPauseOfACutOffLeader(long seed) {
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
     String leader = cluster.leader();
@@ -152,11 +161,12 @@
   }
 
   /**
-   * An old leader is not relayed to, and an old peer relays nothing: it yields as it always did.
+   * Controllers of the production version and today's run side by side: nothing is relayed to an
+   * old leader or through an old peer, so a leader that is cut off steps down.
    */
   @ParameterizedTest
   @ValueSource(longs = {18, 19, 20})
-  void oldAndNewSideBySide(long seed) {
+  void controllersOfBothVersionsSurviveCuts(long seed) {
     SimulatedCluster cluster =
         new SimulatedCluster(seed, Deployment.tiny().withProductionVersion());
     cluster.addRandomUsersAndFaults(60_000);
@@ -176,25 +186,25 @@
   }
 
   /**
-   * The relay has passed commands on, and is cut off before it can say so: without its answer they
-   * count as ones that may be executed, until the workers' own reports come by the other peer.
+   * The relay has passed commands on and is cut off before it can answer. Without its answer they
+   * count as possibly executed, until the workers' own reports arrive through the other peer.
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
-  void theRelaysAnswerIsLost(long seed) {
+  void commandsWithoutTheRelaysAnswerRunOnce(long seed) {
     SimulatedCluster cluster = fleet(seed);
     List<JobSpec> services = services(cluster);
     String leader = cluster.leader();
     String relay = "nodo-" + (leader.charAt(5) - '0' + 1) % 3;
     cluster.world.cut(leader, "n-", 20_000);
     cluster.world.runUntil(38_000);
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       jobs.add(cluster.plainJob(true, 10));
       cluster.submit(jobs.get(i));
     }
-    while (cluster.checker.starts == before) {
+    while (cluster.checker.starts == startsBefore) {
       cluster.world.runUntil(cluster.world.now() + 1);
     }
     cluster.world.cut(relay, leader, 9_000);
@@ -204,20 +214,22 @@
   }
 
   /**
-   * A leader that yielded keeps tasks alive while nobody leads, and not a moment longer than it
-   * knows: the next one counts leases from when its peers have acknowledged its epoch.
+   * A leader that has resigned goes on answering reports, and so renewing leases, while no other
+   * leads. It stops as soon as it hears of the next leader, which counts leases from when its peers
+   * have acknowledged its epoch.
    */
   @Test
   void aResignedLeaderStopsOnceAnotherLeads() throws WireException {
     SimulatedCluster cluster = fleet(40);
-    String old = cluster.leader();
-    cluster.state.refuseCaller(old, 30_000);
-    int answers = 0;
-    long another = 1_000_000;
+    String resigned = cluster.leader();
+    cluster.state.refuseCaller(resigned, 30_000);
+    int answerCount = 0;
+    long nextLeadsAtMs = 1_000_000;
     while (cluster.world.now() < 30_000) {
       cluster.world.runUntil(cluster.world.now() + 20);
-      String next = cluster.leaderOtherThan(old);
-      another = next == null ? another : Math.min(another, cluster.world.now());
+      String nextLeader = cluster.leaderOtherThan(resigned);
+      nextLeadsAtMs =
+          nextLeader == null ? nextLeadsAtMs : Math.min(nextLeadsAtMs, cluster.world.now());
       WorkerReport report =
           new WorkerReport(
               "n-900000",
@@ -233,33 +245,35 @@
       Answer[] answer = new Answer[1];
       cluster
           .controllers
-          .get(old)
+          .get(resigned)
           .api()
           .handle(
               new Request("POST", "/agent/beat", Codec.CBOR.encode(report.write())),
               a -> answer[0] = a);
       if (answer[0] != null && answer[0].status() == 200) {
-        answers++;
-        // Heartbeats that bring the news take a few milliseconds, and one in between may be lost.
-        assertTrue(cluster.world.now() < another + 1_000, "answers at " + cluster.world.now());
+        answerCount++;
+        // The heartbeat that announces the next leader takes a few milliseconds, and one may be
+        // lost.
+        assertTrue(
+            cluster.world.now() < nextLeadsAtMs + 1_000, "answers at " + cluster.world.now());
       }
     }
-    System.out.printf("another led at %d, %d answers%n", another, answers);
-    assertTrue(another < 20_000, "another led at " + another);
+    System.out.printf("another led at %d, %d answers%n", nextLeadsAtMs, answerCount);
+    assertTrue(nextLeadsAtMs < 20_000, "another led at " + nextLeadsAtMs);
   }
 
   /**
-   * A few machines can't reach the leader, which hears all others: only their reports are relayed.
+   * A few machines cannot reach the leader, which hears all others: only their reports are relayed.
    */
   @Test
-  void aFewMachinesCutFromTheLeaderAlone() {
-    cutOffAt(21, 1_000_000, 0, cluster -> cluster.world.cut(cluster.leader(), "n-00001", 30_000));
+  void noTaskIsLostWhenAFewMachinesAreCutFromTheLeader() {
+    runCutOff(21, 1_000_000, 0, cluster -> cluster.world.cut(cluster.leader(), "n-00001", 30_000));
   }
 
-  /** Storms of cuts, losses and late packets in which relays are always in use. */
+  /** Random faults with cuts, losses and late packets, during which relays are always in use. */
   @ParameterizedTest
   @ValueSource(longs = {22, 23, 24, 25, 26, 27})
-  void stormsOfCuts(long seed) {
+  void jobsStartAmidRandomFaultsAndCuts(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.world.loss = 0.02;
     cluster.world.late = 0.01;
@@ -286,7 +300,7 @@
     return cluster;
   }
 
-  /** A hundred replicas, running for a while when this returns, at 30 s. */
+  /** Starts a hundred replicas and returns at 30 s, when all of them run. */
   private static List<JobSpec> services(SimulatedCluster cluster) {
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
--- a/src/test/java/fennelthread/simulation/RestartTest.java
+++ b/src/test/java/fennelthread/simulation/RestartTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Processes that end and are back within a fraction of a second, in the middle of what they do,
- * while their last messages are still under way. The rules are checked after each step; what is
- * looked at here is that nothing of what runs is lost.
+ * Processes that crash in the middle of an operation and are back within a second, while their last
+ * messages are still in flight. The rules are checked after each step; these tests assert that no
+ * running task is lost.
  */
 class RestartTest {
   private static final int MACHINES = 60;
@@ -27,9 +27,9 @@
   }
 
   /**
-   * The writer of a key crashes the moment the state service has applied it, before it hears so: a
-   * claim, a takeover (its leader is frozen), a word that the leader goes alone (the peer network
-   * is refused), a round's record, a job's end.
+   * The writer of a key crashes when the state service has applied the write, before it gets the
+   * answer: a claim, a takeover (from a paused leader), a declaration of unilateral leadership (the
+   * peer network is refused), a start record, a job's end.
    */
   @ParameterizedTest
   @CsvSource({
@@ -41,12 +41,12 @@
     "final/,none",
     "live/job,none"
   })
-  void crashInTheMiddle(String prefix, String trouble) {
+  void tasksSurviveACrashRightAfterAWrite(String prefix, String fault) {
     for (long seed = 1; seed <= 3; seed++) {
       for (long downMs : new long[] {50, 300, 1_000}) {
         SimulatedCluster cluster = settled(seed);
         List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-        int before = cluster.checker.starts;
+        int startsBefore = cluster.checker.starts;
         int[] crashes = new int[1];
         cluster.state.onWrite.add(
             key -> {
@@ -59,7 +59,7 @@
               }
             });
         String leader = cluster.leader();
-        switch (trouble) {
+        switch (fault) {
           case "crash" -> cluster.crash(leader, downMs);
           case "freeze" -> cluster.processes.get(leader).pause(20_000);
           case "refuse" -> cluster.cutPeerLinks(8_000);
@@ -72,75 +72,77 @@
           cluster.world.after(200 + i * 400L, () -> cluster.submit(job));
         }
         cluster.world.runUntil(cluster.world.now() + 60_000);
-        String what = prefix + " seed " + seed + " back after " + downMs;
-        assertTrue(crashes[0] > 0, what + ": nothing was written");
-        assertTrue(cluster.allRun(services), what);
+        String description = prefix + " seed " + seed + " back after " + downMs;
+        assertTrue(crashes[0] > 0, description + ": no such key was written");
+        assertTrue(cluster.allRun(services), description);
         cluster.checker.checkServed(30_000);
-        assertFewAgain(before + 12 * 4, cluster, what);
+        assertFewRestarts(startsBefore + 12 * 4, cluster, description);
         for (JobSpec job : batches) {
-          assertTrue(cluster.checker.isOver(job.id()), what + ": " + job.id());
+          assertTrue(cluster.checker.isOver(job.id()), description + ": " + job.id());
         }
       }
     }
   }
 
   /**
-   * One process ends 20 times, each time soon after it is back, with a fault of its own: the others
-   * lead, and it does not hold leadership a moment at a time.
+   * One controller crashes 20 times, each time soon after its return, through a fault of its own.
+   * The others lead; it does not become leader again and again for a moment.
    */
   @ParameterizedTest
   @ValueSource(longs = {50, 300})
-  void aProcessThatEndsAtOnceEachTime(long downMs) {
+  void aControllerThatKeepsCrashingDoesNotLead(long downMs) {
     SimulatedCluster cluster = settled(5);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     String faulty = cluster.leader();
-    int led = 0;
-    int ledByFaulty = 0;
+    int samplesWithLeader = 0;
+    int samplesLedByFaulty = 0;
     for (int i = 0; i < 20; i++) {
       cluster.crash(faulty, downMs);
-      for (int t = 0; t < 12; t++) {
+      for (int sample = 0; sample < 12; sample++) {
         cluster.world.runUntil(cluster.world.now() + 100);
-        led += cluster.leader() == null ? 0 : 1;
-        ledByFaulty += faulty.equals(cluster.leader()) ? 1 : 0;
+        samplesWithLeader += cluster.leader() == null ? 0 : 1;
+        samplesLedByFaulty += faulty.equals(cluster.leader()) ? 1 : 0;
       }
     }
     System.out.printf(
-        "back after %d ms: led %d of 240 looks, %d by the faulty one%n", downMs, led, ledByFaulty);
+        "back after %d ms: a leader in %d of 240 samples, the faulty controller in %d%n",
+        downMs, samplesWithLeader, samplesLedByFaulty);
     assertNotEquals(faulty, cluster.leader());
-    assertTrue(led > 180, led + " of 240");
-    assertTrue(ledByFaulty < 30, ledByFaulty + " of 240");
-    assertEquals(before, cluster.checker.starts, "a task was lost");
+    assertTrue(samplesWithLeader > 180, samplesWithLeader + " of 240 samples");
+    assertTrue(samplesLedByFaulty < 30, samplesLedByFaulty + " of 240 samples");
+    assertEquals(startsBefore, cluster.checker.starts, "a task was restarted");
     assertTrue(cluster.allRun(services));
   }
 
-  /** Two of three in turns, 20 times: the third leads. */
+  /** Two of the three controllers crash in turn, 20 times: the third remains leader. */
   @Test
-  void twoInTurns() {
+  void theThirdLeadsWhileTwoCrashInTurn() {
     SimulatedCluster cluster = settled(6);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     String third = cluster.leader();
-    List<String> two = cluster.controllers.keySet().stream().filter(m -> !m.equals(third)).toList();
+    List<String> crashing =
+        cluster.controllers.keySet().stream().filter(m -> !m.equals(third)).toList();
     for (int i = 0; i < 20; i++) {
-      cluster.crash(two.get(i % 2), 50);
+      cluster.crash(crashing.get(i % 2), 50);
       cluster.world.runUntil(cluster.world.now() + 600);
     }
     assertEquals(third, cluster.leader());
-    assertEquals(before, cluster.checker.starts, "a task was lost");
+    assertEquals(startsBefore, cluster.checker.starts, "a task was restarted");
     assertTrue(cluster.allRun(services));
   }
 
   /**
-   * All three every 1.5 s for 20 s, back after 50 ms or 300 ms: tasks live, and all is well 5 s
-   * later.
+   * All three controllers crash every 1.5 s for 20 s and are back after 50 ms or 300 ms: running
+   * tasks survive, and a job submitted afterwards starts within 5 s.
    */
   @ParameterizedTest
   @CsvSource({"50,60", "300,60", "50,480"})
-  void allOfThemAgainAndAgain(long downMs, int machines) {
+  void tasksSurviveRepeatedCrashesOfAllControllers(long downMs, int machines) {
     SimulatedCluster cluster = settled(7, machines);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     for (int i = 0; i < 13; i++) {
       cluster.controllers.keySet().forEach(m -> cluster.crash(m, downMs));
       cluster.world.runUntil(cluster.world.now() + 1_500);
@@ -149,21 +151,24 @@
     cluster.submit(job);
     cluster.world.runUntil(cluster.world.now() + 5_000);
     assertTrue(cluster.leader() != null);
-    assertTrue(cluster.checker.starts >= before + 4, "nothing starts");
-    assertFewAgain(before + 4, cluster, "all again and again");
+    assertTrue(cluster.checker.starts >= startsBefore + 4, "no task was started");
+    assertFewRestarts(startsBefore + 4, cluster, "repeated crashes");
     assertTrue(cluster.allRun(services));
   }
 
-  /** Back during an outage, all of them, and the heir at the moment it would claim. */
+  /**
+   * All controllers crash and return during an outage of the state service; the first four claims
+   * after it crash their writers.
+   */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13})
-  void backDuringAnOutage(long seed) {
+  void tasksSurviveRestartsDuringAStateOutage(long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 10, 100, 15_000);
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     cluster.state.outage(5_000);
     cluster.world.runUntil(cluster.world.now() + 800);
-    // When it is over: whoever claims first ends there and then.
+    // Each of the first four claims after the outage crashes its writer.
     int[] claims = new int[1];
     cluster.state.onWrite.add(
         key -> {
@@ -176,14 +181,17 @@
     cluster.world.runUntil(cluster.world.now() + 8_000);
     assertTrue(claims[0] >= 4, claims[0] + " claims");
     assertTrue(cluster.leader() != null);
-    assertFewAgain(before, cluster, "outage");
+    assertFewRestarts(startsBefore, cluster, "outage");
     assertTrue(cluster.allRun(services));
   }
 
-  /** The version in production beside, crashing and back at once in the same way. */
+  /**
+   * Controllers of the production version crash and return at once, before and during an upgrade to
+   * today's.
+   */
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
-  void theOldVersionLikewise(long seed) {
+  void tasksSurviveCrashesDuringAnUpgrade(long seed) {
     SimulatedCluster cluster =
         new SimulatedCluster(seed, Deployment.large(MACHINES).withProductionVersion());
     cluster.world.loss = 0;
@@ -209,47 +217,48 @@
   }
 
   /**
-   * A crash of the leader, by how soon it is back: who leads next, after how long, by how many
-   * changes.
+   * Prints, by the time that a crashed leader is down, how long nobody leads, how often the same
+   * controller leads next, and how many writes it takes.
    */
   @Test
   @EnabledIfSystemProperty(named = "sim.restarts", matches = "true")
-  void table() {
+  void printRecoveryTimes() {
     for (long downMs : new long[] {50, 300, 1_000, 4_000, 60_000}) {
-      List<Long> next = new ArrayList<>();
-      int itself = 0;
-      long changes = 0;
+      List<Long> recoveryMs = new ArrayList<>();
+      int sameLeader = 0;
+      long writeCount = 0;
       for (long seed = 1; seed <= 15; seed++) {
         SimulatedCluster cluster = settled(seed);
         String leader = cluster.leader();
-        long from = cluster.world.now();
+        long fromMs = cluster.world.now();
         int[] writes = new int[1];
         cluster.state.onWrite.add(key -> writes[0] += key.startsWith("live/") ? 1 : 0);
         cluster.crash(leader, downMs);
-        until(cluster, from + 20_000, () -> cluster.leader() != null);
-        next.add(cluster.world.now() - from);
-        itself += leader.equals(cluster.leader()) ? 1 : 0;
-        changes += writes[0];
+        until(cluster, fromMs + 20_000, () -> cluster.leader() != null);
+        recoveryMs.add(cluster.world.now() - fromMs);
+        sameLeader += leader.equals(cluster.leader()) ? 1 : 0;
+        writeCount += writes[0];
       }
-      next.sort(null);
+      recoveryMs.sort(null);
       System.out.printf(
-          "back after %d ms: led again after %d ms on the median, %d at the worst; itself %d of 15; %.1f changes%n",
-          downMs, next.get(7), next.get(14), itself, changes / 15.0);
+          "back after %d ms: led again after %d ms on the median, %d at the worst; the same controller %d of 15 times; %.1f writes%n",
+          downMs, recoveryMs.get(7), recoveryMs.get(14), sameLeader, writeCount / 15.0);
     }
   }
 
   /**
-   * Here a dead process's address stays silent half of the time: a worker that waits 4 s for each
-   * of several in a row may have no time left of its lease.
+   * Allows three restarts: the address of a dead process stays silent half of the time here, and a
+   * worker that waits 4 s for each of several controllers may have no time left of its lease.
    */
-  private static void assertFewAgain(int starts, SimulatedCluster cluster, String what) {
+  private static void assertFewRestarts(
+      int expectedStarts, SimulatedCluster cluster, String description) {
     assertTrue(
-        cluster.checker.starts - starts <= 3,
-        what + ": " + (cluster.checker.starts - starts) + " started again");
+        cluster.checker.starts - expectedStarts <= 3,
+        description + ": " + (cluster.checker.starts - expectedStarts) + " tasks restarted");
   }
 
-  private static void until(SimulatedCluster cluster, long latest, BooleanSupplier holds) {
-    while (cluster.world.now() < latest && !holds.getAsBoolean()) {
+  private static void until(SimulatedCluster cluster, long latestMs, BooleanSupplier condition) {
+    while (cluster.world.now() < latestMs && !condition.getAsBoolean()) {
       cluster.world.runUntil(cluster.world.now() + 10);
     }
   }
--- a/src/test/java/fennelthread/simulation/StartRecordSizeTest.java
+++ b/src/test/java/fennelthread/simulation/StartRecordSizeTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * How large today's start records are, and how large the same starts would be as ranges: for each
- * job its neighbouring tasks with neighbouring attempts, and the machines once a record. A trial of
- * a form, not a form that is stored.
+ * Compares the size of start records as stored with the same starts encoded as ranges: per job,
+ * runs of neighbouring tasks with neighbouring attempts, and each machine once per record. The
+ * range form is not stored anywhere.
  */
 @EnabledIfSystemProperty(named = "slopes.file", matches = ".+")
 class StartRecordSizeTest {
@@ -25,76 +25,81 @@
 
   @Test
   void bytesPerStart() throws WireException {
-    for (int size : new int[] {5, 20, 50, 100, 1_000}) {
+    for (int tasksPerJob : new int[] {5, 20, 50, 100, 1_000}) {
       ScaledCell cell = new ScaledCell(ScaledCell.Shape.of(1_000), 7);
       cell.run(20_000);
       cell.collectStartRecords();
-      int each = size;
+      int tasks = tasksPerJob;
       cell.repeat(
-          (double) STARTS_PER_SECOND / size, 20_000, () -> cell.submit(cell.array(each, 8)));
+          (double) STARTS_PER_SECOND / tasksPerJob,
+          20_000,
+          () -> cell.submit(cell.array(tasks, 8)));
       cell.run(25_000);
       long starts = 0;
-      long today = 0;
-      long ranges = 0;
+      long storedBytes = 0;
+      long rangeBytes = 0;
       for (Fields value : cell.startRecords) {
         StartRecord record = StartRecord.decode(value);
-        Fields asRanges = ranges(record);
-        assertEquals(record.starts(), read(asRanges), "the range form holds the same starts");
+        Fields asRanges = encodeAsRanges(record);
+        assertEquals(
+            record.starts(), decodeRanges(asRanges), "the range form holds the same starts");
         starts += record.starts().size();
-        today += Codec.JSON.encode(value).length;
-        ranges += Codec.JSON.encode(asRanges).length;
+        storedBytes += Codec.JSON.encode(value).length;
+        rangeBytes += Codec.JSON.encode(asRanges).length;
       }
       assertTrue(starts > 10_000, starts + " starts");
       System.out.printf(
           "start records, jobs of %d: %d records of %.1f starts, %.1f bytes a start, %.1f as"
               + " ranges%n",
-          size,
+          tasksPerJob,
           cell.startRecords.size(),
           starts / (double) cell.startRecords.size(),
-          today / (double) starts,
-          ranges / (double) starts);
+          storedBytes / (double) starts,
+          rangeBytes / (double) starts);
     }
   }
 
   /**
-   * Machines once, jobs once; a run is first task, count, first attempt, then machines by number.
+   * Encodes a record as ranges: machines once, jobs once. A run is the first task's index, the
+   * first attempt, then the machines of its tasks by their index.
    */
-  private static Fields ranges(StartRecord record) {
+  private static Fields encodeAsRanges(StartRecord record) {
     Map<String, Integer> machines = new LinkedHashMap<>();
     List<Object> machineList = new ArrayList<>();
     Map<String, List<Object>> jobs = new LinkedHashMap<>();
     Map<String, List<Object>> runs = new LinkedHashMap<>();
-    Map<String, StartRecord.Start> last = new LinkedHashMap<>();
-    for (StartRecord.Start s : record.starts()) {
-      String key = s.machine() + "#" + s.session();
-      Integer number = machines.get(key);
-      if (number == null) {
-        number = machines.size();
-        machines.put(key, number);
-        machineList.add(s.machine());
-        machineList.add(s.session());
+    Map<String, StartRecord.Start> lastStarts = new LinkedHashMap<>();
+    for (StartRecord.Start start : record.starts()) {
+      String key = start.machine() + "#" + start.session();
+      Integer machineIndex = machines.get(key);
+      if (machineIndex == null) {
+        machineIndex = machines.size();
+        machines.put(key, machineIndex);
+        machineList.add(start.machine());
+        machineList.add(start.session());
       }
-      String id = s.task().job();
-      List<Object> job = jobs.computeIfAbsent(id, k -> headOf(s));
-      StartRecord.Start before = last.put(id, s);
+      String id = start.task().job();
+      List<Object> job = jobs.computeIfAbsent(id, k -> jobHeader(start));
+      StartRecord.Start previous = lastStarts.put(id, start);
       List<Object> run = runs.get(id);
-      if (before == null
-          || s.task().index() != before.task().index() + 1
-          || s.attempt() != before.attempt() + 1) {
-        run = new ArrayList<>(List.of((long) s.task().index(), s.attempt()));
+      if (previous == null
+          || start.task().index() != previous.task().index() + 1
+          || start.attempt() != previous.attempt() + 1) {
+        run = new ArrayList<>(List.of((long) start.task().index(), start.attempt()));
         runs.put(id, run);
         job.add(run);
       }
-      run.add((long) number);
+      run.add((long) machineIndex);
     }
     return Fields.create().with("m", machineList).with("r", new ArrayList<Object>(jobs.values()));
   }
 
-  private static List<Object> headOf(StartRecord.Start s) {
-    return new ArrayList<>(List.of(s.task().job(), s.team(), s.cpus(), s.cards(), s.memGb()));
+  private static List<Object> jobHeader(StartRecord.Start start) {
+    return new ArrayList<>(
+        List.of(start.task().job(), start.team(), start.cpus(), start.cards(), start.memGb()));
   }
 
-  private static List<StartRecord.Start> read(Fields value) throws WireException {
+  private static List<StartRecord.Start> decodeRanges(Fields value) throws WireException {
     List<?> machines = value.list("m");
     List<StartRecord.Start> starts = new ArrayList<>();
     for (Object item : value.list("r")) {
--- a/src/test/java/fennelthread/simulation/TakeoverTest.java
+++ b/src/test/java/fennelthread/simulation/TakeoverTest.java
@@ -12,132 +12,142 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How long nobody leads, and that nobody takes over from a leader that is there. */
+/**
+ * Measures how long the cluster is without a leader after a fault, and checks that no controller
+ * takes over from a leader that is alive.
+ */
 class TakeoverTest {
   private static final int MACHINES = 200;
   private static final int SEEDS = 9;
 
   /**
-   * Time until another leads, and until the next start, ms, for one kind of fault over many seeds.
+   * Returns the times until another controller leads and until the next start, ms, each sorted, for
+   * one kind of fault over all seeds.
    */
-  private long[][] play(BiConsumer<SimulatedCluster, String> fault) {
-    long[][] times = new long[2][SEEDS];
+  private long[][] measure(BiConsumer<SimulatedCluster, String> fault) {
+    long[][] timesMs = new long[2][SEEDS];
     for (int i = 0; i < SEEDS; i++) {
       SimulatedCluster cluster = settled(100 + i);
       String leader = cluster.leader();
-      long at = cluster.world.now();
+      long faultAtMs = cluster.world.now();
       fault.accept(cluster, leader);
-      while (cluster.leaderOtherThan(leader) == null && cluster.world.now() < at + 20_000) {
+      while (cluster.leaderOtherThan(leader) == null && cluster.world.now() < faultAtMs + 20_000) {
         cluster.world.runUntil(cluster.world.now() + 10);
       }
-      times[0][i] = cluster.world.now() - at;
-      int before = cluster.checker.starts;
+      timesMs[0][i] = cluster.world.now() - faultAtMs;
+      int startsBefore = cluster.checker.starts;
       JobSpec job = cluster.job(false, 5, 1, true, false, false);
       cluster.submit(job);
-      while (cluster.checker.starts == before && cluster.world.now() < at + 30_000) {
+      while (cluster.checker.starts == startsBefore && cluster.world.now() < faultAtMs + 30_000) {
         cluster.world.runUntil(cluster.world.now() + 10);
       }
-      times[1][i] = cluster.world.now() - at;
+      timesMs[1][i] = cluster.world.now() - faultAtMs;
     }
-    Arrays.sort(times[0]);
-    Arrays.sort(times[1]);
-    return times;
+    Arrays.sort(timesMs[0]);
+    Arrays.sort(timesMs[1]);
+    return timesMs;
   }
 
-  private static void print(String what, long[][] t) {
+  private static void printTimes(String fault, long[][] timesMs) {
     System.out.printf(
         "%s: another leads after %d ms on the median, %d at the worst; first start %d and %d%n",
-        what, t[0][SEEDS / 2], t[0][SEEDS - 1], t[1][SEEDS / 2], t[1][SEEDS - 1]);
+        fault,
+        timesMs[0][SEEDS / 2],
+        timesMs[0][SEEDS - 1],
+        timesMs[1][SEEDS / 2],
+        timesMs[1][SEEDS - 1]);
   }
 
   @Test
-  void aCrash() {
-    long[][] t = play((cluster, leader) -> cluster.crash(leader, 30_000));
-    print("crash", t);
-    assertTrue(t[0][SEEDS / 2] < 3_300, t[0][SEEDS / 2] + " ms on the median");
+  void anotherLeadsSoonAfterACrash() {
+    long[][] timesMs = measure((cluster, leader) -> cluster.crash(leader, 30_000));
+    printTimes("crash", timesMs);
+    assertTrue(timesMs[0][SEEDS / 2] < 3_300, timesMs[0][SEEDS / 2] + " ms on the median");
   }
 
   @Test
-  void aFreeze() {
-    long[][] t = play((cluster, leader) -> cluster.processes.get(leader).pause(25_000));
-    print("freeze", t);
-    assertTrue(t[0][SEEDS / 2] < 3_300, t[0][SEEDS / 2] + " ms on the median");
+  void anotherLeadsSoonAfterAPause() {
+    long[][] timesMs = measure((cluster, leader) -> cluster.processes.get(leader).pause(25_000));
+    printTimes("freeze", timesMs);
+    assertTrue(timesMs[0][SEEDS / 2] < 3_300, timesMs[0][SEEDS / 2] + " ms on the median");
   }
 
   /**
-   * The paper's first trace with a takeover in the place of the lease's end: the leader stands
-   * still after its round's record was written, another takes over, and it wakes while its own
-   * grant would still run.
+   * A leader is paused just after its start record is written, another takes over, and the first
+   * resumes while its own grant would still run: it must send no starts.
    */
   @Test
-  void aLeaderTakenOverFromWakesWithinItsGrant() {
+  void aPausedLeaderSendsNoStartsAfterATakeover() {
     int takenOver = 0;
-    int stale = 0;
+    int staleStarts = 0;
     for (long seed = 50; seed < 62; seed++) {
       SimulatedCluster cluster = settled(seed);
       String first = cluster.leader();
-      boolean[] stalled = new boolean[1];
+      boolean[] paused = new boolean[1];
       cluster.state.onWrite.add(
           key -> {
-            if (key.startsWith("live/round/") && !stalled[0]) {
-              stalled[0] = true;
+            if (key.startsWith("live/round/") && !paused[0]) {
+              paused[0] = true;
               cluster.processes.get(first).pause(2_850);
             }
           });
       cluster.submit(cluster.job(false, 6, 1, true, false, false));
       cluster.world.runUntil(cluster.world.now() + 20_000);
       takenOver += cluster.state.takeovers;
-      stale +=
+      staleStarts +=
           cluster.cloud.machines().values().stream().mapToInt(worker -> worker.staleRuns).sum();
     }
     assertTrue(takenOver >= 3, takenOver + " takeovers");
-    assertEquals(0, stale, "starts sent after another had taken over");
+    assertEquals(0, staleStarts, "starts sent after another had taken over");
   }
 
   /**
-   * The peer network is refused, or broken between two: the leader goes alone and nobody takes
+   * The peer network is refused: the leader declares unilateral leadership and no controller takes
    * over.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aLeaderWithoutItsPeersGoesOn(long seed) {
+  void aLeaderWithoutItsPeersStaysLeader(long seed) {
     SimulatedCluster cluster = settled(seed);
     String leader = cluster.leader();
     cluster.cutPeerLinks(40_000);
-    int starts = 0;
+    int secondsWithStarts = 0;
     for (int i = 0; i < 30; i++) {
-      int before = cluster.checker.starts;
+      int startsBefore = cluster.checker.starts;
       cluster.submit(cluster.job(false, 3, 1, true, false, false));
       cluster.world.runUntil(cluster.world.now() + 1_000);
-      starts += cluster.checker.starts > before ? 1 : 0;
+      secondsWithStarts += cluster.checker.starts > startsBefore ? 1 : 0;
       assertEquals(leader, cluster.leader());
     }
-    assertTrue(starts >= 25, "starts in " + starts + " of 30 seconds");
+    assertTrue(secondsWithStarts >= 25, "starts in " + secondsWithStarts + " of 30 seconds");
   }
 
-  /** One peer is gone for good: the other one's promises are enough, and nobody can take over. */
+  /** One peer stays down: the other one's promises suffice, and no controller can take over. */
   @Test
-  void onePeerIsGone() {
+  void aLeaderWithOnePeerDownStaysLeader() {
     SimulatedCluster cluster = settled(4);
     String leader = cluster.leader();
-    String gone =
+    String downPeer =
         cluster.controllers.keySet().stream().filter(m -> !m.equals(leader)).findFirst().get();
-    cluster.crash(gone, 1_000_000);
-    int starts = 0;
+    cluster.crash(downPeer, 1_000_000);
+    int secondsWithStarts = 0;
     for (int i = 0; i < 20; i++) {
-      int before = cluster.checker.starts;
+      int startsBefore = cluster.checker.starts;
       cluster.submit(cluster.job(false, 3, 1, true, false, false));
       cluster.world.runUntil(cluster.world.now() + 1_000);
-      starts += cluster.checker.starts > before ? 1 : 0;
+      secondsWithStarts += cluster.checker.starts > startsBefore ? 1 : 0;
     }
-    // A third of the submissions go to the dead one and come again later.
-    assertTrue(starts >= 12, "starts in " + starts + " of 20 seconds");
+    // A third of the submissions go to the dead controller and are retried later.
+    assertTrue(secondsWithStarts >= 12, "starts in " + secondsWithStarts + " of 20 seconds");
     assertEquals(leader, cluster.leader());
   }
 
-  /** An hour of a lossy network with late packets and nobody failing: nobody is taken over from. */
+  /**
+   * Fifteen minutes per seed of a network with lost and late packets, without any other fault: no
+   * takeover.
+   */
   @Test
-  void noFalseVerdicts() {
+  void noTakeoverWithoutAFailedLeader() {
     for (long seed = 1; seed <= 4; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(seed);
       cluster.world.runUntil(15_000);
@@ -148,9 +158,9 @@
     }
   }
 
-  /** Controllers that restart one after the other: whoever leads next, no task is lost. */
+  /** Five leaders crash, each soon after it became active: no task is lost. */
   @Test
-  void fiveLeadersCrashAsTheyBecomeActive() {
+  void tasksSurviveFiveCrashesOfNewLeaders() {
     SimulatedCluster cluster = settled(6);
     List<JobSpec> services = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
--- a/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
@@ -16,10 +16,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The gap: the state service refuses the leader alone, other controllers confirm cancellations to
- * users, then it is down for all while workers report to the old leader. What the rules say of it,
- * {@code ran_cancelled} and {@code ran_twice} above all, is checked after each step; here it is
- * seen to that the gap came about.
+ * Cancellations that the leader cannot read. The state service refuses the leader alone, the other
+ * controllers confirm cancellations to users, and then the state service is down for all while
+ * workers still report to that leader. The rules, above all {@code ran_cancelled} and {@code
+ * ran_twice}, are checked after each step; each test asserts that cancellations were confirmed
+ * while their tasks ran.
  */
 class UnseenCancellationsTest {
   private static final int MACHINES = 60;
@@ -33,32 +34,36 @@
     Production.serve();
   }
 
-  /** What happens beside the gap itself. */
+  /** A further fault or condition of a run. */
   private enum Complication {
     NONE,
-    /** The old leader is cut off from one peer, the one that confirms. */
+    /** The leader loses its connection with the peer that confirms the cancellations. */
     CUT_FROM_ONE_PEER,
-    /** From both. */
+    /** The leader loses its connections with both peers. */
     CUT_FROM_BOTH_PEERS,
-    /** From a third of its workers. */
+    /** The leader loses its connections with a third of the workers. */
     CUT_FROM_A_THIRD_OF_WORKERS,
-    /** Whoever has confirmed ends 50 ms later and is back 50 ms after that, knowing nothing. */
+    /**
+     * The controller that confirmed crashes as the outage begins and is back 50 ms later, without
+     * its memory.
+     */
     CONFIRMER_RESTARTS,
-    /** Or never comes back. */
+    /** The controller that confirmed crashes as the outage begins and stays down. */
     CONFIRMER_STAYS_DOWN,
-    /** All are restarted in the outage. */
+    /** All controllers crash during the outage and are back 300 ms later. */
     ALL_RESTART,
     /**
-     * The third controller has a user told by a question only; the one that carried it out ends.
+     * Users also learn of the cancellations from a lookup at the third controller; the one that
+     * carried them out crashes and stays down.
      */
     CONFIRMED_BY_LOOKUP,
-    /** The leader has just claimed, and its copy of the state has not come to its claim. */
+    /** The leader has just claimed and its copy of the state does not yet hold the claim. */
     JUST_CLAIMED,
-    /** Tasks that take 60 s to save have been told to stop, and are at it. */
+    /** Tasks that take 60 s to save a checkpoint have been told to stop and are saving. */
     SAVING_CHECKPOINTS,
-    /** Another of the three is of the version in production. */
+    /** The third controller runs the version in production. */
     OLD_VERSION,
-    /** The whole of it again, right after. */
+    /** The same sequence runs a second time, after 25 s. */
     TWICE
   }
 
@@ -66,39 +71,42 @@
     return Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, CANCEL_MS);
   }
 
-  private static List<String> others(SimulatedCluster cluster, String leader) {
+  private static List<String> otherControllers(SimulatedCluster cluster, String leader) {
     return cluster.controllers.keySet().stream().filter(m -> !m.equals(leader)).toList();
   }
 
   /**
-   * One gap: {@code leadMs} between the refusal and the outage, in which the jobs are cancelled.
+   * Refuses the leader, cancels the jobs through a peer within {@code refusalMs}, then takes the
+   * state service down.
    *
-   * @return how many were confirmed before the outage, complication tasks on machines at that
-   *     moment
+   * @param refusalMs time between the refusal and the outage
+   * @return how many jobs were confirmed as cancelled before the outage while tasks of theirs ran
    */
-  private static int gap(
+  private static int cancelUnseenByLeader(
       SimulatedCluster cluster,
       List<JobSpec> jobs,
-      long leadMs,
+      long refusalMs,
       long outageMs,
       Complication complication) {
     String leader = cluster.leader();
     assertNotNull(leader);
     if (complication == Complication.JUST_CLAIMED) {
-      leader = claimOf(cluster, leader);
+      leader = claimThenRefuse(cluster, leader);
     }
-    String old = leader;
-    String confirms = others(cluster, old).get(0);
-    String third = others(cluster, old).get(1);
-    long all = leadMs + outageMs;
+    String refusedLeader = leader;
+    String confirmer = otherControllers(cluster, refusedLeader).get(0);
+    String third = otherControllers(cluster, refusedLeader).get(1);
+    long totalMs = refusalMs + outageMs;
     switch (complication) {
-      case CUT_FROM_ONE_PEER -> cluster.world.cut(old, confirms, all);
-      case CUT_FROM_BOTH_PEERS -> others(cluster, old).forEach(m -> cluster.world.cut(old, m, all));
+      case CUT_FROM_ONE_PEER -> cluster.world.cut(refusedLeader, confirmer, totalMs);
+      case CUT_FROM_BOTH_PEERS ->
+          otherControllers(cluster, refusedLeader)
+              .forEach(m -> cluster.world.cut(refusedLeader, m, totalMs));
       case CUT_FROM_A_THIRD_OF_WORKERS -> {
         int i = 0;
         for (WorkerEmulator worker : List.copyOf(cluster.cloud.machines().values())) {
           if (i++ % 3 == 0) {
-            cluster.world.cut(old, worker.name(), all);
+            cluster.world.cut(refusedLeader, worker.name(), totalMs);
           }
         }
       }
@@ -108,30 +116,30 @@
               .cloud
               .machines()
               .values()
-              .forEach(worker -> worker.announceTermination(leadMs + 30_000));
+              .forEach(worker -> worker.announceTermination(refusalMs + 30_000));
       default -> {}
     }
     if (complication == Complication.SAVING_CHECKPOINTS) {
       cluster.world.runUntil(cluster.world.now() + REPORT_MS + 2_000);
     }
-    cluster.state.refuseCaller(old, all);
+    cluster.state.refuseCaller(refusedLeader, totalMs);
     long from = cluster.world.now();
-    long outageAt = from + leadMs;
+    long outageAt = from + refusalMs;
     cluster.world.at(outageAt, () -> cluster.state.outage(outageMs));
     for (int i = 0; i < jobs.size(); i++) {
       String id = jobs.get(i).id();
       cluster.world.at(
-          from + leadMs * i / (jobs.size() + 1),
-          () -> cluster.cancelThrough(confirms, id, 1 + (int) leadMs / 1_000));
+          from + refusalMs * i / (jobs.size() + 1),
+          () -> cluster.cancelThrough(confirmer, id, 1 + (int) refusalMs / 1_000));
       if (complication == Complication.CONFIRMED_BY_LOOKUP) {
         cluster.world.at(
-            from + leadMs * i / (jobs.size() + 1) + 100, () -> cluster.askThrough(third, id));
+            from + refusalMs * i / (jobs.size() + 1) + 100, () -> cluster.askThrough(third, id));
       }
     }
     switch (complication) {
-      case CONFIRMER_RESTARTS -> cluster.world.at(outageAt - 1, () -> cluster.crash(confirms, 50));
+      case CONFIRMER_RESTARTS -> cluster.world.at(outageAt - 1, () -> cluster.crash(confirmer, 50));
       case CONFIRMER_STAYS_DOWN, CONFIRMED_BY_LOOKUP ->
-          cluster.world.at(outageAt - 1, () -> cluster.crash(confirms, 10 * outageMs));
+          cluster.world.at(outageAt - 1, () -> cluster.crash(confirmer, 10 * outageMs));
       case ALL_RESTART ->
           cluster.world.at(
               outageAt + outageMs / 3,
@@ -139,17 +147,17 @@
       default -> {}
     }
     cluster.world.runUntil(outageAt);
-    long there =
+    long ranWhenConfirmed =
         jobs.stream().filter(job -> cluster.checker.ranWhenCancelled(job.id()) > 0).count();
     cluster.world.runUntil(outageAt + outageMs);
-    return (int) there;
+    return (int) ranWhenConfirmed;
   }
 
   /**
-   * A claim after which the state service refuses the new leader at once, so that it never reads
-   * it.
+   * Makes a controller claim and has the state service refuse it at once, so that it never reads
+   * its claim back.
    */
-  private static String claimOf(SimulatedCluster cluster, String before) {
+  private static String claimThenRefuse(SimulatedCluster cluster, String leader) {
     String[] claimed = new String[1];
     cluster.state.onWrite.add(
         key -> {
@@ -158,12 +166,12 @@
             cluster.state.refuseCaller(claimed[0], 60_000);
           }
         });
-    // Frozen and back, not ended: a new process of a peer would have everybody wait for the
-    // state service.
+    // Pauses the leader rather than crash it: with a new peer process all controllers would wait
+    // for the state service.
     long frozenAt = Long.MIN_VALUE / 2;
     while (claimed[0] == null || !claimed[0].equals(cluster.leader())) {
       if (claimed[0] == null && cluster.world.now() - frozenAt > 8_000) {
-        cluster.processes.get(before).pause(3_000);
+        cluster.processes.get(leader).pause(3_000);
         frozenAt = cluster.world.now();
       }
       cluster.world.runUntil(cluster.world.now() + 5);
@@ -172,38 +180,48 @@
     return claimed[0];
   }
 
-  private static void play(long seed, long leadMs, double outages, Complication complication) {
+  private static void runCase(
+      long seed, long refusalMs, double outageFactor, Complication complication) {
     SimulatedCluster cluster = Scenes.settled(seed, deployment(), 0.0005);
     List<JobSpec> services =
         complication == Complication.SAVING_CHECKPOINTS
-            ? savers(cluster)
+            ? startSavingJobs(cluster)
             : Scenes.services(cluster, SERVICES, 50, 20_000);
     List<JobSpec> cancelled = services.subList(0, CANCELLED);
-    long outageMs = (long) (outages * CANCEL_MS);
-    int there = gap(cluster, cancelled, leadMs, outageMs, complication);
-    String what = complication + " seed " + seed + ", " + leadMs + " ms before " + outageMs;
-    assertTrue(there >= 3, what + ": only " + there + " confirmed while their tasks ran");
+    long outageMs = (long) (outageFactor * CANCEL_MS);
+    int ranWhenConfirmed =
+        cancelUnseenByLeader(cluster, cancelled, refusalMs, outageMs, complication);
+    String description =
+        complication + " seed " + seed + ", " + refusalMs + " ms before " + outageMs;
+    assertTrue(
+        ranWhenConfirmed >= 3,
+        description + ": only " + ranWhenConfirmed + " confirmed while their tasks ran");
     if (complication == Complication.TWICE) {
       cluster.world.runUntil(cluster.world.now() + 25_000);
-      int again =
-          gap(cluster, services.subList(CANCELLED, SERVICES), leadMs, outageMs, Complication.NONE);
-      assertTrue(again >= 2, what + ": only " + again + " the second time");
+      int secondTime =
+          cancelUnseenByLeader(
+              cluster,
+              services.subList(CANCELLED, SERVICES),
+              refusalMs,
+              outageMs,
+              Complication.NONE);
+      assertTrue(secondTime >= 2, description + ": only " + secondTime + " the second time");
     }
-    // Rules are checked after each step: until all that was told is long due.
+    // The rules are checked after each step, until long after every confirmed job has to be gone.
     cluster.world.runUntil(cluster.world.now() + CANCEL_MS + 30_000);
     for (JobSpec job : cancelled) {
       if (cluster.checker.cancelledAt(job.id()) >= 0) {
-        assertEquals(0, cluster.checker.running(job.id()), what);
+        assertEquals(0, cluster.checker.running(job.id()), description);
       }
     }
     if (complication != Complication.TWICE && complication != Complication.SAVING_CHECKPOINTS) {
       assertTrue(
           cluster.allRun(services.subList(CANCELLED, SERVICES)),
-          what + ": what was not cancelled runs");
+          description + ": services that were not cancelled lack replicas");
     }
   }
 
-  private static List<JobSpec> savers(SimulatedCluster cluster) {
+  private static List<JobSpec> startSavingJobs(SimulatedCluster cluster) {
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < SERVICES; i++) {
       JobSpec any = cluster.plainJob(false, 4);
@@ -232,29 +250,31 @@
 
   @ParameterizedTest
   @EnumSource
-  void withWhateverElse(Complication complication) {
+  void unseenCancellationsHoldUnderEachComplication(Complication complication) {
     for (long seed = 1; seed <= 2; seed++) {
-      // A leader that is refused alone for longer than 2.5 s steps down: one that has just claimed
-      // must not have.
-      play(seed, complication == Complication.JUST_CLAIMED ? 1_000 : 1_500, 2, complication);
+      // A leader that alone is refused for more than 2.5 s steps down; one that has just claimed
+      // must
+      // still be leading when the outage begins.
+      runCase(seed, complication == Complication.JUST_CLAIMED ? 1_000 : 1_500, 2, complication);
     }
   }
 
   @ParameterizedTest
   @CsvSource({"300,1", "2000,0.5", "2000,1", "2000,5", "5000,2", "10000,1", "20000,2"})
-  void longerAndShorter(long leadMs, double outages) {
-    play(3, leadMs, outages, Complication.NONE);
+  void unseenCancellationsHoldForEachRefusalAndOutage(long refusalMs, double outageFactor) {
+    runCase(3, refusalMs, outageFactor, Complication.NONE);
   }
 
   /**
-   * More of it: {@code mvn test -Dtest=UnseenCancellationsTest#soak -Dsim.from=100 -Dsim.to=110}.
+   * Runs every complication with more seeds: {@code mvn test -Dtest=UnseenCancellationsTest#soak
+   * -Dsim.from=100 -Dsim.to=110}.
    */
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
   void soak() {
-    long[] leads = {300, 1_000, 2_000, 5_000, 10_000, 20_000};
-    double[] outages = {0.5, 1, 2, 5};
-    List<String> broken =
+    long[] refusalsMs = {300, 1_000, 2_000, 5_000, 10_000, 20_000};
+    double[] outageFactors = {0.5, 1, 2, 5};
+    List<String> failures =
         LongStream.rangeClosed(Long.getLong("sim.from"), Long.getLong("sim.to"))
             .boxed()
             .flatMap(
@@ -267,10 +287,10 @@
                   long seed = (Long) o[0];
                   Complication complication = (Complication) o[1];
                   try {
-                    play(
+                    runCase(
                         seed,
-                        leads[(int) (seed % leads.length)],
-                        outages[(int) (seed / 2 % outages.length)],
+                        refusalsMs[(int) (seed % refusalsMs.length)],
+                        outageFactors[(int) (seed / 2 % outageFactors.length)],
                         complication);
                     return "";
                   } catch (AssertionError | RuntimeException e) {
@@ -279,56 +299,58 @@
                 })
             .filter(text -> !text.isEmpty())
             .toList();
-    assertEquals(List.of(), broken);
+    assertEquals(List.of(), failures);
   }
 
   /**
-   * Thousands cancelled within 10 s, an array of tasks each, by a state service that takes them
-   * all.
+   * Some five thousand jobs, single tasks and services, are cancelled within 10 s. The state
+   * service has limits high enough to accept all of it.
    */
   @Test
-  void thousandsAtOnce() {
+  void thousandsOfUnseenCancellationsHold() {
     long seed = 1;
-    Settings.StateLimits roomy = new Settings.StateLimits(9_000, 9_000, 8 * 1024, 16);
-    SimulatedCluster cluster = Scenes.settled(seed, deployment().withLimits(roomy), 0.0005);
+    Settings.StateLimits highLimits = new Settings.StateLimits(9_000, 9_000, 8 * 1024, 16);
+    SimulatedCluster cluster = Scenes.settled(seed, deployment().withLimits(highLimits), 0.0005);
     List<JobSpec> services = Scenes.services(cluster, 20, 50, 20_000);
-    List<JobSpec> waiting = new ArrayList<>();
+    List<JobSpec> batchJobs = new ArrayList<>();
     for (int i = 0; i < 4_980; i++) {
       JobSpec job = cluster.plainJob(false, 1);
-      waiting.add(job);
+      batchJobs.add(job);
       cluster.world.after(i * 4L, () -> cluster.submitOnce(job));
     }
     cluster.world.runUntil(cluster.world.now() + 21_000);
-    List<JobSpec> all = new ArrayList<>(waiting);
+    List<JobSpec> all = new ArrayList<>(batchJobs);
     for (int i = 0; i < services.size(); i++) {
       all.add(i * all.size() / services.size(), services.get(i));
     }
-    int there = gap(cluster, all, 10_000, 2 * CANCEL_MS, Complication.CUT_FROM_ONE_PEER);
-    long told = all.stream().filter(job -> cluster.checker.cancelledAt(job.id()) >= 0).count();
-    System.out.printf("%d of %d were told, tasks of %d ran then%n", told, all.size(), there);
-    assertTrue(told > 2_500, told + " were told");
-    assertTrue(there >= 10, there + " ran");
+    int ranWhenConfirmed =
+        cancelUnseenByLeader(cluster, all, 10_000, 2 * CANCEL_MS, Complication.CUT_FROM_ONE_PEER);
+    long confirmed = all.stream().filter(job -> cluster.checker.cancelledAt(job.id()) >= 0).count();
+    System.out.printf(
+        "%d of %d confirmed while tasks of %d ran%n", confirmed, all.size(), ranWhenConfirmed);
+    assertTrue(confirmed > 2_500, confirmed + " cancellations were confirmed");
+    assertTrue(ranWhenConfirmed >= 10, ranWhenConfirmed + " ran when confirmed");
     cluster.world.runUntil(cluster.world.now() + CANCEL_MS + 5_000);
   }
 
   /**
-   * {@code cancel_s} close to {@code lease_s}: answers stop sooner, and the rule holds all the
-   * same.
+   * With {@code cancel_s} close to {@code lease_s} controllers stop answering reports sooner: no
+   * task is restarted without faults, and cancelled tasks still end in time.
    */
   @ParameterizedTest
   @CsvSource({"1,26000", "2,26000", "3,30000", "4,36000"})
-  void littleRoomBesideTheLease(long seed, long cancelMs) {
+  void unseenCancellationsHoldWithACancelTimeCloseToTheLease(long seed, long cancelMs) {
     SimulatedCluster cluster =
         Scenes.settled(
             seed, Deployment.large(MACHINES).withLease(REPORT_MS, LEASE_MS, cancelMs), 0.0005);
     List<JobSpec> services = Scenes.services(cluster, SERVICES, 50, 20_000);
-    int before = cluster.checker.starts;
+    int startsBefore = cluster.checker.starts;
     cluster.world.runUntil(cluster.world.now() + 60_000);
-    assertEquals(before, cluster.checker.starts, "started again on a quiet day");
+    assertEquals(startsBefore, cluster.checker.starts, "tasks restarted without faults");
     for (Complication complication :
         new Complication[] {Complication.CUT_FROM_BOTH_PEERS, Complication.CUT_FROM_ONE_PEER}) {
-      int there =
-          gap(
+      int ranWhenConfirmed =
+          cancelUnseenByLeader(
               cluster,
               services.subList(
                   complication == Complication.CUT_FROM_BOTH_PEERS ? 0 : 8,
@@ -336,7 +358,7 @@
               1_500,
               2 * cancelMs,
               complication);
-      assertTrue(there >= 3, there + " confirmed while their tasks ran");
+      assertTrue(ranWhenConfirmed >= 3, ranWhenConfirmed + " confirmed while their tasks ran");
       cluster.world.runUntil(cluster.world.now() + 60_000);
     }
   }
