--- a/src/main/java/fennelthread/api/Api.java
+++ b/src/main/java/fennelthread/api/Api.java
@@ -27,7 +27,7 @@
   private final Submissions submissions;
   private final JobRequests jobRequests;
 
-  /** Creates the service; a server must pass requests to it. */
+  /** Creates the service; the caller registers it with an HTTP server. */
   public Api(
       EventLoop eventLoop,
       Settings settings,
--- a/src/main/java/fennelthread/api/JobRequests.java
+++ b/src/main/java/fennelthread/api/JobRequests.java
@@ -35,8 +35,9 @@
   }
 
   /**
-   * Cancels a job and answers with its final state, which is not cancelled if the job was done
-   * before. Status 503 if the job is still live because its cancellation did not succeed.
+   * Cancels a job and answers with its final state: cancelled, or done if the job had finished
+   * before. The answer has status 503 if the job is still live because its cancellation did not
+   * succeed.
    */
   void cancel(String id, Consumer<Answer> reply) {
     if (!JobSpec.isId(id)) {
--- a/src/main/java/fennelthread/api/Submissions.java
+++ b/src/main/java/fennelthread/api/Submissions.java
@@ -116,7 +116,7 @@
         result -> {
           if (result instanceof AcceptResult.Accepted) {
             JobState state = submission.initialState();
-            reply.accept(Answer.of(201, Codec.CBOR, JobStatus.accepted(id, state)));
+            reply.accept(Answer.of(201, Codec.CBOR, JobStatus.writeAccepted(id, state)));
           } else if (result instanceof AcceptResult.AlreadyAccepted) {
             store.lookup(id, found -> reply.accept(jobRequests.statusAnswer(id, found)));
           } else if (result instanceof AcceptResult.TooLarge) {
--- a/src/main/java/fennelthread/api/UnavailableAnswers.java
+++ b/src/main/java/fennelthread/api/UnavailableAnswers.java
@@ -42,7 +42,7 @@
         countsByCause.entrySet().stream()
             .map(entry -> entry.getKey() + ":" + entry.getValue())
             .collect(Collectors.joining(";"));
-    log.info("user requests answered unavailable countsByCause={}", counts);
+    log.info("user requests answered with status 503 countsByCause={}", counts);
     countsByCause.clear();
   }
 }
--- a/src/main/java/fennelthread/cli/Check.java
+++ b/src/main/java/fennelthread/cli/Check.java
@@ -29,8 +29,8 @@
     long shortfallMs = RenewalBounds.shortfallMs(settings.workers());
     if (shortfallMs > 0) {
       System.out.printf(
-          "%s: cancel_s of %.1f s leaves too little room beside lease_s of %.1f s: a cut-off task may outlive its"
-              + " cancellation by %.1f s%n",
+          "%s: cancel_s of %.1f s is too short for lease_s of %.1f s: a task of a cancelled job may"
+              + " run up to %.1f s beyond cancel_s on a machine that is cut off%n",
           files.config,
           settings.workers().cancelMs() / 1000.0,
           settings.workers().leaseMs() / 1000.0,
--- a/src/main/java/fennelthread/cli/Emulate.java
+++ b/src/main/java/fennelthread/cli/Emulate.java
@@ -14,20 +14,23 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command that runs real controllers on this machine among emulated workers and users. It
- * refers to the emulation's classes only where it runs them, so that no other command loads them.
+ * The command that runs real controllers on this machine against emulated workers, users, cloud and
+ * state service. It refers to the emulation's classes only where it runs them, so that no other
+ * command loads them.
  */
 @Command(
     name = "emulate",
     mixinStandardHelpOptions = true,
     versionProvider = Version.class,
     description = {
-      "Runs real controllers on this machine among emulated workers, users, cloud and state"
-          + " service, checks the rules and writes a report.",
+      "Runs real controllers on this machine against emulated workers, users, cloud and state"
+          + " service, checks the scheduler's rules and writes a report.",
       "Exit code 1 if a rule was broken, 2 if the run can't be started."
     })
 final class Emulate implements Callable<Integer> {
-  @Parameters(paramLabel = "RUN.sexp", description = "What the run consists of.")
+  @Parameters(
+      paramLabel = "RUN.sexp",
+      description = "The configuration of the run, an S-expression.")
   private Path configuration;
 
   @Option(
--- a/src/main/java/fennelthread/cli/LogOutput.java
+++ b/src/main/java/fennelthread/cli/LogOutput.java
@@ -78,8 +78,8 @@
         + "Z";
   }
 
-  private static String zeroPadded(long number, int count) {
+  private static String zeroPadded(long number, int digits) {
     String text = Long.toString(number);
-    return "0".repeat(count - text.length()) + text;
+    return "0".repeat(digits - text.length()) + text;
   }
 }
--- a/src/main/java/fennelthread/cli/Train.java
+++ b/src/main/java/fennelthread/cli/Train.java
@@ -71,7 +71,7 @@
 
   @Override
   public Integer call() throws Exception {
-    loadServedClasses();
+    loadControllerClasses();
     Path file = Files.createTempFile("fennelthread", ".toml");
     // Free ports, so that builds on one machine don't take each other's and fail.
     Files.writeString(file, SETTINGS_FORMAT.formatted(freePort(), freePort(), freePort()));
@@ -125,7 +125,7 @@
     }
   }
 
-  private static void loadServedClasses() throws Exception {
+  private static void loadControllerClasses() throws Exception {
     Path jar = Path.of(Train.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     if (!Files.isRegularFile(jar)) {
       return;
@@ -133,10 +133,10 @@
     try (JarFile file = new JarFile(jar.toFile())) {
       for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
         String name = entry.getName();
-        boolean isServed =
+        boolean isControllerClass =
             name.startsWith("fennelthread/")
                 && EXCLUDED_PREFIXES.stream().noneMatch(name::startsWith);
-        if (isServed && name.endsWith(".class")) {
+        if (isControllerClass && name.endsWith(".class")) {
           Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
         }
       }
--- a/src/main/java/fennelthread/constants/ApiConstants.java
+++ b/src/main/java/fennelthread/constants/ApiConstants.java
@@ -3,8 +3,8 @@
 /** The HTTP interface for users: deadlines and {@code Retry-After} values. */
 public final class ApiConstants {
   /**
-   * {@code Retry-After} of a submission refused while memory is short, seconds: room for a new job
-   * appears only as other jobs end.
+   * {@code Retry-After} of a submission refused while memory is short, seconds: memory for a new
+   * job becomes free only as other jobs end.
    */
   public static final int MEMORY_SHORT_RETRY_AFTER_S = 10;
 
--- a/src/main/java/fennelthread/constants/CapacityConstants.java
+++ b/src/main/java/fennelthread/constants/CapacityConstants.java
@@ -8,7 +8,10 @@
   /** Least coefficient of determination at which measured points count as a straight line. */
   public static final double MIN_LINE_R_SQUARED = 0.98;
 
-  /** Slopes below this count as zero in the capacity tables, in the unit of the table. */
+  /**
+   * A quantity whose measured values all stay at or below this counts as not growing; in the unit
+   * of the quantity.
+   */
   public static final double MIN_VISIBLE_VALUE = 1e-3;
 
   private CapacityConstants() {}
--- a/src/main/java/fennelthread/constants/ControlConstants.java
+++ b/src/main/java/fennelthread/constants/ControlConstants.java
@@ -1,17 +1,22 @@
 package fennelthread.constants;
 
-/** Supervision of the leader and of the machine types. */
+/** Checks of the leader's connections, probes of workers, and fetching of machine types. */
 public final class ControlConstants {
-  /** Timeout of a probe of a worker, ms; the answer serves only as a hint. */
+  /**
+   * Timeout of a probe of a worker, ms: shorter than that of commands, since a probe carries none.
+   */
   public static final long PROBE_TIMEOUT_MS = 1_200;
 
   /**
-   * A leader that the state service refuses for this long steps down if the service answers a peer,
-   * ms.
+   * Time for which a leader's requests to the state service must have failed before it steps down
+   * because the service answers a peer, ms.
    */
   public static final long REFUSED_ONLY_HERE_MS = 2_500;
 
-  /** Time without an answer of the state service after which one is requested, ms. */
+  /**
+   * Time since the state service last served this controller, or the replica was last confirmed as
+   * current, after which the store revision is read, ms.
+   */
   public static final long STATE_SILENCE_CHECK_MS = 800;
 
   /**
@@ -30,7 +35,9 @@
    */
   public static final int PROBES_PER_CHECK = 2;
 
-  /** A leader silent on the peer network for this long counts as unreachable that way, ms. */
+  /**
+   * A leader not heard from on the peer network for this long counts as unreachable by peers, ms.
+   */
   public static final long LEADER_UNREACHABLE_MS = 2_000;
 
   /** Time for which a controller that has stepped down does not claim the leader's lease, ms. */
--- a/src/main/java/fennelthread/constants/ElectionConstants.java
+++ b/src/main/java/fennelthread/constants/ElectionConstants.java
@@ -11,15 +11,18 @@
   /** A leader whose promises last no longer than this declares that it acts without them, ms. */
   public static final long PROMISE_REMAINING_MS = 1_000;
 
-  /** Shortest time between two writes of that declaration, ms: each is a change of the state. */
+  /**
+   * Shortest time between two writes of that declaration or its revocation, ms: each counts against
+   * the state service's limit on changes.
+   */
   public static final long MIN_DECLARATION_INTERVAL_MS = 300;
 
   /** Time for which promises must have sufficed before the declaration is revoked, ms. */
   public static final long REVOKE_DECLARATION_AFTER_MS = 5_000;
 
   /**
-   * A follower that has answered without a promise for this long is bound by an earlier agreement,
-   * ms.
+   * Time for which a follower must have answered without a promise before the leader concludes that
+   * it may have agreed to a takeover, ms.
    */
   public static final long PROMISE_WITHHELD_MS = 2_000;
 
--- a/src/main/java/fennelthread/constants/EmulationConstants.java
+++ b/src/main/java/fennelthread/constants/EmulationConstants.java
@@ -79,7 +79,7 @@
   /** Most tasks of a cancelled job that a report names. */
   public static final int MAX_TASKS_NAMED = 3;
 
-  /** Questions count as being answered if any was within this time, ms. */
+  /** Users' questions count as being answered if one of them got an answer within this time, ms. */
   public static final long RECENT_ANSWER_MS = 5_000;
 
   /**
@@ -136,7 +136,7 @@
   /** Rate of the questions about all accepted jobs at the end of a run, per second. */
   public static final int FINAL_POLLS_PER_S = 500;
 
-  /** Time added to that which these questions take at this rate, ms. */
+  /** Time allowed for these questions in addition to what they take at this rate, ms. */
   public static final long FINAL_POLL_SLACK_MS = 10_000;
 
   /** Time for events in flight to arrive at the end of a run, ms. */
@@ -148,7 +148,7 @@
    */
   public static final long STARTUP_TIMEOUT_MS = 60_000;
 
-  /** Longest time that an interrupted run may take to write its report, s. */
+  /** Longest time that an interrupted run may take to write the report of the run, s. */
   public static final long RUN_REPORT_TIMEOUT_S = 20;
 
   /** Clock ticks per second in which Linux counts processor time. */
--- a/src/main/java/fennelthread/constants/FleetConstants.java
+++ b/src/main/java/fennelthread/constants/FleetConstants.java
@@ -35,13 +35,13 @@
    */
   public static final int MAX_STARTS_PER_ANSWER = 100;
 
-  /** Clears that need a higher token are sent once one machine has this many. */
+  /** Clear commands that need a higher fencing token are sent once one machine has this many. */
   public static final int CLEAR_BATCH_SIZE = 4;
 
   /**
-   * Clears are also sent once this share of a lease has passed since the machine's token was last
-   * raised for them. A worker reports at once when its token rises, and this bounds how often it
-   * does.
+   * Such commands are also sent once this share of a lease has passed since the machine's token was
+   * last raised for them. A worker reports at once when its token rises, and this bounds how often
+   * it does.
    */
   public static final double CLEAR_INTERVAL_LEASE_SHARE = 0.5;
 
@@ -94,16 +94,17 @@
   public static final double MAX_SILENCE_LEASE_SHARE = 0.4;
 
   /**
-   * No machine is returned for silence while more than this share is silent at once: the fault is
-   * then probably on the controller's side. While most machines report it is not, and tasks on a
-   * fifth of the fleet that is cut off would wait for their workers' lease to expire, in the worst
-   * case counted from a failover.
+   * No machine is returned for silence or unanswered reports while more than this share is affected
+   * at once: the fault is then probably on the controller's side. The share is not lower because
+   * tasks on a fifth of the fleet that is cut off would then wait until their workers' leases
+   * expire, in the worst case counted from a failover.
    */
   public static final double MAX_SILENT_SHARE = 0.4;
 
   /**
-   * Leases after which a machine is returned that executes commands but whose own reports don't
-   * arrive: by then every lease that its last answered report renewed is known to have expired.
+   * Time, in leases, after which an empty machine that executes commands but whose own reports are
+   * not answered is returned: by then every lease that its last answered report renewed is known to
+   * have expired.
    */
   public static final double UNANSWERED_RETURN_LEASES = 2;
 
@@ -222,8 +223,8 @@
   public static final int STUCK_BOOT_OVERTAKERS_SCARCE = 1;
 
   /**
-   * Late machines are not replaced if they exceed this share of the booting ones: then all boots
-   * are late.
+   * Late machines are not replaced if they exceed this share of the booting ones: boots in general
+   * are slow then.
    */
   public static final double MAX_LATE_BOOT_SHARE = 0.5;
 
--- a/src/main/java/fennelthread/constants/JobConstants.java
+++ b/src/main/java/fennelthread/constants/JobConstants.java
@@ -59,7 +59,9 @@
   /** Transactions of submissions in flight at once: a slow one must not delay the others. */
   public static final int MAX_CONCURRENT_ACCEPTS = 3;
 
-  /** Transactions that confirm queries in flight at once; further queries share the next one. */
+  /**
+   * Most transactions in flight at once that confirm queries; further queries share the next one.
+   */
   public static final int MAX_CONCURRENT_CONFIRMS = 2;
 
   /** Most attempts at a cancellation that conflicts with other changes of its job. */
--- a/src/main/java/fennelthread/constants/LeaderConstants.java
+++ b/src/main/java/fennelthread/constants/LeaderConstants.java
@@ -74,8 +74,8 @@
 
   /**
    * Most tasks on one machine, including ended ones that are not cleared: a report takes up to 100
-   * bytes for each, and one beyond 64 KiB is refused until all of its tasks end because their lease
-   * expires.
+   * bytes for each, and reports beyond 64 KiB are refused until the worker's lease expires and all
+   * of its tasks end.
    */
   public static final int MAX_TASKS_PER_MACHINE = 600;
 
@@ -120,7 +120,10 @@
   /** Time that a done job waits for others to share its write, ms; its user polls 3 s later. */
   public static final long DONE_JOB_FLUSH_DELAY_MS = 80;
 
-  /** Shortest time between two writes of finished chunks of jobs, ms: each chunk costs a write. */
+  /**
+   * Shortest time between two writes of jobs' finished tasks, ms: each chunk of tasks costs a
+   * write.
+   */
   public static final long FINISHED_TASKS_FLUSH_INTERVAL_MS = 1_000;
 
   /** Interval at which the leader removes obsolete records, ms. */
@@ -136,16 +139,17 @@
   public static final int SPARSE_RECORD_DIVISOR = 4;
 
   /**
-   * Start records, or starts in them, are compacted if they exceed the live ones by this factor.
+   * Start records are compacted if there are more than this many times as many as the live starts
+   * need, or if they hold more than this many times as many starts as are live, each with a slack.
    */
   public static final int MAX_RECORDS_PER_NEEDED = 4;
 
-  /** Number of start records below which compaction is not worth its writes. */
+  /** Slack in that comparison of records: so few are not worth the writes of a compaction. */
   public static final int RECORD_COUNT_SLACK = 128;
 
   /**
-   * Number of starts in records below which compaction is not worth its writes: some hundred
-   * kilobytes of heap.
+   * Slack in that comparison of starts: so few, some hundred kilobytes of heap, are not worth the
+   * writes of a compaction.
    */
   public static final int START_COUNT_SLACK = 4_000;
 
--- a/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
+++ b/src/main/java/fennelthread/constants/LeaseRenewalConstants.java
@@ -3,8 +3,8 @@
 /** Renewal of workers' leases by followers. */
 public final class LeaseRenewalConstants {
   /**
-   * Most commands in one answer to a worker: keeps it below the bound on bodies; the rest is sent
-   * later.
+   * Number of commands in one answer to a worker beyond which only starts are added: keeps it below
+   * the bound on bodies; the rest is sent later.
    */
   public static final int COMMANDS_PER_ANSWER = 400;
 
@@ -19,8 +19,8 @@
    * Shortest such time, ms. A replica of the state is as old as one held watch and one call. If
    * {@code cancel_s} exceeds {@code lease_s} by less than that, a healthy leader, which knows all
    * cancellations until about a second ago, could not answer reports without this minimum; with it
-   * a task that is cut off may outlive its cancellation, as it does when no controller runs. A
-   * minimum of seven seconds would extend renewal under settings that have room for five.
+   * a task that is cut off may run beyond {@code cancel_s}, as it does when no controller runs. A
+   * minimum of seven seconds would also extend the time under settings that allow five.
    */
   public static final long MIN_RENEWAL_WINDOW_MS = 2_500;
 
--- a/src/main/java/fennelthread/constants/NetConstants.java
+++ b/src/main/java/fennelthread/constants/NetConstants.java
@@ -12,8 +12,8 @@
   public static final long MIN_STALL_MS = 1_250;
 
   /**
-   * Longest time after a stall for which others' silence proves nothing, ms: whoever is silent for
-   * longer is really silent.
+   * Longest time after a stall for which the silence of other processes is disregarded, ms: one
+   * that stays silent for longer has failed or is cut off.
    */
   public static final long MAX_CATCH_UP_AFTER_STALL_MS = 10_000;
 
@@ -48,9 +48,9 @@
   public static final long CONNECT_TIMEOUT_MS = 5_000;
 
   /**
-   * Share of the outbound connections that attempts for spare calls may hold. Attempts to machines
-   * that are cut off or hang end only when the system gives up, and without this bound hundreds of
-   * them leave no connection for starts.
+   * Share of the outbound connections that attempts for spare calls, such as probes, may hold.
+   * Attempts to machines that are cut off or hang end only when the system gives up, and without
+   * this bound hundreds of them leave no connection for starts.
    */
   public static final double MAX_SPARE_CONNECT_SHARE = 0.35;
 
--- a/src/main/java/fennelthread/constants/PlanConstants.java
+++ b/src/main/java/fennelthread/constants/PlanConstants.java
@@ -54,7 +54,7 @@
    */
   public static final double SPREADING_PENALTY_CACHED = 0.2;
 
-  /** Above any score of a machine that has the image, s. */
+  /** Penalty of a machine without the image, s: above any score of a machine that has it. */
   public static final double IMAGE_NOT_CACHED_PENALTY_S = 1_000;
 
   /** Weight of a placement's score relative to the work that preemption loses, CPU seconds. */
--- a/src/main/java/fennelthread/constants/ProtocolConstants.java
+++ b/src/main/java/fennelthread/constants/ProtocolConstants.java
@@ -10,7 +10,10 @@
    */
   public static final double MAX_CLOCK_DRIFT = 0.0005;
 
-  /** Taken off every lease in addition to drift, ms: timers fire in steps of a few milliseconds. */
+  /**
+   * Margin of leases and promises in addition to clock drift, ms: their holder subtracts it, and
+   * others add it, since timers fire in steps of a few milliseconds.
+   */
   public static final long LEASE_MARGIN_MS = 60;
 
   /**
--- a/src/main/java/fennelthread/constants/RelayConstants.java
+++ b/src/main/java/fennelthread/constants/RelayConstants.java
@@ -28,8 +28,8 @@
   public static final long MIN_UNREACHABLE_SILENCE_MS = 1_000;
 
   /**
-   * Report intervals of silence that suffice for it in a fleet with too few workers for that
-   * number: each worker reports within 1.25.
+   * Report intervals of silence after which a leader concludes the same in a fleet with too few
+   * workers to miss that many reports: each worker reports within 1.25 intervals.
    */
   public static final double UNREACHABLE_REPORT_INTERVALS = 1.6;
 
@@ -82,21 +82,27 @@
   public static final long MAX_RELAY_PERIOD_MS = 60_000;
 
   /**
-   * Time after the start of a term from which a worker that obeys its leader must also have
-   * reported to it, ms.
+   * Time after the start of a term from which a worker that holds a fencing token of the term
+   * counts as having reported to its leader, ms; earlier the token may come from a probe.
    */
   public static final long TERM_SETTLING_MS = 10_000;
 
-  /** Time for which a worker's arrival, or a peer's notice of an unreachable leader, counts, ms. */
+  /**
+   * Time for which a report of a worker of an unreachable leader, or a peer's notice of such a
+   * leader, counts, ms.
+   */
   public static final long NOTICE_VALIDITY_MS = 4_000;
 
-  /** Shortest time between two such notices in the state service, ms: each is a change. */
+  /**
+   * Shortest time between two writes of such a notice, ms: each counts against the state service's
+   * limit on changes.
+   */
   public static final long MIN_NOTICE_INTERVAL_MS = 2_000;
 
-  /** Least number of arriving workers for a notice. */
+  /** Least number of workers that must have reported here for a notice to be written. */
   public static final int MIN_NOTICE_WORKERS = 2;
 
-  /** Least share of the known workers for a notice. */
+  /** Least share of the known workers that must have reported here for a notice to be written. */
   public static final double MIN_NOTICE_WORKER_SHARE = 0.05;
 
   private RelayConstants() {}
--- a/src/main/java/fennelthread/constants/SettingsConstants.java
+++ b/src/main/java/fennelthread/constants/SettingsConstants.java
@@ -9,8 +9,8 @@
   public static final long DEFAULT_ROUND_GAP_MS = 60;
 
   /**
-   * Share of the process's sockets for outbound connections: those of workers, users and peers need
-   * the rest.
+   * Share of the process's sockets for outbound connections: inbound ones from workers, users and
+   * peers need the rest.
    */
   public static final double OUTBOUND_CONNECTION_SHARE = 0.2;
 
--- a/src/main/java/fennelthread/constants/SimulationConstants.java
+++ b/src/main/java/fennelthread/constants/SimulationConstants.java
@@ -32,13 +32,16 @@
   /** Interval at which simulated users check the progress of a pipeline's job, ms. */
   public static final int PIPELINE_POLL_INTERVAL_MS = 200;
 
-  /** Most such checks. */
+  /** Most checks of one job's progress. */
   public static final int MAX_PIPELINE_POLLS = 3_000;
 
-  /** Shortest time between two odd requests, ms. */
+  /**
+   * Shortest time between two unusual requests (repeated or invalid submissions, cancellations of
+   * done jobs), ms.
+   */
   public static final int MIN_ODD_REQUEST_PAUSE_MS = 100;
 
-  /** Longest time between two odd requests, ms. */
+  /** Longest time between two unusual requests, ms. */
   public static final int MAX_ODD_REQUEST_PAUSE_MS = 600;
 
   /** Most tries at submitting an invalid job. */
@@ -50,10 +53,10 @@
   /** Tolerance in sums of amounts. */
   public static final double ROUNDING_TOLERANCE = 1e-6;
 
-  /** Shortest delay of a command that is held up, ms. */
+  /** Shortest delay of a command that the simulated network delays, ms. */
   public static final long MIN_COMMAND_DELAY_MS = 2_000;
 
-  /** Longest delay of a command that is held up, ms. */
+  /** Longest delay of a command that the simulated network delays, ms. */
   public static final long MAX_COMMAND_DELAY_MS = 16_000;
 
   /** Length of the window whose events are kept in slots of one millisecond, ms; a power of two. */
--- a/src/main/java/fennelthread/constants/StateConstants.java
+++ b/src/main/java/fennelthread/constants/StateConstants.java
@@ -43,7 +43,9 @@
    */
   public static final int NO_ANSWER_STATUS = 0;
 
-  /** Time for which the service holds a watch open, ms: bounds what a lost answer costs. */
+  /**
+   * Time for which the service holds a watch open, ms: bounds the delay that a lost answer causes.
+   */
   public static final long WATCH_HOLD_MS = 5_000;
 
   /** Shortest time between two watch requests, ms: each counts against the rate limit. */
@@ -53,9 +55,9 @@
   public static final int MAX_QUEUED_REQUESTS = 400;
 
   /**
-   * Share of the service's rate limits that one controller may use, from 0 to 1: any may have to
-   * lead, and followers use far less. Together they may briefly exceed the limits; they then back
-   * off.
+   * Share of the service's rate limits that one controller may use, from 0 to 1: any of them may
+   * have to lead, and followers use far less. Together they may briefly exceed the limits; they
+   * then back off.
    */
   public static final double RATE_LIMIT_SHARE = 0.5;
 
--- a/src/main/java/fennelthread/constants/ZoneConstants.java
+++ b/src/main/java/fennelthread/constants/ZoneConstants.java
@@ -34,7 +34,10 @@
 
   // ---------------------------------------------------------------- phases
 
-  /** Leases of silence after which the log reports a zone's tasks as lost. */
+  /**
+   * Time, in leases, after which a zone that stays silent is logged as lost: its tasks have ended
+   * or will be ended.
+   */
   public static final double LOST_LEASES = 1.1;
 
   /**
@@ -62,7 +65,7 @@
    */
   public static final long REPLACEMENT_DELAY_MS = 3_000;
 
-  /** Time over which the replacement grows to all of them, ms. */
+  /** Time over which the replaced share of them grows to all, ms. */
   public static final double REPLACEMENT_RAMP_MS = 15_000;
 
   private ZoneConstants() {}
--- a/src/main/java/fennelthread/settings/SettingsReader.java
+++ b/src/main/java/fennelthread/settings/SettingsReader.java
@@ -161,8 +161,8 @@
   /**
    * Reads the limits of the state service, and lowers them to the announced future ones.
    *
-   * @param current the current limits when the future ones are read, which default to them; null
-   *     when the current ones are read, which must all be present
+   * @param current the current limits, which are the defaults while the future ones are read; null
+   *     while the current ones are read, all of which must be present
    */
   private Settings.StateLimits readStateLimits(
       JsonNode parent, String path, Settings.StateLimits current) throws SettingsException {
--- a/src/main/java/fennelthread/wire/Codec.java
+++ b/src/main/java/fennelthread/wire/Codec.java
@@ -20,7 +20,7 @@
 public enum Codec {
   /** The encoding between controllers and users, workers, the cloud and the state service. */
   CBOR(new CBORFactory(), "application/cbor"),
-  /** The encoding of messages between controllers. */
+  /** The encoding of messages between controllers, and of the command line's input and output. */
   JSON(new JsonFactory(), "application/json");
 
   /** Deepest nesting that is decoded: bounds the recursion on hostile input. */
--- a/src/main/java/fennelthread/wire/JobSpec.java
+++ b/src/main/java/fennelthread/wire/JobSpec.java
@@ -318,7 +318,7 @@
       return this;
     }
 
-    /** Sets whether at most half of the tasks may be in one zone. */
+    /** Sets whether at most half of the tasks, rounded up, may be in one zone. */
     public Builder spreadAcrossZones(boolean spreadAcrossZones) {
       this.spreadAcrossZones = spreadAcrossZones;
       return this;
--- a/src/main/java/fennelthread/wire/WorkerCommand.java
+++ b/src/main/java/fennelthread/wire/WorkerCommand.java
@@ -19,8 +19,8 @@
    * Writes a body with commands.
    *
    * @param token the fencing token of the sender
-   * @param session the session of the worker that the commands are meant for, in commands that are
-   *     sent to it directly; 0 in the answer to a report
+   * @param session the session that the worker must be in to execute commands that are sent to it
+   *     directly; 0 in the answer to a report
    */
   static Fields write(long token, long session, List<WorkerCommand> commands) {
     List<Object> list = new ArrayList<>(commands.size());
--- a/src/test/java/fennelthread/cli/ArchiveTest.java
+++ b/src/test/java/fennelthread/cli/ArchiveTest.java
@@ -22,19 +22,19 @@
   @TempDir Path dir;
 
   /**
-   * Replaces the processes: training writes that many bytes, or no file if negative, and succeeds
-   * or not; the test start with the archive succeeds or not.
+   * Returns a runner that starts no process: training writes {@code archiveBytes} bytes, or no file
+   * if negative.
    */
   private static Archive.Runner runner(
-      int bytes, boolean trainingSucceeds, boolean testStartSucceeds) {
+      int archiveBytes, boolean trainingSucceeds, boolean testStartSucceeds) {
     return (command, timeoutMs) -> {
       String option = command.stream().filter(a -> a.contains("Archive")).findFirst().orElseThrow();
       if (!command.get(command.size() - 1).equals("train")) {
         assertTrue(command.contains("-Xshare:on"));
         return testStartSucceeds;
       }
-      if (bytes >= 0) {
-        Files.write(Path.of(option.substring(option.indexOf('=') + 1)), new byte[bytes]);
+      if (archiveBytes >= 0) {
+        Files.write(Path.of(option.substring(option.indexOf('=') + 1)), new byte[archiveBytes]);
       }
       return trainingSucceeds;
     };
--- a/src/test/java/fennelthread/wire/CodecTest.java
+++ b/src/test/java/fennelthread/wire/CodecTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages in the form that the protocol documents are read and written, also through CBOR. */
+/** Messages in the protocol's documented form are read and written, as JSON and as CBOR. */
 class CodecTest {
 
   private static Fields json(String text) throws WireException {
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void absentFieldsAreNull() throws WireException {
+  void absentOptionalFieldsHaveDefaults() throws WireException {
     JobSpec spec =
         JobSpec.read(
             overCbor(
@@ -84,7 +84,10 @@
     assertEquals("mem_gb", assertThrows(WireException.class, () -> JobSpec.read(back)).field());
   }
 
-  /** Empty, a list, a text, a byte string, truncated, with trailing bytes, with a key not text. */
+  /**
+   * Empty, a list, a text, a map with a byte string, truncated, with trailing bytes, with a key
+   * that is not text, a lone break code, without the first key.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"", "80", "6161", "a1616141ff", "a16161", "a000", "a10102", "ff", "a1"})
   void bodiesOtherThanMapsOfTextAndNumbersAreRejected(String hex) {
@@ -146,7 +149,7 @@
   }
 
   @Test
-  void machineTypesAndListsAreRead() throws WireException {
+  void machineTypesAndMachineListsAreRead() throws WireException {
     MachineType machineType =
         MachineType.readAll(
                 overCbor(
