--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -20,28 +20,28 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 
-/** The cloud as its protocol describes it: lists are late, some machines never come up. */
+/** Emulates the cloud: machine lists are stale, some machines never boot, capacity is limited. */
 final class CloudEmulator implements Service {
   private final List<MachineType> machineTypes;
-  private final SimulatedNetwork world;
+  private final SimulatedNetwork network;
   private final Consumer<WorkerEmulator> onWorker;
-  private final WorkerEmulator.Environment surroundings;
+  private final WorkerEmulator.Environment environment;
   private final TreeMap<String, WorkerEmulator> machines = new TreeMap<>();
-  private final Map<String, List<Object>> requests = new HashMap<>();
-  private final Map<String, Integer> left = new HashMap<>();
+  private final Map<String, List<Object>> machinesByRequest = new HashMap<>();
+  private final Map<String, Integer> capacityLeft = new HashMap<>();
   private final Map<String, Long> rentedAt = new HashMap<>();
   private final List<List<Object>> snapshots = new ArrayList<>();
-  private final Set<String> exhausted = new HashSet<>();
-  private boolean down;
-  private int seq;
+  private final Set<String> exhaustedZones = new HashSet<>();
+  private boolean isDown;
+  private int lastMachineNumber;
 
   CloudEmulator(
-      SimulatedNetwork world,
-      WorkerEmulator.Environment surroundings,
+      SimulatedNetwork network,
+      WorkerEmulator.Environment environment,
       Consumer<WorkerEmulator> onWorker,
       Deployment deployment) {
-    this.world = world;
-    this.surroundings = surroundings;
+    this.network = network;
+    this.environment = environment;
     this.onWorker = onWorker;
     List<String> zones = deployment.zones();
     this.machineTypes =
@@ -49,48 +49,51 @@
             new MachineType("mesa", 4, 0, 16, 20, 0.5, 0.3, 0.1, 6, zones),
             new MachineType("torre", 16, 1, 64, 40, 1, 1.5, 0.5, 9, zones));
     for (String zone : zones) {
-      left.put("mesa" + zone + false, deployment.small());
-      left.put("mesa" + zone + true, deployment.small() / 2);
-      left.put("torre" + zone + false, deployment.big());
-      left.put("torre" + zone + true, deployment.big() / 2);
+      capacityLeft.put("mesa" + zone + false, deployment.small());
+      capacityLeft.put("mesa" + zone + true, deployment.small() / 2);
+      capacityLeft.put("torre" + zone + false, deployment.big());
+      capacityLeft.put("torre" + zone + true, deployment.big() / 2);
     }
     bootMs =
         () -> {
-          double chance = world.random.nextDouble();
-          return chance < 0.05 ? -1 : chance < 0.2 ? 200 : 4_000 + world.random.nextInt(9_000);
+          double chance = network.random.nextDouble();
+          return chance < 0.05 ? -1 : chance < 0.2 ? 200 : 4_000 + network.random.nextInt(9_000);
         };
-    listAgeSnapshots = () -> 2 + world.random.nextInt(5);
-    snapshot();
+    listAgeSnapshots = () -> 2 + network.random.nextInt(5);
+    takeSnapshot();
   }
 
-  /** How long the next machine takes to come up, ms; less than 0 if it never does. */
+  /** Boot time of the next machine, ms; negative if it never boots. */
   LongSupplier bootMs;
 
-  /** How many half seconds the next list is late. */
+  /**
+   * Age of the next machine list in snapshots, which are taken every 500 ms; 1 means the latest,
+   * and at most 60 are kept.
+   */
   IntSupplier listAgeSnapshots;
 
-  /** How many machines were rented since the start of the day, by type. */
+  /** Number of machines rented through rent requests, by type. */
   final Map<String, Integer> rented = new HashMap<>();
 
-  /** The machines that controllers have returned. */
+  /** Names of the machines that controllers have returned. */
   final List<String> returned = new ArrayList<>();
 
-  private boolean bootsQuickly;
+  private boolean isBootingQuickly;
 
-  /** Nothing more can be rented in a zone for so long. */
+  /** Refuses rent requests in a zone for lack of capacity for {@code forMs}. */
   void exhaustZone(String zone, long forMs) {
-    exhausted.add(zone);
-    world.after(forMs, () -> exhausted.remove(zone));
+    exhaustedZones.add(zone);
+    network.after(forMs, () -> exhaustedZones.remove(zone));
   }
 
-  /** Machines rented meanwhile are up within 0.1 to 2 s; the list shows them late as ever. */
+  /** For {@code forMs}, rented machines boot within 0.1 to 2 s; machine lists stay stale. */
   void bootQuickly(long forMs) {
-    bootsQuickly = true;
-    world.after(forMs, () -> bootsQuickly = false);
+    isBootingQuickly = true;
+    network.after(forMs, () -> isBootingQuickly = false);
   }
 
   private long nextBootMs() {
-    return bootsQuickly ? 100 + world.faults.nextInt(1_901) : bootMs.getAsLong();
+    return isBootingQuickly ? 100 + network.faults.nextInt(1_901) : bootMs.getAsLong();
   }
 
   /** The machine types on offer. */
@@ -98,68 +101,82 @@
     return machineTypes;
   }
 
+  /** Answers every request with status 503 for {@code forMs}. */
   void outage(long forMs) {
-    down = true;
-    world.after(forMs, () -> down = false);
+    isDown = true;
+    network.after(forMs, () -> isDown = false);
   }
 
-  /** The machines that are rented, by name; failed ones stay until they are returned. */
+  /** The rented machines by name; failed ones stay until they are returned. */
   NavigableMap<String, WorkerEmulator> machines() {
     return machines;
   }
 
+  /** Adds a machine that boots after {@code bootMs}, or never if that is negative. */
   WorkerEmulator rent(String type, String zone, boolean spot, long bootMs) {
-    String name = String.format("n-%06d", ++seq);
+    String name = String.format("n-%06d", ++lastMachineNumber);
     MachineType machineType =
-        machineTypes.stream().filter(f -> f.name().equals(type)).findFirst().orElseThrow();
+        machineTypes.stream()
+            .filter(offered -> offered.name().equals(type))
+            .findFirst()
+            .orElseThrow();
     WorkerEmulator worker =
         new WorkerEmulator(
-            world, surroundings, name, "10.1.0." + seq + ":9000", machineType, zone, spot);
-    world.setZone(name, zone);
+            network,
+            environment,
+            name,
+            "10.1.0." + lastMachineNumber + ":9000",
+            machineType,
+            zone,
+            spot);
+    network.setZone(name, zone);
     machines.put(name, worker);
-    rentedAt.put(name, world.now());
+    rentedAt.put(name, network.now());
     onWorker.accept(worker);
     if (bootMs >= 0) {
-      world.after(bootMs, worker::boot);
+      network.after(bootMs, worker::boot);
     }
     return worker;
   }
 
-  /** A machine is taken back, or dies. */
+  /** Ends a machine: it fails and stays listed, or the cloud takes it back. */
   void terminate(WorkerEmulator worker, boolean failed) {
     worker.terminate(failed);
     if (!failed) {
       machines.remove(worker.name());
-      left.merge(worker.machineType().name() + worker.zone() + worker.spot(), 1, Integer::sum);
+      capacityLeft.merge(
+          worker.machineType().name() + worker.zone() + worker.spot(), 1, Integer::sum);
     }
   }
 
-  private void snapshot() {
+  private void takeSnapshot() {
     List<Object> list = new ArrayList<>();
-    for (WorkerEmulator w : machines.values()) {
+    for (WorkerEmulator worker : machines.values()) {
       list.add(
           Fields.create()
-              .with("name_id", w.name())
-              .with("address", w.address())
-              .with("modelo", w.machineType().name())
-              .with("zona", w.zone())
-              .with("prestadas", w.spot())
+              .with("name_id", worker.name())
+              .with("address", worker.address())
+              .with("modelo", worker.machineType().name())
+              .with("zona", worker.zone())
+              .with("prestadas", worker.spot())
               .with(
                   "estado",
-                  w.isFailed() ? MachineEntry.FAILED : w.isUp() ? "running" : MachineEntry.STARTING)
-              .with("held_s", (world.now() - rentedAt.get(w.name())) / 1000.0)
+                  worker.isFailed()
+                      ? MachineEntry.FAILED
+                      : worker.isUp() ? "running" : MachineEntry.STARTING)
+              .with("held_s", (network.now() - rentedAt.get(worker.name())) / 1000.0)
               .map());
     }
     snapshots.add(list);
     if (snapshots.size() > 60) {
       snapshots.remove(0);
     }
-    world.after(500, this::snapshot);
+    network.after(500, this::takeSnapshot);
   }
 
   @Override
   public void handle(Request request, Consumer<Answer> reply) {
-    if (down) {
+    if (isDown) {
       reply.accept(Answer.error(503, "trouble"));
       return;
     }
@@ -169,47 +186,49 @@
         reply.accept(Answer.of(200, Codec.CBOR, MachineType.writeAll(machineTypes)));
       } else if (path.startsWith("/hosts?")) {
         int age = listAgeSnapshots.getAsInt();
-        List<Object> old = snapshots.get(Math.max(0, snapshots.size() - age));
+        List<Object> staleList = snapshots.get(Math.max(0, snapshots.size() - age));
         reply.accept(
-            Answer.of(200, Codec.CBOR, Fields.create().with("equipos", old).with("more", false)));
+            Answer.of(
+                200, Codec.CBOR, Fields.create().with("equipos", staleList).with("more", false)));
       } else if (path.equals("/hosts/return")) {
         for (String name : Codec.CBOR.decode(request.body()).optTexts("equipos")) {
-          WorkerEmulator w = machines.get(name);
-          if (w != null) {
+          WorkerEmulator worker = machines.get(name);
+          if (worker != null) {
             returned.add(name);
-            terminate(w, false);
+            terminate(worker, false);
           }
         }
         reply.accept(Answer.of(200, Codec.CBOR, Fields.create()));
       } else {
-        order(Codec.CBOR.decode(request.body()), reply);
+        rentMachines(Codec.CBOR.decode(request.body()), reply);
       }
     } catch (WireException e) {
       reply.accept(Answer.error(400, e.getMessage()));
     }
   }
 
-  private void order(Fields body, Consumer<Answer> reply) throws WireException {
-    String name = body.text("pedido");
-    List<Object> known = requests.get(name);
-    if (known == null) {
+  private void rentMachines(Fields body, Consumer<Answer> reply) throws WireException {
+    String requestId = body.text("pedido");
+    List<Object> machineNames = machinesByRequest.get(requestId);
+    if (machineNames == null) {
       String kind = body.text("modelo") + body.text("zona") + body.optFlag("prestadas");
-      int available = exhausted.contains(body.text("zona")) ? 0 : left.getOrDefault(kind, 0);
-      int many = (int) Math.min(body.count("how_many"), available);
-      if (many == 0) {
+      int available =
+          exhaustedZones.contains(body.text("zona")) ? 0 : capacityLeft.getOrDefault(kind, 0);
+      int count = (int) Math.min(body.count("how_many"), available);
+      if (count == 0) {
         reply.accept(Answer.error(503, "no capacity"));
         return;
       }
-      left.merge(kind, -many, Integer::sum);
-      rented.merge(body.text("modelo"), many, Integer::sum);
-      known = new ArrayList<>();
-      for (int i = 0; i < many; i++) {
-        known.add(
+      capacityLeft.merge(kind, -count, Integer::sum);
+      rented.merge(body.text("modelo"), count, Integer::sum);
+      machineNames = new ArrayList<>();
+      for (int i = 0; i < count; i++) {
+        machineNames.add(
             rent(body.text("modelo"), body.text("zona"), body.optFlag("prestadas"), nextBootMs())
                 .name());
       }
-      requests.put(name, known);
+      machinesByRequest.put(requestId, machineNames);
     }
-    reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("equipos", known)));
+    reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("equipos", machineNames)));
   }
 }
--- a/src/main/java/fennelthread/simulation/Deployment.java
+++ b/src/main/java/fennelthread/simulation/Deployment.java
@@ -4,61 +4,77 @@
 import java.util.List;
 
 /**
- * What a simulated cluster consists of.
+ * The size and limits of a simulated cluster.
  *
- * @param controllers how many; they are spread over the zones in turn
- * @param zones names of the zones; the machines that are up at the start are spread over them in
- *     turn
- * @param firstSmall machines of the small type that are up at the start
- * @param firstBig the same of the large type, all in the first zone
- * @param small machines of the small type that can be had in each zone, half as many cheap ones
- *     beside
- * @param big the same of the large type
- * @param teamCap most CPUs of a team
- * @param limits what the state service takes now
- * @param next what the controllers' settings say that it will take
- * @param reportMs how often workers report, ms
- * @param leaseMs the workers' lease, ms
- * @param cancelMs within which a cancelled job's tasks must be gone, ms
- * @param production true if all controllers begin with the version in production
+ * @param controllers number of controllers, assigned to the zones in turn
+ * @param zones zone names; the initial small machines are assigned to them in turn
+ * @param initialSmall small machines at the start
+ * @param initialBig large machines at the start, all in the first zone
+ * @param small regular small machines that can be rented in each zone; half as many spot machines
+ *     can be rented besides
+ * @param big the same for the large type
+ * @param teamCap CPU limit of each team
+ * @param limits the state service's limits at the start
+ * @param announcedLimits the state service's limits in the controllers' settings
+ * @param reportMs interval of the workers' reports, ms
+ * @param leaseMs duration of the workers' lease, ms
+ * @param cancelMs time within which a cancelled job's tasks must end, ms
+ * @param production true if all controllers start with the version in production
  */
 record Deployment(
     int controllers,
     List<String> zones,
-    int firstSmall,
-    int firstBig,
+    int initialSmall,
+    int initialBig,
     int small,
     int big,
     double teamCap,
     Settings.StateLimits limits,
-    Settings.StateLimits next,
+    Settings.StateLimits announcedLimits,
     long reportMs,
     long leaseMs,
     long cancelMs,
     boolean production) {
 
-  private static final List<String> TWO = List.of("norte", "sur");
-  private static final Settings.StateLimits ROOMY = new Settings.StateLimits(500, 200, 8 * 1024, 8);
-  private static final Settings.StateLimits ORDINARY =
+  private static final List<String> TWO_ZONES = List.of("norte", "sur");
+  private static final Settings.StateLimits GENEROUS_LIMITS =
+      new Settings.StateLimits(500, 200, 8 * 1024, 8);
+  private static final Settings.StateLimits ORDINARY_LIMITS =
       new Settings.StateLimits(150, 50, 8 * 1024, 16);
 
-  /** Three controllers, a handful of machines, and a state service that takes all there is. */
+  /** Three controllers, six machines, and generous limits of the state service. */
   static Deployment tiny() {
-    return new Deployment(3, TWO, 5, 1, 6, 2, 60, ROOMY, ROOMY, 1_500, 10_000, 30_000, false);
+    return new Deployment(
+        3,
+        TWO_ZONES,
+        5,
+        1,
+        6,
+        2,
+        60,
+        GENEROUS_LIMITS,
+        GENEROUS_LIMITS,
+        1_500,
+        10_000,
+        30_000,
+        false);
   }
 
-  /** So many small machines at the start, with ordinary limits at the state service. */
+  /**
+   * {@code machines - 1} small machines and a twentieth as many large ones at the start, with
+   * ordinary limits of the state service.
+   */
   static Deployment large(int machines) {
     return new Deployment(
         3,
-        TWO,
+        TWO_ZONES,
         machines - 1,
         machines / 20,
         machines,
         Math.max(2, machines / 20),
         machines * 8,
-        ORDINARY,
-        ORDINARY,
+        ORDINARY_LIMITS,
+        ORDINARY_LIMITS,
         1_500,
         10_000,
         30_000,
@@ -69,65 +85,65 @@
     return new Deployment(
         controllers,
         zones,
-        firstSmall,
-        firstBig,
+        initialSmall,
+        initialBig,
         small,
         big,
         cpus,
         limits,
-        next,
+        announcedLimits,
         reportMs,
         leaseMs,
         cancelMs,
         production);
   }
 
-  Deployment withAnnouncedLimits(Settings.StateLimits announced) {
+  Deployment withAnnouncedLimits(Settings.StateLimits newLimits) {
     return new Deployment(
         controllers,
         zones,
-        firstSmall,
-        firstBig,
+        initialSmall,
+        initialBig,
         small,
         big,
         teamCap,
         limits,
-        announced,
+        newLimits,
         reportMs,
         leaseMs,
         cancelMs,
         production);
   }
 
-  /** Another state service, now and to come. */
-  Deployment withLimits(Settings.StateLimits both) {
+  /** Sets the state service's limits, both the actual and the announced ones. */
+  Deployment withLimits(Settings.StateLimits newLimits) {
     return new Deployment(
         controllers,
         zones,
-        firstSmall,
-        firstBig,
+        initialSmall,
+        initialBig,
         small,
         big,
         teamCap,
-        both,
-        both,
+        newLimits,
+        newLimits,
         reportMs,
         leaseMs,
         cancelMs,
         production);
   }
 
-  Deployment withControllers(int number) {
+  Deployment withControllers(int count) {
     return new Deployment(
-        number,
+        count,
         zones,
-        firstSmall,
-        firstBig,
+        initialSmall,
+        initialBig,
         small,
         big,
         teamCap,
         limits,
-        next,
+        announcedLimits,
         reportMs,
         leaseMs,
         cancelMs,
@@ -138,34 +154,34 @@
     return new Deployment(
         controllers,
         names,
-        firstSmall,
-        firstBig,
+        initialSmall,
+        initialBig,
         small,
         big,
         teamCap,
         limits,
-        next,
+        announcedLimits,
         reportMs,
         leaseMs,
         cancelMs,
         production);
   }
 
-  /** Workers that report and are given up at other times, ms. */
-  Deployment withLease(long report, long lease, long cancel) {
+  /** Sets the workers' report interval, lease and cancellation deadline, ms. */
+  Deployment withLease(long newReportMs, long newLeaseMs, long newCancelMs) {
     return new Deployment(
         controllers,
         zones,
-        firstSmall,
-        firstBig,
+        initialSmall,
+        initialBig,
         small,
         big,
         teamCap,
         limits,
-        next,
-        report,
-        lease,
-        cancel,
+        announcedLimits,
+        newReportMs,
+        newLeaseMs,
+        newCancelMs,
         production);
   }
 
@@ -173,13 +189,13 @@
     return new Deployment(
         controllers,
         zones,
-        firstSmall,
-        firstBig,
+        initialSmall,
+        initialBig,
         small,
         big,
         teamCap,
         limits,
-        next,
+        announcedLimits,
         reportMs,
         leaseMs,
         cancelMs,
--- a/src/main/java/fennelthread/simulation/EventQueue.java
+++ b/src/main/java/fennelthread/simulation/EventQueue.java
@@ -10,27 +10,29 @@
 import java.util.PriorityQueue;
 
 /**
- * A queue of simulated events, ordered by time and then by when they were added. Events of the next
- * seconds stand in one slot per millisecond, so that adding and taking one costs the same however
- * many there are; most are timeouts that nothing comes of.
+ * A queue of simulated events, ordered by time and then by insertion. Events within the next {@link
+ * SimulationConstants#EVENT_WINDOW_MS} are kept in one slot per millisecond, so that adding and
+ * taking an event takes constant time; most events are timeouts whose requests have long been
+ * answered.
  */
 final class EventQueue {
-  private record Later(long atMs, long order, Runnable task) {}
+  private record LaterEvent(long atMs, long insertionOrder, Runnable task) {}
 
   private final List<ArrayDeque<Runnable>> slots =
       new ArrayList<>(Collections.nCopies(SimulationConstants.EVENT_WINDOW_MS, null));
-  private final BitSet used = new BitSet(SimulationConstants.EVENT_WINDOW_MS);
-  private final PriorityQueue<Later> later =
-      new PriorityQueue<>(Comparator.comparingLong(Later::atMs).thenComparingLong(Later::order));
+  private final BitSet usedSlots = new BitSet(SimulationConstants.EVENT_WINDOW_MS);
+  private final PriorityQueue<LaterEvent> laterEvents =
+      new PriorityQueue<>(
+          Comparator.comparingLong(LaterEvent::atMs).thenComparingLong(LaterEvent::insertionOrder));
   private long windowStartMs;
-  private long order;
+  private long insertionOrder;
 
-  /** Adds an event; its time is not before that of the event taken last. */
+  /** Adds an event; its time must not be before that of the event taken last. */
   void add(long atMs, Runnable task) {
     if (atMs < windowStartMs + SimulationConstants.EVENT_WINDOW_MS) {
       addToSlot(atMs, task);
     } else {
-      later.add(new Later(atMs, order++, task));
+      laterEvents.add(new LaterEvent(atMs, insertionOrder++, task));
     }
   }
 
@@ -42,40 +44,43 @@
       slots.set(index, slot);
     }
     slot.add(task);
-    used.set(index);
+    usedSlots.set(index);
   }
 
   /** The time of the next event, or {@link Long#MAX_VALUE} if there is none. */
   long nextMs() {
     int start = (int) (windowStartMs & (SimulationConstants.EVENT_WINDOW_MS - 1));
-    int index = used.nextSetBit(start);
+    int index = usedSlots.nextSetBit(start);
     if (index < 0) {
-      index = used.nextSetBit(0);
+      index = usedSlots.nextSetBit(0);
     }
     if (index >= 0) {
       return windowStartMs + ((index - start) & (SimulationConstants.EVENT_WINDOW_MS - 1));
     }
-    return later.isEmpty() ? Long.MAX_VALUE : later.peek().atMs;
+    return laterEvents.isEmpty() ? Long.MAX_VALUE : laterEvents.peek().atMs;
   }
 
-  /** Takes the next event; there is one. */
+  /** Removes and returns the next event; the queue must not be empty. */
   Runnable poll() {
     moveWindow(nextMs());
     int index = (int) (windowStartMs & (SimulationConstants.EVENT_WINDOW_MS - 1));
     ArrayDeque<Runnable> slot = slots.get(index);
     Runnable task = slot.poll();
     if (slot.isEmpty()) {
-      used.clear(index);
+      usedSlots.clear(index);
     }
     return task;
   }
 
-  /** All events of a time pass into the window at once, so that none overtakes an earlier one. */
+  /**
+   * Moves the window, and all later events that now fall into it. Events of one time move together,
+   * in insertion order, before any newer event can be added to their slot.
+   */
   private void moveWindow(long startMs) {
     windowStartMs = startMs;
-    while (!later.isEmpty()
-        && later.peek().atMs < windowStartMs + SimulationConstants.EVENT_WINDOW_MS) {
-      Later event = later.poll();
+    while (!laterEvents.isEmpty()
+        && laterEvents.peek().atMs < windowStartMs + SimulationConstants.EVENT_WINDOW_MS) {
+      LaterEvent event = laterEvents.poll();
       addToSlot(event.atMs, event.task);
     }
   }
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -18,87 +18,96 @@
 import java.util.function.Supplier;
 
 /**
- * The protocol's rules, checked from outside: this knows only what happened on machines and what
- * users were told, nothing of what controllers think.
+ * Checks the protocol's rules from outside: it sees only which tasks are on machines and what users
+ * are told, never the state of a controller. A violation throws an {@link AssertionError} that
+ * names the time, the rule and the details.
  */
 final class InvariantChecker {
-  private final SimulatedNetwork world;
+  private final SimulatedNetwork network;
   private final Settings settings;
   private final Map<String, JobSpec> submitted = new HashMap<>();
   private final Map<String, Set<String>> ancestors = new HashMap<>();
   private final Set<String> accepted = new HashSet<>();
-  private final Set<String> cancelAsked = new HashSet<>();
-  private final Map<String, Long> cancelTold = new HashMap<>();
-  private final Map<String, Integer> ranWhenCancelled = new HashMap<>();
+  private final Set<String> cancelRequested = new HashSet<>();
+  private final Map<String, Long> cancelToldAt = new HashMap<>();
+  private final Map<String, Integer> tasksWhenCancelled = new HashMap<>();
   private final Set<String> doneTold = new HashSet<>();
-  private final Set<String> invalid = new HashSet<>();
+  private final Set<String> invalidJobs = new HashSet<>();
   private final Map<String, Long> doneTasksTold = new HashMap<>();
-  private final PriorityQueue<GoneBy> goneBy =
-      new PriorityQueue<>(Comparator.comparingLong(GoneBy::at));
+  private final PriorityQueue<GoneDeadline> goneDeadlines =
+      new PriorityQueue<>(Comparator.comparingLong(GoneDeadline::atMs));
   private final TaskPresence presence = new TaskPresence();
-  private final PlacementRules placement;
-  private final WaitingRule waiting;
-  private final ServedRule served = new ServedRule();
-  private List<MachineType> types;
+  private final PlacementRules placementRules;
+  private final WaitingRule waitingRule;
+  private final ServedRule servedRule = new ServedRule();
+  private List<MachineType> offeredTypes;
   private final Map<String, Long> acceptedAt = new HashMap<>();
-  private final Map<String, Long> begunAt = new HashMap<>();
-  private final Map<String, Long> unanswered = new HashMap<>();
-  private long calmSince = Long.MAX_VALUE / 2;
-  private long sampledAt;
+  private final Map<String, Long> firstStartAt = new HashMap<>();
+  private final Map<String, Long> unansweredSince = new HashMap<>();
+  private long faultFreeSince = Long.MAX_VALUE / 2;
+  private long lastSampleAt;
   int starts;
 
-  /** Starts of tasks that had completed: no rule forbids them, but they are work done twice. */
+  /** Starts of tasks that had already completed: no rule forbids them, but work is repeated. */
   int startsAfterDone;
 
-  /** Tells whether counts of done tasks that users are told must not fall at the moment. */
+  /** True while the counts of completed tasks that users are told must not decrease. */
   BooleanSupplier countsMustNotFall = () -> true;
 
-  /** Starts of jobs that a user had been told are cancelled: allowed for so long, but unwanted. */
+  /**
+   * Task starts after a user was told that the job is cancelled: allowed within the cancellation
+   * deadline, but unwanted.
+   */
   int startsAfterCancel;
 
-  /** When all tasks of a cancelled job must be gone. */
-  private record GoneBy(long at, String id) {}
+  /** The deadline by which no task of a cancelled job may be on a machine, ms. */
+  private record GoneDeadline(long atMs, String jobId) {}
 
-  InvariantChecker(SimulatedNetwork world, Settings settings) {
-    this.world = world;
+  InvariantChecker(SimulatedNetwork network, Settings settings) {
+    this.network = network;
     this.settings = settings;
-    placement = new PlacementRules(presence, settings);
-    waiting = new WaitingRule(presence, placement);
+    placementRules = new PlacementRules(presence, settings);
+    waitingRule = new WaitingRule(presence, placementRules);
   }
 
-  /** Says what the cloud offers and which machines there are; the rules on both hold from then. */
+  /**
+   * Supplies the machine types on offer and the machines; rules that need them apply from now on.
+   */
   void watch(List<MachineType> offered, Supplier<Collection<WorkerEmulator>> machines) {
-    types = offered;
-    waiting.watch(machines);
+    offeredTypes = offered;
+    waitingRule.setMachines(machines);
   }
 
-  private void broken(String rule, String what) {
-    throw new AssertionError("t=" + world.now() + " " + rule + ": " + what);
+  private void reportViolation(String rule, String detail) {
+    throw new AssertionError("t=" + network.now() + " " + rule + ": " + detail);
   }
 
   void recordSubmission(JobSpec spec) {
     submitted.put(spec.id(), spec);
-    Set<String> before = new HashSet<>(spec.dependencies());
+    Set<String> ancestorIds = new HashSet<>(spec.dependencies());
     spec.dependencies()
-        .forEach(dependency -> before.addAll(ancestors.getOrDefault(dependency, Set.of())));
-    ancestors.put(spec.id(), before);
+        .forEach(dependency -> ancestorIds.addAll(ancestors.getOrDefault(dependency, Set.of())));
+    ancestors.put(spec.id(), ancestorIds);
   }
 
-  /** A user submits something that can't run or lacks a field: it must never be accepted. */
+  /** Records the submission of a job that can't run or lacks a field: it must never be accepted. */
   void recordInvalidSubmission(String id) {
-    invalid.add(id);
+    invalidJobs.add(id);
   }
 
-  /** The jobs that this one needs, directly or through others. */
+  /** The jobs that this one depends on, directly or transitively. */
   private Set<String> ancestors(String id) {
     return ancestors.getOrDefault(id, Set.of());
   }
 
-  /** True if a user was told so long ago that a job before this one is cancelled. */
-  private boolean isOrphan(String id) {
-    for (String before : ancestors(id)) {
-      Long told = cancelTold.get(before);
-      if (told != null && world.now() > told + settings.workers().cancelMs()) {
+  /**
+   * True if a user was told that an ancestor of the job is cancelled, and the cancellation deadline
+   * has passed since.
+   */
+  private boolean isOrphanOverdue(String id) {
+    for (String ancestor : ancestors(id)) {
+      Long told = cancelToldAt.get(ancestor);
+      if (told != null && network.now() > told + settings.workers().cancelMs()) {
         return true;
       }
     }
@@ -106,18 +115,18 @@
   }
 
   void recordCancelRequest(String id) {
-    cancelAsked.add(id);
+    cancelRequested.add(id);
   }
 
   boolean isCancelAsked(String id) {
-    return cancelAsked.contains(id);
+    return cancelRequested.contains(id);
   }
 
   boolean isDoneTold(String id) {
     return doneTold.contains(id);
   }
 
-  /** A copy of the numbers of a job's completed tasks. */
+  /** A copy of the indexes of a job's completed tasks. */
   BitSet completedTasks(String id) {
     return presence.completed(id);
   }
@@ -131,20 +140,20 @@
   }
 
   boolean isOver(String id) {
-    return doneTold.contains(id) || cancelTold.containsKey(id);
+    return doneTold.contains(id) || cancelToldAt.containsKey(id);
   }
 
-  /** How many tasks of a job were on machines when a user was first told that it is cancelled. */
+  /** Number of tasks on machines when a user was first told that the job is cancelled. */
   int ranWhenCancelled(String id) {
-    return ranWhenCancelled.getOrDefault(id, 0);
+    return tasksWhenCancelled.getOrDefault(id, 0);
   }
 
-  /** When a user was first told that a job is cancelled, or -1. */
+  /** Time at which a user was first told that the job is cancelled, ms; -1 if never. */
   long cancelledAt(String id) {
-    return cancelTold.getOrDefault(id, -1L);
+    return cancelToldAt.getOrDefault(id, -1L);
   }
 
-  /** Which tasks are where, and which have completed. */
+  /** The tasks on machines and the completed tasks. */
   TaskPresence taskPresence() {
     return presence;
   }
@@ -155,10 +164,10 @@
 
   boolean isOn(String id, WorkerEmulator worker) {
     return presence.machineOf().entrySet().stream()
-        .anyMatch(e -> e.getKey().startsWith(id + "/") && e.getValue() == worker);
+        .anyMatch(entry -> entry.getKey().startsWith(id + "/") && entry.getValue() == worker);
   }
 
-  /** What teams use at the moment, and what of it are services, CPUs. */
+  /** Describes the CPUs that each team uses now, and the CPUs that its services use. */
   String describeUsage() {
     StringBuilder text = new StringBuilder();
     settings
@@ -170,7 +179,7 @@
     presence
         .machineOf()
         .forEach(
-            (task, w) -> {
+            (task, worker) -> {
               JobSpec spec = submitted.get(task.substring(0, task.indexOf('/')));
               if (spec.service()) {
                 services.merge(spec.team(), spec.cpus(), Double::sum);
@@ -179,14 +188,14 @@
     return text + "services " + services;
   }
 
-  /** The tasks that are on machines, each with its machine's name: {@code job/0@n-1}. */
+  /** The tasks on machines, each with its machine's name: {@code job/0@n-1}. */
   Set<String> tasksOnMachines() {
     Set<String> present = new HashSet<>();
-    presence.machineOf().forEach((task, w) -> present.add(task + "@" + w.name()));
+    presence.machineOf().forEach((task, worker) -> present.add(task + "@" + worker.name()));
     return present;
   }
 
-  /** How many tasks are on machines. */
+  /** Number of tasks on machines. */
   int running() {
     return presence.machineOf().size();
   }
@@ -196,24 +205,24 @@
   }
 
   /**
-   * Replicas that should be up and are, looked at twice a second; from 20 s after a service's
-   * acceptance.
+   * Runs the periodic checks, at most twice per simulated second, and samples the expected and
+   * running replicas of services, each from 20 s after its acceptance.
    */
-  private void sample() {
-    if (world.now() < sampledAt + 500) {
+  private void runPeriodicChecks() {
+    if (network.now() < lastSampleAt + 500) {
       return;
     }
-    sampledAt = world.now();
+    lastSampleAt = network.now();
     checkAnswered();
-    for (Map.Entry<String, Long> e : acceptedAt.entrySet()) {
-      JobSpec spec = submitted.get(e.getKey());
+    for (Map.Entry<String, Long> entry : acceptedAt.entrySet()) {
+      JobSpec spec = submitted.get(entry.getKey());
       if (spec.service()
-          && !cancelAsked.contains(spec.id())
-          && world.now() > e.getValue() + 20_000) {
-        served.sample(spec, running(spec.id()));
+          && !cancelRequested.contains(spec.id())
+          && network.now() > entry.getValue() + 20_000) {
+        servedRule.sample(spec, running(spec.id()));
       }
     }
-    if (world.now() > calmSince) {
+    if (network.now() > faultFreeSince) {
       checkWaiting();
     }
   }
@@ -224,24 +233,23 @@
       if (isUnwanted(id)
           || isOver(id)
           || !spec.dependencies().stream().allMatch(this::allCompleted)) {
-        waiting.excuse(id);
+        waitingRule.stopWaiting(id);
         continue;
       }
-      String breach = waiting.check(spec, world.now());
-      if (breach != null) {
-        broken("waiting", breach);
+      String violation = waitingRule.check(spec, network.now());
+      if (violation != null) {
+        reportViolation("waiting", violation);
       }
     }
   }
 
   /**
-   * The rule of the operators' page on whole days: at least half is served of each class of jobs,
-   * of each team, and of the largest jobs of a class, replicas by time and arrays by jobs that are
-   * complete, those apart that were accepted in the last minutes; and each job has begun four
-   * minutes after it was accepted. Largest are those that ask for as much as the tenth part of a
-   * class's jobs that ask for most, one at least.
+   * Checks the operators' rule for whole days, see {@link ServedRule}: at least half of the work of
+   * each job class, of each team and of the largest jobs of a class is served, and each accepted
+   * job without dependencies has its first start within four minutes. Jobs that a user has
+   * cancelled, or whose ancestor one has, don't count.
    *
-   * @param settleMs how long before now an array must have been accepted to count, ms
+   * @param settleMs least age of an array's acceptance for the array to count, ms
    */
   void checkServed(long settleMs) {
     List<ServedRule.Job> counted = new ArrayList<>();
@@ -252,109 +260,118 @@
             checkBegun(submitted.get(id));
           }
         });
-    String unserved = served.check(counted, world.now() - settleMs);
+    String unserved = servedRule.check(counted, network.now() - settleMs);
     if (unserved != null) {
-      broken("unserved", unserved);
+      reportViolation("unserved", unserved);
     }
   }
 
-  /** True if its user gave it up, or one that it needs. */
+  /** True if a user asked to cancel the job or one that it depends on. */
   private boolean isUnwanted(String id) {
-    return cancelAsked.contains(id) || ancestors(id).stream().anyMatch(cancelAsked::contains);
+    return cancelRequested.contains(id)
+        || ancestors(id).stream().anyMatch(cancelRequested::contains);
   }
 
   private void checkBegun(JobSpec spec) {
     long accepted = acceptedAt.get(spec.id());
-    long begun = begunAt.getOrDefault(spec.id(), world.now());
+    long begun = firstStartAt.getOrDefault(spec.id(), network.now());
     if (spec.dependencies().isEmpty()
         && begun - accepted > SimulationConstants.MAX_FIRST_START_MS) {
-      broken("unserved", spec.id() + " did not begin for " + (begun - accepted) + " ms");
+      reportViolation("unserved", spec.id() + " did not begin for " + (begun - accepted) + " ms");
     }
   }
 
-  /** A user asks about a job, and may get no answer. */
+  /** Records a user's question about a job; the time of the first unanswered one is kept. */
   void recordQuery(String id) {
-    unanswered.putIfAbsent(id, world.now());
+    unansweredSince.putIfAbsent(id, network.now());
   }
 
-  /** From now on nothing fails any more: whoever is asked has to answer. */
+  /** Marks the end of all faults: questions must be answered and free capacity used from now on. */
   void recordEndOfFaults() {
-    calmSince = world.now();
+    faultFreeSince = network.now();
   }
 
   /**
-   * The operators' rule: once all troubles are over a job about which no question is answered for
-   * 75 s is forgotten, however others fare. Ours is stricter, since nothing takes that long.
+   * Fails for an accepted job about which no question is answered within {@link
+   * SimulationConstants#MAX_UNANSWERED_MS} although no fault is active. The operators' rule allows
+   * 75 s; the bound here is stricter because no answer takes that long in the simulation.
    */
   private void checkAnswered() {
-    unanswered.forEach(
+    unansweredSince.forEach(
         (id, since) -> {
-          long from = Math.max(since, calmSince);
-          if (world.now() - from > SimulationConstants.MAX_UNANSWERED_MS
+          long from = Math.max(since, faultFreeSince);
+          if (network.now() - from > SimulationConstants.MAX_UNANSWERED_MS
               && accepted.contains(id)
               && !isUnwanted(id)) {
-            broken("forgotten", id + " without an answer since " + from);
+            reportViolation("forgotten", id + " without an answer since " + from);
           }
         });
   }
 
-  void recordTaskStart(WorkerEmulator w, JobSpec spec, int index) {
+  void recordTaskStart(WorkerEmulator worker, JobSpec spec, int index) {
     starts++;
-    begunAt.putIfAbsent(spec.id(), world.now());
+    firstStartAt.putIfAbsent(spec.id(), network.now());
     String task = spec.id() + "/" + index;
     startsAfterDone += presence.isCompleted(spec.id(), index) ? 1 : 0;
-    waiting.starts(spec.id());
-    WorkerEmulator other = presence.add(w, spec, index);
+    waitingRule.recordStart(spec.id());
+    WorkerEmulator other = presence.add(worker, spec, index);
     if (other != null) {
-      broken("ran_twice", task + " starts on " + w.name() + " while on " + other.name());
+      reportViolation(
+          "ran_twice", task + " starts on " + worker.name() + " while on " + other.name());
     }
-    if (placement.isOverLimit(spec)) {
+    if (placementRules.isOverLimit(spec)) {
       TaskPresence.Amount used = presence.usedBy(spec.team());
-      broken("quota", spec.team() + " uses " + used.cpus + " CPUs, " + used.cards + " cards");
+      reportViolation(
+          "quota", spec.team() + " uses " + used.cpus + " CPUs, " + used.cards + " cards");
     }
-    if (!PlacementRules.isAllowed(spec, w)) {
-      broken("wrong_place", task + " on " + w.name() + ", not a machine that its job allows");
+    if (!PlacementRules.isAllowed(spec, worker)) {
+      reportViolation(
+          "wrong_place", task + " on " + worker.name() + ", not a machine that its job allows");
     }
     if (spec.sameZone() && presence.zonesOf(spec.id()).size() > 1) {
-      broken("wrong_place", task + " not in its job's zone");
+      reportViolation("wrong_place", task + " not in its job's zone");
     }
     if (spec.spreadAcrossZones()
-        && presence.running(spec.id(), w.zone()) > PlacementRules.mostInOneZone(spec)) {
-      broken("wrong_place", task + " crowds zone " + w.zone());
+        && presence.running(spec.id(), worker.zone()) > PlacementRules.mostInOneZone(spec)) {
+      reportViolation("wrong_place", task + " crowds zone " + worker.zone());
     }
     for (String dependency : spec.dependencies()) {
       if (!allCompleted(dependency)) {
-        broken("too_early", task + " starts before " + dependency + " is done");
+        reportViolation("too_early", task + " starts before " + dependency + " is done");
       }
     }
-    Long told = cancelTold.get(spec.id());
+    Long told = cancelToldAt.get(spec.id());
     startsAfterCancel += told == null ? 0 : 1;
-    if (told != null && world.now() > told + settings.workers().cancelMs()) {
-      broken("ran_cancelled", task + " starts");
+    if (told != null && network.now() > told + settings.workers().cancelMs()) {
+      reportViolation("ran_cancelled", task + " starts");
     }
   }
 
-  void recordTaskEnd(WorkerEmulator w, JobSpec spec, int index, boolean done) {
-    presence.remove(w, spec, index, done);
+  void recordTaskEnd(WorkerEmulator worker, JobSpec spec, int index, boolean done) {
+    presence.remove(worker, spec, index, done);
   }
 
-  /** Checked after every event. */
+  /** Checks all rules that depend on time; runs after every event. */
   void check() {
-    sample();
-    while (!goneBy.isEmpty() && goneBy.peek().at < world.now()) {
-      String id = goneBy.poll().id;
-      // Whatever starts from now on, begins() finds: together they bound all later times.
+    runPeriodicChecks();
+    while (!goneDeadlines.isEmpty() && goneDeadlines.peek().atMs < network.now()) {
+      String id = goneDeadlines.poll().jobId;
+      // recordTaskStart() finds every later start, so that the two checks cover all times after the
+      // deadline.
       if (running(id) > 0) {
-        broken("ran_cancelled", id + " is still on a machine");
+        reportViolation("ran_cancelled", id + " is still on a machine");
       }
     }
   }
 
-  /** What a user knows of a job when asking: answers to earlier questions may be older. */
+  /**
+   * What users have been told of a job at one time. An answer is compared with the knowledge at the
+   * time its request was sent, since answers to earlier requests may arrive later.
+   */
   record UserKnowledge(
       boolean accepted, boolean done, boolean cancelled, boolean orphan, long doneTasks) {
 
-    /** True if something was told for the first time since then. */
+    /** True if users have been told a status of the job for the first time since {@code then}. */
     boolean isNewsAfter(UserKnowledge then) {
       return accepted != then.accepted || done != then.done || cancelled != then.cancelled;
     }
@@ -364,57 +381,59 @@
     return new UserKnowledge(
         accepted.contains(id),
         doneTold.contains(id),
-        cancelTold.containsKey(id),
-        isOrphan(id),
+        cancelToldAt.containsKey(id),
+        isOrphanOverdue(id),
         doneTasksTold.getOrDefault(id, 0L));
   }
 
-  /** The same for an answer without a count of completed tasks. */
+  /** Checks and records an answer without a count of completed tasks. */
   void recordAnswer(String id, String state, UserKnowledge before) {
     recordAnswer(id, state, -1, before);
   }
 
   /**
-   * A user was answered with 200 or 201 for a submission, a question or a cancellation.
+   * Checks and records an answer with status 200 or 201 to a submission, a question or a
+   * cancellation.
    *
-   * @param doneTasks how many tasks were called done, less than 0 if the answer says nothing of it
+   * @param doneTasks the answer's count of completed tasks; negative if it has none
    * @param before what users knew when the request was sent
    */
   void recordAnswer(String id, String state, long doneTasks, UserKnowledge before) {
-    if (invalid.contains(id)) {
-      broken("accepted_invalid", id);
+    if (invalidJobs.contains(id)) {
+      reportViolation("accepted_invalid", id);
     }
     if (!submitted.containsKey(id)) {
-      broken("invented", id);
+      reportViolation("invented", id);
     }
-    if (types != null && !placement.canRun(submitted.get(id), types)) {
-      broken("accepted_invalid", id + " can never run");
+    if (offeredTypes != null && !placementRules.canRun(submitted.get(id), offeredTypes)) {
+      reportViolation("accepted_invalid", id + " can never run");
     }
-    unanswered.remove(id);
+    unansweredSince.remove(id);
     accepted.add(id);
     checkCount(id, state, doneTasks, before);
-    acceptedAt.putIfAbsent(id, world.now());
+    acceptedAt.putIfAbsent(id, network.now());
     if (before.orphan && (state.equals("pending") || state.equals("running"))) {
-      broken("orphaned", id + " is called " + state);
+      reportViolation("orphaned", id + " is called " + state);
     }
     if (before.done && !state.equals("done")) {
-      broken("went_back", id + " from done to " + state);
+      reportViolation("went_back", id + " from done to " + state);
     }
     if (before.cancelled && !state.equals("withdrawn")) {
-      broken("went_back", id + " from withdrawn to " + state);
+      reportViolation("went_back", id + " from withdrawn to " + state);
     }
     if (state.equals("withdrawn")) {
-      if (!cancelAsked.contains(id) && ancestors(id).stream().noneMatch(cancelAsked::contains)) {
-        broken("went_back", id + " withdrawn by nobody");
+      if (!cancelRequested.contains(id)
+          && ancestors(id).stream().noneMatch(cancelRequested::contains)) {
+        reportViolation("went_back", id + " withdrawn by nobody");
       }
-      if (cancelTold.putIfAbsent(id, world.now()) == null) {
-        ranWhenCancelled.put(id, running(id));
-        goneBy.add(new GoneBy(world.now() + settings.workers().cancelMs(), id));
+      if (cancelToldAt.putIfAbsent(id, network.now()) == null) {
+        tasksWhenCancelled.put(id, running(id));
+        goneDeadlines.add(new GoneDeadline(network.now() + settings.workers().cancelMs(), id));
       }
     }
     if (state.equals("done")) {
       if (!allCompleted(id)) {
-        broken("not_done", id);
+        reportViolation("not_done", id);
       }
       doneTold.add(id);
     }
@@ -425,17 +444,17 @@
       return;
     }
     if (countsMustNotFall.getAsBoolean() && doneTasks < before.doneTasks) {
-      broken(
+      reportViolation(
           "went_back",
           id + " from " + before.doneTasks + " tasks done to " + doneTasks + ", " + state);
     }
     doneTasksTold.merge(id, doneTasks, Math::max);
   }
 
-  /** A user was answered with another status. */
+  /** Checks an answer with any other status: an accepted job must not be unknown or refused. */
   void recordRefusal(String id, int status, UserKnowledge before) {
     if (before.accepted && (status == 404 || status == 400 || status == 422)) {
-      broken("forgotten", id + " gets " + status);
+      reportViolation("forgotten", id + " gets " + status);
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -12,41 +12,41 @@
 import java.util.Set;
 import java.util.function.ObjLongConsumer;
 
-/** Users who cancel many running jobs at once, or a job just as its last task ends. */
+/** Cancels many running jobs at once, or a job at about the time at which its last task ends. */
 final class JobCancellations {
 
   private final SimulatedCluster cluster;
-  private final SimulatedNetwork world;
+  private final SimulatedNetwork network;
   private final Map<String, ExpectedEnd> expectedEnds = new HashMap<>();
   private final List<ObjLongConsumer<JobSpec>> endListeners = new ArrayList<>();
-  private double endShare;
+  private double cancelShare;
 
-  /** How many jobs were cancelled in bursts. */
+  /** Number of jobs cancelled in bursts. */
   int cancelledInBursts;
 
-  /** How many machines were made to hang. */
+  /** Number of machines made to hang. */
   int machinesHung;
 
-  /** How many jobs were cancelled at their ends. */
+  /** Number of jobs cancelled around the end of their last task. */
   int cancelledAtCompletion;
 
-  /** When a job's last task will be complete, as far as its running tasks tell. */
+  /** The time at which a job's last task will complete, estimated from its running tasks. */
   private static final class ExpectedEnd {
-    final BitSet timed = new BitSet();
+    final BitSet tasksWithEnd = new BitSet();
     long atMs;
-    boolean drawn;
+    boolean isDecided;
   }
 
   JobCancellations(SimulatedCluster cluster) {
     this.cluster = cluster;
-    this.world = cluster.world;
+    this.network = cluster.world;
   }
 
   /**
-   * Cancels that many running jobs with the longest to go within 200 ms; up to eight of their
-   * machines hang so long from now on.
+   * Cancels up to {@code count} running jobs within 200 ms, services first and then arrays by
+   * falling estimated duration. Up to eight of their machines hang for {@code hangMs} from now on.
    *
-   * @return the ids of the jobs, fewer if fewer run
+   * @return the ids of the jobs
    */
   List<String> cancelRunningJobs(int count, long hangMs) {
     List<JobSpec> running = new ArrayList<>();
@@ -55,15 +55,15 @@
         running.add(job);
       }
     }
-    running.sort(Comparator.comparingDouble(JobCancellations::lengthS).reversed());
+    running.sort(Comparator.comparingDouble(JobCancellations::estimatedDurationS).reversed());
     List<String> ids = running.stream().limit(count).map(JobSpec::id).toList();
     if (hangMs > 0) {
       hang(ids, hangMs);
     }
     for (String id : ids) {
       cancelledInBursts++;
-      world.after(
-          world.faults.nextInt(SimulationConstants.CANCEL_BURST_WINDOW_MS),
+      network.after(
+          network.faults.nextInt(SimulationConstants.CANCEL_BURST_WINDOW_MS),
           () -> cluster.cancel(id));
     }
     return ids;
@@ -71,53 +71,54 @@
 
   private void hang(List<String> ids, long hangMs) {
     Set<WorkerEmulator> machines = new LinkedHashSet<>();
-    for (WorkerEmulator w : cluster.cloud.machines().values()) {
+    for (WorkerEmulator worker : cluster.cloud.machines().values()) {
       if (machines.size() < SimulationConstants.MAX_HANGING_MACHINES
-          && ids.stream().anyMatch(id -> cluster.checker.isOn(id, w))) {
-        machines.add(w);
+          && ids.stream().anyMatch(id -> cluster.checker.isOn(id, worker))) {
+        machines.add(worker);
       }
     }
-    for (WorkerEmulator w : machines) {
+    for (WorkerEmulator worker : machines) {
       machinesHung++;
-      w.hang(hangMs);
+      worker.hang(hangMs);
     }
   }
 
-  private static double lengthS(JobSpec job) {
+  private static double estimatedDurationS(JobSpec job) {
     return job.service() ? Double.MAX_VALUE : job.estimateS();
   }
 
   /**
-   * For so long that share of the jobs that end is cancelled within 3 ms of the last task's end.
+   * For {@code forMs}, cancels this share of the jobs within 3 ms of the expected end of their last
+   * task.
    */
   void cancelAtCompletion(double share, long forMs) {
-    endShare = share;
-    world.after(forMs, () -> endShare = 0);
+    cancelShare = share;
+    network.after(forMs, () -> cancelShare = 0);
   }
 
-  /** Calls a listener with a job, once its remaining tasks all run, and the time of its end. */
+  /** Adds a listener that gets a job and its expected end, ms, once all its remaining tasks run. */
   void onExpectedEnd(ObjLongConsumer<JobSpec> listener) {
     endListeners.add(listener);
   }
 
-  /** A running task will be complete at that time if nothing happens to it. */
-  void expect(JobSpec spec, int index, long atMs) {
-    if (endShare == 0 && endListeners.isEmpty()) {
+  /** Records that a running task completes at {@code atMs} if nothing stops it. */
+  void recordExpectedEnd(JobSpec spec, int index, long atMs) {
+    if (cancelShare == 0 && endListeners.isEmpty()) {
       return;
     }
     ExpectedEnd end = expectedEnds.computeIfAbsent(spec.id(), k -> new ExpectedEnd());
-    end.timed.set(index);
+    end.tasksWithEnd.set(index);
     end.atMs = Math.max(end.atMs, atMs);
-    BitSet accounted = cluster.checker.completedTasks(spec.id());
-    accounted.or(end.timed);
-    if (!end.drawn && accounted.cardinality() == spec.tasks()) {
-      end.drawn = true;
+    BitSet completedOrRunning = cluster.checker.completedTasks(spec.id());
+    completedOrRunning.or(end.tasksWithEnd);
+    if (!end.isDecided && completedOrRunning.cardinality() == spec.tasks()) {
+      end.isDecided = true;
       endListeners.forEach(listener -> listener.accept(spec, end.atMs));
-      if (endShare > 0 && world.faults.nextDouble() < endShare) {
+      if (cancelShare > 0 && network.faults.nextDouble() < cancelShare) {
         long offset =
-            (long) world.faults.nextInt(2 * SimulationConstants.CANCEL_END_SPREAD_MS + 1)
+            (long) network.faults.nextInt(2 * SimulationConstants.CANCEL_END_SPREAD_MS + 1)
                 - SimulationConstants.CANCEL_END_SPREAD_MS;
-        world.at(end.atMs + offset, () -> cancel(spec.id()));
+        network.at(end.atMs + offset, () -> cancel(spec.id()));
       }
     }
   }
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** Users whose jobs need one another. */
+/** Submits pipelines: groups of jobs that depend on one another. */
 final class JobPipelines {
 
   private final SimulatedNetwork network;
@@ -22,15 +22,17 @@
     this.checker = checker;
   }
 
-  private JobSpec stage(List<String> dependencies) {
+  private JobSpec randomStage(List<String> dependencies) {
     return jobs.job(false, 1 + network.random.nextInt(5), 1, true, false, false)
         .withDependencies(dependencies);
   }
 
   /**
-   * Users' pipelines: a first job, which may need an earlier one of anybody, two that need it, and
-   * a last one that needs both, submitted at once or only when they are over. Each is submitted as
-   * soon as those that it needs are accepted; now and then some job of it is cancelled.
+   * Submits pipelines at random intervals until {@code untilMs}. Each has a first job, which may
+   * depend on any earlier accepted array, two jobs that depend on the first, and a last job that
+   * depends on both. A job is submitted as soon as its dependencies are accepted; in a quarter of
+   * the pipelines the last one is only submitted when its dependencies are over. In a third of the
+   * pipelines one of the jobs is cancelled within 30 s, if it is accepted by then.
    */
   void submitUntil(long untilMs) {
     network.after(
@@ -39,12 +41,12 @@
           if (network.now() > untilMs) {
             return;
           }
-          pipeline();
+          submitPipeline();
           submitUntil(untilMs);
         });
   }
 
-  private void pipeline() {
+  private void submitPipeline() {
     List<String> earlier = new ArrayList<>();
     for (JobSpec job : users.jobs) {
       if (!job.service() && checker.isAccepted(job.id())) {
@@ -52,47 +54,50 @@
       }
     }
     JobSpec first =
-        stage(
+        randomStage(
             earlier.isEmpty() || network.random.nextInt(3) > 0
                 ? List.of()
                 : List.of(earlier.get(network.random.nextInt(earlier.size()))));
-    List<JobSpec> middle = List.of(stage(List.of(first.id())), stage(List.of(first.id())));
-    List<String> ids = middle.stream().map(JobSpec::id).toList();
-    JobSpec last = stage(ids);
-    boolean late = network.random.nextInt(4) == 0;
+    List<JobSpec> middle =
+        List.of(randomStage(List.of(first.id())), randomStage(List.of(first.id())));
+    List<String> middleIds = middle.stream().map(JobSpec::id).toList();
+    JobSpec last = randomStage(middleIds);
+    boolean waitsForEnd = network.random.nextInt(4) == 0;
     users.submit(first);
-    when(
+    runWhen(
         () -> checker.isAccepted(first.id()),
         () -> {
           middle.forEach(users::submit);
-          when(
-              () -> ids.stream().allMatch(late ? checker::isOver : checker::isAccepted),
+          runWhen(
+              () ->
+                  middleIds.stream().allMatch(waitsForEnd ? checker::isOver : checker::isAccepted),
               () -> users.submit(last));
         });
     if (network.random.nextInt(3) == 0) {
       List<JobSpec> all = List.of(first, middle.get(0), middle.get(1), last);
-      String unlucky = all.get(network.random.nextInt(4)).id();
+      String cancelledId = all.get(network.random.nextInt(4)).id();
       network.after(
           network.random.nextInt(30_000),
           () -> {
-            if (checker.isAccepted(unlucky)) {
-              users.cancel(unlucky);
+            if (checker.isAccepted(cancelledId)) {
+              users.cancel(cancelledId);
             }
           });
     }
   }
 
-  /** Does something as soon as something else holds; looked at every 200 ms, for ten minutes. */
-  private void when(BooleanSupplier holds, Runnable task) {
-    when(holds, task, SimulationConstants.MAX_PIPELINE_POLLS);
+  /** Runs a task once a condition holds; polls it every 200 ms for at most ten minutes. */
+  private void runWhen(BooleanSupplier condition, Runnable task) {
+    runWhen(condition, task, SimulationConstants.MAX_PIPELINE_POLLS);
   }
 
-  private void when(BooleanSupplier holds, Runnable task, int tries) {
-    if (holds.getAsBoolean()) {
+  private void runWhen(BooleanSupplier condition, Runnable task, int pollsLeft) {
+    if (condition.getAsBoolean()) {
       task.run();
-    } else if (tries > 0) {
+    } else if (pollsLeft > 0) {
       network.after(
-          SimulationConstants.PIPELINE_POLL_INTERVAL_MS, () -> when(holds, task, tries - 1));
+          SimulationConstants.PIPELINE_POLL_INTERVAL_MS,
+          () -> runWhen(condition, task, pollsLeft - 1));
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/NetworkCuts.java
+++ b/src/main/java/fennelthread/simulation/NetworkCuts.java
@@ -7,50 +7,52 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Interruptions of the network, between groups of names or around zones, one way or both. */
+/** Network partitions between groups of processes or around zones, in one direction or both. */
 final class NetworkCuts {
   private final SimulatedNetwork network;
-  private final Set<String> cuts = new HashSet<>();
-  private final Set<String> oneWay = new HashSet<>();
+  private final Set<String> twoWayCuts = new HashSet<>();
+  private final Set<String> oneWayCuts = new HashSet<>();
   private final Set<ZoneCut> zoneCuts = new HashSet<>();
   private final Map<String, String> zoneOf = new HashMap<>();
-  private final Map<String, List<Runnable>> held = new HashMap<>();
+  private final Map<String, List<Runnable>> heldPackets = new HashMap<>();
 
   NetworkCuts(SimulatedNetwork network) {
     this.network = network;
   }
 
-  /** Holds a packet back until that cut is over; it arrives right after. */
-  void holdBack(String cut, Runnable deliver) {
-    held.computeIfAbsent(cut, k -> new ArrayList<>()).add(() -> network.after(1, deliver));
+  /** Holds a packet until the cut ends; it arrives 1 ms later. */
+  void holdPacket(String cut, Runnable deliver) {
+    heldPackets.computeIfAbsent(cut, k -> new ArrayList<>()).add(() -> network.after(1, deliver));
   }
 
-  /** Cuts the network between two groups of names, both ways. */
-  void cut(String a, String b, long forMs) {
-    String link = a + "|" + b;
-    cuts.add(link);
+  /** Cuts the links between two groups of names, given by prefixes, in both directions. */
+  void cut(String prefixA, String prefixB, long forMs) {
+    String link = prefixA + "|" + prefixB;
+    twoWayCuts.add(link);
     network.after(
         forMs,
         () -> {
-          cuts.remove(link);
+          twoWayCuts.remove(link);
           release(link);
         });
   }
 
-  /** What one side says does not reach the other, for so long; what that one says does. */
+  /**
+   * Cuts the links from one group of names to another, given by prefixes, in that direction only.
+   */
   void cutOneWay(String from, String to, long forMs) {
     String link = from + ">" + to;
-    oneWay.add(link);
+    oneWayCuts.add(link);
     network.after(
         forMs,
         () -> {
-          oneWay.remove(link);
+          oneWayCuts.remove(link);
           release(link);
         });
   }
 
-  private String oneWayBetween(String from, String to) {
-    for (String link : oneWay) {
+  private String findOneWayCut(String from, String to) {
+    for (String link : oneWayCuts) {
       int arrow = link.indexOf('>');
       if (from.startsWith(link.substring(0, arrow)) && to.startsWith(link.substring(arrow + 1))) {
         return link;
@@ -59,23 +61,23 @@
     return null;
   }
 
-  private record ZoneCut(String zone, SimulatedNetwork.CutDirection way, double share) {}
+  private record ZoneCut(String zone, SimulatedNetwork.CutDirection direction, double share) {}
 
   /**
-   * Says in which zone something is; what is in none is reached from everywhere but cut-off zones.
+   * Assigns a name to a zone; names without a zone lose contact only with zones that are cut off.
    */
   void setZone(String name, String zone) {
     zoneOf.put(name, zone);
   }
 
-  /** Cuts a zone off from all that is not in it; inside it everything goes on. */
+  /** Cuts a zone off from everything outside it; links inside the zone stay up. */
   void cutZone(String zone, long forMs) {
     cutZone(zone, forMs, SimulatedNetwork.CutDirection.BOTH, 1);
   }
 
-  /** The same for one way, or for a share of what is in the zone: always the same ones. */
-  void cutZone(String zone, long forMs, SimulatedNetwork.CutDirection way, double share) {
-    ZoneCut cut = new ZoneCut(zone, way, share);
+  /** Cuts a zone off in the given direction, for a share of its names, always the same ones. */
+  void cutZone(String zone, long forMs, SimulatedNetwork.CutDirection direction, double share) {
+    ZoneCut cut = new ZoneCut(zone, direction, share);
     zoneCuts.add(cut);
     network.after(
         forMs,
@@ -86,13 +88,13 @@
   }
 
   private void release(String link) {
-    List<Runnable> packets = held.remove(link);
+    List<Runnable> packets = heldPackets.remove(link);
     if (packets != null) {
       packets.forEach(Runnable::run);
     }
   }
 
-  private String zoneCutBetween(String from, String to) {
+  private String findZoneCut(String from, String to) {
     if (zoneCuts.isEmpty()) {
       return null;
     }
@@ -101,37 +103,42 @@
     if (fromZone.equals(toZone)) {
       return null;
     }
-    for (ZoneCut c : zoneCuts) {
-      boolean out =
-          c.zone.equals(fromZone) && c.way != SimulatedNetwork.CutDirection.IN && isPartOf(from, c);
-      boolean in =
-          c.zone.equals(toZone) && c.way != SimulatedNetwork.CutDirection.OUT && isPartOf(to, c);
-      if (out || in) {
-        return "zone " + c.zone;
+    for (ZoneCut cut : zoneCuts) {
+      boolean isOutbound =
+          cut.zone.equals(fromZone)
+              && cut.direction != SimulatedNetwork.CutDirection.IN
+              && isAffected(from, cut);
+      boolean isInbound =
+          cut.zone.equals(toZone)
+              && cut.direction != SimulatedNetwork.CutDirection.OUT
+              && isAffected(to, cut);
+      if (isOutbound || isInbound) {
+        return "zone " + cut.zone;
       }
     }
     return null;
   }
 
-  private static boolean isPartOf(String name, ZoneCut cut) {
+  private static boolean isAffected(String name, ZoneCut cut) {
     return Math.floorMod(name.hashCode() * 0x9E3779B9, 1000) < cut.share * 1000;
   }
 
-  /** A cut between two names, or null; what is on its way over it is held back under that. */
-  String between(String from, String to) {
-    String zone = zoneCutBetween(from, to);
-    if (zone != null) {
-      return zone;
+  /** Returns the active cut between two names, under which packets are held, or null. */
+  String findCut(String from, String to) {
+    String zoneCut = findZoneCut(from, to);
+    if (zoneCut != null) {
+      return zoneCut;
     }
-    String way = oneWayBetween(from, to);
-    if (way != null) {
-      return way;
+    String oneWayCut = findOneWayCut(from, to);
+    if (oneWayCut != null) {
+      return oneWayCut;
     }
-    for (String link : cuts) {
+    for (String link : twoWayCuts) {
       int bar = link.indexOf('|');
-      String a = link.substring(0, bar);
-      String b = link.substring(bar + 1);
-      if ((from.startsWith(a) && to.startsWith(b)) || (from.startsWith(b) && to.startsWith(a))) {
+      String prefixA = link.substring(0, bar);
+      String prefixB = link.substring(bar + 1);
+      if ((from.startsWith(prefixA) && to.startsWith(prefixB))
+          || (from.startsWith(prefixB) && to.startsWith(prefixA))) {
         return link;
       }
     }
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -11,12 +11,12 @@
 import java.util.function.Predicate;
 
 /**
- * Users who repeat submissions of unfinished jobs, cancel jobs that are done, and submit jobs that
- * can't run or lack a field.
+ * Users who send redundant or invalid requests: they repeat submissions of unfinished jobs, cancel
+ * jobs that are done, and submit jobs that can't run or lack a field.
  */
 final class OddRequests {
 
-  /** What is odd about a request. */
+  /** The kinds of odd requests. */
   enum Kind {
     REPEATED,
     REPEATED_WITHOUT_FIELD,
@@ -27,39 +27,39 @@
   }
 
   private final SimulatedCluster cluster;
-  private final SimulatedNetwork world;
-  private boolean on;
+  private final SimulatedNetwork network;
+  private boolean isActive;
 
-  /** How many requests of each kind were sent, repetitions after a failure apart. */
+  /** Number of requests sent of each kind, not counting retries. */
   final Map<Kind, Integer> sent = new LinkedHashMap<>();
 
-  /** How many submissions that can't run or lack a field were refused as such. */
+  /** Number of invalid submissions that were refused with status 400 or 422. */
   int refused;
 
   OddRequests(SimulatedCluster cluster) {
     this.cluster = cluster;
-    this.world = cluster.world;
+    this.network = cluster.world;
   }
 
-  /** For so long users send odd requests, one or several a second. */
+  /** Sends odd requests for {@code forMs}, one every 100 to 600 ms. */
   void begin(long forMs) {
-    on = true;
-    world.after(forMs, () -> on = false);
-    next();
+    isActive = true;
+    network.after(forMs, () -> isActive = false);
+    scheduleNext();
   }
 
-  private void next() {
-    long pause =
+  private void scheduleNext() {
+    long pauseMs =
         (long) SimulationConstants.MIN_ODD_REQUEST_PAUSE_MS
-            + world.faults.nextInt(
+            + network.faults.nextInt(
                 SimulationConstants.MAX_ODD_REQUEST_PAUSE_MS
                     - SimulationConstants.MIN_ODD_REQUEST_PAUSE_MS);
-    world.after(
-        pause,
+    network.after(
+        pauseMs,
         () -> {
-          if (on) {
-            send(Kind.values()[world.faults.nextInt(Kind.values().length)]);
-            next();
+          if (isActive) {
+            send(Kind.values()[network.faults.nextInt(Kind.values().length)]);
+            scheduleNext();
           }
         });
   }
@@ -79,18 +79,19 @@
     sent.merge(kind, 1, Integer::sum);
   }
 
-  private void repeat(Kind kind, boolean lacksField) {
+  private void repeat(Kind kind, boolean omitsField) {
     JobSpec job =
-        pick(spec -> cluster.checker.isAccepted(spec.id()) && !cluster.checker.isOver(spec.id()));
+        pickJob(
+            spec -> cluster.checker.isAccepted(spec.id()) && !cluster.checker.isOver(spec.id()));
     if (job != null) {
       count(kind);
       Fields body = job.write();
-      cluster.submitAt(anyMember(), job.id(), lacksField ? withoutField(body) : body, answer -> {});
+      cluster.submitAt(anyMember(), job.id(), omitsField ? withoutField(body) : body, answer -> {});
     }
   }
 
   private void cancelDone(Kind kind) {
-    JobSpec job = pick(spec -> cluster.checker.isDoneTold(spec.id()));
+    JobSpec job = pickJob(spec -> cluster.checker.isDoneTold(spec.id()));
     if (job != null) {
       count(kind);
       cluster.cancelAt(anyMember(), job.id());
@@ -109,7 +110,7 @@
 
   private Fields fitsNoType() {
     Fields body = anyJob().write();
-    return switch (world.faults.nextInt(4)) {
+    return switch (network.faults.nextInt(4)) {
       case 0 -> body.with("cpus", SimulationConstants.UNSATISFIABLE_AMOUNT);
       case 1 -> body.with("mem_gb", SimulationConstants.UNSATISFIABLE_AMOUNT);
       case 2 -> body.with("modelos", List.of("ninguno"));
@@ -117,21 +118,21 @@
     };
   }
 
-  /** A job of a new id that any machine can run; its random parts come from the faults' chance. */
+  /** A job with a new id that fits any machine; its team is drawn from the faults' generator. */
   private JobSpec anyJob() {
     return cluster.nextOddJob();
   }
 
-  private Fields withoutField(Fields whole) {
-    List<String> required = new ArrayList<>(whole.map().keySet());
+  private Fields withoutField(Fields complete) {
+    List<String> required = new ArrayList<>(complete.map().keySet());
     required.removeIf(
-        name -> whole.map().get(name) == null || name.equals("name_id") || isOptional(name));
-    Map<String, Object> rest = new LinkedHashMap<>(whole.map());
-    rest.remove(required.get(world.faults.nextInt(required.size())));
-    return new Fields(rest);
+        name -> complete.map().get(name) == null || name.equals("name_id") || isOptional(name));
+    Map<String, Object> remaining = new LinkedHashMap<>(complete.map());
+    remaining.remove(required.get(network.faults.nextInt(required.size())));
+    return new Fields(remaining);
   }
 
-  /** Fields that may be null, and may therefore be absent. */
+  /** True for fields that may be null and therefore absent. */
   private static boolean isOptional(String name) {
     return List.of("modelos", "zona", "plazo_s", JobSpec.DEPENDENCIES).contains(name);
   }
@@ -143,8 +144,8 @@
     submitInvalid(id, body, SimulationConstants.MAX_ODD_REQUEST_TRIES);
   }
 
-  /** Repeats the submission until it is refused for good, then asks about the job. */
-  private void submitInvalid(String id, Fields body, int tries) {
+  /** Retries the submission until it is refused as invalid, then asks about the job. */
+  private void submitInvalid(String id, Fields body, int triesLeft) {
     cluster.submitAt(
         anyMember(),
         id,
@@ -153,19 +154,19 @@
           if (answer != null && (answer.status() == 400 || answer.status() == 422)) {
             refused++;
             cluster.askAt(anyMember(), id);
-          } else if (tries > 1) {
-            world.after(1_000, () -> submitInvalid(id, body, tries - 1));
+          } else if (triesLeft > 1) {
+            network.after(1_000, () -> submitInvalid(id, body, triesLeft - 1));
           }
         });
   }
 
-  private JobSpec pick(Predicate<JobSpec> which) {
-    List<JobSpec> fitting = cluster.jobs.stream().filter(which).toList();
-    return fitting.isEmpty() ? null : fitting.get(world.faults.nextInt(fitting.size()));
+  private JobSpec pickJob(Predicate<JobSpec> condition) {
+    List<JobSpec> candidates = cluster.jobs.stream().filter(condition).toList();
+    return candidates.isEmpty() ? null : candidates.get(network.faults.nextInt(candidates.size()));
   }
 
   private String anyMember() {
     List<String> members = List.copyOf(cluster.controllers().keySet());
-    return members.get(world.faults.nextInt(members.size()));
+    return members.get(network.faults.nextInt(members.size()));
   }
 }
--- a/src/main/java/fennelthread/simulation/PlacementRules.java
+++ b/src/main/java/fennelthread/simulation/PlacementRules.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Where the protocol allows a task, given what is on machines at the moment. */
+/** The protocol's placement rules, evaluated against the tasks that are on machines now. */
 final class PlacementRules {
 
   private final TaskPresence presence;
@@ -18,14 +18,14 @@
     this.settings = settings;
   }
 
-  /** True if the machine has a type, a zone and a kind that the job allows. */
+  /** True if the job allows the machine's type, its zone, and spot machines if it is one. */
   static boolean isAllowed(JobSpec spec, WorkerEmulator machine) {
     return (spec.types() == null || spec.types().contains(machine.machineType().name()))
         && (spec.zone() == null || spec.zone().equals(machine.zone()))
         && (spec.spotAllowed() || !machine.spot());
   }
 
-  /** True if one more task may be in that zone beside the job's other tasks. */
+  /** True if the job's zone rules allow one more of its tasks in the zone. */
   boolean allowsOneMoreIn(JobSpec spec, String zone) {
     Set<String> used = presence.zonesOf(spec.id());
     if (spec.sameZone() && !used.isEmpty() && !used.equals(Set.of(zone))) {
@@ -34,12 +34,12 @@
     return !spec.spreadAcrossZones() || presence.running(spec.id(), zone) < mostInOneZone(spec);
   }
 
-  /** How many tasks of a job that is to be apart may be in one zone. */
+  /** Most tasks in one zone for a job that is spread across zones: half of them, rounded up. */
   static int mostInOneZone(JobSpec spec) {
     return (spec.tasks() + 1) / 2;
   }
 
-  /** True if a machine has room for one task beside everything that is on it. */
+  /** True if the machine's free resources suffice for one task of the job. */
   boolean hasRoom(WorkerEmulator machine, JobSpec spec) {
     TaskPresence.Amount used = presence.usedOn(machine);
     return fits(
@@ -55,34 +55,34 @@
         && spec.memGb() <= memGb + SimulationConstants.ROUNDING_TOLERANCE;
   }
 
-  /** True if a team stays within its limit with so many more tasks of the job. */
+  /** True if the job's team stays within its limits with {@code tasks} more tasks of the job. */
   boolean teamHasRoom(JobSpec spec, int tasks) {
-    return withinLimit(spec, tasks, presence.usedBy(spec.team()));
+    return isWithinLimits(spec, tasks, presence.usedBy(spec.team()));
   }
 
-  /** True if a team is above its limit. */
+  /** True if the job's team exceeds a limit. */
   boolean isOverLimit(JobSpec spec) {
-    return !withinLimit(spec, 0, presence.usedBy(spec.team()));
+    return !isWithinLimits(spec, 0, presence.usedBy(spec.team()));
   }
 
-  private boolean withinLimit(JobSpec spec, int tasks, TaskPresence.Amount used) {
+  private boolean isWithinLimits(JobSpec spec, int tasks, TaskPresence.Amount used) {
     Settings.Team team = settings.teams().get(spec.team());
     return team != null
         && isWithin(used.cpus + tasks * spec.cpus(), team.cpusMax())
         && isWithin(used.cards + tasks * spec.cards(), team.cardsMax());
   }
 
-  /** A limit of 0 is none. */
+  /** A limit of 0 means no limit. */
   private static boolean isWithin(double amount, double limit) {
     return limit <= 0 || amount <= limit + SimulationConstants.ROUNDING_TOLERANCE;
   }
 
   /**
-   * True if a job can ever run: its team exists and may have one task, or all replicas, and a task
-   * fits a type on offer that the job allows.
+   * True if a job can ever run: its team exists, the team's limits admit one task, or all replicas
+   * of a service, and a task fits a machine type on offer that the job allows.
    */
   boolean canRun(JobSpec spec, List<MachineType> types) {
-    if (!withinLimit(spec, spec.service() ? spec.tasks() : 1, new TaskPresence.Amount())) {
+    if (!isWithinLimits(spec, spec.service() ? spec.tasks() : 1, new TaskPresence.Amount())) {
       return false;
     }
     for (MachineType type : types) {
--- a/src/main/java/fennelthread/simulation/RandomFaults.java
+++ b/src/main/java/fennelthread/simulation/RandomFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Users and troubles at random, all drawn from the network's chance. */
+/** Random user requests and faults, drawn from the network's main generator. */
 final class RandomFaults {
   private final SimulatedCluster cluster;
   private final SimulatedNetwork network;
@@ -16,53 +16,58 @@
     this.jobs = jobs;
   }
 
-  /** Users and troubles at random until {@code untilMs}. */
-  void until(long untilMs) {
+  /**
+   * Schedules user requests every 0.5 to 3.5 s until {@code untilMs}, with a fault at every fourth
+   * on average.
+   */
+  void runUntil(long untilMs) {
     network.after(
         500 + network.random.nextInt(3_000),
         () -> {
           if (network.now() > untilMs) {
             return;
           }
-          users.submit(jobs.any());
+          users.submit(jobs.randomJob());
           if (!users.jobs.isEmpty() && network.random.nextInt(5) == 0) {
             users.cancel(users.jobs.get(network.random.nextInt(users.jobs.size())).id());
           }
           users.askUnknown();
           if (network.random.nextInt(4) == 0) {
-            trouble();
+            injectFault();
           }
-          until(untilMs);
+          runUntil(untilMs);
         });
   }
 
-  private void trouble() {
+  private void injectFault() {
     String member = "nodo-" + network.random.nextInt(cluster.controllers().size());
-    String leads = cluster.leader();
-    String busiest = leads == null ? member : leads;
-    List<WorkerEmulator> all = List.copyOf(cluster.cloud.machines().values());
-    WorkerEmulator worker = all.isEmpty() ? null : all.get(network.random.nextInt(all.size()));
-    long span = 1_000L + network.random.nextInt(20_000);
+    String leader = cluster.leader();
+    String leaderOrMember = leader == null ? member : leader;
+    List<WorkerEmulator> workers = List.copyOf(cluster.cloud.machines().values());
+    WorkerEmulator worker =
+        workers.isEmpty() ? null : workers.get(network.random.nextInt(workers.size()));
+    long durationMs = 1_000L + network.random.nextInt(20_000);
     switch (network.random.nextInt(14)) {
       case 0 -> cluster.crash(member, 3_000);
-      case 1 -> cluster.crash(busiest, 5_000);
+      case 1 -> cluster.crash(leaderOrMember, 5_000);
       case 2 ->
-          List.copyOf(cluster.controllers().keySet()).forEach(m -> cluster.crash(m, span / 2));
-      case 3 -> cluster.state.outage(span);
-      case 4 -> cluster.state.refuseCaller(busiest, span);
-      case 5 -> cluster.cloud.outage(span);
-      case 6 -> cluster.processes.get(busiest).pause(span);
-      case 7 -> network.cut(busiest, "state", span);
-      case 8 -> network.cut(busiest, "n-", span);
-      case 9 -> network.cut(member, busiest, span);
+          List.copyOf(cluster.controllers().keySet())
+              .forEach(m -> cluster.crash(m, durationMs / 2));
+      case 3 -> cluster.state.outage(durationMs);
+      case 4 -> cluster.state.refuseCaller(leaderOrMember, durationMs);
+      case 5 -> cluster.cloud.outage(durationMs);
+      case 6 -> cluster.processes.get(leaderOrMember).pause(durationMs);
+      case 7 -> network.cut(leaderOrMember, "state", durationMs);
+      case 8 -> network.cut(leaderOrMember, "n-", durationMs);
+      case 9 -> network.cut(member, leaderOrMember, durationMs);
       case 10 -> {
         if (worker != null) {
-          network.cut(worker.name(), "nodo", span);
+          network.cut(worker.name(), "nodo", durationMs);
         }
       }
       case 11 -> {
         if (worker != null) {
-          worker.hang(span);
+          worker.hang(durationMs);
         }
       }
       case 12 -> {
@@ -75,7 +80,7 @@
           worker.announceTermination(4_000);
           network.after(4_000, () -> cluster.cloud.terminate(worker, false));
         } else if (worker != null) {
-          worker.failTasks(span);
+          worker.failTasks(durationMs);
         }
       }
     }
--- a/src/main/java/fennelthread/simulation/RandomJobs.java
+++ b/src/main/java/fennelthread/simulation/RandomJobs.java
@@ -4,22 +4,30 @@
 import fennelthread.wire.Priority;
 import java.util.List;
 
-/** Makes jobs with ids in sequence; what users vary is drawn from the network's chance. */
+/** Creates jobs with sequential ids; random properties come from the network's generators. */
 final class RandomJobs {
   private final SimulatedNetwork network;
-  private int nextJob;
+  private int lastJobNumber;
 
   RandomJobs(SimulatedNetwork network) {
     this.network = network;
   }
 
-  /** A job of a random team, with the given tasks; some are bound to a type or a zone. */
+  /**
+   * A job of a random team; one in eight is bound to a machine type, and one in eight to a zone
+   * unless it is spread across zones.
+   */
   JobSpec job(
-      boolean service, int tasks, double cpus, boolean spot, boolean onePlace, boolean apart) {
-    boolean red = network.random.nextBoolean();
-    return JobSpec.builder(String.format("job-%06d", ++nextJob))
+      boolean service,
+      int tasks,
+      double cpus,
+      boolean spotAllowed,
+      boolean sameZone,
+      boolean spreadAcrossZones) {
+    boolean isRed = network.random.nextBoolean();
+    return JobSpec.builder(String.format("job-%06d", ++lastJobNumber))
         .jobClass(service ? "servicio" : "lote")
-        .team(red ? "roja" : "azul")
+        .team(isRed ? "roja" : "azul")
         .service(service)
         .priority(
             service
@@ -31,53 +39,56 @@
         .image("img-" + network.random.nextInt(4))
         .imageGb(1)
         .types(network.random.nextInt(8) == 0 ? List.of("torre") : null)
-        .zone(network.random.nextInt(8) == 0 && !apart ? "sur" : null)
-        .sameZone(onePlace)
-        .spreadAcrossZones(apart)
-        .spotAllowed(spot)
+        .zone(network.random.nextInt(8) == 0 && !spreadAcrossZones ? "sur" : null)
+        .sameZone(sameZone)
+        .spreadAcrossZones(spreadAcrossZones)
+        .spotAllowed(spotAllowed)
         .estimateS(service ? 0 : 1 + network.random.nextInt(12))
         .deadlineS(service ? JobSpec.NO_DEADLINE : 60)
         .build();
   }
 
-  /** A job that may run on any machine, or on any ordinary one if it is a service. */
+  /** A job without placement rules, except that a service runs on regular machines only. */
   JobSpec plainJob(boolean service, int tasks) {
-    JobSpec any = job(service, tasks, 1, !service, false, false);
-    return JobSpec.builder(any.id())
-        .jobClass(any.jobClass())
-        .team(any.team())
+    JobSpec random = job(service, tasks, 1, !service, false, false);
+    return JobSpec.builder(random.id())
+        .jobClass(random.jobClass())
+        .team(random.team())
         .service(service)
-        .priority(any.priority())
+        .priority(random.priority())
         .tasks(tasks)
         .cpus(1)
         .memGb(2)
-        .image(any.image())
+        .image(random.image())
         .imageGb(1)
         .spotAllowed(!service)
-        .estimateS(any.estimateS())
-        .deadlineS(any.deadlineS())
+        .estimateS(random.estimateS())
+        .deadlineS(random.deadlineS())
         .build();
   }
 
-  /** A random array or service. */
-  JobSpec any() {
+  /** An array or service with random properties. */
+  JobSpec randomJob() {
     boolean service = network.random.nextInt(4) == 0;
-    boolean apart = network.random.nextInt(5) == 0;
+    boolean spreadAcrossZones = network.random.nextInt(5) == 0;
     return job(
         service,
         service ? 1 + network.random.nextInt(3) : 1 + network.random.nextInt(14),
         1 + network.random.nextInt(4),
         network.random.nextBoolean(),
-        !apart && network.random.nextInt(4) == 0,
-        apart);
+        !spreadAcrossZones && network.random.nextInt(4) == 0,
+        spreadAcrossZones);
   }
 
-  /** A job with an id of its own that is not counted as submitted; it draws from the faults. */
-  JobSpec odd() {
-    boolean red = network.faults.nextBoolean();
-    return JobSpec.builder(String.format("job-%06d", ++nextJob))
+  /**
+   * A job that is not recorded as submitted; it draws from the faults' generator, so that a run's
+   * other random choices stay the same.
+   */
+  JobSpec oddJob() {
+    boolean isRed = network.faults.nextBoolean();
+    return JobSpec.builder(String.format("job-%06d", ++lastJobNumber))
         .jobClass("lote")
-        .team(red ? "roja" : "azul")
+        .team(isRed ? "roja" : "azul")
         .tasks(1)
         .cpus(1)
         .memGb(2)
--- a/src/main/java/fennelthread/simulation/RateLimiter.java
+++ b/src/main/java/fennelthread/simulation/RateLimiter.java
@@ -2,13 +2,16 @@
 
 import fennelthread.settings.Settings;
 
-/** The token buckets of the emulated state service: requests and changes, each of one second. */
+/**
+ * The token buckets that limit the emulated state service's request and write rates; each holds the
+ * tokens of one second at most.
+ */
 final class RateLimiter {
   private double requestTokens;
   private double writeTokens;
   private long refilledAtMs;
 
-  /** Adds the tokens of the time since the last call. */
+  /** Adds the tokens for the time since the last call. */
   void refill(long nowMs, Settings.StateLimits limits) {
     long elapsedMs = nowMs - refilledAtMs;
     requestTokens = Math.min(limits.rps(), requestTokens + elapsedMs * limits.rps() / 1000);
@@ -16,7 +19,7 @@
     refilledAtMs = nowMs;
   }
 
-  /** Takes a token for a request; false if there is none. */
+  /** Takes a token for a request; returns false if none is left. */
   boolean takeRequest() {
     if (requestTokens < 1) {
       return false;
@@ -25,7 +28,7 @@
     return true;
   }
 
-  /** Takes tokens for so many changes; false, and none taken, if there are too few. */
+  /** Takes one token per write; returns false and takes none if there are too few. */
   boolean takeWrites(int count) {
     if (count > writeTokens) {
       return false;
--- a/src/main/java/fennelthread/simulation/RepeatedQueries.java
+++ b/src/main/java/fennelthread/simulation/RepeatedQueries.java
@@ -4,34 +4,35 @@
 import java.util.List;
 
 /**
- * Users who look closely: each time one of them is told that a job is accepted, done or cancelled,
- * they ask every controller about it several times within milliseconds, and repeat the submission.
+ * Users who query a job repeatedly: each time a user is first told that a job is accepted, done or
+ * cancelled, they ask every controller about it several times within milliseconds, and repeat its
+ * submission once at one controller.
  */
 final class RepeatedQueries {
   private static final long[] OFFSETS_MS = {0, 1, 2, 5, 20, 100};
 
   private final SimulatedCluster cluster;
-  private boolean on;
+  private boolean isActive;
 
-  /** How many questions were asked. */
+  /** Number of questions sent. */
   int queriesSent;
 
-  /** How many submissions were repeated. */
+  /** Number of submissions repeated. */
   int submissionsRepeated;
 
   RepeatedQueries(SimulatedCluster cluster) {
     this.cluster = cluster;
-    cluster.onNewStatus(this::look);
+    cluster.onNewStatus(this::queryAll);
   }
 
-  /** For so long users look closely. */
+  /** Activates the queries for {@code forMs}. */
   void begin(long forMs) {
-    on = true;
-    cluster.world.after(forMs, () -> on = false);
+    isActive = true;
+    cluster.world.after(forMs, () -> isActive = false);
   }
 
-  private void look(String id) {
-    if (!on) {
+  private void queryAll(String id) {
+    if (!isActive) {
       return;
     }
     List<String> members = List.copyOf(cluster.controllers().keySet());
--- a/src/main/java/fennelthread/simulation/ReportCopies.java
+++ b/src/main/java/fennelthread/simulation/ReportCopies.java
@@ -6,74 +6,75 @@
 import java.util.List;
 
 /**
- * Keeps copies of workers' reports until a controller has claimed the leadership, and hands them to
- * every controller then. The answers to copies reach nobody.
+ * Keeps copies of workers' reports until a controller claims the leadership, and then delivers them
+ * to every controller. The answers to copies are dropped.
  */
 final class ReportCopies {
   private static final String REPORT_PATH = "/agent/beat";
   private static final String CLAIM_KEY = "live/lead";
 
-  private record Kept(String worker, Call report, long afterClaimMs) {}
+  private record KeptReport(String worker, Call report, long afterClaimMs) {}
 
-  private final SimulatedNetwork world;
+  private final SimulatedNetwork network;
   private final Collection<String> controllers;
-  private final List<Kept> kept = new ArrayList<>();
+  private final List<KeptReport> keptReports = new ArrayList<>();
   private double share;
   private long afterClaimMs;
-  private int handed;
+  private int delivered;
 
   /**
-   * Creates it without any copies.
+   * Creates an instance without copies.
    *
    * @param controllers the addresses that workers report to
    */
-  ReportCopies(SimulatedNetwork world, StateEmulator state, Collection<String> controllers) {
-    this.world = world;
+  ReportCopies(SimulatedNetwork network, StateEmulator state, Collection<String> controllers) {
+    this.network = network;
     this.controllers = controllers;
-    world.requestFaults.onRequest(this::keepPerhaps);
-    state.onWrite.add(this::handAfterClaim);
+    network.requestFaults.onRequest(this::maybeKeep);
+    state.onWrite.add(this::deliverAfterClaim);
   }
 
   /**
-   * Keeps copies of that share of the reports that are sent from now on.
+   * Keeps copies of a share of the reports sent within {@code forMs}.
    *
-   * @param claimDelayMs how long after the next claim each copy is delivered; 0: as it is applied
+   * @param claimDelayMs time from the next claim to the delivery of each copy, ms; 0 delivers as
+   *     soon as the claim is applied
    */
-  void keep(double ofReports, long forMs, long claimDelayMs) {
-    share = ofReports;
+  void keep(double reportShare, long forMs, long claimDelayMs) {
+    share = reportShare;
     afterClaimMs = claimDelayMs;
-    world.after(forMs, () -> share = 0);
+    network.after(forMs, () -> share = 0);
   }
 
-  /** How many copies wait for a claim. */
+  /** Number of copies that wait for a claim. */
   int waiting() {
-    return kept.size();
+    return keptReports.size();
   }
 
-  /** How many copies were delivered, one for each controller. */
+  /** Number of copies delivered, counted per controller. */
   int delivered() {
-    return handed;
+    return delivered;
   }
 
-  private void keepPerhaps(String from, String to, Call call) {
-    if (share > 0 && call.path().equals(REPORT_PATH) && world.faults.nextDouble() < share) {
-      kept.add(new Kept(from, call, afterClaimMs));
+  private void maybeKeep(String from, String to, Call call) {
+    if (share > 0 && call.path().equals(REPORT_PATH) && network.faults.nextDouble() < share) {
+      keptReports.add(new KeptReport(from, call, afterClaimMs));
     }
   }
 
-  private void handAfterClaim(String key) {
+  private void deliverAfterClaim(String key) {
     if (!key.equals(CLAIM_KEY)) {
       return;
     }
-    for (Kept copy : kept) {
-      world.after(copy.afterClaimMs, () -> handToAll(copy));
+    for (KeptReport copy : keptReports) {
+      network.after(copy.afterClaimMs, () -> deliverToAll(copy));
     }
-    kept.clear();
+    keptReports.clear();
   }
 
-  private void handToAll(Kept copy) {
+  private void deliverToAll(KeptReport copy) {
     for (String controller : controllers) {
-      handed += world.deliver(copy.worker, controller, copy.report) ? 1 : 0;
+      delivered += network.deliver(copy.worker, controller, copy.report) ? 1 : 0;
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/RequestFaults.java
+++ b/src/main/java/fennelthread/simulation/RequestFaults.java
@@ -6,63 +6,65 @@
 import java.util.List;
 
 /**
- * Faults of single requests, by who sends them to whom: no connection, slow links, and direct
- * commands that are held up. Its chance is {@link SimulatedNetwork#faults}.
+ * Faults of single requests, by sender and recipient: blocked connections, slow links, and delayed
+ * direct commands. Random choices come from {@link SimulatedNetwork#faults}.
  */
 final class RequestFaults {
   private static final String COMMAND_PATH = "/commands";
 
-  /** Sees each request as its sender hands it to the network. */
+  /** Observes each request as its sender hands it to the network. */
   @FunctionalInterface
   interface Observer {
-    /** A process sends a request; both are named as for cuts. */
-    void sent(String from, String to, Call call);
+    /** Called when a process sends a request; names are those used for cuts. */
+    void onRequestSent(String from, String to, Call call);
   }
 
-  private record Mute(String from, String to) {}
+  private record BlockedPath(String fromPrefix, String toPrefix) {}
 
-  private record SlowLink(String name, long extraMs) {}
+  private record SlowLink(String prefix, long extraMs) {}
 
-  private final SimulatedNetwork world;
+  private final SimulatedNetwork network;
   private final List<Observer> observers = new ArrayList<>();
-  private final List<Mute> mutes = new ArrayList<>();
+  private final List<BlockedPath> blockedPaths = new ArrayList<>();
   private final List<SlowLink> slowLinks = new ArrayList<>();
   private double heldCommandShare;
 
-  /** How many requests found no connection because their sender was mute. */
+  /** Number of requests that got no connection because they were blocked. */
   int requestsBlocked;
 
-  /** How many direct commands were held up. */
+  /** Number of direct commands that were delayed. */
   int commandsHeld;
 
-  /** How many of them have reached their machine. */
+  /** Number of delayed commands that have reached their machine. */
   int commandsDelivered;
 
-  RequestFaults(SimulatedNetwork world) {
-    this.world = world;
+  RequestFaults(SimulatedNetwork network) {
+    this.network = network;
   }
 
-  /** Calls an observer with each request from now on. */
+  /** Adds an observer of all later requests. */
   void onRequest(Observer observer) {
     observers.add(observer);
   }
 
-  /** Tells the observers of a request. */
-  void sent(String from, String to, Call call) {
-    observers.forEach(o -> o.sent(from, to, call));
+  /** Notifies the observers of a request. */
+  void notifySent(String from, String to, Call call) {
+    observers.forEach(observer -> observer.onRequestSent(from, to, call));
   }
 
-  /** Requests from those to those, given by prefixes of their names, get no connection. */
+  /**
+   * Blocks connections from one group of names to another, given by prefixes, for {@code forMs}.
+   */
   void blockRequests(String fromPrefix, String toPrefix, long forMs) {
-    Mute mute = new Mute(fromPrefix, toPrefix);
-    mutes.add(mute);
-    world.after(forMs, () -> mutes.remove(mute));
+    BlockedPath path = new BlockedPath(fromPrefix, toPrefix);
+    blockedPaths.add(path);
+    network.after(forMs, () -> blockedPaths.remove(path));
   }
 
-  /** True if a request between these two gets no connection; it is counted. */
+  /** True if a request between these names gets no connection; counts such requests. */
   boolean blocksConnection(String from, String to) {
-    for (Mute m : mutes) {
-      if (from.startsWith(m.from) && to.startsWith(m.to)) {
+    for (BlockedPath path : blockedPaths) {
+      if (from.startsWith(path.fromPrefix) && to.startsWith(path.toPrefix)) {
         requestsBlocked++;
         return true;
       }
@@ -70,40 +72,42 @@
     return false;
   }
 
-  /** Messages to and from those take so much longer. */
+  /** Delays messages to and from names with this prefix by {@code extraMs} for {@code forMs}. */
   void slowLinks(String prefix, long extraMs, long forMs) {
     SlowLink link = new SlowLink(prefix, extraMs);
     slowLinks.add(link);
-    world.after(forMs, () -> slowLinks.remove(link));
+    network.after(forMs, () -> slowLinks.remove(link));
   }
 
-  /** How much longer a message between these two takes, ms. */
+  /** Extra delay of a message between these names, ms. */
   long extraMs(String from, String to) {
-    long most = 0;
+    long longestMs = 0;
     for (SlowLink link : slowLinks) {
-      if (from.startsWith(link.name) || to.startsWith(link.name)) {
-        most = Math.max(most, link.extraMs);
+      if (from.startsWith(link.prefix) || to.startsWith(link.prefix)) {
+        longestMs = Math.max(longestMs, link.extraMs);
       }
     }
-    return most;
+    return longestMs;
   }
 
-  /** That share of the direct commands is held up for 2 to 16 s and gets no answer. */
+  /**
+   * For {@code forMs}, delays this share of the direct commands by 2 to 16 s, without an answer.
+   */
   void holdCommands(double share, long forMs) {
     heldCommandShare = share;
-    world.after(forMs, () -> heldCommandShare = 0);
+    network.after(forMs, () -> heldCommandShare = 0);
   }
 
-  /** How long a request is held up, ms; 0 if it isn't. */
+  /** Draws the delay of a request, ms; 0 if it is not delayed. */
   long holdMs(String path) {
     if (heldCommandShare == 0
         || !path.equals(COMMAND_PATH)
-        || world.faults.nextDouble() >= heldCommandShare) {
+        || network.faults.nextDouble() >= heldCommandShare) {
       return 0;
     }
     commandsHeld++;
     return SimulationConstants.MIN_COMMAND_DELAY_MS
-        + world.faults.nextLong(
+        + network.faults.nextLong(
             SimulationConstants.MAX_COMMAND_DELAY_MS
                 - SimulationConstants.MIN_COMMAND_DELAY_MS
                 + 1);
--- a/src/main/java/fennelthread/simulation/Search.java
+++ b/src/main/java/fennelthread/simulation/Search.java
@@ -10,65 +10,74 @@
 import java.util.function.Predicate;
 
 /**
- * A bounded search through the states of a small model, breadth first: whatever may happen next
- * does, in every order, so that the first bad state found has the shortest way to it.
+ * A bounded breadth-first search through the states of a small model. It explores every order of
+ * the possible steps, so that the trace to the first bad state found is a shortest one.
  *
- * @param <S> a state, never changed once it was handed over
+ * @param <S> the state, which must not change once it is passed to the search
  */
 public final class Search<S> {
 
-  /** One thing that may happen, and what is then. */
+  /**
+   * A possible step of the model.
+   *
+   * @param what description of the step, used in traces
+   * @param next state after the step
+   */
   public record Step<S>(String what, S next) {}
 
   /**
-   * What came of it: the shortest way to a bad state, null if none was found, and how many were
-   * seen.
+   * The result of a search.
+   *
+   * @param trace steps of a shortest path to a bad state, or null if none was found
+   * @param states number of distinct states seen
    */
   public record Result(List<String> trace, int states) {}
 
-  private record Origin(String from, String by) {}
+  private record Origin(String fromKey, String step) {}
 
   private final Function<S, String> key;
   private final Function<S, List<Step<S>>> steps;
-  private final Predicate<S> bad;
+  private final Predicate<S> isBad;
 
-  /** Creates a search; states with equal keys are the same. */
-  public Search(Function<S, String> key, Function<S, List<Step<S>>> steps, Predicate<S> bad) {
+  /** Creates a search; states with equal keys count as the same state. */
+  public Search(Function<S, String> key, Function<S, List<Step<S>>> steps, Predicate<S> isBad) {
     this.key = key;
     this.steps = steps;
-    this.bad = bad;
+    this.isBad = isBad;
   }
 
-  /** Looks at all sequences of at most so many steps. */
+  /** Explores all sequences of at most {@code depth} steps from the first state. */
   public Result run(S first, int depth) {
-    Map<String, Origin> cameFrom = new HashMap<>();
+    Map<String, Origin> origins = new HashMap<>();
     ArrayDeque<S> queue = new ArrayDeque<>();
-    cameFrom.put(key.apply(first), new Origin(null, null));
+    origins.put(key.apply(first), new Origin(null, null));
     queue.add(first);
-    for (int done = 0; done <= depth && !queue.isEmpty(); done++) {
-      for (int left = queue.size(); left > 0; left--) {
+    for (int stepsDone = 0; stepsDone <= depth && !queue.isEmpty(); stepsDone++) {
+      for (int remaining = queue.size(); remaining > 0; remaining--) {
         S state = queue.poll();
-        String at = key.apply(state);
-        if (bad.test(state)) {
-          return new Result(trace(cameFrom, at), cameFrom.size());
+        String stateKey = key.apply(state);
+        if (isBad.test(state)) {
+          return new Result(trace(origins, stateKey), origins.size());
         }
-        if (done == depth) {
+        if (stepsDone == depth) {
           continue;
         }
         for (Step<S> step : steps.apply(state)) {
-          if (cameFrom.putIfAbsent(key.apply(step.next), new Origin(at, step.what)) == null) {
+          if (origins.putIfAbsent(key.apply(step.next), new Origin(stateKey, step.what)) == null) {
             queue.add(step.next);
           }
         }
       }
     }
-    return new Result(null, cameFrom.size());
+    return new Result(null, origins.size());
   }
 
-  private static List<String> trace(Map<String, Origin> cameFrom, String to) {
+  private static List<String> trace(Map<String, Origin> origins, String to) {
     List<String> trace = new ArrayList<>();
-    for (Origin o = cameFrom.get(to); o.from != null; o = cameFrom.get(o.from)) {
-      trace.add(o.by);
+    for (Origin origin = origins.get(to);
+        origin.fromKey != null;
+        origin = origins.get(origin.fromKey)) {
+      trace.add(origin.step);
     }
     Collections.reverse(trace);
     return trace;
--- a/src/main/java/fennelthread/simulation/ServedRule.java
+++ b/src/main/java/fennelthread/simulation/ServedRule.java
@@ -10,17 +10,18 @@
 import java.util.TreeMap;
 
 /**
- * The operators' rule on whole days: at least half is served of each class of jobs, of each team
- * and of the largest jobs of a class, replicas by time and arrays by jobs that are complete.
- * Largest are those that ask for as much as the tenth part of a class's jobs that ask for most, one
- * at least.
+ * The operators' rule for whole days: at least half of the work is served of each job class, of
+ * each team and of the largest jobs of each class. Services are measured by the share of their
+ * replicas that run, over time; arrays by the share of jobs that complete. The largest jobs of a
+ * class are its top tenth by requested CPUs, at least one job, and all that ask for as much as the
+ * least of these.
  */
 final class ServedRule {
 
-  /** A job that counts. */
+  /** An accepted job, when it was accepted, ms, and whether all its tasks have completed. */
   record Job(JobSpec spec, long acceptedAt, boolean complete) {}
 
-  /** What a class of jobs, or of a team's, was to have, and what it had. */
+  /** Expected and served work of one group of jobs. */
   private static final class Served {
     long replicasWanted;
     long replicasUp;
@@ -34,19 +35,19 @@
     }
   }
 
-  private final Map<String, long[]> replicas = new HashMap<>();
+  private final Map<String, long[]> replicaSamples = new HashMap<>();
 
-  /** Counts the replicas of a service that should be up at this moment, and those that are. */
+  /** Adds a sample of a service: its expected and its running replicas at this time. */
   void sample(JobSpec service, int running) {
-    long[] up = replicas.computeIfAbsent(service.id(), k -> new long[2]);
-    up[0] += service.tasks();
-    up[1] += Math.min(service.tasks(), running);
+    long[] sample = replicaSamples.computeIfAbsent(service.id(), k -> new long[2]);
+    sample[0] += service.tasks();
+    sample[1] += Math.min(service.tasks(), running);
   }
 
   /**
-   * Gives a description of the first group that was not served, or null.
+   * Returns a description of the first group that is served too little, or null.
    *
-   * @param countedBefore arrays that were accepted later don't count
+   * @param countedBefore time from which on accepted arrays don't count, ms
    */
   String check(List<Job> jobs, long countedBefore) {
     Map<String, Served> shares = new TreeMap<>();
@@ -56,42 +57,42 @@
     }
     byClass.forEach(
         (jobClass, members) -> {
-          double large = leastOfTheLargest(members);
+          double largestFrom = leastCpusOfLargest(members);
           for (Job job : members) {
             count(shares, "class " + jobClass, job, countedBefore);
             count(shares, "team " + job.spec.team(), job, countedBefore);
-            if (asked(job) >= large) {
+            if (requestedCpus(job) >= largestFrom) {
               count(shares, "largest of " + jobClass, job, countedBefore);
             }
           }
         });
-    for (Map.Entry<String, Served> e : shares.entrySet()) {
-      if (e.getValue().share() < SimulationConstants.MIN_SERVED_SHARE) {
-        return e.getKey() + " " + e.getValue().share();
+    for (Map.Entry<String, Served> entry : shares.entrySet()) {
+      if (entry.getValue().share() < SimulationConstants.MIN_SERVED_SHARE) {
+        return entry.getKey() + " " + entry.getValue().share();
       }
     }
     return null;
   }
 
-  private static double leastOfTheLargest(List<Job> members) {
-    members.sort(Comparator.comparingDouble(ServedRule::asked).reversed());
+  private static double leastCpusOfLargest(List<Job> members) {
+    members.sort(Comparator.comparingDouble(ServedRule::requestedCpus).reversed());
     int count = (int) Math.ceil(members.size() * SimulationConstants.LARGEST_JOBS_SHARE);
-    return asked(members.get(count - 1));
+    return requestedCpus(members.get(count - 1));
   }
 
-  private static double asked(Job job) {
+  private static double requestedCpus(Job job) {
     return job.spec.tasks() * job.spec.cpus();
   }
 
   private void count(Map<String, Served> shares, String group, Job job, long countedBefore) {
-    Served s = shares.computeIfAbsent(group, k -> new Served());
+    Served served = shares.computeIfAbsent(group, k -> new Served());
     if (job.spec.service()) {
-      long[] up = replicas.getOrDefault(job.spec.id(), new long[2]);
-      s.replicasWanted += up[0];
-      s.replicasUp += up[1];
+      long[] sample = replicaSamples.getOrDefault(job.spec.id(), new long[2]);
+      served.replicasWanted += sample[0];
+      served.replicasUp += sample[1];
     } else if (job.acceptedAt < countedBefore) {
-      s.jobsWanted++;
-      s.jobsDone += job.complete ? 1 : 0;
+      served.jobsWanted++;
+      served.jobsDone += job.complete ? 1 : 0;
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -12,23 +12,27 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Controllers and everything around them, in one seeded world. */
+/**
+ * A simulated cluster: real controllers, and emulators of the services, workers and users around
+ * them. Its seed determines the whole run.
+ */
 final class SimulatedCluster implements WorkerEmulator.Environment {
   static final String STATE = "10.2.0.1:2379";
   static final String CLOUD = "10.2.0.2:8443";
 
   /**
-   * Makes controllers of the version in production, which is not part of this one: the tests set
-   * it, since they take it from the repository's history.
+   * Creates controllers of the version in production, whose classes are not part of this version.
+   * The tests set it after they have compiled that version from the repository's history.
    */
   static ProductionControllerFactory productionControllerFactory =
       (eventLoop, settings, limits) -> {
-        throw new IllegalStateException("nobody knows the version in production here");
+        throw new IllegalStateException(
+            "no factory for controllers of the version in production is set");
       };
 
   /**
-   * Makes a controller of an older version; {@code limits} are those of the state service that it
-   * knows.
+   * Creates a controller of the version in production; {@code limits} are the state service limits
+   * that it uses.
    */
   @FunctionalInterface
   interface ProductionControllerFactory {
@@ -52,16 +56,16 @@
   final OddRequests oddRequests;
   private final RandomJobs randomJobs;
 
-  /** Called with each task that a command stops which has arrived at its machine. */
+  /** Called for each stop command that arrives at a machine and stops a task. */
   final List<StopObserver> stopObservers = new ArrayList<>();
 
-  /** Sees the commands that stop tasks as workers execute them. */
+  /** Observes the commands that stop tasks, when workers execute them. */
   @FunctionalInterface
   interface StopObserver {
     void onStopCommand(WorkerEmulator worker, JobSpec spec, int index);
   }
 
-  /** A running controller, whatever its version. */
+  /** A running controller of any version. */
   interface ControllerHandle {
     Service api();
 
@@ -104,15 +108,16 @@
     this(seed, Deployment.tiny().withTeamCap(teamCap));
   }
 
-  /** A cluster whose state service will have lower limits, which its controllers know of. */
+  /**
+   * A small cluster whose controllers are set up for the limits {@code next} while the state
+   * service still has its old ones; {@code production} starts the version in production.
+   */
   static SimulatedCluster limited(long seed, Settings.StateLimits next, boolean production) {
-    Deployment d = Deployment.tiny().withAnnouncedLimits(next);
-    return new SimulatedCluster(seed, production ? d.withProductionVersion() : d);
+    Deployment deployment = Deployment.tiny().withAnnouncedLimits(next);
+    return new SimulatedCluster(seed, production ? deployment.withProductionVersion() : deployment);
   }
 
-  /**
-   * A cluster of so many small machines at the start, with ordinary limits at the state service.
-   */
+  /** A cluster with about {@code machines} machines, see {@link Deployment#large}. */
   static SimulatedCluster large(long seed, int machines) {
     return new SimulatedCluster(seed, Deployment.large(machines));
   }
@@ -122,11 +127,11 @@
     world = new SimulatedNetwork(seed);
     members = new SimulatedControllers(world, deployment);
     processes = members.processes;
-    controllers = members.running;
+    controllers = members.controllers;
     settings = members.settings;
     checker = new InvariantChecker(world, settings);
-    // The version in production takes counts from its own copy of the state, which may be behind.
-    checker.countsMustNotFall = members::areAllNew;
+    // The version in production counts completed tasks in its replica of the state, which may lag.
+    checker.countsMustNotFall = members::hasNoProductionMembers;
     randomJobs = new RandomJobs(world);
     SimulatedProcess stateProcess = new SimulatedProcess(world, "state");
     state = new StateEmulator(world, stateProcess, deployment.limits());
@@ -152,42 +157,42 @@
 
   private void rentFirstMachines() {
     List<String> zones = deployment.zones();
-    for (int i = 0; i < deployment.firstSmall(); i++) {
+    for (int i = 0; i < deployment.initialSmall(); i++) {
       cloud.rent("mesa", zones.get(i % zones.size()), false, 0);
     }
-    for (int i = 0; i < deployment.firstBig(); i++) {
+    for (int i = 0; i < deployment.initialBig(); i++) {
       cloud.rent("torre", zones.get(0), false, 0);
     }
   }
 
   // ---------------------------------------------------------------- controllers
 
-  /** The zone that a controller is in. */
+  /** The zone of a controller. */
   String zoneOf(String member) {
     return members.zoneOf(member);
   }
 
-  /** Ends a controller of the old version; the next one is of the new. */
+  /** Restarts a controller of the version in production as one of this version. */
   void upgrade(String member, long downMs) {
     members.upgrade(member, downMs);
   }
 
-  /** Ends a controller; the next one is of the version in production. */
+  /** Restarts a controller as one of the version in production. */
   void downgrade(String member, long downMs) {
     members.downgrade(member, downMs);
   }
 
-  /** Ends a controller; another process of the same member begins after so long. */
+  /** Kills a controller and starts a new process of the same member after {@code downMs}. */
   void crash(String member, long downMs) {
     members.crash(member, downMs);
   }
 
-  /** The member that leads, by its own account, or null. */
+  /** The first running member that considers itself the leader, or null. */
   String leader() {
     return members.leader();
   }
 
-  /** The same, passing over one member. */
+  /** The first running member except {@code member} that considers itself the leader, or null. */
   String leaderOtherThan(String member) {
     return members.leaderOtherThan(member);
   }
@@ -196,100 +201,110 @@
 
   /** A job of a random team, see {@link RandomJobs#job}. */
   JobSpec job(
-      boolean service, int tasks, double cpus, boolean spot, boolean onePlace, boolean apart) {
-    return randomJobs.job(service, tasks, cpus, spot, onePlace, apart);
+      boolean service,
+      int tasks,
+      double cpus,
+      boolean spotAllowed,
+      boolean sameZone,
+      boolean spreadAcrossZones) {
+    return randomJobs.job(service, tasks, cpus, spotAllowed, sameZone, spreadAcrossZones);
   }
 
-  /** A job that may run on any machine, or on any ordinary one if it is a service. */
+  /** A job without placement rules, see {@link RandomJobs#plainJob}. */
   JobSpec plainJob(boolean service, int tasks) {
     return randomJobs.plainJob(service, tasks);
   }
 
-  /** A random array or service. */
+  /** An array or service with random properties. */
   JobSpec randomJob() {
-    return randomJobs.any();
+    return randomJobs.randomJob();
   }
 
-  /** A job that is not counted as submitted, see {@link RandomJobs#odd}. */
+  /** A job that is not recorded as submitted, see {@link RandomJobs#oddJob}. */
   JobSpec nextOddJob() {
-    return randomJobs.odd();
+    return randomJobs.oddJob();
   }
 
-  /** True if all replicas of these services are on machines. */
+  /** True if all replicas of all these services are on machines. */
   boolean allRun(List<JobSpec> services) {
     return services.stream().allMatch(job -> checker.running(job.id()) == job.tasks());
   }
 
-  /** A user submits a job until it is accepted, and asks about it for ever. */
+  /**
+   * Submits a job with retries and asks about it once accepted, see {@link SimulatedUsers#submit}.
+   */
   void submit(JobSpec spec) {
     users.submit(spec);
   }
 
-  /** The same by a user who never asks about it. */
+  /** Submits a job once and never asks about it. */
   void submitOnce(JobSpec spec) {
     users.submitOnce(spec);
   }
 
-  /** A user asks some controller to cancel a job until it is answered. */
+  /** Asks random controllers to cancel a job until one of them confirms it. */
   void cancel(String id) {
     users.cancel(id);
   }
 
-  /** A user asks one controller to cancel a job, as often as it takes or its user has patience. */
+  /** Asks one controller to cancel a job until it confirms it, at most {@code tries} times. */
   void cancelThrough(String member, String id, int tries) {
     users.cancelThrough(member, id, tries);
   }
 
-  /** A user asks one controller about a job, once. */
+  /** Asks one controller about a job once and ignores the answer. */
   void askThrough(String member, String id) {
     users.askAt(member, id, answer -> {});
   }
 
-  /** The same. */
+  /** Asks one controller about a job once and ignores the answer. */
   void askAt(String member, String id) {
     users.askAt(member, id, answer -> {});
   }
 
-  /** The same; {@code then} gets the answer, or null if there was none. */
+  /**
+   * Asks one controller about a job once; {@code then} gets the answer, or null if there is none.
+   */
   void askAt(String member, String id, Consumer<Answer> then) {
     users.askAt(member, id, then);
   }
 
-  /** A user submits a body to one controller, once; {@code then} gets the answer, or null. */
+  /** Submits a body to one controller once; {@code then} gets the answer, or null. */
   void submitAt(String member, String id, Fields body, Consumer<Answer> then) {
     users.submitAt(member, id, body, then);
   }
 
-  /** A user asks one controller to cancel a job that is known to be done, once. */
+  /** Asks one controller once to cancel a job that is known to be done; ignores the answer. */
   void cancelAt(String member, String id) {
     cancelAt(member, id, answer -> {});
   }
 
-  /** A user asks one controller to cancel a job, once; {@code then} gets the answer, or null. */
+  /** Asks one controller once to cancel a job; {@code then} gets the answer, or null. */
   void cancelAt(String member, String id, Consumer<Answer> then) {
     users.cancelAt(member, id, then);
   }
 
-  /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
+  /** Adds a listener that gets a job's id when a user is first told that it is accepted or over. */
   void onNewStatus(Consumer<String> listener) {
     users.onNewStatus(listener);
   }
 
-  /** Users' pipelines until then, see {@link JobPipelines#submitUntil}. */
+  /** Submits pipelines of jobs until {@code untilMs}, see {@link JobPipelines#submitUntil}. */
   void pipelines(long untilMs) {
     new JobPipelines(world, users, randomJobs, checker).submitUntil(untilMs);
   }
 
-  // ---------------------------------------------------------------- troubles
+  // ---------------------------------------------------------------- faults
 
-  /** Users and troubles at random until {@code untilMs}. */
+  /** Adds random user requests and faults until {@code untilMs}, see {@link RandomFaults}. */
   void addRandomUsersAndFaults(long untilMs) {
-    new RandomFaults(this, users, randomJobs).until(untilMs);
+    new RandomFaults(this, users, randomJobs).runUntil(untilMs);
   }
 
+  /** Number of round records delayed by {@link #delayNextRoundRecord}. */
   int delayedRoundRecords;
 
-  /** The next round record that a controller sends arrives so much later. */
+  /** Delays the next round record that a controller writes by {@code byMs}. */
   void delayNextRoundRecord(String member, long byMs) {
     state.transactionDelayMs =
         (caller, body) -> {
@@ -301,60 +316,58 @@
         };
   }
 
-  /** A controller loses the state service and the other controllers, not its workers or users. */
+  /** Cuts a controller off from the state service and its peers, but not from workers and users. */
   void isolateFromPeersAndState(String member, long forMs) {
     members.isolateFromPeersAndState(member, forMs);
   }
 
-  /** No controller reaches another for so long. */
+  /** Cuts the links between all controllers for {@code forMs}. */
   void cutPeerLinks(long forMs) {
     members.cutPeerLinks(forMs);
   }
 
   /**
-   * Copies of that share of the reports are kept; when a controller has claimed the leadership,
-   * each is handed to every controller {@code afterClaimMs} later.
+   * Copies a share of the reports sent within {@code forMs} and delivers the copies to every
+   * controller {@code afterClaimMs} after the next claim of the leadership.
    */
   void replayReportsToNextLeader(double share, long forMs, long afterClaimMs) {
     reportCopies.keep(share, forMs, afterClaimMs);
   }
 
-  /** The machine reaches no controller; direct commands reach it. */
+  /** Blocks a machine's requests to controllers; direct commands still reach it. */
   void blockRequests(WorkerEmulator worker, long forMs) {
     world.blockRequests(worker.name(), "nodo", forMs);
   }
 
   /**
-   * That share of the direct commands is held 2 to 16 s, unanswered, and carried out once if token
-   * and session still match.
+   * For {@code forMs}, delays this share of the direct commands by 2 to 16 s. They are not
+   * answered, and the worker executes them only if token and session still match.
    */
   void holdCommands(double share, long forMs) {
     world.requestFaults.holdCommands(share, forMs);
   }
 
-  /** Cancels that many running jobs at once, see {@link JobCancellations#cancelRunningJobs}. */
+  /** Cancels running jobs at once, see {@link JobCancellations#cancelRunningJobs}. */
   List<String> cancelRunningJobs(int count, long hangMs) {
     return cancellations.cancelRunningJobs(count, hangMs);
   }
 
-  /**
-   * Cancels that share of the jobs as they end, see {@link JobCancellations#cancelAtCompletion}.
-   */
+  /** Cancels jobs around their end, see {@link JobCancellations#cancelAtCompletion}. */
   void cancelAtCompletion(double share, long forMs) {
     cancellations.cancelAtCompletion(share, forMs);
   }
 
-  /** Users look closely at whatever they are told, see {@link RepeatedQueries}. */
+  /** Repeats queries about every new status, see {@link RepeatedQueries}. */
   void repeatedQueries(long forMs) {
     repeatedQueries.begin(forMs);
   }
 
-  /** Users send odd requests, see {@link OddRequests}. */
+  /** Sends redundant and invalid requests, see {@link OddRequests}. */
   void oddRequests(long forMs) {
     oddRequests.begin(forMs);
   }
 
-  /** A zone with its workers and controllers is cut off from all else. */
+  /** Cuts a zone with its workers and controllers off; fails if no controller is in the zone. */
   void cutZoneWithControllers(String zone, long forMs) {
     if (members.addresses.keySet().stream().noneMatch(member -> zoneOf(member).equals(zone))) {
       throw new IllegalArgumentException("no controller is in zone " + zone);
@@ -362,7 +375,7 @@
     world.cutZone(zone, forMs);
   }
 
-  // ---------------------------------------------------------------- surroundings
+  // ---------------------------------------------------------------- environment of the workers
 
   @Override
   public Map<String, String> controllers() {
@@ -391,7 +404,7 @@
 
   @Override
   public void onExpectedCompletion(WorkerEmulator worker, JobSpec spec, int index, long atMs) {
-    cancellations.expect(spec, index, atMs);
+    cancellations.recordExpectedEnd(spec, index, atMs);
   }
 
   @Override
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -11,25 +11,25 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The controllers' processes: their settings, starts and ends, and which of them leads. */
+/** Starts and stops the controllers' processes, builds their settings and finds the leader. */
 final class SimulatedControllers {
   private final SimulatedNetwork network;
   private final Deployment deployment;
-  private final Set<String> inProduction = new HashSet<>();
+  private final Set<String> productionMembers = new HashSet<>();
 
-  /** The members' addresses for users and workers. */
+  /** The API addresses for users and workers, by member name. */
   final Map<String, String> addresses = new LinkedHashMap<>();
 
-  /** The last process of each member. */
+  /** The latest process of each member; it may have been killed. */
   final Map<String, SimulatedProcess> processes = new TreeMap<>();
 
-  /** The last controller of each member. */
-  final Map<String, SimulatedCluster.ControllerHandle> running = new TreeMap<>();
+  /** The latest controller of each member; its process may have been killed. */
+  final Map<String, SimulatedCluster.ControllerHandle> controllers = new TreeMap<>();
 
-  /** The settings of the first member; those of the others differ in what is their own. */
+  /** The settings of the first member; the others' differ in names, zones, addresses and peers. */
   final Settings settings;
 
-  /** Says what there will be; nothing is started yet. */
+  /** Prepares addresses and settings; starts nothing. */
   SimulatedControllers(SimulatedNetwork network, Deployment deployment) {
     this.network = network;
     this.deployment = deployment;
@@ -37,21 +37,21 @@
       addresses.put("nodo-" + i, "10.0.0." + (i + 1) + ":8080");
     }
     int small = deployment.small();
-    int guaranteedToBlue = small * 8 / 3;
+    int azulGuaranteeCpus = small * 8 / 3;
     Map<String, Settings.Team> teams = new TreeMap<>();
     teams.put("roja", new Settings.Team("roja", small * 4, deployment.teamCap(), 2, 4));
-    teams.put("azul", new Settings.Team("azul", guaranteedToBlue, deployment.teamCap(), 0, 2));
+    teams.put("azul", new Settings.Team("azul", azulGuaranteeCpus, deployment.teamCap(), 0, 2));
     settings = settingsOf("nodo-0", teams);
   }
 
-  /** Starts all of them. */
+  /** Starts all controllers. */
   void startAll() {
     for (String member : addresses.keySet()) {
       network.name(addresses.get(member), member);
       network.name(peerAddressOf(member), member);
       network.setZone(member, zoneOf(member));
       if (deployment.production()) {
-        inProduction.add(member);
+        productionMembers.add(member);
       }
       start(member);
     }
@@ -65,7 +65,7 @@
     return Integer.parseInt(member.substring(member.lastIndexOf('-') + 1));
   }
 
-  /** The zone that a controller is in. */
+  /** The zone of a controller. */
   String zoneOf(String member) {
     List<String> zones = deployment.zones();
     return zones.get(indexOf(member) % zones.size());
@@ -91,44 +91,46 @@
         List.of(new Settings.Objective("wait", "servicio", 1, 0.9, 0)),
         new Settings.WorkerTiming(
             deployment.reportMs(), deployment.leaseMs(), deployment.cancelMs()),
-        deployment.next(),
+        deployment.announcedLimits(),
         new Settings.CloudLimits(5, 2_000),
         500);
   }
 
-  /** Starts a controller of the version that its member has at the moment. */
+  /** Starts a controller of the version that its member has now. */
   void start(String member) {
     SimulatedProcess process = new SimulatedProcess(network, member);
-    Settings own = settingsOf(member, settings.teams());
+    Settings memberSettings = settingsOf(member, settings.teams());
     SimulatedCluster.ControllerHandle controller =
-        inProduction.contains(member)
-            ? SimulatedCluster.productionControllerFactory.create(process, own, deployment.limits())
-            : SimulatedCluster.ControllerHandle.of(new Controller(process, own, Options.DEFAULTS));
+        productionMembers.contains(member)
+            ? SimulatedCluster.productionControllerFactory.create(
+                process, memberSettings, deployment.limits())
+            : SimulatedCluster.ControllerHandle.of(
+                new Controller(process, memberSettings, Options.DEFAULTS));
     process.listen(addresses.get(member), controller.api());
     process.listen(peerAddressOf(member), controller.peerService());
     processes.put(member, process);
-    running.put(member, controller);
+    controllers.put(member, controller);
     controller.start();
   }
 
-  /** True if none is of the version in production. */
-  boolean areAllNew() {
-    return inProduction.isEmpty();
+  /** True if no member has the version in production. */
+  boolean hasNoProductionMembers() {
+    return productionMembers.isEmpty();
   }
 
-  /** Ends a controller of the old version; the next one is of the new. */
+  /** Restarts a controller of the version in production as one of this version. */
   void upgrade(String member, long downMs) {
-    inProduction.remove(member);
+    productionMembers.remove(member);
     crash(member, downMs);
   }
 
-  /** Ends a controller; the next one is of the version in production. */
+  /** Restarts a controller as one of the version in production. */
   void downgrade(String member, long downMs) {
-    inProduction.add(member);
+    productionMembers.add(member);
     crash(member, downMs);
   }
 
-  /** Ends a controller; another process of the same member begins after so long. */
+  /** Kills a controller and starts a new process of the same member after {@code downMs}. */
   void crash(String member, long downMs) {
     processes.get(member).kill();
     SimulatedProcess dead = processes.get(member);
@@ -141,29 +143,29 @@
         });
   }
 
-  /** The member that leads, by its own account, or null. */
+  /** The first running member that considers itself the leader, or null. */
   String leader() {
-    for (Map.Entry<String, SimulatedCluster.ControllerHandle> e : running.entrySet()) {
-      if (processes.get(e.getKey()).alive && e.getValue().isLeading()) {
-        return e.getKey();
+    for (Map.Entry<String, SimulatedCluster.ControllerHandle> entry : controllers.entrySet()) {
+      if (processes.get(entry.getKey()).alive && entry.getValue().isLeading()) {
+        return entry.getKey();
       }
     }
     return null;
   }
 
-  /** The same, passing over one member. */
+  /** The first running member except {@code member} that considers itself the leader, or null. */
   String leaderOtherThan(String member) {
-    for (Map.Entry<String, SimulatedCluster.ControllerHandle> e : running.entrySet()) {
-      if (!e.getKey().equals(member)
-          && processes.get(e.getKey()).alive
-          && e.getValue().isLeading()) {
-        return e.getKey();
+    for (Map.Entry<String, SimulatedCluster.ControllerHandle> entry : controllers.entrySet()) {
+      if (!entry.getKey().equals(member)
+          && processes.get(entry.getKey()).alive
+          && entry.getValue().isLeading()) {
+        return entry.getKey();
       }
     }
     return null;
   }
 
-  /** A controller loses the state service and the other controllers, not its workers or users. */
+  /** Cuts a controller off from the state service and its peers, but not from workers and users. */
   void isolateFromPeersAndState(String member, long forMs) {
     network.cut(member, "state", forMs);
     addresses.keySet().stream()
@@ -171,7 +173,7 @@
         .forEach(m -> network.cut(member, m, forMs));
   }
 
-  /** No controller reaches another for so long. */
+  /** Cuts the links between all controllers for {@code forMs}. */
   void cutPeerLinks(long forMs) {
     List<String> members = List.copyOf(addresses.keySet());
     for (int i = 0; i < members.size(); i++) {
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -8,56 +8,65 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Simulated time, processes and a network that delays, loses, holds back and delivers late. */
+/**
+ * Simulated time and a network with faults: it delays, loses, holds, copies and cuts off messages.
+ * All events run on one thread, in the order of their simulated times.
+ */
 final class SimulatedNetwork {
   private final EventQueue events = new EventQueue();
   final Map<String, SimulatedProcess> byAddress = new HashMap<>();
   private final NetworkCuts cuts = new NetworkCuts(this);
-  private final List<HeldMessages> holds = new ArrayList<>();
+  private final List<HeldMessages> holdRules = new ArrayList<>();
 
-  /** What is copied at the moment. */
-  final List<RequestCopies> copies = new ArrayList<>();
+  /** The active rules for copying requests. */
+  final List<RequestCopies> copyRules = new ArrayList<>();
 
-  /** How many copies were delivered. */
+  /** Number of copies delivered. */
   int copiesDelivered;
 
-  /** How many requests or answers were delivered late on purpose. */
+  /** Number of held requests and answers that were delivered after all. */
   int deliveredLate;
 
   /** Observes the requests and answers of all processes. */
   interface TrafficObserver {
-    /** A process sends a request, which may never arrive. */
+    /** Called when a process sends a request, which may never arrive. */
     void onRequest(long nowMs, String from, String address, Call call);
 
-    /** A process has answered a request; the answer may never arrive. */
+    /** Called when a process answers a request; the answer may never arrive. */
     void onAnswer(long nowMs, String from, String address, Call call, Answer answer);
   }
 
-  /** Told of all traffic; null if nobody observes it. */
+  /** Observes all traffic; null if there is no observer. */
   TrafficObserver trafficObserver;
 
-  private final List<Runnable> afterEach = new ArrayList<>();
+  private final List<Runnable> checksAfterEvents = new ArrayList<>();
+
+  /** The main generator of random choices. */
   final SplittableRandom random;
+
+  /** Random choices about connections and copies. */
   final SplittableRandom connections;
 
-  /** Chance for troubles that few tests have: drawing here changes nothing for the others. */
+  /**
+   * Random choices for faults that few tests use, so that drawing them leaves other runs unchanged.
+   */
   final SplittableRandom faults;
 
-  /** Faults of single requests. */
+  /** Faults of single requests, by sender and recipient. */
   final RequestFaults requestFaults = new RequestFaults(this);
 
-  /** Share of the packets that are lost. */
+  /** Share of the packets that are lost on links that are not cut. */
   double loss = 0.002;
 
   /** Share of the packets that arrive 3 to 63 s late. */
   double late = 0.001;
 
-  /** Share of the requests of controllers to workers for which no socket is to be had. */
+  /** Share of the requests to workers that fail because no socket is free. */
   double unavailableSocketShare;
 
   private long now;
 
-  /** What handling one kind of event has cost in a process, in real time. */
+  /** Accumulated cost of handling one kind of event in a process: real time, ns, and allocation. */
   static final class Cost {
     long events;
     long nanos;
@@ -65,7 +74,7 @@
     long slowestNanos;
   }
 
-  /** Costs by process and kind of event, if they are to be measured; null otherwise. */
+  /** Costs by process and kind of event; null unless they are measured. */
   Map<String, Cost> costs;
 
   SimulatedNetwork(long seed) {
@@ -79,66 +88,71 @@
     return now;
   }
 
-  /** Runs a task at that time, or at once if it has passed. */
-  void at(long time, Runnable task) {
-    events.add(Math.max(now, time), task);
+  /** Schedules a task at a simulated time, ms, or now if that has passed. */
+  void at(long timeMs, Runnable task) {
+    events.add(Math.max(now, timeMs), task);
   }
 
-  /** Runs a task after so many milliseconds. */
-  void after(long delay, Runnable task) {
-    at(now + delay, task);
+  /** Schedules a task after a delay, ms. */
+  void after(long delayMs, Runnable task) {
+    at(now + delayMs, task);
   }
 
-  /** Called after each event: where the rules are checked. */
+  /** Adds a check that runs after each event. */
   void afterEach(Runnable check) {
-    afterEach.add(check);
+    checksAfterEvents.add(check);
   }
 
-  /** Runs all that happens until then. */
-  void runUntil(long time) {
-    while (events.nextMs() <= time) {
+  /** Runs all events up to and including a simulated time, ms. */
+  void runUntil(long timeMs) {
+    while (events.nextMs() <= timeMs) {
       now = events.nextMs();
       events.poll().run();
-      afterEach.forEach(Runnable::run);
+      checksAfterEvents.forEach(Runnable::run);
     }
-    now = time;
+    now = timeMs;
   }
 
   /**
-   * Requests that are delivered again later, their answers going nowhere.
+   * A rule for delivering requests again later; the answers to the copies are dropped.
    *
-   * @param path what the paths of such requests begin with
-   * @param share of those requests, each time anew: a copy may be copied again
+   * @param path prefix of the paths of these requests
+   * @param share share of these requests that is copied; a copy may be copied again
+   * @param leastMs shortest delay of a copy, ms
+   * @param mostMs longest delay of a copy, ms
    */
   record RequestCopies(String path, double share, long leastMs, long mostMs) {}
 
   /**
-   * Requests, or answers to them, that are held up and delivered when their senders have long given
-   * up.
+   * A rule for holding requests or answers and delivering them late, even after their senders have
+   * timed out.
    *
-   * @param path what the paths of such requests begin with
-   * @param answers true if the requests arrive at once and their answers are held up
-   * @param share of those requests
+   * @param path prefix of the paths of these requests
+   * @param answers true if answers are held, false if requests are
+   * @param share share of these messages that is held
+   * @param leastMs shortest delay, ms
+   * @param mostMs longest delay, ms
    */
   record HeldMessages(String path, boolean answers, double share, long leastMs, long mostMs) {}
 
-  /** For so long requests are copied. */
-  void copyRequests(RequestCopies what, long forMs) {
-    copies.add(what);
-    after(forMs, () -> copies.remove(what));
+  /** Copies requests by this rule for {@code forMs}. */
+  void copyRequests(RequestCopies rule, long forMs) {
+    copyRules.add(rule);
+    after(forMs, () -> copyRules.remove(rule));
   }
 
-  /** For so long requests or answers are held up. */
-  void holdMessages(HeldMessages what, long forMs) {
-    holds.add(what);
-    after(forMs, () -> holds.remove(what));
+  /** Holds requests or answers by this rule for {@code forMs}. */
+  void holdMessages(HeldMessages rule, long forMs) {
+    holdRules.add(rule);
+    after(forMs, () -> holdRules.remove(rule));
   }
 
+  /** Schedules a copy of a request for each active rule that matches and draws it. */
   void maybeCopy(String path, Runnable deliver) {
-    for (RequestCopies c : copies) {
-      if (path.startsWith(c.path) && connections.nextDouble() < c.share) {
+    for (RequestCopies rule : copyRules) {
+      if (path.startsWith(rule.path) && connections.nextDouble() < rule.share) {
         after(
-            c.leastMs + connections.nextLong(c.mostMs - c.leastMs + 1),
+            rule.leastMs + connections.nextLong(rule.mostMs - rule.leastMs + 1),
             () -> {
               copiesDelivered++;
               deliver.run();
@@ -149,18 +163,20 @@
   }
 
   /**
-   * Carries a packet of a request, or holds it up. What is held up belongs to a connection with the
-   * process that is there now: a later one at the same address never gets it.
+   * Carries a request or answer, or holds it. A held message belongs to a connection with the
+   * process that listens at the address now; a later process at the same address never gets it.
    */
   void carryOrHoldMessage(
-      String path, boolean answer, String from, String to, String address, Runnable deliver) {
-    for (HeldMessages h : holds) {
-      if (h.answers == answer && path.startsWith(h.path) && faults.nextDouble() < h.share) {
-        SimulatedProcess now = byAddress.get(address);
+      String path, boolean isAnswer, String from, String to, String address, Runnable deliver) {
+    for (HeldMessages rule : holdRules) {
+      if (rule.answers == isAnswer
+          && path.startsWith(rule.path)
+          && faults.nextDouble() < rule.share) {
+        SimulatedProcess listener = byAddress.get(address);
         after(
-            h.leastMs + faults.nextLong(h.mostMs - h.leastMs + 1),
+            rule.leastMs + faults.nextLong(rule.mostMs - rule.leastMs + 1),
             () -> {
-              if (now != null && byAddress.get(address) == now) {
+              if (listener != null && byAddress.get(address) == listener) {
                 deliveredLate++;
                 deliver.run();
               }
@@ -171,75 +187,81 @@
     carry(from, to, deliver);
   }
 
-  /** Which packets a cut-off zone loses. */
+  /** The direction of the packets that a cut-off zone loses. */
   enum CutDirection {
     BOTH,
-    /** Only those from the zone to elsewhere. */
+    /** Only packets that leave the zone. */
     OUT,
-    /** Only those into it. */
+    /** Only packets that enter the zone. */
     IN
   }
 
-  /** Cuts the network between two groups of names, given by prefixes, both ways. */
-  void cut(String a, String b, long forMs) {
-    cuts.cut(a, b, forMs);
+  /** Cuts the links between two groups of names, given by prefixes, in both directions. */
+  void cut(String prefixA, String prefixB, long forMs) {
+    cuts.cut(prefixA, prefixB, forMs);
   }
 
-  /** What one side says does not reach the other, for so long; what that one says does. */
+  /**
+   * Cuts the links from one group of names to another, given by prefixes, in that direction only.
+   */
   void cutOneWay(String from, String to, long forMs) {
     cuts.cutOneWay(from, to, forMs);
   }
 
-  /** Says in which zone something is; what is in none is reached from all zones not cut off. */
+  /**
+   * Assigns a name to a zone; names without a zone lose contact only with zones that are cut off.
+   */
   void setZone(String name, String zone) {
     cuts.setZone(name, zone);
   }
 
-  /** Cuts a zone off from all that is not in it; inside it everything goes on. */
+  /** Cuts a zone off from everything outside it; links inside the zone stay up. */
   void cutZone(String zone, long forMs) {
     cuts.cutZone(zone, forMs);
   }
 
-  /** The same for one way, or for a share of what is in the zone: always the same ones. */
-  void cutZone(String zone, long forMs, CutDirection way, double share) {
-    cuts.cutZone(zone, forMs, way, share);
+  /** Cuts a zone off in the given direction, for a share of its names, always the same ones. */
+  void cutZone(String zone, long forMs, CutDirection direction, double share) {
+    cuts.cutZone(zone, forMs, direction, share);
   }
 
-  /** Carries one packet; those on a cut link are mostly held back and delivered after it. */
+  /**
+   * Carries one packet; on a cut link, 70 % are held until the cut ends and the others are lost.
+   */
   void carry(String from, String to, Runnable deliver) {
-    String cut = cuts.between(from, to);
+    String cut = cuts.findCut(from, to);
     if (cut != null) {
       if (random.nextDouble() < 0.7) {
-        cuts.holdBack(cut, deliver);
+        cuts.holdPacket(cut, deliver);
       }
       return;
     }
-    double chance = random.nextDouble();
-    if (chance < loss) {
+    double draw = random.nextDouble();
+    if (draw < loss) {
       return;
     }
-    long delay = 1L + random.nextInt(4);
-    if (chance > 1 - late) {
-      delay = 3_000L + random.nextInt(60_000);
+    long delayMs = 1L + random.nextInt(4);
+    if (draw > 1 - late) {
+      delayMs = 3_000L + random.nextInt(60_000);
     }
-    after(delay + requestFaults.extraMs(from, to), deliver);
+    after(delayMs + requestFaults.extraMs(from, to), deliver);
   }
 
   /**
-   * Requests from those to those get no connection; what the others ask them, and the answers to
-   * it, pass.
+   * Blocks connections from one group of names to another, given by prefixes, for {@code forMs}.
+   * Requests in the other direction and their answers pass.
    */
   void blockRequests(String fromPrefix, String toPrefix, long forMs) {
     requestFaults.blockRequests(fromPrefix, toPrefix, forMs);
   }
 
-  /** Messages to and from those take so much longer. */
+  /** Delays messages to and from names with this prefix by {@code extraMs} for {@code forMs}. */
   void slowLinks(String prefix, long extraMs, long forMs) {
     requestFaults.slowLinks(prefix, extraMs, forMs);
   }
 
   /**
-   * Delivers a request now, its answer going nowhere.
+   * Delivers a request now and drops its answer.
    *
    * @return false if no process listens there
    */
@@ -253,11 +275,12 @@
 
   private final Map<String, String> names = new HashMap<>();
 
-  /** Gives an address its owner's name, for cuts; it stays when the process ends. */
+  /** Gives an address its owner's name, used for cuts; it remains after the process ends. */
   void name(String address, String owner) {
     names.put(address, owner);
   }
 
+  /** The name of an address's owner, or the address itself if it has no name. */
   String nameOf(String address) {
     return names.getOrDefault(address, address);
   }
--- a/src/main/java/fennelthread/simulation/SimulatedProcess.java
+++ b/src/main/java/fennelthread/simulation/SimulatedProcess.java
@@ -14,17 +14,20 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** One process on a machine of its own; a restart is a new process under the same name. */
+/**
+ * A simulated process with its own clocks, timers and random generator. A restart creates a new
+ * process under the same name.
+ */
 final class SimulatedProcess implements EventLoop {
-  private static final com.sun.management.ThreadMXBean MEMORY =
+  private static final com.sun.management.ThreadMXBean THREADS =
       (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
 
   private final SimulatedNetwork network;
   final String name;
   private final double drift;
-  private final long born;
+  private final long clockOriginMs;
   private final List<String> addresses = new ArrayList<>();
-  private final SplittableRandom own;
+  private final SplittableRandom random;
   private final Map<String, Service> services = new HashMap<>();
   boolean alive = true;
   private long pausedUntil;
@@ -33,8 +36,8 @@
     this.network = network;
     this.name = name;
     this.drift = network.random.nextDouble() * 0.0005;
-    this.born = network.now() - network.random.nextInt(100_000);
-    this.own = network.random.split();
+    this.clockOriginMs = network.now() - network.random.nextInt(100_000);
+    this.random = network.random.split();
   }
 
   void listen(String address, Service service) {
@@ -48,38 +51,38 @@
     addresses.forEach(a -> network.byAddress.remove(a, this));
   }
 
-  /** Nothing happens in the process until then; its clocks go on. */
+  /** Delays all events of the process for {@code forMs}; its clocks go on. */
   void pause(long forMs) {
     pausedUntil = Math.max(pausedUntil, network.now() + forMs);
   }
 
-  private void enter(String kind, Runnable task) {
+  private void runEvent(String kind, Runnable task) {
     if (!alive) {
       return;
     }
     if (network.now() < pausedUntil) {
-      network.at(pausedUntil, () -> enter(kind, task));
+      network.at(pausedUntil, () -> runEvent(kind, task));
       return;
     }
     if (network.costs == null) {
       task.run();
       return;
     }
-    long bytes = MEMORY.getCurrentThreadAllocatedBytes();
+    long bytes = THREADS.getCurrentThreadAllocatedBytes();
     long start = System.nanoTime();
     task.run();
     SimulatedNetwork.Cost cost =
         network.costs.computeIfAbsent(name + " " + kind, k -> new SimulatedNetwork.Cost());
     cost.events++;
-    long took = System.nanoTime() - start;
-    cost.nanos += took;
-    cost.slowestNanos = Math.max(cost.slowestNanos, took);
-    cost.bytes += MEMORY.getCurrentThreadAllocatedBytes() - bytes;
+    long durationNanos = System.nanoTime() - start;
+    cost.nanos += durationNanos;
+    cost.slowestNanos = Math.max(cost.slowestNanos, durationNanos);
+    cost.bytes += THREADS.getCurrentThreadAllocatedBytes() - bytes;
   }
 
   @Override
   public long nowMs() {
-    return (long) ((network.now() - born) * (1 + drift));
+    return (long) ((network.now() - clockOriginMs) * (1 + drift));
   }
 
   @Override
@@ -89,23 +92,23 @@
 
   @Override
   public Cancellable after(long delayMs, Runnable task) {
-    boolean[] off = new boolean[1];
+    boolean[] isCancelled = new boolean[1];
     network.after(
         Math.max(0, delayMs),
         () ->
-            enter(
+            runEvent(
                 "timer",
                 () -> {
-                  if (!off[0]) {
+                  if (!isCancelled[0]) {
                     task.run();
                   }
                 }));
-    return () -> off[0] = true;
+    return () -> isCancelled[0] = true;
   }
 
   @Override
   public RandomGenerator random() {
-    return own;
+    return random;
   }
 
   @Override
@@ -114,16 +117,16 @@
     if (network.trafficObserver != null) {
       network.trafficObserver.onRequest(network.now(), name, address, call);
     }
-    network.requestFaults.sent(name, network.nameOf(address), call);
+    network.requestFaults.notifySent(name, network.nameOf(address), call);
     if (failsToConnect(address, timeoutMs, unsent)) {
       return;
     }
-    boolean[] over = new boolean[1];
+    boolean[] isOver = new boolean[1];
     after(
         timeoutMs,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!isOver[0]) {
+            isOver[0] = true;
             done.accept(null);
           }
         });
@@ -133,14 +136,14 @@
       deliverLate(address, call, holdMs);
       return;
     }
-    send(address, call, over, done);
+    send(address, call, isOver, done);
   }
 
-  /** Draws whether a connection can be had; if not, reports the request as unsent later. */
+  /** Determines whether the connection fails; if so, schedules the report of an unsent request. */
   private boolean failsToConnect(String address, long timeoutMs, Unsent unsent) {
     if (network.requestFaults.blocksConnection(name, network.nameOf(address))) {
-      long giveUpMs = network.faults.nextBoolean() ? 1 : timeoutMs;
-      after(giveUpMs, () -> unsent.over(true));
+      long reportDelayMs = network.faults.nextBoolean() ? 1 : timeoutMs;
+      after(reportDelayMs, () -> unsent.over(true));
       return true;
     }
     if (network.unavailableSocketShare > 0
@@ -150,28 +153,29 @@
       return true;
     }
     if (network.connections.nextDouble() < network.loss) {
-      // No socket was free, or the connection attempt was given up.
-      boolean tried = network.connections.nextBoolean();
-      after(timeoutMs, () -> unsent.over(tried));
+      // No socket was free, or the connection attempt timed out.
+      boolean wasTried = network.connections.nextBoolean();
+      after(timeoutMs, () -> unsent.over(wasTried));
       return true;
     }
     return false;
   }
 
-  private void send(String address, Call call, boolean[] over, Consumer<Answer> done) {
-    String to = network.nameOf(address);
+  private void send(String address, Call call, boolean[] isOver, Consumer<Answer> done) {
+    String recipient = network.nameOf(address);
     network.carryOrHoldMessage(
         call.path(),
         false,
         name,
-        to,
+        recipient,
         address,
         () -> {
           SimulatedProcess target = network.byAddress.get(address);
           if (target == null) {
             if (network.random.nextBoolean()) {
-              // Refused; the other half of the time, a machine without power stays silent.
-              enter("answer", () -> finish(over, done, null));
+              // The connection is refused; in the other half of the cases the host does not answer
+              // at all.
+              runEvent("answer", () -> completeCall(isOver, done, null));
             }
             return;
           }
@@ -183,14 +187,16 @@
                   network.carryOrHoldMessage(
                       call.path(),
                       true,
-                      to,
+                      recipient,
                       name,
                       address,
-                      () -> enter("answer", () -> finish(over, done, received(answer, call)))));
+                      () ->
+                          runEvent(
+                              "answer", () -> completeCall(isOver, done, received(answer, call)))));
         });
   }
 
-  /** Delivers a request to the process that listens there now, unanswered, if it still does. */
+  /** Delivers a request late and unanswered, if the same process still listens at the address. */
   private void deliverLate(String address, Call call, long holdMs) {
     SimulatedProcess target = network.byAddress.get(address);
     network.after(
@@ -204,7 +210,7 @@
   }
 
   void serve(String from, String address, Call call, Consumer<Answer> reply) {
-    enter(
+    runEvent(
         call.path(),
         () -> {
           caller = from;
@@ -221,7 +227,7 @@
         });
   }
 
-  /** What lives on its heap, as a share; garbage is never made. */
+  /** Live share of the heap; garbage is not simulated. */
   double liveHeapShare = 0.3;
 
   @Override
@@ -242,7 +248,7 @@
     };
   }
 
-  /** Who sent the request that is being handled, for emulators that treat callers differently. */
+  /** Name of the sender of the request being handled, for emulators that distinguish callers. */
   String caller = "";
 
   private static Answer received(Answer answer, Call call) {
@@ -256,9 +262,9 @@
             answer.afterwards());
   }
 
-  private static void finish(boolean[] over, Consumer<Answer> done, Answer answer) {
-    if (!over[0]) {
-      over[0] = true;
+  private static void completeCall(boolean[] isOver, Consumer<Answer> done, Answer answer) {
+    if (!isOver[0]) {
+      isOver[0] = true;
       done.accept(answer);
     }
   }
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The users: they submit jobs, ask about them and cancel some, and the checker hears it all. */
+/** Emulates users who submit, query and cancel jobs; the invariant checker sees every answer. */
 final class SimulatedUsers {
   private static final String JOBS_PATH = "/v1/jobs";
 
@@ -20,15 +20,15 @@
   private final InvariantChecker checker;
   private final SimulatedProcess process;
   private final Map<String, String> addresses;
-  private final List<Consumer<String>> onNewStatus = new ArrayList<>();
+  private final List<Consumer<String>> statusListeners = new ArrayList<>();
 
-  /** The jobs that were submitted, invalid ones apart. */
+  /** The submitted jobs, without the invalid ones of {@link #submitAt}. */
   final List<JobSpec> jobs = new ArrayList<>();
 
   /**
-   * Creates them.
+   * Creates users that run in one process.
    *
-   * @param addresses the controllers' addresses, by member
+   * @param addresses the controllers' API addresses, by member name
    */
   SimulatedUsers(
       SimulatedNetwork network,
@@ -41,37 +41,40 @@
     this.addresses = addresses;
   }
 
-  /** A user submits a job until it is accepted, and asks about it for ever. */
+  /**
+   * Submits a job, retrying up to {@link SimulationConstants#MAX_SUBMISSION_RETRIES} times until it
+   * is accepted, and then asks about it until the run ends.
+   */
   void submit(JobSpec spec) {
-    note(spec);
+    recordSubmission(spec);
     submit(spec, SimulationConstants.MAX_SUBMISSION_RETRIES);
   }
 
-  /** The same by a user who submits once and never asks. */
+  /** Submits a job once and never asks about it. */
   void submitOnce(JobSpec spec) {
-    note(spec);
-    ask(
+    recordSubmission(spec);
+    send(
         anyAddress(),
-        submission(spec.write()),
+        submissionCall(spec.write()),
         spec.id(),
         SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {});
   }
 
-  private void note(JobSpec spec) {
+  private void recordSubmission(JobSpec spec) {
     checker.recordSubmission(spec);
     jobs.add(spec);
   }
 
   private void submit(JobSpec spec, int triesLeft) {
-    ask(
+    send(
         anyAddress(),
-        submission(spec.write()),
+        submissionCall(spec.write()),
         spec.id(),
         SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
-          if (isGranted(answer)) {
-            poll(spec.id());
+          if (isSuccess(answer)) {
+            scheduleQuery(spec.id());
           } else if (triesLeft > 0) {
             network.after(
                 SimulationConstants.USER_RETRY_DELAY_MS, () -> submit(spec, triesLeft - 1));
@@ -79,58 +82,58 @@
         });
   }
 
-  private void poll(String id) {
-    // Of one that is over users ask again now and then, for ever.
+  private void scheduleQuery(String id) {
+    // Users go on asking about a job that is over, less often.
     network.after(
         checker.isOver(id)
             ? 5_000 + network.random.nextInt(20_000)
             : 2_000 + network.random.nextInt(3_000),
         () -> {
           checker.recordQuery(id);
-          question(id);
+          queryJob(id);
         });
   }
 
-  private void question(String id) {
-    ask(
+  private void queryJob(String id) {
+    send(
         anyAddress(),
-        questionAbout(id),
+        queryCall(id),
         id,
         SimulationConstants.POLL_TIMEOUT_MS,
         answer -> {
-          if (isGranted(answer)) {
-            poll(id);
+          if (isSuccess(answer)) {
+            scheduleQuery(id);
           } else {
-            network.after(SimulationConstants.USER_RETRY_DELAY_MS, () -> question(id));
+            network.after(SimulationConstants.USER_RETRY_DELAY_MS, () -> queryJob(id));
           }
         });
   }
 
-  /** A user asks some controller to cancel a job until it is answered. */
+  /** Asks random controllers to cancel a job until one of them confirms it. */
   void cancel(String id) {
     checker.recordCancelRequest(id);
-    ask(
+    send(
         anyAddress(),
-        cancellationOf(id),
+        cancellationCall(id),
         id,
         SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
-          if (!isGranted(answer)) {
+          if (!isSuccess(answer)) {
             network.after(SimulationConstants.USER_RETRY_DELAY_MS, () -> cancel(id));
           }
         });
   }
 
-  /** A user asks one controller to cancel a job, as often as it takes or its user has patience. */
+  /** Asks one controller to cancel a job until it confirms it, at most {@code tries} times. */
   void cancelThrough(String member, String id, int tries) {
     checker.recordCancelRequest(id);
-    ask(
+    send(
         addresses.get(member),
-        cancellationOf(id),
+        cancellationCall(id),
         id,
         SimulationConstants.SUBMIT_TIMEOUT_MS,
         answer -> {
-          if (!isGranted(answer) && tries > 1) {
+          if (!isSuccess(answer) && tries > 1) {
             network.after(
                 SimulationConstants.USER_RETRY_DELAY_MS,
                 () -> cancelThrough(member, id, tries - 1));
@@ -138,41 +141,51 @@
         });
   }
 
-  /** A user asks one controller about a job, once; {@code then} gets the answer, or null. */
+  /** Asks one controller about a job once; {@code then} gets the answer, or null. */
   void askAt(String member, String id, Consumer<Answer> then) {
-    ask(addresses.get(member), questionAbout(id), id, SimulationConstants.POLL_TIMEOUT_MS, then);
+    send(addresses.get(member), queryCall(id), id, SimulationConstants.POLL_TIMEOUT_MS, then);
   }
 
-  /** A user submits a body to one controller, once; {@code then} gets the answer, or null. */
+  /** Submits a body to one controller once; {@code then} gets the answer, or null. */
   void submitAt(String member, String id, Fields body, Consumer<Answer> then) {
-    ask(addresses.get(member), submission(body), id, SimulationConstants.SUBMIT_TIMEOUT_MS, then);
+    send(
+        addresses.get(member),
+        submissionCall(body),
+        id,
+        SimulationConstants.SUBMIT_TIMEOUT_MS,
+        then);
   }
 
-  /** A user asks one controller to cancel a job, once; {@code then} gets the answer, or null. */
+  /** Asks one controller once to cancel a job; {@code then} gets the answer, or null. */
   void cancelAt(String member, String id, Consumer<Answer> then) {
-    ask(addresses.get(member), cancellationOf(id), id, SimulationConstants.SUBMIT_TIMEOUT_MS, then);
+    send(
+        addresses.get(member),
+        cancellationCall(id),
+        id,
+        SimulationConstants.SUBMIT_TIMEOUT_MS,
+        then);
   }
 
-  /** A user asks about a job that nobody has submitted. */
+  /** Asks a random controller about a job that nobody has submitted. */
   void askUnknown() {
     String id = "job-9" + network.random.nextInt(100_000);
-    ask(anyAddress(), questionAbout(id), id, SimulationConstants.POLL_TIMEOUT_MS, answer -> {});
+    send(anyAddress(), queryCall(id), id, SimulationConstants.POLL_TIMEOUT_MS, answer -> {});
   }
 
-  /** Calls a listener with a job's id when a user is first told that it is accepted or over. */
+  /** Adds a listener that gets a job's id when a user is first told that it is accepted or over. */
   void onNewStatus(Consumer<String> listener) {
-    onNewStatus.add(listener);
+    statusListeners.add(listener);
   }
 
-  private static Call submission(Fields body) {
+  private static Call submissionCall(Fields body) {
     return Call.post(JOBS_PATH, Codec.CBOR, body);
   }
 
-  private static Call questionAbout(String id) {
+  private static Call queryCall(String id) {
     return Call.get(JOBS_PATH + "/" + id);
   }
 
-  private static Call cancellationOf(String id) {
+  private static Call cancellationCall(String id) {
     return new Call("POST", JOBS_PATH + "/" + id + "/withdraw", new byte[0], Codec.CBOR);
   }
 
@@ -181,41 +194,41 @@
     return all.get(network.random.nextInt(all.size()));
   }
 
-  /** Sends a request; the checker hears the answer before {@code then} does. */
-  private void ask(String to, Call call, String id, long timeoutMs, Consumer<Answer> then) {
+  /** Sends a request; the checker gets the answer before {@code then} does. */
+  private void send(String address, Call call, String id, long timeoutMs, Consumer<Answer> then) {
     InvariantChecker.UserKnowledge before = checker.userKnowledge(id);
     process.call(
-        to,
+        address,
         call,
         timeoutMs,
         answer -> {
-          hear(id, answer, before);
+          checkAnswer(id, answer, before);
           then.accept(answer);
         });
   }
 
-  private void hear(String id, Answer answer, InvariantChecker.UserKnowledge before) {
+  private void checkAnswer(String id, Answer answer, InvariantChecker.UserKnowledge before) {
     if (answer == null) {
       return;
     }
-    if (!isGranted(answer)) {
+    if (!isSuccess(answer)) {
       checker.recordRefusal(id, answer.status(), before);
       return;
     }
     try {
       Fields body = answer.fields();
-      InvariantChecker.UserKnowledge until = checker.userKnowledge(id);
+      InvariantChecker.UserKnowledge previous = checker.userKnowledge(id);
       checker.recordAnswer(
           id, body.text("estado"), body.count("done", SimulationConstants.NO_COUNT), before);
-      if (checker.userKnowledge(id).isNewsAfter(until)) {
-        onNewStatus.forEach(listener -> listener.accept(id));
+      if (checker.userKnowledge(id).isNewsAfter(previous)) {
+        statusListeners.forEach(listener -> listener.accept(id));
       }
     } catch (WireException e) {
       throw new AssertionError("an answer to a user can't be read", e);
     }
   }
 
-  private static boolean isGranted(Answer answer) {
+  private static boolean isSuccess(Answer answer) {
     return answer != null && (answer.status() == 200 || answer.status() == 201);
   }
 }
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -7,6 +7,7 @@
 import fennelthread.wire.Codec;
 import fennelthread.wire.Fields;
 import fennelthread.wire.WireException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,8 +19,12 @@
 import java.util.function.BiConsumer;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
+import java.util.function.ToLongBiFunction;
 
-/** The state service as its protocol describes it. */
+/**
+ * Emulates the state service: keys with revisions, compare-and-swap transactions, watches, and
+ * leases (called grants in its protocol), with rate and size limits and injected faults.
+ */
 final class StateEmulator implements Service {
   private static final String EXTEND = "/extend";
 
@@ -28,14 +33,14 @@
   private record Change(long revision, String key, Fields value) {}
 
   private static final class Watch {
-    final String by;
+    final String caller;
     final String prefix;
     final long since;
     final Consumer<Answer> reply;
-    boolean over;
+    boolean answered;
 
-    Watch(String by, String prefix, long since, Consumer<Answer> reply) {
-      this.by = by;
+    Watch(String caller, String prefix, long since, Consumer<Answer> reply) {
+      this.caller = caller;
       this.prefix = prefix;
       this.since = since;
       this.reply = reply;
@@ -43,120 +48,123 @@
   }
 
   private static final class Grant {
-    final long ttl;
-    long until;
+    final long ttlMs;
+    long untilMs;
 
-    Grant(long ttl, long until) {
-      this.ttl = ttl;
-      this.until = until;
+    Grant(long ttlMs, long untilMs) {
+      this.ttlMs = ttlMs;
+      this.untilMs = untilMs;
     }
   }
 
-  private final SimulatedNetwork world;
+  private final SimulatedNetwork network;
   private final SimulatedProcess process;
   private Settings.StateLimits limits;
   private final RateLimiter limiter = new RateLimiter();
 
-  /** Requests that were above a limit. */
+  /** Number of requests refused by the rate limits. */
   int refusedAsTooMany;
 
-  /** Hands each stored key and its value to a consumer, in the order of the keys. */
+  /** Passes each stored key and its value to a consumer, in key order. */
   void forEachStored(BiConsumer<String, Fields> consumer) {
     items.forEach((key, item) -> consumer.accept(key, item.value()));
   }
 
-  /** Puts and deletes that counted against the limit. */
+  /** Number of puts and deletes charged to the write rate limit. */
   long changes;
 
-  /** How often a leader's key was written over before its grant had ended. */
+  /**
+   * Number of times that a leader's key was overwritten under a new grant before its grant ended.
+   */
   int takeovers;
 
-  /** Transactions that were too large. */
+  /** Number of transactions refused because of their size. */
   int refusedAsTooLarge;
 
   private final TreeMap<String, Item> items = new TreeMap<>();
   private final Map<Long, Grant> grants = new HashMap<>();
-  private final List<Change> log = new ArrayList<>();
+  private final List<Change> changeLog = new ArrayList<>();
   private final List<Watch> watches = new ArrayList<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> refusedCallers = new HashSet<>();
   private long revision;
   private long nextGrant = 1;
-  private boolean down;
+  private boolean isDown;
 
-  /** Called with each key that a transaction writes, right after it was applied. */
+  /** Listeners that get each key that a transaction puts, right after the put is applied. */
   final List<Consumer<String>> onWrite = new ArrayList<>();
 
   private final TransactionAnswers answers;
 
-  /** Transactions that were carried out while their answers were lost. */
+  /** Number of executed transactions whose answers were lost. */
   int answersLost;
 
-  StateEmulator(SimulatedNetwork world, SimulatedProcess process, Settings.StateLimits limits) {
-    this.world = world;
-    this.answers = new TransactionAnswers(world, () -> answersLost++);
+  StateEmulator(SimulatedNetwork network, SimulatedProcess process, Settings.StateLimits limits) {
+    this.network = network;
+    this.answers = new TransactionAnswers(network, () -> answersLost++);
     this.process = process;
     this.limits = limits;
-    expire();
+    expireGrants();
   }
 
-  /** From now on other limits hold; what is stored stays readable. */
+  /** Replaces the limits; values already stored stay readable whatever their size. */
   void setLimits(Settings.StateLimits next) {
     limits = next;
   }
 
+  /** Refuses all requests for {@code forMs}; all grants are renewed when the outage ends. */
   void outage(long forMs) {
-    down = true;
-    world.after(
+    isDown = true;
+    network.after(
         forMs,
         () -> {
-          down = false;
-          grants.values().forEach(g -> g.until = world.now() + g.ttl);
+          isDown = false;
+          grants.values().forEach(grant -> grant.untilMs = network.now() + grant.ttlMs);
           serveWatches();
         });
   }
 
-  private double lateShare;
+  private double delayedShare;
 
-  /** Transactions that got no answer and were carried out late. */
+  /** Number of transactions that were executed late and never answered. */
   int appliedLate;
 
-  /** For so long a share of the transactions gets no answer and is carried out 2 to 12 s later. */
+  /** For {@code forMs}, executes a share of the transactions 2 to 12 s late, without an answer. */
   void delayTransactions(double share, long forMs) {
-    lateShare = share;
-    world.after(forMs, () -> lateShare = 0);
+    delayedShare = share;
+    network.after(forMs, () -> delayedShare = 0);
   }
 
-  /** For so long that share of the transactions is carried out at once, and its answer is lost. */
+  /** For {@code forMs}, executes a share of the transactions at once and loses their answers. */
   void loseAnswers(double share, long forMs) {
     answers.lose(share, forMs);
   }
 
   /**
-   * The next {@code times} transactions that match are applied at once, and their answers are lost.
+   * Loses the answers of the next {@code times} matching transactions, which are applied at once.
    *
-   * @param which tests the caller's name and the body, decoded as ISO-8859-1
+   * @param matches tests the caller's name and the body, decoded as ISO-8859-1
    */
-  void loseNextAnswers(BiPredicate<String, String> which, int times) {
-    answers.loseNext(which, times);
+  void loseNextAnswers(BiPredicate<String, String> matches, int times) {
+    answers.loseNext(matches, times);
   }
 
-  /** For so long every request is answered so much later. */
+  /** Delays every answer by {@code extraMs} for {@code forMs}. */
   void delayAnswers(long extraMs, long forMs) {
     answers.delay(extraMs, forMs);
   }
 
-  /** Refuses one caller for so long. */
+  /** Refuses all requests of one caller with status 503 for {@code forMs}. */
   void refuseCaller(String member, long forMs) {
-    refused.add(member);
-    world.after(
+    refusedCallers.add(member);
+    network.after(
         forMs,
         () -> {
-          refused.remove(member);
+          refusedCallers.remove(member);
           serveWatches();
         });
   }
 
-  /** How many keys there are with this prefix. */
+  /** Number of keys with this prefix. */
   int countKeys(String prefix) {
     return items.subMap(prefix, prefix + '\uffff').size();
   }
@@ -166,74 +174,73 @@
     return items.subMap(prefix, prefix + '\uffff').values().stream().map(Item::value).toList();
   }
 
-  /** The epoch that was claimed last. */
+  /** The latest claimed leader epoch. */
   long claimedEpoch() throws WireException {
     return items.get("live/epoch").value.count("epoch");
   }
 
-  private void expire() {
-    if (!down) {
+  private void expireGrants() {
+    if (!isDown) {
       for (Long id : List.copyOf(grants.keySet())) {
-        if (world.now() > grants.get(id).until) {
-          end(id);
+        if (network.now() > grants.get(id).untilMs) {
+          endGrant(id);
         }
       }
     }
-    world.after(20, this::expire);
+    network.after(20, this::expireGrants);
   }
 
-  private void end(long id) {
+  private void endGrant(long id) {
     grants.remove(id);
-    List<String> gone = new ArrayList<>();
+    List<String> removedKeys = new ArrayList<>();
     items.forEach(
         (key, item) -> {
           if (item.grant == id) {
-            gone.add(key);
+            removedKeys.add(key);
           }
         });
-    if (!gone.isEmpty()) {
+    if (!removedKeys.isEmpty()) {
       revision++;
-      for (String key : gone) {
+      for (String key : removedKeys) {
         items.remove(key);
-        log.add(new Change(revision, key, null));
+        changeLog.add(new Change(revision, key, null));
       }
       serveWatches();
     }
   }
 
-  /** Holds a transaction back in the network for so many milliseconds. */
-  java.util.function.ToLongBiFunction<String, String> transactionDelayMs = (caller, body) -> 0;
+  /** Extra delay of a transaction in the network, ms, by caller and body (ISO-8859-1). */
+  ToLongBiFunction<String, String> transactionDelayMs = (caller, body) -> 0;
 
-  /** Whose request is being handled. */
+  /** Name of the process whose request is being handled. */
   String caller() {
     return process.caller;
   }
 
   @Override
-  public void handle(Request request, Consumer<Answer> caller) {
-    Consumer<Answer> reply = answers.through(process.caller, request, caller);
+  public void handle(Request request, Consumer<Answer> replyTo) {
+    Consumer<Answer> reply = answers.wrapReply(process.caller, request, replyTo);
     if (request.path().equals("/multi")) {
-      long hold =
+      long holdMs =
           transactionDelayMs.applyAsLong(
-              process.caller,
-              new String(request.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
-      if (hold > 0) {
-        later(hold, request, reply);
+              process.caller, new String(request.body(), StandardCharsets.ISO_8859_1));
+      if (holdMs > 0) {
+        executeLater(holdMs, request, reply);
         return;
       }
-      if (lateShare > 0 && world.faults.nextDouble() < lateShare) {
-        // No answer ever, and carried out after newer ones of the same controller.
+      if (delayedShare > 0 && network.faults.nextDouble() < delayedShare) {
+        // Executed after newer transactions of the same controller, and never answered.
         appliedLate++;
-        later(2_000 + world.faults.nextInt(10_000), request, answer -> {});
+        executeLater(2_000 + network.faults.nextInt(10_000), request, answer -> {});
         return;
       }
     }
     serve(request, reply);
   }
 
-  private void later(long ms, Request request, Consumer<Answer> reply) {
+  private void executeLater(long ms, Request request, Consumer<Answer> reply) {
     String caller = process.caller;
-    world.after(
+    network.after(
         ms,
         () -> {
           process.caller = caller;
@@ -242,11 +249,11 @@
   }
 
   private void serve(Request request, Consumer<Answer> reply) {
-    if (down || refused.contains(process.caller)) {
+    if (isDown || refusedCallers.contains(process.caller)) {
       reply.accept(Answer.error(503, "trouble"));
       return;
     }
-    limiter.refill(world.now(), limits);
+    limiter.refill(network.now(), limits);
     if (!limiter.takeRequest()) {
       refusedAsTooMany++;
       reply.accept(Answer.error(429, "too many requests"));
@@ -264,39 +271,40 @@
     if (path.startsWith("/keys/")) {
       get(path.substring("/keys/".length()), reply);
     } else if (path.startsWith("/keys?")) {
-      list(query(path), reply);
+      list(parseQuery(path), reply);
     } else if (path.startsWith("/watch?")) {
-      watch(query(path), reply);
+      addWatch(parseQuery(path), reply);
     } else if (path.equals("/multi")) {
-      multi(Codec.CBOR.decode(request.body()), reply);
+      transact(Codec.CBOR.decode(request.body()), reply);
     } else if (path.equals("/grants")) {
-      long ttl = Codec.CBOR.decode(request.body()).count("ttl_ms");
-      grants.put(nextGrant, new Grant(ttl, world.now() + ttl));
+      long ttlMs = Codec.CBOR.decode(request.body()).count("ttl_ms");
+      grants.put(nextGrant, new Grant(ttlMs, network.now() + ttlMs));
       reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("permiso", nextGrant++)));
     } else if (path.startsWith("/grants/")) {
-      extendOrRevoke(path.substring("/grants/".length()), reply);
+      extendOrRevokeGrant(path.substring("/grants/".length()), reply);
     } else {
       reply.accept(Answer.error(404, "path"));
     }
   }
 
-  private void extendOrRevoke(String rest, Consumer<Answer> reply) {
-    boolean extend = rest.endsWith(EXTEND);
-    long id = Long.parseLong(extend ? rest.substring(0, rest.length() - EXTEND.length()) : rest);
+  private void extendOrRevokeGrant(String rest, Consumer<Answer> reply) {
+    boolean isExtension = rest.endsWith(EXTEND);
+    long id =
+        Long.parseLong(isExtension ? rest.substring(0, rest.length() - EXTEND.length()) : rest);
     Grant grant = grants.get(id);
     if (grant == null) {
       reply.accept(Answer.error(404, "no such lease"));
       return;
     }
-    if (extend) {
-      grant.until = world.now() + grant.ttl;
+    if (isExtension) {
+      grant.untilMs = network.now() + grant.ttlMs;
     } else {
-      end(id);
+      endGrant(id);
     }
     reply.accept(Answer.of(200, Codec.CBOR, Fields.create().with("permiso", id)));
   }
 
-  private static Map<String, String> query(String path) {
+  private static Map<String, String> parseQuery(String path) {
     Map<String, String> query = new HashMap<>();
     for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       int eq = part.indexOf('=');
@@ -325,12 +333,12 @@
   private void list(Map<String, String> query, Consumer<Answer> reply) {
     String prefix = query.get("under");
     String since = query.getOrDefault("since", "");
-    int most = Integer.parseInt(query.getOrDefault("most", "1000"));
+    int maxItems = Integer.parseInt(query.getOrDefault("most", "1000"));
     List<Object> found = new ArrayList<>();
     boolean more = false;
     for (Map.Entry<String, Item> e : items.entrySet()) {
       if (e.getKey().startsWith(prefix) && e.getKey().compareTo(since) > 0) {
-        if (found.size() == most) {
+        if (found.size() == maxItems) {
           more = true;
           break;
         }
@@ -349,7 +357,7 @@
             Fields.create().with("items", found).with("more", more).with("asiento", revision)));
   }
 
-  private void multi(Fields body, Consumer<Answer> reply) throws WireException {
+  private void transact(Fields body, Consumer<Answer> reply) throws WireException {
     List<Fields> when = body.maps("when");
     List<Fields> then = body.maps("then");
     if (then.size() > limits.txnOps() || when.size() > limits.txnOps() * 4) {
@@ -377,7 +385,7 @@
     serveWatches();
   }
 
-  /** Refuses changes that the protocol does not allow, whatever is stored. */
+  /** Refuses changes that the protocol forbids regardless of the stored keys. */
   private void checkChanges(List<Fields> then) throws WireException {
     Set<String> touched = new LinkedHashSet<>();
     for (Fields f : then) {
@@ -412,41 +420,41 @@
       if (f.has("write")) {
         takeovers += f.has("permiso") && items.containsKey(f.text("write")) ? 1 : 0;
         items.put(f.text("write"), new Item(f.inner("v"), revision, f.count("permiso", 0)));
-        log.add(new Change(revision, f.text("write"), f.inner("v")));
+        changeLog.add(new Change(revision, f.text("write"), f.inner("v")));
         for (Consumer<String> c : onWrite) {
           c.accept(f.text("write"));
         }
       } else if (items.remove(f.text("remove")) != null) {
-        log.add(new Change(revision, f.text("remove"), null));
+        changeLog.add(new Change(revision, f.text("remove"), null));
       }
     }
   }
 
-  private void watch(Map<String, String> query, Consumer<Answer> reply) {
+  private void addWatch(Map<String, String> query, Consumer<Answer> reply) {
     long since = Long.parseLong(query.get("since"));
-    if (log.size() > 10_000 && log.get(log.size() - 10_000).revision > since) {
+    if (changeLog.size() > 10_000 && changeLog.get(changeLog.size() - 10_000).revision > since) {
       reply.accept(Answer.error(410, "too old"));
       return;
     }
     Watch watch = new Watch(process.caller, query.get("under"), since, reply);
     watches.add(watch);
-    world.after(Long.parseLong(query.get("hold_ms")), () -> answer(watch, true));
+    network.after(Long.parseLong(query.get("hold_ms")), () -> answerWatch(watch, true));
     serveWatches();
   }
 
   private void serveWatches() {
-    if (!down) {
-      List.copyOf(watches).forEach(w -> answer(w, false));
+    if (!isDown) {
+      List.copyOf(watches).forEach(w -> answerWatch(w, false));
     }
   }
 
-  private void answer(Watch watch, boolean timeIsUp) {
-    if (watch.over || down || refused.contains(watch.by)) {
+  private void answerWatch(Watch watch, boolean isTimedOut) {
+    if (watch.answered || isDown || refusedCallers.contains(watch.caller)) {
       return;
     }
     List<Object> changes = new ArrayList<>();
-    for (int i = log.size() - 1; i >= 0 && log.get(i).revision > watch.since; i--) {
-      Change c = log.get(i);
+    for (int i = changeLog.size() - 1; i >= 0 && changeLog.get(i).revision > watch.since; i--) {
+      Change c = changeLog.get(i);
       if (c.key.startsWith(watch.prefix)) {
         Fields f = Fields.create().with(c.value == null ? "remove" : "write", c.key);
         if (c.value != null) {
@@ -455,10 +463,10 @@
         changes.add(0, f.with("edicion", c.revision).map());
       }
     }
-    if (changes.isEmpty() && !timeIsUp) {
+    if (changes.isEmpty() && !isTimedOut) {
       return;
     }
-    watch.over = true;
+    watch.answered = true;
     watches.remove(watch);
     watch.reply.accept(
         Answer.of(200, Codec.CBOR, Fields.create().with("asiento", revision).with("log", changes)));
--- a/src/main/java/fennelthread/simulation/StateInvariants.java
+++ b/src/main/java/fennelthread/simulation/StateInvariants.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What must hold of the stored keys, checked at each write. */
+/** Invariants of the keys in the state service, checked at each write. */
 final class StateInvariants {
   private static final String START_RECORDS = "live/round/";
   private static final String FINISHED_TASKS = "live/finished/";
@@ -16,7 +16,7 @@
   private final StateEmulator state;
   private final Map<String, BitSet> finishedTasks = new HashMap<>();
 
-  /** Checks every write of a state service from now on. */
+  /** Registers the checks with a state service; every later write is checked. */
   StateInvariants(SimulatedNetwork network, StateEmulator state) {
     this.network = network;
     this.state = state;
@@ -24,7 +24,10 @@
     state.onWrite.add(this::checkFinished);
   }
 
-  /** Only the state service knows: a start record of an older epoch than the one claimed last. */
+  /**
+   * Fails if a start record is written under an older epoch than the latest claimed one. Only the
+   * state service can see such a write, which comes from a former leader and must be fenced off.
+   */
   private void checkFence(String key) {
     try {
       if (key.startsWith(START_RECORDS)
@@ -37,7 +40,7 @@
     }
   }
 
-  /** Only the state service knows: a record of finished tasks that has lost some. */
+  /** Fails if a record of finished tasks loses a task that an earlier version of it held. */
   private void checkFinished(String key) {
     if (!key.startsWith(FINISHED_TASKS)) {
       return;
--- a/src/main/java/fennelthread/simulation/TaskPresence.java
+++ b/src/main/java/fennelthread/simulation/TaskPresence.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which tasks are on which machines, what they take there, and which have completed. */
+/** The tasks on each machine, the resources that they use there, and the completed tasks. */
 final class TaskPresence {
 
-  /** An amount of what machines have. */
+  /** An amount of CPUs, accelerator cards and memory. */
   static final class Amount {
     double cpus;
     double cards;
@@ -32,7 +32,7 @@
   private final Map<WorkerEmulator, Amount> machines = new HashMap<>();
   private final Map<String, Map<String, Integer>> zones = new HashMap<>();
 
-  /** Puts a task on a machine; gives the machine that it was on until now, or null. */
+  /** Adds a task to a machine; returns the machine that it is still on, or null. */
   WorkerEmulator add(WorkerEmulator machine, JobSpec spec, int index) {
     WorkerEmulator other = machineOf.put(name(spec, index), machine);
     present.computeIfAbsent(spec.id(), k -> new BitSet()).set(index);
@@ -42,7 +42,7 @@
     return other;
   }
 
-  /** Takes a task off its machine. */
+  /** Removes a task from its machine; {@code done} marks it as completed. */
   void remove(WorkerEmulator machine, JobSpec spec, int index, boolean done) {
     machineOf.remove(name(spec, index));
     present.get(spec.id()).clear(index);
@@ -59,23 +59,23 @@
     return spec.id() + "/" + index;
   }
 
-  /** The machine of each task, by the task's name; not to be changed. */
+  /** The machine of each task, by the task's name; callers must not modify the map. */
   Map<String, WorkerEmulator> machineOf() {
     return machineOf;
   }
 
-  /** How many tasks of a job are on machines. */
+  /** Number of a job's tasks on machines. */
   int running(String id) {
     BitSet tasks = present.get(id);
     return tasks == null ? 0 : tasks.cardinality();
   }
 
-  /** How many tasks of a job are on machines of a zone. */
+  /** Number of a job's tasks on machines of a zone. */
   int running(String id, String zone) {
     return zones.getOrDefault(id, Map.of()).getOrDefault(zone, 0);
   }
 
-  /** The zones that tasks of a job are in. */
+  /** The zones that hold at least one task of a job. */
   Set<String> zonesOf(String id) {
     Set<String> used = new HashSet<>();
     zones
@@ -89,13 +89,13 @@
     return used;
   }
 
-  /** A copy of the numbers of a job's completed tasks. */
+  /** A copy of the indexes of a job's completed tasks. */
   BitSet completed(String id) {
     BitSet tasks = completed.get(id);
     return tasks == null ? new BitSet() : (BitSet) tasks.clone();
   }
 
-  /** True if that task has completed. */
+  /** True if the task with this index has completed. */
   boolean isCompleted(String id, int index) {
     BitSet tasks = completed.get(id);
     return tasks != null && tasks.get(index);
@@ -107,7 +107,7 @@
     return tasks != null && tasks.cardinality() == spec.tasks();
   }
 
-  /** How many tasks of a job are neither on a machine nor completed. */
+  /** Number of a job's tasks that are neither on a machine nor completed. */
   int waiting(JobSpec spec) {
     BitSet accounted = completed(spec.id());
     BitSet on = present.get(spec.id());
@@ -117,12 +117,12 @@
     return spec.tasks() - accounted.cardinality();
   }
 
-  /** What a team uses; not to be changed. */
+  /** The resources that a team uses; callers must not modify them. */
   Amount usedBy(String team) {
     return teams.getOrDefault(team, NOTHING);
   }
 
-  /** What is used of a machine; not to be changed. */
+  /** The resources in use on a machine; callers must not modify them. */
   Amount usedOn(WorkerEmulator machine) {
     return machines.getOrDefault(machine, NOTHING);
   }
--- a/src/main/java/fennelthread/simulation/TransactionAnswers.java
+++ b/src/main/java/fennelthread/simulation/TransactionAnswers.java
@@ -9,68 +9,67 @@
 import java.util.function.Consumer;
 
 /**
- * Faults of the way back from the state service: requests are carried out at once, and their
- * answers are lost or late.
+ * Faults of the state service's answers: requests are executed at once, answers are lost or late.
  */
 final class TransactionAnswers {
 
-  /** Answers that are to be lost, picked by caller and body; each loss is counted down. */
-  private static final class Picked {
-    final BiPredicate<String, String> which;
-    int left;
+  /** A predicate on caller and body, and how many more matching answers it loses. */
+  private static final class AnswerLoss {
+    final BiPredicate<String, String> matches;
+    int remaining;
 
-    Picked(BiPredicate<String, String> which, int times) {
-      this.which = which;
-      this.left = times;
+    AnswerLoss(BiPredicate<String, String> matches, int times) {
+      this.matches = matches;
+      this.remaining = times;
     }
   }
 
-  private final SimulatedNetwork world;
-  private final List<Picked> picked = new ArrayList<>();
+  private final SimulatedNetwork network;
+  private final List<AnswerLoss> answerLosses = new ArrayList<>();
   private double lossShare;
-  private long extraMs;
+  private long answerDelayMs;
   private final Runnable onLoss;
 
   /**
-   * Creates it without faults.
+   * Creates an instance without active faults.
    *
-   * @param onLoss runs at each answer that is lost
+   * @param onLoss runs for each lost answer
    */
-  TransactionAnswers(SimulatedNetwork world, Runnable onLoss) {
-    this.world = world;
+  TransactionAnswers(SimulatedNetwork network, Runnable onLoss) {
+    this.network = network;
     this.onLoss = onLoss;
   }
 
-  /** For so long that share of the transactions is carried out and not answered. */
+  /** Loses the answers of this share of the executed transactions for {@code forMs}. */
   void lose(double share, long forMs) {
     lossShare = share;
-    world.after(forMs, () -> lossShare = 0);
+    network.after(forMs, () -> lossShare = 0);
   }
 
   /**
-   * The next {@code times} transactions that match and are applied are not answered.
+   * Loses the answers of the next {@code times} matching transactions that are applied.
    *
-   * @param which tests the caller's name and the body, decoded as ISO-8859-1
+   * @param matches tests the caller's name and the body, decoded as ISO-8859-1
    */
-  void loseNext(BiPredicate<String, String> which, int times) {
-    picked.add(new Picked(which, times));
+  void loseNext(BiPredicate<String, String> matches, int times) {
+    answerLosses.add(new AnswerLoss(matches, times));
   }
 
-  /** For so long every request is answered so much later. */
+  /** Delays the answer to every request by {@code ms} for {@code forMs}. */
   void delay(long ms, long forMs) {
-    extraMs = ms;
-    world.after(forMs, () -> extraMs = 0);
+    answerDelayMs = ms;
+    network.after(forMs, () -> answerDelayMs = 0);
   }
 
-  /** The reply that a request's answer goes to under the faults of this moment. */
-  Consumer<Answer> through(String caller, Request request, Consumer<Answer> reply) {
+  /** Wraps a reply so that the faults active now apply to the request's answer. */
+  Consumer<Answer> wrapReply(String caller, Request request, Consumer<Answer> reply) {
     Consumer<Answer> delayed = delayed(reply);
     if (!request.path().equals("/multi")) {
       return delayed;
     }
-    boolean loses = lossShare > 0 && world.faults.nextDouble() < lossShare;
+    boolean loses = lossShare > 0 && network.faults.nextDouble() < lossShare;
     return answer -> {
-      if ((loses && isCarriedOut(answer)) || isPicked(caller, request, answer)) {
+      if ((loses && isExecuted(answer)) || takeMatchingLoss(caller, request, answer)) {
         onLoss.run();
       } else {
         delayed.accept(answer);
@@ -79,23 +78,23 @@
   }
 
   private Consumer<Answer> delayed(Consumer<Answer> reply) {
-    long ms = extraMs;
-    return ms == 0 ? reply : answer -> world.after(ms, () -> reply.accept(answer));
+    long ms = answerDelayMs;
+    return ms == 0 ? reply : answer -> network.after(ms, () -> reply.accept(answer));
   }
 
   /** A transaction was executed if it was applied or one of its conditions did not hold. */
-  private static boolean isCarriedOut(Answer answer) {
+  private static boolean isExecuted(Answer answer) {
     return answer.status() == 200 || answer.status() == 409;
   }
 
-  private boolean isPicked(String caller, Request request, Answer answer) {
-    if (picked.isEmpty() || answer.status() != 200) {
+  private boolean takeMatchingLoss(String caller, Request request, Answer answer) {
+    if (answerLosses.isEmpty() || answer.status() != 200) {
       return false;
     }
     String body = new String(request.body(), StandardCharsets.ISO_8859_1);
-    for (Picked p : picked) {
-      if (p.left > 0 && p.which.test(caller, body)) {
-        p.left--;
+    for (AnswerLoss loss : answerLosses) {
+      if (loss.remaining > 0 && loss.matches.test(caller, body)) {
+        loss.remaining--;
         return true;
       }
     }
--- a/src/main/java/fennelthread/simulation/WaitingRule.java
+++ b/src/main/java/fennelthread/simulation/WaitingRule.java
@@ -9,40 +9,41 @@
 import java.util.function.Supplier;
 
 /**
- * The rule that once all troubles are over no job waits for long while a machine that fits has room
- * and its team is under its limit. A job waits while it has a task that is neither on a machine nor
- * complete and none of its tasks starts. Priorities are no excuse: free room is free room.
+ * The rule that, once no fault is active, no job waits for long while a suitable machine has free
+ * capacity and the job's team is below its limit. A job waits while it has a task that is neither
+ * on a machine nor completed and none of its tasks starts. Priorities don't matter, since starting
+ * the job takes only free capacity.
  */
 final class WaitingRule {
   private final TaskPresence presence;
-  private final PlacementRules placement;
+  private final PlacementRules placementRules;
   private final Map<String, Long> waitingSince = new HashMap<>();
   private Supplier<Collection<WorkerEmulator>> machines = List::of;
 
-  WaitingRule(TaskPresence presence, PlacementRules placement) {
+  WaitingRule(TaskPresence presence, PlacementRules placementRules) {
     this.presence = presence;
-    this.placement = placement;
+    this.placementRules = placementRules;
   }
 
-  /** Says which machines there are. */
-  void watch(Supplier<Collection<WorkerEmulator>> all) {
-    machines = all;
+  /** Sets the supplier of the machines to check. */
+  void setMachines(Supplier<Collection<WorkerEmulator>> supplier) {
+    machines = supplier;
   }
 
-  /** A task of the job starts. */
-  void starts(String id) {
+  /** Ends the wait of a job because one of its tasks starts. */
+  void recordStart(String id) {
     waitingSince.remove(id);
   }
 
-  /** The job is over, or may not start yet. */
-  void excuse(String id) {
+  /** Ends the wait of a job that is over, unwanted, or blocked by a dependency. */
+  void stopWaiting(String id) {
     waitingSince.remove(id);
   }
 
-  /** Looks at a job that may start; gives a description of the breach if it waits too long. */
+  /** Checks a job that may start; returns a description if it waits too long, otherwise null. */
   String check(JobSpec spec, long now) {
-    WorkerEmulator room = presence.waiting(spec) == 0 ? null : machineFor(spec);
-    if (room == null) {
+    WorkerEmulator freeMachine = presence.waiting(spec) == 0 ? null : findFreeMachine(spec);
+    if (freeMachine == null) {
       waitingSince.remove(spec.id());
       return null;
     }
@@ -50,18 +51,18 @@
     if (now - since <= SimulationConstants.MAX_IDLE_CAPACITY_WAIT_MS) {
       return null;
     }
-    return spec.id() + " waits since " + since + " while " + room.name() + " has room";
+    return spec.id() + " waits since " + since + " while " + freeMachine.name() + " has room";
   }
 
-  private WorkerEmulator machineFor(JobSpec spec) {
-    if (!placement.teamHasRoom(spec, 1)) {
+  private WorkerEmulator findFreeMachine(JobSpec spec) {
+    if (!placementRules.teamHasRoom(spec, 1)) {
       return null;
     }
     for (WorkerEmulator machine : machines.get()) {
       if (machine.isUp()
           && PlacementRules.isAllowed(spec, machine)
-          && placement.allowsOneMoreIn(spec, machine.zone())
-          && placement.hasRoom(machine, spec)) {
+          && placementRules.allowsOneMoreIn(spec, machine.zone())
+          && placementRules.hasRoom(machine, spec)) {
         return machine;
       }
     }
