--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -21,31 +21,33 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** A machine's worker as the protocol describes it: sessions, leases, tokens, commands. */
+/** Emulates a machine and its worker: reports, lease, session, fencing token and commands. */
 final class WorkerEmulator implements Service {
 
-  /** What a worker meets. */
+  /** What a worker needs from its surroundings, and the events that it reports to them. */
   interface Environment {
-    /** The controllers' addresses, by member. */
+    /** The controllers' API addresses, by member name. */
     Map<String, String> controllers();
 
-    /** A submitted job's description, or null. */
+    /** The specification of a submitted job, or null. */
     JobSpec job(String id);
 
-    /** A task is on the machine from now on. */
+    /** Called when a task is placed on the machine. */
     void onTaskStart(WorkerEmulator worker, JobSpec spec, int index);
 
-    /** A task is no longer on the machine. */
+    /** Called when a task leaves the machine. */
     void onTaskEnd(WorkerEmulator worker, JobSpec spec, int index, boolean completed);
 
-    /** A running task will be complete at that time if nothing happens to it. */
+    /** Called when a task starts to run that completes at {@code atMs} if nothing stops it. */
     default void onExpectedCompletion(WorkerEmulator worker, JobSpec spec, int index, long atMs) {}
 
-    /** A command has arrived that stops a task which is waiting for its image or runs. */
+    /** Called when a command arrives that stops a task which is fetching its image or running. */
     default void onStopCommand(WorkerEmulator worker, JobSpec spec, int index) {}
 
+    /** Mean interval between reports, ms. */
     long reportMs();
 
+    /** Duration of the worker's lease, ms. */
     long leaseMs();
   }
 
@@ -54,8 +56,8 @@
     final long attempt;
     final JobSpec spec;
     WorkerReport.Phase phase = WorkerReport.Phase.FETCHING;
-    WorkerReport.EndReason motive;
-    boolean present;
+    WorkerReport.EndReason endReason;
+    boolean isPresent;
 
     Task(TaskRef ref, long attempt, JobSpec spec) {
       this.ref = ref;
@@ -64,8 +66,8 @@
     }
   }
 
-  private final SimulatedNetwork world;
-  private final Environment around;
+  private final SimulatedNetwork network;
+  private final Environment environment;
   private final String name;
   private final String address;
   private final MachineType machineType;
@@ -75,40 +77,40 @@
   private final Set<String> completed = new HashSet<>();
   private SimulatedProcess process;
   private long session;
-  private long seq;
-  private long token;
-  private long leaseFrom;
-  private long noticeAt = -1;
+  private long lastReportNumber;
+  private long highestToken;
+  private long leaseStartMs;
+  private long terminationAtMs = -1;
   private boolean up;
   private boolean failed;
-  private boolean sick;
-  private int node;
-  private long epochOfLife;
-  private long lastSentAt;
-  private boolean inFlight;
+  private boolean failsTasks;
+  private int controllerIndex;
+  private boolean terminated;
+  private long lastSentAtMs;
+  private boolean isReportInFlight;
 
-  /** Starts that came under a token lower than the highest one seen. */
+  /** Number of start commands with a token lower than the highest one seen; they are refused. */
   int staleRuns;
 
-  /** Those of them that came under the token of an earlier leader than the highest one seen. */
+  /** Number of those whose token is from an earlier leader than the highest one seen. */
   int runsOfEarlierLeaders;
 
   WorkerEmulator(
-      SimulatedNetwork world,
-      Environment around,
+      SimulatedNetwork network,
+      Environment environment,
       String name,
       String address,
       MachineType machineType,
       String zone,
       boolean spot) {
-    this.world = world;
-    this.around = around;
+    this.network = network;
+    this.environment = environment;
     this.name = name;
     this.address = address;
     this.machineType = machineType;
     this.zone = zone;
     this.spot = spot;
-    world.name(address, name);
+    network.name(address, name);
   }
 
   String name() {
@@ -139,74 +141,72 @@
     return failed;
   }
 
+  /** Starts the worker in a new session, unless it is up or the machine has ended. */
   void boot() {
-    if (up || failed || epochOfLife < 0) {
+    if (up || failed || terminated) {
       return;
     }
     up = true;
-    process = new SimulatedProcess(world, name);
+    process = new SimulatedProcess(network, name);
     process.listen(address, this);
-    node = world.random.nextInt(around.controllers().size());
+    controllerIndex = network.random.nextInt(environment.controllers().size());
     newSession();
-    report();
+    reportPeriodically();
     checkLease();
   }
 
-  /**
-   * The machine is started anew, under its name and address: its worker has forgotten sessions and
-   * tokens.
-   */
+  /** Restarts the machine with its name and address; tasks, session and token are lost. */
   void reboot(long downMs) {
     if (!up) {
       return;
     }
     up = false;
     process.kill();
-    killAll();
+    killAllTasks();
     session = 0;
-    seq = 0;
-    token = 0;
-    inFlight = false;
-    world.after(downMs, this::boot);
+    lastReportNumber = 0;
+    highestToken = 0;
+    isReportInFlight = false;
+    network.after(downMs, this::boot);
   }
 
-  /** The machine is gone with all that is on it. */
+  /** Ends the machine and all its tasks for good. */
   void terminate(boolean asFailed) {
     failed = asFailed;
-    epochOfLife = -1;
+    terminated = true;
     if (up) {
       up = false;
       process.kill();
-      killAll();
+      killAllTasks();
     }
   }
 
+  /** Announces, in reports, that the cloud takes the machine back after {@code inMs}. */
   void announceTermination(long inMs) {
-    noticeAt = world.now() + inMs;
-    changed();
+    terminationAtMs = network.now() + inMs;
+    scheduleReport();
   }
 
+  /** For {@code forMs}, makes each task that starts to run end with an error after 300 ms. */
   void failTasks(long forMs) {
-    sick = true;
-    world.after(forMs, () -> sick = false);
+    failsTasks = true;
+    network.after(forMs, () -> failsTasks = false);
   }
 
   private double fetchFactor = 1;
 
-  /** True if the cloud has announced that it takes the machine away. */
+  /** True if the cloud has announced that it takes the machine back. */
   boolean hasNotice() {
-    return noticeAt >= 0;
+    return terminationAtMs >= 0;
   }
 
-  /** Images that are asked for meanwhile take so many times as long. */
+  /** Multiplies the fetch time of images requested within {@code forMs}. */
   void slowFetches(double factor, long forMs) {
     fetchFactor = factor;
-    world.after(forMs, () -> fetchFactor = 1);
+    network.after(forMs, () -> fetchFactor = 1);
   }
 
-  /**
-   * The machine hangs: nothing is executed, no timer runs, until it goes on or its lease is over.
-   */
+  /** Pauses the worker process for {@code forMs}; its lease goes on and may expire meanwhile. */
   void hang(long forMs) {
     if (up) {
       process.pause(forMs);
@@ -215,20 +215,20 @@
 
   private void newSession() {
     session++;
-    leaseFrom = world.now();
+    leaseStartMs = network.now();
   }
 
-  private void killAll() {
-    for (Task t : List.copyOf(tasks.values())) {
-      leave(t, false);
+  private void killAllTasks() {
+    for (Task task : List.copyOf(tasks.values())) {
+      markGone(task, false);
     }
     tasks.clear();
   }
 
-  private void leave(Task t, boolean done) {
-    if (t.present) {
-      t.present = false;
-      around.onTaskEnd(this, t.spec, t.ref.index(), done);
+  private void markGone(Task task, boolean done) {
+    if (task.isPresent) {
+      task.isPresent = false;
+      environment.onTaskEnd(this, task.spec, task.ref.index(), done);
     }
   }
 
@@ -236,100 +236,101 @@
     if (!up) {
       return;
     }
-    if (world.now() - leaseFrom > around.leaseMs()) {
-      killAll();
+    if (network.now() - leaseStartMs > environment.leaseMs()) {
+      killAllTasks();
       newSession();
-      changed();
+      scheduleReport();
     }
-    world.after(50, this::checkLease);
+    network.after(50, this::checkLease);
   }
 
-  private void changed() {
+  private void scheduleReport() {
     if (up) {
-      process.after(Math.max(0, lastSentAt + 500 - world.now()), this::reportIfIdle);
+      process.after(Math.max(0, lastSentAtMs + 500 - network.now()), this::reportIfIdle);
     }
   }
 
   private void reportIfIdle() {
-    if (!inFlight && world.now() - lastSentAt >= 500) {
-      send();
+    if (!isReportInFlight && network.now() - lastSentAtMs >= 500) {
+      sendReport();
     }
   }
 
-  private void report() {
+  private void reportPeriodically() {
     if (!up) {
       return;
     }
-    long pause = (long) (around.reportMs() * (0.75 + 0.5 * world.random.nextDouble()));
-    process.after(pause, this::report);
-    if (!inFlight) {
-      send();
+    long pause = (long) (environment.reportMs() * (0.75 + 0.5 * network.random.nextDouble()));
+    process.after(pause, this::reportPeriodically);
+    if (!isReportInFlight) {
+      sendReport();
     }
   }
 
-  private void send() {
-    inFlight = true;
-    lastSentAt = world.now();
-    long sentAt = lastSentAt;
+  private void sendReport() {
+    isReportInFlight = true;
+    lastSentAtMs = network.now();
+    long sentAtMs = lastSentAtMs;
     long sentSession = session;
-    List<String> members = List.copyOf(around.controllers().keySet());
-    String member = members.get(node % members.size());
+    List<String> members = List.copyOf(environment.controllers().keySet());
+    String member = members.get(controllerIndex % members.size());
     process.call(
-        around.controllers().get(member),
+        environment.controllers().get(member),
         Call.post("/agent/beat", Codec.CBOR, currentReport().write()),
         4_000,
         answer -> {
-          inFlight = false;
-          answered(answer, member, members, sentAt, sentSession);
+          isReportInFlight = false;
+          handleAnswer(answer, member, members, sentAtMs, sentSession);
         });
   }
 
-  private void answered(
-      Answer answer, String member, List<String> members, long sentAt, long sentSession) {
+  private void handleAnswer(
+      Answer answer, String member, List<String> members, long sentAtMs, long sentSession) {
     try {
       if (answer != null && answer.status() == 200) {
         Fields body = answer.fields();
-        if (sentSession != session || !body.has("ficha") || body.count("ficha") < token) {
+        if (sentSession != session || !body.has("ficha") || body.count("ficha") < highestToken) {
           return;
         }
-        raise(body.count("ficha"));
-        leaseFrom = Math.max(leaseFrom, sentAt);
+        raiseToken(body.count("ficha"));
+        leaseStartMs = Math.max(leaseStartMs, sentAtMs);
         WorkerCommand.read(body).forEach(this::execute);
         return;
       }
       if (answer != null && answer.status() == 421) {
-        String to = answer.fields().optText("informar_a");
-        int index = to == null ? -1 : members.indexOf(to);
-        if (index >= 0 && !to.equals(member)) {
-          node = index;
-          process.after(world.random.nextInt(500), this::reportSoon);
+        String redirect = answer.fields().optText("informar_a");
+        int index = redirect == null ? -1 : members.indexOf(redirect);
+        if (index >= 0 && !redirect.equals(member)) {
+          controllerIndex = index;
+          process.after(network.random.nextInt(500), this::reportUnlessInFlight);
           return;
         }
       }
     } catch (WireException e) {
       throw new AssertionError("a controller's answer can't be read", e);
     }
-    node++;
-    process.after(1_000, this::reportSoon);
+    controllerIndex++;
+    process.after(1_000, this::reportUnlessInFlight);
   }
 
-  private void reportSoon() {
-    if (!inFlight) {
-      send();
+  private void reportUnlessInFlight() {
+    if (!isReportInFlight) {
+      sendReport();
     }
   }
 
-  private void raise(long seen) {
-    if (seen > token) {
-      token = seen;
-      changed();
+  private void raiseToken(long seenToken) {
+    if (seenToken > highestToken) {
+      highestToken = seenToken;
+      scheduleReport();
     }
   }
 
   private WorkerReport currentReport() {
-    List<WorkerReport.Task> list = new ArrayList<>();
-    for (Task t : tasks.values()) {
-      list.add(new WorkerReport.Task(t.ref, t.attempt, t.phase, t.motive, false));
+    List<WorkerReport.Task> reported = new ArrayList<>();
+    for (Task task : tasks.values()) {
+      reported.add(
+          new WorkerReport.Task(task.ref, task.attempt, task.phase, task.endReason, false));
     }
     return new WorkerReport(
         name,
@@ -338,10 +339,12 @@
         zone,
         spot,
         session,
-        ++seq,
-        token,
-        noticeAt < 0 ? WorkerReport.NO_NOTICE : Math.max(0, (noticeAt - world.now()) / 1000.0),
-        list);
+        ++lastReportNumber,
+        highestToken,
+        terminationAtMs < 0
+            ? WorkerReport.NO_NOTICE
+            : Math.max(0, (terminationAtMs - network.now()) / 1000.0),
+        reported);
   }
 
   @Override
@@ -359,65 +362,66 @@
         reply.accept(Answer.error(400, "missing"));
         return;
       }
-      for (WorkerCommand order : WorkerCommand.read(body)) {
-        if (order instanceof WorkerCommand.Run && body.count("ficha") < token) {
+      for (WorkerCommand command : WorkerCommand.read(body)) {
+        if (command instanceof WorkerCommand.Run && body.count("ficha") < highestToken) {
           staleRuns++;
-          boolean ofEarlier =
+          boolean isOfEarlierLeader =
               body.count("ficha") >> ProtocolConstants.TOKEN_BITS
-                  < token >> ProtocolConstants.TOKEN_BITS;
-          runsOfEarlierLeaders += ofEarlier ? 1 : 0;
+                  < highestToken >> ProtocolConstants.TOKEN_BITS;
+          runsOfEarlierLeaders += isOfEarlierLeader ? 1 : 0;
         }
       }
-      boolean good = body.count("ficha") >= token && body.count("turno") == session;
-      if (body.count("ficha") > token) {
-        raise(body.count("ficha"));
+      boolean isAccepted = body.count("ficha") >= highestToken && body.count("turno") == session;
+      if (body.count("ficha") > highestToken) {
+        raiseToken(body.count("ficha"));
       }
-      if (good) {
+      if (isAccepted) {
         WorkerCommand.read(body).forEach(this::execute);
       }
-      reply.accept(Answer.of(good ? 200 : 409, Codec.CBOR, currentReport().write()));
+      reply.accept(Answer.of(isAccepted ? 200 : 409, Codec.CBOR, currentReport().write()));
     } catch (WireException e) {
       throw new AssertionError("a command can't be read", e);
     }
   }
 
-  /** A report as the worker would send it now. */
+  /** A report as the worker sends it now; it takes a sequence number. */
   WorkerReport nextReport() {
     return currentReport();
   }
 
-  private void execute(WorkerCommand order) {
-    if (order instanceof WorkerCommand.Run run) {
+  private void execute(WorkerCommand command) {
+    if (command instanceof WorkerCommand.Run run) {
       run(run);
-    } else if (order instanceof WorkerCommand.Stop stop) {
-      Task t = tasks.get(stop.task() + "#" + stop.attempt());
-      if (t != null && t.phase != WorkerReport.Phase.ENDED) {
-        if (t.phase != WorkerReport.Phase.FLUSHING) {
-          around.onStopCommand(this, t.spec, t.ref.index());
+    } else if (command instanceof WorkerCommand.Stop stop) {
+      Task task = tasks.get(stop.task() + "#" + stop.attempt());
+      if (task != null && task.phase != WorkerReport.Phase.ENDED) {
+        if (task.phase != WorkerReport.Phase.FLUSHING) {
+          environment.onStopCommand(this, task.spec, task.ref.index());
         }
-        stop(t, stop.graceS());
+        stop(task, stop.graceS());
       }
-    } else if (order instanceof WorkerCommand.Clear clear) {
-      Task t = tasks.get(clear.task() + "#" + clear.attempt());
-      if (t != null && t.phase == WorkerReport.Phase.ENDED) {
+    } else if (command instanceof WorkerCommand.Clear clear) {
+      Task task = tasks.get(clear.task() + "#" + clear.attempt());
+      if (task != null && task.phase == WorkerReport.Phase.ENDED) {
         tasks.remove(clear.task() + "#" + clear.attempt());
       }
     }
   }
 
   /**
-   * A running task that can save does so first if it is given the time; one that saves, only if it
-   * is again.
+   * Stops a task. A running task with checkpoints saves first if the grace period is long enough. A
+   * task that is already saving goes on unless the new grace period is too short.
    */
-  private void stop(Task t, double graceS) {
-    boolean saves = t.spec.checkpointS() > 0 && t.phase != WorkerReport.Phase.FETCHING;
-    if (!saves || graceS < t.spec.saveS()) {
-      finish(t, WorkerReport.EndReason.HALTED);
-    } else if (t.phase == WorkerReport.Phase.RUNNING) {
-      t.phase = WorkerReport.Phase.FLUSHING;
-      changed();
+  private void stop(Task task, double graceS) {
+    boolean saves = task.spec.checkpointS() > 0 && task.phase != WorkerReport.Phase.FETCHING;
+    if (!saves || graceS < task.spec.saveS()) {
+      finish(task, WorkerReport.EndReason.HALTED);
+    } else if (task.phase == WorkerReport.Phase.RUNNING) {
+      task.phase = WorkerReport.Phase.FLUSHING;
+      scheduleReport();
       process.after(
-          (long) (t.spec.saveS() * 1000), () -> finishIfHere(t, WorkerReport.EndReason.HALTED));
+          (long) (task.spec.saveS() * 1000),
+          () -> finishIfLive(task, WorkerReport.EndReason.HALTED));
     }
   }
 
@@ -426,68 +430,69 @@
     if (tasks.containsKey(key)) {
       return;
     }
-    JobSpec spec = around.job(run.task().job());
-    Task t = new Task(run.task(), run.attempt(), spec);
-    boolean busy = false;
+    JobSpec spec = environment.job(run.task().job());
+    Task task = new Task(run.task(), run.attempt(), spec);
+    boolean isTaskPresent = false;
     double cpus = spec == null ? 0 : spec.cpus();
-    double mem = spec == null ? 0 : spec.memGb();
+    double memGb = spec == null ? 0 : spec.memGb();
     for (Task other : tasks.values()) {
       if (other.phase != WorkerReport.Phase.ENDED) {
-        busy |= other.ref.equals(run.task());
+        isTaskPresent |= other.ref.equals(run.task());
         cpus += other.spec.cpus();
-        mem += other.spec.memGb();
+        memGb += other.spec.memGb();
       }
     }
-    tasks.put(key, t);
+    tasks.put(key, task);
     if (spec == null || run.task().index() >= spec.tasks()) {
-      finish(t, WorkerReport.EndReason.NO_SUCH);
-    } else if (busy) {
-      finish(t, WorkerReport.EndReason.BUSY);
-    } else if (cpus > machineType.cpus() + 1e-6 || mem > machineType.memGb() + 1e-6) {
-      finish(t, WorkerReport.EndReason.FULL);
+      finish(task, WorkerReport.EndReason.NO_SUCH);
+    } else if (isTaskPresent) {
+      finish(task, WorkerReport.EndReason.BUSY);
+    } else if (cpus > machineType.cpus() + 1e-6 || memGb > machineType.memGb() + 1e-6) {
+      finish(task, WorkerReport.EndReason.FULL);
     } else {
-      t.present = true;
-      around.onTaskStart(this, spec, t.ref.index());
-      changed();
-      long fetchMs = (long) ((200 + world.random.nextInt(1_500)) * fetchFactor);
-      process.after(fetchMs, () -> started(t));
+      task.isPresent = true;
+      environment.onTaskStart(this, spec, task.ref.index());
+      scheduleReport();
+      long fetchMs = (long) ((200 + network.random.nextInt(1_500)) * fetchFactor);
+      process.after(fetchMs, () -> startRunning(task));
     }
   }
 
-  private boolean isHere(Task t) {
-    return t.phase != WorkerReport.Phase.ENDED && tasks.get(t.ref + "#" + t.attempt) == t;
+  private boolean isLive(Task task) {
+    return task.phase != WorkerReport.Phase.ENDED
+        && tasks.get(task.ref + "#" + task.attempt) == task;
   }
 
-  private void started(Task t) {
-    if (!isHere(t)) {
+  private void startRunning(Task task) {
+    if (!isLive(task)) {
       return;
     }
-    t.phase = WorkerReport.Phase.RUNNING;
-    changed();
-    if (sick) {
-      process.after(300, () -> finishIfHere(t, WorkerReport.EndReason.ERROR));
-    } else if (completed.contains(t.ref.toString())) {
-      finishIfHere(t, WorkerReport.EndReason.DONE);
-    } else if (!t.spec.service()) {
-      long runMs = (long) (t.spec.estimateS() * 1000 * (0.5 + world.random.nextDouble()));
-      around.onExpectedCompletion(this, t.spec, t.ref.index(), world.now() + runMs);
-      process.after(runMs, () -> finishIfHere(t, WorkerReport.EndReason.DONE));
+    task.phase = WorkerReport.Phase.RUNNING;
+    scheduleReport();
+    if (failsTasks) {
+      process.after(300, () -> finishIfLive(task, WorkerReport.EndReason.ERROR));
+    } else if (completed.contains(task.ref.toString())) {
+      finishIfLive(task, WorkerReport.EndReason.DONE);
+    } else if (!task.spec.service()) {
+      long runMs = (long) (task.spec.estimateS() * 1000 * (0.5 + network.random.nextDouble()));
+      environment.onExpectedCompletion(this, task.spec, task.ref.index(), network.now() + runMs);
+      process.after(runMs, () -> finishIfLive(task, WorkerReport.EndReason.DONE));
     }
   }
 
-  private void finishIfHere(Task t, WorkerReport.EndReason motive) {
-    if (isHere(t)) {
-      finish(t, motive);
+  private void finishIfLive(Task task, WorkerReport.EndReason endReason) {
+    if (isLive(task)) {
+      finish(task, endReason);
     }
   }
 
-  private void finish(Task t, WorkerReport.EndReason motive) {
-    t.phase = WorkerReport.Phase.ENDED;
-    t.motive = motive;
-    if (motive == WorkerReport.EndReason.DONE) {
-      completed.add(t.ref.toString());
+  private void finish(Task task, WorkerReport.EndReason endReason) {
+    task.phase = WorkerReport.Phase.ENDED;
+    task.endReason = endReason;
+    if (endReason == WorkerReport.EndReason.DONE) {
+      completed.add(task.ref.toString());
     }
-    leave(t, motive == WorkerReport.EndReason.DONE);
-    changed();
+    markGone(task, endReason == WorkerReport.EndReason.DONE);
+    scheduleReport();
   }
 }
--- a/src/main/java/fennelthread/simulation/package-info.java
+++ b/src/main/java/fennelthread/simulation/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Controllers and everything around them in simulated time: a seeded network with faults, emulators
- * of the state service, the cloud, workers and users, and an invariant checker that looks after
- * each event. What the tests run on; no part of a controller. One seed gives one run.
+ * Simulates a cluster for tests: real controllers in simulated time, a network with faults,
+ * emulators of the state service, the cloud, the workers and the users, and an invariant checker
+ * that runs after each event. Runs are deterministic: the same seed gives the same run. Controllers
+ * don't use this package.
  */
 package fennelthread.simulation;
--- a/src/test/java/fennelthread/simulation/BootingTest.java
+++ b/src/test/java/fennelthread/simulation/BootingTest.java
@@ -35,7 +35,7 @@
                 0,
                 1_000,
                 d.limits(),
-                d.next(),
+                d.announcedLimits(),
                 d.reportMs(),
                 d.leaseMs(),
                 d.cancelMs(),
