--- a/src/main/java/fennelthread/capacity/Estimate.java
+++ b/src/main/java/fennelthread/capacity/Estimate.java
@@ -29,7 +29,7 @@
   /** Adds up what is known of a role's quantity; empty if no slope of it was measured. */
   public static Optional<Estimate> of(
       SlopeCatalogue catalogue, String role, Quantity quantity, Plan.Situation situation) {
-    if (quantity == Quantity.PROCESSOR) {
+    if (quantity == Quantity.CPU_TIME) {
       return sum(catalogue, role, quantity, withRequests(catalogue, role, situation));
     }
     return sum(catalogue, role, quantity, situation);
@@ -89,7 +89,7 @@
 
   /** A time is what the line gives; of all else only what grows comes to the base. */
   private static double part(Slope slope, LinearFit fit, double count) {
-    if (slope.quantity() == Quantity.GAP) {
+    if (slope.quantity() == Quantity.START_GAP) {
       return fit.at(count);
     }
     return slope.grows() ? Math.max(0, fit.slope()) * count : 0;
--- a/src/main/java/fennelthread/capacity/Quantity.java
+++ b/src/main/java/fennelthread/capacity/Quantity.java
@@ -11,13 +11,13 @@
   /** Bodies, paths and headers of those requests and their responses. */
   TRAFFIC("traffic", "bytes/s"),
   /** Processor time of the controller's thread without sockets and HTTP. */
-  PROCESSOR("processor", "ms/s"),
+  CPU_TIME("processor", "ms/s"),
   /** Requests at the state service. */
   STATE_REQUESTS("state-requests", "1/s"),
   /** Puts and deletes at the state service. */
   STATE_CHANGES("state-changes", "1/s"),
   /** Time without a start. */
-  GAP("gap", "ms");
+  START_GAP("gap", "ms");
 
   private final String id;
   private final String unit;
--- a/src/test/java/fennelthread/net/RequestCostTest.java
+++ b/src/test/java/fennelthread/net/RequestCostTest.java
@@ -65,7 +65,7 @@
     } finally {
       eventLoop.stop();
     }
-    saveSlopes(List.of("leader", "follower"), "request", Quantity.PROCESSOR, points);
+    saveSlopes(List.of("leader", "follower"), "request", Quantity.CPU_TIME, points);
   }
 
   /** Measures the server's side of open connections that each served one request. */
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -265,7 +265,7 @@
       }
       of.merge(Quantity.MESSAGES, share * m.messages() / seconds, Double::sum);
       of.merge(Quantity.TRAFFIC, share * m.bytes() / seconds, Double::sum);
-      of.merge(Quantity.PROCESSOR, share * m.processorMs() / seconds, Double::sum);
+      of.merge(Quantity.CPU_TIME, share * m.processorMs() / seconds, Double::sum);
     }
     shared(sample, "state", Meter.Partner.STATE, seconds, 1);
     sample.get("state").put(Quantity.STORED, storedBytes());
--- a/src/test/java/fennelthread/simulation/SlopeSeries.java
+++ b/src/test/java/fennelthread/simulation/SlopeSeries.java
@@ -37,13 +37,13 @@
 
   /** The same for what follows from kept series: nothing of earlier runs is looked at. */
   void keepAnew(Quantity... quantities) {
-    points.keySet().forEach(role -> catalogue.remove(role, cause, Quantity.PROCESSOR));
+    points.keySet().forEach(role -> catalogue.remove(role, cause, Quantity.CPU_TIME));
     keep(quantities);
   }
 
   private void keepLowest(String role, List<LinearFit.Point> now) {
     List<LinearFit.Point> before =
-        catalogue.find(role, cause, Quantity.PROCESSOR).map(Slope::points).orElse(List.of());
+        catalogue.find(role, cause, Quantity.CPU_TIME).map(Slope::points).orElse(List.of());
     for (int i = 0; i < now.size(); i++) {
       LinearFit.Point point = now.get(i);
       double value = point.value();
@@ -89,7 +89,7 @@
         (role, all) -> {
           for (Quantity q : quantities) {
             if (all.containsKey(q)) {
-              if (q == Quantity.PROCESSOR) {
+              if (q == Quantity.CPU_TIME) {
                 keepLowest(role, all.get(q));
               }
               Slope slope = new Slope(role, cause, q, all.get(q), "");
--- a/src/test/java/fennelthread/simulation/SlopesTest.java
+++ b/src/test/java/fennelthread/simulation/SlopesTest.java
@@ -71,7 +71,7 @@
     Quantity.STORED,
     Quantity.MESSAGES,
     Quantity.TRAFFIC,
-    Quantity.PROCESSOR,
+    Quantity.CPU_TIME,
     Quantity.STATE_REQUESTS,
     Quantity.STATE_CHANGES
   };
@@ -79,7 +79,7 @@
   private static final Quantity[] RATES = {
     Quantity.MESSAGES,
     Quantity.TRAFFIC,
-    Quantity.PROCESSOR,
+    Quantity.CPU_TIME,
     Quantity.STATE_REQUESTS,
     Quantity.STATE_CHANGES
   };
@@ -132,7 +132,7 @@
       Map<String, Map<Quantity, Double>> sample = cell.sample(SAMPLE_MS);
       series.add(1_000 * sample.get("worker").get(Quantity.MESSAGES), sample);
     }
-    series.keep(Quantity.MESSAGES, Quantity.TRAFFIC, Quantity.PROCESSOR);
+    series.keep(Quantity.MESSAGES, Quantity.TRAFFIC, Quantity.CPU_TIME);
   }
 
   @Test
@@ -214,7 +214,7 @@
             new double[] {125, 250, 500, 1_000, 2_000},
             SlopesTest::withWaiting,
             SAMPLE_MS)
-        .keep(Quantity.HEAP, Quantity.STORED, Quantity.PROCESSOR);
+        .keep(Quantity.HEAP, Quantity.STORED, Quantity.CPU_TIME);
   }
 
   /** Arrays that wait because all machines are full. */
@@ -235,7 +235,7 @@
               return cell;
             },
             SAMPLE_MS)
-        .keep(Quantity.HEAP, Quantity.STORED, Quantity.PROCESSOR);
+        .keep(Quantity.HEAP, Quantity.STORED, Quantity.CPU_TIME);
   }
 
   /** What the machines cost the rounds: 400 starts a second in fleets of all sizes, less idle. */
@@ -255,9 +255,9 @@
               return cell;
             },
             SAMPLE_MS);
-    starting.keep(Quantity.PROCESSOR);
-    idle.keep(Quantity.PROCESSOR);
-    starting.less("worker", "worker-in-rounds").keepAnew(Quantity.PROCESSOR);
+    starting.keep(Quantity.CPU_TIME);
+    idle.keep(Quantity.CPU_TIME);
+    starting.less("worker", "worker-in-rounds").keepAnew(Quantity.CPU_TIME);
   }
 
   @Test
@@ -321,7 +321,7 @@
               return cell;
             },
             SAMPLE_MS)
-        .keep(Quantity.HEAP, Quantity.STORED, Quantity.PROCESSOR);
+        .keep(Quantity.HEAP, Quantity.STORED, Quantity.CPU_TIME);
   }
 
   /**
@@ -356,14 +356,14 @@
           }
         }
       }
-      series.add("leader", Quantity.GAP, workers, gap);
+      series.add("leader", Quantity.START_GAP, workers, gap);
       System.out.printf("leader-change %d: %.0f ms without a start%n", workers, gap);
     }
     series.keep(
-        Quantity.GAP,
+        Quantity.START_GAP,
         Quantity.MESSAGES,
         Quantity.TRAFFIC,
-        Quantity.PROCESSOR,
+        Quantity.CPU_TIME,
         Quantity.STATE_REQUESTS,
         Quantity.STATE_CHANGES);
   }
