--- a/src/main/java/fennelthread/net/EventLoop.java
+++ b/src/main/java/fennelthread/net/EventLoop.java
@@ -5,7 +5,7 @@
 
 /**
  * Clocks, timers, randomness, heap and requests of a process. All callbacks run on one thread, so
- * that no state needs a lock. Tests replace it by a seeded simulation, so everything that could
+ * that no state needs a lock. Tests replace it with a seeded simulation, so everything that could
  * make two runs differ goes through this interface.
  */
 public interface EventLoop {
@@ -16,16 +16,22 @@
     void cancel();
   }
 
-  /** The monotonic clock, ms. The protocol allows it to run fast by a bounded rate. */
+  /**
+   * The monotonic clock, ms. The protocol relies on a bound on the drift between the clocks of two
+   * processes: {@link fennelthread.constants.ProtocolConstants#MAX_CLOCK_DRIFT}.
+   */
   long nowMs();
 
-  /** The wall clock, ms since 1970, for deadlines and display only: it may be set back. */
+  /**
+   * The wall clock, ms since 1970, for deadlines and for times that are stored or shown. It may be
+   * set back, so no lease or timeout is measured by it.
+   */
   long wallMs();
 
   /** Runs {@code task} once, {@code delayMs} from now; timers may fire late. */
   Cancellable after(long delayMs, Runnable task);
 
-  /** The only source of randomness, seeded in tests. */
+  /** The only random number generator of the process, seeded in tests. */
   RandomGenerator random();
 
   /** The heap of a process. */
@@ -69,10 +75,10 @@
     /**
      * Handles the end of such a request.
      *
-     * @param tried false if this process had no socket for the request, which says nothing about
-     *     the other side
+     * @param wasTried false if this process did not try to connect to the other side itself; then
+     *     the call says nothing about the other side
      */
-    void over(boolean tried);
+    void over(boolean wasTried);
   }
 
   /**
@@ -80,8 +86,9 @@
    *
    * @param address host and port
    * @param timeoutMs the longest wait for the answer, ms
-   * @param done receives the answer, or null if none arrived in time: then the request may have
-   *     been executed, or may still be
+   * @param done receives the answer, or null if there was none before the timeout, the connection
+   *     failed, or the answer could not be read: then the request may have been executed, or may
+   *     still be
    * @param unsent called instead of {@code done} if nothing of the request was ever sent
    */
   void call(String address, Call call, long timeoutMs, Consumer<Answer> done, Unsent unsent);
--- a/src/main/java/fennelthread/net/HttpClient.java
+++ b/src/main/java/fennelthread/net/HttpClient.java
@@ -53,7 +53,7 @@
    * Creates a client without connections.
    *
    * @param maxSockets the most sockets that connections and connection attempts may take
-   * @param essentialAddresses addresses that are connected to beyond that bound too
+   * @param essentialAddresses addresses that are connected to even if all these sockets are taken
    */
   HttpClient(
       EventLoop eventLoop,
@@ -93,11 +93,11 @@
     final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
     final ArrayDeque<PendingCall> waitingCalls = new ArrayDeque<>();
 
-    /** Connection attempts that keep later calls from making another. */
-    int countedAttempts;
+    /** Connection attempts that have neither ended nor timed out; bounded for each address. */
+    int attemptsInFlight;
 
-    /** Connection attempts that hold a socket, those that have timed out here included. */
-    int openAttempts;
+    /** Sockets held by connection attempts, including those that have timed out. */
+    int openingSockets;
 
     /** True while the destination waits in {@link #destinationsWaiting} for a free socket. */
     boolean isQueued;
@@ -134,33 +134,37 @@
         finishUnsent(!destinations.get(address).isQueued);
         return;
       }
-      end();
+      markFinished();
       if (pooled != null) {
         if (isReusable && pooled.connection.isOpen()) {
-          reuse(pooled);
+          assignOrPool(pooled);
         } else {
           close(pooled);
         }
       }
-      XnioEventLoop.guarded(() -> done.accept(answer)).run();
+      XnioEventLoop.logExceptions(() -> done.accept(answer)).run();
     }
 
+    /** Finishes a call of which nothing was sent; as in {@link EventLoop.Unsent#over}. */
     void finishUnsent(boolean wasTried) {
       if (!isFinished) {
-        end();
-        XnioEventLoop.guarded(() -> unsent.over(wasTried)).run();
+        markFinished();
+        XnioEventLoop.logExceptions(() -> unsent.over(wasTried)).run();
       }
     }
 
-    private void end() {
+    private void markFinished() {
       isFinished = true;
       timer.cancel();
     }
   }
 
-  /** Uses a free connection for a waiting call, or keeps it in the pool, or closes it. */
-  private void reuse(PooledConnection pooled) {
-    PendingCall next = nextWaiting(pooled.destination);
+  /**
+   * Uses a new or free connection for a waiting call, else puts it in the pool. Closes it instead
+   * if the pool holds enough for its address, or if another address waits for a socket.
+   */
+  private void assignOrPool(PooledConnection pooled) {
+    PendingCall next = pollWaitingCall(pooled.destination);
     if (next != null) {
       send(next, pooled);
     } else if (pooled.destination.idle.size() < NetConstants.MAX_IDLE_CONNECTIONS_PER_ADDRESS
@@ -173,7 +177,7 @@
     }
   }
 
-  private static PendingCall nextWaiting(Destination destination) {
+  private static PendingCall pollWaitingCall(Destination destination) {
     PendingCall next = destination.waitingCalls.poll();
     while (next != null && next.isFinished) {
       next = destination.waitingCalls.poll();
@@ -193,7 +197,7 @@
     if (pooled.isCounted) {
       pooled.isCounted = false;
       socketCount--;
-      openForWaiting();
+      openWaitingDestinations();
     }
   }
 
@@ -201,7 +205,7 @@
    * Opens connections for waiting destinations while sockets are free. Such an attempt counts as
    * spare if all calls that wait for it are spare.
    */
-  private void openForWaiting() {
+  private void openWaitingDestinations() {
     while (socketCount < maxSockets && !destinationsWaiting.isEmpty()) {
       Destination destination = destinationsWaiting.poll();
       destination.isQueued = false;
@@ -230,29 +234,29 @@
     }
     // Attempts to connect to machines that are cut off hold their sockets for long, so spare calls
     // may take only a part of the sockets.
-    if (call.spare() && destination.openAttempts == 0 && spareAttempts >= maxSpareAttempts) {
+    if (call.spare() && destination.openingSockets == 0 && spareAttempts >= maxSpareAttempts) {
       eventLoop.after(0, () -> pending.finishUnsent(false));
       return;
     }
     destination.waitingCalls.add(pending);
-    // A spare call makes no attempt of its own while one holds a socket, however long that takes.
-    if (!call.spare() || destination.openAttempts == 0) {
+    // A spare call starts no attempt while another one holds a socket, even if that has timed out.
+    if (!call.spare() || destination.openingSockets == 0) {
       open(destination, call.spare());
     }
   }
 
   /**
-   * Opens a connection if the bounds on attempts and sockets allow it. If all sockets are taken,
-   * the connection that has been idle longest is closed for it; without an idle one the destination
-   * waits. An essential address does not wait.
+   * Opens a connection if the bounds on attempts and sockets allow it. If all sockets are taken, it
+   * closes the connection that has been idle longest; if none is idle, the destination waits. For
+   * an essential address it opens the connection even if all sockets are taken.
    */
   private void open(Destination destination, boolean isSpare) {
     boolean isEssential = essentialAddresses.contains(destination.address);
     int maxAttempts =
         isEssential ? NetConstants.MAX_CONNECTS_PER_ADDRESS : NetConstants.MAX_CONNECTS_PER_WORKER;
-    if (destination.countedAttempts >= maxAttempts
+    if (destination.attemptsInFlight >= maxAttempts
         || (!isEssential
-            && destination.openAttempts >= NetConstants.MAX_OPENING_SOCKETS_PER_WORKER)) {
+            && destination.openingSockets >= NetConstants.MAX_OPENING_SOCKETS_PER_WORKER)) {
       return;
     }
     if (socketCount >= maxSockets && !isEssential) {
@@ -277,7 +281,7 @@
         OptionMap.create(Options.TCP_NODELAY, true));
   }
 
-  /** An attempt to open a connection; it holds a socket until the operating system ends it. */
+  /** An attempt to open a connection. Until it succeeds or fails, it holds a socket. */
   private final class ConnectAttempt implements ClientCallback<ClientConnection> {
     private final Destination destination;
     private final boolean isSpare;
@@ -286,12 +290,12 @@
     /** True once a later call may make another attempt beside this one. */
     private boolean isReplaceable;
 
-    /** Counts an attempt that is about to start. */
+    /** Counts an attempt that is about to start, and starts its timeout. */
     ConnectAttempt(Destination destination, boolean isSpare) {
       this.destination = destination;
       this.isSpare = isSpare;
-      destination.countedAttempts++;
-      destination.openAttempts++;
+      destination.attemptsInFlight++;
+      destination.openingSockets++;
       socketCount++;
       spareAttempts += isSpare ? 1 : 0;
       // A machine without power never refuses a connection. After a timeout the attempt no longer
@@ -303,12 +307,13 @@
     private void makeReplaceable() {
       if (!isReplaceable) {
         isReplaceable = true;
-        destination.countedAttempts--;
+        destination.attemptsInFlight--;
       }
     }
 
-    private void end() {
-      destination.openAttempts--;
+    /** Takes the attempt out of all counts but that of the sockets. */
+    private void stopCounting() {
+      destination.openingSockets--;
       spareAttempts -= isSpare ? 1 : 0;
       if (!isReplaceable) {
         makeReplaceable();
@@ -318,26 +323,27 @@
 
     @Override
     public void completed(ClientConnection connection) {
-      end();
+      stopCounting();
       PooledConnection pooled = new PooledConnection(connection, destination);
       connection.getCloseSetter().set(c -> release(pooled));
-      reuse(pooled);
+      assignOrPool(pooled);
     }
 
     @Override
     public void failed(IOException e) {
       boolean hasTimedOut = isReplaceable;
-      end();
+      stopCounting();
       socketCount--;
-      openForWaiting();
+      openWaitingDestinations();
       if (hasTimedOut) {
+        // The calls that wait now are left to later attempts and to their own timeouts.
         return;
       }
-      PendingCall next = nextWaiting(destination);
+      PendingCall next = pollWaitingCall(destination);
       if (next != null) {
         next.finish(null, false);
       }
-      if (!destination.waitingCalls.isEmpty() && destination.countedAttempts == 0) {
+      if (!destination.waitingCalls.isEmpty() && destination.attemptsInFlight == 0) {
         open(destination, isSpare);
       }
     }
@@ -390,23 +396,23 @@
           private boolean isShutDown;
 
           @Override
-          public void handleEvent(StreamSinkChannel c) {
+          public void handleEvent(StreamSinkChannel sink) {
             try {
               while (data.hasRemaining()) {
-                if (c.write(data) == 0) {
-                  c.resumeWrites();
+                if (sink.write(data) == 0) {
+                  sink.resumeWrites();
                   return;
                 }
               }
               if (!isShutDown) {
                 isShutDown = true;
-                c.shutdownWrites();
+                sink.shutdownWrites();
               }
-              if (!c.flush()) {
-                c.resumeWrites();
+              if (!sink.flush()) {
+                sink.resumeWrites();
                 return;
               }
-              c.suspendWrites();
+              sink.suspendWrites();
             } catch (IOException e) {
               pending.finish(null, false);
             }
@@ -447,7 +453,7 @@
             return;
           }
           if (count < 0) {
-            pending.finish(answer(), isReusable());
+            pending.finish(createAnswer(), isReusable());
             return;
           }
           buffer.flip();
@@ -464,7 +470,7 @@
       }
     }
 
-    private Answer answer() {
+    private Answer createAnswer() {
       return new Answer(
           response.getResponseCode(),
           body.toByteArray(),
--- a/src/main/java/fennelthread/net/HttpServer.java
+++ b/src/main/java/fennelthread/net/HttpServer.java
@@ -5,6 +5,7 @@
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
+import io.undertow.io.Receiver;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.ServerConnection;
@@ -18,8 +19,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * The HTTP server of a controller, with one listener for users and workers and one for peers. Used
- * on the event loop's thread only.
+ * The HTTP server of a controller, with one listener for users and workers and one for peers.
+ * Requests are handled on the event loop's thread.
  */
 final class HttpServer {
   private static final Logger log = LoggerFactory.getLogger(HttpServer.class);
@@ -30,7 +31,7 @@
   /**
    * Creates a server; {@link #start} begins to listen.
    *
-   * @param inbound closes stale connections when sockets become scarce
+   * @param inbound tracks the connections, closes stale ones, and tells whether sockets are scarce
    * @param apiAddress host and port for users and workers
    * @param peerAddress host and port for peers
    */
@@ -101,18 +102,18 @@
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
-            (e, body) -> {
+            (received, body) -> {
               if (body.length > ProtocolConstants.MAX_BODY_BYTES) {
-                refuseAsTooLarge(e);
+                refuseAsTooLarge(received);
               } else {
-                serve(e, service, new Request(method, path, body));
+                serve(received, service, new Request(method, path, body));
               }
             },
-            (e, failure) -> {
-              if (failure instanceof io.undertow.io.Receiver.RequestToLargeException) {
-                refuseAsTooLarge(e);
+            (failed, failure) -> {
+              if (failure instanceof Receiver.RequestToLargeException) {
+                refuseAsTooLarge(failed);
               } else {
-                IoUtils.safeClose(e.getConnection());
+                IoUtils.safeClose(failed.getConnection());
               }
             });
   }
--- a/src/main/java/fennelthread/net/InboundConnections.java
+++ b/src/main/java/fennelthread/net/InboundConnections.java
@@ -8,11 +8,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * The connections that clients have opened to this process, the least recently used first. A
- * process at its limit of sockets refuses every new connection, also of users and health checks,
- * while it still holds connections that no client will use again: machines that fail or are cut off
- * leave theirs open here, and reconnect later. Near the limit, stale connections are closed. Used
- * on the event loop's thread only.
+ * The open connections on which clients have sent requests to this process, the least recently used
+ * first. A process at its limit of sockets refuses every new connection, including those of users
+ * and health checks, while it still holds connections that no client will use again: when a machine
+ * fails or is cut off, its connection stays open in this process, and the machine opens another one
+ * later. Near the limit, stale connections are closed. Used on the event loop's thread only.
  *
  * @param <C> the type of a connection
  */
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Records a request on a connection. The first one on a new connection closes stale connections
-   * if sockets run out.
+   * Records a request on a connection. If it is the first one, and more than {@link
+   * NetConstants#FULL_SOCKET_SHARE} of the sockets are in use, closes stale connections.
    *
    * @return true if it is the first request on the connection
    */
--- a/src/main/java/fennelthread/net/StallDetector.java
+++ b/src/main/java/fennelthread/net/StallDetector.java
@@ -8,19 +8,19 @@
  * Detects that this process stalled while its clocks ran on: the machine froze, a garbage
  * collection took long, or the processor quota was used up. After a stall all timers are due at
  * once and the messages that arrived meanwhile are still unread, so every other component seems to
- * have been silent. Silence is not to be trusted until the process has been reading messages for as
- * long as it stalled, up to a bound.
+ * have been silent. Silence is no evidence of a failure until the process has been reading messages
+ * for as long as it stalled, up to a bound.
  *
  * <p>Timers fire in any order after a stall, so {@link #isListening} checks the clock itself.
  */
 public final class StallDetector {
   private static final Logger log = LoggerFactory.getLogger(StallDetector.class);
 
-  /** Whether silence of other components may be trusted. */
+  /** Whether the silence of other components is evidence of their failure. */
   private enum Phase {
-    /** Messages are read as they arrive: silence may be trusted. */
+    /** Messages are read as they arrive: silence is evidence. */
     NORMAL,
-    /** The process stalled and may still be reading old messages: silence means nothing. */
+    /** The process stalled and may still be reading old messages: silence is no evidence. */
     CATCHING_UP
   }
 
@@ -36,15 +36,15 @@
     this.lastCheckAtMs = eventLoop.nowMs();
   }
 
-  /** Checks the clock now and then periodically; call it once. */
+  /** Checks the clock immediately, then periodically; call it once. */
   public void start() {
     isListening();
     eventLoop.after(NetConstants.STALL_CHECK_INTERVAL_MS, this::start);
   }
 
   /**
-   * True if the silence of other components means nothing at the moment, because the process
-   * stalled lately and their messages may still be unread.
+   * True while the process catches up after a stall: the messages of other components may still be
+   * unread, so their silence is no evidence of a failure. Also records a stall that it detects.
    */
   public boolean isListening() {
     long nowMs = eventLoop.nowMs();
--- a/src/main/java/fennelthread/net/XnioEventLoop.java
+++ b/src/main/java/fennelthread/net/XnioEventLoop.java
@@ -39,8 +39,8 @@
    * Creates the event loop and starts its thread; it does not listen yet.
    *
    * @param maxSockets the number of sockets that the process may hold
-   * @param maxOutboundSockets how many of them connections to other components may take
-   * @param essentialAddresses addresses that are connected to beyond that bound too
+   * @param maxOutboundSockets how many of these may be used for connections to other components
+   * @param essentialAddresses addresses that are connected to even if all of these are taken
    * @throws IOException if the thread cannot be created
    */
   public XnioEventLoop(int maxSockets, int maxOutboundSockets, Set<String> essentialAddresses)
@@ -64,7 +64,7 @@
 
   /** Runs a task on the event loop's thread; may be called from any thread. */
   public void run(Runnable task) {
-    thread.execute(guarded(task));
+    thread.execute(logExceptions(task));
   }
 
   /**
@@ -99,7 +99,7 @@
   @Override
   public Cancellable after(long delayMs, Runnable task) {
     XnioExecutor.Key key =
-        thread.executeAfter(guarded(task), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
+        thread.executeAfter(logExceptions(task), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
     return key::remove;
   }
 
@@ -108,8 +108,8 @@
     return random;
   }
 
-  /** A task that logs its exceptions, so that they do not end the event loop's thread. */
-  static Runnable guarded(Runnable task) {
+  /** Wraps a task so that its exceptions are logged and do not end the event loop's thread. */
+  static Runnable logExceptions(Runnable task) {
     return () -> {
       try {
         task.run();
--- a/src/main/java/fennelthread/peers/HeartbeatExtension.java
+++ b/src/main/java/fennelthread/peers/HeartbeatExtension.java
@@ -11,8 +11,8 @@
   }
 
   /**
-   * Returns the answer to a heartbeat, with this subsystem's additions. The heartbeat has been
-   * recorded already.
+   * Returns the answer to a heartbeat, with this subsystem's additions. Called after the heartbeat
+   * was recorded.
    */
   PeerHeartbeat extendAnswer(PeerHeartbeat heartbeat, PeerHeartbeat answer);
 
--- a/src/main/java/fennelthread/peers/LocalStatus.java
+++ b/src/main/java/fennelthread/peers/LocalStatus.java
@@ -8,8 +8,8 @@
   HeartbeatSender sender();
 
   /**
-   * The addresses by worker that peers need in case they have to lead; empty while another
-   * controller leads.
+   * The workers' addresses by name, which a peer needs if it becomes the leader; empty while
+   * another controller leads.
    */
   Map<String, String> workerAddresses();
 
--- a/src/main/java/fennelthread/peers/PeerConnection.java
+++ b/src/main/java/fennelthread/peers/PeerConnection.java
@@ -15,7 +15,10 @@
 final class PeerConnection {
   private final Settings.Peer peer;
   private final Map<String, String> acknowledgedAddresses = new HashMap<>();
-  private String acknowledgingIncarnation = "";
+
+  /** The incarnation of the peer that has {@link #acknowledgedAddresses}. */
+  private String addressesIncarnation = "";
+
   private PeerHeartbeat latest;
   private long lastHeardAtMs = PeerConstants.NEVER_MS;
   private long epochSinceMs = Long.MAX_VALUE;
@@ -43,24 +46,30 @@
     return lastHeardAtMs;
   }
 
-  /** The moment since which the peer acknowledges the epoch of {@link #latest}, ms. */
+  /**
+   * The moment since which the peer acknowledges the epoch of {@link #latest}, ms. {@code
+   * Long.MAX_VALUE} if it was never heard from, or if it has restarted with a lower epoch and has
+   * not acknowledged a higher one since.
+   */
   long epochSinceMs() {
     return epochSinceMs;
   }
 
-  /** True if the peer was heard from lately. */
-  boolean isHeard(long nowMs) {
+  /** True if the peer was heard from within {@link PeerConstants#PEER_SILENT_MS}. */
+  boolean wasRecentlyHeard(long nowMs) {
     return latest != null && nowMs - lastHeardAtMs < PeerConstants.PEER_SILENT_MS;
   }
 
   /** True if the peer relays, and was heard from after the last heartbeat that got no answer. */
   boolean canRelay(long nowMs) {
-    return isHeard(nowMs) && latest.features().relaying() && lastHeardAtMs > lastUnansweredAtMs;
+    return wasRecentlyHeard(nowMs)
+        && latest.features().relaying()
+        && lastHeardAtMs > lastUnansweredAtMs;
   }
 
   /**
-   * True if the peer's version renews leases for a bounded time only, and the peer knows of this
-   * epoch or a later one.
+   * True if the peer's version renews leases for a bounded time only, and the peer knows of {@code
+   * unboundedEpoch} or a later epoch.
    */
   boolean boundsRenewals(long unboundedEpoch) {
     return latest != null && latest.renewal() != null && latest.epoch() >= unboundedEpoch;
@@ -106,11 +115,13 @@
   }
 
   /**
-   * The changes to the workers' addresses that the peer does not have. Sending all addresses of
-   * hundreds of workers in each heartbeat would take tens of kilobytes a second, and the time of a
-   * small processor to encode and decode them.
+   * Prepares the changes to the workers' addresses that the peer does not have, at most {@link
+   * PeerConstants#ADDRESSES_PER_HEARTBEAT} of each kind. Sending all addresses of hundreds of
+   * workers in each heartbeat would take tens of kilobytes a second, and too much processor time on
+   * a small machine to encode and decode them. If there are no addresses, the update is empty, and
+   * the next one with addresses has all of them again.
    */
-  WorkerAddressUpdate addressUpdate(Map<String, String> currentAddresses) {
+  WorkerAddressUpdate prepareAddressUpdate(Map<String, String> currentAddresses) {
     if (currentAddresses.isEmpty()) {
       acknowledgedAddresses.clear();
       return WorkerAddressUpdate.none();
@@ -136,9 +147,9 @@
 
   /** Records that a process of the peer has received an update of the workers' addresses. */
   void acknowledgeAddresses(String incarnation, WorkerAddressUpdate update) {
-    if (!incarnation.equals(acknowledgingIncarnation)) {
+    if (!incarnation.equals(addressesIncarnation)) {
       // A restarted peer has only the addresses of this update.
-      acknowledgingIncarnation = incarnation;
+      addressesIncarnation = incarnation;
       acknowledgedAddresses.clear();
     }
     acknowledgedAddresses.putAll(update.changed());
--- a/src/main/java/fennelthread/peers/PeerHeartbeats.java
+++ b/src/main/java/fennelthread/peers/PeerHeartbeats.java
@@ -22,8 +22,8 @@
 
 /**
  * Sends and receives the heartbeats between this controller and its peers, and answers questions
- * about the peers from them. A heartbeat acknowledges its epoch: its sender answers no more reports
- * for older epochs. Used on the event loop's thread only.
+ * about the peers from them. A heartbeat acknowledges its epoch: its sender no longer answers
+ * reports for older epochs. Used on the event loop's thread only.
  */
 public final class PeerHeartbeats implements Service {
   private static final Logger log = LoggerFactory.getLogger(PeerHeartbeats.class);
@@ -54,7 +54,7 @@
 
   // ---------------------------------------------------------------- sending
 
-  /** Sends a heartbeat to all peers, now and then periodically; call it once. */
+  /** Sends a heartbeat to each peer immediately, then periodically; call it once. */
   public void start() {
     sendHeartbeats();
     double jitter = 1 + ProtocolConstants.PAUSE_JITTER_SHARE * eventLoop.random().nextDouble();
@@ -62,7 +62,8 @@
   }
 
   /**
-   * Sends a heartbeat to all peers now; after a claim, waiting for the next one would cost time.
+   * Sends a heartbeat to each peer that has none in flight. Used also between the periodic
+   * heartbeats, so that peers learn of a new leader or of unreachable workers without delay.
    */
   public void sendHeartbeats() {
     peers.values().forEach(this::sendHeartbeat);
@@ -72,7 +73,7 @@
     if (!peer.tryStartHeartbeat()) {
       return;
     }
-    WorkerAddressUpdate addresses = peer.addressUpdate(localStatus.workerAddresses());
+    WorkerAddressUpdate addresses = peer.prepareAddressUpdate(localStatus.workerAddresses());
     PeerHeartbeat heartbeat = PeerHeartbeat.of(localStatus.sender()).withAddresses(addresses);
     for (HeartbeatExtension extension : extensions) {
       heartbeat = extension.extendHeartbeat(peer.member(), heartbeat);
@@ -174,8 +175,8 @@
   // ---------------------------------------------------------------- relays
 
   /**
-   * True if a peer relays reports and commands, and was heard from lately, also after the last
-   * heartbeat that it did not answer.
+   * True if a peer relays reports and commands, was heard from lately, and was heard from after the
+   * last heartbeat that it left unanswered.
    */
   public boolean canRelayThrough(String member) {
     PeerConnection peer = peers.get(member);
@@ -191,49 +192,51 @@
         .toList();
   }
 
-  /** The peer that can relay and receives the most workers' reports, or null if none can relay. */
+  /** The peer that can relay and receives reports from the most workers; null if none can relay. */
   public String bestRelay() {
     long nowMs = eventLoop.nowMs();
     PeerConnection best = null;
     for (PeerConnection peer : peers.values()) {
       if (peer.canRelay(nowMs)
-          && (best == null || reportsReceivedBy(peer) > reportsReceivedBy(best))) {
+          && (best == null || workersReportingTo(peer) > workersReportingTo(best))) {
         best = peer;
       }
     }
     return best == null ? null : best.member();
   }
 
-  private static long reportsReceivedBy(PeerConnection peer) {
+  private static long workersReportingTo(PeerConnection peer) {
     return peer.latest().sender().reportingWorkers();
   }
 
-  /** The number of workers whose reports the peers receive, of those peers heard from lately. */
+  /** The sum, over the peers heard from lately, of the workers whose reports each receives. */
   public long workersReportingToPeers() {
     long nowMs = eventLoop.nowMs();
-    long reports = 0;
+    long workers = 0;
     for (PeerConnection peer : peers.values()) {
-      if (peer.isHeard(nowMs)) {
-        reports += reportsReceivedBy(peer);
+      if (peer.wasRecentlyHeard(nowMs)) {
+        workers += workersReportingTo(peer);
       }
     }
-    return reports;
+    return workers;
   }
 
   /** True if the peer was heard from lately, leads, and receives no reports directly. */
   public boolean leadsWithWorkersUnreachable(String member) {
     PeerConnection peer = peers.get(member);
     return peer != null
-        && peer.isHeard(eventLoop.nowMs())
+        && peer.wasRecentlyHeard(eventLoop.nowMs())
         && peer.latest().leading()
         && peer.latest().sender().workersUnreachable();
   }
 
-  /** A peer heard from lately that renews leases in place of a silent leader, or null if none. */
+  /**
+   * Finds a peer heard from lately that renews leases in place of a silent leader; null if none.
+   */
   public String findRenewingPeer() {
     long nowMs = eventLoop.nowMs();
     for (PeerConnection peer : peers.values()) {
-      if (peer.isHeard(nowMs)
+      if (peer.wasRecentlyHeard(nowMs)
           && peer.latest().renewal() != null
           && peer.latest().renewal().renewing()) {
         return peer.member();
@@ -255,7 +258,8 @@
    * an older one, ms; {@code Long.MAX_VALUE} while some peer still may answer one.
    *
    * @param boundMs the moment from which peers that bound their renewals answer no such report
-   * @param unboundedEpoch the last epoch whose leader may be of a version that does not, 0 for none
+   * @param unboundedEpoch the last epoch whose leader may be of a version that renews leases
+   *     without bound, 0 for none
    */
   public long acknowledgedSinceMs(long epoch, long boundMs, long unboundedEpoch) {
     long sinceMs = Long.MIN_VALUE;
@@ -272,7 +276,8 @@
   }
 
   /**
-   * True if no peer can be the leader of that epoch, or of an older one, in a version that renews
+   * True if each peer was heard from, is of a version that bounds its renewals, and knows of {@code
+   * unboundedEpoch} or a later epoch. Then no peer that leads this epoch or an older one renews
    * leases without bound.
    */
   public boolean doAllPeersBoundRenewals(long unboundedEpoch) {
@@ -284,7 +289,8 @@
    * is being served would not be enough, because it may not have noticed a new outage yet.
    */
   public boolean wasAnyPeerServedAfter(long timeMs) {
-    return anyPeer(peer -> peer.lastHeardAtMs() - peer.latest().sender().servedAgoMs() > timeMs);
+    return doesAnyPeerMatch(
+        peer -> peer.lastHeardAtMs() - peer.latest().sender().servedAgoMs() > timeMs);
   }
 
   /**
@@ -293,14 +299,14 @@
    */
   public boolean hasHeardOutdatedPeer() {
     long nowMs = eventLoop.nowMs();
-    return anyPeer(
+    return doesAnyPeerMatch(
         peer ->
             !peer.latest().features().dependencies()
                 && nowMs - peer.lastHeardAtMs() < PeerConstants.OUTDATED_PEER_MS);
   }
 
   /** True if the condition holds for some peer that was ever heard from. */
-  private boolean anyPeer(Predicate<PeerConnection> condition) {
+  private boolean doesAnyPeerMatch(Predicate<PeerConnection> condition) {
     return peers.values().stream().anyMatch(peer -> peer.latest() != null && condition.test(peer));
   }
 }
--- a/src/main/java/fennelthread/peers/RenewalStatus.java
+++ b/src/main/java/fennelthread/peers/RenewalStatus.java
@@ -15,9 +15,10 @@
  * @param abstainingForEpoch in an answer: the epoch whose leader is promised that the sender renews
  *     no lease in its place for a while; 0 for none
  * @param cancelledJobIds in an answer: the entries of the sender's log that follow the position
- *     asked for
- * @param lastNumber in an answer: the number of the last of these entries
- * @param complete in an answer: true if no entries follow
+ *     asked for; none if that log does not have them all
+ * @param lastNumber in an answer: the number of the last of these entries, or of the log's last
+ *     entry if the log does not have them all
+ * @param complete in an answer: true if these are the last entries of the log
  * @param renewing true if the sender renews leases in place of a silent leader
  * @param renewedAgoMs the time since it last did so, ms; {@link PeerConstants#NEVER_RENEWED} if it
  *     never did
--- a/src/main/java/fennelthread/peers/WorkerAddressUpdate.java
+++ b/src/main/java/fennelthread/peers/WorkerAddressUpdate.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The changes to the workers' addresses that a leader shares with a peer, since the last heartbeat
- * that the peer has answered.
+ * Changes to the workers' addresses that a leader sends to a peer, relative to those that the peer
+ * has acknowledged. A large change is spread over several updates.
  *
  * @param changed new and changed addresses by worker
  * @param removed workers that have no address any more
--- a/src/main/java/fennelthread/relay/CommandSender.java
+++ b/src/main/java/fennelthread/relay/CommandSender.java
@@ -22,9 +22,10 @@
 
 /**
  * Sends a leader's commands and probes to workers: directly, or through a peer for workers whose
- * reports do not reach the leader directly. A relayed command that gets no answer may still be
- * executed; the worker itself refuses commands under an outdated fencing token. Also serves the
- * peers' relay requests. Used on the event loop's thread only.
+ * reports do not reach the leader directly. A probe that is slow to be answered goes both ways. A
+ * relayed command that gets no answer may still be executed; the worker itself refuses commands
+ * under an outdated fencing token. Also serves the peers' relay requests. Used on the event loop's
+ * thread only.
  */
 public final class CommandSender implements CommandTransport {
 
@@ -41,7 +42,7 @@
     Answer answer(WorkerReport report, long epoch, String peer);
   }
 
-  /** The peer through which a worker was last heard, and when. */
+  /** The peer through which a worker was last heard from, and when. */
   private record RelayRoute(String peer, long heardAtMs) {}
 
   private final EventLoop eventLoop;
@@ -57,8 +58,8 @@
    * Creates a sender without relay routes.
    *
    * @param reachability whether workers' reports reach this leader directly
-   * @param highestEpoch the highest epoch known here; peers' commands of an older one are not
-   *     relayed
+   * @param highestEpoch the highest epoch known here; a peer's commands are not relayed if their
+   *     epoch is older
    */
   public CommandSender(
       EventLoop eventLoop,
@@ -99,8 +100,9 @@
       EventLoop.Unsent unsent) {
     String peer = choosePeer(machine);
     if (peer != null) {
-      // A probe is harmless if it arrives twice, so the peer's word that it did not send it counts.
-      // For a command it proves nothing: the peer may get the request again, and then send it.
+      // If the peer answers that it sent nothing, a probe counts as unsent, because it is harmless
+      // if it arrives twice. For a command that answer proves nothing: a duplicate of the relay
+      // request may still reach the peer, which then sends the command.
       Runnable onNotRelayed = call.spare() ? () -> unsent.over(false) : () -> done.accept(null);
       long relayTimeoutMs = timeoutMs + RelayConstants.RELAY_HOP_MS;
       sendThroughPeer(peer, address, call, relayTimeoutMs, done, unsent, onNotRelayed);
@@ -200,7 +202,7 @@
    * @param timeoutMs the timeout of the whole exchange with the peer, ms
    * @param unsent called if nothing of the request left this process
    * @param onNotRelayed called if the peer says that it sent nothing to the worker; a duplicate of
-   *     the relay request may still reach the peer later and be sent on
+   *     the relay request may still reach the peer, which then sends the request
    */
   private void sendThroughPeer(
       String peer,
@@ -214,7 +216,8 @@
     try {
       body = call.codec().decode(call.body());
     } catch (WireException e) {
-      throw new IllegalStateException("the body of a command to relay can't be decoded", e);
+      throw new IllegalStateException(
+          "cannot decode the body of the command to relay to " + address, e);
     }
     relayedCommands++;
     peers.call(
@@ -232,7 +235,7 @@
             done.accept(outcome == null ? null : outcome.answer());
           }
         },
-        // A failure to reach the peer says nothing of the worker.
+        // A failure to reach the peer says nothing about the worker.
         wasTried -> unsent.over(false));
   }
 
@@ -288,7 +291,7 @@
   private void handleCommands(Request request, Consumer<Answer> reply) throws WireException {
     RelayWire.Commands commands = RelayWire.Commands.read(Codec.JSON.decode(request.body()));
     if (commands.epoch() < highestEpoch.getAsLong()) {
-      // A later leader is known: nothing is sent to the worker, so nothing can be executed.
+      // The commands are of an outdated leader: they are not sent, so nothing can be executed.
       reply.accept(Answer.of(200, Codec.JSON, new RelayWire.Outcome(0, null, true).write()));
       return;
     }
--- a/src/main/java/fennelthread/relay/Relay.java
+++ b/src/main/java/fennelthread/relay/Relay.java
@@ -46,10 +46,15 @@
     REDIRECT_TO_NEXT
   }
 
-  /** What this controller did with a worker's reports; {@code -1} stands for "not relayed". */
+  /** How this controller treats the reports of a worker that the leader may not answer. */
   private static final class WorkerRoute {
+    /** When the worker was last redirected to the leader, ms. */
     long redirectedAtMs;
+
+    /** Since when its reports are relayed, ms; -1 while they are not. */
     long relayedSinceMs = -1;
+
+    /** How long its reports are relayed before it is redirected to the leader again, ms. */
     long relayPeriodMs = RelayConstants.MIN_RELAY_PERIOD_MS;
   }
 
@@ -57,7 +62,7 @@
   private final Settings settings;
   private final PeerHeartbeats peers;
 
-  /** By worker, the least recently used first. */
+  /** The routes by worker name, the least recently used first. */
   private final Map<String, WorkerRoute> routes = new LinkedHashMap<>(64, 0.75f, true);
 
   private Phase phase = Phase.OPEN;
@@ -86,12 +91,13 @@
       epochSinceMs = nowMs;
       routes.clear();
     }
-    boolean isUnanswered = isUnansweredByLeader(report, nowMs);
+    boolean isUnanswered = updateRoute(report, nowMs);
     if (!isUnanswered && !peers.leadsWithWorkersUnreachable(leader.member())) {
       return Decision.REDIRECT_TO_LEADER;
     }
-    if (!isOpen(nowMs) || !peers.canRelayThrough(leader.member())) {
-      // Sent back to the leader, the worker would wait for its answer for most of its lease.
+    if (!mayRelayAnother(nowMs) || !peers.canRelayThrough(leader.member())) {
+      // If the worker were redirected to a leader that does not answer it, it would wait for an
+      // answer for most of its lease.
       return isUnanswered ? Decision.REDIRECT_TO_NEXT : Decision.REDIRECT_TO_LEADER;
     }
     relay(report, leader, reply);
@@ -99,10 +105,12 @@
   }
 
   /**
-   * True if the worker has tried the leader without getting an answer, as far as this controller
-   * can tell. Records the decision for the worker's next reports.
+   * Updates the route of a worker that reported here.
+   *
+   * @return true if the worker has tried the leader without getting an answer, as far as this
+   *     controller can tell
    */
-  private boolean isUnansweredByLeader(WorkerReport report, long nowMs) {
+  private boolean updateRoute(WorkerReport report, long nowMs) {
     WorkerRoute route = routes.get(report.machine());
     if (route == null) {
       route = new WorkerRoute();
@@ -141,8 +149,8 @@
     }
   }
 
-  /** True if another report may be relayed now; ends a pause that is over. */
-  private boolean isOpen(long nowMs) {
+  /** True if relaying is not paused and few enough reports are in flight; ends a pause when due. */
+  private boolean mayRelayAnother(long nowMs) {
     if (phase == Phase.PAUSED && nowMs >= pausedUntilMs) {
       moveTo(Phase.OPEN);
       consecutiveFailures = 0;
@@ -184,7 +192,7 @@
     }
   }
 
-  /** Reads a peer's answer to a relayed request; null if there is none that can be read. */
+  /** Reads a peer's answer to a relay request; null if it is missing, an error or malformed. */
   static RelayWire.Outcome readOutcome(Answer answer) {
     if (answer == null || answer.status() != 200) {
       return null;
@@ -197,7 +205,7 @@
     }
   }
 
-  /** The answer to a worker that no leader answers here: it tries the next controller. */
+  /** The answer that makes a worker report to the next controller in its own order. */
   static Answer redirectToNext() {
     return Answer.of(421, Codec.CBOR, new Redirect(null).write());
   }
--- a/src/main/java/fennelthread/relay/RelayWire.java
+++ b/src/main/java/fennelthread/relay/RelayWire.java
@@ -43,7 +43,7 @@
    * @param epoch the epoch of the leader that sends them
    * @param address the worker's address, host and port
    * @param timeoutMs how long the relaying controller may wait for the worker's answer, ms
-   * @param spare as in {@link fennelthread.net.Call}
+   * @param spare true for a probe, which may be dropped; as in {@link fennelthread.net.Call}
    * @param body the commands as the worker receives them
    */
   record Commands(long epoch, String address, long timeoutMs, boolean spare, Fields body) {
@@ -71,11 +71,11 @@
    *
    * @param status the HTTP status of the answer, 0 for no answer
    * @param body the body of the answer; null if there is none, or it can't be decoded
-   * @param unsent true if nothing of the request was sent on; only this says that this relaying did
-   *     not deliver it
+   * @param unsent true if the relaying controller sent nothing of the request to the worker; if it
+   *     is false, the request may have been delivered even without an answer
    */
   record Outcome(int status, Fields body, boolean unsent) {
-    /** The outcome for an answer, or for none if it is null. */
+    /** The outcome of a request that was sent on; {@code answer} is null if there was none. */
     static Outcome of(Answer answer) {
       try {
         return answer == null
@@ -97,7 +97,7 @@
           fields.optFlag("unsent"));
     }
 
-    /** The answer as if it had come directly, or null if there was none that can be decoded. */
+    /** The relayed answer; null if there was none or its body could not be decoded. */
     Answer answer() {
       return status == 0 || body == null ? null : Answer.of(status, Codec.CBOR, body);
     }
--- a/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
+++ b/src/main/java/fennelthread/relay/UnreachableLeaderNotice.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A follower's notice, written to the state service, that workers of the leader report to the
- * follower although the leader is silent on the peer network. A leader that receives no reports
+ * A follower's notice in the state service, written while the leader is silent on the peer network:
+ * it says that workers of this leader report to the follower. A leader that receives no reports
  * itself learns from it that it is cut off from its workers, and that they have not failed. Used on
  * the event loop's thread only.
  */
@@ -56,14 +56,16 @@
     reportAtMsByWorker.put(machine, eventLoop.nowMs());
   }
 
-  /** Forgets the workers that reported here: another leads, or the leader can be reached. */
+  /**
+   * Forgets the workers that reported here; for when no peer leads, or the leader is not silent.
+   */
   public void forgetWorkers() {
     reportAtMsByWorker.clear();
   }
 
   /**
-   * Writes the notice if enough workers of the silent leader have reported here lately, and the
-   * last notice is not too recent.
+   * Writes the notice if enough workers of the silent leader have reported here lately, unless a
+   * notice is being written or was written too recently.
    *
    * @param epoch the epoch of the leader
    * @param knownWorkers the number of workers that this controller knows of
@@ -84,7 +86,7 @@
     isPublishing = true;
     publishedAtMs = nowMs;
     log.info(
-        "workers of unreachable leader report here epoch={} workers={}",
+        "workers of unreachable leader report to this controller epoch={} workers={}",
         epoch,
         reportAtMsByWorker.size());
     state.submitTxn(
--- a/src/main/java/fennelthread/relay/WorkerReachability.java
+++ b/src/main/java/fennelthread/relay/WorkerReachability.java
@@ -4,16 +4,16 @@
 
 /**
  * Whether workers' reports still reach this leader directly. Hundreds of workers report at random
- * moments, so a second without a report from any of them is not chance: either this leader is cut
- * off from them, or they have all failed. Only the peers can tell which. Silence counts for nothing
- * after this process's own timers have run late, since it was not receiving either. Used on the
+ * moments, so a second without a report from any of them cannot be chance: either this leader is
+ * cut off from them, or they have all failed. Only the peers can tell which. Silence before a check
+ * that runs late is not counted, because the process was not receiving messages either. Used on the
  * event loop's thread only.
  */
 public final class WorkerReachability {
 
   /** Whether the leader receives reports directly. */
   public enum Phase {
-    /** Reports arrive, or too few are due to tell. */
+    /** Reports arrive, or too few are missing to prove that the workers are unreachable. */
     REACHABLE,
     /** More reports are missing than chance explains. */
     UNREACHABLE
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Starts a new term. Silence counts only after two report intervals, because workers reach a new
-   * leader with their next report at the earliest.
+   * Starts a new term. The workers' silence counts only after two report intervals, because workers
+   * reach a new leader with their next report at the earliest.
    */
   public void beginTerm(long nowMs) {
     lastReportAtMs = nowMs + 2 * reportMs;
@@ -52,9 +52,10 @@
   }
 
   /**
-   * Records that a worker answered a direct probe, which shows that the network works both ways. It
-   * is ignored for some time after reports went missing, which grows if they soon go missing again:
-   * a network that passes probes may still lose the workers' own requests.
+   * Records that a worker answered a direct probe, which shows that the network works both ways.
+   * For some time after the workers became unreachable such answers are ignored, because a network
+   * that passes probes may still lose the workers' own requests. That time grows if the workers
+   * soon become unreachable again.
    */
   public void onProbeAnswered(long nowMs) {
     if (phase == Phase.UNREACHABLE && nowMs - unreachableSinceMs >= probeDistrustMs) {
--- a/src/test/java/fennelthread/net/InboundConnectionsTest.java
+++ b/src/test/java/fennelthread/net/InboundConnectionsTest.java
@@ -13,8 +13,8 @@
   private final Set<String> open = new LinkedHashSet<>();
 
   /**
-   * A fifth of the machines is cut off, and each reconnects while its old connection is still open
-   * here. Only the old connections are closed, as far as sockets are needed.
+   * A fifth of the machines are cut off, and each of them reconnects while its old connection is
+   * still open in the process. Only such old connections are closed, and only as many as needed.
    */
   @Test
   void onlyStaleConnectionsAreClosedForNewOnes() {
--- a/src/test/java/fennelthread/net/XnioEventLoopTest.java
+++ b/src/test/java/fennelthread/net/XnioEventLoopTest.java
@@ -23,8 +23,8 @@
 
   /**
    * Connection attempts for probes of machines that are cut off hold their sockets until the
-   * operating system gives up. If they could take all sockets, no start could be sent for twenty
-   * seconds.
+   * operating system gives up. If they could take all sockets, no command that starts a task could
+   * be sent for twenty seconds.
    */
   @Test
   void probesOfSilentMachinesLeaveSocketsForStarts() throws Exception {
@@ -36,7 +36,8 @@
         "127.0.0.1:" + freePort(),
         (request, reply) -> reply.accept(Answer.error(404, "unknown path")));
     List<SocketChannel> backlogFillers = new ArrayList<>();
-    // It never accepts: once its backlog is full, connection attempts hang, as they do for machines
+    // The server never accepts: once its backlog is full, connection attempts hang, as they do for
+    // machines
     // that are cut off.
     try (ServerSocket silentServer = new ServerSocket(0, 1, null)) {
       for (int i = 0; i < 4; i++) {
@@ -46,7 +47,7 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), silentServer.getLocalPort()));
         backlogFillers.add(filler);
       }
-      CompletableFuture<Boolean> unsent = new CompletableFuture<>();
+      CompletableFuture<Boolean> wasUnsentTried = new CompletableFuture<>();
       CompletableFuture<Answer> answer = new CompletableFuture<>();
       Call start = Call.post("/commands", Codec.CBOR, Fields.create());
       eventLoop.run(
@@ -54,15 +55,20 @@
             for (int i = 2; i < 40; i++) {
               String address = "127.0.0." + i + ":" + silentServer.getLocalPort();
               eventLoop.call(
-                  address, start.asSpare(), 1_000, a -> {}, tried -> unsent.complete(tried));
+                  address,
+                  start.asSpare(),
+                  1_000,
+                  a -> {},
+                  wasTried -> wasUnsentTried.complete(wasTried));
             }
             eventLoop.after(200, () -> eventLoop.call(liveAddress, start, 2_000, answer::complete));
           });
       Answer startAnswer = answer.get(10, TimeUnit.SECONDS);
       assertNotNull(startAnswer, "the start got no answer");
       assertEquals(200, startAnswer.status());
-      // Probes beyond the bound end as unsent and not tried, which says nothing of their machines.
-      assertEquals(false, unsent.get(10, TimeUnit.SECONDS));
+      // Probes beyond the bound end as unsent and not tried, which says nothing about their
+      // machines.
+      assertEquals(false, wasUnsentTried.get(10, TimeUnit.SECONDS));
     } finally {
       for (SocketChannel filler : backlogFillers) {
         filler.close();
--- a/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
+++ b/src/test/java/fennelthread/peers/PeerHeartbeatTest.java
@@ -52,7 +52,7 @@
   void olderAndNewerFormatsAreRead() throws WireException {
     assertFalse(read(CURRENT_FORMAT.replace("\"chains\":true,", "")).features().dependencies());
     assertTrue(
-        read(CURRENT_FORMAT.replace("\"chains\":true,", "\"chains\":true,\"moods\":[1],"))
+        read(CURRENT_FORMAT.replace("\"chains\":true,", "\"chains\":true,\"unknown_field\":[1],"))
             .features()
             .dependencies());
     assertNull(read(CURRENT_FORMAT.replace("keep", "kept")).renewal());
--- a/src/test/java/fennelthread/relay/CommandSenderTest.java
+++ b/src/test/java/fennelthread/relay/CommandSenderTest.java
@@ -121,7 +121,7 @@
   private final List<Object> outcomes = new ArrayList<>();
 
   @BeforeEach
-  void connectPeerAndLoseWorkers() {
+  void connectPeerAndMakeWorkersUnreachable() {
     byte[] heartbeat =
         ("{\"member\":\"nodo-1\",\"incarnation\":\"b\",\"epoch\":7,\"leading\":false,"
                 + "\"served_ago_ms\":1,\"beats_heard\":3,\"chains\":true,\"relays\":true}")
@@ -191,7 +191,8 @@
   }
 
   /**
-   * A probe goes directly and through a peer; it has no answer only if both attempts end without.
+   * A slow probe is sent both directly and through a peer. It is unanswered only if both attempts
+   * end without an answer.
    */
   @Test
   void slowProbeIsAlsoSentThroughAPeer() {
--- a/src/test/java/fennelthread/relay/WorkerReachabilityTest.java
+++ b/src/test/java/fennelthread/relay/WorkerReachabilityTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When workers count as unreachable: soon if many reports are due, never by chance, and only after
- * further silence if the process itself stalled.
+ * When workers count as unreachable: the sooner, the more reports are missing; not because of
+ * random losses; and after a stall of this process only if the silence lasts.
  */
 class WorkerReachabilityTest {
   private static final long REPORT_MS = 4_000;
@@ -18,7 +18,8 @@
   private long nowMs;
 
   /**
-   * One report in twenty is lost for an hour: more than three workers never count as unreachable.
+   * During an hour in which one report in twenty is lost at random, more than three workers never
+   * count as unreachable.
    */
   @Test
   void randomLossOfReportsIsNotUnreachability() {
@@ -81,7 +82,7 @@
 
   /**
    * Probes are answered although no report arrives. Each time the workers become unreachable again,
-   * an answer is trusted only after a longer time, so that the state does not flap.
+   * answers are ignored for longer, so that the phase does not change back and forth all the time.
    */
   @Test
   void probeAnswersAreTrustedLaterEachTimeReportsStayMissing() {
