--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -45,7 +45,7 @@
   private final Map<String, Long> firstStartAt = new HashMap<>();
   private final Map<String, Long> unansweredSince = new HashMap<>();
   private long faultFreeSince = Long.MAX_VALUE / 2;
-  private long lastSampleAt;
+  private long lastCheckMs;
   int starts;
 
   /** Starts of tasks that had already completed: no rule forbids them, but work is repeated. */
@@ -209,10 +209,10 @@
    * running replicas of services, each from 20 s after its acceptance.
    */
   private void runPeriodicChecks() {
-    if (network.now() < lastSampleAt + 500) {
+    if (network.now() < lastCheckMs + 500) {
       return;
     }
-    lastSampleAt = network.now();
+    lastCheckMs = network.now();
     checkAnswered();
     for (Map.Entry<String, Long> entry : acceptedAt.entrySet()) {
       JobSpec spec = submitted.get(entry.getKey());
@@ -257,7 +257,7 @@
         (id, at) -> {
           if (!isUnwanted(id)) {
             counted.add(new ServedRule.Job(submitted.get(id), at, allCompleted(id)));
-            checkBegun(submitted.get(id));
+            checkFirstStart(submitted.get(id));
           }
         });
     String unserved = servedRule.check(counted, network.now() - settleMs);
@@ -272,12 +272,13 @@
         || ancestors(id).stream().anyMatch(cancelRequested::contains);
   }
 
-  private void checkBegun(JobSpec spec) {
+  private void checkFirstStart(JobSpec spec) {
     long accepted = acceptedAt.get(spec.id());
-    long begun = firstStartAt.getOrDefault(spec.id(), network.now());
+    long firstStart = firstStartAt.getOrDefault(spec.id(), network.now());
     if (spec.dependencies().isEmpty()
-        && begun - accepted > SimulationConstants.MAX_FIRST_START_MS) {
-      reportViolation("unserved", spec.id() + " did not begin for " + (begun - accepted) + " ms");
+        && firstStart - accepted > SimulationConstants.MAX_FIRST_START_MS) {
+      reportViolation(
+          "unserved", spec.id() + " did not start for " + (firstStart - accepted) + " ms");
     }
   }
 
@@ -333,7 +334,7 @@
     }
     if (spec.spreadAcrossZones()
         && presence.running(spec.id(), worker.zone()) > PlacementRules.mostInOneZone(spec)) {
-      reportViolation("wrong_place", task + " crowds zone " + worker.zone());
+      reportViolation("wrong_place", task + " exceeds its job's share of zone " + worker.zone());
     }
     for (String dependency : spec.dependencies()) {
       if (!allCompleted(dependency)) {
@@ -413,7 +414,7 @@
     checkCount(id, state, doneTasks, before);
     acceptedAt.putIfAbsent(id, network.now());
     if (before.orphan && (state.equals("pending") || state.equals("running"))) {
-      reportViolation("orphaned", id + " is called " + state);
+      reportViolation("orphaned", id + " reported as " + state);
     }
     if (before.done && !state.equals("done")) {
       reportViolation("went_back", id + " from done to " + state);
@@ -424,7 +425,7 @@
     if (state.equals("withdrawn")) {
       if (!cancelRequested.contains(id)
           && ancestors(id).stream().noneMatch(cancelRequested::contains)) {
-        reportViolation("went_back", id + " withdrawn by nobody");
+        reportViolation("went_back", id + " withdrawn without a request");
       }
       if (cancelToldAt.putIfAbsent(id, network.now()) == null) {
         tasksWhenCancelled.put(id, running(id));
--- a/src/main/java/fennelthread/simulation/StateInvariants.java
+++ b/src/main/java/fennelthread/simulation/StateInvariants.java
@@ -33,7 +33,7 @@
       if (key.startsWith(START_RECORDS)
           && Long.parseLong(key.substring(START_RECORDS.length(), key.lastIndexOf('-')))
               < state.claimedEpoch()) {
-        throw new AssertionError("t=" + network.now() + " written after a takeover: " + key);
+        throw new AssertionError("t=" + network.now() + " written under an old epoch: " + key);
       }
     } catch (WireException e) {
       throw new AssertionError(e);
