--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -24,7 +24,7 @@
 final class CloudEmulator implements Service {
   private final List<MachineType> machineTypes;
   private final SimulatedNetwork network;
-  private final Consumer<WorkerEmulator> onWorker;
+  private final Consumer<WorkerEmulator> onMachineRented;
   private final WorkerEmulator.Environment environment;
   private final TreeMap<String, WorkerEmulator> machines = new TreeMap<>();
   private final Map<String, List<Object>> machinesByRequest = new HashMap<>();
@@ -38,21 +38,21 @@
   CloudEmulator(
       SimulatedNetwork network,
       WorkerEmulator.Environment environment,
-      Consumer<WorkerEmulator> onWorker,
+      Consumer<WorkerEmulator> onMachineRented,
       Deployment deployment) {
     this.network = network;
     this.environment = environment;
-    this.onWorker = onWorker;
+    this.onMachineRented = onMachineRented;
     List<String> zones = deployment.zones();
     this.machineTypes =
         List.of(
             new MachineType("mesa", 4, 0, 16, 20, 0.5, 0.3, 0.1, 6, zones),
             new MachineType("torre", 16, 1, 64, 40, 1, 1.5, 0.5, 9, zones));
     for (String zone : zones) {
-      capacityLeft.put("mesa" + zone + false, deployment.small());
-      capacityLeft.put("mesa" + zone + true, deployment.small() / 2);
-      capacityLeft.put("torre" + zone + false, deployment.big());
-      capacityLeft.put("torre" + zone + true, deployment.big() / 2);
+      capacityLeft.put("mesa" + zone + false, deployment.smallPerZone());
+      capacityLeft.put("mesa" + zone + true, deployment.smallPerZone() / 2);
+      capacityLeft.put("torre" + zone + false, deployment.largePerZone());
+      capacityLeft.put("torre" + zone + true, deployment.largePerZone() / 2);
     }
     bootMs =
         () -> {
@@ -132,7 +132,7 @@
     network.setZone(name, zone);
     machines.put(name, worker);
     rentedAt.put(name, network.now());
-    onWorker.accept(worker);
+    onMachineRented.accept(worker);
     if (bootMs >= 0) {
       network.after(bootMs, worker::boot);
     }
--- a/src/main/java/fennelthread/simulation/Deployment.java
+++ b/src/main/java/fennelthread/simulation/Deployment.java
@@ -9,10 +9,10 @@
  * @param controllers number of controllers, assigned to the zones in turn
  * @param zones zone names; the initial small machines are assigned to them in turn
  * @param initialSmall small machines at the start
- * @param initialBig large machines at the start, all in the first zone
- * @param small regular small machines that can be rented in each zone; half as many spot machines
- *     can be rented besides
- * @param big the same for the large type
+ * @param initialLarge large machines at the start, all in the first zone
+ * @param smallPerZone regular small machines that can be rented in each zone; half as many spot
+ *     machines can be rented besides
+ * @param largePerZone the same for the large type
  * @param teamCap CPU limit of each team
  * @param limits the state service's limits at the start
  * @param announcedLimits the state service's limits in the controllers' settings
@@ -25,9 +25,9 @@
     int controllers,
     List<String> zones,
     int initialSmall,
-    int initialBig,
-    int small,
-    int big,
+    int initialLarge,
+    int smallPerZone,
+    int largePerZone,
     double teamCap,
     Settings.StateLimits limits,
     Settings.StateLimits announcedLimits,
@@ -61,8 +61,8 @@
   }
 
   /**
-   * {@code machines - 1} small machines and a twentieth as many large ones at the start, with
-   * ordinary limits of the state service.
+   * {@code machines - 1} small and {@code machines / 20} large machines at the start, with ordinary
+   * limits of the state service.
    */
   static Deployment large(int machines) {
     return new Deployment(
@@ -86,9 +86,9 @@
         controllers,
         zones,
         initialSmall,
-        initialBig,
-        small,
-        big,
+        initialLarge,
+        smallPerZone,
+        largePerZone,
         cpus,
         limits,
         announcedLimits,
@@ -103,9 +103,9 @@
         controllers,
         zones,
         initialSmall,
-        initialBig,
-        small,
-        big,
+        initialLarge,
+        smallPerZone,
+        largePerZone,
         teamCap,
         limits,
         newLimits,
@@ -121,9 +121,9 @@
         controllers,
         zones,
         initialSmall,
-        initialBig,
-        small,
-        big,
+        initialLarge,
+        smallPerZone,
+        largePerZone,
         teamCap,
         newLimits,
         newLimits,
@@ -138,9 +138,9 @@
         count,
         zones,
         initialSmall,
-        initialBig,
-        small,
-        big,
+        initialLarge,
+        smallPerZone,
+        largePerZone,
         teamCap,
         limits,
         announcedLimits,
@@ -155,9 +155,9 @@
         controllers,
         names,
         initialSmall,
-        initialBig,
-        small,
-        big,
+        initialLarge,
+        smallPerZone,
+        largePerZone,
         teamCap,
         limits,
         announcedLimits,
@@ -173,9 +173,9 @@
         controllers,
         zones,
         initialSmall,
-        initialBig,
-        small,
-        big,
+        initialLarge,
+        smallPerZone,
+        largePerZone,
         teamCap,
         limits,
         announcedLimits,
@@ -190,9 +190,9 @@
         controllers,
         zones,
         initialSmall,
-        initialBig,
-        small,
-        big,
+        initialLarge,
+        smallPerZone,
+        largePerZone,
         teamCap,
         limits,
         announcedLimits,
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -118,11 +118,11 @@
     cancelRequested.add(id);
   }
 
-  boolean isCancelAsked(String id) {
+  boolean isCancelRequested(String id) {
     return cancelRequested.contains(id);
   }
 
-  boolean isDoneTold(String id) {
+  boolean isReportedDone(String id) {
     return doneTold.contains(id);
   }
 
@@ -144,7 +144,7 @@
   }
 
   /** Number of tasks on machines when a user was first told that the job is cancelled. */
-  int ranWhenCancelled(String id) {
+  int countRunningWhenCancelled(String id) {
     return tasksWhenCancelled.getOrDefault(id, 0);
   }
 
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -51,7 +51,7 @@
   List<String> cancelRunningJobs(int count, long hangMs) {
     List<JobSpec> running = new ArrayList<>();
     for (JobSpec job : cluster.jobs) {
-      if (cluster.checker.running(job.id()) > 0 && !cluster.checker.isCancelAsked(job.id())) {
+      if (cluster.checker.running(job.id()) > 0 && !cluster.checker.isCancelRequested(job.id())) {
         running.add(job);
       }
     }
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -91,7 +91,7 @@
   }
 
   private void cancelDone(Kind kind) {
-    JobSpec job = pickJob(spec -> cluster.checker.isDoneTold(spec.id()));
+    JobSpec job = pickJob(spec -> cluster.checker.isReportedDone(spec.id()));
     if (job != null) {
       count(kind);
       cluster.cancelAt(anyMember(), job.id());
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -145,7 +145,7 @@
         new SimulatedUsers(world, checker, new SimulatedProcess(world, "users"), members.addresses);
     jobs = users.jobs;
     members.startAll();
-    rentFirstMachines();
+    rentInitialMachines();
     world.afterEach(checker::check);
     new StateInvariants(world, state);
     checker.watch(cloud.types(), () -> cloud.machines().values());
@@ -155,12 +155,12 @@
     oddRequests = new OddRequests(this);
   }
 
-  private void rentFirstMachines() {
+  private void rentInitialMachines() {
     List<String> zones = deployment.zones();
     for (int i = 0; i < deployment.initialSmall(); i++) {
       cloud.rent("mesa", zones.get(i % zones.size()), false, 0);
     }
-    for (int i = 0; i < deployment.initialBig(); i++) {
+    for (int i = 0; i < deployment.initialLarge(); i++) {
       cloud.rent("torre", zones.get(0), false, 0);
     }
   }
@@ -290,7 +290,7 @@
   }
 
   /** Submits pipelines of jobs until {@code untilMs}, see {@link JobPipelines#submitUntil}. */
-  void pipelines(long untilMs) {
+  void submitPipelines(long untilMs) {
     new JobPipelines(world, users, randomJobs, checker).submitUntil(untilMs);
   }
 
@@ -301,15 +301,15 @@
     new RandomFaults(this, users, randomJobs).runUntil(untilMs);
   }
 
-  /** Number of round records delayed by {@link #delayNextRoundRecord}. */
-  int delayedRoundRecords;
+  /** Number of round records delayed by {@link #delayNextStartRecord}. */
+  int delayedStartRecords;
 
   /** Delays the next round record that a controller writes by {@code byMs}. */
-  void delayNextRoundRecord(String member, long byMs) {
+  void delayNextStartRecord(String member, long byMs) {
     state.transactionDelayMs =
         (caller, body) -> {
-          if (delayedRoundRecords == 0 && caller.equals(member) && body.contains("live/round/")) {
-            delayedRoundRecords++;
+          if (delayedStartRecords == 0 && caller.equals(member) && body.contains("live/round/")) {
+            delayedStartRecords++;
             return byMs;
           }
           return 0;
@@ -358,12 +358,12 @@
   }
 
   /** Repeats queries about every new status, see {@link RepeatedQueries}. */
-  void repeatedQueries(long forMs) {
+  void beginRepeatedQueries(long forMs) {
     repeatedQueries.begin(forMs);
   }
 
   /** Sends redundant and invalid requests, see {@link OddRequests}. */
-  void oddRequests(long forMs) {
+  void beginOddRequests(long forMs) {
     oddRequests.begin(forMs);
   }
 
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -36,7 +36,7 @@
     for (int i = 0; i < deployment.controllers(); i++) {
       addresses.put("nodo-" + i, "10.0.0." + (i + 1) + ":8080");
     }
-    int small = deployment.small();
+    int small = deployment.smallPerZone();
     int azulGuaranteeCpus = small * 8 / 3;
     Map<String, Settings.Team> teams = new TreeMap<>();
     teams.put("roja", new Settings.Team("roja", small * 4, deployment.teamCap(), 2, 4));
@@ -146,7 +146,7 @@
   /** The first running member that considers itself the leader, or null. */
   String leader() {
     for (Map.Entry<String, SimulatedCluster.ControllerHandle> entry : controllers.entrySet()) {
-      if (processes.get(entry.getKey()).alive && entry.getValue().isLeading()) {
+      if (processes.get(entry.getKey()).isAlive && entry.getValue().isLeading()) {
         return entry.getKey();
       }
     }
@@ -157,7 +157,7 @@
   String leaderOtherThan(String member) {
     for (Map.Entry<String, SimulatedCluster.ControllerHandle> entry : controllers.entrySet()) {
       if (!entry.getKey().equals(member)
-          && processes.get(entry.getKey()).alive
+          && processes.get(entry.getKey()).isAlive
           && entry.getValue().isLeading()) {
         return entry.getKey();
       }
--- a/src/main/java/fennelthread/simulation/SimulatedProcess.java
+++ b/src/main/java/fennelthread/simulation/SimulatedProcess.java
@@ -29,7 +29,7 @@
   private final List<String> addresses = new ArrayList<>();
   private final SplittableRandom random;
   private final Map<String, Service> services = new HashMap<>();
-  boolean alive = true;
+  boolean isAlive = true;
   private long pausedUntil;
 
   SimulatedProcess(SimulatedNetwork network, String name) {
@@ -47,7 +47,7 @@
   }
 
   void kill() {
-    alive = false;
+    isAlive = false;
     addresses.forEach(a -> network.byAddress.remove(a, this));
   }
 
@@ -57,7 +57,7 @@
   }
 
   private void runEvent(String kind, Runnable task) {
-    if (!alive) {
+    if (!isAlive) {
       return;
     }
     if (network.now() < pausedUntil) {
--- a/src/test/java/fennelthread/simulation/ChainedJobsTest.java
+++ b/src/test/java/fennelthread/simulation/ChainedJobsTest.java
@@ -37,7 +37,7 @@
   void storm(long seed) {
     SimulatedCluster c = SimulatedCluster.limited(seed, NEXT, false);
     c.world.at(120_000, () -> c.state.setLimits(NEXT));
-    c.pipelines(300_000);
+    c.submitPipelines(300_000);
     c.addRandomUsersAndFaults(300_000);
     SimulationTest.settle(c);
     assertTrue(
@@ -72,7 +72,7 @@
             }
           });
     }
-    c.world.at(105_000, () -> c.pipelines(260_000));
+    c.world.at(105_000, () -> c.submitPipelines(260_000));
     c.world.at(150_000, () -> c.state.setLimits(NEXT));
     SimulationTest.settle(c);
     assertTrue(
--- a/src/test/java/fennelthread/simulation/FaultCombinationsTest.java
+++ b/src/test/java/fennelthread/simulation/FaultCombinationsTest.java
@@ -166,7 +166,7 @@
   void lateTransactionsOfDependentJobsBreakNoRule(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.state.delayTransactions(0.25, 200_000);
-    cluster.pipelines(200_000);
+    cluster.submitPipelines(200_000);
     cluster.addRandomUsersAndFaults(200_000);
     SimulationTest.settle(cluster);
     assertTrue(cluster.state.appliedLate > 50, cluster.state.appliedLate + " applied late");
@@ -353,19 +353,21 @@
           () -> withLeader(cluster, m -> cluster.isolateFromPeersAndState(m, forMs / 2)));
     }
     List<JobSpec> cancelled = services.subList(0, 12);
-    int[] ranWhenCancelled = new int[1];
+    int[] countRunningWhenCancelled = new int[1];
     for (int i = 0; i < cancelled.size(); i++) {
       String id = cancelled.get(i).id();
       String controller = others.get(i % 2);
       cluster.world.after(
           400 + i * Math.min(1_000, forMs / 12),
           () -> {
-            ranWhenCancelled[0] += cluster.checker.running(id) > 0 ? 1 : 0;
+            countRunningWhenCancelled[0] += cluster.checker.running(id) > 0 ? 1 : 0;
             cluster.cancelThrough(controller, id, 30);
           });
     }
     cluster.world.runUntil(cluster.world.now() + forMs);
-    assertTrue(ranWhenCancelled[0] >= 10, ranWhenCancelled[0] + " cancelled while their tasks ran");
+    assertTrue(
+        countRunningWhenCancelled[0] >= 10,
+        countRunningWhenCancelled[0] + " cancelled while their tasks ran");
     assertNotEquals(
         oldLeader,
         forMs > 10_000 && !outage.equals("in turn") ? cluster.leaderOtherThan(oldLeader) : "",
--- a/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
+++ b/src/test/java/fennelthread/simulation/LeaderChangeFaultsTest.java
@@ -310,7 +310,7 @@
     cluster.world.runUntil(claimedAt[0] + 60_000);
     long cancelledSoon =
         cancelled.stream()
-            .filter(job -> cluster.checker.ranWhenCancelled(job.id()) > 0)
+            .filter(job -> cluster.checker.countRunningWhenCancelled(job.id()) > 0)
             .filter(job -> cluster.checker.cancelledAt(job.id()) < claimedAt[0] + 1_500)
             .count();
     assertTrue(
@@ -349,7 +349,9 @@
     cluster.world.after(1_000, () -> cluster.state.outage(cancelMs + 20_000));
     cluster.world.runUntil(cluster.world.now() + 1_000);
     long confirmed =
-        cancelled.stream().filter(j -> cluster.checker.ranWhenCancelled(j.id()) > 0).count();
+        cancelled.stream()
+            .filter(j -> cluster.checker.countRunningWhenCancelled(j.id()) > 0)
+            .count();
     assertTrue(confirmed >= 12, confirmed + " cancellations were confirmed");
     assertEquals(oldLeader, cluster.leader(), "the leader stepped down before the outage");
     cluster.world.runUntil(cluster.world.now() + 2 * cancelMs + 60_000);
--- a/src/test/java/fennelthread/simulation/LostAnswersTest.java
+++ b/src/test/java/fennelthread/simulation/LostAnswersTest.java
@@ -65,7 +65,7 @@
   void jobsEndWhenAnswersToTheLeadersWritesAreLost(LeaderWrite write, long seed) {
     SimulatedCluster cluster = settled(seed);
     List<JobSpec> services = Scenes.services(cluster, 2, 100, 15_000);
-    cluster.repeatedQueries(60_000);
+    cluster.beginRepeatedQueries(60_000);
     cluster.state.loseNextAnswers((caller, body) -> write.matches(body), 3);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -128,7 +128,7 @@
   @ValueSource(longs = {1, 2, 3})
   void dependentJobsAreCancelledWhenTheAnswersAreLost(long seed) {
     SimulatedCluster cluster = settled(seed);
-    cluster.repeatedQueries(60_000);
+    cluster.beginRepeatedQueries(60_000);
     List<JobSpec> dependents = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       JobSpec job = Scenes.lasting(cluster, 1, 120);
--- a/src/test/java/fennelthread/simulation/ScaledCell.java
+++ b/src/test/java/fennelthread/simulation/ScaledCell.java
@@ -199,7 +199,7 @@
     // The load balancer passes over controllers that don't answer.
     List<String> all =
         addresses.keySet().stream()
-            .filter(member -> processes.get(member).alive)
+            .filter(member -> processes.get(member).isAlive)
             .map(addresses::get)
             .toList();
     users.call(
@@ -227,7 +227,7 @@
 
   String leader() {
     return controllers.entrySet().stream()
-        .filter(e -> processes.get(e.getKey()).alive && e.getValue().isLeading())
+        .filter(e -> processes.get(e.getKey()).isAlive && e.getValue().isLeading())
         .map(Map.Entry::getKey)
         .findFirst()
         .orElse(null);
@@ -252,7 +252,7 @@
     String leader = leader();
     ObjectGraph graph = new ObjectGraph();
     for (Map.Entry<String, Controller> e : controllers.entrySet()) {
-      if (!processes.get(e.getKey()).alive) {
+      if (!processes.get(e.getKey()).isAlive) {
         continue;
       }
       Meter m = meters.get(e.getKey());
--- a/src/test/java/fennelthread/simulation/SimulationTest.java
+++ b/src/test/java/fennelthread/simulation/SimulationTest.java
@@ -213,13 +213,13 @@
   void lateTransactionOfAnOldLeaderIsRefused() {
     SimulatedCluster c = calmCluster(8);
     String first = c.leader();
-    c.delayNextRoundRecord(first, 20_000);
+    c.delayNextStartRecord(first, 20_000);
     JobSpec job = c.job(false, 6, 1, true, false, false);
     c.submit(job);
     c.world.runUntil(22_000);
     c.crash(first, 5_000);
     c.world.runUntil(90_000);
-    assertEquals(1, c.delayedRoundRecords, "no round record was held back");
+    assertEquals(1, c.delayedStartRecords, "no round record was held back");
     assertTrue(c.checker.isOver(job.id()));
   }
 
--- a/src/test/java/fennelthread/simulation/StopChecker.java
+++ b/src/test/java/fennelthread/simulation/StopChecker.java
@@ -43,7 +43,7 @@
     Map<String, double[]> demanded = new HashMap<>();
     Map<String, Double> used = new HashMap<>();
     for (JobSpec job : List.copyOf(c.jobs)) {
-      if (c.checker.isCancelAsked(job.id()) || c.checker.allCompleted(job.id())) {
+      if (c.checker.isCancelRequested(job.id()) || c.checker.allCompleted(job.id())) {
         continue;
       }
       used.merge(job.team(), c.checker.running(job.id()) * job.cpus(), Double::sum);
@@ -73,7 +73,7 @@
 
   private void check(WorkerEmulator worker, JobSpec spec, int index) {
     String task = spec.id() + "/" + index;
-    if (c.checker.isCancelAsked(spec.id())
+    if (c.checker.isCancelRequested(spec.id())
         || c.checker.taskPresence().isCompleted(spec.id(), index)
         || worker.hasNotice()) {
       return;
--- a/src/test/java/fennelthread/simulation/TrafficDigestTest.java
+++ b/src/test/java/fennelthread/simulation/TrafficDigestTest.java
@@ -68,7 +68,7 @@
               SimulatedCluster.limited(seed, LOWER_LIMITS, false),
               c -> {
                 c.world.at(120_000, () -> c.state.setLimits(LOWER_LIMITS));
-                c.pipelines(300_000);
+                c.submitPipelines(300_000);
                 c.addRandomUsersAndFaults(300_000);
                 SimulationTest.settle(c);
               }));
--- a/src/test/java/fennelthread/simulation/TroubleStormTest.java
+++ b/src/test/java/fennelthread/simulation/TroubleStormTest.java
@@ -41,8 +41,8 @@
     TROUBLES.put(
         "many cancelled", (c, ms) -> c.cancelRunningJobs(3, c.world.faults.nextInt(9_000)));
     TROUBLES.put("cancelled at end", (c, ms) -> c.cancelAtCompletion(0.5, ms));
-    TROUBLES.put("close looks", (c, ms) -> c.repeatedQueries(ms));
-    TROUBLES.put("odd requests", (c, ms) -> c.oddRequests(ms));
+    TROUBLES.put("close looks", (c, ms) -> c.beginRepeatedQueries(ms));
+    TROUBLES.put("odd requests", (c, ms) -> c.beginOddRequests(ms));
     TROUBLES.put("quick boots", (c, ms) -> c.cloud.bootQuickly(ms));
     TROUBLES.put("zone cut", (c, ms) -> c.cutZoneWithControllers("sur", ms));
     TROUBLES.put("links slow", (c, ms) -> c.world.slowLinks("nodo-0", 250, ms));
--- a/src/test/java/fennelthread/simulation/TroubledDay.java
+++ b/src/test/java/fennelthread/simulation/TroubledDay.java
@@ -102,7 +102,7 @@
     long calmAt = EVENT_BY_MS + Math.max(0, lastEnd) + AFTERMATH_MS;
     day.submitAll(calmAt);
     if (seed % 4 == 1) {
-      day.cluster.pipelines(calmAt);
+      day.cluster.submitPipelines(calmAt);
     }
     day.bringAbout(event, troubles);
     day.cluster.world.at(calmAt, day.cluster.checker::recordEndOfFaults);
@@ -126,7 +126,7 @@
     return cluster.checker.isOver(job.id())
         ? cluster.checker.running(job.id()) == 0
         : job.service()
-            && !cluster.checker.isCancelAsked(job.id())
+            && !cluster.checker.isCancelRequested(job.id())
             && cluster.checker.running(job.id()) == job.tasks();
   }
 
@@ -284,7 +284,7 @@
   /** Samples the share of replicas that run, of the services that nobody has cancelled. */
   private void sampleServices() {
     List<JobSpec> wanted =
-        services.stream().filter(job -> !cluster.checker.isCancelAsked(job.id())).toList();
+        services.stream().filter(job -> !cluster.checker.isCancelRequested(job.id())).toList();
     int running = wanted.stream().mapToInt(job -> cluster.checker.running(job.id())).sum();
     replicasUp.add(wanted.isEmpty() ? 1 : running / (double) (wanted.size() * REPLICAS));
   }
--- a/src/test/java/fennelthread/simulation/Troubles.java
+++ b/src/test/java/fennelthread/simulation/Troubles.java
@@ -178,8 +178,8 @@
         new Range(0.1, 0.5, 1),
         ms(1_000, 15_000, 25_000),
         (c, s, ms) -> c.cancelAtCompletion(s, ms));
-    add("close looks", ms(1_000, 15_000, 25_000), (c, s, ms) -> c.repeatedQueries(ms));
-    add("odd requests", ms(1_000, 15_000, 25_000), (c, s, ms) -> c.oddRequests(ms));
+    add("close looks", ms(1_000, 15_000, 25_000), (c, s, ms) -> c.beginRepeatedQueries(ms));
+    add("odd requests", ms(1_000, 15_000, 25_000), (c, s, ms) -> c.beginOddRequests(ms));
   }
 
   // ---------------------------------------------------------------- effects of several steps
--- a/src/test/java/fennelthread/simulation/TroublesTest.java
+++ b/src/test/java/fennelthread/simulation/TroublesTest.java
@@ -282,7 +282,7 @@
             .orElseThrow();
     Probe unanswered = probe(hanging.address(), "/show");
     c.world.runUntil(from + 200);
-    assertTrue(ids.stream().allMatch(c.checker::isCancelAsked));
+    assertTrue(ids.stream().allMatch(c.checker::isCancelRequested));
     c.world.runUntil(from + 7_000);
     assertEquals(-1, unanswered.tookMs, "the machine doesn't hang");
     assertTrue(ids.stream().allMatch(id -> c.checker.cancelledAt(id) >= from));
@@ -300,7 +300,7 @@
             if (c.checker.allCompleted(job.id())) {
               endedAt.putIfAbsent(job.id(), c.world.now());
             }
-            if (c.checker.isCancelAsked(job.id())) {
+            if (c.checker.isCancelRequested(job.id())) {
               cancelledAt.putIfAbsent(job.id(), c.world.now());
             }
           }
@@ -330,7 +330,7 @@
             askedAt.computeIfAbsent(to, k -> new ArrayList<>()).add(c.world.now() - acceptedAt[0]);
           }
         });
-    c.repeatedQueries(60_000);
+    c.beginRepeatedQueries(60_000);
     c.submit(job);
     Scenes.until(c, 1_000, () -> acceptedAt[0] >= 0);
     c.world.runUntil(acceptedAt[0] + 100);
@@ -349,7 +349,7 @@
       c.world.after(i * 3_000L, () -> c.submit(job));
     }
     c.world.runUntil(c.world.now() + 20_000);
-    c.oddRequests(40_000);
+    c.beginOddRequests(40_000);
     c.world.runUntil(c.world.now() + 45_000);
     assertEquals(Set.of(OddRequests.Kind.values()), c.oddRequests.sent.keySet());
     int invalid =
--- a/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
@@ -148,7 +148,9 @@
     }
     cluster.world.runUntil(outageAt);
     long ranWhenConfirmed =
-        jobs.stream().filter(job -> cluster.checker.ranWhenCancelled(job.id()) > 0).count();
+        jobs.stream()
+            .filter(job -> cluster.checker.countRunningWhenCancelled(job.id()) > 0)
+            .count();
     cluster.world.runUntil(outageAt + outageMs);
     return (int) ranWhenConfirmed;
   }
--- a/src/test/java/fennelthread/simulation/UserMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/UserMeetingsTest.java
@@ -99,7 +99,7 @@
   void aCancellationMeetsTheEndOfTheLastTask(
       long seed, boolean cancelFirst, List<Write> lost, String member) throws WireException {
     SimulatedCluster c = settled(seed);
-    c.repeatedQueries(60_000);
+    c.beginRepeatedQueries(60_000);
     JobSpec job = Scenes.lasting(c, 1, 2);
     c.submit(job);
     String id = job.id();
--- a/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
@@ -149,7 +149,7 @@
     c.checker.recordEndOfFaults();
     List<JobSpec> arrays =
         c.jobs.stream()
-            .filter(job -> !job.service() && !c.checker.isCancelAsked(job.id()))
+            .filter(job -> !job.service() && !c.checker.isCancelRequested(job.id()))
             .toList();
     Scenes.until(
         c,
@@ -298,9 +298,9 @@
         few.controllers(),
         few.zones(),
         few.initialSmall(),
-        few.initialBig(),
+        few.initialLarge(),
         1_000,
-        few.big(),
+        few.largePerZone(),
         0,
         few.limits(),
         few.announcedLimits(),
