--- a/src/test/java/fennelthread/simulation/DuplicateMessagesTest.java
+++ b/src/test/java/fennelthread/simulation/DuplicateMessagesTest.java
@@ -50,7 +50,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 115})
-  void aStormWithDuplicatesBreaksNoRule(long seed) {
+  void duplicatesAmidRandomFaultsBreakNoRule(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     duplicateRequests(cluster, 0.4, 300_000);
     cluster.addRandomUsersAndFaults(300_000);
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Runs the storm with more seeds: {@code mvn test -Dtest=DuplicateMessagesTest -Dsim.from=100
-   * -Dsim.to=300}.
+   * Runs the test with random faults with more seeds: {@code mvn test -Dtest=DuplicateMessagesTest
+   * -Dsim.from=100 -Dsim.to=300}.
    */
   @Test
   @EnabledIfSystemProperty(named = "sim.from", matches = "[0-9]+")
@@ -73,7 +73,7 @@
             .mapToObj(
                 seed -> {
                   try {
-                    aStormWithDuplicatesBreaksNoRule(seed);
+                    duplicatesAmidRandomFaultsBreakNoRule(seed);
                     return "";
                   } catch (AssertionError | RuntimeException e) {
                     return "seed " + seed + ": " + e;
--- a/src/test/java/fennelthread/simulation/FaultCombinationsTest.java
+++ b/src/test/java/fennelthread/simulation/FaultCombinationsTest.java
@@ -393,8 +393,7 @@
   void rebootedMachinesBreakNoRuleAcrossLeaderChanges(long seed, long downMs) {
     SimulatedCluster cluster = settled(seed);
     // Half of the machines lose a lease first, so that the duplicates of their reports show a
-    // higher
-    // session than the reports after the reboot.
+    // higher session than the reports after the reboot.
     int index = 0;
     for (WorkerEmulator worker : List.copyOf(cluster.cloud.machines().values())) {
       if (index++ % 2 == 0) {
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -252,8 +252,7 @@
               a -> answer[0] = a);
       if (answer[0] != null && answer[0].status() == 200) {
         answerCount++;
-        // The heartbeat that announces the next leader takes a few milliseconds, and one may be
-        // lost.
+        // Heartbeats that announce the next leader take a few milliseconds, and one may be lost.
         assertTrue(
             cluster.world.now() < nextLeadsAtMs + 1_000, "answers at " + cluster.world.now());
       }
--- a/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/fennelthread/simulation/UnseenCancellationsTest.java
@@ -254,9 +254,8 @@
   @EnumSource
   void unseenCancellationsHoldUnderEachComplication(Complication complication) {
     for (long seed = 1; seed <= 2; seed++) {
-      // A leader that alone is refused for more than 2.5 s steps down; one that has just claimed
-      // must
-      // still be leading when the outage begins.
+      // A leader that alone is refused for more than 2.5 s steps down. One that has just claimed
+      // must still lead when the outage begins.
       runCase(seed, complication == Complication.JUST_CLAIMED ? 1_000 : 1_500, 2, complication);
     }
   }
