--- a/src/main/java/fennelthread/Controller.java
+++ b/src/main/java/fennelthread/Controller.java
@@ -214,8 +214,8 @@
     long shortfallMs = RenewalBounds.shortfallMs(settings.workers());
     if (shortfallMs > 0) {
       log.warn(
-          "cancel timeout too short, an unreachable task may outlive its cancellation cancelMs={}"
-              + " leaseMs={} shortfallMs={}",
+          "cancel timeout too short to end every unreachable task in time cancelMs={} leaseMs={}"
+              + " shortfallMs={}",
           settings.workers().cancelMs(),
           settings.workers().leaseMs(),
           shortfallMs);
--- a/src/main/java/fennelthread/election/LeaderElection.java
+++ b/src/main/java/fennelthread/election/LeaderElection.java
@@ -70,7 +70,10 @@
     protection.beginTerm(epoch);
   }
 
-  /** True if no other controller can have taken over yet; only meaningful while leading. */
+  /**
+   * True if, while the local lease is valid, no other controller can have taken over. Says nothing
+   * once that has expired, since the vacancy may then be claimed. Only meaningful while leading.
+   */
   public boolean excludesTakeover() {
     return protection.excludesTakeover();
   }
--- a/src/main/java/fennelthread/fleet/Attempt.java
+++ b/src/main/java/fennelthread/fleet/Attempt.java
@@ -60,8 +60,9 @@
   /**
    * Creates an attempt.
    *
-   * @param token the fencing token under which its start is sent, or the highest under which it may
-   *     have been sent
+   * @param token the fencing token under which its start is sent; for a restored attempt the
+   *     highest under which it may have been sent; 0 for an attempt discovered in a report, so that
+   *     any later report under a token of the current epoch that does not show it proves it gone
    */
   Attempt(Machine machine, StartRecord.Start start, Phase phase, long token, long nowMs) {
     this.machine = machine;
@@ -176,7 +177,10 @@
     return phase != Phase.ENDED && phase != Phase.GONE;
   }
 
-  /** Returns the fencing token under which the start was sent, or the highest it may have had. */
+  /**
+   * Returns the fencing token under which the start is or was sent, the highest under which it may
+   * have been sent if the attempt was restored, or 0 if it was discovered in a report.
+   */
   long token() {
     return token;
   }
--- a/src/main/java/fennelthread/fleet/HeartbeatResponder.java
+++ b/src/main/java/fennelthread/fleet/HeartbeatResponder.java
@@ -10,7 +10,7 @@
  * implementation decides for all callers whether reports may be answered at all.
  */
 public interface HeartbeatResponder {
-  /** Returns true if this controller may answer reports now. */
+  /** Returns true if reports may be answered now by a controller that is otherwise entitled to. */
   boolean mayRespond();
 
   /**
--- a/src/main/java/fennelthread/jobs/JobQueries.java
+++ b/src/main/java/fennelthread/jobs/JobQueries.java
@@ -119,7 +119,10 @@
     }
   }
 
-  /** Queues the unanswered queries for the next transaction if an answer can still come in time. */
+  /**
+   * Queues the unanswered queries for the next transaction, if they have been sent fewer than
+   * {@link JobConstants#MAX_SENDS} times and an answer can still come in time.
+   */
   @Override
   public void onOverdue(Batch batch) {
     for (JobQuery query : batch.jobs.keySet()) {
--- a/src/main/java/fennelthread/leader/PeerKnowledge.java
+++ b/src/main/java/fennelthread/leader/PeerKnowledge.java
@@ -2,7 +2,11 @@
 
 /** Facts about the peers, from their heartbeats, that the leader lease depends on. */
 public interface PeerKnowledge {
-  /** True if no peer can have taken over the leadership yet; only meaningful while leading. */
+  /**
+   * True if, while the local lease is valid, no peer can have taken over the leadership. Says
+   * nothing once that has expired, since the vacancy may then be claimed. Only meaningful while
+   * leading.
+   */
   boolean excludesOtherLeader();
 
   /**
--- a/src/main/java/fennelthread/state/ServiceHealth.java
+++ b/src/main/java/fennelthread/state/ServiceHealth.java
@@ -1,5 +1,6 @@
 package fennelthread.state;
 
+import fennelthread.constants.JobConstants;
 import fennelthread.constants.StateConstants;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -131,8 +132,9 @@
 
   /**
    * The time after which a transaction without an answer is worth sending again, ms: several times
-   * the average latency, since a slow service would otherwise be sent every transaction three
-   * times.
+   * the average latency, since a slow service would otherwise be sent the requests of waiting users
+   * several times: submissions and queries up to {@link JobConstants#MAX_SENDS} times,
+   * cancellations up to {@link JobConstants#MAX_CANCEL_TRIES} times.
    */
   public long overdueAfterMs() {
     return Math.max(
--- a/src/test/java/fennelthread/simulation/RelayTest.java
+++ b/src/test/java/fennelthread/simulation/RelayTest.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * The cut falls into an outage of the state service, when no controller can claim: the relay is
-   * the only way.
+   * The state service has an outage during the cut, from 1 s after the cut's start to 1 s before
+   * its end: no controller can claim then, and the relay is the only way.
    */
   @ParameterizedTest
   @ValueSource(longs = {4, 5, 6})
