--- a/src/main/java/fennelthread/capacity/CapacityMain.java
+++ b/src/main/java/fennelthread/capacity/CapacityMain.java
@@ -5,21 +5,25 @@
 import java.nio.file.Path;
 
 /**
- * Makes the tables of docs/capacity.md anew: {@code java -cp target/classes:... CapacityMain
- * docs/scale/slopes.json docs/scale/plan.json [docs/capacity.md]}. Without a page it prints them;
- * with one it replaces what stands there between the markers.
+ * Command that generates the tables of docs/capacity.md: {@code java -cp target/fennelthread.jar
+ * fennelthread.capacity.CapacityMain docs/scale/slopes.json docs/scale/plan.json
+ * [docs/capacity.md]}. Without a page it prints the tables; with one it replaces the text between
+ * the two marker lines of that page.
  */
 public final class CapacityMain {
-  private static final String BEGIN = "<!-- tables: made by CapacityMain, not by hand -->\n";
-  private static final String END = "<!-- end of tables -->\n";
+  private static final String BEGIN_MARKER = "<!-- tables: made by CapacityMain, not by hand -->\n";
+  private static final String END_MARKER = "<!-- end of tables -->\n";
   private static final String USAGE = "capacity: SLOPES.json PLAN.json [PAGE.md]";
 
   private CapacityMain() {}
 
-  /** Prints the tables or writes them into a page. */
+  /**
+   * Prints the tables or writes them into a page. Exits with status 2 and one line on standard
+   * error if the arguments, the input files or the page are not usable.
+   */
   public static void main(String[] args) {
     if (args.length < 2 || args.length > 3) {
-      refuse(USAGE);
+      exitWithError(USAGE);
       return;
     }
     try {
@@ -31,40 +35,42 @@
         return;
       }
       Path page = Path.of(args[2]);
-      Files.writeString(page, replaced(Files.readString(page), tables));
+      Files.writeString(page, replaceTables(Files.readString(page), tables));
     } catch (IOException | IllegalArgumentException e) {
-      refuse("capacity: " + String.valueOf(e.getMessage()).lines().findFirst().orElse("failed"));
+      exitWithError(
+          "capacity: " + String.valueOf(e.getMessage()).lines().findFirst().orElse("failed"));
     }
   }
 
-  private static void refuse(String why) {
-    System.err.println(why);
+  private static void exitWithError(String message) {
+    System.err.println(message);
     System.exit(2);
   }
 
-  /** A page with other tables between its markers. */
-  static String replaced(String page, String tables) {
-    return page.substring(0, beginOf(page)) + tables + page.substring(endOf(page));
+  /** Returns the page with the text between its markers replaced by {@code tables}. */
+  static String replaceTables(String page, String tables) {
+    return page.substring(0, tablesStart(page)) + tables + page.substring(tablesEnd(page));
   }
 
-  /** The tables that a page holds. */
-  static String tablesOf(String page) {
-    return page.substring(beginOf(page), endOf(page));
+  /** Returns the text between the markers of a page. */
+  static String extractTables(String page) {
+    return page.substring(tablesStart(page), tablesEnd(page));
   }
 
-  private static int beginOf(String page) {
-    int at = page.indexOf(BEGIN);
-    if (at < 0) {
-      throw new IllegalArgumentException("the page lacks the line " + BEGIN.strip());
+  private static int tablesStart(String page) {
+    int index = page.indexOf(BEGIN_MARKER);
+    if (index < 0) {
+      throw new IllegalArgumentException("the page lacks the marker line " + BEGIN_MARKER.strip());
     }
-    return at + BEGIN.length();
+    return index + BEGIN_MARKER.length();
   }
 
-  private static int endOf(String page) {
-    int at = page.indexOf(END);
-    if (at < beginOf(page)) {
-      throw new IllegalArgumentException("the page lacks the line " + END.strip());
+  private static int tablesEnd(String page) {
+    int index = page.indexOf(END_MARKER);
+    if (index < tablesStart(page)) {
+      throw new IllegalArgumentException(
+          "the page lacks this marker line after the begin marker: " + END_MARKER.strip());
     }
-    return at;
+    return index;
   }
 }
--- a/src/main/java/fennelthread/capacity/Estimate.java
+++ b/src/main/java/fennelthread/capacity/Estimate.java
@@ -5,93 +5,112 @@
 import java.util.Optional;
 
 /**
- * What a quantity comes to in a situation: the base, and each slope times its count.
+ * The estimated value of a quantity in a situation: the base value plus, for each cause, its slope
+ * times its count.
  *
- * @param value the sum
- * @param error the standard errors of the slopes times their counts, and the residuals, as a root
- *     of squares
- * @param largestCause the cause that contributes most
- * @param largestShare its part of the sum
- * @param extrapolated true if a count that contributes over a hundredth lies beyond the largest
- *     measured one
+ * @param value the sum, in the unit of the quantity
+ * @param error square root of the sum of squares of each slope's standard error times its count and
+ *     of each fit's residual, in the unit of the quantity
+ * @param largestCause the cause that contributes most, or {@code base}
+ * @param largestShare the share of the sum that this cause contributes; 0 if the sum is 0
+ * @param isExtrapolated true if a count that contributes more than a hundredth of the sum lies
+ *     beyond the largest count that its slope was measured at
  */
 public record Estimate(
-    double value, double error, String largestCause, double largestShare, boolean extrapolated) {
+    double value, double error, String largestCause, double largestShare, boolean isExtrapolated) {
 
-  /** The cause whose line also gives what a role needs when nothing happens. */
-  private static final String BASE = "worker";
+  /** The cause whose intercept is the base: what a role needs without any load. */
+  private static final String BASE_CAUSE = "worker";
 
-  private static final String NOTHING = "base";
+  /** Name of the base where it is the largest contribution. */
+  private static final String BASE_LABEL = "base";
 
-  /** The cause that follows from another quantity: each message costs sockets and HTTP. */
-  private static final String REQUEST = "request";
+  /**
+   * The cause whose count is the estimate of another quantity: each message costs CPU time for
+   * sockets and HTTP, which the slopes of the other causes leave out.
+   */
+  private static final String REQUEST_CAUSE = "request";
 
-  /** Adds up what is known of a role's quantity; empty if no slope of it was measured. */
+  /**
+   * Estimates a quantity of a role; empty if the catalogue has no slope of it for any cause of the
+   * situation.
+   */
   public static Optional<Estimate> of(
       SlopeCatalogue catalogue, String role, Quantity quantity, Plan.Situation situation) {
     if (quantity == Quantity.CPU_TIME) {
-      return sum(catalogue, role, quantity, withRequests(catalogue, role, situation));
+      return addContributions(
+          catalogue, role, quantity, withRequestCount(catalogue, role, situation));
     }
-    return sum(catalogue, role, quantity, situation);
+    return addContributions(catalogue, role, quantity, situation);
   }
 
-  private static Plan.Situation withRequests(
+  private static Plan.Situation withRequestCount(
       SlopeCatalogue catalogue, String role, Plan.Situation situation) {
     Map<String, Double> counts = new LinkedHashMap<>(situation.counts());
-    sum(catalogue, role, Quantity.MESSAGES, situation)
-        .ifPresent(messages -> counts.put(REQUEST, messages.value()));
+    addContributions(catalogue, role, Quantity.MESSAGES, situation)
+        .ifPresent(messages -> counts.put(REQUEST_CAUSE, messages.value()));
     return new Plan.Situation(situation.name(), counts);
   }
 
-  private static Optional<Estimate> sum(
+  private static Optional<Estimate> addContributions(
       SlopeCatalogue catalogue, String role, Quantity quantity, Plan.Situation situation) {
-    Optional<LinearFit> base = catalogue.find(role, BASE, quantity).map(Slope::fit);
+    Optional<LinearFit> base = catalogue.find(role, BASE_CAUSE, quantity).map(Slope::fit);
     double value = base.map(fit -> Math.max(0, fit.intercept())).orElse(0.0);
-    double squares = 0;
-    double most = value;
-    String cause = NOTHING;
-    boolean known = false;
-    boolean beyond = false;
+    double squaredErrors = 0;
+    double largestPart = value;
+    String largestCause = BASE_LABEL;
+    boolean hasSlope = false;
+    boolean isExtrapolated = false;
     for (Map.Entry<String, Double> count : situation.counts().entrySet()) {
       Optional<Slope> slope = catalogue.find(role, count.getKey(), quantity);
       if (slope.isEmpty()) {
         continue;
       }
-      known = true;
+      hasSlope = true;
       LinearFit fit = slope.get().fit();
-      double part = part(slope.get(), fit, count.getValue());
+      double part = contribution(slope.get(), fit, count.getValue());
       value += part;
-      squares += Math.pow(fit.slopeError() * count.getValue(), 2) + Math.pow(fit.residual(), 2);
-      if (part > most) {
-        most = part;
-        cause = count.getKey();
+      squaredErrors +=
+          Math.pow(fit.slopeError() * count.getValue(), 2) + Math.pow(fit.residual(), 2);
+      if (part > largestPart) {
+        largestPart = part;
+        largestCause = count.getKey();
       }
     }
-    if (!known) {
+    if (!hasSlope) {
       return Optional.empty();
     }
     for (Map.Entry<String, Double> count : situation.counts().entrySet()) {
       Optional<Slope> slope = catalogue.find(role, count.getKey(), quantity);
       if (slope.isPresent()) {
         LinearFit fit = slope.get().fit();
-        boolean matters = part(slope.get(), fit, count.getValue()) * 100 > value;
-        beyond |= matters && count.getValue() > fit.largest();
+        boolean isRelevant = contribution(slope.get(), fit, count.getValue()) * 100 > value;
+        isExtrapolated |= isRelevant && count.getValue() > fit.largestCount();
       }
     }
     return Optional.of(
-        new Estimate(value, Math.sqrt(squares), cause, value == 0 ? 0 : most / value, beyond));
+        new Estimate(
+            value,
+            Math.sqrt(squaredErrors),
+            largestCause,
+            value == 0 ? 0 : largestPart / value,
+            isExtrapolated));
   }
 
-  /** The same so many times over. */
+  /** Returns the estimate for {@code copies} equal loads: value and error are multiplied. */
   public Estimate times(double copies) {
-    return new Estimate(value * copies, error * copies, largestCause, largestShare, extrapolated);
+    return new Estimate(value * copies, error * copies, largestCause, largestShare, isExtrapolated);
   }
 
-  /** A time is what the line gives; of all else only what grows comes to the base. */
-  private static double part(Slope slope, LinearFit fit, double count) {
+  /**
+   * Returns what a cause adds to the sum. A time is read off the fitted line, intercept included;
+   * other quantities add the slope times the count if the slope is significant and positive, as the
+   * base is counted once.
+   */
+  private static double contribution(Slope slope, LinearFit fit, double count) {
     if (slope.quantity() == Quantity.START_GAP) {
-      return fit.at(count);
+      return fit.valueAt(count);
     }
-    return slope.grows() ? Math.max(0, fit.slope()) * count : 0;
+    return slope.isSignificant() ? Math.max(0, fit.slope()) * count : 0;
   }
 }
--- a/src/main/java/fennelthread/capacity/Plan.java
+++ b/src/main/java/fennelthread/capacity/Plan.java
@@ -11,18 +11,22 @@
 import java.util.Optional;
 
 /**
- * The size to plan for: how often each cause occurs for each role in each situation, and the limits
- * beside.
+ * The load to plan for: how often each cause occurs for each role in each situation, and the limits
+ * of each role's quantities.
  *
- * @param roles who is planned for
+ * @param roles the planned roles, in the order of the file
  */
 public record Plan(List<Role> roles) {
 
   /**
-   * One role: its situations and its limits.
+   * The plan of one role.
    *
-   * @param copies how many times the needs of the situations add up for it: a service of a region
-   *     bears those of all its cells
+   * @param name the role's name in the slope catalogue
+   * @param title heading of the role in the tables
+   * @param copies factor on all estimates of the role: a service that a region shares bears the
+   *     load of all its cells
+   * @param situations the loads to estimate, in the order of the file
+   * @param limits the limits by quantity; a quantity may have none
    */
   public record Role(
       String name,
@@ -31,25 +35,30 @@
       List<Situation> situations,
       Map<Quantity, Limit> limits) {
 
-    /** The limit of a quantity, if there is one. */
+    /** Returns the limit of a quantity; empty if the plan sets none. */
     public Optional<Limit> limit(Quantity quantity) {
       return Optional.ofNullable(limits.get(quantity));
     }
   }
 
-  /** How often each cause occurs at a moment, by cause. */
+  /** A named load: how often each cause occurs, by the cause's name in the slope catalogue. */
   public record Situation(String name, Map<String, Double> counts) {}
 
   /**
-   * What a quantity may come to.
+   * The largest admissible value of a quantity.
    *
-   * @param most the limit in the quantity's unit
-   * @param why where the limit comes from
+   * @param max the limit in the quantity's unit
+   * @param reason where the limit comes from
    * @param mechanism what keeps the quantity below it, and whether that exists
    */
-  public record Limit(double most, String why, String mechanism) {}
+  public record Limit(double max, String reason, String mechanism) {}
 
-  /** Reads a plan from a JSON file. */
+  /**
+   * Reads a plan from a JSON file.
+   *
+   * @throws IOException if the file is unreadable or no JSON
+   * @throws IllegalArgumentException if a limit names an unknown quantity
+   */
   public static Plan load(Path file) throws IOException {
     List<Role> roles = new ArrayList<>();
     for (JsonNode item : new ObjectMapper().readTree(file.toFile()).path("roles")) {
@@ -58,39 +67,42 @@
               item.path("name").asText(),
               item.path("title").asText(),
               item.path("copies").asDouble(1),
-              situations(item.path("situations")),
-              limits(item.path("limits"))));
+              parseSituations(item.path("situations")),
+              parseLimits(item.path("limits"))));
     }
     return new Plan(List.copyOf(roles));
   }
 
-  private static List<Situation> situations(JsonNode list) {
+  private static List<Situation> parseSituations(JsonNode object) {
     List<Situation> situations = new ArrayList<>();
-    list.fields()
+    object
+        .fields()
         .forEachRemaining(
             situation -> {
               Map<String, Double> counts = new LinkedHashMap<>();
               situation
                   .getValue()
                   .fields()
-                  .forEachRemaining(c -> counts.put(c.getKey(), c.getValue().asDouble()));
+                  .forEachRemaining(
+                      count -> counts.put(count.getKey(), count.getValue().asDouble()));
               situations.add(new Situation(situation.getKey(), counts));
             });
     return situations;
   }
 
-  private static Map<Quantity, Limit> limits(JsonNode list) {
+  private static Map<Quantity, Limit> parseLimits(JsonNode object) {
     Map<Quantity, Limit> limits = new LinkedHashMap<>();
-    list.fields()
+    object
+        .fields()
         .forEachRemaining(
             limit -> {
-              JsonNode v = limit.getValue();
+              JsonNode value = limit.getValue();
               limits.put(
                   Quantity.of(limit.getKey()),
                   new Limit(
-                      v.path("most").asDouble(),
-                      v.path("why").asText(),
-                      v.path("mechanism").asText()));
+                      value.path("most").asDouble(),
+                      value.path("why").asText(),
+                      value.path("mechanism").asText()));
             });
     return limits;
   }
--- a/src/main/java/fennelthread/capacity/Quantity.java
+++ b/src/main/java/fennelthread/capacity/Quantity.java
@@ -1,22 +1,25 @@
 package fennelthread.capacity;
 
-/** What is measured of a role. */
+/** A resource use or rate that is measured for a role. */
 public enum Quantity {
-  /** Live objects, by walking the graph of the process's objects. */
+  /** Size of the live objects, found by walking the process's object graph. */
   HEAP("heap", "bytes"),
-  /** Values stored at the state service, in their JSON form. */
+  /** Size of the values stored in the state service, in their JSON form. */
   STORED("stored", "bytes"),
-  /** Requests served and sent. */
+  /** Rate of the requests that the role serves and sends. */
   MESSAGES("messages", "1/s"),
-  /** Bodies, paths and headers of those requests and their responses. */
+  /** Bodies, paths and headers of the {@link #MESSAGES} and their responses. */
   TRAFFIC("traffic", "bytes/s"),
-  /** Processor time of the controller's thread without sockets and HTTP. */
+  /**
+   * CPU time of the controller's thread. Sockets and HTTP count under the cause {@code request}
+   * only.
+   */
   CPU_TIME("processor", "ms/s"),
-  /** Requests at the state service. */
+  /** Rate of requests that the state service receives. */
   STATE_REQUESTS("state-requests", "1/s"),
-  /** Puts and deletes at the state service. */
+  /** Rate of puts and deletes that the state service applies. */
   STATE_CHANGES("state-changes", "1/s"),
-  /** Time without a start. */
+  /** Time in which no task starts, after the end of a leader. */
   START_GAP("gap", "ms");
 
   private final String id;
@@ -27,27 +30,27 @@
     this.unit = unit;
   }
 
-  /** Its name in files. */
+  /** Returns the name used in JSON files and tables. */
   public String id() {
     return id;
   }
 
-  /** Its unit. */
+  /** Returns the unit as the tables print it. */
   public String unit() {
     return unit;
   }
 
   /**
-   * The quantity of that name.
+   * Returns the quantity with an {@link #id}.
    *
-   * @throws IllegalArgumentException if there is none
+   * @throws IllegalArgumentException if no quantity has that id
    */
   public static Quantity of(String id) {
-    for (Quantity q : values()) {
-      if (q.id.equals(id)) {
-        return q;
+    for (Quantity quantity : values()) {
+      if (quantity.id.equals(id)) {
+        return quantity;
       }
     }
-    throw new IllegalArgumentException("no quantity is called " + id);
+    throw new IllegalArgumentException("unknown quantity: id=" + id);
   }
 }
--- a/src/main/java/fennelthread/capacity/SlopeCatalogue.java
+++ b/src/main/java/fennelthread/capacity/SlopeCatalogue.java
@@ -15,38 +15,46 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** All measured slopes, with where they come from; kept as one JSON file. */
+/**
+ * All measured slopes, each with the run that measured it; stored as one JSON file. Not
+ * thread-safe.
+ */
 public final class SlopeCatalogue {
   private final Map<String, Slope> slopes = new TreeMap<>();
   private final Map<String, String> sources = new TreeMap<>();
 
-  /** Adds or replaces a slope; {@code source} says by what run it was measured. */
+  /** Adds or replaces a slope; {@code source} describes the run that measured it. */
   public void put(Slope slope, String source) {
     slopes.put(slope.id(), slope);
     sources.put(slope.id(), source);
   }
 
-  /** Forgets a slope, if it is there. */
+  /** Removes a slope; does nothing if there is none. */
   public void remove(String role, String cause, Quantity quantity) {
     slopes.remove(role + "/" + cause + "/" + quantity.id());
   }
 
-  /** A slope, if it was measured. */
+  /** Returns a slope; empty if it was not measured. */
   public Optional<Slope> find(String role, String cause, Quantity quantity) {
     return Optional.ofNullable(slopes.get(role + "/" + cause + "/" + quantity.id()));
   }
 
-  /** All slopes in the order of their names. */
+  /** Returns all slopes, sorted by {@link Slope#id}. */
   public Collection<Slope> all() {
     return slopes.values();
   }
 
-  /** By what run a slope was measured. */
+  /** Returns the description of the run that measured a slope of this catalogue. */
   public String sourceOf(Slope slope) {
     return sources.get(slope.id());
   }
 
-  /** Reads a file that {@link #save} wrote. */
+  /**
+   * Reads a file that {@link #save} wrote.
+   *
+   * @throws IOException if the file is unreadable or no JSON
+   * @throws IllegalArgumentException if a slope names an unknown quantity
+   */
   public static SlopeCatalogue load(Path file) throws IOException {
     SlopeCatalogue catalogue = new SlopeCatalogue();
     for (JsonNode item : new ObjectMapper().readTree(file.toFile()).path("slopes")) {
@@ -66,7 +74,7 @@
     return catalogue;
   }
 
-  /** Writes all slopes to a file. */
+  /** Writes all slopes to a file, with counts and values rounded to three decimals. */
   public void save(Path file) throws IOException {
     ObjectMapper mapper = new ObjectMapper();
     ObjectNode root = mapper.createObjectNode();
@@ -79,15 +87,18 @@
       item.put("source", sourceOf(slope));
       item.put("note", slope.note());
       ArrayNode points = item.putArray("points");
-      for (LinearFit.Point p : slope.points()) {
-        points.addArray().add(rounded(p.count())).add(rounded(p.value()));
+      for (LinearFit.Point point : slope.points()) {
+        points
+            .addArray()
+            .add(roundToThousandths(point.count()))
+            .add(roundToThousandths(point.value()));
       }
     }
     Files.writeString(
         file, mapper.writer(SerializationFeature.INDENT_OUTPUT).writeValueAsString(root) + "\n");
   }
 
-  private static double rounded(double value) {
+  private static double roundToThousandths(double value) {
     return Math.round(value * 1_000) / 1_000.0;
   }
 }
--- a/src/main/java/fennelthread/capacity/package-info.java
+++ b/src/main/java/fennelthread/capacity/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The tables of docs/capacity.md: from measured slopes to what a size of the fleet needs. No part
- * of a controller; loaded by its own command only.
+ * Capacity planning: computes the tables of docs/capacity.md, which estimate from measured slopes
+ * what a planned fleet size needs. A controller does not use this package; {@link
+ * fennelthread.capacity.CapacityMain} is its command.
  */
 package fennelthread.capacity;
--- a/src/test/java/fennelthread/capacity/CapacityPageTest.java
+++ b/src/test/java/fennelthread/capacity/CapacityPageTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The tables of docs/capacity.md are those that the measured slopes give. */
+/** Guards against tables in docs/capacity.md that differ from what the measured slopes give. */
 class CapacityPageTest {
   private static final Path SLOPES = Path.of("docs/scale/slopes.json");
   private static final Path PLAN = Path.of("docs/scale/plan.json");
   private static final Path PAGE = Path.of("docs/capacity.md");
 
-  @TempDir Path temporary;
+  @TempDir Path directory;
 
   @Test
-  void thePageHoldsWhatTheCommandPrints() throws IOException {
+  void pageHoldsTheGeneratedTables() throws IOException {
     String tables = new CapacityTables(SlopeCatalogue.load(SLOPES), Plan.load(PLAN)).write();
     assertEquals(
         tables,
-        CapacityMain.tablesOf(Files.readString(PAGE)),
-        "make them anew: java -cp target/fennelthread.jar fennelthread.capacity.CapacityMain "
+        CapacityMain.extractTables(Files.readString(PAGE)),
+        "regenerate them: java -cp target/fennelthread.jar fennelthread.capacity.CapacityMain "
             + SLOPES
             + " "
             + PLAN
@@ -35,9 +35,9 @@
             + PAGE);
   }
 
-  /** Every slope has the five sizes and the source that the page promises. */
+  /** The page states that each slope was measured at five sizes or more and names its run. */
   @Test
-  void everySlopeHasFiveSizesAndASource() throws IOException {
+  void everySlopeHasAtLeastFiveSizesAndASource() throws IOException {
     SlopeCatalogue catalogue = SlopeCatalogue.load(SLOPES);
     assertFalse(catalogue.all().isEmpty());
     for (Slope slope : catalogue.all()) {
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void aSavedCatalogueIsReadTheSame() throws IOException {
+  void loadedCatalogueIsSavedUnchanged() throws IOException {
     SlopeCatalogue catalogue = SlopeCatalogue.load(SLOPES);
-    Path copy = temporary.resolve("slopes.json");
+    Path copy = directory.resolve("slopes.json");
     catalogue.save(copy);
     assertEquals(Files.readString(SLOPES), Files.readString(copy));
   }
 
-  private static Slope line(String cause, double intercept, double slope) {
+  private static Slope linearSlope(String cause, double intercept, double slope) {
     return new Slope(
         "leader",
         cause,
@@ -68,19 +68,19 @@
   }
 
   @Test
-  void anEstimateIsTheBaseAndEachSlopeTimesItsCount() {
+  void estimateIsTheBasePlusEachSlopeTimesItsCount() {
     SlopeCatalogue catalogue = new SlopeCatalogue();
-    catalogue.put(line("worker", 100, 5), "here");
-    catalogue.put(line("start", 900, 2), "here");
-    Estimate e =
+    catalogue.put(linearSlope("worker", 100, 5), "here");
+    catalogue.put(linearSlope("start", 900, 2), "here");
+    Estimate estimate =
         Estimate.of(
                 catalogue,
                 "leader",
                 Quantity.HEAP,
                 new Plan.Situation("peak", Map.of("worker", 10.0, "start", 50.0)))
             .orElseThrow();
-    assertEquals(100 + 50 + 100, e.value(), 1e-6);
-    assertTrue(e.extrapolated(), "50 starts, 20 measured");
+    assertEquals(100 + 50 + 100, estimate.value(), 1e-6);
+    assertTrue(estimate.isExtrapolated(), "50 starts planned, 20 measured");
     assertTrue(
         Estimate.of(
                 catalogue, "cloud", Quantity.HEAP, new Plan.Situation("", Map.of("worker", 1.0)))
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aPageWithoutMarkersIsRefused() {
-    assertThrows(IllegalArgumentException.class, () -> CapacityMain.replaced("# Page\n", "x"));
+  void pageWithoutMarkersIsRejected() {
+    assertThrows(IllegalArgumentException.class, () -> CapacityMain.replaceTables("# Page\n", "x"));
   }
 }
--- a/src/test/java/fennelthread/capacity/LinearFitTest.java
+++ b/src/test/java/fennelthread/capacity/LinearFitTest.java
@@ -22,13 +22,13 @@
     assertEquals(3, fit.intercept(), 1e-12);
     assertEquals(0, fit.residual(), 1e-9);
     assertEquals(1, fit.rSquared(), 1e-12);
-    assertEquals(103, fit.at(50), 1e-9);
-    assertEquals(10, fit.largest());
+    assertEquals(103, fit.valueAt(50), 1e-9);
+    assertEquals(10, fit.largestCount());
   }
 
-  /** Worked by hand: slope 3/2, intercept 1/3, rests -1/3, 2/3, -1/3 by sign. */
+  /** Expected values computed by hand: slope 3/2, intercept 1/3, residuals -1/3, 2/3, -1/3. */
   @Test
-  void theResidualIsTheRootOfTheMeanSquare() {
+  void residualIsTheRootMeanSquareDistance() {
     LinearFit fit = LinearFit.of(List.of(point(0, 0), point(1, 2.5), point(2, 3)));
     assertEquals(1.5, fit.slope(), 1e-12);
     assertEquals(1 / 3.0, fit.intercept(), 1e-12);
@@ -36,9 +36,9 @@
     assertEquals(Math.sqrt((2 / 3.0) / 1 / 2), fit.slopeError(), 1e-12);
   }
 
-  /** Of noisy lines the true slope lies within four standard errors, always. */
+  /** The true slope lies within four standard errors of the fitted one for all 200 seeds. */
   @Test
-  void noiseMovesTheSlopeWithinItsError() {
+  void noiseShiftsTheSlopeByLessThanFourStandardErrors() {
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       double slope = random.nextDouble(-10, 10);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void growthByTheSquareIsNotALine() {
+  void quadraticGrowthIsNotLinear() {
     List<LinearFit.Point> points = new ArrayList<>();
     for (int i = 1; i <= 6; i++) {
       points.add(point(i, i * i));
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void tooFewPointsAreRefused() {
+  void tooFewPointsOrASingleCountAreRejected() {
     assertThrows(
         IllegalArgumentException.class, () -> LinearFit.of(List.of(point(1, 1), point(2, 2))));
     assertThrows(
--- a/src/test/java/fennelthread/capacity/PlotsTest.java
+++ b/src/test/java/fennelthread/capacity/PlotsTest.java
@@ -8,23 +8,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
-/** Draws each slope of docs/scale/slopes.json that grows: its points and its line. */
+/**
+ * Writes an SVG plot of each significant slope of docs/scale/slopes.json into the folder that the
+ * system property slopes.plots names; skipped without that property.
+ */
 @EnabledIfSystemProperty(named = "slopes.plots", matches = ".+")
 class PlotsTest {
 
   @Test
-  void draw() throws IOException {
+  void writesAPlotOfEachSignificantSlope() throws IOException {
     Path folder = Path.of(System.getProperty("slopes.plots"));
     Files.createDirectories(folder);
-    int drawn = 0;
+    int plots = 0;
     for (Slope slope : SlopeCatalogue.load(Path.of("docs/scale/slopes.json")).all()) {
-      if (slope.grows()) {
+      if (slope.isSignificant()) {
         Files.writeString(
-            folder.resolve(slope.id().replace('/', '.') + ".svg"), new SlopePlot(slope).svg());
-        drawn++;
+            folder.resolve(slope.id().replace('/', '.') + ".svg"), new SlopePlot(slope).toSvg());
+        plots++;
       }
     }
-    assertTrue(drawn > 0);
-    System.out.println(drawn + " plots");
+    assertTrue(plots > 0);
+    System.out.println("plots written: count=" + plots);
   }
 }
--- a/src/test/java/fennelthread/capacity/SlopePlot.java
+++ b/src/test/java/fennelthread/capacity/SlopePlot.java
@@ -3,8 +3,9 @@
 import java.util.Locale;
 
 /**
- * One slope as a small SVG: axes from zero, the measured points, the fitted line. Written by hand
- * because a plotting library's SVG holds every letter as a shape, a hundred times the size.
+ * SVG plot of one slope: the measured points and the fitted line, with axes that include zero. It
+ * uses no plotting library because those write each letter as a shape, which makes the file a
+ * hundred times as large.
  */
 final class SlopePlot {
   private static final int WIDTH = 420;
@@ -17,101 +18,99 @@
 
   private final Slope slope;
   private final LinearFit fit;
-  private final double mostCount;
-  private final double leastValue;
-  private final double mostValue;
+  private final double maxCount;
+  private final double minValue;
+  private final double maxValue;
 
   SlopePlot(Slope slope) {
     this.slope = slope;
     this.fit = slope.fit();
-    this.mostCount = fit.largest();
-    double least = Math.min(0, fit.at(0));
-    double most = Math.max(fit.at(0), fit.at(mostCount));
-    for (LinearFit.Point p : slope.points()) {
-      least = Math.min(least, p.value());
-      most = Math.max(most, p.value());
+    this.maxCount = fit.largestCount();
+    double min = Math.min(0, fit.valueAt(0));
+    double max = Math.max(fit.valueAt(0), fit.valueAt(maxCount));
+    for (LinearFit.Point point : slope.points()) {
+      min = Math.min(min, point.value());
+      max = Math.max(max, point.value());
     }
-    this.leastValue = least;
-    this.mostValue = most;
+    this.minValue = min;
+    this.maxValue = max;
   }
 
-  String svg() {
+  String toSvg() {
     StringBuilder out = new StringBuilder();
-    add(
+    addElement(
         out,
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\""
             + " font-family=\"sans-serif\" font-size=\"11\">",
         WIDTH,
         HEIGHT);
-    add(out, "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>");
-    add(
+    addElement(out, "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>");
+    addElement(
         out,
         "<text x=\"%d\" y=\"18\" font-size=\"13\">%s: %s, %s</text>",
         LEFT,
         slope.role(),
         slope.quantity().id(),
         slope.quantity().unit());
-    add(
+    addElement(
         out,
         "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">%s</text>",
         (LEFT + WIDTH - RIGHT) / 2,
         HEIGHT - 8,
         slope.cause());
     for (int i = 0; i <= TICKS; i++) {
-      ticks(out, i / (double) TICKS);
+      addTick(out, i / (double) TICKS);
     }
-    add(
+    addElement(
         out,
         "<line x1=\"%.1f\" y1=\"%.1f\" x2=\"%.1f\" y2=\"%.1f\" stroke=\"gray\"/>",
-        x(0),
-        y(fit.at(0)),
-        x(mostCount),
-        y(fit.at(mostCount)));
-    for (LinearFit.Point p : slope.points()) {
-      add(
+        xOf(0),
+        yOf(fit.valueAt(0)),
+        xOf(maxCount),
+        yOf(fit.valueAt(maxCount)));
+    for (LinearFit.Point point : slope.points()) {
+      addElement(
           out,
           "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"3.5\" fill=\"#1f5fa8\"/>",
-          x(p.count()),
-          y(p.value()));
+          xOf(point.count()),
+          yOf(point.value()));
     }
     return out.append("</svg>\n").toString();
   }
 
-  private void ticks(StringBuilder out, double share) {
-    double count = share * mostCount;
-    double value = leastValue + share * (mostValue - leastValue);
-    add(
+  private void addTick(StringBuilder out, double share) {
+    double count = share * maxCount;
+    double value = minValue + share * (maxValue - minValue);
+    addElement(
         out,
         "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%s</text>",
-        x(count),
+        xOf(count),
         HEIGHT - BOTTOM + 16,
-        CapacityTables.number(count));
-    add(
+        CapacityTables.formatNumber(count));
+    addElement(
         out,
         "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\">%s</text>",
         LEFT - 6,
-        y(value) + 4,
-        CapacityTables.number(value));
-    add(
+        yOf(value) + 4,
+        CapacityTables.formatNumber(value));
+    addElement(
         out,
         "<line x1=\"%d\" y1=\"%.1f\" x2=\"%d\" y2=\"%.1f\" stroke=\"#dddddd\"/>",
         LEFT,
-        y(value),
+        yOf(value),
         WIDTH - RIGHT,
-        y(value));
+        yOf(value));
   }
 
-  private double x(double count) {
-    return LEFT + count / mostCount * (WIDTH - LEFT - RIGHT);
+  private double xOf(double count) {
+    return LEFT + count / maxCount * (WIDTH - LEFT - RIGHT);
   }
 
-  private double y(double value) {
-    return HEIGHT
-        - BOTTOM
-        - (value - leastValue) / (mostValue - leastValue) * (HEIGHT - TOP - BOTTOM);
+  private double yOf(double value) {
+    return HEIGHT - BOTTOM - (value - minValue) / (maxValue - minValue) * (HEIGHT - TOP - BOTTOM);
   }
 
-  private static void add(StringBuilder out, String format, Object... values) {
+  private static void addElement(StringBuilder out, String format, Object... values) {
     out.append(String.format(Locale.ROOT, format, values)).append('\n');
   }
 }
