--- a/src/main/java/fennelthread/simulation/CloudEmulator.java
+++ b/src/main/java/fennelthread/simulation/CloudEmulator.java
@@ -139,7 +139,10 @@
     return worker;
   }
 
-  /** Ends a machine: it fails and stays listed, or the cloud takes it back. */
+  /**
+   * Ends a machine. If it has {@code failed}, it stays listed as failed; otherwise it leaves the
+   * list and can be rented again.
+   */
   void terminate(WorkerEmulator worker, boolean failed) {
     worker.terminate(failed);
     if (!failed) {
@@ -211,15 +214,17 @@
     String requestId = body.text("pedido");
     List<Object> machineNames = machinesByRequest.get(requestId);
     if (machineNames == null) {
-      String kind = body.text("modelo") + body.text("zona") + body.optFlag("prestadas");
+      String capacityKey = body.text("modelo") + body.text("zona") + body.optFlag("prestadas");
       int available =
-          exhaustedZones.contains(body.text("zona")) ? 0 : capacityLeft.getOrDefault(kind, 0);
+          exhaustedZones.contains(body.text("zona"))
+              ? 0
+              : capacityLeft.getOrDefault(capacityKey, 0);
       int count = (int) Math.min(body.count("how_many"), available);
       if (count == 0) {
         reply.accept(Answer.error(503, "no capacity"));
         return;
       }
-      capacityLeft.merge(kind, -count, Integer::sum);
+      capacityLeft.merge(capacityKey, -count, Integer::sum);
       rented.merge(body.text("modelo"), count, Integer::sum);
       machineNames = new ArrayList<>();
       for (int i = 0; i < count; i++) {
--- a/src/main/java/fennelthread/simulation/EventQueue.java
+++ b/src/main/java/fennelthread/simulation/EventQueue.java
@@ -12,8 +12,8 @@
 /**
  * A queue of simulated events, ordered by time and then by insertion. Events within the next {@link
  * SimulationConstants#EVENT_WINDOW_MS} are kept in one slot per millisecond, so that adding and
- * taking an event takes constant time; most events are timeouts whose requests have long been
- * answered.
+ * taking an event takes constant time however many are queued; most of the queued events are
+ * timeouts of requests that have been answered already.
  */
 final class EventQueue {
   private record LaterEvent(long atMs, long insertionOrder, Runnable task) {}
--- a/src/main/java/fennelthread/simulation/InvariantChecker.java
+++ b/src/main/java/fennelthread/simulation/InvariantChecker.java
@@ -29,13 +29,13 @@
   private final Map<String, Set<String>> ancestors = new HashMap<>();
   private final Set<String> accepted = new HashSet<>();
   private final Set<String> cancelRequested = new HashSet<>();
-  private final Map<String, Long> cancelToldAt = new HashMap<>();
+  private final Map<String, Long> reportedCancelledAt = new HashMap<>();
   private final Map<String, Integer> tasksWhenCancelled = new HashMap<>();
-  private final Set<String> doneTold = new HashSet<>();
+  private final Set<String> reportedDone = new HashSet<>();
   private final Set<String> invalidJobs = new HashSet<>();
-  private final Map<String, Long> doneTasksTold = new HashMap<>();
-  private final PriorityQueue<GoneDeadline> goneDeadlines =
-      new PriorityQueue<>(Comparator.comparingLong(GoneDeadline::atMs));
+  private final Map<String, Long> reportedDoneTasks = new HashMap<>();
+  private final PriorityQueue<CancellationDeadline> cancellationDeadlines =
+      new PriorityQueue<>(Comparator.comparingLong(CancellationDeadline::atMs));
   private final TaskPresence presence = new TaskPresence();
   private final PlacementRules placementRules;
   private final WaitingRule waitingRule;
@@ -61,7 +61,7 @@
   int startsAfterCancel;
 
   /** The deadline by which no task of a cancelled job may be on a machine, ms. */
-  private record GoneDeadline(long atMs, String jobId) {}
+  private record CancellationDeadline(long atMs, String jobId) {}
 
   InvariantChecker(SimulatedNetwork network, Settings settings) {
     this.network = network;
@@ -106,8 +106,8 @@
    */
   private boolean isOrphanOverdue(String id) {
     for (String ancestor : ancestors(id)) {
-      Long told = cancelToldAt.get(ancestor);
-      if (told != null && network.now() > told + settings.workers().cancelMs()) {
+      Long reportedAt = reportedCancelledAt.get(ancestor);
+      if (reportedAt != null && network.now() > reportedAt + settings.workers().cancelMs()) {
         return true;
       }
     }
@@ -123,7 +123,7 @@
   }
 
   boolean isReportedDone(String id) {
-    return doneTold.contains(id);
+    return reportedDone.contains(id);
   }
 
   /** A copy of the indexes of a job's completed tasks. */
@@ -140,7 +140,7 @@
   }
 
   boolean isOver(String id) {
-    return doneTold.contains(id) || cancelToldAt.containsKey(id);
+    return reportedDone.contains(id) || reportedCancelledAt.containsKey(id);
   }
 
   /** Number of tasks on machines when a user was first told that the job is cancelled. */
@@ -150,7 +150,7 @@
 
   /** Time at which a user was first told that the job is cancelled, ms; -1 if never. */
   long cancelledAt(String id) {
-    return cancelToldAt.getOrDefault(id, -1L);
+    return reportedCancelledAt.getOrDefault(id, -1L);
   }
 
   /** The tasks on machines and the completed tasks. */
@@ -273,12 +273,12 @@
   }
 
   private void checkFirstStart(JobSpec spec) {
-    long accepted = acceptedAt.get(spec.id());
-    long firstStart = firstStartAt.getOrDefault(spec.id(), network.now());
+    long acceptedAtMs = acceptedAt.get(spec.id());
+    long firstStartAtMs = firstStartAt.getOrDefault(spec.id(), network.now());
     if (spec.dependencies().isEmpty()
-        && firstStart - accepted > SimulationConstants.MAX_FIRST_START_MS) {
+        && firstStartAtMs - acceptedAtMs > SimulationConstants.MAX_FIRST_START_MS) {
       reportViolation(
-          "unserved", spec.id() + " did not start for " + (firstStart - accepted) + " ms");
+          "unserved", spec.id() + " did not start for " + (firstStartAtMs - acceptedAtMs) + " ms");
     }
   }
 
@@ -304,7 +304,7 @@
           if (network.now() - from > SimulationConstants.MAX_UNANSWERED_MS
               && accepted.contains(id)
               && !isUnwanted(id)) {
-            reportViolation("forgotten", id + " without an answer since " + from);
+            reportViolation("forgotten", id + " has got no answer to a question since " + from);
           }
         });
   }
@@ -341,9 +341,9 @@
         reportViolation("too_early", task + " starts before " + dependency + " is done");
       }
     }
-    Long told = cancelToldAt.get(spec.id());
-    startsAfterCancel += told == null ? 0 : 1;
-    if (told != null && network.now() > told + settings.workers().cancelMs()) {
+    Long reportedAt = reportedCancelledAt.get(spec.id());
+    startsAfterCancel += reportedAt == null ? 0 : 1;
+    if (reportedAt != null && network.now() > reportedAt + settings.workers().cancelMs()) {
       reportViolation("ran_cancelled", task + " starts");
     }
   }
@@ -355,8 +355,8 @@
   /** Checks all rules that depend on time; runs after every event. */
   void check() {
     runPeriodicChecks();
-    while (!goneDeadlines.isEmpty() && goneDeadlines.peek().atMs < network.now()) {
-      String id = goneDeadlines.poll().jobId;
+    while (!cancellationDeadlines.isEmpty() && cancellationDeadlines.peek().atMs < network.now()) {
+      String id = cancellationDeadlines.poll().jobId;
       // recordTaskStart() finds every later start, so that the two checks cover all times after the
       // deadline.
       if (running(id) > 0) {
@@ -381,10 +381,10 @@
   UserKnowledge userKnowledge(String id) {
     return new UserKnowledge(
         accepted.contains(id),
-        doneTold.contains(id),
-        cancelToldAt.containsKey(id),
+        reportedDone.contains(id),
+        reportedCancelledAt.containsKey(id),
         isOrphanOverdue(id),
-        doneTasksTold.getOrDefault(id, 0L));
+        reportedDoneTasks.getOrDefault(id, 0L));
   }
 
   /** Checks and records an answer without a count of completed tasks. */
@@ -427,16 +427,17 @@
           && ancestors(id).stream().noneMatch(cancelRequested::contains)) {
         reportViolation("went_back", id + " withdrawn without a request");
       }
-      if (cancelToldAt.putIfAbsent(id, network.now()) == null) {
+      if (reportedCancelledAt.putIfAbsent(id, network.now()) == null) {
         tasksWhenCancelled.put(id, running(id));
-        goneDeadlines.add(new GoneDeadline(network.now() + settings.workers().cancelMs(), id));
+        cancellationDeadlines.add(
+            new CancellationDeadline(network.now() + settings.workers().cancelMs(), id));
       }
     }
     if (state.equals("done")) {
       if (!allCompleted(id)) {
         reportViolation("not_done", id);
       }
-      doneTold.add(id);
+      reportedDone.add(id);
     }
   }
 
@@ -449,7 +450,7 @@
           "went_back",
           id + " from " + before.doneTasks + " tasks done to " + doneTasks + ", " + state);
     }
-    doneTasksTold.merge(id, doneTasks, Math::max);
+    reportedDoneTasks.merge(id, doneTasks, Math::max);
   }
 
   /** Checks an answer with any other status: an accepted job must not be unknown or refused. */
--- a/src/main/java/fennelthread/simulation/JobCancellations.java
+++ b/src/main/java/fennelthread/simulation/JobCancellations.java
@@ -30,11 +30,14 @@
   /** Number of jobs cancelled around the end of their last task. */
   int cancelledAtCompletion;
 
-  /** The time at which a job's last task will complete, estimated from its running tasks. */
+  /**
+   * The latest expected completion of a job's tasks that have started to run. A task that was
+   * stopped since still counts.
+   */
   private static final class ExpectedEnd {
     final BitSet tasksWithEnd = new BitSet();
     long atMs;
-    boolean isDecided;
+    boolean isReported;
   }
 
   JobCancellations(SimulatedCluster cluster) {
@@ -96,7 +99,10 @@
     network.after(forMs, () -> cancelShare = 0);
   }
 
-  /** Adds a listener that gets a job and its expected end, ms, once all its remaining tasks run. */
+  /**
+   * Adds a listener that gets a job and its expected end, ms, once each of its tasks has completed
+   * or has started to run.
+   */
   void onExpectedEnd(ObjLongConsumer<JobSpec> listener) {
     endListeners.add(listener);
   }
@@ -111,8 +117,8 @@
     end.atMs = Math.max(end.atMs, atMs);
     BitSet completedOrRunning = cluster.checker.completedTasks(spec.id());
     completedOrRunning.or(end.tasksWithEnd);
-    if (!end.isDecided && completedOrRunning.cardinality() == spec.tasks()) {
-      end.isDecided = true;
+    if (!end.isReported && completedOrRunning.cardinality() == spec.tasks()) {
+      end.isReported = true;
       endListeners.forEach(listener -> listener.accept(spec, end.atMs));
       if (cancelShare > 0 && network.faults.nextDouble() < cancelShare) {
         long offset =
--- a/src/main/java/fennelthread/simulation/JobPipelines.java
+++ b/src/main/java/fennelthread/simulation/JobPipelines.java
@@ -28,11 +28,12 @@
   }
 
   /**
-   * Submits pipelines at random intervals until {@code untilMs}. Each has a first job, which may
-   * depend on any earlier accepted array, two jobs that depend on the first, and a last job that
-   * depends on both. A job is submitted as soon as its dependencies are accepted; in a quarter of
-   * the pipelines the last one is only submitted when its dependencies are over. In a third of the
-   * pipelines one of the jobs is cancelled within 30 s, if it is accepted by then.
+   * Submits pipelines at random intervals until {@code untilMs}. Each has a first job, which in a
+   * third of the pipelines depends on an earlier accepted array, two jobs that depend on the first,
+   * and a last job that depends on both. A job is submitted as soon as its dependencies are
+   * accepted; in a quarter of the pipelines the last one is only submitted when its dependencies
+   * are over. In a third of the pipelines one of the jobs is cancelled within 30 s, if it is
+   * accepted by then.
    */
   void submitUntil(long untilMs) {
     network.after(
--- a/src/main/java/fennelthread/simulation/NetworkCuts.java
+++ b/src/main/java/fennelthread/simulation/NetworkCuts.java
@@ -63,9 +63,7 @@
 
   private record ZoneCut(String zone, SimulatedNetwork.CutDirection direction, double share) {}
 
-  /**
-   * Assigns a name to a zone; names without a zone lose contact only with zones that are cut off.
-   */
+  /** Assigns a name to a zone; a name without a zone is outside every zone that is cut off. */
   void setZone(String name, String zone) {
     zoneOf.put(name, zone);
   }
@@ -75,7 +73,10 @@
     cutZone(zone, forMs, SimulatedNetwork.CutDirection.BOTH, 1);
   }
 
-  /** Cuts a zone off in the given direction, for a share of its names, always the same ones. */
+  /**
+   * Cuts a zone off in the given direction, for a share of its names. A hash of the name selects
+   * them, so that every cut with this share affects the same ones.
+   */
   void cutZone(String zone, long forMs, SimulatedNetwork.CutDirection direction, double share) {
     ZoneCut cut = new ZoneCut(zone, direction, share);
     zoneCuts.add(cut);
--- a/src/main/java/fennelthread/simulation/OddRequests.java
+++ b/src/main/java/fennelthread/simulation/OddRequests.java
@@ -16,7 +16,7 @@
  */
 final class OddRequests {
 
-  /** The kinds of odd requests. */
+  /** The ways in which a request is redundant or invalid. */
   enum Kind {
     REPEATED,
     REPEATED_WITHOUT_FIELD,
@@ -69,8 +69,8 @@
       case REPEATED -> repeat(kind, false);
       case REPEATED_WITHOUT_FIELD -> repeat(kind, true);
       case CANCELLED_WHEN_DONE -> cancelDone(kind);
-      case FITS_NO_TYPE -> submitInvalid(kind, fitsNoType());
-      case WITHOUT_FIELD -> submitInvalid(kind, withoutField(anyJob().write()));
+      case FITS_NO_TYPE -> submitInvalid(kind, unsatisfiableJob());
+      case WITHOUT_FIELD -> submitInvalid(kind, withoutField(newJob().write()));
       case EXCEEDS_LIMIT -> exceedLimit(kind);
     }
   }
@@ -86,7 +86,8 @@
     if (job != null) {
       count(kind);
       Fields body = job.write();
-      cluster.submitAt(anyMember(), job.id(), omitsField ? withoutField(body) : body, answer -> {});
+      cluster.submitAt(
+          pickMember(), job.id(), omitsField ? withoutField(body) : body, answer -> {});
     }
   }
 
@@ -94,12 +95,12 @@
     JobSpec job = pickJob(spec -> cluster.checker.isReportedDone(spec.id()));
     if (job != null) {
       count(kind);
-      cluster.cancelAt(anyMember(), job.id());
+      cluster.cancelAt(pickMember(), job.id());
     }
   }
 
   private void exceedLimit(Kind kind) {
-    JobSpec job = anyJob();
+    JobSpec job = newJob();
     Settings.Team team = cluster.settings.teams().get(job.team());
     if (team.cpusMax() > 0) {
       long replicas = (long) Math.ceil(team.cpusMax()) + 1;
@@ -108,8 +109,8 @@
     }
   }
 
-  private Fields fitsNoType() {
-    Fields body = anyJob().write();
+  private Fields unsatisfiableJob() {
+    Fields body = newJob().write();
     return switch (network.faults.nextInt(4)) {
       case 0 -> body.with("cpus", SimulationConstants.UNSATISFIABLE_AMOUNT);
       case 1 -> body.with("mem_gb", SimulationConstants.UNSATISFIABLE_AMOUNT);
@@ -119,7 +120,7 @@
   }
 
   /** A job with a new id that fits any machine; its team is drawn from the faults' generator. */
-  private JobSpec anyJob() {
+  private JobSpec newJob() {
     return cluster.nextOddJob();
   }
 
@@ -144,16 +145,19 @@
     submitInvalid(id, body, SimulationConstants.MAX_ODD_REQUEST_TRIES);
   }
 
-  /** Retries the submission until it is refused as invalid, then asks about the job. */
+  /**
+   * Submits an invalid job, at most {@code triesLeft} times, until it is refused as invalid; then
+   * asks about it.
+   */
   private void submitInvalid(String id, Fields body, int triesLeft) {
     cluster.submitAt(
-        anyMember(),
+        pickMember(),
         id,
         body,
         answer -> {
           if (answer != null && (answer.status() == 400 || answer.status() == 422)) {
             refused++;
-            cluster.askAt(anyMember(), id);
+            cluster.askAt(pickMember(), id);
           } else if (triesLeft > 1) {
             network.after(1_000, () -> submitInvalid(id, body, triesLeft - 1));
           }
@@ -165,7 +169,7 @@
     return candidates.isEmpty() ? null : candidates.get(network.faults.nextInt(candidates.size()));
   }
 
-  private String anyMember() {
+  private String pickMember() {
     List<String> members = List.copyOf(cluster.controllers().keySet());
     return members.get(network.faults.nextInt(members.size()));
   }
--- a/src/main/java/fennelthread/simulation/PlacementRules.java
+++ b/src/main/java/fennelthread/simulation/PlacementRules.java
@@ -79,7 +79,8 @@
 
   /**
    * True if a job can ever run: its team exists, the team's limits admit one task, or all replicas
-   * of a service, and a task fits a machine type on offer that the job allows.
+   * of a service, and a task fits a machine type on offer that the job allows, in a zone that it
+   * allows.
    */
   boolean canRun(JobSpec spec, List<MachineType> types) {
     if (!isWithinLimits(spec, spec.service() ? spec.tasks() : 1, new TaskPresence.Amount())) {
--- a/src/main/java/fennelthread/simulation/RepeatedQueries.java
+++ b/src/main/java/fennelthread/simulation/RepeatedQueries.java
@@ -36,12 +36,12 @@
       return;
     }
     List<String> members = List.copyOf(cluster.controllers().keySet());
-    for (long offset : OFFSETS_MS) {
-      cluster.world.after(offset, () -> askEach(members, id));
+    for (long offsetMs : OFFSETS_MS) {
+      cluster.world.after(offsetMs, () -> askEach(members, id));
     }
     String member = members.get(cluster.world.faults.nextInt(members.size()));
-    long offset = OFFSETS_MS[cluster.world.faults.nextInt(OFFSETS_MS.length)];
-    cluster.world.after(offset, () -> repeat(member, id));
+    long offsetMs = OFFSETS_MS[cluster.world.faults.nextInt(OFFSETS_MS.length)];
+    cluster.world.after(offsetMs, () -> repeat(member, id));
   }
 
   private void askEach(List<String> members, String id) {
--- a/src/main/java/fennelthread/simulation/RequestFaults.java
+++ b/src/main/java/fennelthread/simulation/RequestFaults.java
@@ -15,17 +15,17 @@
   /** Observes each request as its sender hands it to the network. */
   @FunctionalInterface
   interface Observer {
-    /** Called when a process sends a request; names are those used for cuts. */
+    /** Called when a process sends a request; the names are those that cuts are given by. */
     void onRequestSent(String from, String to, Call call);
   }
 
-  private record BlockedPath(String fromPrefix, String toPrefix) {}
+  private record BlockedRoute(String fromPrefix, String toPrefix) {}
 
   private record SlowLink(String prefix, long extraMs) {}
 
   private final SimulatedNetwork network;
   private final List<Observer> observers = new ArrayList<>();
-  private final List<BlockedPath> blockedPaths = new ArrayList<>();
+  private final List<BlockedRoute> blockedRoutes = new ArrayList<>();
   private final List<SlowLink> slowLinks = new ArrayList<>();
   private double heldCommandShare;
 
@@ -56,15 +56,15 @@
    * Blocks connections from one group of names to another, given by prefixes, for {@code forMs}.
    */
   void blockRequests(String fromPrefix, String toPrefix, long forMs) {
-    BlockedPath path = new BlockedPath(fromPrefix, toPrefix);
-    blockedPaths.add(path);
-    network.after(forMs, () -> blockedPaths.remove(path));
+    BlockedRoute route = new BlockedRoute(fromPrefix, toPrefix);
+    blockedRoutes.add(route);
+    network.after(forMs, () -> blockedRoutes.remove(route));
   }
 
   /** True if a request between these names gets no connection; counts such requests. */
   boolean blocksConnection(String from, String to) {
-    for (BlockedPath path : blockedPaths) {
-      if (from.startsWith(path.fromPrefix) && to.startsWith(path.toPrefix)) {
+    for (BlockedRoute route : blockedRoutes) {
+      if (from.startsWith(route.fromPrefix) && to.startsWith(route.toPrefix)) {
         requestsBlocked++;
         return true;
       }
@@ -79,7 +79,7 @@
     network.after(forMs, () -> slowLinks.remove(link));
   }
 
-  /** Extra delay of a message between these names, ms. */
+  /** Extra delay of a message between these names, ms: that of the slowest link that matches. */
   long extraMs(String from, String to) {
     long longestMs = 0;
     for (SlowLink link : slowLinks) {
--- a/src/main/java/fennelthread/simulation/Search.java
+++ b/src/main/java/fennelthread/simulation/Search.java
@@ -20,10 +20,10 @@
   /**
    * A possible step of the model.
    *
-   * @param what description of the step, used in traces
+   * @param description description of the step, used in traces
    * @param next state after the step
    */
-  public record Step<S>(String what, S next) {}
+  public record Step<S>(String description, S next) {}
 
   /**
    * The result of a search.
@@ -63,7 +63,8 @@
           continue;
         }
         for (Step<S> step : steps.apply(state)) {
-          if (origins.putIfAbsent(key.apply(step.next), new Origin(stateKey, step.what)) == null) {
+          if (origins.putIfAbsent(key.apply(step.next), new Origin(stateKey, step.description))
+              == null) {
             queue.add(step.next);
           }
         }
--- a/src/main/java/fennelthread/simulation/ServedRule.java
+++ b/src/main/java/fennelthread/simulation/ServedRule.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 
 /**
- * The operators' rule for whole days: at least half of the work is served of each job class, of
- * each team and of the largest jobs of each class. Services are measured by the share of their
+ * The operators' rule for whole days: of the work of each job class, of each team and of the
+ * largest jobs of each class, at least half is served. Services are measured by the share of their
  * replicas that run, over time; arrays by the share of jobs that complete. The largest jobs of a
- * class are its top tenth by requested CPUs, at least one job, and all that ask for as much as the
- * least of these.
+ * class are its top tenth by requested CPUs, at least one job, and all others that request as many
+ * CPUs as the smallest of these.
  */
 final class ServedRule {
 
@@ -23,14 +23,14 @@
 
   /** Expected and served work of one group of jobs. */
   private static final class Served {
-    long replicasWanted;
-    long replicasUp;
-    long jobsWanted;
-    long jobsDone;
+    long replicasExpected;
+    long replicasRunning;
+    long jobsExpected;
+    long jobsCompleted;
 
     double share() {
-      double replicas = replicasWanted == 0 ? 1 : replicasUp / (double) replicasWanted;
-      double jobs = jobsWanted == 0 ? 1 : jobsDone / (double) jobsWanted;
+      double replicas = replicasExpected == 0 ? 1 : replicasRunning / (double) replicasExpected;
+      double jobs = jobsExpected == 0 ? 1 : jobsCompleted / (double) jobsExpected;
       return Math.min(replicas, jobs);
     }
   }
@@ -57,11 +57,11 @@
     }
     byClass.forEach(
         (jobClass, members) -> {
-          double largestFrom = leastCpusOfLargest(members);
+          double leastCpus = findLeastCpusOfLargest(members);
           for (Job job : members) {
             count(shares, "class " + jobClass, job, countedBefore);
             count(shares, "team " + job.spec.team(), job, countedBefore);
-            if (requestedCpus(job) >= largestFrom) {
+            if (requestedCpus(job) >= leastCpus) {
               count(shares, "largest of " + jobClass, job, countedBefore);
             }
           }
@@ -74,7 +74,7 @@
     return null;
   }
 
-  private static double leastCpusOfLargest(List<Job> members) {
+  private static double findLeastCpusOfLargest(List<Job> members) {
     members.sort(Comparator.comparingDouble(ServedRule::requestedCpus).reversed());
     int count = (int) Math.ceil(members.size() * SimulationConstants.LARGEST_JOBS_SHARE);
     return requestedCpus(members.get(count - 1));
@@ -88,11 +88,11 @@
     Served served = shares.computeIfAbsent(group, k -> new Served());
     if (job.spec.service()) {
       long[] sample = replicaSamples.getOrDefault(job.spec.id(), new long[2]);
-      served.replicasWanted += sample[0];
-      served.replicasUp += sample[1];
+      served.replicasExpected += sample[0];
+      served.replicasRunning += sample[1];
     } else if (job.acceptedAt < countedBefore) {
-      served.jobsWanted++;
-      served.jobsDone += job.complete ? 1 : 0;
+      served.jobsExpected++;
+      served.jobsCompleted += job.complete ? 1 : 0;
     }
   }
 }
--- a/src/main/java/fennelthread/simulation/SimulatedCluster.java
+++ b/src/main/java/fennelthread/simulation/SimulatedCluster.java
@@ -109,7 +109,7 @@
   }
 
   /**
-   * A small cluster whose controllers are set up for the limits {@code next} while the state
+   * A small cluster whose controllers are configured with the limits {@code next} while the state
    * service still has its old ones; {@code production} starts the version in production.
    */
   static SimulatedCluster limited(long seed, Settings.StateLimits next, boolean production) {
@@ -274,12 +274,19 @@
     users.submitAt(member, id, body, then);
   }
 
-  /** Asks one controller once to cancel a job that is known to be done; ignores the answer. */
+  /**
+   * Asks one controller once to cancel a job and ignores the answer, see {@link #cancelAt(String,
+   * String, Consumer)}.
+   */
   void cancelAt(String member, String id) {
     cancelAt(member, id, answer -> {});
   }
 
-  /** Asks one controller once to cancel a job; {@code then} gets the answer, or null. */
+  /**
+   * Asks one controller once to cancel a job; {@code then} gets the answer, or null. The checker
+   * does not record the request: it fails if the job is cancelled and no other request asked for
+   * it.
+   */
   void cancelAt(String member, String id, Consumer<Answer> then) {
     users.cancelAt(member, id, then);
   }
@@ -301,10 +308,13 @@
     new RandomFaults(this, users, randomJobs).runUntil(untilMs);
   }
 
-  /** Number of round records delayed by {@link #delayNextStartRecord}. */
+  /** Number of start records delayed by {@link #delayNextStartRecord}. */
   int delayedStartRecords;
 
-  /** Delays the next round record that a controller writes by {@code byMs}. */
+  /**
+   * Delays the next start record that a controller writes by {@code byMs}. Only one record is
+   * delayed per cluster: later calls have no effect.
+   */
   void delayNextStartRecord(String member, long byMs) {
     state.transactionDelayMs =
         (caller, body) -> {
--- a/src/main/java/fennelthread/simulation/SimulatedControllers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedControllers.java
@@ -133,11 +133,11 @@
   /** Kills a controller and starts a new process of the same member after {@code downMs}. */
   void crash(String member, long downMs) {
     processes.get(member).kill();
-    SimulatedProcess dead = processes.get(member);
+    SimulatedProcess killed = processes.get(member);
     network.after(
         downMs,
         () -> {
-          if (processes.get(member) == dead) {
+          if (processes.get(member) == killed) {
             start(member);
           }
         });
--- a/src/main/java/fennelthread/simulation/SimulatedNetwork.java
+++ b/src/main/java/fennelthread/simulation/SimulatedNetwork.java
@@ -41,21 +41,25 @@
 
   private final List<Runnable> checksAfterEvents = new ArrayList<>();
 
-  /** The main generator of random choices. */
+  /** The main random generator. */
   final SplittableRandom random;
 
-  /** Random choices about connections and copies. */
+  /** Random generator for connection failures and copies of requests. */
   final SplittableRandom connections;
 
   /**
-   * Random choices for faults that few tests use, so that drawing them leaves other runs unchanged.
+   * Random generator for faults that few tests use; it is separate, so that a draw for such a fault
+   * does not change the other random choices of a run.
    */
   final SplittableRandom faults;
 
   /** Faults of single requests, by sender and recipient. */
   final RequestFaults requestFaults = new RequestFaults(this);
 
-  /** Share of the packets that are lost on links that are not cut. */
+  /**
+   * Share of the packets that are lost on links that are not cut, and share of the requests whose
+   * connection fails.
+   */
   double loss = 0.002;
 
   /** Share of the packets that arrive 3 to 63 s late. */
@@ -147,7 +151,10 @@
     after(forMs, () -> holdRules.remove(rule));
   }
 
-  /** Schedules a copy of a request for each active rule that matches and draws it. */
+  /**
+   * Schedules copies of a request: one for each active rule whose path matches, with the
+   * probability {@link RequestCopies#share}.
+   */
   void maybeCopy(String path, Runnable deliver) {
     for (RequestCopies rule : copyRules) {
       if (path.startsWith(rule.path) && connections.nextDouble() < rule.share) {
@@ -208,9 +215,7 @@
     cuts.cutOneWay(from, to, forMs);
   }
 
-  /**
-   * Assigns a name to a zone; names without a zone lose contact only with zones that are cut off.
-   */
+  /** Assigns a name to a zone; a name without a zone is outside every zone that is cut off. */
   void setZone(String name, String zone) {
     cuts.setZone(name, zone);
   }
@@ -220,7 +225,10 @@
     cuts.cutZone(zone, forMs);
   }
 
-  /** Cuts a zone off in the given direction, for a share of its names, always the same ones. */
+  /**
+   * Cuts a zone off in the given direction, for a share of its names. A hash of the name selects
+   * them, so that every cut with this share affects the same ones.
+   */
   void cutZone(String zone, long forMs, CutDirection direction, double share) {
     cuts.cutZone(zone, forMs, direction, share);
   }
--- a/src/main/java/fennelthread/simulation/SimulatedUsers.java
+++ b/src/main/java/fennelthread/simulation/SimulatedUsers.java
@@ -54,7 +54,7 @@
   void submitOnce(JobSpec spec) {
     recordSubmission(spec);
     send(
-        anyAddress(),
+        pickAddress(),
         submissionCall(spec.write()),
         spec.id(),
         SimulationConstants.SUBMIT_TIMEOUT_MS,
@@ -68,7 +68,7 @@
 
   private void submit(JobSpec spec, int triesLeft) {
     send(
-        anyAddress(),
+        pickAddress(),
         submissionCall(spec.write()),
         spec.id(),
         SimulationConstants.SUBMIT_TIMEOUT_MS,
@@ -96,7 +96,7 @@
 
   private void queryJob(String id) {
     send(
-        anyAddress(),
+        pickAddress(),
         queryCall(id),
         id,
         SimulationConstants.POLL_TIMEOUT_MS,
@@ -113,7 +113,7 @@
   void cancel(String id) {
     checker.recordCancelRequest(id);
     send(
-        anyAddress(),
+        pickAddress(),
         cancellationCall(id),
         id,
         SimulationConstants.SUBMIT_TIMEOUT_MS,
@@ -156,7 +156,11 @@
         then);
   }
 
-  /** Asks one controller once to cancel a job; {@code then} gets the answer, or null. */
+  /**
+   * Asks one controller once to cancel a job; {@code then} gets the answer, or null. The checker
+   * does not record the request: it fails if the job is cancelled and no other request asked for
+   * it.
+   */
   void cancelAt(String member, String id, Consumer<Answer> then) {
     send(
         addresses.get(member),
@@ -169,7 +173,7 @@
   /** Asks a random controller about a job that nobody has submitted. */
   void askUnknown() {
     String id = "job-9" + network.random.nextInt(100_000);
-    send(anyAddress(), queryCall(id), id, SimulationConstants.POLL_TIMEOUT_MS, answer -> {});
+    send(pickAddress(), queryCall(id), id, SimulationConstants.POLL_TIMEOUT_MS, answer -> {});
   }
 
   /** Adds a listener that gets a job's id when a user is first told that it is accepted or over. */
@@ -189,7 +193,7 @@
     return new Call("POST", JOBS_PATH + "/" + id + "/withdraw", new byte[0], Codec.CBOR);
   }
 
-  private String anyAddress() {
+  private String pickAddress() {
     List<String> all = List.copyOf(addresses.values());
     return all.get(network.random.nextInt(all.size()));
   }
--- a/src/main/java/fennelthread/simulation/StateEmulator.java
+++ b/src/main/java/fennelthread/simulation/StateEmulator.java
@@ -26,7 +26,7 @@
  * leases (called grants in its protocol), with rate and size limits and injected faults.
  */
 final class StateEmulator implements Service {
-  private static final String EXTEND = "/extend";
+  private static final String EXTEND_SUFFIX = "/extend";
 
   private record Item(Fields value, long revision, long grant) {}
 
@@ -74,7 +74,8 @@
   long changes;
 
   /**
-   * Number of times that a leader's key was overwritten under a new grant before its grant ended.
+   * Number of writes under a grant that replaced a stored key: a leader's key was taken over before
+   * the grant of its former leader ended.
    */
   int takeovers;
 
@@ -111,7 +112,10 @@
     limits = next;
   }
 
-  /** Refuses all requests for {@code forMs}; all grants are renewed when the outage ends. */
+  /**
+   * Refuses all requests with status 503 for {@code forMs}. No grant expires meanwhile, and all are
+   * renewed for their full duration when the outage ends.
+   */
   void outage(long forMs) {
     isDown = true;
     network.after(
@@ -288,9 +292,10 @@
   }
 
   private void extendOrRevokeGrant(String rest, Consumer<Answer> reply) {
-    boolean isExtension = rest.endsWith(EXTEND);
+    boolean isExtension = rest.endsWith(EXTEND_SUFFIX);
     long id =
-        Long.parseLong(isExtension ? rest.substring(0, rest.length() - EXTEND.length()) : rest);
+        Long.parseLong(
+            isExtension ? rest.substring(0, rest.length() - EXTEND_SUFFIX.length()) : rest);
     Grant grant = grants.get(id);
     if (grant == null) {
       reply.accept(Answer.error(404, "no such lease"));
--- a/src/main/java/fennelthread/simulation/StateInvariants.java
+++ b/src/main/java/fennelthread/simulation/StateInvariants.java
@@ -45,19 +45,20 @@
     if (!key.startsWith(FINISHED_TASKS)) {
       return;
     }
-    BitSet now = new BitSet();
+    BitSet current = new BitSet();
     for (Fields value : state.valuesUnder(key)) {
       if (value.map().get("r") instanceof List<?> ranges) {
         for (int i = 0; i + 1 < ranges.size(); i += 2) {
-          now.set(((Number) ranges.get(i)).intValue(), ((Number) ranges.get(i + 1)).intValue() + 1);
+          current.set(
+              ((Number) ranges.get(i)).intValue(), ((Number) ranges.get(i + 1)).intValue() + 1);
         }
       }
     }
     BitSet lost = finishedTasks.getOrDefault(key, new BitSet());
-    lost.andNot(now);
+    lost.andNot(current);
     if (!lost.isEmpty()) {
       throw new AssertionError("t=" + network.now() + " " + key + " has lost " + lost);
     }
-    finishedTasks.put(key, now);
+    finishedTasks.put(key, current);
   }
 }
--- a/src/main/java/fennelthread/simulation/TaskPresence.java
+++ b/src/main/java/fennelthread/simulation/TaskPresence.java
@@ -28,34 +28,36 @@
   private final Map<String, WorkerEmulator> machineOf = new HashMap<>();
   private final Map<String, BitSet> present = new HashMap<>();
   private final Map<String, BitSet> completed = new HashMap<>();
-  private final Map<String, Amount> teams = new HashMap<>();
-  private final Map<WorkerEmulator, Amount> machines = new HashMap<>();
-  private final Map<String, Map<String, Integer>> zones = new HashMap<>();
+  private final Map<String, Amount> amountsByTeam = new HashMap<>();
+  private final Map<WorkerEmulator, Amount> amountsByMachine = new HashMap<>();
+  private final Map<String, Map<String, Integer>> tasksByJobAndZone = new HashMap<>();
 
   /** Adds a task to a machine; returns the machine that it is still on, or null. */
   WorkerEmulator add(WorkerEmulator machine, JobSpec spec, int index) {
-    WorkerEmulator other = machineOf.put(name(spec, index), machine);
+    WorkerEmulator other = machineOf.put(nameOf(spec, index), machine);
     present.computeIfAbsent(spec.id(), k -> new BitSet()).set(index);
-    teams.computeIfAbsent(spec.team(), k -> new Amount()).add(spec, 1);
-    machines.computeIfAbsent(machine, k -> new Amount()).add(spec, 1);
-    zones.computeIfAbsent(spec.id(), k -> new HashMap<>()).merge(machine.zone(), 1, Integer::sum);
+    amountsByTeam.computeIfAbsent(spec.team(), k -> new Amount()).add(spec, 1);
+    amountsByMachine.computeIfAbsent(machine, k -> new Amount()).add(spec, 1);
+    tasksByJobAndZone
+        .computeIfAbsent(spec.id(), k -> new HashMap<>())
+        .merge(machine.zone(), 1, Integer::sum);
     return other;
   }
 
   /** Removes a task from its machine; {@code done} marks it as completed. */
   void remove(WorkerEmulator machine, JobSpec spec, int index, boolean done) {
-    machineOf.remove(name(spec, index));
+    machineOf.remove(nameOf(spec, index));
     present.get(spec.id()).clear(index);
-    teams.get(spec.team()).add(spec, -1);
-    machines.get(machine).add(spec, -1);
-    zones.get(spec.id()).merge(machine.zone(), -1, Integer::sum);
+    amountsByTeam.get(spec.team()).add(spec, -1);
+    amountsByMachine.get(machine).add(spec, -1);
+    tasksByJobAndZone.get(spec.id()).merge(machine.zone(), -1, Integer::sum);
     if (done) {
       completed.computeIfAbsent(spec.id(), k -> new BitSet()).set(index);
     }
   }
 
-  /** The name of a task on the wire. */
-  static String name(JobSpec spec, int index) {
+  /** The name of a task: {@code job/index}. */
+  static String nameOf(JobSpec spec, int index) {
     return spec.id() + "/" + index;
   }
 
@@ -72,13 +74,13 @@
 
   /** Number of a job's tasks on machines of a zone. */
   int running(String id, String zone) {
-    return zones.getOrDefault(id, Map.of()).getOrDefault(zone, 0);
+    return tasksByJobAndZone.getOrDefault(id, Map.of()).getOrDefault(zone, 0);
   }
 
   /** The zones that hold at least one task of a job. */
   Set<String> zonesOf(String id) {
     Set<String> used = new HashSet<>();
-    zones
+    tasksByJobAndZone
         .getOrDefault(id, Map.of())
         .forEach(
             (zone, tasks) -> {
@@ -110,20 +112,20 @@
   /** Number of a job's tasks that are neither on a machine nor completed. */
   int waiting(JobSpec spec) {
     BitSet accounted = completed(spec.id());
-    BitSet on = present.get(spec.id());
-    if (on != null) {
-      accounted.or(on);
+    BitSet onMachines = present.get(spec.id());
+    if (onMachines != null) {
+      accounted.or(onMachines);
     }
     return spec.tasks() - accounted.cardinality();
   }
 
   /** The resources that a team uses; callers must not modify them. */
   Amount usedBy(String team) {
-    return teams.getOrDefault(team, NOTHING);
+    return amountsByTeam.getOrDefault(team, NOTHING);
   }
 
   /** The resources in use on a machine; callers must not modify them. */
   Amount usedOn(WorkerEmulator machine) {
-    return machines.getOrDefault(machine, NOTHING);
+    return amountsByMachine.getOrDefault(machine, NOTHING);
   }
 }
--- a/src/main/java/fennelthread/simulation/WaitingRule.java
+++ b/src/main/java/fennelthread/simulation/WaitingRule.java
@@ -51,7 +51,7 @@
     if (now - since <= SimulationConstants.MAX_IDLE_CAPACITY_WAIT_MS) {
       return null;
     }
-    return spec.id() + " waits since " + since + " while " + freeMachine.name() + " has room";
+    return spec.id() + " has waited since " + since + " while " + freeMachine.name() + " has room";
   }
 
   private WorkerEmulator findFreeMachine(JobSpec spec) {
--- a/src/main/java/fennelthread/simulation/WorkerEmulator.java
+++ b/src/main/java/fennelthread/simulation/WorkerEmulator.java
@@ -74,22 +74,22 @@
   private final String zone;
   private final boolean spot;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
-  private final Set<String> completed = new HashSet<>();
+  private final Set<String> completedAcrossReboots = new HashSet<>();
   private SimulatedProcess process;
   private long session;
   private long lastReportNumber;
   private long highestToken;
   private long leaseStartMs;
   private long terminationAtMs = -1;
-  private boolean up;
-  private boolean failed;
+  private boolean isUp;
+  private boolean isFailed;
   private boolean failsTasks;
   private int controllerIndex;
-  private boolean terminated;
+  private boolean isTerminated;
   private long lastSentAtMs;
   private boolean isReportInFlight;
 
-  /** Number of start commands with a token lower than the highest one seen; they are refused. */
+  /** Number of direct start commands refused for a token lower than the highest one seen. */
   int staleRuns;
 
   /** Number of those whose token is from an earlier leader than the highest one seen. */
@@ -134,33 +134,33 @@
   }
 
   boolean isUp() {
-    return up;
+    return isUp;
   }
 
   boolean isFailed() {
-    return failed;
+    return isFailed;
   }
 
   /** Starts the worker in a new session, unless it is up or the machine has ended. */
   void boot() {
-    if (up || failed || terminated) {
+    if (isUp || isFailed || isTerminated) {
       return;
     }
-    up = true;
+    isUp = true;
     process = new SimulatedProcess(network, name);
     process.listen(address, this);
     controllerIndex = network.random.nextInt(environment.controllers().size());
-    newSession();
+    beginSession();
     reportPeriodically();
     checkLease();
   }
 
   /** Restarts the machine with its name and address; tasks, session and token are lost. */
   void reboot(long downMs) {
-    if (!up) {
+    if (!isUp) {
       return;
     }
-    up = false;
+    isUp = false;
     process.kill();
     killAllTasks();
     session = 0;
@@ -172,10 +172,10 @@
 
   /** Ends the machine and all its tasks for good. */
   void terminate(boolean asFailed) {
-    failed = asFailed;
-    terminated = true;
-    if (up) {
-      up = false;
+    isFailed = asFailed;
+    isTerminated = true;
+    if (isUp) {
+      isUp = false;
       process.kill();
       killAllTasks();
     }
@@ -208,24 +208,24 @@
 
   /** Pauses the worker process for {@code forMs}; its lease goes on and may expire meanwhile. */
   void hang(long forMs) {
-    if (up) {
+    if (isUp) {
       process.pause(forMs);
     }
   }
 
-  private void newSession() {
+  private void beginSession() {
     session++;
     leaseStartMs = network.now();
   }
 
   private void killAllTasks() {
     for (Task task : List.copyOf(tasks.values())) {
-      markGone(task, false);
+      removeFromMachine(task, false);
     }
     tasks.clear();
   }
 
-  private void markGone(Task task, boolean done) {
+  private void removeFromMachine(Task task, boolean done) {
     if (task.isPresent) {
       task.isPresent = false;
       environment.onTaskEnd(this, task.spec, task.ref.index(), done);
@@ -233,19 +233,19 @@
   }
 
   private void checkLease() {
-    if (!up) {
+    if (!isUp) {
       return;
     }
     if (network.now() - leaseStartMs > environment.leaseMs()) {
       killAllTasks();
-      newSession();
+      beginSession();
       scheduleReport();
     }
     network.after(50, this::checkLease);
   }
 
   private void scheduleReport() {
-    if (up) {
+    if (isUp) {
       process.after(Math.max(0, lastSentAtMs + 500 - network.now()), this::reportIfIdle);
     }
   }
@@ -257,7 +257,7 @@
   }
 
   private void reportPeriodically() {
-    if (!up) {
+    if (!isUp) {
       return;
     }
     long pause = (long) (environment.reportMs() * (0.75 + 0.5 * network.random.nextDouble()));
@@ -349,7 +349,7 @@
 
   @Override
   public void handle(Request request, Consumer<Answer> reply) {
-    if (!up) {
+    if (!isUp) {
       return;
     }
     if (request.path().equals("/show")) {
@@ -471,7 +471,7 @@
     scheduleReport();
     if (failsTasks) {
       process.after(300, () -> finishIfLive(task, WorkerReport.EndReason.ERROR));
-    } else if (completed.contains(task.ref.toString())) {
+    } else if (completedAcrossReboots.contains(task.ref.toString())) {
       finishIfLive(task, WorkerReport.EndReason.DONE);
     } else if (!task.spec.service()) {
       long runMs = (long) (task.spec.estimateS() * 1000 * (0.5 + network.random.nextDouble()));
@@ -490,9 +490,9 @@
     task.phase = WorkerReport.Phase.ENDED;
     task.endReason = endReason;
     if (endReason == WorkerReport.EndReason.DONE) {
-      completed.add(task.ref.toString());
+      completedAcrossReboots.add(task.ref.toString());
     }
-    markGone(task, endReason == WorkerReport.EndReason.DONE);
+    removeFromMachine(task, endReason == WorkerReport.EndReason.DONE);
     scheduleReport();
   }
 }
