--- a/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
+++ b/src/test/java/fennelthread/simulation/ZoneMeetingsTest.java
@@ -149,7 +149,7 @@
     c.checker.recordEndOfFaults();
     List<JobSpec> arrays =
         c.jobs.stream()
-            .filter(job -> !job.service() && !c.checker.isCancelAsked(job.id()))
+            .filter(job -> !job.service() && !c.checker.isCancelRequested(job.id()))
             .toList();
     Scenes.until(
         c,
@@ -297,13 +297,13 @@
     return new Deployment(
         few.controllers(),
         few.zones(),
-        few.firstSmall(),
-        few.firstBig(),
+        few.initialSmall(),
+        few.initialLarge(),
         1_000,
-        few.big(),
+        few.largePerZone(),
         0,
         few.limits(),
-        few.next(),
+        few.announcedLimits(),
         few.reportMs(),
         few.leaseMs(),
         few.cancelMs(),
